--- a/internal/leader/announce.go
+++ b/internal/leader/announce.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 )
 
@@ -17,18 +18,18 @@
 func (l *Leader) announce() {
 	needs := l.openNeeds()
 	for _, p := range l.log.segments {
-		for _, attempt := range sorted(p.begun) {
-			a := p.begun[attempt]
-			if a.job.over() || a.stop || l.mayTake(a.m, needs) {
-				l.notify(a.m)
+		for _, attempt := range cluster.SortedAttempts(p.Begun) {
+			a := p.Begun[attempt]
+			if a.Job.IsOver() || a.Stop.Requested || l.mayTake(a.Machine, needs) {
+				l.notify(a.Machine)
 			}
 		}
 	}
 }
 
 // announceLate orders a machine that has not reported to this leader by itself.
-func (l *Leader) announceLate(m *machine, now time.Time) {
-	if m.phase == up && m.reported.IsZero() && m.token < l.term.Token && now.Sub(m.known) > l.Derived.AnnounceAfter {
+func (l *Leader) announceLate(m *cluster.Machine, now time.Time) {
+	if m.Phase == cluster.Up && m.Worker.HeartbeatAt.IsZero() && m.Worker.Token < l.term.Token && now.Sub(m.Rental.KnownSince) > l.Derived.AnnounceAfter {
 		l.notify(m)
 	}
 }
@@ -37,8 +38,8 @@
 func (l *Leader) openNeeds() map[placement.Amount]bool {
 	needs := map[placement.Amount]bool{}
 	for _, j := range l.jobs {
-		if !j.over() {
-			needs[placement.Of(j.spec)] = true
+		if !j.IsOver() {
+			needs[placement.Of(j.Spec)] = true
 		}
 	}
 	return needs
@@ -46,12 +47,12 @@
 
 // mayTake tells whether a machine has room for one more task, as far as the records
 // tell. One of unknown type may have.
-func (l *Leader) mayTake(m *machine, needs map[placement.Amount]bool) bool {
-	t := l.machineType(m.typ)
+func (l *Leader) mayTake(m *cluster.Machine, needs map[placement.Amount]bool) bool {
+	t := l.machineType(m.Type)
 	if t == nil {
 		return true
 	}
-	free := placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.room, -1)
+	free := placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.Used, -1)
 	for need := range needs {
 		if free.Fits(need) {
 			return true
--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/workers"
 )
 
@@ -19,19 +20,19 @@
 	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimateS: 30}
 	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimateS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
-		j := newJob(spec.ID, spec, 2, 0, now)
-		l.jobs[j.id] = j
+		j := cluster.NewJob(spec.ID, spec, 2, 0, now)
+		l.jobs[j.ID] = j
 		r := &workers.Report{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", Session: 1, Seq: 1, Token: 5}
 		l.report(r, now)
-		l.assign(j, j.take(), l.machines.byID[r.Machine], now)
+		l.assign(j, j.TakePendingTask(), l.machines.ByID[r.Machine], now)
 	}
 
 	// The record of a cancelled job has no description, so that it is not among the jobs.
-	spec, live := *l.jobs["j-7"].spec, *small
+	spec, live := *l.jobs["j-7"].Spec, *small
 	next := successor(l, written(l), now, &spec, &live)
 	notifyPending := func() (ids []string) {
 		for _, m := range next.unconfirmedQueue {
-			ids = append(ids, m.id)
+			ids = append(ids, m.ID)
 		}
 		next.unconfirmedQueue = nil
 		slices.Sort(ids)
@@ -41,9 +42,9 @@
 		t.Errorf("ordered at once: %v", got)
 	}
 	interval := func(at time.Time) {
-		for range ticksPerInterval {
-			next.tickGroup = (next.tickGroup + 1) % ticksPerInterval
-			for m := range next.machines.groups[next.tickGroup] {
+		for range cluster.TickGroups {
+			next.tickGroup = (next.tickGroup + 1) % cluster.TickGroups
+			for m := range next.machines.Groups[next.tickGroup] {
 				next.announceLate(m, at)
 			}
 		}
--- a/internal/leader/assignment_log.go
+++ b/internal/leader/assignment_log.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"ospreyslip/internal/leader/cluster"
 	"slices"
 )
 
@@ -22,22 +23,9 @@
 	leastCarry    = 4  // or this many assignments, where segments are small
 )
 
-// segment is one segment's place in the ring and what is on it that may still be true.
-type segment struct {
-	key      string
-	revision uint64
-	bytes    int // as it stands there
-	begun    map[uint64]*assignment
-	done     map[chunkRef]bool
-}
-
-func newSegment(key string, revision uint64) *segment {
-	return &segment{key: key, revision: revision, begun: map[uint64]*assignment{}, done: map[chunkRef]bool{}}
-}
-
 // assignmentLog is the ring of segments, the oldest first, and what waits to be written.
 type assignmentLog struct {
-	segments []*segment
+	segments []*cluster.Segment
 	keys     map[string]bool // of all segments
 	number   uint64          // of the newest segment
 	most     int             // bytes on a segment
@@ -46,16 +34,16 @@
 	open     bool            // the outcome of an earlier transaction is not known
 	rewrite  int             // segments to be written once more, as they may be lost
 
-	begins []*assignment // to be written
-	ends   []*assignment
-	chunks []chunkRef
+	begins []*cluster.Assignment // to be written
+	ends   []*cluster.Assignment
+	chunks []cluster.ChunkRef
 	deaths []string
 }
 
 // end queues an assignment that is over.
-func (k *assignmentLog) end(a *assignment) {
-	if !a.ending {
-		a.ending = true
+func (k *assignmentLog) end(a *cluster.Assignment) {
+	if !a.Log.EndQueued {
+		a.Log.EndQueued = true
 		k.ends = append(k.ends, a)
 	}
 }
@@ -70,14 +58,14 @@
 
 // blank makes a segment that was never written. Names leave no gaps, as a version
 // before this one names the next segment by the length of the ring.
-func (k *assignmentLog) blank() *segment {
+func (k *assignmentLog) blank() *cluster.Segment {
 	if k.keys == nil {
 		k.keys = map[string]bool{}
 	}
 	for i := 0; ; i++ {
 		if key := fmt.Sprintf("%s%d", logPrefix, i); !k.keys[key] {
 			k.keys[key] = true
-			return newSegment(key, 0)
+			return cluster.NewSegment(key, 0)
 		}
 	}
 }
@@ -89,7 +77,7 @@
 	limit := float64(max(k.most/carryShare, leastCarry*usualBytes))
 	for ; k.again == 0 && k.carry > limit && most > 0; most-- {
 		blank := 0
-		for blank < len(k.segments) && k.segments[blank].revision == 0 {
+		for blank < len(k.segments) && k.segments[blank].Revision == 0 {
 			blank++
 		}
 		k.segments = slices.Insert(k.segments, blank, k.blank())
@@ -104,12 +92,3 @@
 	k.again, k.open = 0, false
 	k.rewrite = max(0, k.rewrite-n)
 }
-
-func sorted(m map[uint64]*assignment) []uint64 {
-	keys := make([]uint64, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -12,6 +12,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/placement"
 )
@@ -59,12 +60,12 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.lost(m, "not of this test")
-	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*job{}, newMachineSet(), map[string]placement.Amount{}, assignmentLog{}, nil
+	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Amount{}, assignmentLog{}, nil
 	l.watch = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
 	l.Derived.ValueBytes, l.Derived.TxnOps = s.value, s.ops
 	for i, spec := range specs {
-		l.jobs[spec.ID] = newJob(spec.ID, spec, uint64(i+1), 0, now)
+		l.jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
 	}
 	l.restore(l.readLog(s.pairs()), nil, now)
 	return l
@@ -73,18 +74,18 @@
 // durable is what a leader knows to be in the log: what is on machines, and what
 // is done.
 func (l *Leader) durable() (out []string) {
-	for _, m := range l.machines.all {
-		for _, a := range m.assigned {
-			if a.durable {
-				out = append(out, fmt.Sprint(a.name(), " ", a.attempt, " on ", m.id, " ", a.session))
+	for _, m := range l.machines.All {
+		for _, a := range m.Assignments {
+			if a.Log.Durable {
+				out = append(out, fmt.Sprint(a.TaskName(), " ", a.Attempt, " on ", m.ID, " ", a.Session))
 			}
 		}
 	}
 	slices.Sort(out)
 	for _, j := range l.jobs {
-		for n := range j.spec.Tasks {
-			if ch := j.chunks[n/l.Derived.ChunkTasks]; j.isDone(n) && ch != nil && ch.saved && !ch.dirty {
-				out = append(out, fmt.Sprintf("done %s/%05d", j.id, n))
+		for n := range j.Spec.Tasks {
+			if ch := j.Completions.Chunks[n/l.Derived.ChunkTasks]; j.IsTaskDone(n) && ch != nil && ch.Saved && !ch.Dirty {
+				out = append(out, fmt.Sprintf("done %s/%05d", j.ID, n))
 			}
 		}
 	}
@@ -160,9 +161,9 @@
 					if d := cmp.Diff(l.durable(), next.durable()); d != "" {
 						t.Fatalf("step %d, what the next leader reads: %s", step, d)
 					}
-					for _, a := range next.jobs["j-3"].tasks {
-						if a.gang != 7 {
-							t.Fatalf("step %d: %s has lost its gang", step, a.name())
+					for _, a := range next.jobs["j-3"].Assignments {
+						if a.GangAttempt != 7 {
+							t.Fatalf("step %d: %s has lost its gang", step, a.TaskName())
 						}
 					}
 				}
@@ -176,7 +177,7 @@
 func TestPagesByNeed(t *testing.T) {
 	l, j, _ := withGang()
 	if b := l.compose(); len(b.writes) != 1 {
-		t.Errorf("%d segments for %d beginnings", len(b.writes), j.spec.Tasks)
+		t.Errorf("%d segments for %d beginnings", len(b.writes), j.Spec.Tasks)
 	}
 }
 
@@ -185,27 +186,27 @@
 	now := time.Now()
 	for range rnd.IntN(12) {
 		id := fmt.Sprintf("m-%06d", rnd.IntN(200))
-		m := l.machines.byID[id]
+		m := l.machines.ByID[id]
 		if m == nil {
-			m = newMachine(id, now)
-			m.addr, m.typ, m.zone, m.session = "10.1.0.232:9000", "c4", "far <away>", 1
-			l.machines.add(m)
+			m = cluster.NewMachine(id, now)
+			m.Addr, m.Type, m.Zone, m.Worker.Session = "10.1.0.232:9000", "c4", "far <away>", 1
+			l.machines.Add(m)
 		}
-		if j := l.jobs[fmt.Sprint("j-", 1+rnd.IntN(3))]; j != nil && j.waiting > 0 && len(m.assigned) < 8 {
-			a := l.assign(j, j.take(), m, now)
-			if j.spec.Shape == jobs.Gang {
-				a.gang = 7
+		if j := l.jobs[fmt.Sprint("j-", 1+rnd.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
+			a := l.assign(j, j.TakePendingTask(), m, now)
+			if j.Spec.Shape == jobs.Gang {
+				a.GangAttempt = 7
 			}
 		}
 	}
 	for _, id := range sortedMachines(l) {
-		m := l.machines.byID[id]
-		for _, attempt := range sorted(m.assigned) {
-			if a := m.assigned[attempt]; a.durable && a.outcome == open && rnd.IntN(60) == 0 {
-				if a.job.spec.Shape == jobs.Batch && a.job.doneCount+1 < a.job.spec.Tasks {
-					l.conclude(a, success)
+		m := l.machines.ByID[id]
+		for _, attempt := range cluster.SortedAttempts(m.Assignments) {
+			if a := m.Assignments[attempt]; a.Log.Durable && a.Outcome == cluster.Open && rnd.IntN(60) == 0 {
+				if a.Job.Spec.Shape == jobs.Batch && a.Job.Completions.Count+1 < a.Job.Spec.Tasks {
+					l.conclude(a, cluster.Success)
 				} else {
-					l.conclude(a, retry)
+					l.conclude(a, cluster.Retry)
 				}
 			}
 		}
@@ -213,7 +214,7 @@
 }
 
 func sortedMachines(l *Leader) (ids []string) {
-	for id := range l.machines.byID {
+	for id := range l.machines.ByID {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -224,17 +225,17 @@
 // copy that is carried out late, after newer ones or under the next leader, fails.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	l, m, j, now := bench()
-	l.term.Revision, l.tokenRevision, j.revision = 77, 78, 79
+	l.term.Revision, l.tokenRevision, j.Revision = 77, 78, 79
 	l.readLog(nil)
 	l.raiseToken = true
 	l.finished = append(l.finished, j)
-	l.assign(j, j.take(), m, now) // its beginning is to be written
+	l.assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
 	b := l.compose()
 	revisions := map[string]uint64{}
 	for _, g := range b.guards {
 		revisions[g.Key] = g.Revision
 	}
-	if revisions[election.HolderKey] != 77 || revisions[election.TokenKey] != 78 || revisions[jobs.RecordKey(j.id)] != 79 {
+	if revisions[election.HolderKey] != 77 || revisions[election.TokenKey] != 78 || revisions[jobs.RecordKey(j.ID)] != 79 {
 		t.Errorf("guards: %v", revisions)
 	}
 	for _, w := range b.writes {
--- a/internal/leader/call_test.go
+++ b/internal/leader/call_test.go
@@ -32,7 +32,7 @@
 			l.watch.Heard("m-2", "b", liveness.Counter{Session: 1, Seq: 1}, now)
 			now = now.Add(3 * time.Second) // m-1 is silent
 			l.watch.Heard("m-2", "b", liveness.Counter{Session: 1, Seq: 2}, now)
-			if calls, _ := l.watch.Tick(now, 9); len(calls) != 1 || calls[0] != m.id {
+			if calls, _ := l.watch.Tick(now, 9); len(calls) != 1 || calls[0] != m.ID {
 				t.Fatalf("calls: %v", calls)
 			}
 			l.inspected(m, nil, tc.err, now)
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -4,6 +4,7 @@
 	"sync"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // Counts hands the leader's display counts to the users' side.
@@ -62,10 +63,10 @@
 }
 
 // show publishes a job's counts when they have changed.
-func (l *Leader) show(j *job) {
-	c := jobs.Counts{Done: j.doneCount, Running: j.running}
-	if c != j.shown || c == (jobs.Counts{}) {
-		j.shown = c
-		l.Counts.set(j.id, c)
+func (l *Leader) show(j *cluster.Job) {
+	c := jobs.Counts{Done: j.Completions.Count, Running: j.Running}
+	if c != j.PublishedCounts || c == (jobs.Counts{}) {
+		j.PublishedCounts = c
+		l.Counts.set(j.ID, c)
 	}
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -11,6 +11,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // bootTime is how long a machine type usually takes to come up.
@@ -32,25 +33,25 @@
 	}
 	l.fleetAt = now
 	defer func() { l.fleetDuration = time.Since(now) }()
-	var back []*machine
-	for _, m := range l.machines.all {
+	var back []*cluster.Machine
+	for _, m := range l.machines.All {
 		switch {
-		case m.phase == returning || !m.dead && l.mayHaveTasks(m):
-		case m.phase == booting && l.neverCameUp(m, now):
-			slog.Info("machine never came up", "machine", m.id, "term", l.token)
+		case m.Phase == cluster.Releasing || !m.Health.Dead && l.mayHaveTasks(m):
+		case m.Phase == cluster.Booting && l.neverCameUp(m, now):
+			slog.Info("machine never came up", "machine", m.ID, "term", l.token)
 			back = append(back, m)
-		case m.phase == up && !m.noticeUntil.IsZero() && now.After(m.noticeUntil) && !m.reported.After(m.noticeUntil):
+		case m.Phase == cluster.Up && !m.Health.NoticeUntil.IsZero() && now.After(m.Health.NoticeUntil) && !m.Worker.HeartbeatAt.After(m.Health.NoticeUntil):
 			// Announced and not heard since: taken. Giving it back makes that certain,
 			// which frees its tasks before a verdict or its lease would.
 			back = append(back, m)
-		case m.phase == up && len(m.assigned) == 0 && (m.dead || m.draining || now.Sub(m.idleSince) > l.idleTime(m)):
-			if m.noticeUntil.IsZero() || now.After(m.noticeUntil.Add(l.Derived.ListLag)) || m.dead {
+		case m.Phase == cluster.Up && len(m.Assignments) == 0 && (m.Health.Dead || m.Health.Draining || now.Sub(m.Rental.IdleSince) > l.idleTime(m)):
+			if m.Health.NoticeUntil.IsZero() || now.After(m.Health.NoticeUntil.Add(l.Derived.ListLag)) || m.Health.Dead {
 				back = append(back, m)
 			}
 		}
 	}
-	slices.SortFunc(back, func(a, b *machine) int {
-		if a.id < b.id {
+	slices.SortFunc(back, func(a, b *cluster.Machine) int {
+		if a.ID < b.ID {
 			return -1
 		}
 		return 1
@@ -64,11 +65,11 @@
 
 // neverCameUp tells whether a machine that was not heard of is to be given up. One that
 // the list has as running may have tasks that no record names: it has a lease to report.
-func (l *Leader) neverCameUp(m *machine, now time.Time) bool {
-	if !m.runningSince.IsZero() && now.Sub(m.runningSince) < l.Derived.LeaseOver {
+func (l *Leader) neverCameUp(m *cluster.Machine, now time.Time) bool {
+	if !m.Rental.ListedRunningSince.IsZero() && now.Sub(m.Rental.ListedRunningSince) < l.Derived.LeaseOver {
 		return false
 	}
-	return now.Sub(m.known) > times(l.bootTime(m.typ), l.Settings.Operator.LateBoots)
+	return now.Sub(m.Rental.KnownSince) > times(l.bootTime(m.Type), l.Settings.Operator.LateBoots)
 }
 
 // rent asks for machines, with a few requests at a time: more would only wait for
@@ -83,12 +84,12 @@
 	}
 	have := map[autoscaler.Kind]int{}
 	coming := map[autoscaler.Kind]int{}
-	for _, m := range l.machines.all {
-		k := autoscaler.Kind{Type: m.typ, Zone: m.zone, Spot: m.spot}
-		if m.phase != returning {
+	for _, m := range l.machines.All {
+		k := autoscaler.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		if m.Phase != cluster.Releasing {
 			have[k]++
 		}
-		if m.phase == booting && now.Sub(m.known) < times(l.bootTime(m.typ), l.Settings.Operator.SlowBoots) {
+		if m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(l.bootTime(m.Type), l.Settings.Operator.SlowBoots) {
 			coming[k]++
 		}
 	}
@@ -117,9 +118,9 @@
 
 // idleTime is how long an idle machine is kept. The cheaper it is, by the price
 // of the ordinary kind, the longer keeping it costs less than booting another.
-func (l *Leader) idleTime(m *machine) time.Duration {
-	keep := times(l.bootTime(m.typ), l.Settings.Operator.IdleBoots)
-	if t := l.machineType(m.typ); m.spot && t != nil && t.SpotPrice > 0 {
+func (l *Leader) idleTime(m *cluster.Machine) time.Duration {
+	keep := times(l.bootTime(m.Type), l.Settings.Operator.IdleBoots)
+	if t := l.machineType(m.Type); m.Spot && t != nil && t.SpotPrice > 0 {
 		keep = times(keep, t.Price/t.SpotPrice)
 	}
 	return keep
@@ -155,10 +156,10 @@
 		}
 		slog.Log(ctx, level, "machines rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ids), "term", l.token)
 		for _, id := range ids {
-			if l.machines.byID[id] == nil {
-				m := newMachine(id, now)
-				m.typ, m.zone, m.spot = r.Type, r.Zone, r.Spot
-				l.machines.add(m)
+			if l.machines.ByID[id] == nil {
+				m := cluster.NewMachine(id, now)
+				m.Type, m.Zone, m.Spot = r.Type, r.Zone, r.Spot
+				l.machines.Add(m)
 			}
 		}
 	})
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -11,6 +11,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery/detection"
 )
@@ -80,7 +81,7 @@
 			continue
 		}
 		l.unseen[c.Job] = c.Revision
-		if j := l.jobs[c.Job]; j != nil && !j.cancelled {
+		if j := l.jobs[c.Job]; j != nil && !j.End.Cancelled {
 			l.cancelled(j, c.Revision)
 		}
 	}
@@ -89,9 +90,9 @@
 	}
 }
 
-func (l *Leader) cancelled(j *job, revision uint64) {
-	slog.Info("job cancelled", "job", j.id, "term", l.token)
-	j.cancelled, j.revision, j.heard = true, revision, time.Now()
+func (l *Leader) cancelled(j *cluster.Job, revision uint64) {
+	slog.Info("job cancelled", "job", j.ID, "term", l.token)
+	j.End.Cancelled, j.Revision, j.End.CancelSeenAt = true, revision, time.Now()
 	l.cancelTasks(j)
 }
 
@@ -119,7 +120,7 @@
 	switch {
 	case j == nil && l.unseen[id] > c.Revision: // cancelled since
 	case j == nil && !rec.Over() && rec.Spec != nil:
-		j = newJob(id, rec.Spec, c.Revision, rec.AtMs, now)
+		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AtMs, now)
 		l.jobs[id] = j
 		if _, seen := l.knowledge[id]; seen || rec.Restored || l.strays[id] != nil {
 			l.adoptTasksOf(j, now)
@@ -129,17 +130,17 @@
 		l.arrived(j, 0, now)
 		l.replan, l.uncovered = true, true
 	case j == nil: // over, or held
-	case rec.State == jobs.Cancelled && !j.cancelled:
+	case rec.State == jobs.Cancelled && !j.End.Cancelled:
 		l.cancelled(j, c.Revision)
-	case rec.State == jobs.Done && !j.recorded && !j.cancelled:
+	case rec.State == jobs.Done && !j.End.CompletionDurable && !j.End.Cancelled:
 		l.doneElsewhere(j)
-	case !rec.Over() && c.Revision > j.revision && !j.recorded:
-		j.revision = c.Revision // its record was lost, and is written again
+	case !rec.Over() && c.Revision > j.Revision && !j.End.CompletionDurable:
+		j.Revision = c.Revision // its record was lost, and is written again
 	}
 }
 
-func (l *Leader) cancelTasks(j *job) {
-	for _, a := range j.tasks {
+func (l *Leader) cancelTasks(j *cluster.Job) {
+	for _, a := range j.Assignments {
 		l.dropUnsent(a)
 	}
 	l.replan = true
@@ -147,15 +148,15 @@
 }
 
 // settled forgets a job that is over and has no task anywhere.
-func (l *Leader) settled(j *job) {
-	if !j.over() || len(j.tasks) > 0 || l.jobs[j.id] != j {
+func (l *Leader) settled(j *cluster.Job) {
+	if !j.IsOver() || len(j.Assignments) > 0 || l.jobs[j.ID] != j {
 		return
 	}
-	if j.final && !j.cancelled && !j.recorded {
+	if j.End.Complete && !j.End.Cancelled && !j.End.CompletionDurable {
 		return // its record is still to be written
 	}
-	delete(l.jobs, j.id)
+	delete(l.jobs, j.ID)
 	delete(l.queued, j)
 	l.uncovered = true
-	l.Counts.drop(j.id)
+	l.Counts.drop(j.ID)
 }
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -8,28 +8,29 @@
 	"github.com/google/go-cmp/cmp"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/workers"
 )
 
 // withGang is a leader with two machines and a gang of three: two tasks on the
 // first machine, one on the second.
-func withGang() (l *Leader, j *job, now time.Time) {
+func withGang() (l *Leader, j *cluster.Job, now time.Time) {
 	l, m, old, now := bench()
-	for _, a := range m.assigned {
-		l.conclude(a, retry)
+	for _, a := range m.Assignments {
+		l.conclude(a, cluster.Retry)
 		l.forget(a)
 	}
-	delete(l.jobs, old.id)
+	delete(l.jobs, old.ID)
 	l.log = assignmentLog{}
 	l.readLog(nil)
 	other := report(1, 1)
 	other.Machine = "m-2"
 	l.report(other, now)
-	j = newJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimateS: 30, CheckpntS: 10, SaveS: 3, OneZone: true}, 1, 0, now)
-	l.jobs[j.id] = j
+	j = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimateS: 30, CheckpntS: 10, SaveS: 3, OneZone: true}, 1, 0, now)
+	l.jobs[j.ID] = j
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
-		if a := l.assign(j, j.take(), l.machines.byID[id], now); a.n != i {
+		if a := l.assign(j, j.TakePendingTask(), l.machines.ByID[id], now); a.Index != i {
 			panic("tasks are not given out in order")
 		}
 	}
@@ -37,10 +38,10 @@
 }
 
 // write makes the beginnings of some tasks durable.
-func (l *Leader) write(j *job, tasks ...int) {
+func (l *Leader) write(j *cluster.Job, tasks ...int) {
 	d := &segmentBuilder{}
 	for _, n := range tasks {
-		d.kept = append(d.kept, j.tasks[n])
+		d.kept = append(d.kept, j.Assignments[n])
 	}
 	l.log.begins = nil
 	l.segmentWritten(l.log.segments[len(l.log.segments)-1-len(tasks)], d, 1)
@@ -49,7 +50,7 @@
 var seq uint64 = 10
 
 // says lets a machine report the gang's tasks, in the order of their numbers.
-func (l *Leader) says(machine string, j *job, now time.Time, tasks ...workers.Task) []string {
+func (l *Leader) says(machine string, j *cluster.Job, now time.Time, tasks ...workers.Task) []string {
 	seq++
 	r := report(1, seq, tasks...)
 	r.Machine = machine
@@ -62,8 +63,8 @@
 	return got
 }
 
-func (j *job) task(n int, state, cause string) workers.Task {
-	return workers.Task{Task: workers.TaskName(j.id, n), Attempt: j.tasks[n].gang, State: state, Cause: cause}
+func gangTask(j *cluster.Job, n int, state, cause string) workers.Task {
+	return workers.Task{Task: workers.TaskName(j.ID, n), Attempt: j.Assignments[n].GangAttempt, State: state, Cause: cause}
 }
 
 // No task of a gang is sent before all beginnings are durable. All have the same
@@ -81,20 +82,20 @@
 	if d := cmp.Diff([]string{"run j-2/2"}, l.says("m-2", j, now)); d != "" {
 		t.Error(d)
 	}
-	if a, b := j.tasks[0], j.tasks[1]; a.attempt == b.attempt || a.gang != b.gang || a.gang == a.attempt {
-		t.Errorf("attempts %d and %d of gang %d and %d", a.attempt, b.attempt, a.gang, b.gang)
+	if a, b := j.Assignments[0], j.Assignments[1]; a.Attempt == b.Attempt || a.GangAttempt != b.GangAttempt || a.GangAttempt == a.Attempt {
+		t.Errorf("attempts %d and %d of gang %d and %d", a.Attempt, b.Attempt, a.GangAttempt, b.GangAttempt)
 	}
-	l.says("m-1", j, now, j.task(0, workers.Gathering, ""), j.task(1, workers.Fetching, ""))
-	if a, b := j.tasks[0], j.tasks[1]; a.seen != workers.Gathering || b.seen != workers.Fetching {
-		t.Errorf("seen %q and %q", a.seen, b.seen)
+	l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Fetching, ""))
+	if a, b := j.Assignments[0], j.Assignments[1]; a.ObservedState != workers.Gathering || b.ObservedState != workers.Fetching {
+		t.Errorf("seen %q and %q", a.ObservedState, b.ObservedState)
 	}
 	// A mate that no one has put there, as by a copy of an order, has no part in it.
-	if d := cmp.Diff([]string{"stop j-2/0"}, l.says("m-2", j, now, j.task(0, workers.Gathering, ""), j.task(2, workers.Gathering, ""))); d != "" {
+	if d := cmp.Diff([]string{"stop j-2/0"}, l.says("m-2", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 2, workers.Gathering, ""))); d != "" {
 		t.Error(d)
 	}
 	// One of the two ends: the other is still there.
-	l.says("m-1", j, now, j.task(0, workers.Ended, workers.CauseNoRoom), j.task(1, workers.Fetching, ""))
-	if j.tasks[0].outcome != retry || j.tasks[1].outcome != open {
+	l.says("m-1", j, now, gangTask(j, 0, workers.Ended, workers.CauseNoRoom), gangTask(j, 1, workers.Fetching, ""))
+	if j.Assignments[0].Outcome != cluster.Retry || j.Assignments[1].Outcome != cluster.Open {
 		t.Error("an end was taken for that of another task")
 	}
 }
@@ -106,28 +107,28 @@
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now)
 	l.says("m-2", j, now)
-	l.says("m-1", j, now, j.task(0, workers.Running, ""), j.task(1, workers.Running, ""))
-	l.says("m-2", j, now, j.task(2, workers.Running, ""))
-	l.lost(l.machines.byID["m-2"], "its lease is over")
-	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, j.task(0, workers.Running, ""), j.task(1, workers.Running, ""))); d != "" {
+	l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))
+	l.says("m-2", j, now, gangTask(j, 2, workers.Running, ""))
+	l.lost(l.machines.ByID["m-2"], "its lease is over")
+	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))); d != "" {
 		t.Error(d)
 	}
-	l.forget(j.tasks[2])
+	l.forget(j.Assignments[2])
 	l.queue(j)
 	l.place(now)
-	if len(j.tasks) != 2 {
+	if len(j.Assignments) != 2 {
 		t.Error("a task was begun while the others may still run")
 	}
-	first := j.tasks[0].gang
-	l.says("m-1", j, now, j.task(0, workers.Ended, workers.CauseMatesGone), j.task(1, workers.Ended, workers.CauseMatesGone))
-	l.forget(j.tasks[0])
+	first := j.Assignments[0].GangAttempt
+	l.says("m-1", j, now, gangTask(j, 0, workers.Ended, workers.CauseMatesGone), gangTask(j, 1, workers.Ended, workers.CauseMatesGone))
+	l.forget(j.Assignments[0])
 	l.place(now)
-	if len(j.tasks) != 1 {
+	if len(j.Assignments) != 1 {
 		t.Error("begun before the last end was durable")
 	}
-	l.forget(j.tasks[1])
-	if a := l.assign(j, j.take(), l.machines.byID["m-1"], now); a.gang == first || j.waiting != 2 {
-		t.Errorf("the next attempt is %d, the last was %d; %d wait", a.gang, first, j.waiting)
+	l.forget(j.Assignments[1])
+	if a := l.assign(j, j.TakePendingTask(), l.machines.ByID["m-1"], now); a.GangAttempt == first || j.Pending.Count != 2 {
+		t.Errorf("the next attempt is %d, the last was %d; %d wait", a.GangAttempt, first, j.Pending.Count)
 	}
 }
 
@@ -136,10 +137,10 @@
 func TestGangGathersNoMore(t *testing.T) {
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, j.task(0, workers.Gathering, ""), j.task(1, workers.Gathering, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Gathering, ""))
 	l.returning = true // a request to the cloud is on its way: ours waits for it
-	l.judged(t.Context(), l.machines.byID["m-2"], liveness.CallFailed, now)
-	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, j.task(0, workers.Gathering, ""), j.task(1, workers.Gathering, ""))); d != "" {
+	l.judged(t.Context(), l.machines.ByID["m-2"], liveness.CallFailed, now)
+	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Gathering, ""))); d != "" {
 		t.Error(d)
 	}
 }
@@ -149,21 +150,21 @@
 func TestGangDone(t *testing.T) {
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, j.task(0, workers.Running, ""), j.task(1, workers.Running, ""))
-	l.says("m-2", j, now, j.task(2, workers.Running, ""))
-	l.says("m-1", j, now, j.task(0, workers.Ended, workers.CauseMatesGone), j.task(1, workers.Running, ""))
-	if j.doneCount != 0 || j.final {
+	l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))
+	l.says("m-2", j, now, gangTask(j, 2, workers.Running, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.Ended, workers.CauseMatesGone), gangTask(j, 1, workers.Running, ""))
+	if j.Completions.Count != 0 || j.End.Complete {
 		t.Fatal("done by a loss")
 	}
-	done := j.task(2, workers.Ended, workers.CauseDone)
+	done := gangTask(j, 2, workers.Ended, workers.CauseDone)
 	if d := cmp.Diff([]string(nil), l.says("m-2", j, now, done)); d != "" {
 		t.Errorf("before the job's end is durable: %s", d)
 	}
-	if j.doneCount != 3 || !j.final || len(l.finished) != 1 {
-		t.Errorf("%d done, final %v, %d to be written", j.doneCount, j.final, len(l.finished))
+	if j.Completions.Count != 3 || !j.End.Complete || len(l.finished) != 1 {
+		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.finished))
 	}
 	b := l.compose()
-	if a := j.tasks[2]; !a.closing || len(b.revisions) < 2 {
+	if a := j.Assignments[2]; !a.Log.EndInFlight || len(b.revisions) < 2 {
 		t.Error("the end of the task is not in the transaction that says that the job is done")
 	}
 }
@@ -173,18 +174,18 @@
 func TestGangSaves(t *testing.T) {
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, j.task(0, workers.Running, ""), j.task(1, workers.Running, ""))
-	l.says("m-2", j, now, j.task(2, workers.Running, ""))
-	l.stopWithGang(j.tasks[1], 3)
+	l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))
+	l.says("m-2", j, now, gangTask(j, 2, workers.Running, ""))
+	l.stopWithGang(j.Assignments[1], 3)
 	for range mostUndelivered + 2 {
-		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, j.task(0, workers.Running, ""), j.task(1, workers.Running, ""))); d != "" {
+		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))); d != "" {
 			t.Fatal(d)
 		}
 	}
-	if !l.usable(l.machines.byID["m-1"], now) {
+	if !l.usable(l.machines.ByID["m-1"], now) {
 		t.Error("a machine whose tasks save is taken for one that does not hear")
 	}
-	if a := j.tasks[2]; !a.stop || a.grace != 3 || !l.machines.byID["m-2"].notifyPending {
+	if a := j.Assignments[2]; !a.Stop.Requested || a.Stop.GraceS != 3 || !l.machines.ByID["m-2"].Commands.NotifyPending {
 		t.Error("a mate on another machine is not told at once, with time to save")
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -11,6 +11,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/placement"
@@ -66,8 +67,8 @@
 
 // view is what the leader knows of jobs and machines, and as of when.
 type view struct {
-	jobs     map[string]*job
-	machines machineSet
+	jobs     map[string]*cluster.Job
+	machines cluster.MachineSet
 	watch    *liveness.Watch
 	used     map[string]placement.Amount // by team
 	viewTime time.Time                   // all that users were told by then is in the jobs
@@ -84,14 +85,14 @@
 	tokenFloor    uint64 // the next token is above it: a worker, or the log, shows it
 	checkingToken bool
 	raisedAt      time.Time
-	clearHeld     bool              // an end is not cleared, for want of a higher token
-	doubtful      map[*machine]bool // with a doubtSince, and some that had one
+	clearHeld     bool                      // an end is not cleared, for want of a higher token
+	doubtful      map[*cluster.Machine]bool // with a doubtSince, and some that had one
 }
 
 // writer is what waits to be made durable, and the transaction under way.
 type writer struct {
 	log          assignmentLog
-	finished     []*job // whose records are to be written as done
+	finished     []*cluster.Job // whose records are to be written as done
 	writing      bool
 	storeFailing bool // the last transaction was not executed, as far as is known
 	flushedAt    time.Time
@@ -102,7 +103,7 @@
 	capacity     placement.CapacityIndex
 	tasksByRank  [8]int // tasks on machines, by priority
 	attempts     uint64 // the number given out last
-	queued       map[*job]bool
+	queued       map[*cluster.Job]bool
 	uncovered    bool // which jobs are covered is to be found out anew
 	replan       bool
 	plannedAt    time.Time
@@ -113,8 +114,8 @@
 
 // dispatcher is the orders and calls to workers.
 type dispatcher struct {
-	notifyQueue      []*machine // have something to be told at once
-	unconfirmedQueue []*machine // the same, but they may not answer
+	notifyQueue      []*cluster.Machine // have something to be told at once
+	unconfirmedQueue []*cluster.Machine // the same, but they may not answer
 	ordersInFlight   int
 	callsInFlight    int
 }
@@ -140,9 +141,9 @@
 	l := &Leader{
 		Deps: d, term: t, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:         view{jobs: map[string]*job{}, machines: newMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
-		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*machine]bool{}},
-		planner:      planner{queued: map[*job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
+		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
+		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
+		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
 		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
@@ -166,10 +167,6 @@
 	wait  time.Duration
 }
 
-// ticksPerInterval is how many ticks there are in a control interval. What need not be looked at in each,
-// of thousands of machines, has its turn in one of them.
-const ticksPerInterval = 8
-
 // smallZone is the size of a zone that the operators' gap between verdicts is for.
 const smallZone = 20
 
@@ -182,7 +179,7 @@
 }
 
 func (l *Leader) run(ctx context.Context) {
-	tick := time.NewTicker(l.Derived.ControlInterval / ticksPerInterval)
+	tick := time.NewTicker(l.Derived.ControlInterval / cluster.TickGroups)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // listShare is the part of the cloud's calls that lists may take.
@@ -30,35 +31,35 @@
 // one that was in an earlier list, and has not reported since this one was asked
 // for, is mostly gone: it is called.
 func (l *Leader) listed(ctx context.Context, all []autoscaler.Listed, asked, now time.Time) {
-	var failed []*machine
+	var failed []*cluster.Machine
 	for _, e := range all {
-		m := l.machines.byID[e.ID]
+		m := l.machines.ByID[e.ID]
 		if m == nil {
 			if until, ok := l.returned[e.ID]; ok && now.Before(until) {
 				continue
 			}
-			m = newMachine(e.ID, now.Add(-time.Duration(e.AgeS*float64(time.Second))))
-			m.idleSince = now
-			m.typ, m.zone, m.spot = e.Type, e.Zone, e.Spot
-			l.machines.add(m)
-			slog.Info("machine found in the list", "machine", m.id, "term", l.token, "state", e.State)
+			m = cluster.NewMachine(e.ID, now.Add(-time.Duration(e.AgeS*float64(time.Second))))
+			m.Rental.IdleSince = now
+			m.Type, m.Zone, m.Spot = e.Type, e.Zone, e.Spot
+			l.machines.Add(m)
+			slog.Info("machine found in the list", "machine", m.ID, "term", l.token, "state", e.State)
 		}
-		if m.addr == "" {
-			m.addr = e.Addr
+		if m.Addr == "" {
+			m.Addr = e.Addr
 		}
-		m.listed = asked
-		if e.State == autoscaler.Running && m.runningSince.IsZero() {
-			m.runningSince = now
+		m.Rental.ListedAt = asked
+		if e.State == autoscaler.Running && m.Rental.ListedRunningSince.IsZero() {
+			m.Rental.ListedRunningSince = now
 		}
-		if e.State == autoscaler.Failed && m.phase != returning {
-			slog.Info("machine failed", "machine", m.id, "term", l.token, "reason", "cloud says so")
+		if e.State == autoscaler.Failed && m.Phase != cluster.Releasing {
+			slog.Info("machine failed", "machine", m.ID, "term", l.token, "reason", "cloud says so")
 			failed = append(failed, m)
 		}
 	}
 	l.release(ctx, now, failed...)
-	for _, m := range l.machines.all {
-		if m.phase == up && !m.listed.IsZero() && m.listed != asked && m.reported.Before(asked) {
-			l.watch.Suspect(m.id)
+	for _, m := range l.machines.All {
+		if m.Phase == cluster.Up && !m.Rental.ListedAt.IsZero() && m.Rental.ListedAt != asked && m.Worker.HeartbeatAt.Before(asked) {
+			l.watch.Suspect(m.ID)
 		}
 	}
 	for id, until := range l.returned {
@@ -68,10 +69,10 @@
 	}
 }
 
-func (l *Leader) booted(m *machine, now time.Time) {
-	m.phase = up
-	m.idleSince = now
-	took := now.Sub(m.known)
-	slog.Info("machine up", "machine", m.id, "type", m.typ, "zone", m.zone, "spot", m.spot, "term", l.token, "bootS", took.Seconds())
+func (l *Leader) booted(m *cluster.Machine, now time.Time) {
+	m.Phase = cluster.Up
+	m.Rental.IdleSince = now
+	took := now.Sub(m.Rental.KnownSince)
+	slog.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", l.token, "bootS", took.Seconds())
 	l.replan = true
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -10,6 +10,7 @@
 	"ospreyslip/internal/gang"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/reconcile"
 )
 
@@ -47,7 +48,7 @@
 		case rec.Held != nil:
 			return
 		case rec.Spec != nil:
-			j := newJob(id, rec.Spec, p.Revision, rec.AtMs, now)
+			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AtMs, now)
 			l.jobs[id] = j
 			if rec.Restored || l.affectsLog {
 				l.adoptTasksOf(j, now)
@@ -65,15 +66,15 @@
 	l.checkRecords(log, ended, known, listed, now)
 	l.restore(log, ended, now)
 	for _, j := range l.jobs {
-		if j.isGang() && !j.over() && j.verdict() == gang.End {
+		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.End {
 			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
 		}
-		if !j.over() && j.spec.Shape == jobs.Batch && j.doneCount == j.spec.Tasks {
+		if !j.IsOver() && j.Spec.Shape == jobs.Batch && j.Completions.Count == j.Spec.Tasks {
 			l.finish(j)
 		}
 		l.show(j)
 		l.queue(j)
-		age := time.Duration(now.UnixMilli()-j.atMs) * time.Millisecond
+		age := time.Duration(now.UnixMilli()-j.AcceptedMs) * time.Millisecond
 		l.arrived(j, age, now)
 		l.remember(j, age, now)
 	}
@@ -82,7 +83,7 @@
 	l.listSyncAt = now.Add(2 * l.Derived.ListLag)
 	l.seen.Store(after)
 	l.takeover.RecordsRead(time.Now())
-	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.all))
+	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.All))
 	return after, nil
 }
 
@@ -104,7 +105,7 @@
 // earlier leader answered a report later than the term began.
 func (l *Leader) restore(recs []segmentRecord, ended map[string]kvstore.Pair, now time.Time) {
 	first := len(l.log.segments) - len(recs)
-	where := map[uint64]*segment{}
+	where := map[uint64]*cluster.Segment{}
 	defer l.announce()
 	for i, rec := range recs {
 		p := l.log.segments[first+i]
@@ -112,7 +113,7 @@
 			m := l.restoreMachine(b, now)
 			for _, t := range b.Tasks {
 				if old := where[t.Attempt]; old != nil {
-					delete(old.begun, t.Attempt) // carried along since
+					delete(old.Begun, t.Attempt) // carried along since
 				}
 				where[t.Attempt] = p
 				l.restoreTask(p, m, b.Session, t, ended, now)
@@ -120,83 +121,62 @@
 		}
 		for _, attempt := range rec.Over {
 			if p := where[attempt]; p != nil {
-				delete(p.begun, attempt)
+				delete(p.Begun, attempt)
 			}
 		}
 		for _, d := range rec.Done {
 			j := l.jobs[d.Job]
-			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.ChunkTasks >= j.spec.Tasks {
+			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.ChunkTasks >= j.Spec.Tasks {
 				continue
 			}
-			if err := j.loadChunk(d.Chunk, l.Derived.ChunkTasks, d.Bits); err != nil {
+			if err := j.DecodeChunk(d.Chunk, l.Derived.ChunkTasks, d.Bits); err != nil {
 				slog.Error("completions unreadable", "job", d.Job, "reason", err)
 				continue
 			}
-			ref := chunkRef{j, d.Chunk}
-			p.done[ref] = true
-			j.chunks[d.Chunk] = &chunk{home: p, saved: true}
+			ref := cluster.ChunkRef{Job: j, Index: d.Chunk}
+			p.Completions[ref] = true
+			j.Completions.Chunks[d.Chunk] = &cluster.Chunk{Segment: p, Saved: true}
 		}
 	}
 	for _, p := range l.log.segments {
-		for _, attempt := range sorted(p.begun) {
-			a := p.begun[attempt]
+		for _, attempt := range cluster.SortedAttempts(p.Begun) {
+			a := p.Begun[attempt]
 			l.count(a)
-			a.m.assigned[attempt] = a
-			a.job.restored(a)
+			a.Machine.Assignments[attempt] = a
+			a.Job.RestoreAssignment(a)
 		}
 	}
 	for _, p := range l.log.segments {
-		for _, attempt := range sorted(p.begun) {
-			a := p.begun[attempt]
-			switch d := reconcile.OfRecord(l.attemptFacts(a, now), a.job.isDone(a.n), a.m.session, a.m.leaseUntil); d.Action {
+		for _, attempt := range cluster.SortedAttempts(p.Begun) {
+			a := p.Begun[attempt]
+			switch d := reconcile.OfRecord(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
 			case reconcile.Complete:
-				l.conclude(a, success)
+				l.conclude(a, cluster.Success)
 			case reconcile.Restart:
-				l.conclude(a, retry)
+				l.conclude(a, cluster.Retry)
 			default: // its machine is heard first
 			}
 		}
 	}
 }
 
-// restored takes in an assignment of the job from the log. There may be two of one task, if
-// the segment was lost that said that the first was over: then both have to be off their
-// machines before it is placed again.
-func (j *job) restored(a *assignment) {
-	if before := j.tasks[a.n]; before != nil {
-		if j.doubled == nil {
-			j.doubled = map[int][]*assignment{}
-		}
-		j.doubled[a.n] = append(j.doubled[a.n], before)
-		j.tasks[a.n] = a
-		return
-	}
-	j.tasks[a.n] = a
-	if !j.isDone(a.n) {
-		j.waiting--
-	}
-	if j.isGang() {
-		j.joined(a)
-	}
-}
-
-func (l *Leader) restoreMachine(b begunRecord, now time.Time) *machine {
-	m := l.machines.byID[b.Machine]
+func (l *Leader) restoreMachine(b begunRecord, now time.Time) *cluster.Machine {
+	m := l.machines.ByID[b.Machine]
 	if m == nil {
-		m = newMachine(b.Machine, now)
-		m.phase, m.leaseUntil = up, now.Add(l.Derived.LeaseOver)
-		l.machines.add(m)
-		l.watch.Restore(m.id, b.Zone, now)
-		l.takeover.Expect(m.id)
-	}
-	m.addr, m.typ, m.zone, m.spot = b.Addr, b.Type, b.Zone, b.Spot
-	m.session = max(m.session, b.Session)
+		m = cluster.NewMachine(b.Machine, now)
+		m.Phase, m.Worker.LeaseUntil = cluster.Up, now.Add(l.Derived.LeaseOver)
+		l.machines.Add(m)
+		l.watch.Restore(m.ID, b.Zone, now)
+		l.takeover.Expect(m.ID)
+	}
+	m.Addr, m.Type, m.Zone, m.Spot = b.Addr, b.Type, b.Zone, b.Spot
+	m.Worker.Session = max(m.Worker.Session, b.Session)
 	return m
 }
 
 // restoreTask finds out what may be on a machine; it does not count before the
 // whole log is read.
-func (l *Leader) restoreTask(p *segment, m *machine, session uint64, t taskRecord, ended map[string]kvstore.Pair, now time.Time) {
+func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t taskRecord, ended map[string]kvstore.Pair, now time.Time) {
 	j := l.jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
 		l.learnFromLog(t)
@@ -209,19 +189,18 @@
 			// Done: what is left of it on the machine ends by itself.
 			old.Spec = &jobs.Spec{ID: t.Job, Tasks: t.N + 1, Shape: jobs.Batch}
 		}
-		j = newJob(t.Job, old.Spec, ended[t.Job].Revision, 0, now)
-		j.cancelled, j.endedAs = true, old.State
+		j = cluster.NewJob(t.Job, old.Spec, ended[t.Job].Revision, 0, now)
+		j.End.Cancelled, j.End.Recorded = true, old.State
 		l.jobs[t.Job] = j
 	}
-	if t.N < 0 || t.N >= j.spec.Tasks {
-		if !j.cancelled {
+	if t.N < 0 || t.N >= j.Spec.Tasks {
+		if !j.End.Cancelled {
 			slog.Error("record names a task that its job does not have", "job", t.Job, "task", t.N)
 			return
 		}
-		j.grow(t.N + 1)
+		j.GrowTo(t.N + 1)
 	}
-	p.begun[t.Attempt] = &assignment{
-		job: j, n: t.N, attempt: t.Attempt, gang: t.Gang, session: session, m: m, home: p,
-		restored: true, durable: true, doubt: l.token - 1, born: now, since: now,
+	p.Begun[t.Attempt] = &cluster.Assignment{
+		Job: j, Index: t.N, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.token - 1}, CreatedAt: now, RunningSince: now,
 	}
 }
--- a/internal/leader/log_records.go
+++ b/internal/leader/log_records.go
@@ -2,14 +2,13 @@
 
 import (
 	"cmp"
-	"encoding/base64"
 	"log/slog"
 	"slices"
-	"strings"
 
 	jsonv2 "github.com/go-json-experiment/json"
 
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // segmentRecord is one segment in the state service.
@@ -53,15 +52,15 @@
 // readLog puts the segments in order. What each says is for the caller.
 func (l *Leader) readLog(pairs []kvstore.Pair) []segmentRecord {
 	type read struct {
-		p   *segment
+		p   *cluster.Segment
 		rec segmentRecord
 	}
 	var all []read
 	k := &l.log
 	*k = assignmentLog{most: min(l.Derived.ValueBytes, txnBytes/2) * 15 / 16, keys: map[string]bool{}}
 	for _, pair := range pairs {
-		r := read{p: newSegment(pair.Key, pair.Revision)}
-		r.p.bytes = len(pair.Value)
+		r := read{p: cluster.NewSegment(pair.Key, pair.Revision)}
+		r.p.Bytes = len(pair.Value)
 		k.keys[pair.Key] = true
 		if err := jsonv2.Unmarshal(pair.Value, &r.rec); err != nil {
 			slog.Error("segment of the assignment log unreadable", "key", pair.Key, "reason", err)
@@ -81,31 +80,3 @@
 	}
 	return recs
 }
-
-// chunkBits packs the completions of one chunk of tasks.
-func (j *job) chunkBits(c, size int) string {
-	lo, hi := c*size/64, min((c+1)*size/64, len(j.done))
-	buf := make([]byte, 0, (hi-lo)*8)
-	for _, w := range j.done[lo:hi] {
-		for b := 0; b < 8; b++ {
-			buf = append(buf, byte(w>>(8*b)))
-		}
-	}
-	return base64.StdEncoding.EncodeToString([]byte(strings.TrimRight(string(buf), "\x00")))
-}
-
-// loadChunk takes in the completions that an earlier leader wrote.
-func (j *job) loadChunk(c, size int, bits string) error {
-	buf, err := base64.StdEncoding.DecodeString(bits)
-	if err != nil {
-		return err
-	}
-	for i, b := range buf {
-		for n := range 8 {
-			if task := c*size + 8*i + n; b&(1<<n) != 0 && task < j.spec.Tasks {
-				j.setDone(task)
-			}
-		}
-	}
-	return nil
-}
--- a/internal/leader/log_writer.go
+++ b/internal/leader/log_writer.go
@@ -7,28 +7,29 @@
 	"slices"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // compact puts on a segmentBuilder what is still true of a segment, or as much of it as fits
 // within so many bytes.
-func (l *Leader) compact(b *batch, d *segmentBuilder, p *segment, most int) {
-	for _, attempt := range sorted(p.begun) {
-		a := p.begun[attempt]
+func (l *Leader) compact(b *batch, d *segmentBuilder, p *cluster.Segment, most int) {
+	for _, attempt := range cluster.SortedAttempts(p.Begun) {
+		a := p.Begun[attempt]
 		switch {
-		case a.closing || a.moving || l.recordable(b, a):
+		case a.Log.EndInFlight || a.Log.MoveInFlight || l.recordable(b, a):
 		case d.size+beginSize(a) <= most:
 			d.begin(a)
 		}
 	}
-	for ref := range p.done {
-		ch := ref.j.chunks[ref.c]
-		if ch == nil || ch.home != p || ch.moving || ref.j.over() {
+	for ref := range p.Completions {
+		ch := ref.Job.Completions.Chunks[ref.Index]
+		if ch == nil || ch.Segment != p || ch.Moving || ref.Job.IsOver() {
 			continue
 		}
-		bits := ref.j.chunkBits(ref.c, l.Derived.ChunkTasks)
+		bits := ref.Job.EncodeChunk(ref.Index, l.Derived.ChunkTasks)
 		switch size := chunkSize(ref, bits); {
 		case segmentBytes+size > l.log.most:
-			ch.saved = false // no segment holds it any more: see fill
+			ch.Saved = false // no segment holds it any more: see fill
 		case d.size+size <= most:
 			d.chunk(ref, bits)
 		}
@@ -39,19 +40,19 @@
 // time: it is from before the state service's limits fell, or were to fall. What
 // is over by now counts as well: should the transaction fail, its end may have to
 // wait for the next.
-func (l *Leader) oversized(p *segment) bool {
-	if p.bytes <= l.log.most {
+func (l *Leader) oversized(p *cluster.Segment) bool {
+	if p.Bytes <= l.log.most {
 		return false
 	}
-	d := &segmentBuilder{size: segmentBytes, at: map[*machine]int{}}
-	for _, a := range p.begun {
-		if !a.moving {
+	d := &segmentBuilder{size: segmentBytes, at: map[*cluster.Machine]int{}}
+	for _, a := range p.Begun {
+		if !a.Log.MoveInFlight {
 			d.begin(a)
 		}
 	}
-	for ref := range p.done {
-		if ch := ref.j.chunks[ref.c]; ch != nil && ch.home == p && !ch.moving {
-			d.size += chunkSize(ref, ref.j.chunkBits(ref.c, l.Derived.ChunkTasks))
+	for ref := range p.Completions {
+		if ch := ref.Job.Completions.Chunks[ref.Index]; ch != nil && ch.Segment == p && !ch.Moving {
+			d.size += chunkSize(ref, ref.Job.EncodeChunk(ref.Index, l.Derived.ChunkTasks))
 		}
 	}
 	return d.size > l.log.most*7/8
@@ -62,7 +63,7 @@
 // the ends of what was moved, which are on later segments, outlast it.
 func (l *Leader) moveOnward(b *batch, d *segmentBuilder, i int) {
 	for _, p := range l.log.segments[i+1 : min(i+1+l.Derived.TxnOps, len(l.log.segments))] {
-		if len(p.begun)+len(p.done) == 0 {
+		if len(p.Begun)+len(p.Completions) == 0 {
 			continue // never written, or outcome open
 		}
 		if l.oversized(p) {
@@ -71,10 +72,10 @@
 				l.compact(b, d, p, d.most) // what takes more than half of a segment
 			}
 			for _, a := range d.kept[kept:] {
-				a.moving = true
+				a.Log.MoveInFlight = true
 			}
 			for _, ref := range d.done[done:] {
-				ref.j.chunks[ref.c].moving = true
+				ref.Job.Completions.Chunks[ref.Index].Moving = true
 			}
 		}
 		return
@@ -89,11 +90,11 @@
 		k.segments = slices.Insert(k.segments, i, k.blank())
 	}
 	p := k.segments[i]
-	d := &segmentBuilder{rec: segmentRecord{Number: k.number + uint64(i) + 1}, size: segmentBytes, most: min(k.most, txnBytes-b.bytes), at: map[*machine]int{}}
-	for _, attempt := range sorted(p.begun) {
-		if a := p.begun[attempt]; !a.closing && l.recordable(b, a) {
+	d := &segmentBuilder{rec: segmentRecord{Number: k.number + uint64(i) + 1}, size: segmentBytes, most: min(k.most, txnBytes-b.bytes), at: map[*cluster.Machine]int{}}
+	for _, attempt := range cluster.SortedAttempts(p.Begun) {
+		if a := p.Begun[attempt]; !a.Log.EndInFlight && l.recordable(b, a) {
 			// Its beginning stood here only, so that nothing needs to be said.
-			a.closing = true
+			a.Log.EndInFlight = true
 			d.gone = append(d.gone, a)
 		}
 	}
@@ -104,9 +105,9 @@
 		l.fill(b, d)
 	}
 	raw, _ := json.Marshal(d.rec)
-	b.add(p.key, p.revision, raw, func(revision uint64) { p.revision = revision })
+	b.add(p.Key, p.Revision, raw, func(revision uint64) { p.Revision = revision })
 	b.undo = append(b.undo, func() { k.takeBack(l, d) })
-	b.done = append(b.done, func(rev uint64) { p.bytes = len(raw); l.segmentWritten(p, d, rev) })
+	b.done = append(b.done, func(rev uint64) { p.Bytes = len(raw); l.segmentWritten(p, d, rev) })
 }
 
 // fill adds what is new. Completions go before the ends that rest on them.
@@ -120,16 +121,16 @@
 	}
 	for len(k.chunks) > 0 {
 		ref := k.chunks[0]
-		ch := ref.j.chunks[ref.c]
-		if !ref.j.over() { // else the record of the job's end takes its place
-			bits := ref.j.chunkBits(ref.c, l.Derived.ChunkTasks)
+		ch := ref.Job.Completions.Chunks[ref.Index]
+		if !ref.Job.IsOver() { // else the record of the job's end takes its place
+			bits := ref.Job.EncodeChunk(ref.Index, l.Derived.ChunkTasks)
 			if size := chunkSize(ref, bits); segmentBytes+size > k.most {
 				// No segment holds it. Its tasks' ends wait for that of the job: their
 				// workers keep saying that they are done.
-				if !ch.large {
-					slog.Error("completions larger than a segment", "job", ref.j.id, "bytes", size, "most", k.most)
+				if !ch.TooLarge {
+					slog.Error("completions larger than a segment", "job", ref.Job.ID, "bytes", size, "most", k.most)
 				}
-				ch.large, ch.dirty = true, false
+				ch.TooLarge, ch.Dirty = true, false
 				k.chunks = k.chunks[1:]
 				continue
 			} else if !d.fits(size) {
@@ -139,20 +140,20 @@
 			d.fresh.chunks = append(d.fresh.chunks, ref)
 			// As far as this transaction goes: chunkDirty takes it back if it
 			// fails, or if more tasks complete meanwhile.
-			ch.saved = true
+			ch.Saved = true
 		}
-		ch.dirty = false
+		ch.Dirty = false
 		k.chunks = k.chunks[1:]
 	}
 	later := k.ends[:0]
 	for _, a := range k.ends {
 		switch {
-		case a.closing: // its segment is written anew, without it
-			a.ending = false
+		case a.Log.EndInFlight: // its segment is written anew, without it
+			a.Log.EndQueued = false
 		case d.fits(overSize(a)) && l.recordable(b, a):
-			a.closing, a.ending = true, false
-			if a.home != nil {
-				d.rec.Over = append(d.rec.Over, a.attempt)
+			a.Log.EndInFlight, a.Log.EndQueued = true, false
+			if a.Log.Segment != nil {
+				d.rec.Over = append(d.rec.Over, a.Attempt)
 				d.size += overSize(a)
 			}
 			d.gone = append(d.gone, a)
@@ -165,7 +166,7 @@
 	for len(k.begins) > 0 && d.fits(beginSize(k.begins[0])) {
 		a := k.begins[0]
 		k.begins = k.begins[1:]
-		if a.outcome == open {
+		if a.Outcome == cluster.Open {
 			d.begin(a)
 			d.fresh.begins = append(d.fresh.begins, a)
 		}
@@ -174,8 +175,8 @@
 
 // recordable tells whether an assignment's end may be written: the completion of
 // its task has to be durable with it.
-func (l *Leader) recordable(b *batch, a *assignment) bool {
-	return a.outcome == retry || a.outcome == success && l.completionSaved(b, a)
+func (l *Leader) recordable(b *batch, a *cluster.Assignment) bool {
+	return a.Outcome == cluster.Retry || a.Outcome == cluster.Success && l.completionSaved(b, a)
 }
 
 // takeBack queues what a transaction that failed should have written.
@@ -183,49 +184,49 @@
 	k.begins = append(d.fresh.begins, k.begins...)
 	k.deaths = append(d.fresh.deaths, k.deaths...)
 	for _, a := range d.gone {
-		a.closing = false
+		a.Log.EndInFlight = false
 		k.end(a)
 	}
 	for _, a := range d.kept {
-		a.moving = false
+		a.Log.MoveInFlight = false
 	}
 	for _, ref := range d.done {
-		ref.j.chunks[ref.c].moving = false
+		ref.Job.Completions.Chunks[ref.Index].Moving = false
 	}
 	for _, ref := range d.fresh.chunks {
-		l.chunkDirty(ref.j, ref.c)
+		l.chunkDirty(ref.Job, ref.Index)
 	}
 }
 
 // segmentWritten takes in that a segment was written.
-func (l *Leader) segmentWritten(p *segment, d *segmentBuilder, rev uint64) {
-	p.revision = rev
-	clear(p.begun)
-	clear(p.done)
+func (l *Leader) segmentWritten(p *cluster.Segment, d *segmentBuilder, rev uint64) {
+	p.Revision = rev
+	clear(p.Begun)
+	clear(p.Completions)
 	for _, a := range d.kept {
-		if a.home != nil && a.home != p {
-			delete(a.home.begun, a.attempt)
+		if a.Log.Segment != nil && a.Log.Segment != p {
+			delete(a.Log.Segment.Begun, a.Attempt)
 		}
-		p.begun[a.attempt] = a
-		a.home, a.moving = p, false
-		if !a.durable {
-			a.durable = true
-			if a.job.isGang() {
-				l.gangWritten(a.job)
+		p.Begun[a.Attempt] = a
+		a.Log.Segment, a.Log.MoveInFlight = p, false
+		if !a.Log.Durable {
+			a.Log.Durable = true
+			if a.Job.IsGang() {
+				l.gangWritten(a.Job)
 			} else {
-				l.notify(a.m)
+				l.notify(a.Machine)
 			}
 		}
 	}
 	for _, ref := range d.done {
-		p.done[ref] = true
-		if ch := ref.j.chunks[ref.c]; ch != nil {
-			ch.home, ch.moving = p, false
+		p.Completions[ref] = true
+		if ch := ref.Job.Completions.Chunks[ref.Index]; ch != nil {
+			ch.Segment, ch.Moving = p, false
 		}
 	}
 	for _, a := range d.gone {
-		if a.home != nil {
-			delete(a.home.begun, a.attempt)
+		if a.Log.Segment != nil {
+			delete(a.Log.Segment.Begun, a.Attempt)
 		}
 		l.forget(a)
 	}
@@ -233,14 +234,14 @@
 
 // completionSaved tells whether a completion is durable, or goes into the
 // transaction that is being put together.
-func (l *Leader) completionSaved(b *batch, a *assignment) bool {
-	j := a.job
-	if j.cancelled || j.recorded {
+func (l *Leader) completionSaved(b *batch, a *cluster.Assignment) bool {
+	j := a.Job
+	if j.End.Cancelled || j.End.CompletionDurable {
 		return true
 	}
-	if _, ok := b.revisions[jobs.RecordKey(j.id)]; ok {
+	if _, ok := b.revisions[jobs.RecordKey(j.ID)]; ok {
 		return true
 	}
-	ch := j.chunks[a.n/l.Derived.ChunkTasks]
-	return ch != nil && ch.saved
+	ch := j.Completions.Chunks[a.Index/l.Derived.ChunkTasks]
+	return ch != nil && ch.Saved
 }
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -8,6 +8,7 @@
 
 	"ospreyslip/internal/autoscaler"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 )
 
@@ -60,12 +61,12 @@
 
 // arrived takes in the work of a new job, in CPU seconds a second. An old one,
 // that a new leader finds, counts the less.
-func (l *Leader) arrived(j *job, age time.Duration, now time.Time) {
-	if !j.spec.Ends() {
+func (l *Leader) arrived(j *cluster.Job, age time.Duration, now time.Time) {
+	if !j.Spec.Ends() {
 		return
 	}
 	l.decayFlow(now)
-	work := float64(j.spec.Tasks) * l.runS(j.spec) * j.spec.CPUs
+	work := float64(j.Spec.Tasks) * l.runS(j.Spec) * j.Spec.CPUs
 	l.arrivalRate += work / l.flowOver().Seconds() * math.Exp(-max(0, age.Seconds())/l.flowOver().Seconds())
 }
 
@@ -81,17 +82,17 @@
 	l.decayFlow(now)
 	work := 0.0
 	for _, j := range l.jobs {
-		if !j.over() && j.spec.Ends() {
-			work += float64(j.spec.Tasks-j.doneCount) * l.runS(j.spec) * j.spec.CPUs
+		if !j.IsOver() && j.Spec.Ends() {
+			work += float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs
 		}
 	}
 	missing := max(l.arrivalRate, work/l.flowOver().Seconds())
-	for _, m := range l.machines.all {
-		if t := l.machineType(m.typ); t != nil && m.phase != returning && !m.dead && !m.draining {
+	for _, m := range l.machines.All {
+		if t := l.machineType(m.Type); t != nil && m.Phase != cluster.Releasing && !m.Health.Dead && !m.Health.Draining {
 			missing -= t.CPUs
-			for _, a := range m.assigned {
-				if !a.job.spec.Ends() {
-					missing += a.job.spec.CPUs
+			for _, a := range m.Assignments {
+				if !a.Job.Spec.Ends() {
+					missing += a.Job.Spec.CPUs
 				}
 			}
 		}
@@ -107,32 +108,32 @@
 // rooms is what the forecast plays on.
 func (l *Leader) rooms(now time.Time) []autoscaler.Room {
 	var rooms []autoscaler.Room
-	for _, m := range l.machines.all {
-		t := l.machineType(m.typ)
+	for _, m := range l.machines.All {
+		t := l.machineType(m.Type)
 		if t == nil {
 			continue
 		}
-		boot := l.bootTime(m.typ)
+		boot := l.bootTime(m.Type)
 		r := autoscaler.Room{
-			Kind: autoscaler.Kind{Type: m.typ, Zone: m.zone, Spot: m.spot},
-			Free: placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.room, -1),
+			Kind: autoscaler.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+			Free: placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.Used, -1),
 		}
 		switch {
 		case l.usable(m, now):
-		case m.phase == booting && now.Sub(m.known) < times(boot, l.Settings.Operator.SlowBoots):
-			r.From = max(boot-now.Sub(m.known), boot/8).Seconds()
+		case m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(boot, l.Settings.Operator.SlowBoots):
+			r.From = max(boot-now.Sub(m.Rental.KnownSince), boot/8).Seconds()
 		default:
 			continue
 		}
-		for _, a := range m.assigned {
-			if a.outcome != open || !a.job.spec.Ends() {
+		for _, a := range m.Assignments {
+			if a.Outcome != cluster.Open || !a.Job.Spec.Ends() {
 				continue
 			}
-			left := l.runS(a.job.spec) - now.Sub(a.since).Seconds()
-			if a.stop || a.job.over() {
-				left = a.grace
+			left := l.runS(a.Job.Spec) - now.Sub(a.RunningSince).Seconds()
+			if a.Stop.Requested || a.Job.IsOver() {
+				left = a.Stop.GraceS
 			}
-			r.Leaves = append(r.Leaves, autoscaler.Leave{At: max(left, overrun*l.runS(a.job.spec)), Need: placement.Of(a.job.spec)})
+			r.Leaves = append(r.Leaves, autoscaler.Leave{At: max(left, overrun*l.runS(a.Job.Spec)), Need: placement.Of(a.Job.Spec)})
 		}
 		rooms = append(rooms, r)
 	}
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -7,6 +7,7 @@
 	"net"
 	"time"
 
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/workers"
 )
@@ -16,9 +17,9 @@
 }
 
 // notify notes that a worker has something to be told at once.
-func (l *Leader) notify(m *machine) {
-	if !m.notifyPending {
-		m.notifyPending = true
+func (l *Leader) notify(m *cluster.Machine) {
+	if !m.Commands.NotifyPending {
+		m.Commands.NotifyPending = true
 		l.requeue(m)
 	}
 }
@@ -26,10 +27,10 @@
 // requeue queues a worker that has something to be told. Those that may not answer
 // have a queue of their own: a zone that is cut off must not keep the others
 // waiting behind orders that time out.
-func (l *Leader) requeue(m *machine) {
+func (l *Leader) requeue(m *cluster.Machine) {
 	switch {
-	case !m.notifyPending:
-	case m.orderFails > 0 || m.reported.IsZero():
+	case !m.Commands.NotifyPending:
+	case m.Commands.OrderFailures > 0 || m.Worker.HeartbeatAt.IsZero():
 		l.unconfirmedQueue = append(l.unconfirmedQueue, m)
 	default:
 		l.notifyQueue = append(l.notifyQueue, m)
@@ -43,37 +44,37 @@
 	l.sendOrders(ctx, now, &l.unconfirmedQueue, l.Derived.OrdersInFlight/2)
 }
 
-func (l *Leader) sendOrders(ctx context.Context, now time.Time, queue *[]*machine, most int) {
+func (l *Leader) sendOrders(ctx context.Context, now time.Time, queue *[]*cluster.Machine, most int) {
 	for len(*queue) > 0 && l.ordersInFlight < most {
 		m := (*queue)[0]
 		*queue = (*queue)[1:]
-		if !m.notifyPending || m.orderBusy {
+		if !m.Commands.NotifyPending || m.Commands.OrderInFlight {
 			continue // nothing any more, or looked at again when that order has returned
 		}
-		if wait := m.orderAfter.Sub(now); wait > 0 {
+		if wait := m.Commands.RetryAfter.Sub(now); wait > 0 {
 			l.later(ctx, wait, func() { l.requeue(m) })
 			continue
 		}
-		m.notifyPending = false
-		if m.phase != up || m.session == 0 || m.addr == "" || !m.doubtSince.IsZero() || now.After(m.leaseUntil) || !l.Valid() {
+		m.Commands.NotifyPending = false
+		if m.Phase != cluster.Up || m.Worker.Session == 0 || m.Addr == "" || !m.Commands.InDoubtSince.IsZero() || now.After(m.Worker.LeaseUntil) || !l.Valid() {
 			continue
 		}
 		calls := l.calls(m, false)
 		token := l.tokenFor(m)
-		if len(calls) == 0 && m.token >= token {
+		if len(calls) == 0 && m.Worker.Token >= token {
 			continue
 		}
 		l.ordersInFlight++
 		l.takeover.Ordered(now)
-		m.orderBusy = true
-		l.watch.Called(m.id)
-		order := workers.Order{Token: token, Session: m.session, Calls: calls}
+		m.Commands.OrderInFlight = true
+		l.watch.Called(m.ID)
+		order := workers.Order{Token: token, Session: m.Worker.Session, Calls: calls}
 		for _, c := range calls {
 			if c.Op == workers.OpRun {
-				m.ordered[ref{c.Task, c.Attempt}] = token
+				m.Commands.StartedByOrder[cluster.CommandRef(&c)] = token
 			}
 		}
-		addr := m.addr // a report may change it meanwhile
+		addr := m.Addr // a report may change it meanwhile
 		go func() {
 			r, ok, err := l.Workers.Order(ctx, addr, order)
 			l.post(ctx, func(now time.Time) { l.ordered(m, order, r, ok, err, now) })
@@ -85,8 +86,8 @@
 // its runs are in doubt: they may be executed at any later time while token and
 // session match. They are not sent again, nor is their task placed elsewhere,
 // until a report shows them or the worker has seen a higher token.
-func (l *Leader) ordered(m *machine, o workers.Order, r *workers.Report, ok bool, err error, now time.Time) {
-	m.orderBusy = false
+func (l *Leader) ordered(m *cluster.Machine, o workers.Order, r *workers.Report, ok bool, err error, now time.Time) {
+	m.Commands.OrderInFlight = false
 	l.ordersInFlight--
 	defer l.requeue(m)
 	neverSent := !ok && err == nil
@@ -95,34 +96,34 @@
 		neverSent = true // a connection attempt that was given up does not complete later
 	}
 	for _, c := range o.Calls {
-		a := m.find(ref{c.Task, c.Attempt})
+		a := m.FindAssignment(cluster.CommandRef(&c))
 		if c.Op != workers.OpRun || a == nil {
 			continue
 		}
-		a.ordered = false
+		a.Start.OrderInFlight = false
 		switch {
 		case neverSent:
-			a.sent = a.seen != ""
-		case err != nil && a.seen == "":
-			a.doubt = o.Token
-			m.doubtSince = now
+			a.Start.Sent = a.ObservedState != ""
+		case err != nil && a.ObservedState == "":
+			a.Start.InDoubtToken = o.Token
+			m.Commands.InDoubtSince = now
 			l.doubtful[m] = true
 		}
 	}
 	if err != nil {
-		slog.Debug("order failed", "machine", m.id, "term", l.token, "reason", err)
-		m.orderAfter = now.Add(min(l.Derived.ControlInterval<<min(m.orderFails, 8), l.Derived.Lease/4))
-		m.orderFails++
-		m.notifyPending = true
-		l.watch.Suspect(m.id)
+		slog.Debug("order failed", "machine", m.ID, "term", l.token, "reason", err)
+		m.Commands.RetryAfter = now.Add(min(l.Derived.ControlInterval<<min(m.Commands.OrderFailures, 8), l.Derived.Lease/4))
+		m.Commands.OrderFailures++
+		m.Commands.NotifyPending = true
+		l.watch.Suspect(m.ID)
 		return
 	}
-	m.undelivered, m.orderFails = 0, 0
-	l.watch.Reachable(m.id)
-	l.watch.Answered(m.id, counter(r))
+	m.Commands.UndeliveredAnswers, m.Commands.OrderFailures = 0, 0
+	l.watch.Reachable(m.ID)
+	l.watch.Answered(m.ID, counter(r))
 	l.observe(m, r, now)
-	for _, a := range m.assigned {
-		if a.job.over() && a.outcome == open {
+	for _, a := range m.Assignments {
+		if a.Job.IsOver() && a.Outcome == cluster.Open {
 			l.dropUnsent(a)
 		}
 	}
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -17,6 +17,7 @@
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/settings"
@@ -33,7 +34,7 @@
 }
 
 // bench is a leader with one machine and one job of two tasks, and no duties.
-func bench() (*Leader, *machine, *job, time.Time) {
+func bench() (*Leader, *cluster.Machine, *cluster.Job, time.Time) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
 		Workers: settings.Workers{ReportS: 2, LeaseS: 20, CancelS: 40},
@@ -47,13 +48,13 @@
 	}, election.Term{Token: 5})
 	l.attempts, l.viewTime = 100, now
 	l.watch = liveness.New(liveness.Config{SilentFor: time.Second, LeaseOver: time.Second, HoldGrace: time.Second, Gap: time.Second})
-	j := newJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
+	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	l.jobs["j-1"] = j
 	l.report(report(1, 1), now)
-	m := l.machines.byID["m-1"]
-	l.assign(j, j.take(), m, now)
-	for _, a := range m.assigned {
-		a.durable = true
+	m := l.machines.ByID["m-1"]
+	l.assign(j, j.TakePendingTask(), m, now)
+	for _, a := range m.Assignments {
+		a.Log.Durable = true
 	}
 	return l, m, j, now
 }
@@ -78,14 +79,14 @@
 		t.Fatal(d)
 	}
 	l.report(report(1, 4, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
-	l.stop(j.tasks[0], 5)
+	l.stop(j.Assignments[0], 5)
 	l.report(report(1, 5, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Saving}), now)
 	l.report(report(1, 3), now)
-	if a := j.tasks[0]; a == nil || a.outcome != open {
+	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
 		t.Error("an old report ended a task that is still saving")
 	}
-	if m.seq != 5 || m.room.CPUs != 1 {
-		t.Errorf("picture at %d, %v CPUs taken", m.seq, m.room.CPUs)
+	if m.Worker.Seq != 5 || m.Used.CPUs != 1 {
+		t.Errorf("picture at %d, %v CPUs taken", m.Worker.Seq, m.Used.CPUs)
 	}
 	// A report of an earlier session says nothing at all.
 	l.report(report(2, 1), now)
@@ -103,7 +104,7 @@
 	if calls := l.report(report(1, 3, done), now).Calls; len(calls) > 0 {
 		t.Errorf("before the completion is durable: %v", ops(calls))
 	}
-	for _, a := range m.assigned {
+	for _, a := range m.Assignments {
 		l.forget(a) // as after the write
 	}
 	if calls := l.calls(m, false); len(calls) > 0 {
@@ -164,16 +165,16 @@
 	if a := l.report(old, now.Add(until)); a == nil || a.Token != 5 || len(a.Calls) != 0 {
 		t.Errorf("answered %+v, want the token and no commands", a)
 	}
-	lease := m.leaseUntil
-	if l.report(old, now.Add(until+time.Second)) != nil || m.leaseUntil != lease {
+	lease := m.Worker.LeaseUntil
+	if l.report(old, now.Add(until+time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("a copy of it renewed the lease once more")
 	}
-	if m.seq == 9 || j.tasks[0] == nil || l.watch.Placeable("m-1", now.Add(until)) {
+	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.watch.Placeable("m-1", now.Add(until)) {
 		t.Error("an old report counted as news")
 	}
 	other := report(1, 3)
 	other.Machine, other.Token = "m-2", 4
-	if l.report(other, now); l.machines.byID["m-2"] != nil {
+	if l.report(other, now); l.machines.ByID["m-2"] != nil {
 		t.Error("a machine was taken in by an old report of it")
 	}
 }
@@ -184,8 +185,8 @@
 // (Found on the bench: ran_cancelled, by 0.5.0 with leaders that changed every ten seconds.)
 func TestOldReportsOfCancelledTasks(t *testing.T) {
 	l, m, j, now := bench()
-	live := newJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
-	l.jobs[live.id] = live
+	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
+	l.jobs[live.ID] = live
 	l.cancelled(j, 9)
 	old := report(1, 9,
 		workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running},
@@ -200,7 +201,7 @@
 	if c := a.Calls[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
 		t.Errorf("call %+v, want j-1/0 to stop at once", c)
 	}
-	if m.seq == 9 {
+	if m.Worker.Seq == 9 {
 		t.Error("an old report counted as news")
 	}
 }
@@ -210,9 +211,9 @@
 func TestReturningMachinesAreNotAnswered(t *testing.T) {
 	l, m, _, now := bench()
 	l.report(report(1, 2), now)
-	lease := m.leaseUntil
-	m.phase = returning
-	if l.report(report(1, 3), now.Add(time.Second)) != nil || m.leaseUntil != lease {
+	lease := m.Worker.LeaseUntil
+	m.Phase = cluster.Releasing
+	if l.report(report(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("its lease was renewed")
 	}
 }
@@ -223,19 +224,19 @@
 	l, m, _, now := bench()
 	l.report(report(1, 2), now)
 	l.report(report(1, 3, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
-	lease := m.leaseUntil
-	m.dead = true
+	lease := m.Worker.LeaseUntil
+	m.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
 		if l.report(report(1, seq), now.Add(5*time.Second)) != nil {
 			t.Errorf("a copy of report %d was answered", seq)
 		}
 	}
-	if m.leaseUntil != lease || !m.dead || m.reported != now {
+	if m.Worker.LeaseUntil != lease || !m.Health.Dead || m.Worker.HeartbeatAt != now {
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
 	l.observe(m, report(1, 9, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
-	if l.report(report(1, 8), now.Add(5*time.Second)) == nil || m.seq != 9 {
+	if l.report(report(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
 }
@@ -260,31 +261,31 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, _, now := bench()
 			l.runTimes["sums"] = &runTimes{variance: 0.25, tasks: 100, jobs: 100}
-			j := newJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimateS: 10}, 1, 0, now)
+			j := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimateS: 10}, 1, 0, now)
 			l.jobs["j-2"] = j
 			for range 25 {
-				j.took(math.Log(10))
+				j.RecordRunTime(math.Log(10))
 			}
-			start := func(ran float64) *assignment {
-				a := l.assign(j, j.take(), m, now)
-				a.seen, a.since = workers.Running, now.Add(-time.Duration(ran*10*float64(time.Second)))
+			start := func(ran float64) *cluster.Assignment {
+				a := l.assign(j, j.TakePendingTask(), m, now)
+				a.ObservedState, a.RunningSince = workers.Running, now.Add(-time.Duration(ran*10*float64(time.Second)))
 				return a
 			}
 			for _, r := range tc.before {
 				l.ran(start(r), now)
 			}
-			clear(m.assigned)
+			clear(m.Assignments)
 			for _, r := range tc.running {
 				start(r)
 			}
 			if tc.running == nil {
-				j.tooks = nil // the quick ones would be over first
+				j.RunTimeLogs = nil // the quick ones would be over first
 				start(9)
 				start(9)
 			}
 			l.findSlow(now)
-			if m.offer.Slow != tc.slow {
-				t.Errorf("slow: %v, odds %.1f", m.offer.Slow, l.slowOdds(m, now))
+			if m.Offer.Slow != tc.slow {
+				t.Errorf("slow: %v, odds %.1f", m.Offer.Slow, l.slowOdds(m, now))
 			}
 		})
 	}
@@ -311,7 +312,7 @@
 	}
 	l.report(report(1, 21, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
 	l.report(report(1, 22, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
-	if m.undelivered != 0 || !l.usable(m, now) {
+	if m.Commands.UndeliveredAnswers != 0 || !l.usable(m, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
 }
@@ -360,18 +361,18 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i := range 20 {
-			lost := newMachine(fmt.Sprint("m-9", i), now)
-			lost.phase, lost.session, lost.addr, lost.leaseUntil = up, 1, "10.1.0.9:9000", now.Add(time.Hour)
+			lost := cluster.NewMachine(fmt.Sprint("m-9", i), now)
+			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
 			l.notify(lost) // from an earlier leader's records: it has not reported to this one
 		}
 		l.orders(ctx, now)
 		if l.ordersInFlight != 2 {
 			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.ordersInFlight)
 		}
-		m.leaseUntil = now.Add(time.Hour)
+		m.Worker.LeaseUntil = now.Add(time.Hour)
 		l.notify(m)
 		l.orders(ctx, now)
-		if !m.orderBusy {
+		if !m.Commands.OrderInFlight {
 			t.Error("a machine that reports waits behind those that do not")
 		}
 		cancel()
@@ -393,14 +394,14 @@
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
 		l.Publish, l.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
-		for _, a := range j.tasks {
-			l.conclude(a, retry)
+		for _, a := range j.Assignments {
+			l.conclude(a, cluster.Retry)
 			l.forget(a)
 		}
 		l.Valid = func() bool { return false }
 		ctx, stop := context.WithCancel(t.Context())
 		l.tick(ctx, now.Add(l.Derived.Lease))
-		if m.phase != up {
+		if m.Phase != cluster.Up {
 			t.Error("a machine was given back")
 		}
 		// What had begun before is not sent any more either.
@@ -475,7 +476,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, j, now := bench()
-			j.spec.EstimateS, j.spec.Shape = 30, tc.shape
+			j.Spec.EstimateS, j.Spec.Shape = 30, tc.shape
 			l.report(report(1, 2), now)
 			task := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}
 			l.report(report(1, 3, task), now)
@@ -484,14 +485,14 @@
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
 			l.viewTime = now
 			l.report(r, now)
-			if a := j.tasks[0]; a.stop != tc.moved {
-				t.Errorf("stopped: %v", a.stop)
+			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
+				t.Errorf("stopped: %v", a.Stop.Requested)
 			}
 			// Not heard of after the notice, it is taken, and given back at once.
 			l.Catalog = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
 			l.returning = true // a request is on its way: ours waits for it
-			l.manageFleet(t.Context(), m.noticeUntil.Add(time.Millisecond))
-			if m.phase != returning {
+			l.manageFleet(t.Context(), m.Health.NoticeUntil.Add(time.Millisecond))
+			if m.Phase != cluster.Releasing {
 				t.Error("not given back when its notice was over")
 			}
 		})
@@ -507,11 +508,11 @@
 	late := now.Add(l.Derived.BeginBy)
 	l.viewTime = late
 	l.report(report(1, 3, task), late)
-	a := j.tasks[0]
+	a := j.Assignments[0]
 	if n := l.overdue(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("with a task that has just begun: %d go first", n)
 	}
-	a.overdue = true
+	a.Overdue = true
 	if n := l.overdue(j, late.Add(time.Second)); n != 0 {
 		t.Errorf("with one ahead already: %d go first", n)
 	}
@@ -519,7 +520,7 @@
 	if n := l.overdue(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("when it has to stop again: %d go first", n)
 	}
-	a.stop = false
+	a.Stop.Requested = false
 	if n := l.overdue(j, late.Add(l.Derived.Lasting+time.Second)); n != 0 {
 		t.Errorf("with a task that has lasted: %d go first", n)
 	}
@@ -531,21 +532,21 @@
 // seed 1255.)
 func TestNewSessionSeenByAnOrder(t *testing.T) {
 	l, m, j, now := bench()
-	old := j.tasks[0]
+	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	l.observe(m, report(2, 1), at(19))
-	if old.outcome == open {
+	if old.Outcome == cluster.Open {
 		t.Fatal("the old session's task goes on")
 	}
 	a := l.assign(j, 1, m, at(19.1))
-	a.durable, a.sent = true, true
-	l.observe(m, report(2, 2, workers.Task{Task: a.name(), Attempt: a.attempt, State: workers.Running}), at(19.2))
+	a.Log.Durable, a.Start.Sent = true, true
+	l.observe(m, report(2, 2, workers.Task{Task: a.TaskName(), Attempt: a.Attempt, State: workers.Running}), at(19.2))
 	l.expire(at(21)) // by which the old lease is over, by any clock
-	if a.outcome != open {
+	if a.Outcome != cluster.Open {
 		t.Error("lost with the old lease, while the new session runs on")
 	}
 	l.expire(at(40))
-	if a.outcome == open {
+	if a.Outcome == cluster.Open {
 		t.Error("no lease lasts for ever")
 	}
 }
@@ -565,15 +566,15 @@
 			seq++
 			r := report(1, seq)
 			r.Machine, r.Token = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
-			if m := l.machines.byID[r.Machine]; m != nil {
-				r.Session = m.session + uint64(rnd.IntN(2))
+			if m := l.machines.ByID[r.Machine]; m != nil {
+				r.Session = m.Worker.Session + uint64(rnd.IntN(2))
 			}
 			l.report(r, now)
 		}
 		l.expire(now)
-		for _, m := range l.machines.all {
-			if m.phase == up && now.After(m.leaseUntil) {
-				t.Fatalf("%v: the lease of %s was over %v ago", now.Sub(start), m.id, now.Sub(m.leaseUntil))
+		for _, m := range l.machines.All {
+			if m.Phase == cluster.Up && now.After(m.Worker.LeaseUntil) {
+				t.Fatalf("%v: the lease of %s was over %v ago", now.Sub(start), m.ID, now.Sub(m.Worker.LeaseUntil))
 			}
 		}
 	}
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
 )
@@ -34,17 +35,17 @@
 	for in.Least < len(l.tasksByRank)-1 && l.tasksByRank[in.Least] == 0 {
 		in.Least++
 	}
-	back := map[*placement.Job]*job{}
+	back := map[*placement.Job]*cluster.Job{}
 	l.countHeld(in.Used)
 	wall := now.UnixMilli()
 	for j := range l.queued {
 		switch {
-		case j.over() || j.waiting == 0:
+		case j.IsOver() || j.Pending.Count == 0:
 			delete(l.queued, j)
-		case j.isGang() && len(j.tasks) > 0:
+		case j.IsGang() && len(j.Assignments) > 0:
 			// Looked at again when the last task of its attempt is forgotten. (Begun
 			// earlier, with those whose ends were durable first, it stayed a part.)
-		case now.Before(j.notBefore), l.awaitsWorkers(j, now):
+		case now.Before(j.Scheduling.BackoffUntil), l.awaitsWorkers(j, now):
 			l.replan = true
 		default:
 			p := l.planJob(j, now, wall)
@@ -55,59 +56,59 @@
 	slices.SortFunc(in.Jobs, func(a, b *placement.Job) int {
 		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
-	placed := map[*placement.Placed]*assignment{}
-	asVictim := map[*job]*placement.Job{}
+	placed := map[*placement.Placed]*cluster.Assignment{}
+	asVictim := map[*cluster.Job]*placement.Job{}
 	in.Fill = func(p *placement.Machine) { l.fillOffer(p, asVictim, placed, now) }
 	out := placement.Plan(in)
 	for _, s := range out.Stop {
 		a, grace := placed[s.Task], 0.0
 		if !s.AtOnce {
-			grace = a.job.spec.SaveS
+			grace = a.Job.Spec.SaveS
 		}
 		l.stopWithGang(a, grace)
 	}
 	for _, as := range out.Assign {
 		j := back[as.Job]
-		l.assign(j, j.take(), l.machines.byID[as.Machine.ID], now).overdue = as.Overdue
+		l.assign(j, j.TakePendingTask(), l.machines.ByID[as.Machine.ID], now).Overdue = as.Overdue
 	}
 	for _, j := range out.Clearing {
-		back[j].clearing = now
+		back[j].Scheduling.PreemptingForGangAt = now
 	}
 	l.unmet = out.Unmet
 }
 
 // usable tells whether work may go to a machine.
-func (l *Leader) usable(m *machine, now time.Time) bool {
-	return m.phase == up && !m.dead && !m.draining && m.session != 0 && m.token <= l.token && l.watch.Placeable(m.id, now)
+func (l *Leader) usable(m *cluster.Machine, now time.Time) bool {
+	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.watch.Placeable(m.ID, now)
 }
 
 // fillOffer shows placement what could be stopped on a machine.
-func (l *Leader) fillOffer(p *placement.Machine, jobs map[*job]*placement.Job, placed map[*placement.Placed]*assignment, now time.Time) {
+func (l *Leader) fillOffer(p *placement.Machine, jobs map[*cluster.Job]*placement.Job, placed map[*placement.Placed]*cluster.Assignment, now time.Time) {
 	p.Freeing, p.Tasks = placement.Amount{}, p.Tasks[:0]
-	for _, a := range l.machines.byID[p.ID].assigned {
+	for _, a := range l.machines.ByID[p.ID].Assignments {
 		switch {
-		case a.outcome != open:
-		case a.stop || a.job.over():
-			p.Freeing = p.Freeing.Plus(placement.Of(a.job.spec), 1)
-		case a.durable:
-			j := jobs[a.job]
+		case a.Outcome != cluster.Open:
+		case a.Stop.Requested || a.Job.IsOver():
+			p.Freeing = p.Freeing.Plus(placement.Of(a.Job.Spec), 1)
+		case a.Log.Durable:
+			j := jobs[a.Job]
 			if j == nil {
-				j = &placement.Job{Spec: a.job.spec, Guaranteed: a.job.covered}
-				jobs[a.job] = j
+				j = &placement.Job{Spec: a.Job.Spec, Guaranteed: a.Job.Scheduling.WithinGuarantee}
+				jobs[a.Job] = j
 			}
-			v := &placement.Placed{Job: j, N: a.n, Overdue: a.overdue}
-			if a.seen == workers.Running {
-				v.RanS = now.Sub(a.since).Seconds()
+			v := &placement.Placed{Job: j, N: a.Index, Overdue: a.Overdue}
+			if a.ObservedState == workers.Running {
+				v.RanS = now.Sub(a.RunningSince).Seconds()
 			}
-			if a.job.isGang() {
-				v.Falls = a.job.spec.Tasks
+			if a.Job.IsGang() {
+				v.Falls = a.Job.Spec.Tasks
 			}
 			placed[v] = a
 			p.Tasks = append(p.Tasks, v)
 		}
 	}
 	slices.SortFunc(p.Tasks, func(a, b *placement.Placed) int {
-		return cmp.Compare(placed[a].attempt, placed[b].attempt)
+		return cmp.Compare(placed[a].Attempt, placed[b].Attempt)
 	})
 }
 
@@ -121,25 +122,25 @@
 }
 
 // assign gives a task to a machine, as far as this leader is concerned.
-func (l *Leader) assign(j *job, n int, m *machine, now time.Time) *assignment {
+func (l *Leader) assign(j *cluster.Job, n int, m *cluster.Machine, now time.Time) *cluster.Assignment {
 	l.attempts++
-	a := &assignment{job: j, n: n, attempt: l.attempts, session: m.session, m: m, since: now, born: now}
-	if j.isGang() {
-		if a.gang = j.gang.number; a.gang == 0 {
+	a := &cluster.Assignment{Job: j, Index: n, Attempt: l.attempts, Session: m.Worker.Session, Machine: m, RunningSince: now, CreatedAt: now}
+	if j.IsGang() {
+		if a.GangAttempt = j.Gang.Number; a.GangAttempt == 0 {
 			// The number of the first task is that of all; its own is another.
-			a.gang = l.attempts
+			a.GangAttempt = l.attempts
 			l.attempts++
-			a.attempt = l.attempts
+			a.Attempt = l.attempts
 		}
-		j.joined(a)
+		j.JoinGang(a)
 	}
-	slog.Debug("task placed", "task", a.name(), "machine", m.id, "term", l.token, "class", j.spec.Class)
+	slog.Debug("task placed", "task", a.TaskName(), "machine", m.ID, "term", l.token, "class", j.Spec.Class)
 	l.count(a)
-	m.assigned[a.attempt] = a
-	j.tasks[n] = a
+	m.Assignments[a.Attempt] = a
+	j.Assignments[n] = a
 	l.log.begins = append(l.log.begins, a)
-	if !m.offer.Images[j.spec.Image] {
-		m.offer.Fetching[j.spec.Image] = j.spec.ImageGB
+	if !m.Offer.Images[j.Spec.Image] {
+		m.Offer.Fetching[j.Spec.Image] = j.Spec.ImageGB
 	}
 	return a
 }
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -18,6 +18,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // asProduction reads the book as version 0.3.0 does, which may lead at any time of
@@ -132,7 +133,7 @@
 	l := logLeader(s, 5, specs)
 	for _, line := range world {
 		task, m, on := strings.Cut(line, " on ")
-		if a := l.machines.byID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.assigned)), func(a *assignment) bool { return a.name() == task })) {
+		if a := l.machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
 			t.Errorf("%s, and the book does not say so", line)
 		}
 	}
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
 )
@@ -14,32 +15,32 @@
 // dueS is how many seconds a job has left for the next aim that it can still
 // meet, given how long its tasks run. One that has not begun is due by its aim
 // to begin, too.
-func (l *Leader) dueS(j *job, wall int64) float64 {
-	if !j.spec.Ends() {
+func (l *Leader) dueS(j *cluster.Job, wall int64) float64 {
+	if !j.Spec.Ends() {
 		return placement.NoDeadline
 	}
-	age, runs := float64(wall-j.atMs)/1000, l.runS(j.spec)
+	age, runs := float64(wall-j.AcceptedMs)/1000, l.runS(j.Spec)
 	due, aims := float64(placement.Late), false
 	for _, o := range l.Settings.Deployment.Objectives {
-		if o.Class != j.spec.Class {
+		if o.Class != j.Spec.Class {
 			continue
 		}
 		switch left := o.WithinS - age; {
 		case o.Kind == "finished" && left >= runs:
 			due = min(due, left)
-		case o.Kind == "deadline" && j.spec.DeadlineS != nil:
+		case o.Kind == "deadline" && j.Spec.DeadlineS != nil:
 			aims = true
-			if left := max(1, o.Times)**j.spec.DeadlineS - age; left >= runs {
+			if left := max(1, o.Times)**j.Spec.DeadlineS - age; left >= runs {
 				due = min(due, left)
 			}
-		case o.Kind == "wait" && left >= 0 && j.waiting == j.spec.Tasks:
+		case o.Kind == "wait" && left >= 0 && j.Pending.Count == j.Spec.Tasks:
 			due = min(due, left+runs)
 		}
 		aims = aims || o.Kind == "finished"
 	}
-	if j.spec.DeadlineS != nil && !aims { // nobody has said how much it matters
+	if j.Spec.DeadlineS != nil && !aims { // nobody has said how much it matters
 		aims = true
-		if left := *j.spec.DeadlineS - age; left >= runs {
+		if left := *j.Spec.DeadlineS - age; left >= runs {
 			due = left
 		}
 	}
@@ -54,8 +55,8 @@
 const overdueShare = 1.0 / 8
 
 // queue notes that a job has tasks that wait for a machine.
-func (l *Leader) queue(j *job) {
-	if j.waiting > 0 && !j.over() {
+func (l *Leader) queue(j *cluster.Job) {
+	if j.Pending.Count > 0 && !j.IsOver() {
 		l.queued[j] = true
 	}
 }
@@ -64,10 +65,10 @@
 func (l *Leader) cover(now time.Time) {
 	l.uncovered = false
 	var all []*placement.Job
-	back := map[*placement.Job]*job{}
+	back := map[*placement.Job]*cluster.Job{}
 	for _, j := range l.jobs {
-		if !j.over() {
-			p := &placement.Job{Spec: j.spec, Order: j.order}
+		if !j.IsOver() {
+			p := &placement.Job{Spec: j.Spec, Order: j.SubmissionOrder}
 			back[p] = j
 			all = append(all, p)
 		}
@@ -75,10 +76,10 @@
 	slices.SortFunc(all, func(a, b *placement.Job) int { return cmp.Compare(a.Order, b.Order) })
 	placement.Guarantees(l.Settings.Deployment.Teams, all)
 	for p, j := range back {
-		if p.Guaranteed && !j.covered {
-			j.coveredAt = now
+		if p.Guaranteed && !j.Scheduling.WithinGuarantee {
+			j.Scheduling.GuaranteedSince = now
 		}
-		j.covered = p.Guaranteed
+		j.Scheduling.WithinGuarantee = p.Guaranteed
 	}
 }
 
@@ -92,71 +93,71 @@
 const patientShare = 0.5
 
 // planJob is a job as placement sees it.
-func (l *Leader) planJob(j *job, now time.Time, wall int64) *placement.Job {
+func (l *Leader) planJob(j *cluster.Job, now time.Time, wall int64) *placement.Job {
 	p := &placement.Job{
-		Spec: j.spec, Order: j.order, DueS: l.dueS(j, wall), Waiting: j.waiting, Guaranteed: j.covered,
-		LeftS: float64(j.spec.Tasks-j.doneCount) * l.runS(j.spec) * j.spec.CPUs, Zones: make(map[string]int, len(j.zones)),
+		Spec: j.Spec, Order: j.SubmissionOrder, DueS: l.dueS(j, wall), Waiting: j.Pending.Count, Guaranteed: j.Scheduling.WithinGuarantee,
+		LeftS: float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs, Zones: make(map[string]int, len(j.Zones)),
 	}
-	for z, n := range j.zones {
+	for z, n := range j.Zones {
 		p.Zones[z] = n
 	}
 	for _, o := range l.Settings.Deployment.Objectives {
-		if o.Kind == "guarantee" && j.spec.Shape == jobs.Batch {
-			p.Patient = now.Sub(j.coveredAt).Seconds() < patientShare*o.WithinS
+		if o.Kind == "guarantee" && j.Spec.Shape == jobs.Batch {
+			p.Patient = now.Sub(j.Scheduling.GuaranteedSince).Seconds() < patientShare*o.WithinS
 		}
-		if o.Kind == "wait" && o.Class == j.spec.Class {
+		if o.Kind == "wait" && o.Class == j.Spec.Class {
 			// Until the order is out and the report back. What has run before
 			// is wanted back as soon as it was wanted at first.
 			p.StartS = o.WithinS - l.Derived.ControlInterval.Seconds()/4
-			if len(j.again) == 0 {
-				p.StartS -= float64(wall-j.atMs) / 1000
+			if !j.Pending.HasRetries() {
+				p.StartS -= float64(wall-j.AcceptedMs) / 1000
 			}
 		}
 	}
-	if j.spec.Shape == jobs.Batch && j.spec.CheckpntS == 0 && p.DueS < placement.NoDeadline {
-		p.Fragile = p.DueS < 2*l.runS(j.spec)
+	if j.Spec.Shape == jobs.Batch && j.Spec.CheckpntS == 0 && p.DueS < placement.NoDeadline {
+		p.Fragile = p.DueS < 2*l.runS(j.Spec)
 	}
 	p.AwaitsRoom = !l.mayPreempt(j, now)
-	p.Keep = j.isGang() && now.Sub(j.whole).Seconds() < keepShare*l.runS(j.spec)
-	p.Clearing = now.Sub(j.clearing) < l.Derived.Lasting
-	if p.Overdue = l.overdue(j, now); p.Overdue > 0 && j.isGang() {
-		p.Overdue = j.waiting
+	p.Keep = j.IsGang() && now.Sub(j.Scheduling.GangPendingSince).Seconds() < keepShare*l.runS(j.Spec)
+	p.Clearing = now.Sub(j.Scheduling.PreemptingForGangAt) < l.Derived.Lasting
+	if p.Overdue = l.overdue(j, now); p.Overdue > 0 && j.IsGang() {
+		p.Overdue = j.Pending.Count
 	}
 	return p
 }
 
 // overdue is how many tasks of a job go first because it has got nothing for too
 // long. A task that was stopped again soon after its start is nothing.
-func (l *Leader) overdue(j *job, now time.Time) int {
-	if now.Sub(j.served) <= l.Derived.BeginBy {
+func (l *Leader) overdue(j *cluster.Job, now time.Time) int {
+	if now.Sub(j.Scheduling.LastServedAt) <= l.Derived.BeginBy {
 		return 0
 	}
 	ahead := 0
-	for _, a := range j.tasks {
+	for _, a := range j.Assignments {
 		switch {
-		case a.outcome != open || a.stop:
-		case a.restored:
+		case a.Outcome != cluster.Open || a.Stop.Requested:
+		case a.Restored:
 			return 0 // for as long as an earlier leader's is there
-		case a.seen == workers.Running && now.Sub(a.since) > l.Derived.Lasting:
-			j.served = now
+		case a.ObservedState == workers.Running && now.Sub(a.RunningSince) > l.Derived.Lasting:
+			j.Scheduling.LastServedAt = now
 			return 0
-		case a.overdue:
+		case a.Overdue:
 			ahead++
 		}
 	}
-	return max(0, min(j.waiting, mostAhead(j)-ahead))
+	return max(0, min(j.Pending.Count, mostAhead(j)-ahead))
 }
 
-func mostAhead(j *job) int { return int(math.Ceil(overdueShare * float64(j.spec.Tasks))) }
+func mostAhead(j *cluster.Job) int { return int(math.Ceil(overdueShare * float64(j.Spec.Tasks))) }
 
 // remember counts a job's age under earlier leaders: with each new one, its wait
 // would begin anew. What it has by now may be there because it went first.
-func (l *Leader) remember(j *job, age time.Duration, now time.Time) {
-	j.served = now.Add(-max(0, age))
-	if !j.spec.Ends() || now.Sub(j.served) <= l.Derived.BeginBy || len(j.tasks) > mostAhead(j) {
+func (l *Leader) remember(j *cluster.Job, age time.Duration, now time.Time) {
+	j.Scheduling.LastServedAt = now.Add(-max(0, age))
+	if !j.Spec.Ends() || now.Sub(j.Scheduling.LastServedAt) <= l.Derived.BeginBy || len(j.Assignments) > mostAhead(j) {
 		return
 	}
-	for _, a := range j.tasks {
-		a.overdue = true
+	for _, a := range j.Assignments {
+		a.Overdue = true
 	}
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
@@ -72,7 +73,7 @@
 	restored   map[recovery.Outcome]int
 
 	held       map[string]*heldJob
-	adopting   map[*job]bool
+	adopting   map[*cluster.Job]bool
 	strays     map[string]*stray
 	strayReads int
 }
@@ -80,7 +81,7 @@
 func newRecoverer() recoverer {
 	return recoverer{
 		phase: Whole, evidence: map[detection.Kind]int{}, knowledge: recovery.View{}, peers: map[string]*peerScan{},
-		restored: map[recovery.Outcome]int{}, ranks: map[string]writeRank{}, held: map[string]*heldJob{}, adopting: map[*job]bool{}, strays: map[string]*stray{},
+		restored: map[recovery.Outcome]int{}, ranks: map[string]writeRank{}, held: map[string]*heldJob{}, adopting: map[*cluster.Job]bool{}, strays: map[string]*stray{},
 	}
 }
 
@@ -142,8 +143,8 @@
 	}
 	l.affectsLog, l.workersBy = true, until
 	for _, j := range l.jobs {
-		if !j.over() {
-			j.adoptUntil = until
+		if !j.IsOver() {
+			j.Adoption.Until = until
 			l.adopting[j] = true
 		}
 	}
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
 )
@@ -15,16 +15,16 @@
 // and is written to the log.
 
 // adoptTasksOf begins to adopt a job's tasks.
-func (l *Leader) adoptTasksOf(j *job, now time.Time) {
-	j.adoptUntil = now.Add(l.Derived.LeaseOver)
+func (l *Leader) adoptTasksOf(j *cluster.Job, now time.Time) {
+	j.Adoption.Until = now.Add(l.Derived.LeaseOver)
 	l.adopting[j] = true
 }
 
 // awaitsWorkers tells whether a job may have tasks on machines that are not known yet, or
 // whether its team may: then it could come over its limit. A node that began after a loss
 // does not know which jobs are new: it places none before all have been compared.
-func (l *Leader) awaitsWorkers(j *job, now time.Time) bool {
-	if now.Before(j.adoptUntil) || l.settling(now) {
+func (l *Leader) awaitsWorkers(j *cluster.Job, now time.Time) bool {
+	if now.Before(j.Adoption.Until) || l.settling(now) {
 		return true
 	}
 	if l.phase == Whole && len(l.adopting) == 0 {
@@ -33,7 +33,7 @@
 	if l.phase == Comparing && (l.ignorant || !l.Cache.SawAll()) {
 		return true
 	}
-	team, _ := l.Settings.Team(j.spec.Team)
+	team, _ := l.Settings.Team(j.Spec.Team)
 	return (team.CPUsMax > 0 || team.GPUsMax > 0) && l.teamUncounted(team.Name, now)
 }
 
@@ -48,7 +48,7 @@
 		return true
 	}
 	for j := range l.adopting {
-		if j.spec.Team == team {
+		if j.Spec.Team == team {
 			return true
 		}
 	}
@@ -66,48 +66,32 @@
 	}
 }
 
-// gangPart is a task of a gang that a worker shows, while the others are not known.
-type gangPart struct {
-	machine *machine
-	task    workers.Task
-	session uint64
-}
-
 // adopt takes in the tasks of a report that belong to jobs whose tasks are not all known.
-func (l *Leader) adopt(m *machine, r *workers.Report, now time.Time) {
+func (l *Leader) adopt(m *cluster.Machine, r *workers.Report, now time.Time) {
 	if len(l.adopting) == 0 {
 		return
 	}
 	for _, t := range r.Tasks {
 		id, n, ok := workers.SplitTask(t.Task)
 		j := l.jobs[id]
-		if !ok || j == nil || !l.adopting[j] || !j.adopts(n, &t) || m.find(refOf(&t)) != nil {
+		if !ok || j == nil || !l.adopting[j] || !j.MayAdopt(n, &t) || m.FindAssignment(cluster.RefOf(&t)) != nil {
 			continue
 		}
-		part := gangPart{m, t, r.Session}
-		if !j.isGang() {
+		part := cluster.GangPart{Machine: m, Task: t, Session: r.Session}
+		if !j.IsGang() {
 			l.adoptTask(j, n, part, l.attemptOf(&t), 0, now)
 			continue
 		}
-		if j.parts == nil {
-			j.parts = map[int]gangPart{}
+		if j.Adoption.GangParts == nil {
+			j.Adoption.GangParts = map[int]cluster.GangPart{}
 		}
-		j.parts[n] = part
+		j.Adoption.GangParts[n] = part
 		if l.gangIsWhole(j) {
 			l.adoptGang(j, now)
 		}
 	}
 }
 
-// adopts tells whether a task that a worker shows may be one of the job's. One that ended
-// without being done says nothing that matters.
-func (j *job) adopts(n int, t *workers.Task) bool {
-	if j.over() || n >= j.spec.Tasks || j.isDone(n) || j.tasks[n] != nil {
-		return false
-	}
-	return t.State != workers.Ended || t.Cause == workers.CauseDone && j.spec.Shape == jobs.Batch
-}
-
 // attemptOf is the number of an adopted task's attempt: that by which its worker knows
 // it. Numbers given out later are above it.
 func (l *Leader) attemptOf(t *workers.Task) uint64 {
@@ -115,27 +99,27 @@
 	return t.Attempt
 }
 
-func (l *Leader) adoptTask(j *job, n int, p gangPart, attempt, gang uint64, now time.Time) {
-	a := &assignment{
-		job: j, n: n, attempt: attempt, gang: gang, session: p.session, m: p.machine,
-		restored: true, sent: true, born: now, since: now,
+func (l *Leader) adoptTask(j *cluster.Job, n int, p cluster.GangPart, attempt, gang uint64, now time.Time) {
+	a := &cluster.Assignment{
+		Job: j, Index: n, Attempt: attempt, GangAttempt: gang, Session: p.Session, Machine: p.Machine,
+		Restored: true, Start: cluster.Start{Sent: true}, CreatedAt: now, RunningSince: now,
 	}
-	slog.Info("task adopted", "task", a.name(), "machine", a.m.id, "term", l.token, "state", p.task.State)
-	l.history.add(now, "task adopted", a.name())
+	slog.Info("task adopted", "task", a.TaskName(), "machine", a.Machine.ID, "term", l.token, "state", p.Task.State)
+	l.history.add(now, "task adopted", a.TaskName())
 	l.count(a)
-	a.m.assigned[a.attempt] = a
-	j.tasks[n] = a
-	j.waiting--
-	if j.isGang() {
-		j.joined(a)
+	a.Machine.Assignments[a.Attempt] = a
+	j.Assignments[n] = a
+	j.Pending.Count--
+	if j.IsGang() {
+		j.JoinGang(a)
 	}
 	l.log.begins = append(l.log.begins, a)
 }
 
 // gangIsWhole tells whether all tasks of one attempt of a gang are known.
-func (l *Leader) gangIsWhole(j *job) bool {
-	for n := range j.spec.Tasks {
-		if p, ok := j.parts[n]; !ok || p.task.Attempt != j.parts[0].task.Attempt {
+func (l *Leader) gangIsWhole(j *cluster.Job) bool {
+	for n := range j.Spec.Tasks {
+		if p, ok := j.Adoption.GangParts[n]; !ok || p.Task.Attempt != j.Adoption.GangParts[0].Task.Attempt {
 			return false
 		}
 	}
@@ -144,30 +128,30 @@
 
 // adoptGang adopts all known parts of a gang. Each has a number of its own in the log; the
 // one that they share is that by which workers know them.
-func (l *Leader) adoptGang(j *job, now time.Time) {
-	for n := range j.spec.Tasks {
-		p, ok := j.parts[n]
-		if !ok || !l.machines.has(p.machine) || p.machine.session != p.session && p.machine.session != 0 {
+func (l *Leader) adoptGang(j *cluster.Job, now time.Time) {
+	for n := range j.Spec.Tasks {
+		p, ok := j.Adoption.GangParts[n]
+		if !ok || !l.machines.Contains(p.Machine) || p.Machine.Worker.Session != p.Session && p.Machine.Worker.Session != 0 {
 			continue
 		}
-		l.attemptOf(&p.task)
+		l.attemptOf(&p.Task)
 		l.attempts++
-		l.adoptTask(j, n, p, l.attempts, p.task.Attempt, now)
+		l.adoptTask(j, n, p, l.attempts, p.Task.Attempt, now)
 	}
-	j.parts = nil
+	j.Adoption.GangParts = nil
 }
 
 // endAdoptions lets jobs go on whose tasks must all be known by now. A gang of which only
 // a part is known is stopped, and begins anew when that is off its machines.
 func (l *Leader) endAdoptions(now time.Time) {
 	for j := range l.adopting {
-		if now.Before(j.adoptUntil) && !j.over() {
+		if now.Before(j.Adoption.Until) && !j.IsOver() {
 			continue
 		}
 		delete(l.adopting, j)
-		if len(j.parts) > 0 && !j.over() {
+		if len(j.Adoption.GangParts) > 0 && !j.IsOver() {
 			l.adoptGang(j, now)
-			if len(j.tasks) > 0 {
+			if len(j.Assignments) > 0 {
 				l.stopGang(j, 0)
 			}
 		}
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -74,14 +74,14 @@
 	if j == nil {
 		return
 	}
-	k := recovery.Knowledge{Done: j.recorded, Cancelled: j.cancelled, Unfinished: !j.over(), Spec: j.spec, AtMs: j.atMs}
-	if j.final && !j.recorded {
-		for n := range j.spec.Tasks { // its end is not written: until then it may be cancelled
+	k := recovery.Knowledge{Done: j.End.CompletionDurable, Cancelled: j.End.Cancelled, Unfinished: !j.IsOver(), Spec: j.Spec, AtMs: j.AcceptedMs}
+	if j.End.Complete && !j.End.CompletionDurable {
+		for n := range j.Spec.Tasks { // its end is not written: until then it may be cancelled
 			k.TasksDone = append(k.TasksDone, n)
 		}
 	}
-	if j.endedAs != "" {
-		k = recovery.Knowledge{Done: j.endedAs == jobs.Done, Cancelled: j.endedAs == jobs.Cancelled}
+	if j.End.Recorded != "" {
+		k = recovery.Knowledge{Done: j.End.Recorded == jobs.Done, Cancelled: j.End.Recorded == jobs.Cancelled}
 	}
 	l.knowledge.Add(id, recovery.Says(recovery.FromLeader, k))
 }
@@ -104,9 +104,9 @@
 	l.knowledge.Add(id, recovery.Says(from, k))
 	// Whatever else is not certain yet: what is over stops at once.
 	switch j := l.jobs[id]; {
-	case j == nil || j.over():
+	case j == nil || j.IsOver():
 	case k.Cancelled:
-		l.cancelled(j, j.revision)
+		l.cancelled(j, j.Revision)
 	case k.Done:
 		l.doneElsewhere(j)
 	}
@@ -289,7 +289,7 @@
 	first := len(l.log.segments) - len(log)
 	newest := uint64(0)
 	for i, rec := range log {
-		segments = append(segments, detection.Segment{Key: l.log.segments[first+i].key, Number: rec.Number, Broken: rec.broken})
+		segments = append(segments, detection.Segment{Key: l.log.segments[first+i].Key, Number: rec.Number, Broken: rec.broken})
 		for _, b := range rec.Begun {
 			for _, t := range b.Tasks {
 				newest = max(newest, t.Attempt)
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -6,6 +6,7 @@
 
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/recovery/detection"
 	"ospreyslip/internal/workers"
@@ -19,12 +20,12 @@
 // meanwhile, and at the end of the leases all is accounted for.
 func TestAdoptionAtScale(t *testing.T) {
 	l, reports, now := fleetOf(t, lostFleet)
-	spec := *l.jobs["j-7"].spec
+	spec := *l.jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
 	next.viewTime = now
 	next.watch = liveness.New(liveness.Config{})
 	next.readLog(nil)
-	j := newJob(spec.ID, &spec, 1, 0, now)
+	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
 	next.jobs[spec.ID] = j
 	next.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: logPrefix}, now)
 	if !next.awaitsWorkers(j, now) {
@@ -45,11 +46,11 @@
 		}
 	}
 	t.Logf("%d reports with adoption: %v", len(reports), time.Since(began).Round(time.Millisecond))
-	if len(j.tasks) != lostFleet || j.waiting != spec.Tasks-lostFleet {
-		t.Errorf("%d of %d tasks adopted, %d wait", len(j.tasks), lostFleet, j.waiting)
+	if len(j.Assignments) != lostFleet || j.Pending.Count != spec.Tasks-lostFleet {
+		t.Errorf("%d of %d tasks adopted, %d wait", len(j.Assignments), lostFleet, j.Pending.Count)
 	}
 	next.endAdoptions(now.Add(next.Derived.LeaseOver))
-	if len(next.adopting) > 0 || j.spec.Shape != jobs.Batch {
+	if len(next.adopting) > 0 || j.Spec.Shape != jobs.Batch {
 		t.Error("still waiting after every lease has ended")
 	}
 }
@@ -61,30 +62,30 @@
 		l, _, j, now := bench()
 		next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
 		next.readLog(nil)
-		spec := *j.spec
-		job := newJob(j.id, &spec, 1, 0, now)
-		next.jobs[j.id] = job
+		spec := *j.Spec
+		job := cluster.NewJob(j.ID, &spec, 1, 0, now)
+		next.jobs[j.ID] = job
 		segments := []segmentRecord{{Number: 1}, {Number: 2}}
 		for i := range segments {
 			segments[i].Begun = []begunRecord{{
 				Machine: []string{"m-1", "m-2"}[i], Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: 1,
-				Tasks: []taskRecord{{Job: j.id, N: 0, Attempt: uint64(i + 1)}},
+				Tasks: []taskRecord{{Job: j.ID, N: 0, Attempt: uint64(i + 1)}},
 			}}
 		}
 		next.restore(segments, nil, now)
-		if job.waiting != 1 || len(job.tasks) != 1 {
-			t.Fatalf("%d wait, %d are placed", job.waiting, len(job.tasks))
+		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
+			t.Fatalf("%d wait, %d are placed", job.Pending.Count, len(job.Assignments))
 		}
-		both := []*assignment{next.machines.byID["m-1"].assigned[1], next.machines.byID["m-2"].assigned[2]}
-		for i, a := range []*assignment{both[firstEnds], both[1-firstEnds]} {
-			next.conclude(a, retry)
+		both := []*cluster.Assignment{next.machines.ByID["m-1"].Assignments[1], next.machines.ByID["m-2"].Assignments[2]}
+		for i, a := range []*cluster.Assignment{both[firstEnds], both[1-firstEnds]} {
+			next.conclude(a, cluster.Retry)
 			next.forget(a)
-			if want := 1 + i; job.waiting != want {
-				t.Errorf("after %d of two has ended, %d tasks wait, want %d", i+1, job.waiting, want)
+			if want := 1 + i; job.Pending.Count != want {
+				t.Errorf("after %d of two has ended, %d tasks wait, want %d", i+1, job.Pending.Count, want)
 			}
 		}
-		if len(job.tasks) != 0 {
-			t.Errorf("%d still placed", len(job.tasks))
+		if len(job.Assignments) != 0 {
+			t.Errorf("%d still placed", len(job.Assignments))
 		}
 	}
 }
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -7,6 +7,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
 	"ospreyslip/internal/workers"
@@ -25,13 +26,13 @@
 
 // accountsFor tells whether a task that no assignment accounts for must be left alone,
 // since its job, or its assignment, may have been lost.
-func (l *Leader) accountsFor(m *machine, t *workers.Task) bool {
+func (l *Leader) accountsFor(m *cluster.Machine, t *workers.Task) bool {
 	id, n, ok := workers.SplitTask(t.Task)
 	if !ok || !jobs.ValidID(id) {
 		return false // no task of ours
 	}
 	if j := l.jobs[id]; j != nil {
-		return l.adopting[j] && !j.over() && j.parts[n].machine == m
+		return l.adopting[j] && !j.IsOver() && j.Adoption.GangParts[n].Machine == m
 	}
 	if known, found := l.Cache.Known(id); found && known.Over() {
 		return false
@@ -45,17 +46,17 @@
 
 // mayHaveTasks tells whether a machine may have tasks that no assignment accounts for: it is
 // not given back as idle, or as one that never came up.
-func (l *Leader) mayHaveTasks(m *machine) bool {
+func (l *Leader) mayHaveTasks(m *cluster.Machine) bool {
 	if l.phase == Comparing || len(l.adopting) > 0 {
 		return true
 	}
 	if len(l.held)+len(l.strays) == 0 {
 		return false
 	}
-	if m.reported.IsZero() && time.Since(l.term.Since) < l.Derived.LeaseOver {
+	if m.Worker.HeartbeatAt.IsZero() && time.Since(l.term.Since) < l.Derived.LeaseOver {
 		return true // it may have tasks of held jobs, which the log does not name
 	}
-	for _, t := range m.reportedTasks {
+	for _, t := range m.Worker.Tasks {
 		if id, _, ok := workers.SplitTask(t.Task); ok && (l.held[id] != nil || l.strays[id] != nil) {
 			return true
 		}
@@ -65,7 +66,7 @@
 
 // isLost finds out about a job that this leader does not know: its record is read. Until
 // that is known, and if there is none, the task is left alone.
-func (l *Leader) isLost(id string, m *machine, n int, t *workers.Task) bool {
+func (l *Leader) isLost(id string, m *cluster.Machine, n int, t *workers.Task) bool {
 	s := l.strays[id]
 	if s == nil {
 		s = &stray{}
@@ -83,7 +84,7 @@
 }
 
 // wordOfWorker is what a worker's task proves.
-func wordOfWorker(m *machine, n int, t *workers.Task) recovery.Knowledge {
+func wordOfWorker(m *cluster.Machine, n int, t *workers.Task) recovery.Knowledge {
 	k := recovery.Knowledge{LeastTasks: n + 1}
 	switch {
 	case t.State != workers.Ended:
@@ -91,7 +92,7 @@
 	case t.Cause == workers.CauseDone:
 		k.TasksDone = []int{n}
 	}
-	return recovery.Says(recovery.FromWorker(m.id), k)
+	return recovery.Says(recovery.FromWorker(m.ID), k)
 }
 
 func (l *Leader) readStray(id string, s *stray, word recovery.Knowledge) {
@@ -160,7 +161,7 @@
 
 // heldSeen takes in a worker's task of a held job. If that proves what was open, the
 // job's record is written.
-func (l *Leader) heldSeen(id string, m *machine, n int, t *workers.Task) {
+func (l *Leader) heldSeen(id string, m *cluster.Machine, n int, t *workers.Task) {
 	h := l.held[id]
 	before := h.known
 	h.known = before.Join(wordOfWorker(m, n, t))
--- a/internal/leader/recovery_token.go
+++ b/internal/leader/recovery_token.go
@@ -59,10 +59,10 @@
 	}
 	l.term.Token = l.token
 	l.attempts = max(l.attempts, l.token<<attemptBits)
-	for _, m := range l.machines.all {
-		for _, a := range m.assigned {
-			if a.doubt != 0 {
-				a.doubt = l.token - 1 // an order under any earlier token may still arrive
+	for _, m := range l.machines.All {
+		for _, a := range m.Assignments {
+			if a.Start.InDoubtToken != 0 {
+				a.Start.InDoubtToken = l.token - 1 // an order under any earlier token may still arrive
 			}
 		}
 	}
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -287,7 +287,7 @@
 	}
 	written := 0
 	for _, p := range l.log.segments {
-		if p.revision != 0 {
+		if p.Revision != 0 {
 			written++
 		}
 	}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/workers"
 )
@@ -17,13 +18,13 @@
 	if !l.Valid() || l.viewAge(now) > l.Derived.WatchStale || r.Token > l.token {
 		return nil
 	}
-	m := l.machines.byID[r.Machine]
+	m := l.machines.ByID[r.Machine]
 	if _, gone := l.returned[r.Machine]; m == nil && gone {
 		return nil
 	}
 	c := counter(r)
 	if m != nil {
-		if m.phase == returning {
+		if m.Phase == cluster.Releasing {
 			// Its release may take as long as an outage of the cloud. Unanswered,
 			// its tasks end with its lease; answered, they would run on, those of
 			// jobs cancelled meanwhile as well.
@@ -32,11 +33,11 @@
 		if l.mayStartCancelled(m, now) {
 			return nil
 		}
-		if r.Session < m.session || c == m.lastReport || c.Before(m.lastReport) {
+		if r.Session < m.Worker.Session || c == m.Worker.NewestHeartbeat || c.Before(m.Worker.NewestHeartbeat) {
 			return nil // from before a lease that has run out, or a late copy
 		}
 		// Whoever gets an answer has its lease renewed by it.
-		m.leaseUntil, m.lastReport = now.Add(l.Derived.LeaseOver), c
+		m.Worker.LeaseUntil, m.Worker.NewestHeartbeat = now.Add(l.Derived.LeaseOver), c
 	}
 	l.takeover.Answered(now)
 	if r.Token < l.term.Token {
@@ -47,27 +48,27 @@
 	}
 	l.takeover.Heard(r.Machine)
 	if m == nil {
-		m = newMachine(r.Machine, now)
-		m.typ, m.zone, m.spot, m.addr = r.Type, r.Zone, r.Spot, r.Addr
-		m.leaseUntil = now.Add(l.Derived.LeaseOver)
-		m.lastReport = c
-		l.machines.add(m)
+		m = cluster.NewMachine(r.Machine, now)
+		m.Type, m.Zone, m.Spot, m.Addr = r.Type, r.Zone, r.Spot, r.Addr
+		m.Worker.LeaseUntil = now.Add(l.Derived.LeaseOver)
+		m.Worker.NewestHeartbeat = c
+		l.machines.Add(m)
 	}
-	if m.phase == booting {
+	if m.Phase == cluster.Booting {
 		l.booted(m, now)
 	}
 	l.checkDelivery(m, r, now)
-	l.watch.Heard(m.id, r.Zone, c, now)
-	if m.dead && !l.watch.Judged(m.id) {
-		m.dead = false
-		slog.Info("machine reports again", "machine", m.id, "term", l.token)
+	l.watch.Heard(m.ID, r.Zone, c, now)
+	if m.Health.Dead && !l.watch.Judged(m.ID) {
+		m.Health.Dead = false
+		slog.Info("machine reports again", "machine", m.ID, "term", l.token)
 	}
 	l.adopt(m, r, now)
 	l.observe(m, r, now)
-	m.reported, m.orderFails = now, 0
+	m.Worker.HeartbeatAt, m.Commands.OrderFailures = now, 0
 	l.updateCapacity(m, now)
 	calls := l.calls(m, true)
-	m.lastCalls = calls
+	m.Commands.LastAnswer = calls
 	return &workers.Answer{Token: l.tokenFor(m), Calls: calls}
 }
 
@@ -89,7 +90,7 @@
 // isCancelled tells whether a job is known to be cancelled.
 func (l *Leader) isCancelled(id string) bool {
 	if j := l.jobs[id]; j != nil {
-		return j.cancelled
+		return j.End.Cancelled
 	}
 	known, _ := l.Cache.Known(id)
 	return known.State == jobs.Cancelled
@@ -99,12 +100,12 @@
 // is cancelled. A higher token ends that, but in an outage of the state service there
 // is none to be had. Then the worker's lease has to end in time, and with it the
 // session that the order is for.
-func (l *Leader) mayStartCancelled(m *machine, now time.Time) bool {
-	if m.doubtSince.IsZero() {
+func (l *Leader) mayStartCancelled(m *cluster.Machine, now time.Time) bool {
+	if m.Commands.InDoubtSince.IsZero() {
 		return false
 	}
-	for _, a := range m.assigned {
-		if a.outcome == open && a.doubt != 0 && a.job.cancelled && now.Sub(a.job.heard) > l.Derived.WatchStale/2 {
+	for _, a := range m.Assignments {
+		if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 && a.Job.End.Cancelled && now.Sub(a.Job.End.CancelSeenAt) > l.Derived.WatchStale/2 {
 			return true
 		}
 	}
@@ -117,32 +118,32 @@
 // checkDelivery finds machines whose reports arrive while our answers do not: what an
 // answer asked for has not happened by the next report. Such a machine would
 // look healthy for ever, and task after task would be given to it in vain.
-func (l *Leader) checkDelivery(m *machine, r *workers.Report, now time.Time) {
-	heard := len(m.lastCalls) == 0
-	for _, c := range m.lastCalls {
-		t := taskIn(r, ref{c.Task, c.Attempt})
-		a := m.find(ref{c.Task, c.Attempt})
+func (l *Leader) checkDelivery(m *cluster.Machine, r *workers.Report, now time.Time) {
+	heard := len(m.Commands.LastAnswer) == 0
+	for _, c := range m.Commands.LastAnswer {
+		t := taskIn(r, cluster.CommandRef(&c))
+		a := m.FindAssignment(cluster.CommandRef(&c))
 		switch {
 		case c.Op == workers.OpRun:
 			heard = heard || t != nil
 		case c.Op == workers.OpClear:
 			heard = heard || t == nil
-		case a != nil && a.job.isGang() && t != nil && t.State == workers.Running:
+		case a != nil && a.Job.IsGang() && t != nil && t.State == workers.Running:
 			heard = true // it runs on, in its report, until all have saved
 		default:
 			heard = heard || t == nil || t.State != workers.Running && t.State != workers.Fetching && t.State != workers.Gathering
 		}
 	}
 	switch {
-	case r.Session > m.session || len(m.lastCalls) == 0: // nothing to be learnt
+	case r.Session > m.Worker.Session || len(m.Commands.LastAnswer) == 0: // nothing to be learnt
 	case heard:
-		m.undelivered = 0
-		l.watch.Reachable(m.id)
+		m.Commands.UndeliveredAnswers = 0
+		l.watch.Reachable(m.ID)
 	default:
-		m.undelivered++
-		if m.undelivered == mostUndelivered {
-			slog.Info("machine does not hear", "machine", m.id, "term", l.token)
-			l.watch.Unreachable(m.id)
+		m.Commands.UndeliveredAnswers++
+		if m.Commands.UndeliveredAnswers == mostUndelivered {
+			slog.Info("machine does not hear", "machine", m.ID, "term", l.token)
+			l.watch.Unreachable(m.ID)
 			l.replan = true
 		}
 	}
@@ -153,22 +154,22 @@
 // flight, so that no run in an earlier answer can follow it. An attempt that was
 // begun by an order is cleared when the worker has seen a higher token: it then
 // refuses a late copy of that order, which would start the task once more.
-func (l *Leader) calls(m *machine, answer bool) []workers.Call {
+func (l *Leader) calls(m *cluster.Machine, answer bool) []workers.Call {
 	calls := []workers.Call{}
-	if m.phase == returning {
+	if m.Phase == cluster.Releasing {
 		return calls
 	}
 	now := time.Now()
-	for _, a := range m.assigned {
-		if a.outcome != open || a.session != m.session {
+	for _, a := range m.Assignments {
+		if a.Outcome != cluster.Open || a.Session != m.Worker.Session {
 			continue
 		}
 		switch d := reconcile.Command(l.attemptFacts(a, now)); d.Action {
 		case reconcile.Stop:
-			calls = append(calls, l.tell(stopCall(a.name(), a.onWire(), d.GraceS), d))
+			calls = append(calls, l.tell(stopCall(a.TaskName(), a.WireAttempt(), d.GraceS), d))
 		case reconcile.Begin:
-			a.sent, a.ordered = true, !answer
-			calls = append(calls, l.tell(workers.Call{Op: workers.OpRun, Task: a.name(), Attempt: a.onWire()}, d))
+			a.Start.Sent, a.Start.OrderInFlight = true, !answer
+			calls = append(calls, l.tell(workers.Call{Op: workers.OpRun, Task: a.TaskName(), Attempt: a.WireAttempt()}, d))
 		default: // it goes on, or has to wait
 		}
 	}
@@ -176,16 +177,16 @@
 }
 
 // unassignedCalls adds what the worker should do with tasks that are not assigned to it.
-func (l *Leader) unassignedCalls(m *machine, calls []workers.Call, answer bool) []workers.Call {
+func (l *Leader) unassignedCalls(m *cluster.Machine, calls []workers.Call, answer bool) []workers.Call {
 	var held heldEnds
-	for _, t := range m.reportedTasks {
-		if m.find(refOf(&t)) != nil {
+	for _, t := range m.Worker.Tasks {
+		if m.FindAssignment(cluster.RefOf(&t)) != nil {
 			continue // its end is not durable yet
 		}
 		id, _, _ := workers.SplitTask(t.Task)
 		facts := reconcile.Unassigned{
 			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), MaybeLost: l.accountsFor(m, &t),
-			OrderToken: m.ordered[refOf(&t)], ShownToken: m.token, Answering: answer,
+			OrderToken: m.Commands.StartedByOrder[cluster.RefOf(&t)], ShownToken: m.Worker.Token, Answering: answer,
 		}
 		switch d := facts.Command(); {
 		case d.Action == reconcile.Stop:
@@ -196,8 +197,8 @@
 			held.add(&t, facts.OrderToken, l.mayRunAgain(&t))
 		}
 	}
-	m.wantsToken = held.wantToken()
-	l.clearHeld = l.clearHeld || m.wantsToken && held.newest >= l.token
+	m.Commands.NeedsHigherToken = held.wantToken()
+	l.clearHeld = l.clearHeld || m.Commands.NeedsHigherToken && held.newest >= l.token
 	return calls
 }
 
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -9,20 +9,21 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // release gives machines back. When the cloud has answered, all that was on
 // them is gone, whatever state they were in. There is one request at a time:
 // what comes meanwhile goes into the next, so that a zone that is lost does not
 // take more requests than the cloud answers.
-func (l *Leader) release(ctx context.Context, now time.Time, ms ...*machine) {
+func (l *Leader) release(ctx context.Context, now time.Time, ms ...*cluster.Machine) {
 	for _, m := range ms {
-		if m.phase == returning {
+		if m.Phase == cluster.Releasing {
 			continue
 		}
-		m.phase = returning
-		l.capacity.Remove(m.offer)
-		l.returns = append(l.returns, m.id)
+		m.Phase = cluster.Releasing
+		l.capacity.Remove(m.Offer)
+		l.returns = append(l.returns, m.ID)
 	}
 	if len(l.returns) == 0 || l.returning {
 		return
@@ -54,13 +55,13 @@
 
 func (l *Leader) released(ids []string, now time.Time) {
 	for _, id := range ids {
-		m := l.machines.byID[id]
+		m := l.machines.ByID[id]
 		if m == nil {
 			continue
 		}
 		l.lost(m, "machine given back")
 		l.watch.Forget(id)
-		l.machines.remove(m)
+		l.machines.Remove(m)
 		l.takeover.Gone(id)
 		// Reports, too, may arrive long after their machine is gone.
 		l.returned[id] = now.Add(4 * l.Derived.Cancel)
--- a/internal/leader/returns_test.go
+++ b/internal/leader/returns_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // handlerTransport answers requests by a handler in this process.
@@ -40,15 +41,15 @@
 		l.release(t.Context(), now, m)
 		synctest.Wait()
 		(<-l.events)(now)
-		if released != 0 || m.phase != returning || !l.machines.has(m) {
-			t.Fatalf("%d requests sent without a term, machine in phase %v", released, m.phase)
+		if released != 0 || m.Phase != cluster.Releasing || !l.machines.Contains(m) {
+			t.Fatalf("%d requests sent without a term, machine in phase %v", released, m.Phase)
 		}
 		covered = true
 		l.release(t.Context(), now) // as each look at the fleet does
 		synctest.Wait()
 		(<-l.events)(now)
-		if released != 1 || l.machines.has(m) || l.returning || len(l.returns) > 0 {
-			t.Errorf("%d requests, still known %v, waiting %v", released, l.machines.has(m), l.returns)
+		if released != 1 || l.machines.Contains(m) || l.returning || len(l.returns) > 0 {
+			t.Errorf("%d requests, still known %v, waiting %v", released, l.machines.Contains(m), l.returns)
 		}
 	})
 }
--- a/internal/leader/runtimes.go
+++ b/internal/leader/runtimes.go
@@ -2,10 +2,10 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 )
 
 // runS is how long a task of the job will run: its owner's estimate, corrected
@@ -28,8 +28,6 @@
 	taskWeight  = 0.05 // what one completed task counts in the end
 	jobWeight   = 0.2  // what one completed job counts
 	priorSpread = 0.7  // before anything is known, run times vary by a factor of two
-	mostTook    = 256  // run times that are kept of a job
-	leastTook   = 4    // run times of a job that tell how much they vary
 )
 
 func (l *Leader) runsOf(class string) *runTimes {
@@ -42,53 +40,34 @@
 }
 
 // ran learns from a completed task.
-func (l *Leader) ran(a *assignment, now time.Time) {
-	took := now.Sub(a.since).Seconds()
-	if a.since.Equal(a.born) || a.restored && a.job.isGang() || a.job.spec.EstimateS <= 0 || took <= 0 {
+func (l *Leader) ran(a *cluster.Assignment, now time.Time) {
+	took := now.Sub(a.RunningSince).Seconds()
+	if a.RunningSince.Equal(a.CreatedAt) || a.Restored && a.Job.IsGang() || a.Job.Spec.EstimateS <= 0 || took <= 0 {
 		return // nobody saw it start
 	}
-	r, x := l.runsOf(a.job.spec.Class), math.Log(took)
-	if usual, known := a.job.usual(); known && !a.job.isGang() { // a gang is as slow as its slowest
-		a.m.slowness = max(a.m.slowness+r.slowIfTook(x-usual), -float64(len(a.m.assigned)))
+	r, x := l.runsOf(a.Job.Spec.Class), math.Log(took)
+	if usual, known := a.Job.MedianRunTime(); known && !a.Job.IsGang() { // a gang is as slow as its slowest
+		a.Machine.Health.SlowLogOdds = max(a.Machine.Health.SlowLogOdds+r.slowIfTook(x-usual), -float64(len(a.Machine.Assignments)))
 	}
-	a.job.took(x)
+	a.Job.RecordRunTime(x)
 	r.tasks++
-	r.off += max(taskWeight, 1/r.tasks) * (x - math.Log(a.job.spec.EstimateS) - r.off)
-}
-
-// took notes how long a task of the job ran.
-func (j *job) took(x float64) {
-	if len(j.tooks) < mostTook {
-		i, _ := slices.BinarySearch(j.tooks, x)
-		j.tooks = slices.Insert(j.tooks, i, x)
-	}
-}
-
-// usual is how long a task of the job runs: the middle one of all that have
-// begun. Before half of them are done it is not known, as the quick ones are done
-// first: by them, the rest would all look slow.
-func (j *job) usual() (x float64, known bool) {
-	begun := len(j.tooks) + j.running
-	if len(j.tooks) < leastTook/2 || 2*len(j.tooks) < begun {
-		return 0, false
-	}
-	return j.tooks[min(begun/2, len(j.tooks)-1)], true
+	r.off += max(taskWeight, 1/r.tasks) * (x - math.Log(a.Job.Spec.EstimateS) - r.off)
 }
 
 // vary learns from a completed job how much its tasks' run times vary.
-func (l *Leader) vary(j *job) {
-	n := float64(len(j.tooks))
-	if n < leastTook {
+func (l *Leader) vary(j *cluster.Job) {
+	n := float64(len(j.RunTimeLogs))
+	if n < cluster.MinRunTimes {
 		return
 	}
 	mean, sum := 0.0, 0.0
-	for _, x := range j.tooks {
+	for _, x := range j.RunTimeLogs {
 		mean += x / n
 	}
-	for _, x := range j.tooks {
+	for _, x := range j.RunTimeLogs {
 		sum += (x - mean) * (x - mean)
 	}
-	r := l.runsOf(j.spec.Class)
+	r := l.runsOf(j.Spec.Class)
 	r.jobs++
 	r.variance += max(jobWeight, 1/(r.jobs+1)) * (sum/(n-1) - r.variance)
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -13,6 +13,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/workers"
@@ -36,20 +37,20 @@
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
 	l.Catalog = func() []jobs.MachineType { return types }
 	l.lost(m, "not of this fleet")
-	l.machines.remove(m)
-	l.watch.Forget(m.id)
-	l.jobs, l.log = map[string]*job{}, assignmentLog{}
+	l.machines.Remove(m)
+	l.watch.Forget(m.ID)
+	l.jobs, l.log = map[string]*cluster.Job{}, assignmentLog{}
 	l.readLog(nil)
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
-	j := newJob(spec.ID, spec, 1, 0, now)
-	l.jobs[j.id] = j
+	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
+	l.jobs[j.ID] = j
 	var reports []*workers.Report
 	for i := range size {
 		r := &workers.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), Session: 1, Seq: 1, Token: 5}
 		l.report(r, now)
-		a := l.assign(j, j.take(), l.machines.byID[r.Machine], now)
-		a.durable, a.sent = true, true
-		r.Tasks = []workers.Task{{Task: a.name(), Attempt: a.attempt, State: workers.Running}}
+		a := l.assign(j, j.TakePendingTask(), l.machines.ByID[r.Machine], now)
+		a.Log.Durable, a.Start.Sent = true, true
+		r.Tasks = []workers.Task{{Task: a.TaskName(), Attempt: a.Attempt, State: workers.Running}}
 		r.Seq++
 		l.report(r, now)
 		reports = append(reports, r)
@@ -99,12 +100,12 @@
 	_ = reports
 	for b.Loop() {
 		l.place(now)
-		m := l.machines.byID[idle.Machine]
-		if len(m.assigned) != 1 {
-			b.Fatalf("%d tasks placed", len(m.assigned))
+		m := l.machines.ByID[idle.Machine]
+		if len(m.Assignments) != 1 {
+			b.Fatalf("%d tasks placed", len(m.Assignments))
 		}
-		for _, a := range m.assigned {
-			l.conclude(a, retry)
+		for _, a := range m.Assignments {
+			l.conclude(a, cluster.Retry)
 			l.forget(a)
 		}
 		l.log.begins, l.log.ends = nil, nil
@@ -116,8 +117,8 @@
 	l, _, now := fleetOf(b, 400)
 	for i := range 100 {
 		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimateS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
-		j := newJob(s.ID, s, uint64(i+2), 0, now)
-		l.jobs[j.id] = j
+		j := cluster.NewJob(s.ID, s, uint64(i+2), 0, now)
+		l.jobs[j.ID] = j
 		l.queue(j)
 	}
 	for b.Loop() {
@@ -131,12 +132,12 @@
 func BenchmarkPlanGang(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
 	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimateS: 30, Image: "img", OneZone: true}
-	j := newJob(spec.ID, spec, 1, 0, now)
-	l.jobs[j.id] = j
+	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
+	l.jobs[j.ID] = j
 	l.queue(j)
 	for b.Loop() {
 		l.place(now)
-		if len(j.tasks) > 0 {
+		if len(j.Assignments) > 0 {
 			b.Fatal("placed where nothing fits")
 		}
 	}
@@ -149,7 +150,7 @@
 		l, _, now := fleetOf(t, size)
 		l.Publish = func(map[string]jobs.Counts, []peer.JobChange) {}
 		l.unmet, l.shownAt = nil, now
-		return testing.AllocsPerRun(3*ticksPerInterval, func() {
+		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.fleetAt = time.Time{}
 			l.tick(t.Context(), now)
 		})
@@ -195,7 +196,7 @@
 	next.viewTime = now
 	next.watch = liveness.New(liveness.Config{})
 	for _, s := range specs {
-		next.jobs[s.ID] = newJob(s.ID, s, 1, 0, now)
+		next.jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
 	}
 	log := next.readLog(segments)
 	ended := map[string]kvstore.Pair{} // of the others, the records say that they are cancelled
@@ -212,7 +213,7 @@
 func BenchmarkTakeOver(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
 	segments := written(l)
-	spec, _ := json.Marshal(l.jobs["j-7"].spec)
+	spec, _ := json.Marshal(l.jobs["j-7"].Spec)
 	bytes := 0
 	for _, p := range segments {
 		bytes += len(p.Value)
@@ -224,8 +225,8 @@
 		if err := json.Unmarshal(spec, &s); err != nil {
 			b.Fatal(err)
 		}
-		if next := successor(l, segments, now, &s); len(next.machines.all) != largest {
-			b.Fatalf("%d machines restored", len(next.machines.all))
+		if next := successor(l, segments, now, &s); len(next.machines.All) != largest {
+			b.Fatalf("%d machines restored", len(next.machines.All))
 		}
 	}
 }
--- a/internal/leader/segment_builder.go
+++ b/internal/leader/segment_builder.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"ospreyslip/internal/leader/cluster"
 	"strconv"
 )
 
@@ -9,13 +10,13 @@
 	rec   segmentRecord
 	size  int
 	most  int
-	at    map[*machine]int // index into rec.Begun, by machine and session
-	kept  []*assignment    // begun on this segment
-	gone  []*assignment    // over with this segment
-	done  []chunkRef
+	at    map[*cluster.Machine]int // index into rec.Begun, by machine and session
+	kept  []*cluster.Assignment    // begun on this segment
+	gone  []*cluster.Assignment    // over with this segment
+	done  []cluster.ChunkRef
 	fresh struct { // taken from the queues, to go back there if nothing is written
-		begins []*assignment
-		chunks []chunkRef
+		begins []*cluster.Assignment
+		chunks []cluster.ChunkRef
 		deaths []string
 	}
 }
@@ -45,38 +46,38 @@
 
 func digits(n uint64) int { return len(strconv.FormatUint(n, 10)) }
 
-func taskSize(a *assignment) int {
-	return taskBytes + textBytes(a.job.id) + digits(uint64(a.n)) + digits(a.attempt) + digits(a.gang)
+func taskSize(a *cluster.Assignment) int {
+	return taskBytes + textBytes(a.Job.ID) + digits(uint64(a.Index)) + digits(a.Attempt) + digits(a.GangAttempt)
 }
 
-func beginSize(a *assignment) int {
-	m := a.m
-	return beginBytes + textBytes(m.id) + textBytes(m.addr) + textBytes(m.typ) + textBytes(m.zone) + digits(a.session) + taskSize(a)
+func beginSize(a *cluster.Assignment) int {
+	m := a.Machine
+	return beginBytes + textBytes(m.ID) + textBytes(m.Addr) + textBytes(m.Type) + textBytes(m.Zone) + digits(a.Session) + taskSize(a)
 }
 
-func overSize(a *assignment) int { return digits(a.attempt) + 1 }
+func overSize(a *cluster.Assignment) int { return digits(a.Attempt) + 1 }
 
-func chunkSize(ref chunkRef, bits string) int {
-	return chunkBytes + textBytes(ref.j.id) + digits(uint64(ref.c)) + len(bits)
+func chunkSize(ref cluster.ChunkRef, bits string) int {
+	return chunkBytes + textBytes(ref.Job.ID) + digits(uint64(ref.Index)) + len(bits)
 }
 
-func (d *segmentBuilder) begin(a *assignment) {
-	i, ok := d.at[a.m]
-	if !ok || d.rec.Begun[i].Session != a.session {
+func (d *segmentBuilder) begin(a *cluster.Assignment) {
+	i, ok := d.at[a.Machine]
+	if !ok || d.rec.Begun[i].Session != a.Session {
 		i = len(d.rec.Begun)
-		d.at[a.m] = i
-		m := a.m
-		d.rec.Begun = append(d.rec.Begun, begunRecord{Machine: m.id, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot, Session: a.session})
+		d.at[a.Machine] = i
+		m := a.Machine
+		d.rec.Begun = append(d.rec.Begun, begunRecord{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: a.Session})
 		d.size += beginSize(a)
 	} else {
 		d.size += taskSize(a)
 	}
-	d.rec.Begun[i].Tasks = append(d.rec.Begun[i].Tasks, taskRecord{a.job.id, a.n, a.attempt, a.gang})
+	d.rec.Begun[i].Tasks = append(d.rec.Begun[i].Tasks, taskRecord{a.Job.ID, a.Index, a.Attempt, a.GangAttempt})
 	d.kept = append(d.kept, a)
 }
 
-func (d *segmentBuilder) chunk(ref chunkRef, bits string) {
-	d.rec.Done = append(d.rec.Done, doneRecord{ref.j.id, ref.c, bits})
+func (d *segmentBuilder) chunk(ref cluster.ChunkRef, bits string) {
+	d.rec.Done = append(d.rec.Done, doneRecord{ref.Job.ID, ref.Index, bits})
 	d.size += chunkSize(ref, bits)
 	d.done = append(d.done, ref)
 }
--- a/internal/leader/slow.go
+++ b/internal/leader/slow.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/workers"
 )
 
@@ -36,45 +37,45 @@
 // findSlow finds machines that run tasks much slower than others, and takes the
 // batch work off them that would be over sooner elsewhere.
 func (l *Leader) findSlow(now time.Time) {
-	for _, m := range l.machines.all {
-		if m.phase != up || len(m.assigned) == 0 {
+	for _, m := range l.machines.All {
+		if m.Phase != cluster.Up || len(m.Assignments) == 0 {
 			continue
 		}
-		if !m.offer.Slow {
+		if !m.Offer.Slow {
 			odds := l.slowOdds(m, now)
 			if odds < math.Log(slowOdds) {
 				continue
 			}
-			slog.Info("machine slow", "machine", m.id, "term", l.token, "odds", math.Exp(odds))
-			m.offer.Slow = true
+			slog.Info("machine slow", "machine", m.ID, "term", l.token, "odds", math.Exp(odds))
+			m.Offer.Slow = true
 		}
 		services := false
-		for _, a := range m.assigned {
-			if !a.job.spec.Ends() {
+		for _, a := range m.Assignments {
+			if !a.Job.Spec.Ends() {
 				services = true
 				continue
 			}
-			took, runS := now.Sub(a.since).Seconds(), l.runS(a.job.spec)
-			if a.outcome == open && !a.stop && (slowFactor*runS-took > runS || took > slowFactor*runS) {
-				l.stopWithGang(a, a.job.spec.SaveS)
+			took, runS := now.Sub(a.RunningSince).Seconds(), l.runS(a.Job.Spec)
+			if a.Outcome == cluster.Open && !a.Stop.Requested && (slowFactor*runS-took > runS || took > slowFactor*runS) {
+				l.stopWithGang(a, a.Job.Spec.SaveS)
 				l.replan = true
 			}
 		}
-		m.draining = m.draining || !services
+		m.Health.Draining = m.Health.Draining || !services
 		l.updateCapacity(m, now)
 	}
 }
 
 // slowOdds is how much likelier a machine is slow than not, as a logarithm.
-func (l *Leader) slowOdds(m *machine, now time.Time) float64 {
-	odds := m.slowness
-	for _, a := range m.assigned {
-		if a.outcome != open || a.seen != workers.Running || a.job.spec.Shape != jobs.Batch {
+func (l *Leader) slowOdds(m *cluster.Machine, now time.Time) float64 {
+	odds := m.Health.SlowLogOdds
+	for _, a := range m.Assignments {
+		if a.Outcome != cluster.Open || a.ObservedState != workers.Running || a.Job.Spec.Shape != jobs.Batch {
 			continue
 		}
 		// What an earlier leader began has run for longer than we have seen.
-		if usual, known := a.job.usual(); known {
-			odds += l.runsOf(a.job.spec.Class).slowIfRuns(math.Log(max(now.Sub(a.since).Seconds(), 1e-3)) - usual)
+		if usual, known := a.Job.MedianRunTime(); known {
+			odds += l.runsOf(a.Job.Spec.Class).slowIfRuns(math.Log(max(now.Sub(a.RunningSince).Seconds(), 1e-3)) - usual)
 		}
 	}
 	return odds
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/reconcile"
 )
 
@@ -85,27 +86,27 @@
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
 		Takeover: l.takeover.Progress(now),
 	}
-	for _, m := range l.machines.all {
+	for _, m := range l.machines.All {
 		s.Machines = append(s.Machines, MachineStatus{
-			ID: m.id, Type: m.typ, Zone: m.zone, Spot: m.spot, State: l.stateOf(m, now),
-			Session: m.session, Tasks: len(m.assigned), CPUs: m.room.CPUs, Doubt: !m.doubtSince.IsZero(),
+			ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: l.stateOf(m, now),
+			Session: m.Worker.Session, Tasks: len(m.Assignments), CPUs: m.Used.CPUs, Doubt: !m.Commands.InDoubtSince.IsZero(),
 		})
 	}
 	slices.SortFunc(s.Machines, func(a, b MachineStatus) int { return cmp.Compare(a.ID, b.ID) })
 	classes := map[string]*ClassStatus{}
 	for _, j := range l.jobs {
-		if j.over() {
+		if j.IsOver() {
 			continue
 		}
-		c := classes[j.spec.Class]
+		c := classes[j.Spec.Class]
 		if c == nil {
-			c = &ClassStatus{Class: j.spec.Class}
-			classes[j.spec.Class] = c
+			c = &ClassStatus{Class: j.Spec.Class}
+			classes[j.Spec.Class] = c
 		}
 		c.Jobs++
-		c.Placed += len(j.tasks)
-		c.Done += j.doneCount
-		c.Waiting += j.waiting
+		c.Placed += len(j.Assignments)
+		c.Done += j.Completions.Count
+		c.Waiting += j.Pending.Count
 	}
 	for _, c := range classes {
 		s.Classes = append(s.Classes, *c)
@@ -119,19 +120,19 @@
 }
 
 // stateOf says in one word what is the matter with a machine.
-func (l *Leader) stateOf(m *machine, now time.Time) string {
+func (l *Leader) stateOf(m *cluster.Machine, now time.Time) string {
 	switch {
-	case m.phase == booting:
+	case m.Phase == cluster.Booting:
 		return "booting"
-	case m.phase == returning:
+	case m.Phase == cluster.Releasing:
 		return "returning"
-	case m.dead:
+	case m.Health.Dead:
 		return "dead"
-	case m.draining:
+	case m.Health.Draining:
 		return "draining"
-	case !l.watch.Placeable(m.id, now):
+	case !l.watch.Placeable(m.ID, now):
 		return "silent"
-	case len(m.assigned) == 0:
+	case len(m.Assignments) == 0:
 		return "idle"
 	}
 	return "busy"
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -5,19 +5,20 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/workers"
 )
 
 // attemptFacts is an assignment as the reconcile package sees it.
-func (l *Leader) attemptFacts(a *assignment, now time.Time) reconcile.Attempt {
-	j := a.job
+func (l *Leader) attemptFacts(a *cluster.Assignment, now time.Time) reconcile.Attempt {
+	j := a.Job
 	return reconcile.Attempt{
-		Session: a.session, Durable: a.durable, Ordered: a.ordered, Sent: a.sent, DoubtToken: a.doubt, Seen: a.seen,
-		Ends: j.spec.Ends(), JobOver: j.over(), JobCancelled: j.cancelled, Stopping: a.stop, GraceS: a.grace,
-		GangWhole: a.mayRun(),
+		Session: a.Session, Durable: a.Log.Durable, Ordered: a.Start.OrderInFlight, Sent: a.Start.Sent, DoubtToken: a.Start.InDoubtToken, Seen: a.ObservedState,
+		Ends: j.Spec.Ends(), JobOver: j.IsOver(), JobCancelled: j.End.Cancelled, Stopping: a.Stop.Requested, GraceS: a.Stop.GraceS,
+		GangWhole: a.MayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		Incomplete: a.restored && a.seen == "" && l.awaitsWorkers(j, now),
+		Incomplete: a.Restored && a.ObservedState == "" && l.awaitsWorkers(j, now),
 	}
 }
 
@@ -41,24 +42,24 @@
 // mayPreempt tells whether others may be stopped for a job. In a take-over, machines that
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
-func (l *Leader) mayPreempt(j *job, now time.Time) bool {
+func (l *Leader) mayPreempt(j *cluster.Job, now time.Time) bool {
 	if !l.takeover.ExpectsRoom(now) {
 		return true // which is so but for the first seconds of a term
 	}
-	return l.takeover.MayPreempt(now, j.served, l.preemptionBound(j))
+	return l.takeover.MayPreempt(now, j.Scheduling.LastServedAt, l.preemptionBound(j))
 }
 
 // preemptionBound is for how long a job waits in a take-over before others are stopped for
 // it. Production does not wait: its users notice each second. What a guarantee covers waits part
 // of the time in which it should start, other work until the machines that have not reported
 // are late.
-func (l *Leader) preemptionBound(j *job) time.Duration {
-	if j.spec.Priority == jobs.Prod {
+func (l *Leader) preemptionBound(j *cluster.Job) time.Duration {
+	if j.Spec.Priority == jobs.Prod {
 		return 0
 	}
 	bound := l.Derived.Overdue
 	for _, o := range l.Settings.Deployment.Objectives {
-		if o.Kind == "wait" && o.Class == j.spec.Class || o.Kind == "guarantee" && j.covered && j.spec.Shape == jobs.Batch {
+		if o.Kind == "wait" && o.Class == j.Spec.Class || o.Kind == "guarantee" && j.Scheduling.WithinGuarantee && j.Spec.Shape == jobs.Batch {
 			bound = min(bound, times(time.Second, patientShare*o.WithinS))
 		}
 	}
--- a/internal/leader/takeover_test.go
+++ b/internal/leader/takeover_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/settings"
@@ -21,20 +22,20 @@
 	l.takeover = reconcile.NewTakeover(now, l.Derived.Overdue)
 	l.takeover.Expect("m-2")
 	l.takeover.RecordsRead(now)
-	waiting := func(class, priority string, covered bool) *job {
-		j := newJob("j-9", &jobs.Spec{ID: "j-9", Class: class, Team: "red", Shape: jobs.Batch, Priority: priority, Tasks: 1, CPUs: 1}, 1, 0, now)
-		j.covered = covered
+	waiting := func(class, priority string, covered bool) *cluster.Job {
+		j := cluster.NewJob("j-9", &jobs.Spec{ID: "j-9", Class: class, Team: "red", Shape: jobs.Batch, Priority: priority, Tasks: 1, CPUs: 1}, 1, 0, now)
+		j.Scheduling.WithinGuarantee = covered
 		return j
 	}
 	for what, c := range map[string]struct {
-		j     *job
+		j     *cluster.Job
 		bound time.Duration
 	}{
 		"a class with an aim":       {waiting("web", jobs.Urgent, false), time.Second},
 		"covered by a guarantee":    {waiting("sums", jobs.Standard, true), 3 * time.Second},
 		"nothing that it should be": {waiting("sums", jobs.Urgent, false), l.Derived.Overdue},
 	} {
-		c.j.served = now.Add(-time.Hour) // it has waited under earlier leaders as well
+		c.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders as well
 		if l.mayPreempt(c.j, now.Add(c.bound-time.Millisecond)) || !l.mayPreempt(c.j, now.Add(c.bound)) {
 			t.Errorf("%s: others are stopped for it at another time than after %v", what, c.bound)
 		}
@@ -73,7 +74,7 @@
 // their leases are over. What runs as stored is told nothing; what is gone is begun elsewhere.
 func TestTakeoverIsFollowed(t *testing.T) {
 	l, reports, now := fleetOf(t, 4)
-	next := successor(l, written(l), now, l.jobs["j-7"].spec)
+	next := successor(l, written(l), now, l.jobs["j-7"].Spec)
 	next.takeover.RecordsRead(now)
 	for i, r := range reports[:3] {
 		r.Token = 6
@@ -97,8 +98,8 @@
 		t.Errorf("its lease is over: %+v", p)
 	}
 	gone := 0
-	for _, a := range next.jobs["j-7"].tasks {
-		if a.outcome == retry {
+	for _, a := range next.jobs["j-7"].Assignments {
+		if a.Outcome == cluster.Retry {
 			gone++
 		}
 	}
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -5,50 +5,51 @@
 	"slices"
 	"time"
 
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
 )
 
 // count makes an assignment weigh in room, quota and zones.
-func (l *Leader) count(a *assignment) {
-	need := placement.Of(a.job.spec)
-	a.inRoom = true
-	l.setRoom(a.m, a.m.room.Plus(need, 1))
-	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Plus(need, 1)
-	l.tasksByRank[a.job.spec.Rank()]++
-	a.job.zones[a.m.zone]++
+func (l *Leader) count(a *cluster.Assignment) {
+	need := placement.Of(a.Job.Spec)
+	a.CountsAsUsed = true
+	l.setRoom(a.Machine, a.Machine.Used.Plus(need, 1))
+	l.used[a.Job.Spec.Team] = l.used[a.Job.Spec.Team].Plus(need, 1)
+	l.tasksByRank[a.Job.Spec.Rank()]++
+	a.Job.Zones[a.Machine.Zone]++
 }
 
 // setRoom notes what assignments take of a machine.
-func (l *Leader) setRoom(m *machine, room placement.Amount) {
-	m.room = room
-	l.capacity.Set(m.offer, m.offer.Total.Plus(room, -1))
+func (l *Leader) setRoom(m *cluster.Machine, room placement.Amount) {
+	m.Used = room
+	l.capacity.Set(m.Offer, m.Offer.Total.Plus(room, -1))
 }
 
 // updateCapacity offers a machine to placement while it takes work.
-func (l *Leader) updateCapacity(m *machine, now time.Time) {
+func (l *Leader) updateCapacity(m *cluster.Machine, now time.Time) {
 	if !l.usable(m, now) {
-		l.capacity.Remove(m.offer)
+		l.capacity.Remove(m.Offer)
 		return
 	}
-	if o := m.offer; o.Total == (placement.Amount{}) || o.Type != m.typ || o.Zone != m.zone || o.Spot != m.spot {
-		t := l.machineType(m.typ)
+	if o := m.Offer; o.Total == (placement.Amount{}) || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot {
+		t := l.machineType(m.Type)
 		if t == nil {
 			return
 		}
 		l.capacity.Remove(o)
-		o.Type, o.Zone, o.Spot = m.typ, m.zone, m.spot
+		o.Type, o.Zone, o.Spot = m.Type, m.Zone, m.Spot
 		o.Total, o.FetchGBPS = placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}, t.FetchGBPS
-		o.Free = o.Total.Plus(m.room, -1)
+		o.Free = o.Total.Plus(m.Used, -1)
 	}
-	if l.capacity.Put(m.offer) {
+	if l.capacity.Put(m.Offer) {
 		l.replan = true
 	}
 }
 
 // cacheGB is how much a machine keeps of images; 0 if that is not known.
-func (l *Leader) cacheGB(m *machine) float64 {
-	if t := l.machineType(m.typ); t != nil {
+func (l *Leader) cacheGB(m *cluster.Machine) float64 {
+	if t := l.machineType(m.Type); t != nil {
 		return t.CacheGB
 	}
 	return 0
@@ -57,89 +58,89 @@
 // conclude ends an assignment whose task is certainly off its machine. It is
 // forgotten, and a task that is not done pending again, once that is durable:
 // until then a new leader would still find it there.
-func (l *Leader) conclude(a *assignment, o outcome) {
-	if a.outcome != open {
+func (l *Leader) conclude(a *cluster.Assignment, o cluster.Outcome) {
+	if a.Outcome != cluster.Open {
 		return
 	}
-	j, m, need := a.job, a.m, placement.Of(a.job.spec)
+	j, m, need := a.Job, a.Machine, placement.Of(a.Job.Spec)
 	l.see(a, "")
-	a.outcome = o
-	if a.inRoom {
-		a.inRoom = false
-		l.setRoom(m, m.room.Plus(need, -1))
-		l.used[j.spec.Team] = l.used[j.spec.Team].Plus(need, -1)
-		l.tasksByRank[j.spec.Rank()]--
-		j.zones[m.zone]--
-	}
-	if o == success && !j.over() && j.setDone(a.n) {
-		if j.isGang() {
-			for n := range j.spec.Tasks { // if one is done, all are
-				j.setDone(n)
+	a.Outcome = o
+	if a.CountsAsUsed {
+		a.CountsAsUsed = false
+		l.setRoom(m, m.Used.Plus(need, -1))
+		l.used[j.Spec.Team] = l.used[j.Spec.Team].Plus(need, -1)
+		l.tasksByRank[j.Spec.Rank()]--
+		j.Zones[m.Zone]--
+	}
+	if o == cluster.Success && !j.IsOver() && j.MarkTaskDone(a.Index) {
+		if j.IsGang() {
+			for n := range j.Spec.Tasks { // if one is done, all are
+				j.MarkTaskDone(n)
 			}
 		}
-		if j.doneCount == j.spec.Tasks {
+		if j.Completions.Count == j.Spec.Tasks {
 			l.finish(j)
 		} else {
-			l.chunkDirty(j, a.n/l.Derived.ChunkTasks)
+			l.chunkDirty(j, a.Index/l.Derived.ChunkTasks)
 		}
 	}
-	if !m.offer.Images[j.spec.Image] && !slices.ContainsFunc(slices.Collect(maps.Values(m.assigned)), func(b *assignment) bool {
-		return b.outcome == open && b.job.spec.Image == j.spec.Image
+	if !m.Offer.Images[j.Spec.Image] && !slices.ContainsFunc(slices.Collect(maps.Values(m.Assignments)), func(b *cluster.Assignment) bool {
+		return b.Outcome == cluster.Open && b.Job.Spec.Image == j.Spec.Image
 	}) {
-		delete(m.offer.Fetching, j.spec.Image) // nobody waits for it any more
+		delete(m.Offer.Fetching, j.Spec.Image) // nobody waits for it any more
 	}
 	l.log.end(a)
 	l.show(j)
 	l.replan = true
-	if j.isGang() {
+	if j.IsGang() {
 		l.parted(j)
 	}
 }
 
 // see notes the state in which a task was seen.
-func (l *Leader) see(a *assignment, state string) {
-	if a.seen == workers.Running {
-		a.job.running--
+func (l *Leader) see(a *cluster.Assignment, state string) {
+	if a.ObservedState == workers.Running {
+		a.Job.Running--
 	}
 	if state == workers.Running {
-		a.job.running++
+		a.Job.Running++
 	}
-	a.seen = state
+	a.ObservedState = state
 }
 
 // finish lets the job's record be written as done.
-func (l *Leader) finish(j *job) {
-	j.final = true
+func (l *Leader) finish(j *cluster.Job) {
+	j.End.Complete = true
 	l.vary(j)
 	l.finished = append(l.finished, j)
 }
 
-func (l *Leader) chunkDirty(j *job, c int) {
-	ch := j.chunks[c]
+func (l *Leader) chunkDirty(j *cluster.Job, c int) {
+	ch := j.Completions.Chunks[c]
 	if ch == nil {
-		ch = &chunk{}
-		j.chunks[c] = ch
+		ch = &cluster.Chunk{}
+		j.Completions.Chunks[c] = ch
 	}
-	ch.saved = false
-	if !ch.dirty {
-		ch.dirty = true
-		l.log.chunks = append(l.log.chunks, chunkRef{j, c})
+	ch.Saved = false
+	if !ch.Dirty {
+		ch.Dirty = true
+		l.log.chunks = append(l.log.chunks, cluster.ChunkRef{Job: j, Index: c})
 	}
 }
 
 // forget drops an assignment whose end is durable.
-func (l *Leader) forget(a *assignment) {
-	j, m := a.job, a.m
-	delete(m.assigned, a.attempt)
-	if len(m.assigned) == 0 {
-		m.idleSince = time.Now()
-	}
-	if j.forgotten(a) {
-		if len(j.tasks) == 0 {
-			j.gang, j.whole = gangAttempt{}, time.Now()
+func (l *Leader) forget(a *cluster.Assignment) {
+	j, m := a.Job, a.Machine
+	delete(m.Assignments, a.Attempt)
+	if len(m.Assignments) == 0 {
+		m.Rental.IdleSince = time.Now()
+	}
+	if j.RemoveAssignment(a) {
+		if len(j.Assignments) == 0 {
+			j.Gang, j.Scheduling.GangPendingSince = cluster.GangAttempt{}, time.Now()
 		}
-		if a.outcome == retry && !j.over() {
-			j.giveBack(a.n)
+		if a.Outcome == cluster.Retry && !j.IsOver() {
+			j.RequeueTask(a.Index)
 			l.queue(j)
 		}
 	}
@@ -148,15 +149,15 @@
 }
 
 // dropUnsent ends an assignment that no worker can have heard of.
-func (l *Leader) dropUnsent(a *assignment) {
-	if a.seen == "" && !a.sent && !a.ordered && a.doubt == 0 {
-		l.conclude(a, retry)
+func (l *Leader) dropUnsent(a *cluster.Assignment) {
+	if a.ObservedState == "" && !a.Start.Sent && !a.Start.OrderInFlight && a.Start.InDoubtToken == 0 {
+		l.conclude(a, cluster.Retry)
 		return
 	}
-	l.notify(a.m)
+	l.notify(a.Machine)
 }
 
-func (l *Leader) stop(a *assignment, grace float64) {
-	a.stop, a.grace = true, grace
+func (l *Leader) stop(a *cluster.Assignment, grace float64) {
+	a.Stop.Requested, a.Stop.GraceS = true, grace
 	l.dropUnsent(a)
 }
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/workers"
@@ -16,19 +17,19 @@
 func (l *Leader) doubts(now time.Time) {
 	raise := l.clearHeld && now.Sub(l.raisedAt) > l.Derived.Lease
 	for m := range l.doubtful {
-		if m.doubtSince.IsZero() || !l.machines.has(m) {
+		if m.Commands.InDoubtSince.IsZero() || !l.machines.Contains(m) {
 			delete(l.doubtful, m)
 			continue
 		}
 		inDoubt := false
-		for _, a := range m.assigned {
-			if a.outcome == open && a.doubt != 0 {
+		for _, a := range m.Assignments {
+			if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 {
 				inDoubt = true
-				raise = raise || a.doubt == l.token && now.Sub(m.doubtSince) > l.Derived.DoubtFor && now.Sub(l.raisedAt) > l.Derived.ControlInterval
+				raise = raise || a.Start.InDoubtToken == l.token && now.Sub(m.Commands.InDoubtSince) > l.Derived.DoubtFor && now.Sub(l.raisedAt) > l.Derived.ControlInterval
 			}
 		}
 		if !inDoubt {
-			m.doubtSince = time.Time{}
+			m.Commands.InDoubtSince = time.Time{}
 			l.notify(m)
 		}
 	}
@@ -45,23 +46,23 @@
 		return
 	}
 	l.expireAt = now.Add(l.Derived.LeaseOver)
-	for _, m := range l.machines.all {
-		if m.phase == booting {
+	for _, m := range l.machines.All {
+		if m.Phase == cluster.Booting {
 			continue
 		}
-		d := reconcile.Unheard(m.leaseUntil, now)
+		d := reconcile.Unheard(m.Worker.LeaseUntil, now)
 		if d.Action == reconcile.Wait {
 			l.expireAt = earlier(l.expireAt, d.Until)
 			continue
 		}
 		l.lost(m, string(d.Reason))
-		l.takeover.Gone(m.id)
+		l.takeover.Gone(m.ID)
 		// Whatever still comes from the old session is out of date.
-		if m.session != 0 {
-			m.session, m.seq, m.reportedTasks = m.session+1, 0, nil
-			m.doubtSince = time.Time{}
+		if m.Worker.Session != 0 {
+			m.Worker.Session, m.Worker.Seq, m.Worker.Tasks = m.Worker.Session+1, 0, nil
+			m.Commands.InDoubtSince = time.Time{}
 		}
-		m.leaseUntil = now.Add(l.Derived.LeaseOver)
+		m.Worker.LeaseUntil = now.Add(l.Derived.LeaseOver)
 	}
 }
 
@@ -73,11 +74,11 @@
 }
 
 // lost ends all assignments of a machine on which nothing can run any more.
-func (l *Leader) lost(m *machine, reason string) {
-	for _, a := range m.assigned {
-		if a.outcome == open {
-			slog.Info("task lost", "task", a.name(), "machine", m.id, "term", l.token, "reason", reason)
-			l.conclude(a, retry)
+func (l *Leader) lost(m *cluster.Machine, reason string) {
+	for _, a := range m.Assignments {
+		if a.Outcome == cluster.Open {
+			slog.Info("task lost", "task", a.TaskName(), "machine", m.ID, "term", l.token, "reason", reason)
+			l.conclude(a, cluster.Retry)
 		}
 	}
 }
@@ -92,11 +93,11 @@
 	l.expire(now)
 	l.settleTakeover(now)
 	l.doubts(now)
-	l.tickGroup = (l.tickGroup + 1) % ticksPerInterval
-	for m := range l.machines.groups[l.tickGroup] {
+	l.tickGroup = (l.tickGroup + 1) % cluster.TickGroups
+	for m := range l.machines.Groups[l.tickGroup] {
 		l.announceLate(m, now)
 		l.updateCapacity(m, now) // what has fallen silent takes no work
-		if m.endAvoidance(now) {
+		if m.ExpireAvoidance(now) {
 			l.replan = true
 		}
 	}
@@ -105,20 +106,20 @@
 	}
 	calls, verdicts := l.watch.Tick(now, l.Derived.OrdersInFlight-l.callsInFlight)
 	for _, id := range calls {
-		m := l.machines.byID[id]
+		m := l.machines.ByID[id]
 		if m == nil {
 			l.watch.Forget(id)
 			continue
 		}
 		l.callsInFlight++
-		addr := m.addr // a report may change it meanwhile
+		addr := m.Addr // a report may change it meanwhile
 		go func() {
 			r, err := l.Workers.Inspect(ctx, addr)
 			l.post(ctx, func(now time.Time) { l.inspected(m, r, err, now) })
 		}()
 	}
 	for _, v := range verdicts {
-		l.judged(ctx, l.machines.byID[v.Machine], v.Reason, now)
+		l.judged(ctx, l.machines.ByID[v.Machine], v.Reason, now)
 	}
 	l.manageFleet(ctx, now)
 	l.recoverRecords(ctx, now)
@@ -138,9 +139,9 @@
 // services is how many production tasks a machine has: their users wait, while
 // other work is only late.
 func (l *Leader) services(id string) (n int) {
-	if m := l.machines.byID[id]; m != nil {
-		for _, a := range m.assigned {
-			if a.outcome == open && a.job.spec.Priority == jobs.Prod {
+	if m := l.machines.ByID[id]; m != nil {
+		for _, a := range m.Assignments {
+			if a.Outcome == cluster.Open && a.Job.Spec.Priority == jobs.Prod {
 				n++
 			}
 		}
@@ -151,39 +152,39 @@
 // viewAge is how old the picture of users' wishes may be.
 func (l *Leader) viewAge(now time.Time) time.Duration { return now.Sub(l.viewTime) }
 
-func (l *Leader) inspected(m *machine, r *workers.Report, err error, now time.Time) {
+func (l *Leader) inspected(m *cluster.Machine, r *workers.Report, err error, now time.Time) {
 	l.callsInFlight--
 	if workers.NoSocket(err) {
-		l.watch.CallLost(m.id, now) // it never left this process
+		l.watch.CallLost(m.ID, now) // it never left this process
 		return
 	}
 	if err != nil {
-		l.watch.CallDone(m.id, false, liveness.Counter{}, now)
+		l.watch.CallDone(m.ID, false, liveness.Counter{}, now)
 		return
 	}
-	m.undelivered = 0
+	m.Commands.UndeliveredAnswers = 0
 	// The answer is a newer picture of the tasks, though it renews no lease.
-	l.watch.CallDone(m.id, true, counter(r), now)
+	l.watch.CallDone(m.ID, true, counter(r), now)
 	l.observe(m, r, now)
 }
 
 // judged carries out a verdict. A machine that did not answer is given back:
 // once the cloud has taken it, its tasks are certainly gone, which is sooner
 // than the end of a long lease. One that answers keeps its tasks meanwhile.
-func (l *Leader) judged(ctx context.Context, m *machine, reason liveness.Reason, now time.Time) {
+func (l *Leader) judged(ctx context.Context, m *cluster.Machine, reason liveness.Reason, now time.Time) {
 	if m == nil {
 		return
 	}
-	slog.Info("machine judged dead", "machine", m.id, "zone", m.zone, "term", l.token, "reason", string(reason), "tasks", len(m.assigned))
-	m.dead = true
-	for _, a := range m.assigned {
+	slog.Info("machine judged dead", "machine", m.ID, "zone", m.Zone, "term", l.token, "reason", string(reason), "tasks", len(m.Assignments))
+	m.Health.Dead = true
+	for _, a := range m.Assignments {
 		// A gang that runs may well run on. One that gathers would hold its room until
 		// the workers give up waiting.
-		if a.outcome == open && a.job.isGang() && a.seen != workers.Running {
-			l.stopGang(a.job, 0)
+		if a.Outcome == cluster.Open && a.Job.IsGang() && a.ObservedState != workers.Running {
+			l.stopGang(a.Job, 0)
 		}
 	}
-	l.log.deaths = append(l.log.deaths, m.id)
+	l.log.deaths = append(l.log.deaths, m.ID)
 	l.updateCapacity(m, now)
 	l.replan = true
 	if reason == liveness.CallFailed {
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -1,6 +1,9 @@
 package leader
 
-import "ospreyslip/internal/workers"
+import (
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/workers"
+)
 
 // The token is raised within a term so that orders that are still on their way are
 // refused from then on. A worker that sees a higher token reports once more for it: with
@@ -9,11 +12,11 @@
 // good, as it is of this term.
 
 // tokenFor is the token in answers and orders to a machine.
-func (l *Leader) tokenFor(m *machine) uint64 {
-	if m.wantsToken || !m.doubtSince.IsZero() {
+func (l *Leader) tokenFor(m *cluster.Machine) uint64 {
+	if m.Commands.NeedsHigherToken || !m.Commands.InDoubtSince.IsZero() {
 		return l.token
 	}
-	return max(m.token, l.term.Token)
+	return max(m.Worker.Token, l.term.Token)
 }
 
 // mostHeldEnds is how many ended tasks may stay in a machine's reports for want of a
@@ -41,5 +44,5 @@
 func (l *Leader) mayRunAgain(t *workers.Task) bool {
 	id, _, ok := workers.SplitTask(t.Task)
 	j := l.jobs[id]
-	return ok && j != nil && !j.over()
+	return ok && j != nil && !j.IsOver()
 }
--- a/internal/leader/token_test.go
+++ b/internal/leader/token_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/workers"
 )
 
@@ -15,7 +16,7 @@
 	endedByOrder := func(r *workers.Report, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.Task{Task: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.Ended, Cause: cause}
-			l.machines.byID[r.Machine].ordered[refOf(&task)] = l.token
+			l.machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.token
 			r.Tasks = append(r.Tasks, task)
 		}
 	}
@@ -23,7 +24,7 @@
 	endedByOrder(few, mostHeldEnds-1, workers.CauseDone)
 	endedByOrder(many, mostHeldEnds, workers.CauseDone)
 	endedByOrder(again, 1, workers.CauseStopped)
-	l.machines.byID[doubt.Machine].doubtSince = now
+	l.machines.ByID[doubt.Machine].Commands.InDoubtSince = now
 	answer := func(r *workers.Report) *workers.Answer {
 		r.Seq++
 		a := l.report(r, now)
@@ -63,11 +64,11 @@
 		}
 	}
 	// An order carries the token that its machine knows, and never one from before.
-	if got := l.tokenFor(l.machines.byID[few.Machine]); got != 5 {
+	if got := l.tokenFor(l.machines.ByID[few.Machine]); got != 5 {
 		t.Errorf("token %d where nothing waits, want 5", got)
 	}
 	l.term.Token, l.token = 7, 7
-	if got := l.tokenFor(l.machines.byID[few.Machine]); got != 7 {
+	if got := l.tokenFor(l.machines.ByID[few.Machine]); got != 7 {
 		t.Errorf("token %d, of an earlier term", got)
 	}
 }
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -14,6 +14,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/recovery/detection"
 )
 
@@ -110,36 +111,36 @@
 	})
 }
 
-func (l *Leader) addFinal(b *batch, j *job) {
-	if j.cancelled {
+func (l *Leader) addFinal(b *batch, j *cluster.Job) {
+	if j.End.Cancelled {
 		return // its user was faster
 	}
-	rec := jobs.Record{Tasks: j.spec.Tasks, Spec: j.spec}
-	b.add(jobs.RecordKey(j.id), j.revision, rec.Ended(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
+	rec := jobs.Record{Tasks: j.Spec.Tasks, Spec: j.Spec}
+	b.add(jobs.RecordKey(j.ID), j.Revision, rec.Ended(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
 	b.undo = append(b.undo, func() { l.finished = append(l.finished, j) })
 	b.done = append(b.done, func(uint64) {
-		slog.Debug("job done", "job", j.id, "term", l.token)
+		slog.Debug("job done", "job", j.ID, "term", l.token)
 		l.finalDone(j)
 	})
 }
 
-func (l *Leader) finalDone(j *job) {
-	j.recorded = true
+func (l *Leader) finalDone(j *cluster.Job) {
+	j.End.CompletionDurable = true
 	l.settled(j)
 }
 
 // doneElsewhere takes in that a job is done by what others know, while this leader had it
 // from a record that was put back.
-func (l *Leader) doneElsewhere(j *job) {
-	j.final = true
-	l.dropFinished(j.id)
+func (l *Leader) doneElsewhere(j *cluster.Job) {
+	j.End.Complete = true
+	l.dropFinished(j.ID)
 	l.cancelTasks(j)
 	l.finalDone(j)
 }
 
 // dropFinished takes a job off those whose end is to be written.
 func (l *Leader) dropFinished(id string) {
-	l.finished = slices.DeleteFunc(l.finished, func(f *job) bool { return f.id == id })
+	l.finished = slices.DeleteFunc(l.finished, func(f *cluster.Job) bool { return f.ID == id })
 }
 
 // written takes in the outcome of a transaction.
@@ -235,7 +236,7 @@
 	}
 	if p.Revision == 0 {
 		// Lost: it is written in place of what is not there any more.
-		j.revision = 0
+		j.Revision = 0
 		l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: key}, time.Now())
 		return
 	}
@@ -243,7 +244,7 @@
 		return
 	}
 	if !rec.Over() {
-		j.revision = p.Revision // it was lost and is back
+		j.Revision = p.Revision // it was lost and is back
 		return
 	}
 	l.dropFinished(id)
@@ -251,7 +252,7 @@
 	case jobs.Done:
 		l.finalDone(j)
 	case jobs.Cancelled:
-		if !j.cancelled {
+		if !j.End.Cancelled {
 			l.cancelled(j, p.Revision)
 		}
 	}
