--- a/internal/leader/announce.go
+++ b/internal/leader/announce.go
@@ -17,7 +17,7 @@
 // announce orders the machines found in the records that cannot wait.
 func (l *Leader) announce() {
 	needs := l.openNeeds()
-	for _, p := range l.log.segments {
+	for _, p := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(p.Begun) {
 			a := p.Begun[attempt]
 			if a.Job.IsOver() || a.Stop.Requested || l.mayTake(a.Machine, needs) {
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -12,7 +12,9 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/placement"
 )
@@ -27,8 +29,8 @@
 }
 
 // apply carries out a transaction, or returns the guards that failed.
-func (s *segmentStore) apply(b *batch) (failed []string) {
-	for _, g := range b.guards {
+func (s *segmentStore) apply(b *transaction.Batch) (failed []string) {
+	for _, g := range b.Guards {
 		if s.keys[g.Key].Revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
@@ -36,11 +38,11 @@
 	if len(failed) > 0 {
 		return failed
 	}
-	if len(b.writes) > s.ops {
-		s.t.Fatalf("%d writes in a transaction, %d are allowed", len(b.writes), s.ops)
+	if len(b.Writes) > s.ops {
+		s.t.Fatalf("%d writes in a transaction, %d are allowed", len(b.Writes), s.ops)
 	}
 	s.rev++
-	for _, w := range b.writes {
+	for _, w := range b.Writes {
 		if len(w.Value) > s.value {
 			s.t.Fatalf("%s is written with %d bytes, %d are allowed", w.Set, len(w.Value), s.value)
 		}
@@ -60,7 +62,7 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.lost(m, "not of this test")
-	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Amount{}, assignmentLog{}, nil
+	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Amount{}, assignmentlog.New(assignmentlog.Config{}), nil
 	l.watch = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
 	l.Derived.ValueBytes, l.Derived.TxnOps = s.value, s.ops
@@ -121,36 +123,30 @@
 					l.stir(rnd)
 				}
 				b := l.compose()
-				if len(b.writes) == 0 {
+				if len(b.Writes) == 0 {
 					continue
 				}
 				before := l.durable()
 				for i := range len(s.keys) {
-					if _, ok := s.keys[fmt.Sprint(logPrefix, i)]; !ok {
+					if _, ok := s.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
 						t.Fatalf("step %d: of %d segments, none is called %d", step, len(s.keys), i)
 					}
 				}
 				switch failed := s.apply(b); {
 				case rnd.IntN(8) == 0: // its answer is lost
-					for _, f := range slices.Backward(b.undo) {
-						f()
-					}
-					l.log.open = true
+					b.Failed()
+					l.log.MarkOutcomeUnknown()
 					if rnd.IntN(2) == 0 { // and so is the leader
 						token++
 						l = logLeader(s, token, specs)
 					}
 				case len(failed) > 0:
-					for _, f := range slices.Backward(b.undo) {
-						f()
-					}
+					b.Failed()
 					for _, key := range failed {
 						l.relearn(b, key, s.keys[key])
 					}
 				default:
-					for _, f := range b.done {
-						f(s.rev)
-					}
+					l.committed(b, s.rev)
 					before = nil
 				}
 				if before == nil && (step < 3 || step%5 == 0 || step > 60 && step < 70) {
@@ -176,8 +172,8 @@
 // drafted, the log once seemed to wait for one more.
 func TestPagesByNeed(t *testing.T) {
 	l, j, _ := withGang()
-	if b := l.compose(); len(b.writes) != 1 {
-		t.Errorf("%d segments for %d beginnings", len(b.writes), j.Spec.Tasks)
+	if b := l.compose(); len(b.Writes) != 1 {
+		t.Errorf("%d segments for %d beginnings", len(b.Writes), j.Spec.Tasks)
 	}
 }
 
@@ -232,18 +228,18 @@
 	l.assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
 	b := l.compose()
 	revisions := map[string]uint64{}
-	for _, g := range b.guards {
+	for _, g := range b.Guards {
 		revisions[g.Key] = g.Revision
 	}
 	if revisions[election.HolderKey] != 77 || revisions[election.TokenKey] != 78 || revisions[jobs.RecordKey(j.ID)] != 79 {
 		t.Errorf("guards: %v", revisions)
 	}
-	for _, w := range b.writes {
+	for _, w := range b.Writes {
 		if _, guarded := revisions[w.Set]; !guarded || w.Remove != "" {
 			t.Errorf("%s%s is written unguarded", w.Set, w.Remove)
 		}
 	}
-	if len(b.writes) < 3 {
-		t.Errorf("%d writes", len(b.writes))
+	if len(b.Writes) < 3 {
+		t.Errorf("%d writes", len(b.Writes))
 	}
 }
--- /dev/null
+++ b/internal/leader/assignmentlog/draft.go
@@ -0,0 +1,96 @@
+package assignmentlog
+
+import (
+	"strconv"
+
+	"ospreyslip/internal/leader/cluster"
+)
+
+// draft is a segment being put together, by the length that each part will have as text.
+type draft struct {
+	record    SegmentRecord
+	bytes     int
+	maxBytes  int
+	machineAt map[*cluster.Machine]int // index into record.Begun of the machine's newest session
+	begun     []*cluster.Assignment    // that stand on this segment
+	ended     []*cluster.Assignment    // that are over with this segment
+	chunks    []cluster.ChunkRef       // that stand on this segment
+	taken     queue                    // from the log's queue, to go back if nothing is written
+}
+
+func newDraft(number uint64, maxBytes int) *draft {
+	return &draft{
+		record: SegmentRecord{Number: number}, bytes: segmentBytes, maxBytes: maxBytes,
+		machineAt: map[*cluster.Machine]int{},
+	}
+}
+
+// Bytes of the parts of a segment, but for names and numbers.
+const (
+	segmentBytes    = len(`{"number":18446744073709551615,"begun":[],"over":[],"done":[],"dead":[]}`)
+	machineBytes    = len(`{"m":"","addr":"","type":"","zone":"","spot":true,"session":,"tasks":[]},`)
+	taskBytes       = len(`{"j":"","n":,"a":,"g":},`)
+	completionBytes = len(`{"j":"","c":,"b":""},`)
+	deathBytes      = len(`"",`)
+	usualStartBytes = 2 * (machineBytes + taskBytes) // of an assignment with its names
+)
+
+func (d *draft) fits(bytes int) bool { return d.bytes+bytes <= d.maxBytes }
+
+// isEmpty tells whether nothing stands on the segment yet.
+func (d *draft) isEmpty() bool { return len(d.begun)+len(d.chunks) == 0 }
+
+func (d *draft) addBegin(a *cluster.Assignment) {
+	i, ok := d.machineAt[a.Machine]
+	if !ok || d.record.Begun[i].Session != a.Session {
+		i = len(d.record.Begun)
+		d.machineAt[a.Machine] = i
+		m := a.Machine
+		d.record.Begun = append(d.record.Begun, MachineRecord{
+			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: a.Session,
+		})
+		d.bytes += startSize(a)
+	} else {
+		d.bytes += taskSize(a)
+	}
+	tasks := &d.record.Begun[i].Tasks
+	*tasks = append(*tasks, TaskRecord{a.Job.ID, a.Index, a.Attempt, a.GangAttempt})
+	d.begun = append(d.begun, a)
+}
+
+func (d *draft) addChunk(ref cluster.ChunkRef, bits string) {
+	d.record.Done = append(d.record.Done, CompletionRecord{ref.Job.ID, ref.Index, bits})
+	d.bytes += chunkSize(ref, bits)
+	d.chunks = append(d.chunks, ref)
+}
+
+// textBytes is how long a text is in JSON, without its quotes.
+func textBytes(text string) (bytes int) {
+	for i := range len(text) {
+		if c := text[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' || c == '<' || c == '>' || c == '&' {
+			bytes += len(`\u0000`)
+		} else {
+			bytes++
+		}
+	}
+	return bytes
+}
+
+func digits(number uint64) int { return len(strconv.FormatUint(number, 10)) }
+
+func taskSize(a *cluster.Assignment) int {
+	return taskBytes + textBytes(a.Job.ID) + digits(uint64(a.Index)) + digits(a.Attempt) + digits(a.GangAttempt)
+}
+
+// startSize is that of an assignment with its machine.
+func startSize(a *cluster.Assignment) int {
+	m := a.Machine
+	names := textBytes(m.ID) + textBytes(m.Addr) + textBytes(m.Type) + textBytes(m.Zone)
+	return machineBytes + names + digits(a.Session) + taskSize(a)
+}
+
+func endSize(a *cluster.Assignment) int { return digits(a.Attempt) + len(",") }
+
+func chunkSize(ref cluster.ChunkRef, bits string) int {
+	return completionBytes + textBytes(ref.Job.ID) + digits(uint64(ref.Index)) + len(bits)
+}
--- /dev/null
+++ b/internal/leader/assignmentlog/record.go
@@ -0,0 +1,92 @@
+package assignmentlog
+
+import (
+	"cmp"
+	"log/slog"
+	"slices"
+
+	jsonv2 "github.com/go-json-experiment/json"
+
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
+)
+
+// SegmentRecord is a segment as stored.
+type SegmentRecord struct {
+	Number uint64             `json:"number"`
+	Begun  []MachineRecord    `json:"begun,omitempty"`
+	Over   []uint64           `json:"over,omitempty"` // attempts begun on earlier segments
+	Done   []CompletionRecord `json:"done,omitempty"`
+	Dead   []string           `json:"dead,omitempty"` // machines judged since
+}
+
+// MachineRecord is the tasks that were given to one machine in one session of its worker.
+type MachineRecord struct {
+	Machine string       `json:"m"`
+	Addr    string       `json:"addr"`
+	Type    string       `json:"type"`
+	Zone    string       `json:"zone"`
+	Spot    bool         `json:"spot,omitempty"`
+	Session uint64       `json:"session"`
+	Tasks   []TaskRecord `json:"tasks"`
+}
+
+// TaskRecord is one assignment. Its attempt is unique among all tasks. Workers know the tasks
+// of a gang by an attempt that they have in common.
+type TaskRecord struct {
+	Job     string `json:"j"`
+	Index   int    `json:"n"`
+	Attempt uint64 `json:"a"`
+	Gang    uint64 `json:"g,omitempty"`
+}
+
+// CompletionRecord is the completions of one chunk of a job's tasks.
+type CompletionRecord struct {
+	Job   string `json:"j"`
+	Chunk int    `json:"c"`
+	Bits  string `json:"b"`
+}
+
+// StoredSegment is a segment that was read, and its place in the ring.
+type StoredSegment struct {
+	*cluster.Segment
+	Record     SegmentRecord
+	Unreadable bool
+}
+
+// Load makes a log of the segments in the key-value store, and returns them in the order in
+// which they were written. What stands on them is for the caller to take in.
+func Load(config Config, stored []kvstore.Pair) (*Log, []StoredSegment) {
+	log := &Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
+	var read []StoredSegment
+	for _, pair := range stored {
+		segment := StoredSegment{Segment: cluster.NewSegment(pair.Key, pair.Revision)}
+		segment.Bytes = len(pair.Value)
+		log.keys[pair.Key] = true
+		if err := jsonv2.Unmarshal(pair.Value, &segment.Record); err != nil {
+			slog.Error("segment of the assignment log unreadable", "key", pair.Key, "reason", err)
+			segment.Unreadable = true
+		}
+		read = append(read, segment)
+	}
+	slices.SortFunc(read, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
+	log.addMissingSegments(minSegments - len(read))
+	for _, segment := range read {
+		log.segments = append(log.segments, segment.Segment)
+		log.number = max(log.number, segment.Record.Number)
+	}
+	return log, read
+}
+
+// JobsNamed returns the jobs of which some segments have tasks.
+func JobsNamed(segments []StoredSegment) map[string]bool {
+	named := map[string]bool{}
+	for _, segment := range segments {
+		for _, machine := range segment.Record.Begun {
+			for _, task := range machine.Tasks {
+				named[task.Job] = true
+			}
+		}
+	}
+	return named
+}
--- /dev/null
+++ b/internal/leader/assignmentlog/write.go
@@ -0,0 +1,293 @@
+package assignmentlog
+
+import (
+	"encoding/json"
+	"log/slog"
+	"math"
+	"slices"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/transaction"
+)
+
+// AddSegments writes as many segments as the log needs and the transaction has room for, the
+// oldest first. Those of a transaction of unknown outcome are written whatever there is.
+func (l *Log) AddSegments(b *transaction.Batch, maxOps int) {
+	segments := 0
+	for ; segments < len(l.segments) && len(b.Writes) < maxOps; segments++ {
+		required := segments < l.unsettledSegments
+		wanted := l.HasNews() || l.rewriteSegments > segments
+		if !required && (!wanted || b.Bytes+l.maxSegmentBytes > transaction.MaxBytes) {
+			break
+		}
+		l.addSegment(b, segments, segments+1 >= l.unsettledSegments)
+		l.unsettledSegments = max(l.unsettledSegments, segments+1)
+	}
+	b.OnCommit(func(uint64) { l.rotate(segments) })
+}
+
+// addSegment writes the i-th oldest segment: what is still true of it, then what is new, as far
+// as there is room for it. In front of an oversized segment it adds one.
+func (l *Log) addSegment(b *transaction.Batch, i int, withNews bool) {
+	if i >= l.unsettledSegments && l.isOversized(l.segments[i]) {
+		l.segments = slices.Insert(l.segments, i, l.unwrittenSegment())
+	}
+	segment := l.segments[i]
+	d := newDraft(l.number+uint64(i)+1, min(l.maxSegmentBytes, transaction.MaxBytes-b.Bytes))
+	l.leaveOutEnded(b, d, segment)
+	l.carryOver(b, d, segment, math.MaxInt)
+	l.carriedBytes += (float64(d.bytes-segmentBytes) - l.carriedBytes) / float64(len(l.segments))
+	l.moveFromOversized(b, d, i)
+	if withNews {
+		l.addNews(b, d)
+	}
+	raw, _ := json.Marshal(d.record)
+	b.Set(segment.Key, segment.Revision, raw, func(revision uint64) { segment.Revision = revision })
+	b.OnFailure(func() { l.requeue(d) })
+	b.OnCommit(func(revision uint64) {
+		segment.Bytes = len(raw)
+		l.segmentWritten(segment, d, revision)
+	})
+}
+
+// leaveOutEnded ends the assignments that stand on this segment only: once it is written anew
+// without them, nothing else needs to be said.
+func (l *Log) leaveOutEnded(b *transaction.Batch, d *draft, segment *cluster.Segment) {
+	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(b, a) {
+			a.Log.EndInFlight = true
+			d.ended = append(d.ended, a)
+		}
+	}
+}
+
+// carryOver adds what is still true of a segment, or as much of it as fits into a draft of so
+// many bytes.
+func (l *Log) carryOver(b *transaction.Batch, d *draft, segment *cluster.Segment, maxBytes int) {
+	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+		a := segment.Begun[attempt]
+		switch {
+		case a.Log.EndInFlight || a.Log.MoveInFlight || l.endMayBeWritten(b, a):
+		case d.bytes+startSize(a) <= maxBytes:
+			d.addBegin(a)
+		}
+	}
+	for ref := range segment.Completions {
+		chunk := ref.Job.Completions.Chunks[ref.Index]
+		if chunk == nil || chunk.Segment != segment || chunk.Moving || ref.Job.IsOver() {
+			continue
+		}
+		bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
+		switch size := chunkSize(ref, bits); {
+		case segmentBytes+size > l.maxSegmentBytes:
+			chunk.Saved = false // no segment holds it any more: see addChunks
+		case d.bytes+size <= maxBytes:
+			d.addChunk(ref, bits)
+		}
+	}
+}
+
+// isOversized tells whether what stands on a segment may be more than can be written at a time:
+// it is from before the key-value store's limits fell, or were to fall. What is over by now
+// counts as well: should the transaction fail, its end may have to wait for the next.
+func (l *Log) isOversized(segment *cluster.Segment) bool {
+	if segment.Bytes <= l.maxSegmentBytes {
+		return false
+	}
+	d := newDraft(0, math.MaxInt)
+	for _, a := range segment.Begun {
+		if !a.Log.MoveInFlight {
+			d.addBegin(a)
+		}
+	}
+	for ref := range segment.Completions {
+		chunk := ref.Job.Completions.Chunks[ref.Index]
+		if chunk != nil && chunk.Segment == segment && !chunk.Moving {
+			d.bytes += chunkSize(ref, ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks))
+		}
+	}
+	return d.bytes > l.maxSegmentBytes*7/8
+}
+
+// moveFromOversized moves a part of the first oversized segment behind the i-th to a draft. The
+// oversized segment is written over only when the rest fits: until then it stays the oldest,
+// so that the ends of what was moved, which are on later segments, outlast it.
+func (l *Log) moveFromOversized(b *transaction.Batch, d *draft, i int) {
+	for _, segment := range l.segments[i+1 : min(i+1+l.config.MaxOps, len(l.segments))] {
+		if len(segment.Begun)+len(segment.Completions) == 0 {
+			continue // never written, or the outcome is unknown
+		}
+		if l.isOversized(segment) {
+			l.movePart(b, d, segment)
+		}
+		return
+	}
+}
+
+func (l *Log) movePart(b *transaction.Batch, d *draft, segment *cluster.Segment) {
+	begun, chunks := len(d.begun), len(d.chunks)
+	if l.carryOver(b, d, segment, d.maxBytes/2); d.isEmpty() {
+		l.carryOver(b, d, segment, d.maxBytes) // what takes more than half of a segment
+	}
+	for _, a := range d.begun[begun:] {
+		a.Log.MoveInFlight = true
+	}
+	for _, ref := range d.chunks[chunks:] {
+		ref.Job.Completions.Chunks[ref.Index].Moving = true
+	}
+}
+
+// addNews adds what is queued, as far as it fits. Completions go before the ends that rest on
+// them.
+func (l *Log) addNews(b *transaction.Batch, d *draft) {
+	l.addDeaths(d)
+	l.addChunks(d)
+	l.addEnds(b, d)
+	l.addBegins(d)
+}
+
+func (l *Log) addDeaths(d *draft) {
+	q := &l.queue
+	for len(q.deaths) > 0 && d.fits(len(q.deaths[0])+deathBytes) {
+		d.record.Dead = append(d.record.Dead, q.deaths[0])
+		d.bytes += len(q.deaths[0]) + deathBytes
+		d.taken.deaths = append(d.taken.deaths, q.deaths[0])
+		q.deaths = q.deaths[1:]
+	}
+}
+
+func (l *Log) addChunks(d *draft) {
+	for len(l.queue.chunks) > 0 {
+		ref := l.queue.chunks[0]
+		chunk := ref.Job.Completions.Chunks[ref.Index]
+		if !ref.Job.IsOver() { // else the record of the job's end takes its place
+			bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
+			size := chunkSize(ref, bits)
+			switch {
+			case segmentBytes+size > l.maxSegmentBytes:
+				l.giveUpChunk(ref, size)
+				continue
+			case !d.fits(size):
+				return
+			}
+			d.addChunk(ref, bits)
+			d.taken.chunks = append(d.taken.chunks, ref)
+			// As far as this transaction goes: queueChunk takes it back if it fails, or
+			// if more tasks complete meanwhile.
+			chunk.Saved = true
+		}
+		chunk.Dirty = false
+		l.queue.chunks = l.queue.chunks[1:]
+	}
+}
+
+// giveUpChunk takes a chunk off the queue that no segment holds. Its tasks' ends wait for that
+// of the job: their workers keep saying that they are done.
+func (l *Log) giveUpChunk(ref cluster.ChunkRef, size int) {
+	chunk := ref.Job.Completions.Chunks[ref.Index]
+	if !chunk.TooLarge {
+		slog.Error("completions larger than a segment", "job", ref.Job.ID, "bytes", size, "most", l.maxSegmentBytes)
+	}
+	chunk.TooLarge, chunk.Dirty = true, false
+	l.queue.chunks = l.queue.chunks[1:]
+}
+
+func (l *Log) addEnds(b *transaction.Batch, d *draft) {
+	later := l.queue.ends[:0]
+	for _, a := range l.queue.ends {
+		switch {
+		case a.Log.EndInFlight: // its segment is written anew, without it
+			a.Log.EndQueued = false
+		case d.fits(endSize(a)) && l.endMayBeWritten(b, a):
+			a.Log.EndInFlight, a.Log.EndQueued = true, false
+			if a.Log.Segment != nil {
+				d.record.Over = append(d.record.Over, a.Attempt)
+				d.bytes += endSize(a)
+			}
+			d.ended = append(d.ended, a)
+		default:
+			later = append(later, a)
+		}
+	}
+	clear(l.queue.ends[len(later):])
+	l.queue.ends = later
+}
+
+func (l *Log) addBegins(d *draft) {
+	q := &l.queue
+	for len(q.begins) > 0 && d.fits(startSize(q.begins[0])) {
+		a := q.begins[0]
+		q.begins = q.begins[1:]
+		if a.Outcome == cluster.Open {
+			d.addBegin(a)
+			d.taken.begins = append(d.taken.begins, a)
+		}
+	}
+}
+
+// endMayBeWritten tells whether an assignment is over and its end may be written: the
+// completion of its task has to be durable with it.
+func (l *Log) endMayBeWritten(b *transaction.Batch, a *cluster.Assignment) bool {
+	return a.Outcome == cluster.Retry || a.Outcome == cluster.Success && l.completionSaved(b, a)
+}
+
+// completionSaved tells whether a completion is durable, or goes into the transaction that is
+// being put together.
+func (l *Log) completionSaved(b *transaction.Batch, a *cluster.Assignment) bool {
+	job := a.Job
+	if job.End.Cancelled || job.End.CompletionDurable || b.Sets(jobs.RecordKey(job.ID)) {
+		return true
+	}
+	chunk := job.Completions.Chunks[a.Index/l.config.ChunkTasks]
+	return chunk != nil && chunk.Saved
+}
+
+// requeue queues what a transaction that failed should have written.
+func (l *Log) requeue(d *draft) {
+	l.queue.begins = append(d.taken.begins, l.queue.begins...)
+	l.queue.deaths = append(d.taken.deaths, l.queue.deaths...)
+	for _, a := range d.ended {
+		a.Log.EndInFlight = false
+		l.QueueEnd(a)
+	}
+	for _, a := range d.begun {
+		a.Log.MoveInFlight = false
+	}
+	for _, ref := range d.chunks {
+		ref.Job.Completions.Chunks[ref.Index].Moving = false
+	}
+	for _, ref := range d.taken.chunks {
+		l.queueChunk(ref)
+	}
+}
+
+// segmentWritten takes in that a segment was written.
+func (l *Log) segmentWritten(segment *cluster.Segment, d *draft, revision uint64) {
+	segment.Revision = revision
+	clear(segment.Begun)
+	clear(segment.Completions)
+	for _, a := range d.begun {
+		if a.Log.Segment != nil && a.Log.Segment != segment {
+			delete(a.Log.Segment.Begun, a.Attempt)
+		}
+		segment.Begun[a.Attempt] = a
+		a.Log.Segment, a.Log.MoveInFlight = segment, false
+		if !a.Log.Durable {
+			a.Log.Durable = true
+			l.events = append(l.events, Event{BeginDurable, a})
+		}
+	}
+	for _, ref := range d.chunks {
+		segment.Completions[ref] = true
+		if chunk := ref.Job.Completions.Chunks[ref.Index]; chunk != nil {
+			chunk.Segment, chunk.Moving = segment, false
+		}
+	}
+	for _, a := range d.ended {
+		if a.Log.Segment != nil {
+			delete(a.Log.Segment.Begun, a.Attempt)
+		}
+		l.events = append(l.events, Event{EndDurable, a})
+	}
+}
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -22,7 +22,6 @@
 		l.forget(a)
 	}
 	delete(l.jobs, old.ID)
-	l.log = assignmentLog{}
 	l.readLog(nil)
 	other := report(1, 1)
 	other.Machine = "m-2"
@@ -39,12 +38,15 @@
 
 // write makes the beginnings of some tasks durable.
 func (l *Leader) write(j *cluster.Job, tasks ...int) {
-	d := &segmentBuilder{}
+	l.readLog(nil) // drops what is queued
+	segment := l.log.Segments()[len(l.log.Segments())-1-len(tasks)]
+	segment.Revision = 1
 	for _, n := range tasks {
-		d.kept = append(d.kept, j.Assignments[n])
+		a := j.Assignments[n]
+		segment.Begun[a.Attempt] = a
+		a.Log.Segment, a.Log.Durable = segment, true
+		l.beginDurable(a)
 	}
-	l.log.begins = nil
-	l.segmentWritten(l.log.segments[len(l.log.segments)-1-len(tasks)], d, 1)
 }
 
 var seq uint64 = 10
@@ -164,7 +166,7 @@
 		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.finished))
 	}
 	b := l.compose()
-	if a := j.Assignments[2]; !a.Log.EndInFlight || len(b.revisions) < 2 {
+	if a := j.Assignments[2]; !a.Log.EndInFlight || len(b.Writes) < 2 {
 		t.Error("the end of the task is not in the transaction that says that the job is done")
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -11,6 +11,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
@@ -91,7 +92,7 @@
 
 // writer is what waits to be made durable, and the transaction under way.
 type writer struct {
-	log          assignmentLog
+	log          *assignmentlog.Log
 	finished     []*cluster.Job // whose records are to be written as done
 	writing      bool
 	storeFailing bool // the last transaction was not executed, as far as is known
@@ -143,6 +144,7 @@
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
 		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
 		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
+		writer:       writer{log: assignmentlog.New(logConfig(d.Derived))},
 		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
 		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
@@ -156,6 +158,11 @@
 	return l
 }
 
+// logConfig is the limits of the assignment log.
+func logConfig(derived settings.Derived) assignmentlog.Config {
+	return assignmentlog.Config{ChunkTasks: derived.ChunkTasks, MaxOps: derived.TxnOps, ValueBytes: derived.ValueBytes}
+}
+
 // roundBits is how many rounds of comparison a term has numbers for.
 const roundBits = 16
 
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -10,6 +10,7 @@
 	"ospreyslip/internal/gang"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/reconcile"
 )
@@ -19,7 +20,7 @@
 func (l *Leader) load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
 	l.viewTime, l.fresh = now, !l.Cache.Settled()
-	segments, _, err := l.Store.List(ctx, logPrefix)
+	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
 	}
@@ -28,7 +29,7 @@
 	}
 	log := l.readLog(segments)
 	l.checkLog(log, now)
-	named := jobsNamed(log)
+	named := assignmentlog.JobsNamed(log)
 	ended := map[string]kvstore.Pair{} // of which tasks may be left
 	over, listed, known := 0, 0, l.Cache.Recorded()
 	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) {
@@ -87,29 +88,21 @@
 	return after, nil
 }
 
-// jobsNamed returns the jobs of which the log has tasks.
-func jobsNamed(log []segmentRecord) map[string]bool {
-	named := map[string]bool{}
-	for _, segment := range log {
-		for _, b := range segment.Begun {
-			for _, t := range b.Tasks {
-				named[t.Job] = true
-			}
-		}
-	}
-	return named
+// readLog makes the log of its segments. What each says is for the caller.
+func (l *Leader) readLog(stored []kvstore.Pair) (read []assignmentlog.StoredSegment) {
+	l.log, read = assignmentlog.Load(logConfig(l.Derived), stored)
+	return read
 }
 
 // restore takes in the log. Whatever it names may be there: the tasks count
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
-func (l *Leader) restore(recs []segmentRecord, ended map[string]kvstore.Pair, now time.Time) {
-	first := len(l.log.segments) - len(recs)
+func (l *Leader) restore(segments []assignmentlog.StoredSegment, ended map[string]kvstore.Pair, now time.Time) {
 	where := map[uint64]*cluster.Segment{}
 	defer l.announce()
-	for i, rec := range recs {
-		p := l.log.segments[first+i]
-		for _, b := range rec.Begun {
+	for _, stored := range segments {
+		p := stored.Segment
+		for _, b := range stored.Record.Begun {
 			m := l.restoreMachine(b, now)
 			for _, t := range b.Tasks {
 				if old := where[t.Attempt]; old != nil {
@@ -119,12 +112,12 @@
 				l.restoreTask(p, m, b.Session, t, ended, now)
 			}
 		}
-		for _, attempt := range rec.Over {
+		for _, attempt := range stored.Record.Over {
 			if p := where[attempt]; p != nil {
 				delete(p.Begun, attempt)
 			}
 		}
-		for _, d := range rec.Done {
+		for _, d := range stored.Record.Done {
 			j := l.jobs[d.Job]
 			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.ChunkTasks >= j.Spec.Tasks {
 				continue
@@ -138,7 +131,7 @@
 			j.Completions.Chunks[d.Chunk] = &cluster.Chunk{Segment: p, Saved: true}
 		}
 	}
-	for _, p := range l.log.segments {
+	for _, p := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(p.Begun) {
 			a := p.Begun[attempt]
 			l.count(a)
@@ -146,7 +139,7 @@
 			a.Job.RestoreAssignment(a)
 		}
 	}
-	for _, p := range l.log.segments {
+	for _, p := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(p.Begun) {
 			a := p.Begun[attempt]
 			switch d := reconcile.OfRecord(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
@@ -160,7 +153,7 @@
 	}
 }
 
-func (l *Leader) restoreMachine(b begunRecord, now time.Time) *cluster.Machine {
+func (l *Leader) restoreMachine(b assignmentlog.MachineRecord, now time.Time) *cluster.Machine {
 	m := l.machines.ByID[b.Machine]
 	if m == nil {
 		m = cluster.NewMachine(b.Machine, now)
@@ -176,7 +169,7 @@
 
 // restoreTask finds out what may be on a machine; it does not count before the
 // whole log is read.
-func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t taskRecord, ended map[string]kvstore.Pair, now time.Time) {
+func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t assignmentlog.TaskRecord, ended map[string]kvstore.Pair, now time.Time) {
 	j := l.jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
 		l.learnFromLog(t)
@@ -187,20 +180,20 @@
 		_ = jsonv2.Unmarshal(ended[t.Job].Value, &old)
 		if old.Spec == nil {
 			// Done: what is left of it on the machine ends by itself.
-			old.Spec = &jobs.Spec{ID: t.Job, Tasks: t.N + 1, Shape: jobs.Batch}
+			old.Spec = &jobs.Spec{ID: t.Job, Tasks: t.Index + 1, Shape: jobs.Batch}
 		}
 		j = cluster.NewJob(t.Job, old.Spec, ended[t.Job].Revision, 0, now)
 		j.End.Cancelled, j.End.Recorded = true, old.State
 		l.jobs[t.Job] = j
 	}
-	if t.N < 0 || t.N >= j.Spec.Tasks {
+	if t.Index < 0 || t.Index >= j.Spec.Tasks {
 		if !j.End.Cancelled {
-			slog.Error("record names a task that its job does not have", "job", t.Job, "task", t.N)
+			slog.Error("record names a task that its job does not have", "job", t.Job, "task", t.Index)
 			return
 		}
-		j.GrowTo(t.N + 1)
+		j.GrowTo(t.Index + 1)
 	}
 	p.Begun[t.Attempt] = &cluster.Assignment{
-		Job: j, Index: t.N, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.token - 1}, CreatedAt: now, RunningSince: now,
+		Job: j, Index: t.Index, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.token - 1}, CreatedAt: now, RunningSince: now,
 	}
 }
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -17,7 +17,9 @@
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/settings"
@@ -423,7 +425,7 @@
 	l.Catalog = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
-	l.restoreMachine(begunRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
+	l.restoreMachine(assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
 	l.place(now)
 	if l.replan {
 		t.Fatal("a plan is wanted before anything has happened")
@@ -446,12 +448,12 @@
 		l, _, _, now := bench()
 		quiet(t)
 		l.events = make(chan func(time.Time), 1)
-		l.written(t.Context(), &batch{}, 0, nil, kvstore.ErrUnknown)
+		l.written(t.Context(), transaction.New(), 0, nil, kvstore.ErrUnknown)
 		if l.mayBegin(now) {
 			t.Error("plans while nothing can be made durable")
 		}
-		l.log.open = false
-		l.written(t.Context(), &batch{}, 0, nil, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRejected))
+		l.readLog(nil)
+		l.written(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRejected))
 		if !l.mayBegin(now) {
 			t.Error("plans no more")
 		}
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -138,7 +138,7 @@
 	l.count(a)
 	m.Assignments[a.Attempt] = a
 	j.Assignments[n] = a
-	l.log.begins = append(l.log.begins, a)
+	l.log.QueueBegin(a)
 	if !m.Offer.Images[j.Spec.Image] {
 		m.Offer.Fetching[j.Spec.Image] = j.Spec.ImageGB
 	}
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -18,6 +18,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 )
 
@@ -125,7 +126,7 @@
 	pairs, specs, world := kept(t)
 	s := &segmentStore{t: t, keys: map[string]kvstore.Pair{}, value: 2 << 10, ops: 4}
 	for _, p := range pairs {
-		if strings.HasPrefix(p.Key, logPrefix) {
+		if strings.HasPrefix(p.Key, assignmentlog.Prefix) {
 			s.keys[p.Key] = p
 		}
 		s.rev = max(s.rev, p.Revision)
@@ -147,9 +148,7 @@
 		if failed := s.apply(b); len(failed) > 0 {
 			t.Fatal(failed)
 		}
-		for _, f := range b.done {
-			f(s.rev)
-		}
+		l.committed(b, s.rev)
 		if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.ChunkTasks), l.durable()); d != "" {
 			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
 		}
@@ -160,9 +159,7 @@
 				l.stir(rnd)
 				b := l.compose()
 				s.apply(b)
-				for _, f := range b.done {
-					f(s.rev)
-				}
+				l.committed(b, s.rev)
 			}
 			s.value, s.ops = 2<<10, 4
 			l = logLeader(s, uint64(7+step), specs)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -101,7 +101,7 @@
 	}
 	if e.Kind.AffectsLog() && l.phase != Comparing {
 		// What this leader holds is the truth: it is written once more, all of it.
-		l.log.rewrite = len(l.log.segments)
+		l.log.RewriteAll()
 		l.raiseToken = true
 	}
 	switch {
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -113,7 +113,7 @@
 	if j.IsGang() {
 		j.JoinGang(a)
 	}
-	l.log.begins = append(l.log.begins, a)
+	l.log.QueueBegin(a)
 }
 
 // gangIsWhole tells whether all tasks of one attempt of a gang are known.
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -12,6 +12,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
@@ -255,12 +256,12 @@
 
 // checkRecords compares the records that a new leader has read with what this node knew
 // before, and with the jobs that the log names. No record is ever removed.
-func (l *Leader) checkRecords(log []segmentRecord, ended map[string]kvstore.Pair, known, listed int, now time.Time) {
+func (l *Leader) checkRecords(log []assignmentlog.StoredSegment, ended map[string]kvstore.Pair, known, listed int, now time.Time) {
 	if listed < known {
 		l.expectTasks(now)
 		l.suspect(detection.Loss{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
 	}
-	for id := range jobsNamed(log) {
+	for id := range assignmentlog.JobsNamed(log) {
 		if _, recorded := ended[id]; !recorded && l.jobs[id] == nil && l.held[id] == nil {
 			l.expectTasks(now)
 			l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
@@ -270,9 +271,9 @@
 
 // learnFromLog takes in a task of a job without a record. That it has no place in the log
 // any more is made good when the job's record is back: workers show what they have of it.
-func (l *Leader) learnFromLog(t taskRecord) {
+func (l *Leader) learnFromLog(t assignmentlog.TaskRecord) {
 	if l.held[t.Job] == nil {
-		l.knowledge.Add(t.Job, recovery.Says(recovery.FromLog, recovery.Knowledge{LeastTasks: t.N + 1}))
+		l.knowledge.Add(t.Job, recovery.Says(recovery.FromLog, recovery.Knowledge{LeastTasks: t.Index + 1}))
 	}
 }
 
@@ -284,13 +285,12 @@
 }
 
 // checkLog looks for holes in the log that a new leader has read.
-func (l *Leader) checkLog(log []segmentRecord, now time.Time) {
+func (l *Leader) checkLog(log []assignmentlog.StoredSegment, now time.Time) {
 	var segments []detection.Segment
-	first := len(l.log.segments) - len(log)
 	newest := uint64(0)
-	for i, rec := range log {
-		segments = append(segments, detection.Segment{Key: l.log.segments[first+i].Key, Number: rec.Number, Broken: rec.broken})
-		for _, b := range rec.Begun {
+	for _, stored := range log {
+		segments = append(segments, detection.Segment{Key: stored.Key, Number: stored.Record.Number, Broken: stored.Unreadable})
+		for _, b := range stored.Record.Begun {
 			for _, t := range b.Tasks {
 				newest = max(newest, t.Attempt)
 			}
@@ -298,9 +298,9 @@
 	}
 	if len(log) < l.logSize {
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: logPrefix, Known: uint64(l.logSize), Found: uint64(len(log))}, now)
+		l.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix, Known: uint64(l.logSize), Found: uint64(len(log))}, now)
 	}
-	for _, e := range detection.CheckRing(logPrefix, segments) {
+	for _, e := range detection.CheckRing(assignmentlog.Prefix, segments) {
 		l.expectTasks(now)
 		l.suspect(e, now)
 	}
@@ -315,7 +315,7 @@
 // checkSegment looks at a key whose revision was not as this leader wrote it. Without a
 // transaction of unknown outcome, only a loss explains that.
 func (l *Leader) checkSegment(key string, p kvstore.Pair) {
-	if !strings.HasPrefix(key, logPrefix) || l.log.open {
+	if !strings.HasPrefix(key, assignmentlog.Prefix) || l.log.OutcomeUnknown() {
 		return
 	}
 	kind := detection.SegmentOlder
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -1,11 +1,15 @@
 package leader
 
 import (
+	"encoding/json"
+	"fmt"
 	"testing"
 	"time"
 
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/recovery/detection"
@@ -27,7 +31,7 @@
 	next.readLog(nil)
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
 	next.jobs[spec.ID] = j
-	next.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: logPrefix}, now)
+	next.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
 	if !next.awaitsWorkers(j, now) {
 		t.Fatal("tasks would be placed before those that run are known")
 	}
@@ -61,18 +65,21 @@
 	for _, firstEnds := range []int{0, 1} {
 		l, _, j, now := bench()
 		next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
-		next.readLog(nil)
 		spec := *j.Spec
 		job := cluster.NewJob(j.ID, &spec, 1, 0, now)
 		next.jobs[j.ID] = job
-		segments := []segmentRecord{{Number: 1}, {Number: 2}}
-		for i := range segments {
-			segments[i].Begun = []begunRecord{{
-				Machine: []string{"m-1", "m-2"}[i], Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: 1,
-				Tasks: []taskRecord{{Job: j.ID, N: 0, Attempt: uint64(i + 1)}},
-			}}
+		var segments []kvstore.Pair
+		for i, machine := range []string{"m-1", "m-2"} {
+			value, err := json.Marshal(assignmentlog.SegmentRecord{Number: uint64(i + 1), Begun: []assignmentlog.MachineRecord{{
+				Machine: machine, Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: 1,
+				Tasks: []assignmentlog.TaskRecord{{Job: j.ID, Index: 0, Attempt: uint64(i + 1)}},
+			}}})
+			if err != nil {
+				t.Fatal(err)
+			}
+			segments = append(segments, kvstore.Pair{Key: fmt.Sprint(assignmentlog.Prefix, i), Value: value, Revision: 1})
 		}
-		next.restore(segments, nil, now)
+		next.restore(next.readLog(segments), nil, now)
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
 			t.Fatalf("%d wait, %d are placed", job.Pending.Count, len(job.Assignments))
 		}
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -13,6 +13,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/recovery"
 )
 
@@ -123,7 +124,7 @@
 			continue
 		}
 		r := l.composeRecord(id, k, recovery.Decide(k, true), now)
-		if len(batch) > 0 && bytes+len(r.value) > txnBytes {
+		if len(batch) > 0 && bytes+len(r.value) > transaction.MaxBytes {
 			break
 		}
 		l.unwritten = l.unwritten[1:]
@@ -266,7 +267,7 @@
 }
 
 func (l *Leader) removeStatus(ctx context.Context, now time.Time) {
-	if !l.unmark || l.recording || now.Before(l.recordAt) || len(l.adopting) > 0 || l.log.waiting() || !l.Valid() {
+	if !l.unmark || l.recording || now.Before(l.recordAt) || len(l.adopting) > 0 || l.log.HasWork() || !l.Valid() {
 		return // tasks that were adopted are durable first
 	}
 	l.commitStatus(ctx, kvstore.Write{Remove: jobs.RecoveryStatusKey}, false)
@@ -285,12 +286,7 @@
 	if l.recording || now.Sub(l.logSizeAt) < l.Derived.Lease || !l.Valid() {
 		return
 	}
-	written := 0
-	for _, p := range l.log.segments {
-		if p.Revision != 0 {
-			written++
-		}
-	}
+	written := l.log.WrittenSegments()
 	if written <= l.logSize {
 		return
 	}
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -13,7 +13,9 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/workers"
@@ -39,7 +41,7 @@
 	l.lost(m, "not of this fleet")
 	l.machines.Remove(m)
 	l.watch.Forget(m.ID)
-	l.jobs, l.log = map[string]*cluster.Job{}, assignmentLog{}
+	l.jobs = map[string]*cluster.Job{}
 	l.readLog(nil)
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
@@ -71,9 +73,10 @@
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
 		l, reports, now := fleetOf(t, size)
-		l.replan, l.log.begins, l.notifyQueue = false, nil, nil
+		l.replan, l.notifyQueue = false, nil
+		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { again(l, reports[20], now) })
-		if l.replan || l.log.waiting() || len(l.notifyQueue) > 0 {
+		if l.replan || l.log.HasWork() || len(l.notifyQueue) > 0 {
 			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
 		}
 		return n
@@ -108,7 +111,9 @@
 			l.conclude(a, cluster.Retry)
 			l.forget(a)
 		}
-		l.log.begins, l.log.ends = nil, nil
+		b.StopTimer()
+		l.readLog(nil) // drops what the plan has queued
+		b.StartTimer()
 	}
 }
 
@@ -176,15 +181,12 @@
 // is written.
 func written(l *Leader) []kvstore.Pair {
 	segments := map[string]kvstore.Pair{}
-	for rev := uint64(1); l.log.waiting(); rev++ {
-		l.log.grow(1)
-		batch := &batch{revisions: map[string]func(uint64){}}
-		l.addSegment(batch, 0, true)
-		for _, f := range batch.done {
-			f(rev)
-		}
-		l.log.rotate(1)
-		w := batch.writes[0]
+	for rev := uint64(1); l.log.HasWork(); rev++ {
+		l.log.Grow(1)
+		batch := transaction.New()
+		l.log.AddSegments(batch, 1)
+		l.committed(batch, rev)
+		w := batch.Writes[0]
 		segments[w.Set] = kvstore.Pair{Key: w.Set, Value: w.Value, Revision: rev}
 	}
 	return slices.Collect(maps.Values(segments))
@@ -200,7 +202,7 @@
 	}
 	log := next.readLog(segments)
 	ended := map[string]kvstore.Pair{} // of the others, the records say that they are cancelled
-	for id := range jobsNamed(log) {
+	for id := range assignmentlog.JobsNamed(log) {
 		if next.jobs[id] == nil {
 			ended[id] = kvstore.Pair{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -82,7 +82,7 @@
 	s := &Status{
 		Term: l.term.Token, Token: l.token, PictureS: l.viewAge(now).Seconds(),
 		Held: l.watch.Held(now), Disrupted: l.watch.Disrupted(),
-		WriteQueue: len(l.finished) + len(l.log.begins) + len(l.log.ends) + len(l.log.chunks),
+		WriteQueue: len(l.finished) + l.log.QueueLength(),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
 		Takeover: l.takeover.Progress(now),
 	}
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -81,7 +81,7 @@
 		if j.Completions.Count == j.Spec.Tasks {
 			l.finish(j)
 		} else {
-			l.chunkDirty(j, a.Index/l.Derived.ChunkTasks)
+			l.log.QueueCompletion(j, a.Index)
 		}
 	}
 	if !m.Offer.Images[j.Spec.Image] && !slices.ContainsFunc(slices.Collect(maps.Values(m.Assignments)), func(b *cluster.Assignment) bool {
@@ -89,7 +89,7 @@
 	}) {
 		delete(m.Offer.Fetching, j.Spec.Image) // nobody waits for it any more
 	}
-	l.log.end(a)
+	l.log.QueueEnd(a)
 	l.show(j)
 	l.replan = true
 	if j.IsGang() {
@@ -115,19 +115,6 @@
 	l.finished = append(l.finished, j)
 }
 
-func (l *Leader) chunkDirty(j *cluster.Job, c int) {
-	ch := j.Completions.Chunks[c]
-	if ch == nil {
-		ch = &cluster.Chunk{}
-		j.Completions.Chunks[c] = ch
-	}
-	ch.Saved = false
-	if !ch.Dirty {
-		ch.Dirty = true
-		l.log.chunks = append(l.log.chunks, cluster.ChunkRef{Job: j, Index: c})
-	}
-}
-
 // forget drops an assignment whose end is durable.
 func (l *Leader) forget(a *cluster.Assignment) {
 	j, m := a.Job, a.Machine
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -125,7 +125,7 @@
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
-	if l.watch.Disrupted() && l.mayResign && !l.writing && !l.log.waiting() {
+	if l.watch.Disrupted() && l.mayResign && !l.writing && !l.log.HasWork() {
 		slog.Info("resigning", "term", l.token, "reason", "no machine of any zone reports here")
 		l.resign = true
 	}
@@ -184,7 +184,7 @@
 			l.stopGang(a.Job, 0)
 		}
 	}
-	l.log.deaths = append(l.log.deaths, m.ID)
+	l.log.QueueDeath(m.ID)
 	l.updateCapacity(m, now)
 	l.replan = true
 	if reason == liveness.CallFailed {
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -14,96 +14,66 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/recovery/detection"
 )
 
-// txnBytes is the protocol's limit for a transaction; a quarter is left for
-// guards and punctuation.
-const txnBytes = 64 << 10 * 3 / 4
-
-// batch is a transaction with what follows from it. There is one at a time:
-// what comes meanwhile goes into the next, so that a scarce write rate makes
-// batches larger, not queues longer.
-type batch struct {
-	guards    []kvstore.Guard
-	writes    []kvstore.Write
-	bytes     int
-	undo      []func()                // not executed: queue it all again
-	done      []func(revision uint64) // executed
-	revisions map[string]func(revision uint64)
-}
-
-func (b *batch) add(key string, revision uint64, value json.RawMessage, learn func(uint64)) {
-	b.guards = append(b.guards, kvstore.Guard{Key: key, Revision: revision})
-	b.writes = append(b.writes, kvstore.Write{Set: key, Value: value})
-	b.bytes += 2*len(key) + len(value)
-	b.revisions[key] = learn
-}
-
 // flush starts the next transaction.
 func (l *Leader) flush(ctx context.Context, now time.Time) {
-	if l.writing || !l.raiseToken && len(l.finished) == 0 && !l.log.waiting() || now.Sub(l.flushedAt) < l.Derived.FlushGap || !l.Valid() {
+	if l.writing || !l.raiseToken && len(l.finished) == 0 && !l.log.HasWork() || now.Sub(l.flushedAt) < l.Derived.FlushGap || !l.Valid() {
 		return
 	}
 	l.flushedAt = now
 	b := l.compose()
-	if len(b.writes) == 0 {
+	if len(b.Writes) == 0 {
 		return
 	}
 	l.writing = true
 	go func() {
-		rev, failed, err := l.Store.Commit(ctx, b.guards, b.writes)
+		rev, failed, err := l.Store.Commit(ctx, b.Guards, b.Writes)
 		l.post(ctx, func(time.Time) { l.written(ctx, b, rev, failed, err) })
 	}()
 }
 
 // compose puts the next transaction together.
-func (l *Leader) compose() *batch {
-	b := &batch{revisions: map[string]func(uint64){}}
-	l.log.grow(l.Derived.TxnOps / 2)
-	// The segments of a transaction whose outcome is open come first of all.
-	left := l.Derived.TxnOps - l.log.again
+func (l *Leader) compose() *transaction.Batch {
+	b := transaction.New()
+	l.log.Grow(l.Derived.TxnOps / 2)
+	// The segments of a transaction of unknown outcome come before all else.
+	left := l.Derived.TxnOps - l.log.UnsettledSegments()
 	if l.raiseToken && left > 0 {
 		l.addToken(b)
 		left--
 	}
 	// Then ends of jobs, in half of the room if there is anything else.
-	limit := len(b.writes) + left
-	if l.log.again == 0 && l.log.news() {
-		limit = len(b.writes) + max(1, left/2)
+	limit := len(b.Writes) + left
+	if l.log.UnsettledSegments() == 0 && l.log.HasNews() {
+		limit = len(b.Writes) + max(1, left/2)
 	}
-	for len(l.finished) > 0 && len(b.writes) < limit {
+	for len(l.finished) > 0 && len(b.Writes) < limit {
 		j := l.finished[0]
 		l.finished = l.finished[1:]
 		l.addFinal(b, j)
 	}
-	segments := 0
-	for ; segments < len(l.log.segments) && len(b.writes) < l.Derived.TxnOps; segments++ {
-		must := segments < l.log.again
-		if !must && (!l.log.news() && l.log.rewrite <= segments || b.bytes+l.log.most > txnBytes) {
-			break
-		}
-		l.addSegment(b, segments, segments+1 >= l.log.again)
-		l.log.again = max(l.log.again, segments+1) // until the outcome is known
-	}
-	b.done = append(b.done, func(uint64) { l.log.rotate(segments) })
-	b.guards = append(b.guards, kvstore.Guard{Key: election.HolderKey, Revision: l.term.Revision})
+	l.log.AddSegments(b, l.Derived.TxnOps)
+	b.Guard(election.HolderKey, l.term.Revision)
 	return b
 }
 
-func (l *Leader) addToken(b *batch) {
+func (l *Leader) addToken(b *transaction.Batch) {
 	next := max(l.token, l.tokenFloor) + 1
 	l.raiseToken = false
-	b.undo = append(b.undo, func() { l.raiseToken = true })
-	b.done = append(b.done, func(rev uint64) {
+	b.OnFailure(func() { l.raiseToken = true })
+	b.OnCommit(func(rev uint64) {
 		l.token, l.tokenRevision = next, rev
 		l.clearHeld = false
 		l.Raised(next)
 		l.tokenRaised()
 		slog.Info("token raised", "term", l.token, "reason", "an order may still arrive")
 	})
-	b.add(election.TokenKey, l.tokenRevision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
+	b.Set(election.TokenKey, l.tokenRevision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
 		// Ours, from an attempt whose outcome was unknown; or the key was lost.
 		l.token, l.tokenRevision = next, m
 		l.Raised(next)
@@ -111,14 +81,14 @@
 	})
 }
 
-func (l *Leader) addFinal(b *batch, j *cluster.Job) {
+func (l *Leader) addFinal(b *transaction.Batch, j *cluster.Job) {
 	if j.End.Cancelled {
 		return // its user was faster
 	}
 	rec := jobs.Record{Tasks: j.Spec.Tasks, Spec: j.Spec}
-	b.add(jobs.RecordKey(j.ID), j.Revision, rec.Ended(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
-	b.undo = append(b.undo, func() { l.finished = append(l.finished, j) })
-	b.done = append(b.done, func(uint64) {
+	b.Set(jobs.RecordKey(j.ID), j.Revision, rec.Ended(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
+	b.OnFailure(func() { l.finished = append(l.finished, j) })
+	b.OnCommit(func(uint64) {
 		slog.Debug("job done", "job", j.ID, "term", l.token)
 		l.finalDone(j)
 	})
@@ -144,24 +114,21 @@
 }
 
 // written takes in the outcome of a transaction.
-func (l *Leader) written(ctx context.Context, b *batch, rev uint64, failed []string, err error) {
+func (l *Leader) written(ctx context.Context, b *transaction.Batch, rev uint64, failed []string, err error) {
 	// What was too large is no outage: were it taken for one, and nothing were left to
 	// be written, nothing would be planned any more.
 	l.storeFailing = err != nil && !errors.Is(err, kvstore.ErrRejected)
 	if err == nil && len(failed) == 0 {
 		l.writing = false
-		for _, f := range b.done {
-			f(rev)
-		}
+		l.committed(b, rev)
 		return
 	}
-	// The latest first, so that what goes back to the head of a queue is in order.
-	for _, f := range slices.Backward(b.undo) {
-		f()
-	}
+	b.Failed()
 	if err != nil {
 		slog.Debug("records not written", "term", l.token, "reason", err)
-		l.log.open = l.log.open || !errors.Is(err, kvstore.ErrRefused)
+		if !errors.Is(err, kvstore.ErrRefused) {
+			l.log.MarkOutcomeUnknown()
+		}
 		if errors.Is(err, kvstore.ErrRejected) {
 			l.rejected(b, err)
 		}
@@ -182,27 +149,48 @@
 	go l.reread(ctx, b, failed)
 }
 
+// committed takes in that a transaction was executed.
+func (l *Leader) committed(b *transaction.Batch, revision uint64) {
+	b.Committed(revision)
+	for _, event := range l.log.TakeEvents() {
+		switch event.Kind {
+		case assignmentlog.BeginDurable:
+			l.beginDurable(event.Assignment)
+		case assignmentlog.EndDurable:
+			l.forget(event.Assignment)
+		}
+	}
+}
+
+// beginDurable lets a worker hear of an assignment. Tasks of a gang go together.
+func (l *Leader) beginDurable(a *cluster.Assignment) {
+	if a.Job.IsGang() {
+		l.gangWritten(a.Job)
+	} else {
+		l.notify(a.Machine)
+	}
+}
+
 // rejected looks for a transaction that the state service takes: its limits are
 // lower than the settings say. The same one would be rejected for ever, and with it
 // all that waits behind it.
-func (l *Leader) rejected(b *batch, err error) {
+func (l *Leader) rejected(b *transaction.Batch, err error) {
 	most := 0
-	for _, w := range b.writes {
+	for _, w := range b.Writes {
 		most = max(most, len(w.Value))
 	}
-	slog.Error("transaction rejected", "term", l.token, "writes", len(b.writes), "bytes", b.bytes, "largest", most, "reason", err)
-	if l.log.open {
+	slog.Error("transaction rejected", "term", l.token, "writes", len(b.Writes), "bytes", b.Bytes, "largest", most, "reason", err)
+	if l.log.OutcomeUnknown() {
 		// An earlier one may still be carried out, and its segments have to be written
 		// again. The end of the term is what makes sure that it is not.
 		l.resign = true
 		return
 	}
-	l.log.again = 0 // nothing of it was carried out
-	l.log.most = max(l.log.most/2, 2*usualBytes)
+	l.log.ShrinkSegments()
 }
 
 // reread learns the revisions of keys that were not as expected.
-func (l *Leader) reread(ctx context.Context, b *batch, keys []string) {
+func (l *Leader) reread(ctx context.Context, b *transaction.Batch, keys []string) {
 	for _, key := range keys {
 		for {
 			p, _, err := l.Store.Get(ctx, key)
@@ -219,12 +207,10 @@
 	l.post(ctx, func(time.Time) { l.writing = false })
 }
 
-func (l *Leader) relearn(b *batch, key string, p kvstore.Pair) {
+func (l *Leader) relearn(b *transaction.Batch, key string, p kvstore.Pair) {
 	id := jobs.IDOf(key)
 	if id == key { // not a job's record
-		if learn := b.revisions[key]; learn != nil {
-			learn(p.Revision)
-		}
+		b.Learn(key, p.Revision)
 		l.checkSegment(key, p)
 		return
 	}
