--- a/cmd/ospreyslip-operator/recover.go
+++ b/cmd/ospreyslip-operator/recover.go
@@ -156,8 +156,8 @@
 	settle := &cobra.Command{
 		Use: "settle JOB done|cancelled|run", Short: "Decide what becomes of a held job", Args: cobra.ExactArgs(2),
 		RunE: withLeader(func(cmd *cobra.Command, args []string, _ *settings.Settings, c *leaderClient) error {
-			var settled controller.Settle
-			in := controller.Settle{Job: args[0], As: recovery.Settlement(args[1])}
+			var settled controller.SettleRequest
+			in := controller.SettleRequest{Job: args[0], As: recovery.Settlement(args[1])}
 			if err := c.do(cmd.Context(), http.MethodPost, "/recovery/settle", in, &settled); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -211,7 +211,7 @@
 // importFile hands the jobs of a snapshot to the leader, page by page. It can be repeated:
 // what is known by then is passed over.
 func importFile(ctx context.Context, out io.Writer, set *settings.Settings, c *leaderClient, path string) error {
-	s, err := snapshot.Read(path)
+	s, err := snapshot.ReadFile(path)
 	if err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 		if !strings.HasPrefix(r.Key, jobs.RecordPrefix) || !json.Valid(r.Value) {
 			continue
 		}
-		page.Jobs = append(page.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+		page.Jobs = append(page.Jobs, leader.SnapshotFact{ID: jobs.JobIDFromKey(r.Key), Record: r.Value})
 		if bytes += len(r.Key) + len(r.Value); bytes < importPage {
 			continue
 		}
--- a/cmd/ospreyslip-operator/snapshot.go
+++ b/cmd/ospreyslip-operator/snapshot.go
@@ -106,14 +106,14 @@
 
 func takeSnapshot(ctx context.Context, set *settings.Settings, o snapshotOptions) (string, error) {
 	began := time.Now()
-	requests := snapshotShare * set.Deployment.State.Within().RPS
+	requests := snapshotShare * set.Deployment.Store.Effective().RPS
 	wait := max(leastSnapshotWait, time.Duration(4/requests*float64(time.Second)))
-	client := kvstore.New(set.Endpoints.State, &http.Transport{}, wait, kvstore.Budget{Requests: requests})
+	client := kvstore.New(set.Endpoints.Store, &http.Transport{}, wait, kvstore.RateLimits{RequestsPerSecond: requests})
 	s, err := snapshot.Take(ctx, client, set.ClusterID(), began)
 	if err != nil {
 		return "", err
 	}
-	path, err := snapshot.Write(o.out, s)
+	path, err := snapshot.WriteFile(o.out, s)
 	if err != nil {
 		return "", err
 	}
@@ -136,7 +136,7 @@
 		Short: "Check that a snapshot is whole",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := snapshot.Read(args[0])
+			s, err := snapshot.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -153,7 +153,7 @@
 		Short: "Show what a snapshot holds, or one job's record in it",
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := snapshot.Read(args[0])
+			s, err := snapshot.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -39,15 +39,15 @@
 	collectAt = 300
 )
 
-// Node is one controller.
-type Node struct {
+// Controller is one controller.
+type Controller struct {
 	set     *settings.Settings
 	d       settings.Derived
 	store   *kvstore.Client
 	cache   *jobs.Cache
-	cloud   *autoscaler.Cloud
+	cloud   *autoscaler.Client
 	workers *workers.Client
-	keeper  *election.Keeper
+	keeper  *election.Elector
 	gate    *leader.Gate
 	counts  *leader.Counts
 	hub     *peer.Hub
@@ -62,8 +62,8 @@
 	listenForUsers, listenForPeers func(addr string) (net.Listener, error)
 }
 
-// Wire is how a node reaches others; nil fields mean the real network.
-type Wire struct {
+// Environment is how a node reaches others; nil fields mean the real network.
+type Environment struct {
 	HTTP   http.RoundTripper
 	Dial   peer.Dial
 	Listen func(addr string) (net.Listener, error)
@@ -71,7 +71,7 @@
 }
 
 // New makes a node from checked settings.
-func New(set *settings.Settings, w Wire) *Node {
+func New(set *settings.Settings, w Environment) *Controller {
 	d := set.Derive()
 	pick := func(each, all int, wait time.Duration) http.RoundTripper {
 		if w.HTTP != nil {
@@ -86,23 +86,23 @@
 	if w.Listen == nil {
 		users, cluster = listenForUsers, listenForPeers
 	}
-	n := &Node{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
-	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
-	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.budget(false))
-	n.cache = jobs.NewCache(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
-	n.keeper = election.NewKeeper(set.Node, n.store, election.Timing{
-		Lease: d.TermLease, Renew: d.TermRenew, Safe: d.TermSafe, WatchWait: d.WatchWait, Retry: d.TermRenew,
+	n := &Controller{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
+	n.workers = workers.NewClient(pick(2, d.Host.WorkerConns, d.Workers.RequestTimeout), d.Workers.RequestTimeout)
+	n.store = kvstore.New(set.Endpoints.Store, pick(d.Host.StoreConns, 0, d.Store.RequestTimeout), d.Store.RequestTimeout, n.budget(false))
+	n.cache = jobs.NewCache(n.store, d.API.PollReadInterval, d.Workers.CancelDeadline/4, d.Workers.CancelDeadline, d.API.CancellationHistory)
+	n.keeper = election.NewElector(set.Node, n.store, election.Timing{
+		LeaseDuration: d.Election.LeaseDuration, RenewPeriod: d.Election.RenewInterval, ValidFor: d.Election.LeaseValidity, WatchTimeout: d.Store.WatchTimeout, RetryPeriod: d.Election.RenewInterval,
 	})
-	n.hub = peer.NewHub(set.Node, set.Peers, w.Dial, d.TermRenew)
+	n.hub = peer.NewHub(set.Node, set.Peers, w.Dial, d.Election.RenewInterval)
 	n.debug = newHanded()
 	n.losses = newLossDesk()
 	n.cache.OnLoss = n.losses.notice
-	n.keeper.Lost = func(l detection.Loss) {
-		n.cache.Suspect(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
+	n.keeper.ReportLoss = func(l detection.Evidence) {
+		n.cache.SuspectLossUntil(time.Now().Add(d.Workers.CancelDeadline)) // before the term ends, and with it what its leader knows
 		n.losses.notice(l)
 	}
 	n.hub.Lost = n.lostPage
-	n.hub.Noticed = func(_ string, l detection.Loss) {
+	n.hub.Noticed = func(_ string, l detection.Evidence) {
 		if !l.Kind.AffectsLog() {
 			l.Kind = detection.ReportedByPeer
 		}
@@ -111,40 +111,40 @@
 	if w.Memory == nil {
 		w.Memory = heldBytes
 	}
-	n.memory = &memoryGauge{most: uint64(d.RefuseBytes), held: w.Memory}
+	n.memory = &memoryGauge{most: uint64(d.Host.RefuseBytes), held: w.Memory}
 	n.hub.HTTP = n.debug.take
 	n.hub.Promise = n.promise
 	n.hub.Progress = func(from string, p peer.Progress) {
-		if n.keeper.Valid() {
+		if n.keeper.IsLeader() {
 			return
 		}
 		n.counts.Replace(p.Counts)
 		for _, c := range p.Changes {
-			n.cache.Hear(c.ID, c.State, c.Tasks)
+			n.cache.NoteAnnounced(c.ID, c.State, c.Tasks)
 		}
 		n.leaderIsUnsure(p)
-		n.cache.Expect(p.Known, p.Uncertain)
+		n.cache.NotePeerCount(p.Known, p.Uncertain)
 		n.heard.Store(time.Since(n.born).Nanoseconds())
 		if p.Served {
 			n.served.Store(time.Since(n.born).Nanoseconds())
 		}
 	}
 	if len(set.Peers) == set.Deployment.Nodes-1 {
-		n.keeper.AllPromise = n.allPromise
-		n.keeper.NobodyRelies = n.nobodyRelies
+		n.keeper.RequestPeerLeases = n.allPromise
+		n.keeper.NoPeerReliesOnGrants = n.nobodyRelies
 	}
-	n.cloud = autoscaler.NewCloud(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudShare)
+	n.cloud = autoscaler.NewClient(set.Endpoints.Cloud, pick(d.Host.CloudConns, 0, d.Cloud.RequestTimeout), d.Cloud.RequestTimeout, set.Deployment.Cloud.RPS*cloudShare)
 	return n
 }
 
 // Run serves until the context ends.
-func (n *Node) Run(ctx context.Context) error {
+func (n *Controller) Run(ctx context.Context) error {
 	// One thread at a time is all that a share of a core can use.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(n.d.CollectBytes)
+	debug.SetMemoryLimit(n.d.Host.GCBytes)
 
-	ln, err := n.listenForUsers(n.set.Listen)
+	ln, err := n.listenForUsers(n.set.Bind)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
@@ -152,19 +152,19 @@
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
-	served := newConns(n.d.ServedConns)
+	served := newConns(n.d.Host.ServedConns)
 	srv := &http.Server{
 		Handler:           n.Handler(),
 		ConnState:         served.changed,
-		ReadHeaderTimeout: n.d.UserWait * 2,
-		ReadTimeout:       n.d.UserWait * 4,
-		IdleTimeout:       n.d.IdleConns,
+		ReadHeaderTimeout: n.d.API.RequestTimeout * 2,
+		ReadTimeout:       n.d.API.RequestTimeout * 4,
+		IdleTimeout:       n.d.Host.IdleTimeout,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	slog.Info("serving", "node", n.set.Node, "zone", n.set.Zone, "bind", n.set.Listen)
+	slog.Info("serving", "node", n.set.Node, "zone", n.set.Zone, "bind", n.set.Bind)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		err := srv.Serve(netutil.LimitListener(turns{ln}, n.d.ServedConns))
+		err := srv.Serve(netutil.LimitListener(turns{ln}, n.d.Host.ServedConns))
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
@@ -172,7 +172,7 @@
 	})
 	g.Go(func() error {
 		<-ctx.Done()
-		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), n.d.UserWait)
+		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), n.d.API.RequestTimeout)
 		defer cancel()
 		return srv.Shutdown(stop)
 	})
@@ -181,11 +181,11 @@
 }
 
 // Handler serves users and workers.
-func (n *Node) Handler() http.Handler {
+func (n *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	users := &jobs.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
 	users.Register(mux)
-	reports := &workers.Handler{Answer: n.gate.Report, Leader: func() string {
+	reports := &workers.Handler{HandleHeartbeat: n.gate.Report, Leader: func() string {
 		if l := n.keeper.Leader(); l != n.set.Node {
 			return l
 		}
@@ -196,10 +196,10 @@
 }
 
 // Work does the long-lived duties until the context ends.
-func (n *Node) Work(ctx context.Context, cluster net.Listener) {
+func (n *Controller) Work(ctx context.Context, cluster net.Listener) {
 	deps := leader.Deps{
 		Settings: n.set, Derived: n.d, Store: n.store, Cloud: n.cloud,
-		Workers: n.workers, Valid: n.keeper.Valid, Promised: n.keeper.Promised, Raised: n.keeper.Raised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
+		Workers: n.workers, Valid: n.keeper.IsLeader, Promised: n.keeper.PeerLeasesRequestedAt, Raised: n.keeper.TokenRaised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
 		Cache: n.cache, Peers: n.hub, Node: n.set.Node,
 	}
 	var duties sync.WaitGroup
@@ -210,12 +210,12 @@
 	duties.Go(func() { n.tellLosses(ctx) })
 	duties.Go(func() { n.becomeSure(ctx) })
 	duties.Go(func() { n.staySure(ctx) })
-	duties.Go(func() { n.cache.Audit(ctx, n.d.Audit, n.d.AuditPause) })
-	duties.Go(func() { n.memory.watch(ctx, n.d.TermRenew) })
+	duties.Go(func() { n.cache.RunAudits(ctx, n.d.Store.AuditInterval, n.d.Store.AuditPagePause) })
+	duties.Go(func() { n.memory.watch(ctx, n.d.Election.RenewInterval) })
 	duties.Go(func() {
 		n.keeper.Run(ctx, func(ctx context.Context, t election.Term) {
-			n.store.SetBudget(n.budget(true))
-			defer n.store.SetBudget(n.budget(false))
+			n.store.SetRateLimits(n.budget(true))
+			defer n.store.SetRateLimits(n.budget(false))
 			n.gate.Lead(ctx, deps, t)
 		})
 	})
@@ -224,10 +224,10 @@
 
 // promise answers the holder of the term, which has lost the state service. The
 // promise comes first: what this node tells users later is newer than the question.
-func (n *Node) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
-	p := peer.Promise{Given: n.keeper.Promise(ctx, token)}
+func (n *Controller) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
+	p := peer.Promise{Given: n.keeper.GrantPeerLease(ctx, token)}
 	if p.Given && seen > 0 {
-		p.Cancellations, p.Complete = n.cache.Cancellations(seen)
+		p.Cancellations, p.Complete = n.cache.CancellationsAfter(seen)
 	}
 	return p
 }
@@ -235,10 +235,10 @@
 // allPromise asks all others for promises. The picture of the jobs is renewed only by
 // what all nodes, this one too, have told users and it has not seen: that none reaches
 // the state service now says nothing of what was told before.
-func (n *Node) allPromise(ctx context.Context, token uint64) bool {
+func (n *Controller) allPromise(ctx context.Context, token uint64) bool {
 	asked, seen := time.Now(), n.gate.Seen()
 	p := n.hub.AllPromise(ctx, token, seen)
-	own, complete := n.cache.Cancellations(seen)
+	own, complete := n.cache.CancellationsAfter(seen)
 	if p.Given && p.Complete && complete && seen > 0 {
 		n.gate.Cancelled(ctx, append(p.Cancellations, own...), asked)
 	}
@@ -246,23 +246,23 @@
 }
 
 // budget is what this node may ask of the state service.
-func (n *Node) budget(leading bool) kvstore.Budget {
-	all := n.set.Deployment.State.Within()
-	b := kvstore.Budget{Requests: leaderRequests * all.RPS, Writes: leaderWrites * all.WriteRPS}
+func (n *Controller) budget(leading bool) kvstore.RateLimits {
+	all := n.set.Deployment.Store.Effective()
+	b := kvstore.RateLimits{RequestsPerSecond: leaderRequests * all.RPS, WritesPerSecond: leaderWrites * all.WriteRPS}
 	if others := float64(n.set.Deployment.Nodes - 1); !leading && others > 0 {
-		b.Requests = (1 - leaderRequests) * all.RPS / others
-		b.Writes = (1 - leaderWrites) * all.WriteRPS / others
+		b.RequestsPerSecond = (1 - leaderRequests) * all.RPS / others
+		b.WritesPerSecond = (1 - leaderWrites) * all.WriteRPS / others
 	}
 	return b
 }
 
-func (n *Node) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
+func (n *Controller) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.PutBack(n.gate.PutBack())
+	n.cache.SetRolledBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
 		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
-		PutBack: n.gate.PutBack(), Known: n.cache.Jobs(), Changes: changes,
+		PutBack: n.gate.PutBack(), Known: n.cache.JobCount(), Changes: changes,
 	})
 }
 
@@ -271,8 +271,8 @@
 // service and the leader together, as it is most likely cut off itself. In an outage
 // of all it stays, since users would only find nobody, and come back later than the
 // service does.
-func (n *Node) ready() bool {
-	if !n.cache.Settled() && time.Since(n.born) < 2*n.d.TermLease {
+func (n *Controller) ready() bool {
+	if !n.cache.ProvenCurrent() && time.Since(n.born) < 2*n.d.Election.LeaseDuration {
 		return false // it has just begun, and cannot tell a new job from a lost one yet
 	}
 	if !n.store.Failing() {
@@ -282,14 +282,14 @@
 		t := time.Duration(at.Load())
 		return time.Since(n.born) - t, t != 0
 	}
-	if since, ever := ago(&n.served); ever && since <= 2*n.d.Report {
+	if since, ever := ago(&n.served); ever && since <= 2*n.d.Workers.HeartbeatInterval {
 		return false
 	}
 	since, ever := ago(&n.heard)
-	return !ever || since <= n.d.Cancel // most outages are over by then
+	return !ever || since <= n.d.Workers.CancelDeadline // most outages are over by then
 }
 
-func (n *Node) types() []jobs.MachineType {
+func (n *Controller) types() []jobs.MachineType {
 	if t := n.catalog.Load(); t != nil {
 		return *t
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -22,7 +22,7 @@
 // lossDesk hands evidence of lost records to the leader, and answers the leader's
 // questions for what this node knows.
 type lossDesk struct {
-	noticed chan detection.Loss
+	noticed chan detection.Evidence
 	told    time.Time   // when the leader was last told, owned by the duty
 	unsure  atomic.Bool // the leader says that records are being compared
 	writing atomic.Bool // the leader says that lost records are being written again
@@ -32,10 +32,10 @@
 	ticket uint64 // of this node's own comparison in it
 }
 
-func newLossDesk() *lossDesk { return &lossDesk{noticed: make(chan detection.Loss, lossQueue)} }
+func newLossDesk() *lossDesk { return &lossDesk{noticed: make(chan detection.Evidence, lossQueue)} }
 
 // notice takes in evidence. It is called in the midst of other duties and never waits.
-func (d *lossDesk) notice(l detection.Loss) {
+func (d *lossDesk) notice(l detection.Evidence) {
 	select {
 	case d.noticed <- l:
 	default:
@@ -43,7 +43,7 @@
 }
 
 // tellLosses hands evidence on until the context ends.
-func (n *Node) tellLosses(ctx context.Context) {
+func (n *Controller) tellLosses(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -56,13 +56,13 @@
 
 // tellLoss hands evidence to the leader, here or elsewhere. Another is told once in a
 // while only: it compares all records anyway.
-func (n *Node) tellLoss(l detection.Loss) {
+func (n *Controller) tellLoss(l detection.Evidence) {
 	if n.gate.Noticed(l) {
 		return
 	}
-	n.cache.Suspect(time.Now().Add(n.d.Cancel))
+	n.cache.SuspectLossUntil(time.Now().Add(n.d.Workers.CancelDeadline))
 	leader := n.keeper.Leader()
-	if leader == "" || leader == n.set.Node || time.Since(n.losses.told) < n.d.TermLease {
+	if leader == "" || leader == n.set.Node || time.Since(n.losses.told) < n.d.Election.LeaseDuration {
 		return
 	}
 	n.losses.told = time.Now()
@@ -71,31 +71,31 @@
 
 // lostPage answers the leader's question for jobs of which this node knows more than the
 // state service. In a new round, all records are compared with that first.
-func (n *Node) lostPage(q peer.Question) peer.LostPage {
-	if q.Round == 0 {
+func (n *Controller) lostPage(q peer.LostJobsRequest) peer.LostJobsResponse {
+	if q.ComparisonRound == 0 {
 		// Who asks compares with what this node knows: that has to be in the records still.
-		fresh := time.Since(n.cache.WitnessesChecked()) < n.d.TermRenew
+		fresh := time.Since(n.cache.RollbackCheckedAt()) < n.d.Election.RenewInterval
 		if !fresh {
-			n.cache.CheckWitnesses()
+			n.cache.RequestRollbackCheck()
 		}
-		return peer.LostPage{
-			Ready: fresh, Known: n.cache.Jobs(), Newest: n.cache.Newest(), Noticed: n.cache.Suspected() || n.cache.LostJobs() > 0,
-			ReliesOnNothing: n.keeper.ReliesOnNothing(),
+		return peer.LostJobsResponse{
+			Compared: fresh, KnownJobs: n.cache.JobCount(), NewestRevision: n.cache.NewestRevision(), LossNoticed: n.cache.LossSuspected() || n.cache.LostCount() > 0,
+			ReliesOnNoPromise: n.keeper.ReliesOnNoGrant(),
 		}
 	}
 	n.losses.mu.Lock()
-	if n.losses.round != q.Round {
-		n.losses.round, n.losses.ticket = q.Round, n.cache.Verify()
+	if n.losses.round != q.ComparisonRound {
+		n.losses.round, n.losses.ticket = q.ComparisonRound, n.cache.RequestAudit()
 	}
 	ticket := n.losses.ticket
 	n.losses.mu.Unlock()
-	if !n.cache.Verified(ticket) {
-		return peer.LostPage{}
+	if !n.cache.AuditDone(ticket) {
+		return peer.LostJobsResponse{}
 	}
-	lost, more := n.cache.Lost(q.After, lostRows)
-	page := peer.LostPage{Ready: true, More: more}
+	lost, more := n.cache.LostPage(q.AfterID, lostRows)
+	page := peer.LostJobsResponse{Compared: true, More: more}
 	for _, l := range lost {
-		page.Jobs = append(page.Jobs, peer.LostJob{ID: l.ID, State: l.State, Tasks: l.Tasks, Record: n.cache.Unfinished(l.ID)})
+		page.Jobs = append(page.Jobs, peer.LostJob{ID: l.ID, State: l.State, Tasks: l.Tasks, Record: n.cache.UnfinishedRecord(l.ID)})
 	}
 	return page
 }
@@ -105,28 +105,28 @@
 
 // leaderIsUnsure takes in whether the leader is comparing records, or writing lost ones again.
 // Until they are written, this node may not know of a job, or know less than others.
-func (n *Node) leaderIsUnsure(p peer.Progress) {
-	n.cache.PutBack(p.PutBack)
+func (n *Controller) leaderIsUnsure(p peer.Progress) {
+	n.cache.SetRolledBack(p.PutBack)
 	compared := n.losses.unsure.Swap(p.Uncertain) && !p.Uncertain
 	written := n.losses.writing.Swap(p.Restoring) && !p.Restoring
-	if compared || written || !p.Uncertain && !n.cache.SawAll() {
-		n.cache.Compared()
+	if compared || written || !p.Uncertain && !n.cache.ReadAllBeforeLoss() {
+		n.cache.MarkCompared()
 	}
 	if p.Uncertain || p.Restoring {
-		n.cache.Suspect(time.Now().Add(n.d.Cancel))
+		n.cache.SuspectLossUntil(time.Now().Add(n.d.Workers.CancelDeadline))
 	}
 }
 
 // recoveryHandlers serve operators: the state of a recovery, parts of a snapshot, and
 // decisions about held jobs.
-func (n *Node) recoveryHandlers(mux *http.ServeMux) {
+func (n *Controller) recoveryHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /recovery", n.showRecovery)
 	mux.HandleFunc("POST /recovery/import", n.importSnapshot)
 	mux.HandleFunc("POST /recovery/settle", n.settle)
 }
 
-func (n *Node) showRecovery(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+func (n *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), n.d.API.RequestTimeout)
 	defer cancel()
 	status, err := n.gate.Recovery(ctx)
 	if errors.Is(err, leader.ErrNotLeading) {
@@ -143,12 +143,12 @@
 // mostImport bounds what one request may make this node hold in memory.
 const mostImport = 1 << 20
 
-func (n *Node) importSnapshot(w http.ResponseWriter, r *http.Request) {
+func (n *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
 	var in leader.Import
 	if !readJSON(w, r, &in) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), n.d.API.RequestTimeout)
 	defer cancel()
 	count, err := n.gate.Import(ctx, in)
 	if err != nil {
@@ -158,14 +158,14 @@
 	writeJSON(w, http.StatusOK, count)
 }
 
-// Settle is an operator's decision about a held job.
-type Settle struct {
+// SettleRequest is an operator's decision about a held job.
+type SettleRequest struct {
 	Job string              `json:"job"`
 	As  recovery.Settlement `json:"as"`
 }
 
-func (n *Node) settle(w http.ResponseWriter, r *http.Request) {
-	var in Settle
+func (n *Controller) settle(w http.ResponseWriter, r *http.Request) {
+	var in SettleRequest
 	if !readJSON(w, r, &in) {
 		return
 	}
@@ -173,7 +173,7 @@
 		writeError(w, http.StatusBadRequest, errors.New("job must be of the form j-000412"))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), n.d.API.RequestTimeout)
 	defer cancel()
 	if err := n.gate.Settle(ctx, in.Job, in.As); err != nil {
 		writeError(w, statusOf(err), err)
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -32,8 +32,8 @@
 }
 
 // storedJobs puts so many jobs into a state service: one of eight is unfinished.
-func storedJobs(count int) *emulator.State {
-	store := emulator.NewState()
+func storedJobs(count int) *emulator.KVStore {
+	store := emulator.NewKVStore()
 	spec := batch("j-0", 12, 300)
 	for i := range count {
 		id := fmt.Sprintf("j-%08d", i)
@@ -41,7 +41,7 @@
 		if i%8 == 0 {
 			own := *spec
 			own.ID = id
-			rec = jobs.Record{State: jobs.Queued, Tasks: 12, Spec: &own, AtMs: 1_800_000_000_000}
+			rec = jobs.Record{State: jobs.Queued, Tasks: 12, Spec: &own, AcceptedAtMs: 1_800_000_000_000}
 		}
 		raw, _ := json.Marshal(rec)
 		store.Put(jobs.RecordKey(id), raw)
@@ -65,7 +65,7 @@
 	}
 	store := storedJobs(count)
 	wire := &direct{handler: store}
-	client := kvstore.New("state:1", wire, time.Minute, kvstore.Budget{Requests: 1e6, Writes: 1e6})
+	client := kvstore.New("state:1", wire, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
 	measure := func(what string, do func()) {
 		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
 		do()
@@ -81,7 +81,7 @@
 	})
 	var path string
 	measure("file written", func() {
-		if path, err = snapshot.Write(t.TempDir(), s); err != nil {
+		if path, err = snapshot.WriteFile(t.TempDir(), s); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -89,7 +89,7 @@
 		t.Logf("%d jobs, %s: %.1f MB", count, filepath.Ext(path), float64(info.Size())/(1<<20))
 	}
 	measure("file read", func() {
-		if again, err := snapshot.Read(path); err != nil || len(again.Records) != len(s.Records) {
+		if again, err := snapshot.ReadFile(path); err != nil || len(again.Records) != len(s.Records) {
 			t.Fatal(err)
 		}
 	})
@@ -98,31 +98,31 @@
 	cache := jobs.NewCache(client, time.Millisecond, time.Millisecond, time.Minute, 100)
 	measure("all records read by a node", func() {
 		go cache.Run(t.Context())
-		for !cache.Listed() {
+		for !cache.InitialReadDone() {
 			time.Sleep(time.Millisecond)
 		}
 	})
 	verified := func() {
-		ticket := cache.Verify()
-		for !cache.Verified(ticket) {
+		ticket := cache.RequestAudit()
+		for !cache.AuditDone(ticket) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	measure("compared, nothing lost", verified)
-	store.Lose(true, emulator.WithPrefix("job/"))
+	store.LoseKeys(true, emulator.WithPrefix("job/"))
 	measure("compared, everything lost", verified)
-	if cache.LostJobs() != count {
-		t.Errorf("%d of %d jobs are missed", cache.LostJobs(), count)
+	if cache.LostCount() != count {
+		t.Errorf("%d of %d jobs are missed", cache.LostCount(), count)
 	}
-	view := recovery.View{}
+	view := recovery.KnowledgeByJob{}
 	measure("unfinished jobs joined and decided", func() {
 		for after, more := "", true; more; {
-			var page []jobs.Lost
-			page, more = cache.Lost(after, lostRows)
+			var page []jobs.LostJob
+			page, more = cache.LostPage(after, lostRows)
 			for _, l := range page {
 				after = l.ID
 				if l.State == jobs.Queued { // the others are written a page at a time
-					view.Add(l.ID, recovery.Says(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: l.Tasks}))
+					view.Merge(l.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: l.Tasks}))
 				}
 			}
 		}
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -14,7 +14,7 @@
 
 // wideLimits lets both teams use far more than they are guaranteed.
 func wideLimits(s *settings.Settings) {
-	s.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 200}, {Name: "blue", CPUs: 8, CPUsMax: 200}}
+	s.Deployment.Teams = []settings.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 200}, {Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 200}}
 }
 
 // fillFleet runs arrays of two teams on a fleet that they fill, and returns how many tasks.
@@ -28,7 +28,7 @@
 		c.submit(c.names[i%3], spec)
 	}
 	tasks = 4 * arrays
-	c.within(2*time.Minute, "fleet full", func() bool { return len(c.world.Running()) == tasks })
+	c.within(2*time.Minute, "fleet full", func() bool { return len(c.world.RunningTasks()) == tasks })
 	c.run(10 * time.Second)
 	return tasks
 }
@@ -60,18 +60,18 @@
 		t.Run(pause.String(), func(t *testing.T) {
 			inCluster(t, wideLimits, func(c *cluster) {
 				tasks := c.fillFleet(20)
-				before := c.world.Starts()
+				before := c.world.TaskStarts()
 				c.restartAll(pause)
 				c.run(time.Minute)
 				gone := 0
 				if pause > 20*time.Second {
 					gone = tasks
 				}
-				if begun := c.world.Starts() - before; begun != gone || len(c.world.Running()) != tasks {
-					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.Running()), tasks)
+				if begun := c.world.TaskStarts() - before; begun != gone || len(c.world.RunningTasks()) != tasks {
+					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.RunningTasks()), tasks)
 				}
 				p := c.takeover()
-				if p.Phase != reconcile.Settled || p.Heard != p.Expected || p.Expected != len(c.world.Machines()) {
+				if p.Phase != reconcile.FailoverDone || p.Reported != p.Expected || p.Expected != len(c.world.Machines()) {
 					t.Errorf("take-over %+v with %d machines", p, len(c.world.Machines()))
 				}
 			})
@@ -88,7 +88,7 @@
 	began := time.Now()
 	for time.Since(began) < 30*time.Second {
 		for _, n := range names {
-			if c.nodes[n].node.keeper.Valid() {
+			if c.nodes[n].node.keeper.IsLeader() {
 				return time.Since(began)
 			}
 		}
@@ -103,7 +103,7 @@
 func TestTakeOverAfterARestart(t *testing.T) {
 	inCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		lease := c.nodes[c.names[0]].node.d.TermLease
+		lease := c.nodes[c.names[0]].node.d.Election.LeaseDuration
 		for range 5 {
 			c.crash(c.names...)
 			c.run(2 * lease)
@@ -126,10 +126,10 @@
 func TestRestartWhileTheHolderReliesOnPromises(t *testing.T) {
 	inCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		old, lease := c.leader(), c.nodes[c.names[0]].node.d.TermLease
-		c.world.State.Down(true)
+		old, lease := c.leader(), c.nodes[c.names[0]].node.d.Election.LeaseDuration
+		c.world.Store.SetOutage(true)
 		c.run(2 * lease)
-		if !c.nodes[old].node.keeper.Valid() {
+		if !c.nodes[old].node.keeper.IsLeader() {
 			t.Fatal("the holder does not live on promises")
 		}
 		var others []string
@@ -139,15 +139,15 @@
 			}
 		}
 		c.crash(others...)
-		c.world.State.RefuseFrom(old, true)
-		c.world.State.Down(false)
+		c.world.Store.SetRefused(old, true)
+		c.world.Store.SetOutage(false)
 		for _, n := range others {
 			c.start(n)
 		}
 		for range 3000 {
 			led := 0
 			for _, n := range c.names {
-				if c.nodes[n].node.keeper.Valid() {
+				if c.nodes[n].node.keeper.IsLeader() {
 					led++
 				}
 			}
@@ -156,7 +156,7 @@
 			}
 			c.run(10 * time.Millisecond)
 		}
-		c.world.State.RefuseFrom(old, false)
+		c.world.Store.SetRefused(old, false)
 		c.within(time.Minute, "a leader", func() bool { return c.leader() != "" })
 	})
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -25,18 +25,18 @@
 	View    *leader.Status `json:"view,omitempty"` // of the leader only
 }
 
-func (n *Node) status(ctx context.Context) Status {
+func (n *Controller) status(ctx context.Context) Status {
 	return Status{
-		Node: n.set.Node, Zone: n.set.Zone, Leader: n.keeper.Leader(), Leading: n.keeper.Valid(),
+		Node: n.set.Node, Zone: n.set.Zone, Leader: n.keeper.Leader(), Leading: n.keeper.IsLeader(),
 		View: n.gate.Status(ctx),
 	}
 }
 
 // debugHandler serves operators on the cluster listener.
-func (n *Node) debugHandler() http.Handler {
+func (n *Controller) debugHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+		ctx, cancel := context.WithTimeout(r.Context(), n.d.API.RequestTimeout)
 		defer cancel()
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(n.status(ctx))
@@ -50,7 +50,7 @@
 
 // collector reads the metrics when they are asked for: nothing is counted on
 // the way, so that they cost nothing in between.
-type collector struct{ n *Node }
+type collector struct{ n *Controller }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("ospreyslip_"+name, help, labels, nil)
@@ -80,7 +80,7 @@
 func (c *collector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, ch) }
 
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.n.d.UserWait)
+	ctx, cancel := context.WithTimeout(context.Background(), c.n.d.API.RequestTimeout)
 	defer cancel()
 	s := c.n.status(ctx)
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
@@ -129,10 +129,10 @@
 // collectTakeover shows how far the leader's take-over is.
 func collectTakeover(gauge func(*prometheus.Desc, float64, ...string), p reconcile.Progress) {
 	gauge(takeoverDesc, 1, string(p.Phase))
-	for state, count := range map[string]int{"expected": p.Expected, "heard": p.Heard, "late": p.Late, "never": p.Never} {
+	for state, count := range map[string]int{"expected": p.Expected, "heard": p.Reported, "late": p.Overdue, "never": p.NeverReported} {
 		gauge(accountedDesc, float64(count), state)
 	}
-	for moment, after := range map[string]float64{"records_read": p.ReadS, "first_answer": p.AnswerS, "first_order": p.OrderS, "settled": p.SettledS} {
+	for moment, after := range map[string]float64{"records_read": p.RecordsLoadedS, "first_answer": p.FirstAnswerS, "first_order": p.FirstCommandS, "settled": p.DoneS} {
 		if after > 0 {
 			gauge(reachedDesc, after, moment)
 		}
@@ -176,8 +176,8 @@
 func (h *handed) Addr() net.Addr { return &net.TCPAddr{} }
 
 // serveDebug serves the operators' connections until the context ends.
-func (n *Node) serveDebug(ctx context.Context) {
-	srv := &http.Server{Handler: n.debugHandler(), ReadHeaderTimeout: n.d.UserWait, IdleTimeout: time.Minute}
+func (n *Controller) serveDebug(ctx context.Context) {
+	srv := &http.Server{Handler: n.debugHandler(), ReadHeaderTimeout: n.d.API.RequestTimeout, IdleTimeout: time.Minute}
 	stop := context.AfterFunc(ctx, func() { srv.Close() })
 	defer stop()
 	if err := srv.Serve(n.debug); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -30,7 +30,7 @@
 	// doubtFor is how long one piece of evidence makes what is not known uncertain.
 	doubtFor time.Duration
 	// OnLoss is told what shows that records are lost.
-	OnLoss func(detection.Loss)
+	OnLoss func(detection.Evidence)
 
 	mu   sync.RWMutex
 	jobs briefTable
@@ -44,7 +44,7 @@
 	losses     losses
 	witnesses  witnesses
 	heard      map[string]heardJob // changes that others know and this node has not read yet
-	newest     detection.Highest   // revision that was read or written
+	newest     detection.Watermark // revision that was read or written
 	// Owned by Run.
 	whole    bool
 	revision uint64
@@ -60,11 +60,11 @@
 	}
 }
 
-// Cancellations returns all cancellations after a revision that this node may have
+// CancellationsAfter returns all cancellations after a revision that this node may have
 // told a user of; complete is false if it does not know them all. What it learns of
 // is taken in before anybody is told. What an earlier process of this node told was
 // in the records when this one first read all of them.
-func (m *Cache) Cancellations(after uint64) (later []Cancellation, complete bool) {
+func (m *Cache) CancellationsAfter(after uint64) (later []Cancellation, complete bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	for _, c := range m.recent {
@@ -94,7 +94,7 @@
 	}
 	rec, found = m.Known(id)
 	if !found && !m.NeverAccepted(id) {
-		return Record{}, false, ErrUncertain
+		return Record{}, false, ErrRecordsMayBeMissing
 	}
 	return rec, found, nil
 }
@@ -148,8 +148,8 @@
 	}
 }
 
-// ErrLags means that the changes up to now were not to be had.
-var ErrLags = errors.New("changes lag")
+// ErrWatchLags means that the changes up to now were not to be had.
+var ErrWatchLags = errors.New("changes lag")
 
 // readTries is how often a read asks for changes that lag.
 const readTries = 3
@@ -162,7 +162,7 @@
 		return err
 	}
 	if m.whole {
-		request := m.newest.Ask()
+		request := m.newest.Baseline()
 		least, err := m.store.Revision(ctx)
 		if err != nil {
 			return err
@@ -171,7 +171,7 @@
 			return m.list(ctx)
 		}
 		for range readTries {
-			request := m.newest.Ask()
+			request := m.newest.Baseline()
 			revision, changes, err := m.store.Watch(ctx, RecordPrefix, m.revision, 0)
 			if errors.Is(err, kvstore.ErrCompacted) {
 				m.whole = false
@@ -184,11 +184,11 @@
 				if c.Set != "" {
 					m.set(c.Set, c.Value, c.Revision)
 				} else {
-					m.Removed(c.Remove, c.Revision)
+					m.ApplyRemoval(c.Remove, c.Revision)
 				}
 			}
 			m.revision = max(m.revision, revision)
-			m.newest.Raise(request, revision)
+			m.newest.Advance(request, revision)
 			if m.revision >= least {
 				return nil
 			}
@@ -198,7 +198,7 @@
 			case <-time.After(m.gap):
 			}
 		}
-		return ErrLags
+		return ErrWatchLags
 	}
 	return m.list(ctx)
 }
@@ -211,7 +211,7 @@
 			return err
 		}
 	}
-	request := m.newest.Ask()
+	request := m.newest.Baseline()
 	all, revision, err := m.readAll(ctx, 0, func(string) {})
 	if err != nil {
 		return err
@@ -247,9 +247,9 @@
 	}
 	b := brief{tasks: rec.Tasks, revision: revision}
 	b.state = stateText(rec.State)
-	if evidence := m.take(IDOf(key), b, value); evidence != "" {
+	if evidence := m.take(JobIDFromKey(key), b, value); evidence != "" {
 		slog.Error("record says less than is known", "key", key, "reason", string(evidence))
-		m.tell(detection.Loss{Kind: evidence, Key: key, Found: revision})
+		m.tell(detection.Evidence{Kind: evidence, Key: key, Found: revision})
 	}
 }
 
--- a/internal/jobs/heard.go
+++ b/internal/jobs/heard.go
@@ -17,8 +17,8 @@
 	tasks int
 }
 
-// Hear takes in what a job's record has come to say, as the leader tells.
-func (m *Cache) Hear(id, state string, tasks int) {
+// NoteAnnounced takes in what a job's record has come to say, as the leader tells.
+func (m *Cache) NoteAnnounced(id, state string, tasks int) {
 	text := stateText(state)
 	if !ValidID(id) || text == "" {
 		return
@@ -40,7 +40,7 @@
 	m.mu.RLock()
 	_, heard := m.heard[id]
 	m.mu.RUnlock()
-	return !heard && m.Sure()
+	return !heard && m.KnowsAllAccepted()
 }
 
 // seen takes in that a record says what was heard of it. The lock is held.
@@ -60,7 +60,7 @@
 // missHeard takes in that all changes have been read up to a moment after some were heard of:
 // those that the records do not show were lost.
 func (m *Cache) missHeard(by map[string]heardJob) {
-	var first *detection.Loss
+	var first *detection.Evidence
 	m.mu.Lock()
 	for id, h := range by {
 		if m.heard[id] != h {
@@ -77,7 +77,7 @@
 			kind, text = detection.RecordOlder, known.state
 		}
 		m.note(lostEntry{id, text})
-		first = &detection.Loss{Kind: kind, Key: RecordKey(id), Found: known.revision}
+		first = &detection.Evidence{Kind: kind, Key: RecordKey(id), Found: known.revision}
 	}
 	m.mu.Unlock()
 	if first != nil {
--- a/internal/jobs/lost_test.go
+++ b/internal/jobs/lost_test.go
@@ -20,7 +20,7 @@
 
 func (c *cached) evidence() *evidence {
 	e := &evidence{kinds: map[detection.Kind]int{}}
-	c.m.OnLoss = func(l detection.Loss) {
+	c.m.OnLoss = func(l detection.Evidence) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.kinds[l.Kind]++
@@ -45,7 +45,7 @@
 
 func (c *cached) wantLost(when string, want ...string) {
 	c.t.Helper()
-	page, _ := c.m.Lost("", 100)
+	page, _ := c.m.LostPage("", 100)
 	var got []string
 	for _, l := range page {
 		got = append(got, l.ID+" "+l.State)
@@ -72,24 +72,24 @@
 	withCache(t, func(c *cached) {
 		seen := c.evidence()
 		c.fill()
-		c.store.Lag(2)
+		c.store.SetWatchLag(2)
 		c.write("j-4", jobs.Queued)
 		c.want("j-1", "503", "the watch lags")
-		c.store.Lag(0)
-		c.store.Keep(2)
+		c.store.SetWatchLag(0)
+		c.store.SetHistoryLength(2)
 		for i := range 20 {
 			c.write(fmt.Sprintf("j-1%d", i), jobs.Queued)
 		}
 		c.want("j-119", jobs.Queued, "read anew")
-		c.store.RefuseFrom("perch-0", true)
+		c.store.SetRefused("perch-0", true)
 		c.want("j-1", "503", "refused")
-		c.store.RefuseFrom("perch-0", false)
-		c.store.Down(true)
+		c.store.SetRefused("perch-0", false)
+		c.store.SetOutage(true)
 		c.want("j-1", "503", "an outage")
-		c.store.Down(false)
+		c.store.SetOutage(false)
 		c.want("j-1", jobs.Queued, "after it")
 		c.want("j-99", "503", "others may know more after an outage")
-		c.m.Confirm(1) // refused and down without an answer in between: it is one
+		c.m.ConfirmByPeers(1) // refused and down without an answer in between: it is one
 		c.want("j-99", "404", "never submitted")
 		seen.none(c.t, "an ordinary day")
 		c.wantLost("an ordinary day")
@@ -102,7 +102,7 @@
 	withCache(t, func(c *cached) {
 		seen := c.evidence()
 		c.fill()
-		c.store.Lose(false, emulator.Only("job/j-2"))
+		c.store.LoseKeys(false, emulator.WithKey("job/j-2"))
 		c.want("j-2", jobs.Done, "its record is lost")
 		c.want("j-99", "503", "it may have been lost before this node knew of it")
 		c.wantLost("one removed", "j-2 done")
@@ -112,7 +112,7 @@
 		c.write("j-2", jobs.Done)
 		c.want("j-2", jobs.Done, "written back")
 		c.wantLost("written back")
-		c.m.Compared()
+		c.m.MarkCompared()
 		c.want("j-99", "404", "all has been compared")
 	})
 }
@@ -123,10 +123,10 @@
 	withCache(t, func(c *cached) {
 		seen := c.evidence()
 		c.fill()
-		c.store.Lose(true, emulator.Only("job/j-1"))
+		c.store.LoseKeys(true, emulator.WithKey("job/j-1"))
 		c.want("j-1", jobs.Queued, "lost without a trace")
 		seen.none(t, "not to be noticed yet")
-		c.store.Keep(2)
+		c.store.SetHistoryLength(2)
 		for i := range 20 {
 			c.write(fmt.Sprintf("j-1%d", i), jobs.Queued)
 		}
@@ -145,8 +145,8 @@
 		ctx, stop := context.WithTimeout(c.t.Context(), 90*time.Second)
 		defer stop()
 		var audits sync.WaitGroup
-		audits.Go(func() { c.m.Audit(ctx, time.Minute, 10*time.Millisecond) })
-		c.store.Lose(true, emulator.Only("job/j-3"))
+		audits.Go(func() { c.m.RunAudits(ctx, time.Minute, 10*time.Millisecond) })
+		c.store.LoseKeys(true, emulator.WithKey("job/j-3"))
 		time.Sleep(70 * time.Second)
 		c.wantLost("audited", "j-3 aborted")
 		audits.Wait()
@@ -189,9 +189,9 @@
 	for _, silently := range []bool{false, true} {
 		withCache(t, func(c *cached) {
 			c.fill()
-			c.store.Lose(silently, emulator.WithPrefix(""))
+			c.store.LoseKeys(silently, emulator.WithPrefix(""))
 			if silently {
-				c.store.Keep(1) // a new service: it keeps no earlier changes
+				c.store.SetHistoryLength(1) // a new service: it keeps no earlier changes
 				c.write("j-8", jobs.Queued)
 				c.write("j-9", jobs.Queued)
 			}
@@ -224,12 +224,12 @@
 			c.write(fmt.Sprintf("j-%03d", i), jobs.Queued)
 		}
 		c.want("j-024", jobs.Queued, "to begin with")
-		c.store.Lose(false, emulator.WithPrefix("job/j-0"))
+		c.store.LoseKeys(false, emulator.WithPrefix("job/j-0"))
 		c.want("j-001", jobs.Queued, "lost")
 		after, pages, all := "", 0, []string{}
 		for more := true; more; pages++ {
-			var page []jobs.Lost
-			page, more = c.m.Lost(after, 10)
+			var page []jobs.LostJob
+			page, more = c.m.LostPage(after, 10)
 			for _, l := range page {
 				all = append(all, l.ID)
 				after = l.ID
@@ -251,10 +251,10 @@
 		c.write("j-50", jobs.Queued)
 		c.write("j-51", jobs.Cancelled)
 		c.want("j-51", jobs.Cancelled, "known")
-		c.store.Down(true)
+		c.store.SetOutage(true)
 		c.want("j-50", "503", "an outage")
 		c.store.Restore(before)
-		c.store.Down(false)
+		c.store.SetOutage(false)
 		for i := range 4 {
 			c.write(fmt.Sprintf("j-6%d", i), jobs.Queued)
 		}
@@ -264,7 +264,7 @@
 		}
 		c.want("j-51", jobs.Cancelled, "its user was told")
 		c.wantLost("put back", "j-50 queued", "j-51 aborted")
-		if time.Since(c.m.WitnessesChecked()) < time.Minute {
+		if time.Since(c.m.RollbackCheckedAt()) < time.Minute {
 			t.Error("the newest that is known was not found in the records")
 		}
 	})
@@ -278,11 +278,11 @@
 		c.fill()
 		c.write("j-4", jobs.Queued)
 		c.write("j-4", jobs.Done)
-		c.m.Hear("j-4", jobs.Done, 1)
-		c.m.Hear("j-2", jobs.Queued, 1)
-		c.m.Hear("j-3", jobs.Done, 1)
-		c.m.Hear("no job", jobs.Done, 1)
-		c.m.Hear("j-71", "flying", 1)
+		c.m.NoteAnnounced("j-4", jobs.Done, 1)
+		c.m.NoteAnnounced("j-2", jobs.Queued, 1)
+		c.m.NoteAnnounced("j-3", jobs.Done, 1)
+		c.m.NoteAnnounced("no job", jobs.Done, 1)
+		c.m.NoteAnnounced("j-71", "flying", 1)
 		c.want("j-4", jobs.Done, "both changes read after that was heard")
 		c.want("j-2", jobs.Done, "an older word")
 		c.want("j-3", jobs.Cancelled, "another end than is known")
@@ -291,8 +291,8 @@
 		before := c.store.Backup()
 		c.write("j-70", jobs.Queued)
 		c.write("j-1", jobs.Cancelled)
-		c.m.Hear("j-70", jobs.Queued, 1)
-		c.m.Hear("j-1", jobs.Cancelled, 1)
+		c.m.NoteAnnounced("j-70", jobs.Queued, 1)
+		c.m.NoteAnnounced("j-1", jobs.Cancelled, 1)
 		if c.m.NeverAccepted("j-70") {
 			t.Error("heard of, and called never accepted")
 		}
--- a/internal/jobs/verify.go
+++ b/internal/jobs/verify.go
@@ -9,16 +9,16 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Newest returns the newest revision of the state service that this node has read or written.
-func (m *Cache) Newest() uint64 { return m.newest.Value() }
+// NewestRevision returns the newest revision of the state service that this node has read or written.
+func (m *Cache) NewestRevision() uint64 { return m.newest.Value() }
 
-// Ask has to be called before a record is read or written that Take takes in.
-func (m *Cache) Ask() detection.Request { return m.newest.Ask() }
+// BeginRequest has to be called before a record is read or written that Take takes in.
+func (m *Cache) BeginRequest() detection.Baseline { return m.newest.Baseline() }
 
-// Take takes in a record that was read or written elsewhere in this process. If the service
+// ApplyAnswer takes in a record that was read or written elsewhere in this process. If the service
 // was put back meanwhile, its revision may be of the past, and the record lost.
-func (m *Cache) Take(asked detection.Request, p kvstore.Pair) {
-	if !m.newest.Raise(asked, p.Revision) {
+func (m *Cache) ApplyAnswer(asked detection.Baseline, p kvstore.KeyValue) {
+	if !m.newest.Advance(asked, p.Revision) {
 		p.Revision = 0
 	}
 	m.set(p.Key, p.Value, p.Revision)
@@ -26,8 +26,8 @@
 
 // checkRevision takes in a revision that was just read. One below those before shows that
 // the service was put back: revisions are given out again, and all is read anew.
-func (m *Cache) checkRevision(request detection.Request, found uint64) (back bool) {
-	l, back := m.newest.See(request, detection.RevisionBack, "", found)
+func (m *Cache) checkRevision(request detection.Baseline, found uint64) (back bool) {
+	l, back := m.newest.Observe(request, detection.RevisionBack, "", found)
 	if !back {
 		return false
 	}
@@ -40,16 +40,16 @@
 // listing is one reading of all records.
 type listing struct {
 	read  int
-	older []kvstore.Pair // records of an older revision than is known
+	older []kvstore.KeyValue // records of an older revision than is known
 }
 
 // readAll reads all records once. A record is older than known if that was learnt while
 // its page was on the way, or if the service was put back: only what was known before the
 // reading began proves the latter.
 func (m *Cache) readAll(ctx context.Context, pause time.Duration, each func(id string)) (l listing, revision uint64, err error) {
-	revision, err = m.store.EachPaced(ctx, RecordPrefix, pause, func(p kvstore.Pair) {
+	revision, err = m.store.ForEachPaced(ctx, RecordPrefix, pause, func(p kvstore.KeyValue) {
 		l.read++
-		id := IDOf(p.Key)
+		id := JobIDFromKey(p.Key)
 		each(id)
 		if m.knownRevision(id) > p.Revision {
 			l.older = append(l.older, p)
@@ -61,9 +61,9 @@
 		return l, 0, err
 	}
 	for _, p := range l.older {
-		if m.knownRevision(IDOf(p.Key)) <= revision {
-			m.forgetRevision(IDOf(p.Key))
-			m.tell(detection.Loss{Kind: detection.RecordOlder, Key: p.Key, Found: p.Revision})
+		if m.knownRevision(JobIDFromKey(p.Key)) <= revision {
+			m.forgetRevision(JobIDFromKey(p.Key))
+			m.tell(detection.Evidence{Kind: detection.RecordOlder, Key: p.Key, Found: p.Revision})
 			m.set(p.Key, p.Value, p.Revision)
 		}
 	}
@@ -95,12 +95,12 @@
 	if err != nil {
 		return err
 	}
-	first, count := detection.Loss{}, 0
+	first, count := detection.Evidence{}, 0
 	m.mu.Lock()
 	left.each(func(id string) {
 		b, known := m.jobs.get(id)
 		if known && b.revision <= revision && m.miss(id, b) {
-			first = detection.Loss{Kind: detection.RecordMissing, Key: RecordKey(id), Known: b.revision}
+			first = detection.Evidence{Kind: detection.RecordMissing, Key: RecordKey(id), Known: b.revision}
 			count++
 		}
 	})
@@ -112,15 +112,15 @@
 	return nil
 }
 
-// Audit compares all records with what this node knows, again and again.
-func (m *Cache) Audit(ctx context.Context, every, pause time.Duration) {
+// RunAudits compares all records with what this node knows, again and again.
+func (m *Cache) RunAudits(ctx context.Context, every, pause time.Duration) {
 	for every > 0 {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(every):
 		}
-		if !m.SawAll() {
+		if !m.ReadAllBeforeLoss() {
 			continue
 		}
 		if err := m.findMissing(ctx, pause); err != nil {
@@ -129,19 +129,19 @@
 	}
 }
 
-// Verify has all records compared with what this node knows, once. Verified tells when
+// RequestAudit has all records compared with what this node knows, once. Verified tells when
 // that is done.
-func (m *Cache) Verify() (ticket uint64) {
+func (m *Cache) RequestAudit() (ticket uint64) {
 	m.mu.Lock()
 	m.losses.wanted++
 	ticket = m.losses.wanted
 	m.mu.Unlock()
-	m.Check()
+	m.RequestRead()
 	return ticket
 }
 
-// Verified tells whether a comparison that was asked for has been made.
-func (m *Cache) Verified(ticket uint64) bool {
+// AuditDone tells whether a comparison that was asked for has been made.
+func (m *Cache) AuditDone(ticket uint64) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.losses.verified >= ticket
@@ -171,8 +171,8 @@
 	return m.losses.wanted != m.losses.verified
 }
 
-// Check has the cache read as soon as it may.
-func (m *Cache) Check() {
+// RequestRead has the cache read as soon as it may.
+func (m *Cache) RequestRead() {
 	select {
 	case m.asks <- make(chan error, 1):
 	default: // it is reading, or about to
--- a/internal/jobs/witness.go
+++ b/internal/jobs/witness.go
@@ -44,12 +44,12 @@
 	w.newest = append(w.newest, witness{strings.Clone(id), revision})
 }
 
-// CheckWitnesses has the newest changes that this node knows compared with the records soon.
-func (m *Cache) CheckWitnesses() {
+// RequestRollbackCheck has the newest changes that this node knows compared with the records soon.
+func (m *Cache) RequestRollbackCheck() {
 	m.mu.Lock()
 	m.witnesses.wanted = true
 	m.mu.Unlock()
-	m.Check()
+	m.RequestRead()
 }
 
 func (m *Cache) witnessesWanted() bool {
@@ -58,8 +58,8 @@
 	return m.witnesses.wanted
 }
 
-// WitnessesChecked returns when the last comparison that found nothing was begun.
-func (m *Cache) WitnessesChecked() time.Time {
+// RollbackCheckedAt returns when the last comparison that found nothing was begun.
+func (m *Cache) RollbackCheckedAt() time.Time {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.witnesses.checked
@@ -95,7 +95,7 @@
 }
 
 // firstGone returns a record that stands at an older revision than is known, or is missing.
-func (m *Cache) firstGone(ctx context.Context, known []witness) (*detection.Loss, error) {
+func (m *Cache) firstGone(ctx context.Context, known []witness) (*detection.Evidence, error) {
 	var guards []kvstore.Guard
 	revisions := map[string]uint64{}
 	for _, w := range known {
@@ -120,7 +120,7 @@
 			return nil, err
 		}
 		if p.Revision < revisions[key] {
-			return &detection.Loss{Kind: detection.RevisionBack, Key: key, Known: revisions[key], Found: p.Revision}, nil
+			return &detection.Evidence{Kind: detection.RevisionBack, Key: key, Known: revisions[key], Found: p.Revision}, nil
 		}
 	}
 	return nil, nil
--- a/internal/leader/announce.go
+++ b/internal/leader/announce.go
@@ -29,17 +29,17 @@
 
 // announceLate orders a machine that has not reported to this leader by itself.
 func (l *Leader) announceLate(m *cluster.Machine, now time.Time) {
-	if m.Phase == cluster.Up && m.Worker.HeartbeatAt.IsZero() && m.Worker.Token < l.term.Token && now.Sub(m.Rental.KnownSince) > l.Derived.AnnounceAfter {
+	if m.Phase == cluster.Up && m.Worker.HeartbeatAt.IsZero() && m.Worker.Token < l.term.FencingToken && now.Sub(m.Rental.KnownSince) > l.Derived.Workers.AnnounceDelay {
 		l.notify(m)
 	}
 }
 
 // openNeeds returns what the tasks of unfinished jobs take, each amount once.
-func (l *Leader) openNeeds() map[placement.Amount]bool {
-	needs := map[placement.Amount]bool{}
+func (l *Leader) openNeeds() map[placement.Resources]bool {
+	needs := map[placement.Resources]bool{}
 	for _, j := range l.jobs {
 		if !j.IsOver() {
-			needs[placement.Of(j.Spec)] = true
+			needs[placement.TaskRequest(j.Spec)] = true
 		}
 	}
 	return needs
@@ -47,12 +47,12 @@
 
 // mayTake tells whether a machine has room for one more task, as far as the records
 // tell. One of unknown type may have.
-func (l *Leader) mayTake(m *cluster.Machine, needs map[placement.Amount]bool) bool {
+func (l *Leader) mayTake(m *cluster.Machine, needs map[placement.Resources]bool) bool {
 	t := l.machineType(m.Type)
 	if t == nil {
 		return true
 	}
-	free := placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.Used, -1)
+	free := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.AddTimes(m.Used, -1)
 	for need := range needs {
 		if free.Fits(need) {
 			return true
--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -17,12 +17,12 @@
 // one as well, whatever that costs: a worker may reach no controller by itself.
 func TestAnnouncedAtTakeOver(t *testing.T) {
 	l, reports, now := fleetOf(t, 12) // of each machine, one task takes all CPUs
-	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimateS: 30}
-	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimateS: 30}
+	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimatedRuntimeS: 30}
+	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
 		j := cluster.NewJob(spec.ID, spec, 2, 0, now)
 		l.jobs[j.ID] = j
-		r := &workers.Report{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", Session: 1, Seq: 1, Token: 5}
+		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 		l.report(r, now)
 		l.assign(j, j.TakePendingTask(), l.machines.ByID[r.Machine], now)
 	}
@@ -49,16 +49,16 @@
 			}
 		}
 	}
-	interval(now.Add(next.Derived.AnnounceAfter))
+	interval(now.Add(next.Derived.Workers.AnnounceDelay))
 	if got := notifyPending(); len(got) != 0 {
 		t.Errorf("ordered before a report period was over: %v", got)
 	}
 	for _, r := range reports[:10] {
-		r.Token = 6
+		r.FencingToken = 6
 		r.Seq++
 		next.report(r, now)
 	}
-	interval(now.Add(next.Derived.AnnounceAfter + time.Second))
+	interval(now.Add(next.Derived.Workers.AnnounceDelay + time.Second))
 	if got := notifyPending(); fmt.Sprint(got) != "[m-000010 m-000011]" {
 		t.Errorf("ordered after a report period: %v", got)
 	}
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -22,7 +22,7 @@
 // segmentStore is a state service that holds segments, and checks what it is given.
 type segmentStore struct {
 	t     *testing.T
-	keys  map[string]kvstore.Pair
+	keys  map[string]kvstore.KeyValue
 	rev   uint64
 	value int // bytes
 	ops   int
@@ -46,12 +46,12 @@
 		if len(w.Value) > s.value {
 			s.t.Fatalf("%s is written with %d bytes, %d are allowed", w.Set, len(w.Value), s.value)
 		}
-		s.keys[w.Set] = kvstore.Pair{Key: w.Set, Value: w.Value, Revision: s.rev}
+		s.keys[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: s.rev}
 	}
 	return nil
 }
 
-func (s *segmentStore) pairs() (out []kvstore.Pair) {
+func (s *segmentStore) pairs() (out []kvstore.KeyValue) {
 	for _, p := range s.keys {
 		out = append(out, p)
 	}
@@ -62,10 +62,10 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.lost(m, "not of this test")
-	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Amount{}, assignmentlog.New(assignmentlog.Config{}), nil
+	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Resources{}, assignmentlog.New(assignmentlog.Config{}), nil
 	l.watch = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
-	l.Derived.ValueBytes, l.Derived.TxnOps = s.value, s.ops
+	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
 	for i, spec := range specs {
 		l.jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
 	}
@@ -86,7 +86,7 @@
 	slices.Sort(out)
 	for _, j := range l.jobs {
 		for n := range j.Spec.Tasks {
-			if ch := j.Completions.Chunks[n/l.Derived.ChunkTasks]; j.IsTaskDone(n) && ch != nil && ch.Saved && !ch.Dirty {
+			if ch := j.Completions.Chunks[n/l.Derived.Store.ChunkTasks]; j.IsTaskDone(n) && ch != nil && ch.Saved && !ch.Dirty {
 				out = append(out, fmt.Sprintf("done %s/%05d", j.ID, n))
 			}
 		}
@@ -103,7 +103,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			quiet(t)
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			s := &segmentStore{t: t, keys: map[string]kvstore.Pair{}, value: 32 << 10, ops: 12}
+			s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, value: 32 << 10, ops: 12}
 			specs := []*jobs.Spec{
 				{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 3000, CPUs: 1},
 				{ID: "j-2", Team: "red", Shape: jobs.Service, Tasks: 900, CPUs: 1},
@@ -150,7 +150,7 @@
 					before = nil
 				}
 				if before == nil && (step < 3 || step%5 == 0 || step > 60 && step < 70) {
-					if d := cmp.Diff(l.durable(), asProduction(t, s.pairs(), l.Derived.ChunkTasks)); d != "" {
+					if d := cmp.Diff(l.durable(), asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks)); d != "" {
 						t.Fatalf("step %d, what production reads: %s", step, d)
 					}
 					next := logLeader(s, token+1, specs)
@@ -221,7 +221,7 @@
 // copy that is carried out late, after newer ones or under the next leader, fails.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	l, m, j, now := bench()
-	l.term.Revision, l.tokenRevision, j.Revision = 77, 78, 79
+	l.term.HolderRevision, l.tokenRevision, j.Revision = 77, 78, 79
 	l.readLog(nil)
 	l.raiseToken = true
 	l.finished = append(l.finished, j)
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -56,7 +56,7 @@
 
 // Load makes a log of the segments in the key-value store, and returns them in the order in
 // which they were written. What stands on them is for the caller to take in.
-func Load(config Config, stored []kvstore.Pair) (*Log, []StoredSegment) {
+func Load(config Config, stored []kvstore.KeyValue) (*Log, []StoredSegment) {
 	log := &Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
 	var read []StoredSegment
 	for _, pair := range stored {
--- a/internal/leader/cluster/assignment.go
+++ b/internal/leader/cluster/assignment.go
@@ -70,10 +70,10 @@
 }
 
 // RefOf returns how a worker names one of the tasks that it shows.
-func RefOf(task *workers.Task) TaskRef { return TaskRef{task.Task, task.Attempt} }
+func RefOf(task *workers.TaskStatus) TaskRef { return TaskRef{task.Name, task.Attempt} }
 
 // CommandRef returns how a worker names the task of a command.
-func CommandRef(command *workers.Call) TaskRef { return TaskRef{command.Task, command.Attempt} }
+func CommandRef(command *workers.Command) TaskRef { return TaskRef{command.Task, command.Attempt} }
 
 // TaskName is the task's name on the wire. It is kept, as each heartbeat is compared with it.
 func (a *Assignment) TaskName() string {
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -18,7 +18,7 @@
 // GangPart is a task of a gang that a worker shows while the others are not known yet.
 type GangPart struct {
 	Machine *Machine
-	Task    workers.Task
+	Task    workers.TaskStatus
 	Session uint64
 }
 
@@ -26,9 +26,9 @@
 func (j *Job) IsGang() bool { return j.Spec.Shape == jobs.Gang }
 
 // GangVerdict decides what becomes of the gang's present attempt.
-func (j *Job) GangVerdict() gang.Verdict {
-	return gang.Decide(gang.Facts{
-		Size: j.Spec.Tasks, Here: j.Gang.Assigned, Written: j.Gang.Durable, Stopping: j.Gang.Stopping,
+func (j *Job) GangVerdict() gang.Decision {
+	return gang.Decide(gang.Attempt{
+		Size: j.Spec.Tasks, Placed: j.Gang.Assigned, Durable: j.Gang.Durable, Stopping: j.Gang.Stopping,
 	})
 }
 
@@ -44,4 +44,4 @@
 // MayRun tells whether a task may be sent to its machine: a task of a gang only together with
 // all others. Were a leader to end after half of them, the rest would hold room until they
 // gave up.
-func (a *Assignment) MayRun() bool { return !a.Job.IsGang() || a.Job.GangVerdict() == gang.Go }
+func (a *Assignment) MayRun() bool { return !a.Job.IsGang() || a.Job.GangVerdict() == gang.Run }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -150,9 +150,9 @@
 
 // MayAdopt tells whether a task that a worker shows may be one of the job's that the log
 // lacks. A task that ended without being done needs no adoption.
-func (j *Job) MayAdopt(index int, task *workers.Task) bool {
+func (j *Job) MayAdopt(index int, task *workers.TaskStatus) bool {
 	if j.IsOver() || index >= j.Spec.Tasks || j.IsTaskDone(index) || j.Assignments[index] != nil {
 		return false
 	}
-	return task.State != workers.Ended || task.Cause == workers.CauseDone && j.Spec.Shape == jobs.Batch
+	return task.State != workers.StateEnded || task.Cause == workers.CauseDone && j.Spec.Shape == jobs.Batch
 }
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -33,7 +33,7 @@
 	Rental   Rental
 
 	Assignments map[uint64]*Assignment // by attempt
-	Used        placement.Amount       // taken by the assignments that count
+	Used        placement.Resources    // taken by the assignments that count
 	Offer       *placement.Machine     // as placement sees it
 	TickGroup   int                    // in which of the ticks of a control interval it is looked at
 
@@ -43,13 +43,13 @@
 
 // WorkerState is what the machine's worker has shown.
 type WorkerState struct {
-	Session         uint64           // the worker's epoch, which begins anew when its lease expires
-	Seq             uint64           // of the newest message, heartbeats and answers alike
-	Token           uint64           // highest fencing token that the worker has seen
-	Tasks           []workers.Task   // of the newest message
-	NewestHeartbeat liveness.Counter // answers to commands and probes not counted
-	HeartbeatAt     time.Time        // when the last heartbeat came; zero under a new leader
-	LeaseUntil      time.Time        // a worker unheard until then has ended its tasks
+	Session         uint64                // the worker's epoch, which begins anew when its lease expires
+	Seq             uint64                // of the newest message, heartbeats and answers alike
+	Token           uint64                // highest fencing token that the worker has seen
+	Tasks           []workers.TaskStatus  // of the newest message
+	NewestHeartbeat liveness.HeartbeatSeq // answers to commands and probes not counted
+	HeartbeatAt     time.Time             // when the last heartbeat came; zero under a new leader
+	LeaseUntil      time.Time             // a worker unheard until then has ended its tasks
 }
 
 // CommandState is the delivery of commands to the machine's worker.
@@ -61,7 +61,7 @@
 	InDoubtSince       time.Time          // since when an order's outcome is unknown; zero if none is
 	StartedByOrder     map[TaskRef]uint64 // tasks that an order has started, with its token
 	NeedsHigherToken   bool               // ended tasks wait for the worker to see a higher token
-	LastAnswer         []workers.Call     // the commands of the last answer to a heartbeat
+	LastAnswer         []workers.Command  // the commands of the last answer to a heartbeat
 	UndeliveredAnswers int                // answers in a row of which nothing was carried out
 }
 
@@ -98,7 +98,7 @@
 		Commands: CommandState{StartedByOrder: map[TaskRef]uint64{}},
 		Health:   Health{FailedJobs: map[string]bool{}, avoid: map[string]time.Time{}},
 		Offer: &placement.Machine{
-			ID: id, Images: map[string]bool{}, Fetching: map[string]float64{}, Avoid: map[string]bool{},
+			ID: id, Images: map[string]bool{}, Fetching: map[string]float64{}, AvoidJobs: map[string]bool{},
 		},
 	}
 }
@@ -147,7 +147,7 @@
 
 // AvoidJobUntil keeps a job off the machine for a while.
 func (m *Machine) AvoidJobUntil(job string, until time.Time) {
-	m.Health.avoid[job], m.Offer.Avoid[job] = until, true
+	m.Health.avoid[job], m.Offer.AvoidJobs[job] = until, true
 }
 
 // ExpireAvoidance lets jobs back that are no longer to be kept off, and tells whether there
@@ -156,7 +156,7 @@
 	for job, until := range m.Health.avoid {
 		if now.After(until) {
 			delete(m.Health.avoid, job)
-			delete(m.Offer.Avoid, job)
+			delete(m.Offer.AvoidJobs, job)
 			expired = true
 		}
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -19,7 +19,7 @@
 	if t := l.machineType(typ); t != nil && t.BootS > 0 {
 		return time.Duration(t.BootS * float64(time.Second))
 	}
-	return l.Derived.Lease
+	return l.Derived.Workers.Lease
 }
 
 func times(d time.Duration, ratio float64) time.Duration {
@@ -28,7 +28,7 @@
 
 // manageFleet returns what is not needed and rents what is.
 func (l *Leader) manageFleet(ctx context.Context, now time.Time) {
-	if now.Sub(l.fleetAt) < max(l.Derived.ControlInterval/4, times(l.fleetDuration, 1/planShare)) || l.Catalog() == nil {
+	if now.Sub(l.fleetAt) < max(l.Derived.Leader.ControlInterval/4, times(l.fleetDuration, 1/planShare)) || l.Catalog() == nil {
 		return
 	}
 	l.fleetAt = now
@@ -45,7 +45,7 @@
 			// which frees its tasks before a verdict or its lease would.
 			back = append(back, m)
 		case m.Phase == cluster.Up && len(m.Assignments) == 0 && (m.Health.Dead || m.Health.Draining || now.Sub(m.Rental.IdleSince) > l.idleTime(m)):
-			if m.Health.NoticeUntil.IsZero() || now.After(m.Health.NoticeUntil.Add(l.Derived.ListLag)) || m.Health.Dead {
+			if m.Health.NoticeUntil.IsZero() || now.After(m.Health.NoticeUntil.Add(l.Derived.Cloud.ListLag)) || m.Health.Dead {
 				back = append(back, m)
 			}
 		}
@@ -57,7 +57,7 @@
 		return 1
 	})
 	l.release(ctx, now, back...)
-	if now.Before(l.listSyncAt) && l.term.Token > 1 {
+	if now.Before(l.listSyncAt) && l.term.FencingToken > 1 {
 		return // an earlier leader's rentals may not be listed yet
 	}
 	l.rent(ctx, now)
@@ -66,30 +66,30 @@
 // neverCameUp tells whether a machine that was not heard of is to be given up. One that
 // the list has as running may have tasks that no record names: it has a lease to report.
 func (l *Leader) neverCameUp(m *cluster.Machine, now time.Time) bool {
-	if !m.Rental.ListedRunningSince.IsZero() && now.Sub(m.Rental.ListedRunningSince) < l.Derived.LeaseOver {
+	if !m.Rental.ListedRunningSince.IsZero() && now.Sub(m.Rental.ListedRunningSince) < l.Derived.Workers.LeaseExpiry {
 		return false
 	}
-	return now.Sub(m.Rental.KnownSince) > times(l.bootTime(m.Type), l.Settings.Operator.LateBoots)
+	return now.Sub(m.Rental.KnownSince) > times(l.bootTime(m.Type), l.Settings.Operator.LateBootTimes)
 }
 
 // rent asks for machines, with a few requests at a time: more would only wait for
 // each other at the cloud, and what they ask for be out of date when it comes.
 func (l *Leader) rent(ctx context.Context, now time.Time) {
-	if l.rentalsInFlight >= l.Derived.RentalsInFlight {
+	if l.rentalsInFlight >= l.Derived.Cloud.RentalsInFlight {
 		return
 	}
 	needs := l.needs(now)
 	if len(needs) == 0 {
 		return
 	}
-	have := map[autoscaler.Kind]int{}
-	coming := map[autoscaler.Kind]int{}
+	have := map[autoscaler.MachinePool]int{}
+	coming := map[autoscaler.MachinePool]int{}
 	for _, m := range l.machines.All {
-		k := autoscaler.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		k := autoscaler.MachinePool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		if m.Phase != cluster.Releasing {
 			have[k]++
 		}
-		if m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(l.bootTime(m.Type), l.Settings.Operator.SlowBoots) {
+		if m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(l.bootTime(m.Type), l.Settings.Operator.SlowBootTimes) {
 			coming[k]++
 		}
 	}
@@ -97,19 +97,19 @@
 		have[k] += n
 		coming[k] += n // on its way, though not in the books yet
 	}
-	plan := autoscaler.Plan(needs, coming, autoscaler.Market{
-		Types: l.Catalog(),
-		Have:  have,
-		Refused: func(k autoscaler.Kind) bool {
+	plan := autoscaler.PlanScaleOut(needs, coming, autoscaler.Market{
+		Types:         l.Catalog(),
+		MachineCounts: have,
+		OutOfCapacity: func(k autoscaler.MachinePool) bool {
 			// What boots in a zone that is cut off is paid for and cannot be used.
-			return now.Before(l.refused[k].until) || l.watch.ZoneSilent(k.Zone, now, 2*l.Derived.Cancel)
+			return now.Before(l.refused[k].until) || l.watch.ZoneFellSilent(k.Zone, now, 2*l.Derived.Workers.CancelDeadline)
 		},
 	})
-	for _, k := range autoscaler.Sorted(plan) {
-		for n := plan[k]; n > 0 && l.rentalsInFlight < l.Derived.RentalsInFlight; n -= autoscaler.MaxRent {
+	for _, k := range autoscaler.LargestFirst(plan) {
+		for n := plan[k]; n > 0 && l.rentalsInFlight < l.Derived.Cloud.RentalsInFlight; n -= autoscaler.MaxMachinesPerRequest {
 			l.rentalsMade++
 			l.rentalsInFlight++
-			r := autoscaler.Rental{Name: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalsMade), Kind: k, Count: min(n, autoscaler.MaxRent)}
+			r := autoscaler.ProvisionRequest{Name: fmt.Sprintf("r-%d-%d", l.term.FencingToken, l.rentalsMade), MachinePool: k, Count: min(n, autoscaler.MaxMachinesPerRequest)}
 			l.renting[k] += r.Count
 			go l.requestRental(ctx, r)
 		}
@@ -119,7 +119,7 @@
 // idleTime is how long an idle machine is kept. The cheaper it is, by the price
 // of the ordinary kind, the longer keeping it costs less than booting another.
 func (l *Leader) idleTime(m *cluster.Machine) time.Duration {
-	keep := times(l.bootTime(m.Type), l.Settings.Operator.IdleBoots)
+	keep := times(l.bootTime(m.Type), l.Settings.Operator.IdleBootTimes)
 	if t := l.machineType(m.Type); m.Spot && t != nil && t.SpotPrice > 0 {
 		keep = times(keep, t.Price/t.SpotPrice)
 	}
@@ -128,12 +128,12 @@
 
 // requestRental rents until the outcome is known: after anything but an answer the
 // same request, which the cloud carries out once only, goes out again.
-func (l *Leader) requestRental(ctx context.Context, r autoscaler.Rental) {
+func (l *Leader) requestRental(ctx context.Context, r autoscaler.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !l.Valid() {
 			return nil, backoff.Permanent(errTermOver)
 		}
-		ids, err := l.Cloud.Rent(ctx, r)
+		ids, err := l.Cloud.Provision(ctx, r)
 		if errors.Is(err, autoscaler.ErrNoCapacity) {
 			return nil, backoff.Permanent(err)
 		}
@@ -141,14 +141,14 @@
 	}, backoff.WithBackOff(l.backOff()), backoff.WithMaxElapsedTime(0))
 	l.post(ctx, func(now time.Time) {
 		l.rentalsInFlight--
-		l.renting[r.Kind] -= r.Count
+		l.renting[r.MachinePool] -= r.Count
 		if err != nil || len(ids) < r.Count {
-			ref := l.refused[r.Kind]
-			ref.wait = min(max(2*ref.wait, 2*l.Derived.ControlInterval), 8*l.Derived.ListLag)
+			ref := l.refused[r.MachinePool]
+			ref.wait = min(max(2*ref.wait, 2*l.Derived.Leader.ControlInterval), 8*l.Derived.Cloud.ListLag)
 			ref.until = now.Add(ref.wait)
-			l.refused[r.Kind] = ref
+			l.refused[r.MachinePool] = ref
 		} else {
-			delete(l.refused, r.Kind)
+			delete(l.refused, r.MachinePool)
 		}
 		level := slog.LevelInfo
 		if len(ids) == 0 {
@@ -170,7 +170,7 @@
 
 func (l *Leader) backOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = l.Derived.Report / 2
-	b.MaxInterval = 2 * l.Derived.Report
+	b.InitialInterval = l.Derived.Workers.HeartbeatInterval / 2
+	b.MaxInterval = 2 * l.Derived.Workers.HeartbeatInterval
 	return b
 }
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -20,26 +20,26 @@
 func (l *Leader) follow(ctx context.Context, after uint64) {
 	var least uint64
 	var asked time.Time
-	var newest detection.Highest
+	var newest detection.Watermark
 	for ctx.Err() == nil {
 		// Only what reaches a revision read at some moment is as new as that: a
 		// watch may lag, or be empty because the service does not serve this node.
 		putBack := false
-		request := newest.Ask()
+		request := newest.Baseline()
 		if sent := time.Now(); least <= after {
 			if r, err := l.Store.Revision(ctx); err == nil {
 				least, asked = r, sent
-				var e detection.Loss
-				if e, putBack = newest.See(request, detection.RevisionBack, "", r); putBack {
+				var e detection.Evidence
+				if e, putBack = newest.Observe(request, detection.RevisionBack, "", r); putBack {
 					l.post(ctx, func(now time.Time) { l.suspect(e, now) })
 					after = 0 // revisions are given out again: nothing can be concluded from those before
 				}
 			}
 		}
-		request = newest.Ask()
-		rev, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.WatchWait)
+		request = newest.Baseline()
+		rev, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.Store.WatchTimeout)
 		if putBack || l.listAnew.Swap(false) || errors.Is(err, kvstore.ErrCompacted) {
-			var pairs []kvstore.Pair
+			var pairs []kvstore.KeyValue
 			if pairs, rev, err = l.Store.List(ctx, jobs.RecordPrefix); err == nil {
 				for _, p := range pairs {
 					changes = append(changes, kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision})
@@ -47,15 +47,15 @@
 			}
 		}
 		if err != nil {
-			slog.Debug("watch failed", "term", l.term.Token, "reason", err)
+			slog.Debug("watch failed", "term", l.term.FencingToken, "reason", err)
 			select {
 			case <-ctx.Done():
-			case <-time.After(l.Derived.TermRenew):
+			case <-time.After(l.Derived.Election.RenewInterval):
 			}
 			continue
 		}
 		after = max(after, rev)
-		newest.Raise(request, rev)
+		newest.Advance(request, rev)
 		seen := after
 		proven := after >= least && !asked.IsZero()
 		sent := asked
@@ -98,7 +98,7 @@
 
 func (l *Leader) jobChanged(c kvstore.Change, now time.Time) {
 	if c.Set == "" {
-		l.Cache.Removed(c.Remove, c.Revision)
+		l.Cache.ApplyRemoval(c.Remove, c.Revision)
 		return
 	}
 	var rec jobs.Record
@@ -106,10 +106,10 @@
 		slog.Error("job record unreadable", "key", c.Set, "reason", err)
 		return
 	}
-	id := jobs.IDOf(c.Set)
+	id := jobs.JobIDFromKey(c.Set)
 	l.changes = append(l.changes, peer.JobChange{ID: id, State: rec.State, Tasks: rec.Tasks})
 	j := l.jobs[id]
-	if known, _ := l.Cache.Known(id); known.Over() && !rec.Over() {
+	if known, _ := l.Cache.Known(id); known.Finished() && !rec.Finished() {
 		return // the record is older than what users were told: it will be written again
 	}
 	if rec.Held != nil {
@@ -119,8 +119,8 @@
 	}
 	switch {
 	case j == nil && l.unseen[id] > c.Revision: // cancelled since
-	case j == nil && !rec.Over() && rec.Spec != nil:
-		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AtMs, now)
+	case j == nil && !rec.Finished() && rec.Spec != nil:
+		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AcceptedAtMs, now)
 		l.jobs[id] = j
 		if _, seen := l.knowledge[id]; seen || rec.Restored || l.strays[id] != nil {
 			l.adoptTasksOf(j, now)
@@ -134,7 +134,7 @@
 		l.cancelled(j, c.Revision)
 	case rec.State == jobs.Done && !j.End.CompletionDurable && !j.End.Cancelled:
 		l.doneElsewhere(j)
-	case !rec.Over() && c.Revision > j.Revision && !j.End.CompletionDurable:
+	case !rec.Finished() && c.Revision > j.Revision && !j.End.CompletionDurable:
 		j.Revision = c.Revision // its record was lost, and is written again
 	}
 }
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -10,7 +10,7 @@
 // gangWritten notes that the beginning of a task of a gang is durable. The last one
 // lets all of them go.
 func (l *Leader) gangWritten(j *cluster.Job) {
-	if j.Gang.Durable++; j.GangVerdict() == gang.Go {
+	if j.Gang.Durable++; j.GangVerdict() == gang.Run {
 		for _, a := range j.Assignments {
 			l.notify(a.Machine)
 		}
@@ -20,7 +20,7 @@
 // parted takes in that a task of a gang is off its machine. If it is not done, the
 // others have to stop.
 func (l *Leader) parted(j *cluster.Job) {
-	if j.Gang.Assigned--; !j.IsOver() && j.GangVerdict() == gang.End {
+	if j.Gang.Assigned--; !j.IsOver() && j.GangVerdict() == gang.Abort {
 		slog.Debug("gang not whole", "job", j.ID, "attempt", j.Gang.Number, "term", l.token, "left", j.Gang.Assigned)
 		l.stopGang(j, 0)
 	}
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -26,7 +26,7 @@
 	other := report(1, 1)
 	other.Machine = "m-2"
 	l.report(other, now)
-	j = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimateS: 30, CheckpntS: 10, SaveS: 3, OneZone: true}, 1, 0, now)
+	j = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimatedRuntimeS: 30, CheckpointIntervalS: 10, CheckpointSaveS: 3, OneZone: true}, 1, 0, now)
 	l.jobs[j.ID] = j
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
 		if a := l.assign(j, j.TakePendingTask(), l.machines.ByID[id], now); a.Index != i {
@@ -52,7 +52,7 @@
 var seq uint64 = 10
 
 // says lets a machine report the gang's tasks, in the order of their numbers.
-func (l *Leader) says(machine string, j *cluster.Job, now time.Time, tasks ...workers.Task) []string {
+func (l *Leader) says(machine string, j *cluster.Job, now time.Time, tasks ...workers.TaskStatus) []string {
 	seq++
 	r := report(1, seq, tasks...)
 	r.Machine = machine
@@ -60,13 +60,13 @@
 	if answer == nil {
 		return []string{"no answer"}
 	}
-	got := ops(answer.Calls)
+	got := ops(answer.Commands)
 	slices.Sort(got)
 	return got
 }
 
-func gangTask(j *cluster.Job, n int, state, cause string) workers.Task {
-	return workers.Task{Task: workers.TaskName(j.ID, n), Attempt: j.Assignments[n].GangAttempt, State: state, Cause: cause}
+func gangTask(j *cluster.Job, n int, state, cause string) workers.TaskStatus {
+	return workers.TaskStatus{Name: workers.TaskName(j.ID, n), Attempt: j.Assignments[n].GangAttempt, State: state, Cause: cause}
 }
 
 // No task of a gang is sent before all beginnings are durable. All have the same
@@ -87,16 +87,16 @@
 	if a, b := j.Assignments[0], j.Assignments[1]; a.Attempt == b.Attempt || a.GangAttempt != b.GangAttempt || a.GangAttempt == a.Attempt {
 		t.Errorf("attempts %d and %d of gang %d and %d", a.Attempt, b.Attempt, a.GangAttempt, b.GangAttempt)
 	}
-	l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Fetching, ""))
-	if a, b := j.Assignments[0], j.Assignments[1]; a.ObservedState != workers.Gathering || b.ObservedState != workers.Fetching {
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateFetching, ""))
+	if a, b := j.Assignments[0], j.Assignments[1]; a.ObservedState != workers.StateGathering || b.ObservedState != workers.StateFetching {
 		t.Errorf("seen %q and %q", a.ObservedState, b.ObservedState)
 	}
 	// A mate that no one has put there, as by a copy of an order, has no part in it.
-	if d := cmp.Diff([]string{"stop j-2/0"}, l.says("m-2", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 2, workers.Gathering, ""))); d != "" {
+	if d := cmp.Diff([]string{"stop j-2/0"}, l.says("m-2", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 2, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
 	// One of the two ends: the other is still there.
-	l.says("m-1", j, now, gangTask(j, 0, workers.Ended, workers.CauseNoRoom), gangTask(j, 1, workers.Fetching, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseNoRoom), gangTask(j, 1, workers.StateFetching, ""))
 	if j.Assignments[0].Outcome != cluster.Retry || j.Assignments[1].Outcome != cluster.Open {
 		t.Error("an end was taken for that of another task")
 	}
@@ -109,10 +109,10 @@
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now)
 	l.says("m-2", j, now)
-	l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))
-	l.says("m-2", j, now, gangTask(j, 2, workers.Running, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
+	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
 	l.lost(l.machines.ByID["m-2"], "its lease is over")
-	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))); d != "" {
+	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
 		t.Error(d)
 	}
 	l.forget(j.Assignments[2])
@@ -122,7 +122,7 @@
 		t.Error("a task was begun while the others may still run")
 	}
 	first := j.Assignments[0].GangAttempt
-	l.says("m-1", j, now, gangTask(j, 0, workers.Ended, workers.CauseMatesGone), gangTask(j, 1, workers.Ended, workers.CauseMatesGone))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateEnded, workers.CauseMatesGone))
 	l.forget(j.Assignments[0])
 	l.place(now)
 	if len(j.Assignments) != 1 {
@@ -139,10 +139,10 @@
 func TestGangGathersNoMore(t *testing.T) {
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Gathering, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))
 	l.returning = true // a request to the cloud is on its way: ours waits for it
-	l.judged(t.Context(), l.machines.ByID["m-2"], liveness.CallFailed, now)
-	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Gathering, ""))); d != "" {
+	l.judged(t.Context(), l.machines.ByID["m-2"], liveness.ProbeFailed, now)
+	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
 }
@@ -152,13 +152,13 @@
 func TestGangDone(t *testing.T) {
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))
-	l.says("m-2", j, now, gangTask(j, 2, workers.Running, ""))
-	l.says("m-1", j, now, gangTask(j, 0, workers.Ended, workers.CauseMatesGone), gangTask(j, 1, workers.Running, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
+	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateRunning, ""))
 	if j.Completions.Count != 0 || j.End.Complete {
 		t.Fatal("done by a loss")
 	}
-	done := gangTask(j, 2, workers.Ended, workers.CauseDone)
+	done := gangTask(j, 2, workers.StateEnded, workers.CauseDone)
 	if d := cmp.Diff([]string(nil), l.says("m-2", j, now, done)); d != "" {
 		t.Errorf("before the job's end is durable: %s", d)
 	}
@@ -176,11 +176,11 @@
 func TestGangSaves(t *testing.T) {
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))
-	l.says("m-2", j, now, gangTask(j, 2, workers.Running, ""))
+	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
+	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
 	l.stopWithGang(j.Assignments[1], 3)
 	for range mostUndelivered + 2 {
-		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Running, ""), gangTask(j, 1, workers.Running, ""))); d != "" {
+		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
 			t.Fatal(d)
 		}
 	}
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -20,12 +20,12 @@
 
 // Report hands a report over and returns the answer; nil means that this node
 // has no right, or no time, to answer.
-func (g *Gate) Report(ctx context.Context, r *workers.Report) *workers.Answer {
+func (g *Gate) Report(ctx context.Context, r *workers.Heartbeat) *workers.HeartbeatResponse {
 	l := g.on.Load()
 	if l == nil {
 		return nil
 	}
-	req := reportIn{r, make(chan *workers.Answer, 1)}
+	req := reportIn{r, make(chan *workers.HeartbeatResponse, 1)}
 	select {
 	case l.reports <- req:
 	case <-l.quit:
@@ -61,8 +61,8 @@
 }
 
 type reportIn struct {
-	report *workers.Report
-	reply  chan *workers.Answer
+	report *workers.Heartbeat
+	reply  chan *workers.HeartbeatResponse
 }
 
 // Lead does one term's work until the context ends.
@@ -79,14 +79,14 @@
 	}()
 	after, err := l.load(ctx)
 	if err != nil {
-		slog.Info("records not read, resigning", "term", t.Token, "reason", err)
+		slog.Info("records not read, resigning", "term", t.FencingToken, "reason", err)
 		return
 	}
 	duties.Go(func() { l.follow(ctx, after) })
 	duties.Go(func() { l.listing(ctx) })
 	// A leader that no worker reaches makes way for one that may be reached. It
 	// does so once in a while only: if all machines are really gone, nobody can.
-	l.mayResign = time.Since(g.resigned) > 4*d.Derived.Lease && len(d.Settings.Peers) > 0
+	l.mayResign = time.Since(g.resigned) > 4*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
 	g.on.Store(l)
 	l.run(ctx)
 	if l.resign {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -26,7 +26,7 @@
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Store    *kvstore.Client
-	Cloud    *autoscaler.Cloud
+	Cloud    *autoscaler.Client
 	Workers  *workers.Client
 	Valid    func() bool // holds the term at this moment
 	// Promised is when the promises were asked for that keep the term in an outage;
@@ -45,7 +45,7 @@
 type Leader struct {
 	Deps
 	term     election.Term
-	takeover *reconcile.Takeover
+	takeover *reconcile.Failover
 
 	reports chan reportIn
 	events  chan func(now time.Time) // outcomes of I/O, applied by the one goroutine
@@ -70,12 +70,12 @@
 type view struct {
 	jobs     map[string]*cluster.Job
 	machines cluster.MachineSet
-	watch    *liveness.Watch
-	used     map[string]placement.Amount // by team
-	viewTime time.Time                   // all that users were told by then is in the jobs
-	seen     atomic.Uint64               // as are all changes up to this revision
-	unseen   map[string]uint64           // jobs known to be cancelled at a later revision
-	expireAt time.Time                   // no worker's lease ends before
+	watch    *liveness.Detector
+	used     map[string]placement.Resources // by team
+	viewTime time.Time                      // all that users were told by then is in the jobs
+	seen     atomic.Uint64                  // as are all changes up to this revision
+	unseen   map[string]uint64              // jobs known to be cancelled at a later revision
+	expireAt time.Time                      // no worker's lease ends before
 }
 
 // tokens is the fencing token, as raised within the term to end doubts.
@@ -129,8 +129,8 @@
 	rentalsInFlight int
 	returns         []string // machines to be given back
 	returning       bool     // a request is on its way
-	renting         map[autoscaler.Kind]int
-	refused         map[autoscaler.Kind]refusal
+	renting         map[autoscaler.MachinePool]int
+	refused         map[autoscaler.MachinePool]refusal
 	listSyncAt      time.Time
 	arrivalRate     float64 // batch work that arrives, in CPUs
 	arrivalRateAt   time.Time
@@ -140,27 +140,27 @@
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
-		Deps: d, term: t, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
+		Deps: d, term: t, takeover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
-		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
+		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Resources{}, unseen: map[string]uint64{}},
+		tokens:       tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
 		writer:       writer{log: assignmentlog.New(logConfig(d.Derived))},
-		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
-		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
+		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.FencingToken << attemptBits},
+		fleetManager: fleetManager{renting: map[autoscaler.MachinePool]int{}, refused: map[autoscaler.MachinePool]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
-	l.round = t.Token << roundBits
+	l.round = t.FencingToken << roundBits
 	l.watch = liveness.New(liveness.Config{
-		SilentFor: d.Derived.SilentFor, LeaseOver: d.Derived.LeaseOver,
-		HoldGrace: d.Derived.HoldGrace, Gap: d.Derived.VerdictGap, ZoneSize: smallZone,
-		Overdue: d.Derived.Overdue, GroupSilent: d.Derived.ZoneSilent, Weight: l.services,
+		SuspectAfter: d.Derived.Detection.SuspectAfter, LeaseExpiry: d.Derived.Workers.LeaseExpiry,
+		HoldTimeout: d.Derived.Detection.MaxHold, VerdictInterval: d.Derived.Detection.VerdictInterval, MachinesPerVerdict: smallZone,
+		HeartbeatOverdue: d.Derived.Detection.HeartbeatOverdue, GroupSuspectAfter: d.Derived.Detection.ZoneSilenceLimit, Importance: l.services,
 	})
 	return l
 }
 
 // logConfig is the limits of the assignment log.
 func logConfig(derived settings.Derived) assignmentlog.Config {
-	return assignmentlog.Config{ChunkTasks: derived.ChunkTasks, MaxOps: derived.TxnOps, ValueBytes: derived.ValueBytes}
+	return assignmentlog.Config{ChunkTasks: derived.Store.ChunkTasks, MaxOps: derived.Store.TxnOps, ValueBytes: derived.Store.ValueBytes}
 }
 
 // roundBits is how many rounds of comparison a term has numbers for.
@@ -186,7 +186,7 @@
 }
 
 func (l *Leader) run(ctx context.Context) {
-	tick := time.NewTicker(l.Derived.ControlInterval / cluster.TickGroups)
+	tick := time.NewTicker(l.Derived.Leader.ControlInterval / cluster.TickGroups)
 	defer tick.Stop()
 	for {
 		select {
@@ -225,5 +225,5 @@
 // mayBegin tells whether new work can be made durable. While it cannot, a plan
 // would stop tasks to make room that nothing can be placed in.
 func (l *Leader) mayBegin(now time.Time) bool {
-	return !l.storeFailing && now.Sub(l.Promised()) > l.Derived.TermLease
+	return !l.storeFailing && now.Sub(l.Promised()) > l.Derived.Election.LeaseDuration
 }
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -16,13 +16,13 @@
 func (l *Leader) listing(ctx context.Context) {
 	for ctx.Err() == nil {
 		asked := time.Now()
-		all, segments, err := l.Cloud.List(ctx)
+		all, segments, err := l.Cloud.ListMachines(ctx)
 		if err != nil {
-			slog.Debug("machines not listed", "term", l.term.Token, "reason", err)
+			slog.Debug("machines not listed", "term", l.term.FencingToken, "reason", err)
 		} else {
 			l.post(ctx, func(now time.Time) { l.listed(ctx, all, asked, now) })
 		}
-		l.pause(ctx, max(l.Derived.ListEvery, time.Duration(float64(segments)/(listShare*l.Settings.Deployment.Cloud.RPS)*float64(time.Second))))
+		l.pause(ctx, max(l.Derived.Cloud.ListInterval, time.Duration(float64(segments)/(listShare*l.Settings.Deployment.Cloud.RPS)*float64(time.Second))))
 	}
 }
 
@@ -30,7 +30,7 @@
 // machine missing from it proves nothing, nor does one that is still there. But
 // one that was in an earlier list, and has not reported since this one was asked
 // for, is mostly gone: it is called.
-func (l *Leader) listed(ctx context.Context, all []autoscaler.Listed, asked, now time.Time) {
+func (l *Leader) listed(ctx context.Context, all []autoscaler.ListedMachine, asked, now time.Time) {
 	var failed []*cluster.Machine
 	for _, e := range all {
 		m := l.machines.ByID[e.ID]
@@ -48,10 +48,10 @@
 			m.Addr = e.Addr
 		}
 		m.Rental.ListedAt = asked
-		if e.State == autoscaler.Running && m.Rental.ListedRunningSince.IsZero() {
+		if e.State == autoscaler.StateRunning && m.Rental.ListedRunningSince.IsZero() {
 			m.Rental.ListedRunningSince = now
 		}
-		if e.State == autoscaler.Failed && m.Phase != cluster.Releasing {
+		if e.State == autoscaler.StateFailed && m.Phase != cluster.Releasing {
 			slog.Info("machine failed", "machine", m.ID, "term", l.token, "reason", "cloud says so")
 			failed = append(failed, m)
 		}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -19,7 +19,7 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.viewTime, l.fresh = now, !l.Cache.Settled()
+	l.viewTime, l.fresh = now, !l.Cache.ProvenCurrent()
 	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
@@ -30,26 +30,26 @@
 	log := l.readLog(segments)
 	l.checkLog(log, now)
 	named := assignmentlog.JobsNamed(log)
-	ended := map[string]kvstore.Pair{} // of which tasks may be left
-	over, listed, known := 0, 0, l.Cache.Recorded()
-	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) {
+	ended := map[string]kvstore.KeyValue{} // of which tasks may be left
+	over, listed, known := 0, 0, l.Cache.RecordedCount()
+	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(p kvstore.KeyValue) {
 		listed++
 		var rec jobs.Record
 		if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
 			slog.Error("job record unreadable", "key", p.Key, "reason", err)
 			return
 		}
-		id := jobs.IDOf(p.Key)
+		id := jobs.JobIDFromKey(p.Key)
 		told, _ := l.Cache.Known(id)
 		if rec.Held != nil {
 			l.hold(id, &rec, p.Revision)
 		}
 		switch {
-		case rec.Over(), told.Over(): // the latter: it is older than what users were told
+		case rec.Finished(), told.Finished(): // the latter: it is older than what users were told
 		case rec.Held != nil:
 			return
 		case rec.Spec != nil:
-			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AtMs, now)
+			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AcceptedAtMs, now)
 			l.jobs[id] = j
 			if rec.Restored || l.affectsLog {
 				l.adoptTasksOf(j, now)
@@ -67,7 +67,7 @@
 	l.checkRecords(log, ended, known, listed, now)
 	l.restore(log, ended, now)
 	for _, j := range l.jobs {
-		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.End {
+		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.Abort {
 			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
 		}
 		if !j.IsOver() && j.Spec.Shape == jobs.Batch && j.Completions.Count == j.Spec.Tasks {
@@ -81,15 +81,15 @@
 	}
 	l.replan, l.uncovered = true, true
 	l.raisedAt = now
-	l.listSyncAt = now.Add(2 * l.Derived.ListLag)
+	l.listSyncAt = now.Add(2 * l.Derived.Cloud.ListLag)
 	l.seen.Store(after)
-	l.takeover.RecordsRead(time.Now())
+	l.takeover.RecordsLoaded(time.Now())
 	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.All))
 	return after, nil
 }
 
 // readLog makes the log of its segments. What each says is for the caller.
-func (l *Leader) readLog(stored []kvstore.Pair) (read []assignmentlog.StoredSegment) {
+func (l *Leader) readLog(stored []kvstore.KeyValue) (read []assignmentlog.StoredSegment) {
 	l.log, read = assignmentlog.Load(logConfig(l.Derived), stored)
 	return read
 }
@@ -97,7 +97,7 @@
 // restore takes in the log. Whatever it names may be there: the tasks count
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
-func (l *Leader) restore(segments []assignmentlog.StoredSegment, ended map[string]kvstore.Pair, now time.Time) {
+func (l *Leader) restore(segments []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, now time.Time) {
 	where := map[uint64]*cluster.Segment{}
 	defer l.announce()
 	for _, stored := range segments {
@@ -119,10 +119,10 @@
 		}
 		for _, d := range stored.Record.Done {
 			j := l.jobs[d.Job]
-			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.ChunkTasks >= j.Spec.Tasks {
+			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.Store.ChunkTasks >= j.Spec.Tasks {
 				continue
 			}
-			if err := j.DecodeChunk(d.Chunk, l.Derived.ChunkTasks, d.Bits); err != nil {
+			if err := j.DecodeChunk(d.Chunk, l.Derived.Store.ChunkTasks, d.Bits); err != nil {
 				slog.Error("completions unreadable", "job", d.Job, "reason", err)
 				continue
 			}
@@ -142,10 +142,10 @@
 	for _, p := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(p.Begun) {
 			a := p.Begun[attempt]
-			switch d := reconcile.OfRecord(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
+			switch d := reconcile.DecideOnRecords(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
 			case reconcile.Complete:
 				l.conclude(a, cluster.Success)
-			case reconcile.Restart:
+			case reconcile.Reschedule:
 				l.conclude(a, cluster.Retry)
 			default: // its machine is heard first
 			}
@@ -157,10 +157,10 @@
 	m := l.machines.ByID[b.Machine]
 	if m == nil {
 		m = cluster.NewMachine(b.Machine, now)
-		m.Phase, m.Worker.LeaseUntil = cluster.Up, now.Add(l.Derived.LeaseOver)
+		m.Phase, m.Worker.LeaseUntil = cluster.Up, now.Add(l.Derived.Workers.LeaseExpiry)
 		l.machines.Add(m)
 		l.watch.Restore(m.ID, b.Zone, now)
-		l.takeover.Expect(m.ID)
+		l.takeover.ExpectMachine(m.ID)
 	}
 	m.Addr, m.Type, m.Zone, m.Spot = b.Addr, b.Type, b.Zone, b.Spot
 	m.Worker.Session = max(m.Worker.Session, b.Session)
@@ -169,7 +169,7 @@
 
 // restoreTask finds out what may be on a machine; it does not count before the
 // whole log is read.
-func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t assignmentlog.TaskRecord, ended map[string]kvstore.Pair, now time.Time) {
+func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t assignmentlog.TaskRecord, ended map[string]kvstore.KeyValue, now time.Time) {
 	j := l.jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
 		l.learnFromLog(t)
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -21,19 +21,19 @@
 
 // needs is the work that machines should be rented for: services at once, and
 // batch tasks that would be over too late on the machines there are.
-func (l *Leader) needs(now time.Time) []autoscaler.Need {
-	var queue []autoscaler.Waiting
+func (l *Leader) needs(now time.Time) []autoscaler.Demand {
+	var queue []autoscaler.PendingTasks
 	for _, d := range l.unmet {
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
-			queue = append(queue, autoscaler.Waiting{Spec: s, Count: d.Count, RunS: l.runS(s), DueS: l.Settings.Operator.DueShare * l.timeLeft(d.Job)})
+			queue = append(queue, autoscaler.PendingTasks{Spec: s, Count: d.Count, RunS: l.runS(s), DeadlineS: l.Settings.Operator.TimeLeftShare * l.timeLeft(d.Job)})
 		}
 	}
 	var late []int
 	short := 0.0
 	if len(queue) > 0 { // services are rented for at once
-		late, short = autoscaler.Late(l.rooms(now), queue), l.shortfall(now)
+		late, short = autoscaler.ForecastLateTasks(l.rooms(now), queue), l.shortfall(now)
 	}
-	var needs []autoscaler.Need
+	var needs []autoscaler.Demand
 	for _, d := range l.unmet {
 		n := d.Count
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
@@ -49,7 +49,7 @@
 			}
 		}
 		if n > 0 {
-			needs = append(needs, autoscaler.Need{Spec: d.Job.Spec, Zones: d.Job.Zones, Count: n})
+			needs = append(needs, autoscaler.Demand{Spec: d.Job.Spec, TasksByZone: d.Job.TasksByZone, Count: n})
 		}
 	}
 	return needs
@@ -57,12 +57,12 @@
 
 // flowOver is the time over which the flow of work is averaged: until a job that
 // got nothing goes first.
-func (l *Leader) flowOver() time.Duration { return l.Derived.BeginBy }
+func (l *Leader) flowOver() time.Duration { return l.Derived.Leader.StarvationLimit }
 
 // arrived takes in the work of a new job, in CPU seconds a second. An old one,
 // that a new leader finds, counts the less.
 func (l *Leader) arrived(j *cluster.Job, age time.Duration, now time.Time) {
-	if !j.Spec.Ends() {
+	if !j.Spec.RunsToCompletion() {
 		return
 	}
 	l.decayFlow(now)
@@ -82,7 +82,7 @@
 	l.decayFlow(now)
 	work := 0.0
 	for _, j := range l.jobs {
-		if !j.IsOver() && j.Spec.Ends() {
+		if !j.IsOver() && j.Spec.RunsToCompletion() {
 			work += float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs
 		}
 	}
@@ -91,7 +91,7 @@
 		if t := l.machineType(m.Type); t != nil && m.Phase != cluster.Releasing && !m.Health.Dead && !m.Health.Draining {
 			missing -= t.CPUs
 			for _, a := range m.Assignments {
-				if !a.Job.Spec.Ends() {
+				if !a.Job.Spec.RunsToCompletion() {
 					missing += a.Job.Spec.CPUs
 				}
 			}
@@ -106,38 +106,38 @@
 }
 
 // rooms is what the forecast plays on.
-func (l *Leader) rooms(now time.Time) []autoscaler.Room {
-	var rooms []autoscaler.Room
+func (l *Leader) rooms(now time.Time) []autoscaler.MachineForecast {
+	var rooms []autoscaler.MachineForecast
 	for _, m := range l.machines.All {
 		t := l.machineType(m.Type)
 		if t == nil {
 			continue
 		}
 		boot := l.bootTime(m.Type)
-		r := autoscaler.Room{
-			Kind: autoscaler.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-			Free: placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.Used, -1),
+		r := autoscaler.MachineForecast{
+			MachinePool: autoscaler.MachinePool{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+			Free:        placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.AddTimes(m.Used, -1),
 		}
 		switch {
 		case l.usable(m, now):
-		case m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(boot, l.Settings.Operator.SlowBoots):
-			r.From = max(boot-now.Sub(m.Rental.KnownSince), boot/8).Seconds()
+		case m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(boot, l.Settings.Operator.SlowBootTimes):
+			r.AvailableFromS = max(boot-now.Sub(m.Rental.KnownSince), boot/8).Seconds()
 		default:
 			continue
 		}
 		for _, a := range m.Assignments {
-			if a.Outcome != cluster.Open || !a.Job.Spec.Ends() {
+			if a.Outcome != cluster.Open || !a.Job.Spec.RunsToCompletion() {
 				continue
 			}
 			left := l.runS(a.Job.Spec) - now.Sub(a.RunningSince).Seconds()
 			if a.Stop.Requested || a.Job.IsOver() {
 				left = a.Stop.GraceS
 			}
-			r.Leaves = append(r.Leaves, autoscaler.Leave{At: max(left, overrun*l.runS(a.Job.Spec)), Need: placement.Of(a.Job.Spec)})
+			r.Releases = append(r.Releases, autoscaler.Release{AtS: max(left, overrun*l.runS(a.Job.Spec)), Resources: placement.TaskRequest(a.Job.Spec)})
 		}
 		rooms = append(rooms, r)
 	}
-	slices.SortFunc(rooms, func(a, b autoscaler.Room) int { return cmp.Compare(a.From, b.From) })
+	slices.SortFunc(rooms, func(a, b autoscaler.MachineForecast) int { return cmp.Compare(a.AvailableFromS, b.AvailableFromS) })
 	return rooms
 }
 
@@ -152,8 +152,8 @@
 // timeLeft is how many seconds a batch job has left. Without an aim to meet it
 // should not wait for ever either.
 func (l *Leader) timeLeft(j *placement.Job) float64 {
-	if j.DueS < placement.NoDeadline {
-		return j.DueS
+	if j.DeadlineS < placement.NoDeadline {
+		return j.DeadlineS
 	}
 	return patience * (l.runS(j.Spec) + l.shortestBoot().Seconds())
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -13,22 +13,22 @@
 
 // observe takes a worker's own picture of its machine. It returns false for an
 // old copy, which must not turn the picture back.
-func (l *Leader) observe(m *cluster.Machine, r *workers.Report, now time.Time) bool {
-	if r.Session < m.Worker.Session || r.Session == m.Worker.Session && m.Worker.Seq != 0 && r.Seq <= m.Worker.Seq {
+func (l *Leader) observe(m *cluster.Machine, r *workers.Heartbeat, now time.Time) bool {
+	if r.AgentEpoch < m.Worker.Session || r.AgentEpoch == m.Worker.Session && m.Worker.Seq != 0 && r.Seq <= m.Worker.Seq {
 		return false
 	}
-	if r.Session > m.Worker.Session {
+	if r.AgentEpoch > m.Worker.Session {
 		// The answer to an order or a call may tell of the new session before the end
 		// of the old one is over by our clock, which counts from when a report arrived.
 		// What begins in the new one may run for a whole lease from now.
-		m.Worker.LeaseUntil = now.Add(l.Derived.LeaseOver)
+		m.Worker.LeaseUntil = now.Add(l.Derived.Workers.LeaseExpiry)
 		m.Commands.InDoubtSince = time.Time{}
 		l.replan = true
 	}
-	m.Worker.Session, m.Worker.Seq, m.Worker.Token, m.Worker.Tasks = r.Session, r.Seq, r.Token, r.Tasks
+	m.Worker.Session, m.Worker.Seq, m.Worker.Token, m.Worker.Tasks = r.AgentEpoch, r.Seq, r.FencingToken, r.Tasks
 	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	if r.NoticeS != nil {
-		l.notice(m, *r.NoticeS, now)
+	if r.SpotNoticeS != nil {
+		l.notice(m, *r.SpotNoticeS, now)
 	}
 	for begun, token := range m.Commands.StartedByOrder {
 		if token < m.Worker.Token && taskIn(r, begun) == nil {
@@ -39,27 +39,27 @@
 		if a.Outcome != cluster.Open {
 			continue
 		}
-		p := reconcile.Picture{Session: r.Session, Token: r.Token}
-		if a.Session == r.Session {
+		p := reconcile.Observation{Session: r.AgentEpoch, Token: r.FencingToken}
+		if a.Session == r.AgentEpoch {
 			p.Task = taskIn(r, a.Ref())
 		}
-		l.pictured(a, p, reconcile.Observe(l.attemptFacts(a, now), p), now)
+		l.pictured(a, p, reconcile.DecideOnHeartbeat(l.attemptFacts(a, now), p), now)
 	}
 	return true
 }
 
 // pictured carries out what a picture means for an assignment.
-func (l *Leader) pictured(a *cluster.Assignment, p reconcile.Picture, d reconcile.Decision, now time.Time) {
+func (l *Leader) pictured(a *cluster.Assignment, p reconcile.Observation, d reconcile.Decision, now time.Time) {
 	if p.Task != nil {
 		l.present(a, p.Task, now)
 	}
 	switch d.Action {
 	case reconcile.Complete:
 		l.completed(a, now)
-	case reconcile.Begin:
+	case reconcile.Start:
 		a.Start.InDoubtToken, a.Start.Sent = 0, false
 		l.see(a, "")
-	case reconcile.Restart:
+	case reconcile.Reschedule:
 		if p.Task != nil {
 			l.blame(a, p.Task, now)
 		} else {
@@ -71,27 +71,27 @@
 }
 
 // present takes in the state of an assignment's task on its machine.
-func (l *Leader) present(a *cluster.Assignment, t *workers.Task, now time.Time) {
+func (l *Leader) present(a *cluster.Assignment, t *workers.TaskStatus, now time.Time) {
 	// One run is sent in one order only, so that one seen is one used up.
 	a.Start.InDoubtToken, a.Start.Sent = 0, true
 	if a.ObservedState == t.State {
 		return
 	}
-	slog.Debug("task seen", "task", t.Task, "machine", a.Machine.ID, "term", l.token, "state", t.State)
+	slog.Debug("task seen", "task", t.Name, "machine", a.Machine.ID, "term", l.token, "state", t.State)
 	switch t.State {
-	case workers.Running:
-		if a.ObservedState == workers.Fetching || a.ObservedState == workers.Gathering || !a.Restored {
+	case workers.StateRunning:
+		if a.ObservedState == workers.StateFetching || a.ObservedState == workers.StateGathering || !a.Restored {
 			a.RunningSince = now
 		}
 		a.Machine.CacheImage(a.Job.Spec, l.cacheGB(a.Machine))
-	case workers.Gathering:
+	case workers.StateGathering:
 		a.Machine.CacheImage(a.Job.Spec, l.cacheGB(a.Machine))
 	}
 	l.see(a, t.State)
 	l.show(a.Job)
 }
 
-func taskIn(r *workers.Report, of cluster.TaskRef) *workers.Task {
+func taskIn(r *workers.Heartbeat, of cluster.TaskRef) *workers.TaskStatus {
 	for i := range r.Tasks {
 		if cluster.RefOf(&r.Tasks[i]) == of {
 			return &r.Tasks[i]
@@ -110,7 +110,7 @@
 
 // blame finds out whether a task that ended without being done says something against its
 // machine or its job.
-func (l *Leader) blame(a *cluster.Assignment, t *workers.Task, now time.Time) {
+func (l *Leader) blame(a *cluster.Assignment, t *workers.TaskStatus, now time.Time) {
 	j, m := a.Job, a.Machine
 	switch t.Cause {
 	case workers.CauseStopped, workers.CauseMatesGone, workers.CauseIncomplete:
@@ -119,9 +119,9 @@
 		// a row is its user's mistake: it goes on being tried, ever more rarely.
 		j.Scheduling.ConsecutiveFailures++
 		m.Health.FailedJobs[j.ID] = true
-		m.AvoidJobUntil(j.ID, now.Add(l.Derived.Lease))
+		m.AvoidJobUntil(j.ID, now.Add(l.Derived.Workers.Lease))
 		if j.Scheduling.ConsecutiveFailures > 2 {
-			j.Scheduling.BackoffUntil = now.Add(min(l.Derived.Report<<min(j.Scheduling.ConsecutiveFailures-2, 6), l.Derived.Cancel))
+			j.Scheduling.BackoffUntil = now.Add(min(l.Derived.Workers.HeartbeatInterval<<min(j.Scheduling.ConsecutiveFailures-2, 6), l.Derived.Workers.CancelDeadline))
 		}
 		if len(m.Health.FailedJobs) > 1 && !m.Health.Draining {
 			slog.Info("machine suspected", "machine", m.ID, "term", l.token, "reason", "several jobs failed on it")
@@ -129,9 +129,9 @@
 			l.capacity.Remove(m.Offer)
 		}
 	default: // no_room, busy, unknown: refused, and worth another try soon
-		m.AvoidJobUntil(j.ID, now.Add(l.Derived.Report))
+		m.AvoidJobUntil(j.ID, now.Add(l.Derived.Workers.HeartbeatInterval))
 		if t.Cause == workers.CauseUnknown {
-			j.Scheduling.BackoffUntil = now.Add(l.Derived.Report)
+			j.Scheduling.BackoffUntil = now.Add(l.Derived.Workers.HeartbeatInterval)
 		}
 	}
 	slog.Debug("task ended", "task", a.TaskName(), "machine", m.ID, "term", l.token, "reason", t.Cause)
@@ -151,9 +151,9 @@
 			continue
 		}
 		switch s := a.Job.Spec; {
-		case a.Job.IsGang() && gang.Saves(s.CheckpntS, s.SaveS, l.Derived.GangPeer.Seconds(), inS),
-			!a.Job.IsGang() && s.CheckpntS > 0 && s.SaveS < inS:
-			l.stopWithGang(a, s.SaveS)
+		case a.Job.IsGang() && gang.ShouldCheckpoint(s.CheckpointIntervalS, s.CheckpointSaveS, l.Derived.Workers.GangStopWindow.Seconds(), inS),
+			!a.Job.IsGang() && s.CheckpointIntervalS > 0 && s.CheckpointSaveS < inS:
+			l.stopWithGang(a, s.CheckpointSaveS)
 		case l.hopeless(a, inS, now):
 			l.stopWithGang(a, 0)
 		}
@@ -164,11 +164,11 @@
 // hopeless tells whether a task on a machine that will be taken should begin anew
 // elsewhere: if it stays, it most likely loses the time until then as well.
 func (l *Leader) hopeless(a *cluster.Assignment, inS float64, now time.Time) bool {
-	if !a.Job.Spec.Ends() {
+	if !a.Job.Spec.RunsToCompletion() {
 		return len(l.unmet) == 0 // it never completes; while others wait it would, too
 	}
 	ran := 0.0
-	if a.ObservedState == workers.Running {
+	if a.ObservedState == workers.StateRunning {
 		ran = now.Sub(a.RunningSince).Seconds()
 	}
 	runS := l.runS(a.Job.Spec)
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -12,8 +12,8 @@
 	"ospreyslip/internal/workers"
 )
 
-func counter(r *workers.Report) liveness.Counter {
-	return liveness.Counter{Session: r.Session, Seq: r.Seq}
+func counter(r *workers.Heartbeat) liveness.HeartbeatSeq {
+	return liveness.HeartbeatSeq{Session: r.AgentEpoch, Seq: r.Seq}
 }
 
 // notify notes that a worker has something to be told at once.
@@ -40,8 +40,8 @@
 // orders tells workers at once what cannot wait for their next report. A few
 // orders are on their way at a time: at a take-over every worker has to be told.
 func (l *Leader) orders(ctx context.Context, now time.Time) {
-	l.sendOrders(ctx, now, &l.notifyQueue, l.Derived.OrdersInFlight)
-	l.sendOrders(ctx, now, &l.unconfirmedQueue, l.Derived.OrdersInFlight/2)
+	l.sendOrders(ctx, now, &l.notifyQueue, l.Derived.Host.CommandsInFlight)
+	l.sendOrders(ctx, now, &l.unconfirmedQueue, l.Derived.Host.CommandsInFlight/2)
 }
 
 func (l *Leader) sendOrders(ctx context.Context, now time.Time, queue *[]*cluster.Machine, most int) {
@@ -65,10 +65,10 @@
 			continue
 		}
 		l.ordersInFlight++
-		l.takeover.Ordered(now)
+		l.takeover.CommandSent(now)
 		m.Commands.OrderInFlight = true
-		l.watch.Called(m.ID)
-		order := workers.Order{Token: token, Session: m.Worker.Session, Calls: calls}
+		l.watch.CommandSent(m.ID)
+		order := workers.CommandRequest{FencingToken: token, AgentEpoch: m.Worker.Session, Commands: calls}
 		for _, c := range calls {
 			if c.Op == workers.OpRun {
 				m.Commands.StartedByOrder[cluster.CommandRef(&c)] = token
@@ -76,7 +76,7 @@
 		}
 		addr := m.Addr // a report may change it meanwhile
 		go func() {
-			r, ok, err := l.Workers.Order(ctx, addr, order)
+			r, ok, err := l.Workers.SendCommands(ctx, addr, order)
 			l.post(ctx, func(now time.Time) { l.ordered(m, order, r, ok, err, now) })
 		}()
 	}
@@ -86,7 +86,7 @@
 // its runs are in doubt: they may be executed at any later time while token and
 // session match. They are not sent again, nor is their task placed elsewhere,
 // until a report shows them or the worker has seen a higher token.
-func (l *Leader) ordered(m *cluster.Machine, o workers.Order, r *workers.Report, ok bool, err error, now time.Time) {
+func (l *Leader) ordered(m *cluster.Machine, o workers.CommandRequest, r *workers.Heartbeat, ok bool, err error, now time.Time) {
 	m.Commands.OrderInFlight = false
 	l.ordersInFlight--
 	defer l.requeue(m)
@@ -95,7 +95,7 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		neverSent = true // a connection attempt that was given up does not complete later
 	}
-	for _, c := range o.Calls {
+	for _, c := range o.Commands {
 		a := m.FindAssignment(cluster.CommandRef(&c))
 		if c.Op != workers.OpRun || a == nil {
 			continue
@@ -105,22 +105,22 @@
 		case neverSent:
 			a.Start.Sent = a.ObservedState != ""
 		case err != nil && a.ObservedState == "":
-			a.Start.InDoubtToken = o.Token
+			a.Start.InDoubtToken = o.FencingToken
 			m.Commands.InDoubtSince = now
 			l.doubtful[m] = true
 		}
 	}
 	if err != nil {
 		slog.Debug("order failed", "machine", m.ID, "term", l.token, "reason", err)
-		m.Commands.RetryAfter = now.Add(min(l.Derived.ControlInterval<<min(m.Commands.OrderFailures, 8), l.Derived.Lease/4))
+		m.Commands.RetryAfter = now.Add(min(l.Derived.Leader.ControlInterval<<min(m.Commands.OrderFailures, 8), l.Derived.Workers.Lease/4))
 		m.Commands.OrderFailures++
 		m.Commands.NotifyPending = true
 		l.watch.Suspect(m.ID)
 		return
 	}
 	m.Commands.UndeliveredAnswers, m.Commands.OrderFailures = 0, 0
-	l.watch.Reachable(m.ID)
-	l.watch.Answered(m.ID, counter(r))
+	l.watch.MarkReachable(m.ID)
+	l.watch.CommandAnswered(m.ID, counter(r))
 	l.observe(m, r, now)
 	for _, a := range m.Assignments {
 		if a.Job.IsOver() && a.Outcome == cluster.Open {
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -31,25 +31,25 @@
 
 func (noPeers) Peers() []string { return nil }
 
-func (noPeers) AskLost(context.Context, string, peer.Question) (peer.LostPage, error) {
-	return peer.LostPage{}, peer.ErrNoAnswer
+func (noPeers) RequestLostJobs(context.Context, string, peer.LostJobsRequest) (peer.LostJobsResponse, error) {
+	return peer.LostJobsResponse{}, peer.ErrNoResponse
 }
 
 // bench is a leader with one machine and one job of two tasks, and no duties.
 func bench() (*Leader, *cluster.Machine, *cluster.Job, time.Time) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
-		Workers: settings.Workers{ReportS: 2, LeaseS: 20, CancelS: 40},
-		State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
+		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40},
+		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
 		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
 	}}
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), Valid: func() bool { return true },
 		Promised: func() time.Time { return time.Time{} }, Catalog: func() []jobs.MachineType { return nil },
-		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
-	}, election.Term{Token: 5})
+		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
+	}, election.Term{FencingToken: 5})
 	l.attempts, l.viewTime = 100, now
-	l.watch = liveness.New(liveness.Config{SilentFor: time.Second, LeaseOver: time.Second, HoldGrace: time.Second, Gap: time.Second})
+	l.watch = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	l.jobs["j-1"] = j
 	l.report(report(1, 1), now)
@@ -61,11 +61,11 @@
 	return l, m, j, now
 }
 
-func report(session, seq uint64, tasks ...workers.Task) *workers.Report {
-	return &workers.Report{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: session, Seq: seq, Token: 5, Tasks: tasks}
+func report(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
+	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: 5, Tasks: tasks}
 }
 
-func ops(calls []workers.Call) (out []string) {
+func ops(calls []workers.Command) (out []string) {
 	for _, c := range calls {
 		out = append(out, c.Op+" "+c.Task)
 	}
@@ -77,12 +77,12 @@
 // it placed elsewhere while it is still saving.
 func TestOldReportsChangeNothing(t *testing.T) {
 	l, m, j, now := bench()
-	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.report(report(1, 2), now).Calls)); d != "" {
+	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.report(report(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
 	}
-	l.report(report(1, 4, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.report(report(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	l.stop(j.Assignments[0], 5)
-	l.report(report(1, 5, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Saving}), now)
+	l.report(report(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
 	l.report(report(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
 		t.Error("an old report ended a task that is still saving")
@@ -102,8 +102,8 @@
 func TestClearFollowsTheRecord(t *testing.T) {
 	l, m, _, now := bench()
 	l.report(report(1, 2), now)
-	done := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Ended, Cause: workers.CauseDone}
-	if calls := l.report(report(1, 3, done), now).Calls; len(calls) > 0 {
+	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
+	if calls := l.report(report(1, 3, done), now).Commands; len(calls) > 0 {
 		t.Errorf("before the completion is durable: %v", ops(calls))
 	}
 	for _, a := range m.Assignments {
@@ -112,7 +112,7 @@
 	if calls := l.calls(m, false); len(calls) > 0 {
 		t.Errorf("by order: %v", ops(calls))
 	}
-	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.report(report(1, 4, done), now).Calls)); d != "" {
+	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.report(report(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -122,17 +122,17 @@
 // its record may have been lost.
 func TestUnassignedTasksAreStopped(t *testing.T) {
 	l, _, _, now := bench()
-	l.Cache.Set("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
+	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
 	l.report(report(1, 2), now)
-	tasks := []workers.Task{
-		{Task: "j-1/0", Attempt: 101, State: workers.Running},
-		{Task: "j-1/1", Attempt: 7, State: workers.Running},
-		{Task: "j-8/0", Attempt: 8, State: workers.Running},
-		{Task: "x-1/0", Attempt: 9, State: workers.Running},
-		{Task: "j-9/3", Attempt: 10, State: workers.Running},
-		{Task: "j-9/4", Attempt: 11, State: workers.Ended, Cause: workers.CauseDone},
-	}
-	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.report(report(1, 3, tasks...), now).Calls)); d != "" {
+	tasks := []workers.TaskStatus{
+		{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
+		{Name: "j-1/1", Attempt: 7, State: workers.StateRunning},
+		{Name: "j-8/0", Attempt: 8, State: workers.StateRunning},
+		{Name: "x-1/0", Attempt: 9, State: workers.StateRunning},
+		{Name: "j-9/3", Attempt: 10, State: workers.StateRunning},
+		{Name: "j-9/4", Attempt: 11, State: workers.StateEnded, Cause: workers.CauseDone},
+	}
+	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.report(report(1, 3, tasks...), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -142,11 +142,11 @@
 func TestNoRightToAnswer(t *testing.T) {
 	l, _, _, now := bench()
 	higher := report(1, 2)
-	higher.Token = 6
+	higher.FencingToken = 6
 	if l.report(higher, now) != nil {
 		t.Error("answered under a lower token than the worker has seen")
 	}
-	if l.report(report(1, 3), now.Add(l.Derived.WatchStale+time.Second)) != nil {
+	if l.report(report(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
 		t.Error("answered with a picture in which cancellations may be missing")
 	}
 	l.Valid = func() bool { return false }
@@ -162,20 +162,20 @@
 	l, m, j, now := bench()
 	l.report(report(1, 2), now)
 	old := report(1, 9)
-	old.Token = 4
-	until := l.Derived.SilentFor + time.Second
-	if a := l.report(old, now.Add(until)); a == nil || a.Token != 5 || len(a.Calls) != 0 {
+	old.FencingToken = 4
+	until := l.Derived.Detection.SuspectAfter + time.Second
+	if a := l.report(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
 		t.Errorf("answered %+v, want the token and no commands", a)
 	}
 	lease := m.Worker.LeaseUntil
 	if l.report(old, now.Add(until+time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("a copy of it renewed the lease once more")
 	}
-	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.watch.Placeable("m-1", now.Add(until)) {
+	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.watch.Schedulable("m-1", now.Add(until)) {
 		t.Error("an old report counted as news")
 	}
 	other := report(1, 3)
-	other.Machine, other.Token = "m-2", 4
+	other.Machine, other.FencingToken = "m-2", 4
 	if l.report(other, now); l.machines.ByID["m-2"] != nil {
 		t.Error("a machine was taken in by an old report of it")
 	}
@@ -191,16 +191,16 @@
 	l.jobs[live.ID] = live
 	l.cancelled(j, 9)
 	old := report(1, 9,
-		workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running},
-		workers.Task{Task: "j-1/1", Attempt: 102, State: workers.Ended, Cause: workers.CauseDone},
-		workers.Task{Task: "j-2/0", Attempt: 103, State: workers.Running},
-		workers.Task{Task: "j-3/0", Attempt: 104, State: workers.Running})
-	old.Token = 4
+		workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
+		workers.TaskStatus{Name: "j-1/1", Attempt: 102, State: workers.StateEnded, Cause: workers.CauseDone},
+		workers.TaskStatus{Name: "j-2/0", Attempt: 103, State: workers.StateRunning},
+		workers.TaskStatus{Name: "j-3/0", Attempt: 104, State: workers.StateRunning})
+	old.FencingToken = 4
 	a := l.report(old, now.Add(time.Second))
-	if a == nil || a.Token != 5 || len(a.Calls) != 1 {
+	if a == nil || a.FencingToken != 5 || len(a.Commands) != 1 {
 		t.Fatalf("answered %+v, want one stop", a)
 	}
-	if c := a.Calls[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
+	if c := a.Commands[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
 		t.Errorf("call %+v, want j-1/0 to stop at once", c)
 	}
 	if m.Worker.Seq == 9 {
@@ -225,7 +225,7 @@
 func TestCopiesOfReports(t *testing.T) {
 	l, m, _, now := bench()
 	l.report(report(1, 2), now)
-	l.report(report(1, 3, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.report(report(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	lease := m.Worker.LeaseUntil
 	m.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
@@ -237,7 +237,7 @@
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
-	l.observe(m, report(1, 9, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.observe(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if l.report(report(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
@@ -263,14 +263,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, _, now := bench()
 			l.runTimes["sums"] = &runTimes{variance: 0.25, tasks: 100, jobs: 100}
-			j := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimateS: 10}, 1, 0, now)
+			j := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10}, 1, 0, now)
 			l.jobs["j-2"] = j
 			for range 25 {
 				j.RecordRunTime(math.Log(10))
 			}
 			start := func(ran float64) *cluster.Assignment {
 				a := l.assign(j, j.TakePendingTask(), m, now)
-				a.ObservedState, a.RunningSince = workers.Running, now.Add(-time.Duration(ran*10*float64(time.Second)))
+				a.ObservedState, a.RunningSince = workers.StateRunning, now.Add(-time.Duration(ran*10*float64(time.Second)))
 				return a
 			}
 			for _, r := range tc.before {
@@ -286,8 +286,8 @@
 				start(9)
 			}
 			l.findSlow(now)
-			if m.Offer.Slow != tc.slow {
-				t.Errorf("slow: %v, odds %.1f", m.Offer.Slow, l.slowOdds(m, now))
+			if m.Offer.Straggler != tc.slow {
+				t.Errorf("slow: %v, odds %.1f", m.Offer.Straggler, l.slowOdds(m, now))
 			}
 		})
 	}
@@ -298,7 +298,7 @@
 func TestAnswersUnheeded(t *testing.T) {
 	l, m, _, now := bench()
 	for seq := uint64(2); seq < 2+mostUndelivered+1; seq++ {
-		if calls := l.report(report(1, seq), now).Calls; len(calls) != 1 {
+		if calls := l.report(report(1, seq), now).Commands; len(calls) != 1 {
 			t.Fatalf("report %d: %v", seq, ops(calls))
 		}
 	}
@@ -312,8 +312,8 @@
 	if !l.usable(m, now) {
 		t.Error("it answers calls, but is given no work")
 	}
-	l.report(report(1, 21, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
-	l.report(report(1, 22, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.report(report(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.report(report(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if m.Commands.UndeliveredAnswers != 0 || !l.usable(m, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
@@ -328,7 +328,7 @@
 		r.Machine = id
 		l.report(r, now)
 	}
-	l.listed(t.Context(), []autoscaler.Listed{{ID: "m-1", State: autoscaler.Running}, {ID: "m-2", State: autoscaler.Running}}, now.Add(time.Millisecond), now)
+	l.listed(t.Context(), []autoscaler.ListedMachine{{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := report(1, 2)
 	r.Machine = "m-2"
@@ -358,7 +358,7 @@
 		l, m, _, _ := bench()
 		now := time.Now()
 		l.Workers = workers.NewClient(silent, time.Minute)
-		l.Derived.OrdersInFlight = 4
+		l.Derived.Host.CommandsInFlight = 4
 		l.events = make(chan func(time.Time), 64)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -391,7 +391,7 @@
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
 		l.Catalog = func() []jobs.MachineType { return types }
 		asked := 0
-		l.Cloud = autoscaler.NewCloud("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
+		l.Cloud = autoscaler.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
@@ -402,13 +402,13 @@
 		}
 		l.Valid = func() bool { return false }
 		ctx, stop := context.WithCancel(t.Context())
-		l.tick(ctx, now.Add(l.Derived.Lease))
+		l.tick(ctx, now.Add(l.Derived.Workers.Lease))
 		if m.Phase != cluster.Up {
 			t.Error("a machine was given back")
 		}
 		// What had begun before is not sent any more either.
 		l.release(ctx, now, m)
-		l.requestRental(ctx, autoscaler.Rental{Name: "r-5-1", Count: 1})
+		l.requestRental(ctx, autoscaler.ProvisionRequest{Name: "r-5-1", Count: 1})
 		synctest.Wait()
 		if asked > 0 {
 			t.Errorf("%d requests to the cloud", asked)
@@ -448,12 +448,12 @@
 		l, _, _, now := bench()
 		quiet(t)
 		l.events = make(chan func(time.Time), 1)
-		l.written(t.Context(), transaction.New(), 0, nil, kvstore.ErrUnknown)
+		l.written(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
 			t.Error("plans while nothing can be made durable")
 		}
 		l.readLog(nil)
-		l.written(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRejected))
+		l.written(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
 		if !l.mayBegin(now) {
 			t.Error("plans no more")
 		}
@@ -478,12 +478,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, j, now := bench()
-			j.Spec.EstimateS, j.Spec.Shape = 30, tc.shape
+			j.Spec.EstimatedRuntimeS, j.Spec.Shape = 30, tc.shape
 			l.report(report(1, 2), now)
-			task := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}
+			task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
 			l.report(report(1, 3, task), now)
 			r := report(1, 4, task)
-			r.NoticeS = &tc.inS
+			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
 			l.viewTime = now
 			l.report(r, now)
@@ -506,8 +506,8 @@
 func TestStartsThatDoNotLast(t *testing.T) {
 	l, _, j, now := bench()
 	l.report(report(1, 2), now)
-	task := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}
-	late := now.Add(l.Derived.BeginBy)
+	task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
+	late := now.Add(l.Derived.Leader.StarvationLimit)
 	l.viewTime = late
 	l.report(report(1, 3, task), late)
 	a := j.Assignments[0]
@@ -523,7 +523,7 @@
 		t.Errorf("when it has to stop again: %d go first", n)
 	}
 	a.Stop.Requested = false
-	if n := l.overdue(j, late.Add(l.Derived.Lasting+time.Second)); n != 0 {
+	if n := l.overdue(j, late.Add(l.Derived.Leader.CountedRunTime+time.Second)); n != 0 {
 		t.Errorf("with a task that has lasted: %d go first", n)
 	}
 }
@@ -542,7 +542,7 @@
 	}
 	a := l.assign(j, 1, m, at(19.1))
 	a.Log.Durable, a.Start.Sent = true, true
-	l.observe(m, report(2, 2, workers.Task{Task: a.TaskName(), Attempt: a.Attempt, State: workers.Running}), at(19.2))
+	l.observe(m, report(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
 	l.expire(at(21)) // by which the old lease is over, by any clock
 	if a.Outcome != cluster.Open {
 		t.Error("lost with the old lease, while the new session runs on")
@@ -562,14 +562,14 @@
 	rnd := rand.New(rand.NewPCG(7, 0))
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
-	for now := start; now.Sub(start) < 20*l.Derived.LeaseOver; now = now.Add(step) {
+	for now := start; now.Sub(start) < 20*l.Derived.Workers.LeaseExpiry; now = now.Add(step) {
 		l.viewTime = now
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := report(1, seq)
-			r.Machine, r.Token = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
+			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
 			if m := l.machines.ByID[r.Machine]; m != nil {
-				r.Session = m.Worker.Session + uint64(rnd.IntN(2))
+				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
 			}
 			l.report(r, now)
 		}
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -18,7 +18,7 @@
 
 // mayPlan tells whether it is time for a plan.
 func (l *Leader) mayPlan(now time.Time) bool {
-	return l.replan && l.mayBegin(now) && now.Sub(l.plannedAt) >= max(l.Derived.ControlInterval/32, times(l.planDuration, 1/planShare))
+	return l.replan && l.mayBegin(now) && now.Sub(l.plannedAt) >= max(l.Derived.Leader.ControlInterval/32, times(l.planDuration, 1/planShare))
 }
 
 // place plans on the picture as it is and carries the plan out.
@@ -28,15 +28,15 @@
 	if l.uncovered {
 		l.cover(now)
 	}
-	in := placement.Input{Teams: l.Settings.Deployment.Teams, Used: map[string]placement.Amount{}, Index: &l.capacity}
+	in := placement.Input{Teams: l.Settings.Deployment.Teams, UsedByTeam: map[string]placement.Resources{}, Index: &l.capacity}
 	for team, a := range l.used {
-		in.Used[team] = a
+		in.UsedByTeam[team] = a
 	}
-	for in.Least < len(l.tasksByRank)-1 && l.tasksByRank[in.Least] == 0 {
-		in.Least++
+	for in.LowestRank < len(l.tasksByRank)-1 && l.tasksByRank[in.LowestRank] == 0 {
+		in.LowestRank++
 	}
 	back := map[*placement.Job]*cluster.Job{}
-	l.countHeld(in.Used)
+	l.countHeld(in.UsedByTeam)
 	wall := now.UnixMilli()
 	for j := range l.queued {
 		switch {
@@ -54,24 +54,24 @@
 		}
 	}
 	slices.SortFunc(in.Jobs, func(a, b *placement.Job) int {
-		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		return cmp.Or(cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
-	placed := map[*placement.Placed]*cluster.Assignment{}
+	placed := map[*placement.RunningTask]*cluster.Assignment{}
 	asVictim := map[*cluster.Job]*placement.Job{}
-	in.Fill = func(p *placement.Machine) { l.fillOffer(p, asVictim, placed, now) }
+	in.LoadTasks = func(p *placement.Machine) { l.fillOffer(p, asVictim, placed, now) }
 	out := placement.Plan(in)
-	for _, s := range out.Stop {
+	for _, s := range out.Preemptions {
 		a, grace := placed[s.Task], 0.0
-		if !s.AtOnce {
-			grace = a.Job.Spec.SaveS
+		if !s.WithoutGrace {
+			grace = a.Job.Spec.CheckpointSaveS
 		}
 		l.stopWithGang(a, grace)
 	}
-	for _, as := range out.Assign {
+	for _, as := range out.Assignments {
 		j := back[as.Job]
-		l.assign(j, j.TakePendingTask(), l.machines.ByID[as.Machine.ID], now).Overdue = as.Overdue
+		l.assign(j, j.TakePendingTask(), l.machines.ByID[as.Machine.ID], now).Overdue = as.Starved
 	}
-	for _, j := range out.Clearing {
+	for _, j := range out.Preempting {
 		back[j].Scheduling.PreemptingForGangAt = now
 	}
 	l.unmet = out.Unmet
@@ -79,35 +79,35 @@
 
 // usable tells whether work may go to a machine.
 func (l *Leader) usable(m *cluster.Machine, now time.Time) bool {
-	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.watch.Placeable(m.ID, now)
+	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.watch.Schedulable(m.ID, now)
 }
 
 // fillOffer shows placement what could be stopped on a machine.
-func (l *Leader) fillOffer(p *placement.Machine, jobs map[*cluster.Job]*placement.Job, placed map[*placement.Placed]*cluster.Assignment, now time.Time) {
-	p.Freeing, p.Tasks = placement.Amount{}, p.Tasks[:0]
+func (l *Leader) fillOffer(p *placement.Machine, jobs map[*cluster.Job]*placement.Job, placed map[*placement.RunningTask]*cluster.Assignment, now time.Time) {
+	p.Releasing, p.Tasks = placement.Resources{}, p.Tasks[:0]
 	for _, a := range l.machines.ByID[p.ID].Assignments {
 		switch {
 		case a.Outcome != cluster.Open:
 		case a.Stop.Requested || a.Job.IsOver():
-			p.Freeing = p.Freeing.Plus(placement.Of(a.Job.Spec), 1)
+			p.Releasing = p.Releasing.AddTimes(placement.TaskRequest(a.Job.Spec), 1)
 		case a.Log.Durable:
 			j := jobs[a.Job]
 			if j == nil {
 				j = &placement.Job{Spec: a.Job.Spec, Guaranteed: a.Job.Scheduling.WithinGuarantee}
 				jobs[a.Job] = j
 			}
-			v := &placement.Placed{Job: j, N: a.Index, Overdue: a.Overdue}
-			if a.ObservedState == workers.Running {
-				v.RanS = now.Sub(a.RunningSince).Seconds()
+			v := &placement.RunningTask{Job: j, Index: a.Index, Starved: a.Overdue}
+			if a.ObservedState == workers.StateRunning {
+				v.LostRunS = now.Sub(a.RunningSince).Seconds()
 			}
 			if a.Job.IsGang() {
-				v.Falls = a.Job.Spec.Tasks
+				v.GangTasks = a.Job.Spec.Tasks
 			}
 			placed[v] = a
 			p.Tasks = append(p.Tasks, v)
 		}
 	}
-	slices.SortFunc(p.Tasks, func(a, b *placement.Placed) int {
+	slices.SortFunc(p.Tasks, func(a, b *placement.RunningTask) int {
 		return cmp.Compare(placed[a].Attempt, placed[b].Attempt)
 	})
 }
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -24,7 +24,7 @@
 
 // asProduction reads the book as version 0.3.0 does, which may lead at any time of
 // an upgrade: the order of pages, what overrules what, and the fields that it knows.
-func asProduction(t *testing.T, pairs []kvstore.Pair, chunkTasks int) (out []string) {
+func asProduction(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
 	type page struct {
 		Number uint64
 		Begun  []struct {
@@ -89,19 +89,19 @@
 
 // kept reads the records that production wrote on a day with a lost leader, and
 // what was on machines at that moment.
-func kept(t *testing.T) (pairs []kvstore.Pair, specs []*jobs.Spec, world []string) {
+func kept(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for lines := bufio.NewScanner(bytes.NewReader(raw)); lines.Scan(); {
-		var p kvstore.Pair
+		var p kvstore.KeyValue
 		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
 			t.Fatal(err)
 		}
 		p.Revision = uint64(len(pairs) + 1)
 		pairs = append(pairs, p)
-		if id := jobs.IDOf(p.Key); id != p.Key {
+		if id := jobs.JobIDFromKey(p.Key); id != p.Key {
 			var rec jobs.Record
 			if err := json.Unmarshal(p.Value, &rec); err != nil {
 				t.Fatal(p.Key, err)
@@ -124,7 +124,7 @@
 func TestContinuesProduction(t *testing.T) {
 	quiet(t)
 	pairs, specs, world := kept(t)
-	s := &segmentStore{t: t, keys: map[string]kvstore.Pair{}, value: 2 << 10, ops: 4}
+	s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, value: 2 << 10, ops: 4}
 	for _, p := range pairs {
 		if strings.HasPrefix(p.Key, assignmentlog.Prefix) {
 			s.keys[p.Key] = p
@@ -138,7 +138,7 @@
 			t.Errorf("%s, and the book does not say so", line)
 		}
 	}
-	if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.ChunkTasks), l.durable()); d != "" {
+	if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks), l.durable()); d != "" {
 		t.Errorf("production reads it otherwise: %s", d)
 	}
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -149,7 +149,7 @@
 			t.Fatal(failed)
 		}
 		l.committed(b, s.rev)
-		if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.ChunkTasks), l.durable()); d != "" {
+		if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks), l.durable()); d != "" {
 			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
 		}
 		if step%40 == 39 { // and leads for a while: its pages are as large as it likes
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -16,11 +16,11 @@
 // meet, given how long its tasks run. One that has not begun is due by its aim
 // to begin, too.
 func (l *Leader) dueS(j *cluster.Job, wall int64) float64 {
-	if !j.Spec.Ends() {
+	if !j.Spec.RunsToCompletion() {
 		return placement.NoDeadline
 	}
 	age, runs := float64(wall-j.AcceptedMs)/1000, l.runS(j.Spec)
-	due, aims := float64(placement.Late), false
+	due, aims := float64(placement.DeadlineMissed), false
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Class != j.Spec.Class {
 			continue
@@ -30,7 +30,7 @@
 			due = min(due, left)
 		case o.Kind == "deadline" && j.Spec.DeadlineS != nil:
 			aims = true
-			if left := max(1, o.Times)**j.Spec.DeadlineS - age; left >= runs {
+			if left := max(1, o.DeadlineFactor)**j.Spec.DeadlineS - age; left >= runs {
 				due = min(due, left)
 			}
 		case o.Kind == "wait" && left >= 0 && j.Pending.Count == j.Spec.Tasks:
@@ -68,13 +68,13 @@
 	back := map[*placement.Job]*cluster.Job{}
 	for _, j := range l.jobs {
 		if !j.IsOver() {
-			p := &placement.Job{Spec: j.Spec, Order: j.SubmissionOrder}
+			p := &placement.Job{Spec: j.Spec, AcceptanceOrder: j.SubmissionOrder}
 			back[p] = j
 			all = append(all, p)
 		}
 	}
-	slices.SortFunc(all, func(a, b *placement.Job) int { return cmp.Compare(a.Order, b.Order) })
-	placement.Guarantees(l.Settings.Deployment.Teams, all)
+	slices.SortFunc(all, func(a, b *placement.Job) int { return cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder) })
+	placement.MarkGuaranteed(l.Settings.Deployment.Teams, all)
 	for p, j := range back {
 		if p.Guaranteed && !j.Scheduling.WithinGuarantee {
 			j.Scheduling.GuaranteedSince = now
@@ -95,33 +95,33 @@
 // planJob is a job as placement sees it.
 func (l *Leader) planJob(j *cluster.Job, now time.Time, wall int64) *placement.Job {
 	p := &placement.Job{
-		Spec: j.Spec, Order: j.SubmissionOrder, DueS: l.dueS(j, wall), Waiting: j.Pending.Count, Guaranteed: j.Scheduling.WithinGuarantee,
-		LeftS: float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs, Zones: make(map[string]int, len(j.Zones)),
+		Spec: j.Spec, AcceptanceOrder: j.SubmissionOrder, DeadlineS: l.dueS(j, wall), Pending: j.Pending.Count, Guaranteed: j.Scheduling.WithinGuarantee,
+		RemainingCPUS: float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs, TasksByZone: make(map[string]int, len(j.Zones)),
 	}
 	for z, n := range j.Zones {
-		p.Zones[z] = n
+		p.TasksByZone[z] = n
 	}
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Kind == "guarantee" && j.Spec.Shape == jobs.Batch {
-			p.Patient = now.Sub(j.Scheduling.GuaranteedSince).Seconds() < patientShare*o.WithinS
+			p.ReclaimDeferred = now.Sub(j.Scheduling.GuaranteedSince).Seconds() < patientShare*o.WithinS
 		}
 		if o.Kind == "wait" && o.Class == j.Spec.Class {
 			// Until the order is out and the report back. What has run before
 			// is wanted back as soon as it was wanted at first.
-			p.StartS = o.WithinS - l.Derived.ControlInterval.Seconds()/4
+			p.StartWithinS = o.WithinS - l.Derived.Leader.ControlInterval.Seconds()/4
 			if !j.Pending.HasRetries() {
-				p.StartS -= float64(wall-j.AcceptedMs) / 1000
+				p.StartWithinS -= float64(wall-j.AcceptedMs) / 1000
 			}
 		}
 	}
-	if j.Spec.Shape == jobs.Batch && j.Spec.CheckpntS == 0 && p.DueS < placement.NoDeadline {
-		p.Fragile = p.DueS < 2*l.runS(j.Spec)
+	if j.Spec.Shape == jobs.Batch && j.Spec.CheckpointIntervalS == 0 && p.DeadlineS < placement.NoDeadline {
+		p.NoTimeToRestart = p.DeadlineS < 2*l.runS(j.Spec)
 	}
-	p.AwaitsRoom = !l.mayPreempt(j, now)
-	p.Keep = j.IsGang() && now.Sub(j.Scheduling.GangPendingSince).Seconds() < keepShare*l.runS(j.Spec)
-	p.Clearing = now.Sub(j.Scheduling.PreemptingForGangAt) < l.Derived.Lasting
-	if p.Overdue = l.overdue(j, now); p.Overdue > 0 && j.IsGang() {
-		p.Overdue = j.Pending.Count
+	p.PreemptionDeferred = !l.mayPreempt(j, now)
+	p.ReserveRoom = j.IsGang() && now.Sub(j.Scheduling.GangPendingSince).Seconds() < keepShare*l.runS(j.Spec)
+	p.Preempting = now.Sub(j.Scheduling.PreemptingForGangAt) < l.Derived.Leader.CountedRunTime
+	if p.StarvedTasks = l.overdue(j, now); p.StarvedTasks > 0 && j.IsGang() {
+		p.StarvedTasks = j.Pending.Count
 	}
 	return p
 }
@@ -129,7 +129,7 @@
 // overdue is how many tasks of a job go first because it has got nothing for too
 // long. A task that was stopped again soon after its start is nothing.
 func (l *Leader) overdue(j *cluster.Job, now time.Time) int {
-	if now.Sub(j.Scheduling.LastServedAt) <= l.Derived.BeginBy {
+	if now.Sub(j.Scheduling.LastServedAt) <= l.Derived.Leader.StarvationLimit {
 		return 0
 	}
 	ahead := 0
@@ -138,7 +138,7 @@
 		case a.Outcome != cluster.Open || a.Stop.Requested:
 		case a.Restored:
 			return 0 // for as long as an earlier leader's is there
-		case a.ObservedState == workers.Running && now.Sub(a.RunningSince) > l.Derived.Lasting:
+		case a.ObservedState == workers.StateRunning && now.Sub(a.RunningSince) > l.Derived.Leader.CountedRunTime:
 			j.Scheduling.LastServedAt = now
 			return 0
 		case a.Overdue:
@@ -154,7 +154,7 @@
 // would begin anew. What it has by now may be there because it went first.
 func (l *Leader) remember(j *cluster.Job, age time.Duration, now time.Time) {
 	j.Scheduling.LastServedAt = now.Add(-max(0, age))
-	if !j.Spec.Ends() || now.Sub(j.Scheduling.LastServedAt) <= l.Derived.BeginBy || len(j.Assignments) > mostAhead(j) {
+	if !j.Spec.RunsToCompletion() || now.Sub(j.Scheduling.LastServedAt) <= l.Derived.Leader.StarvationLimit || len(j.Assignments) > mostAhead(j) {
 		return
 	}
 	for _, a := range j.Assignments {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -35,7 +35,7 @@
 // PeerKnowledge is what other controllers know beyond the records.
 type PeerKnowledge interface {
 	Peers() []string
-	AskLost(ctx context.Context, node string, q peer.Question) (peer.LostPage, error)
+	RequestLostJobs(ctx context.Context, node string, q peer.LostJobsRequest) (peer.LostJobsResponse, error)
 }
 
 // recoverer is what is known of lost records, and what is being done about them.
@@ -54,9 +54,9 @@
 	evidence   map[detection.Kind]int
 	history    eventLog
 
-	knowledge recovery.View // of jobs of which more is known than the records say
-	ticket    uint64        // of this node's own comparison
-	ownAfter  string        // its lost jobs have been taken in up to this one
+	knowledge recovery.KnowledgeByJob // of jobs of which more is known than the records say
+	ticket    uint64                  // of this node's own comparison
+	ownAfter  string                  // its lost jobs have been taken in up to this one
 	ownDone   bool
 	peers     map[string]*peerScan
 	workersBy time.Time // by then every worker that has tasks has reported
@@ -80,19 +80,19 @@
 
 func newRecoverer() recoverer {
 	return recoverer{
-		phase: Whole, evidence: map[detection.Kind]int{}, knowledge: recovery.View{}, peers: map[string]*peerScan{},
+		phase: Whole, evidence: map[detection.Kind]int{}, knowledge: recovery.KnowledgeByJob{}, peers: map[string]*peerScan{},
 		restored: map[recovery.Outcome]int{}, ranks: map[string]writeRank{}, held: map[string]*heldJob{}, adopting: map[*cluster.Job]bool{}, strays: map[string]*stray{},
 	}
 }
 
 // suspect takes in what shows that records are lost.
-func (l *Leader) suspect(e detection.Loss, now time.Time) {
+func (l *Leader) suspect(e detection.Evidence, now time.Time) {
 	if l.evidence[e.Kind]++; l.evidence[e.Kind] == 1 || l.phase == Whole {
 		slog.Error("records may be lost", "term", l.token, "evidence", e.String())
 	}
 	l.history.add(now, "evidence", e.String())
 	switch e.Kind {
-	case detection.RevisionBack, detection.RecordOlder, detection.Earlier, detection.ReportedByPeer: // the last two may be that
+	case detection.RevisionBack, detection.RecordOlder, detection.NoticedByPredecessor, detection.ReportedByPeer: // the last two may be that
 		l.putBack.Store(true)
 	}
 	if e.Kind.AffectsLog() && !l.logDamaged {
@@ -127,7 +127,7 @@
 	l.ignorant = true
 	// Tokens may have been given out before this one that were this one as well, and with
 	// them the numbers of attempts.
-	if l.term.Token > l.tokenFloor {
+	if l.term.FencingToken > l.tokenFloor {
 		l.tokenFloor, l.raiseToken = l.token, true
 	}
 	l.expectAllTasks(now)
@@ -137,7 +137,7 @@
 // have lacked some: each job may have tasks that are not known. Later in a term every worker
 // has reported, and what this leader knows is the truth.
 func (l *Leader) expectAllTasks(now time.Time) {
-	until := l.term.Since.Add(l.Derived.LeaseOver)
+	until := l.term.Since.Add(l.Derived.Workers.LeaseExpiry)
 	if !now.Before(until) || now.Before(l.workersBy) {
 		return
 	}
@@ -161,8 +161,8 @@
 	l.enter(Comparing)
 	l.since, l.again, l.unmark = now, false, false
 	l.round++
-	l.Cache.Suspect(now.Add(l.Derived.Cancel))
-	l.ticket = l.Cache.Verify()
+	l.Cache.SuspectLossUntil(now.Add(l.Derived.Workers.CancelDeadline))
+	l.ticket = l.Cache.RequestAudit()
 	l.listAnew.Store(true)
 	l.ownAfter, l.ownDone = "", false
 	clear(l.peers)
@@ -208,12 +208,12 @@
 	l.enter(Restoring)
 	l.affectsLog, l.ignorant = false, false
 	for id, k := range l.knowledge {
-		l.Cache.Learn(id, told(k), k.TaskCount())
+		l.Cache.AddLost(id, told(k), k.TaskCount())
 	}
-	l.Cache.Compared()
+	l.Cache.MarkCompared()
 	l.queueDecided()
-	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostJobs(), "to decide", len(l.knowledge))
-	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostJobs()))
+	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostCount(), "to decide", len(l.knowledge))
+	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostCount()))
 }
 
 // told is the state of a lost job that users may be told: an end that is concluded from its
@@ -259,7 +259,7 @@
 }
 
 // Noticed hands evidence of a loss to the leader on duty, and tells whether there is one.
-func (g *Gate) Noticed(e detection.Loss) bool {
+func (g *Gate) Noticed(e detection.Evidence) bool {
 	l := g.on.Load()
 	if l == nil {
 		return false
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -16,7 +16,7 @@
 
 // adoptTasksOf begins to adopt a job's tasks.
 func (l *Leader) adoptTasksOf(j *cluster.Job, now time.Time) {
-	j.Adoption.Until = now.Add(l.Derived.LeaseOver)
+	j.Adoption.Until = now.Add(l.Derived.Workers.LeaseExpiry)
 	l.adopting[j] = true
 }
 
@@ -30,11 +30,11 @@
 	if l.phase == Whole && len(l.adopting) == 0 {
 		return false
 	}
-	if l.phase == Comparing && (l.ignorant || !l.Cache.SawAll()) {
+	if l.phase == Comparing && (l.ignorant || !l.Cache.ReadAllBeforeLoss()) {
 		return true
 	}
 	team, _ := l.Settings.Team(j.Spec.Team)
-	return (team.CPUsMax > 0 || team.GPUsMax > 0) && l.teamUncounted(team.Name, now)
+	return (team.MaxCPUs > 0 || team.MaxGPUs > 0) && l.teamUncounted(team.Name, now)
 }
 
 // teamUncounted tells whether a team may have tasks that do not count yet: while records are
@@ -57,27 +57,27 @@
 
 // countHeld adds what tasks of held jobs take, as far as these are described: they run on,
 // though no assignment accounts for them.
-func (l *Leader) countHeld(used map[string]placement.Amount) {
+func (l *Leader) countHeld(used map[string]placement.Resources) {
 	for _, h := range l.held {
-		if h.known.Spec != nil && len(h.known.Running) > 0 {
-			need := placement.Of(h.known.Spec)
-			used[h.known.Spec.Team] = used[h.known.Spec.Team].Plus(need, float64(len(h.known.Running)))
+		if h.known.Spec != nil && len(h.known.RunningTasks) > 0 {
+			need := placement.TaskRequest(h.known.Spec)
+			used[h.known.Spec.Team] = used[h.known.Spec.Team].AddTimes(need, float64(len(h.known.RunningTasks)))
 		}
 	}
 }
 
 // adopt takes in the tasks of a report that belong to jobs whose tasks are not all known.
-func (l *Leader) adopt(m *cluster.Machine, r *workers.Report, now time.Time) {
+func (l *Leader) adopt(m *cluster.Machine, r *workers.Heartbeat, now time.Time) {
 	if len(l.adopting) == 0 {
 		return
 	}
 	for _, t := range r.Tasks {
-		id, n, ok := workers.SplitTask(t.Task)
+		id, n, ok := workers.SplitTask(t.Name)
 		j := l.jobs[id]
 		if !ok || j == nil || !l.adopting[j] || !j.MayAdopt(n, &t) || m.FindAssignment(cluster.RefOf(&t)) != nil {
 			continue
 		}
-		part := cluster.GangPart{Machine: m, Task: t, Session: r.Session}
+		part := cluster.GangPart{Machine: m, Task: t, Session: r.AgentEpoch}
 		if !j.IsGang() {
 			l.adoptTask(j, n, part, l.attemptOf(&t), 0, now)
 			continue
@@ -94,7 +94,7 @@
 
 // attemptOf is the number of an adopted task's attempt: that by which its worker knows
 // it. Numbers given out later are above it.
-func (l *Leader) attemptOf(t *workers.Task) uint64 {
+func (l *Leader) attemptOf(t *workers.TaskStatus) uint64 {
 	l.attempts = max(l.attempts, t.Attempt)
 	return t.Attempt
 }
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -33,30 +33,30 @@
 
 // compareOwn takes in a page of what this node's cache knows beyond the records.
 func (l *Leader) compareOwn() {
-	if l.ownDone || !l.Cache.Verified(l.ticket) {
+	if l.ownDone || !l.Cache.AuditDone(l.ticket) {
 		return
 	}
-	page, more := l.Cache.Lost(l.ownAfter, lostPageRows)
+	page, more := l.Cache.LostPage(l.ownAfter, lostPageRows)
 	for _, lost := range page {
 		l.ownAfter = lost.ID
 		if l.isPlain(lost) {
 			continue // it is written from the cache: see refill
 		}
 		l.learnOwn(lost.ID)
-		l.learn(lost.ID, recovery.FromCache(l.Node), lost.State, lost.Tasks, decodeRecord(l.Cache.Unfinished(lost.ID)))
+		l.learn(lost.ID, recovery.FromCache(l.Node), lost.State, lost.Tasks, decodeRecord(l.Cache.UnfinishedRecord(lost.ID)))
 	}
 	l.ownDone = !more
 }
 
 // isPlain tells whether nothing needs to be known of a lost job but that it is over, as this
 // node's cache has it. There may be hundreds of thousands of those.
-func (l *Leader) isPlain(lost jobs.Lost) bool {
-	return lost.Found == "" && l.isOverHere(lost)
+func (l *Leader) isPlain(lost jobs.LostJob) bool {
+	return lost.RecordedState == "" && l.isOverHere(lost)
 }
 
 // isOverHere tells whether a lost job is over, as this node's cache has it, and this leader
 // has nothing else to do with it.
-func (l *Leader) isOverHere(lost jobs.Lost) bool {
+func (l *Leader) isOverHere(lost jobs.LostJob) bool {
 	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
 	return over && l.jobs[lost.ID] == nil && l.held[lost.ID] == nil
 }
@@ -66,7 +66,7 @@
 func (l *Leader) knownAlike(j peer.LostJob) bool {
 	known, _ := l.Cache.Known(j.ID)
 	_, open := l.knowledge[j.ID]
-	return !open && known.Over() && known.State == j.State && l.jobs[j.ID] == nil
+	return !open && known.Finished() && known.State == j.State && l.jobs[j.ID] == nil
 }
 
 // learnOwn takes in what this leader's own picture says of a lost job.
@@ -75,16 +75,16 @@
 	if j == nil {
 		return
 	}
-	k := recovery.Knowledge{Done: j.End.CompletionDurable, Cancelled: j.End.Cancelled, Unfinished: !j.IsOver(), Spec: j.Spec, AtMs: j.AcceptedMs}
+	k := recovery.Knowledge{Done: j.End.CompletionDurable, Cancelled: j.End.Cancelled, Unfinished: !j.IsOver(), Spec: j.Spec, AcceptedMs: j.AcceptedMs}
 	if j.End.Complete && !j.End.CompletionDurable {
 		for n := range j.Spec.Tasks { // its end is not written: until then it may be cancelled
-			k.TasksDone = append(k.TasksDone, n)
+			k.CompletedTasks = append(k.CompletedTasks, n)
 		}
 	}
 	if j.End.Recorded != "" {
 		k = recovery.Knowledge{Done: j.End.Recorded == jobs.Done, Cancelled: j.End.Recorded == jobs.Cancelled}
 	}
-	l.knowledge.Add(id, recovery.Says(recovery.FromLeader, k))
+	l.knowledge.Merge(id, recovery.Attribute(recovery.FromLeader, k))
 }
 
 // learn takes in what a controller's cache says of a lost job, and the record of it that
@@ -100,9 +100,9 @@
 		k.Unfinished = true
 	}
 	if rec != nil {
-		k.Spec, k.AtMs = rec.Spec, rec.AtMs
+		k.Spec, k.AcceptedMs = rec.Spec, rec.AcceptedAtMs
 	}
-	l.knowledge.Add(id, recovery.Says(from, k))
+	l.knowledge.Merge(id, recovery.Attribute(from, k))
 	// Whatever else is not certain yet: what is over stops at once.
 	switch j := l.jobs[id]; {
 	case j == nil || j.IsOver():
@@ -124,7 +124,7 @@
 		if scan.busy || scan.done || now.Before(scan.next) {
 			continue
 		}
-		if !scan.gone && now.Sub(l.since) > l.Derived.Cancel {
+		if !scan.gone && now.Sub(l.since) > l.Derived.Workers.CancelDeadline {
 			scan.gone = true
 			slog.Info("controller not heard, taken for gone", "term", l.token, "peer", name)
 			l.history.add(now, "peer not heard", name)
@@ -133,23 +133,23 @@
 			continue
 		}
 		scan.busy = true
-		question := peer.Question{Round: l.round, After: scan.after}
+		question := peer.LostJobsRequest{ComparisonRound: l.round, AfterID: scan.after}
 		go func() {
-			try, cancel := context.WithTimeout(ctx, l.Derived.TermLease)
+			try, cancel := context.WithTimeout(ctx, l.Derived.Election.LeaseDuration)
 			defer cancel()
-			page, err := l.Peers.AskLost(try, name, question)
+			page, err := l.Peers.RequestLostJobs(try, name, question)
 			l.post(ctx, func(now time.Time) { l.peerAnswered(name, scan, page, err, now) })
 		}()
 	}
 }
 
-func (l *Leader) peerAnswered(name string, scan *peerScan, page peer.LostPage, err error, now time.Time) {
+func (l *Leader) peerAnswered(name string, scan *peerScan, page peer.LostJobsResponse, err error, now time.Time) {
 	scan.busy = false
 	if l.peers[name] != scan {
 		return // of an earlier round
 	}
-	if err != nil || !page.Ready {
-		scan.next = now.Add(l.Derived.ControlInterval / 2)
+	if err != nil || !page.Compared {
+		scan.next = now.Add(l.Derived.Leader.ControlInterval / 2)
 		return
 	}
 	for _, j := range page.Jobs {
@@ -188,18 +188,18 @@
 // mostSettling is how long a leader whose node has just begun places nothing, while that
 // finds out whether the others know more than the records say. Answers come within
 // milliseconds; those of an earlier version do not come.
-func mostSettling(d settings.Derived) time.Duration { return 2 * d.TermRenew }
+func mostSettling(d settings.Derived) time.Duration { return 2 * d.Election.RenewInterval }
 
 // settling tells whether this leader still waits for that.
 func (l *Leader) settling(now time.Time) bool {
-	return l.fresh && !l.Cache.Settled() && now.Sub(l.term.Since) < mostSettling(l.Derived)
+	return l.fresh && !l.Cache.ProvenCurrent() && now.Sub(l.term.Since) < mostSettling(l.Derived)
 }
 
 // endSettling ends the wait: nobody leads who could know more.
 func (l *Leader) endSettling(now time.Time) {
 	if l.fresh && !l.settling(now) {
 		l.fresh = false
-		l.Cache.BeSure()
+		l.Cache.AssumeComplete()
 		l.replan = true
 	}
 }
@@ -234,15 +234,15 @@
 			}
 		}
 	}
-	if l.phase == Whole && (l.Cache.Suspected() || l.Cache.LostJobs() > 0) {
+	if l.phase == Whole && (l.Cache.LossSuspected() || l.Cache.LostCount() > 0) {
 		// Something was noticed while nobody led.
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.Earlier}, now)
+		l.suspect(detection.Evidence{Kind: detection.NoticedByPredecessor}, now)
 	}
 	return nil
 }
 
-func (l *Leader) readStatus(p kvstore.Pair, now time.Time) {
+func (l *Leader) readStatus(p kvstore.KeyValue, now time.Time) {
 	var was recoveryStatus
 	if err := json.Unmarshal(p.Value, &was); err != nil {
 		slog.Error("recovery status unreadable", "reason", err)
@@ -251,20 +251,20 @@
 	if was.Log {
 		l.expectTasks(now)
 	}
-	l.suspect(detection.Loss{Kind: detection.Earlier, Known: was.Token}, now)
+	l.suspect(detection.Evidence{Kind: detection.NoticedByPredecessor, Known: was.Token}, now)
 }
 
 // checkRecords compares the records that a new leader has read with what this node knew
 // before, and with the jobs that the log names. No record is ever removed.
-func (l *Leader) checkRecords(log []assignmentlog.StoredSegment, ended map[string]kvstore.Pair, known, listed int, now time.Time) {
+func (l *Leader) checkRecords(log []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, known, listed int, now time.Time) {
 	if listed < known {
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
+		l.suspect(detection.Evidence{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
 	}
 	for id := range assignmentlog.JobsNamed(log) {
 		if _, recorded := ended[id]; !recorded && l.jobs[id] == nil && l.held[id] == nil {
 			l.expectTasks(now)
-			l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
+			l.suspect(detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
 		}
 	}
 }
@@ -273,7 +273,7 @@
 // any more is made good when the job's record is back: workers show what they have of it.
 func (l *Leader) learnFromLog(t assignmentlog.TaskRecord) {
 	if l.held[t.Job] == nil {
-		l.knowledge.Add(t.Job, recovery.Says(recovery.FromLog, recovery.Knowledge{LeastTasks: t.Index + 1}))
+		l.knowledge.Merge(t.Job, recovery.Attribute(recovery.FromLog, recovery.Knowledge{MinTasks: t.Index + 1}))
 	}
 }
 
@@ -281,7 +281,7 @@
 // until every lease from before this term has ended, nothing of earlier jobs is placed.
 func (l *Leader) expectTasks(now time.Time) {
 	l.affectsLog = true
-	l.workersBy = now.Add(l.Derived.LeaseOver)
+	l.workersBy = now.Add(l.Derived.Workers.LeaseExpiry)
 }
 
 // checkLog looks for holes in the log that a new leader has read.
@@ -298,7 +298,7 @@
 	}
 	if len(log) < l.logSize {
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix, Known: uint64(l.logSize), Found: uint64(len(log))}, now)
+		l.suspect(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix, Known: uint64(l.logSize), Found: uint64(len(log))}, now)
 	}
 	for _, e := range detection.CheckRing(assignmentlog.Prefix, segments) {
 		l.expectTasks(now)
@@ -308,13 +308,13 @@
 	if token := detection.TokenOfAttempt(newest, attemptBits); token > l.token {
 		l.expectTasks(now)
 		l.tokenFloor, l.raiseToken = max(l.tokenFloor, token), true
-		l.suspect(detection.Loss{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.token}, now)
+		l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.token}, now)
 	}
 }
 
 // checkSegment looks at a key whose revision was not as this leader wrote it. Without a
 // transaction of unknown outcome, only a loss explains that.
-func (l *Leader) checkSegment(key string, p kvstore.Pair) {
+func (l *Leader) checkSegment(key string, p kvstore.KeyValue) {
 	if !strings.HasPrefix(key, assignmentlog.Prefix) || l.log.OutcomeUnknown() {
 		return
 	}
@@ -322,5 +322,5 @@
 	if p.Revision == 0 {
 		kind = detection.SegmentMissing
 	}
-	l.suspect(detection.Loss{Kind: kind, Key: key, Found: p.Revision}, time.Now())
+	l.suspect(detection.Evidence{Kind: kind, Key: key, Found: p.Revision}, time.Now())
 }
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -93,7 +93,7 @@
 
 func (l *Leader) recoveryStatus() RecoveryStatus {
 	s := RecoveryStatus{
-		Phase: l.phase, Since: l.since, Evidence: maps.Clone(l.evidence), Lost: l.Cache.LostJobs(), ToWrite: max(l.Cache.LostJobs(), len(l.unwritten)),
+		Phase: l.phase, Since: l.since, Evidence: maps.Clone(l.evidence), Lost: l.Cache.LostCount(), ToWrite: max(l.Cache.LostCount(), len(l.unwritten)),
 		Written: maps.Clone(l.restored), Adopting: len(l.adopting), Held: len(l.held), HeldJobs: []HeldStatus{},
 		Events: slices.Clone(l.history.events), NotShown: l.history.dropped,
 	}
@@ -105,8 +105,8 @@
 	for _, id := range ids[:min(len(ids), mostHeldShown)] {
 		h := l.held[id]
 		s.HeldJobs = append(s.HeldJobs, HeldStatus{
-			Job: id, Why: h.why, Said: h.known.Said, Described: h.known.Spec != nil,
-			Running: h.known.Running, TasksDone: h.known.TasksDone, SinceMs: h.sinceMs,
+			Job: id, Why: h.why, Said: h.known.Statements, Described: h.known.Spec != nil,
+			Running: h.known.RunningTasks, TasksDone: h.known.CompletedTasks, SinceMs: h.sinceMs,
 		})
 	}
 	return s
@@ -131,16 +131,16 @@
 	}
 	r := l.composeRecord(id, h.known, d, now)
 	r.revision = h.revision
-	slog.Info("job settled by an operator", "job", id, "term", l.token, "as", string(as), "said", h.known.Words())
+	slog.Info("job settled by an operator", "job", id, "term", l.token, "as", string(as), "said", h.known.Provenance())
 	l.history.add(now, "settled as "+string(as), id)
-	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}, {Key: jobs.RecordKey(id), Revision: r.revision}}
+	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}, {Key: jobs.RecordKey(id), Revision: r.revision}}
 	go func() {
 		rev, failed, err := l.Store.Commit(ctx, guards, []kvstore.Write{{Set: jobs.RecordKey(id), Value: r.value}})
 		if err == nil && len(failed) > 0 {
 			err = fmt.Errorf("%w: its record has changed meanwhile", recovery.ErrRefused)
 		}
 		if err == nil {
-			l.Cache.Set(jobs.RecordKey(id), r.value, rev)
+			l.Cache.Apply(jobs.RecordKey(id), r.value, rev)
 		}
 		reply(err)
 	}()
@@ -194,7 +194,7 @@
 			reply(answer{err: fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)})
 			return
 		}
-		if !l.Cache.Listed() {
+		if !l.Cache.InitialReadDone() {
 			reply(answer{err: ErrNotReady})
 			return
 		}
@@ -213,7 +213,7 @@
 		l.importFact(f.ID, rec, recovery.FromSnapshot(in.Revision), &count, now)
 	}
 	if count.Missing+count.Ended > 0 {
-		l.suspect(detection.Loss{Kind: detection.Imported, Known: in.Revision}, now)
+		l.suspect(detection.Evidence{Kind: detection.Imported, Known: in.Revision}, now)
 	}
 	return count
 }
@@ -223,26 +223,26 @@
 func (l *Leader) importFact(id string, rec *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
 	k := recovery.Knowledge{
 		Done: rec.State == jobs.Done, Cancelled: rec.State == jobs.Cancelled,
-		Spec: rec.Description(), AtMs: rec.AtMs, Tasks: rec.Tasks,
+		Spec: rec.Description(), AcceptedMs: rec.AcceptedAtMs, Tasks: rec.Tasks,
 	}
 	known, found := l.Cache.Known(id)
 	switch {
 	case l.held[id] != nil:
-		l.importHeld(id, recovery.Says(from, k), count)
+		l.importHeld(id, recovery.Attribute(from, k), count)
 	case !found:
 		count.Missing++
-		l.knowledge.Add(id, recovery.Says(from, k))
-	case rec.Over() && known.Over() && known.State != rec.State:
+		l.knowledge.Merge(id, recovery.Attribute(from, k))
+	case rec.Finished() && known.Finished() && known.State != rec.State:
 		// What users were told last stays; which of the two is right is for a person to see.
 		count.Contradicting++
 		slog.Error("snapshot contradicts a record", "job", id, "term", l.token, "record", known.State, "snapshot", rec.State)
 		l.history.add(now, "snapshot contradicts the record", id)
-	case rec.Over() && known.State != rec.State:
+	case rec.Finished() && known.State != rec.State:
 		count.Ended++
-		l.knowledge.Add(id, recovery.Says(from, k))
+		l.knowledge.Merge(id, recovery.Attribute(from, k))
 	case l.Cache.RecordRevision(id) == 0:
 		count.Missing++
-		l.knowledge.Add(id, recovery.Says(from, k))
+		l.knowledge.Merge(id, recovery.Attribute(from, k))
 		l.learn(id, recovery.FromCache(l.Node), known.State, known.Tasks, nil)
 	default:
 		count.Same++
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -25,25 +25,25 @@
 func TestAdoptionAtScale(t *testing.T) {
 	l, reports, now := fleetOf(t, lostFleet)
 	spec := *l.jobs["j-7"].Spec
-	next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
+	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 	next.viewTime = now
 	next.watch = liveness.New(liveness.Config{})
 	next.readLog(nil)
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
 	next.jobs[spec.ID] = j
-	next.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
+	next.suspect(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
 	if !next.awaitsWorkers(j, now) {
 		t.Fatal("tasks would be placed before those that run are known")
 	}
 	began := time.Now()
 	for _, r := range reports {
-		r.Token = 6
+		r.FencingToken = 6
 		r.Seq++
 		answer := next.report(r, now)
 		if answer == nil {
 			t.Fatalf("%s is not answered", r.Machine)
 		}
-		for _, c := range answer.Calls {
+		for _, c := range answer.Commands {
 			if c.Op != workers.OpClear {
 				t.Fatalf("%s is told: %s %s", r.Machine, c.Op, c.Task)
 			}
@@ -53,7 +53,7 @@
 	if len(j.Assignments) != lostFleet || j.Pending.Count != spec.Tasks-lostFleet {
 		t.Errorf("%d of %d tasks adopted, %d wait", len(j.Assignments), lostFleet, j.Pending.Count)
 	}
-	next.endAdoptions(now.Add(next.Derived.LeaseOver))
+	next.endAdoptions(now.Add(next.Derived.Workers.LeaseExpiry))
 	if len(next.adopting) > 0 || j.Spec.Shape != jobs.Batch {
 		t.Error("still waiting after every lease has ended")
 	}
@@ -64,11 +64,11 @@
 func TestTaskTwiceInALogWithAHole(t *testing.T) {
 	for _, firstEnds := range []int{0, 1} {
 		l, _, j, now := bench()
-		next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
+		next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 		spec := *j.Spec
 		job := cluster.NewJob(j.ID, &spec, 1, 0, now)
 		next.jobs[j.ID] = job
-		var segments []kvstore.Pair
+		var segments []kvstore.KeyValue
 		for i, machine := range []string{"m-1", "m-2"} {
 			value, err := json.Marshal(assignmentlog.SegmentRecord{Number: uint64(i + 1), Begun: []assignmentlog.MachineRecord{{
 				Machine: machine, Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: 1,
@@ -77,7 +77,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			segments = append(segments, kvstore.Pair{Key: fmt.Sprint(assignmentlog.Prefix, i), Value: value, Revision: 1})
+			segments = append(segments, kvstore.KeyValue{Key: fmt.Sprint(assignmentlog.Prefix, i), Value: value, Revision: 1})
 		}
 		next.restore(next.readLog(segments), nil, now)
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -26,15 +26,15 @@
 
 // accountsFor tells whether a task that no assignment accounts for must be left alone,
 // since its job, or its assignment, may have been lost.
-func (l *Leader) accountsFor(m *cluster.Machine, t *workers.Task) bool {
-	id, n, ok := workers.SplitTask(t.Task)
+func (l *Leader) accountsFor(m *cluster.Machine, t *workers.TaskStatus) bool {
+	id, n, ok := workers.SplitTask(t.Name)
 	if !ok || !jobs.ValidID(id) {
 		return false // no task of ours
 	}
 	if j := l.jobs[id]; j != nil {
 		return l.adopting[j] && !j.IsOver() && j.Adoption.GangParts[n].Machine == m
 	}
-	if known, found := l.Cache.Known(id); found && known.Over() {
+	if known, found := l.Cache.Known(id); found && known.Finished() {
 		return false
 	}
 	if l.held[id] != nil {
@@ -53,11 +53,11 @@
 	if len(l.held)+len(l.strays) == 0 {
 		return false
 	}
-	if m.Worker.HeartbeatAt.IsZero() && time.Since(l.term.Since) < l.Derived.LeaseOver {
+	if m.Worker.HeartbeatAt.IsZero() && time.Since(l.term.Since) < l.Derived.Workers.LeaseExpiry {
 		return true // it may have tasks of held jobs, which the log does not name
 	}
 	for _, t := range m.Worker.Tasks {
-		if id, _, ok := workers.SplitTask(t.Task); ok && (l.held[id] != nil || l.strays[id] != nil) {
+		if id, _, ok := workers.SplitTask(t.Name); ok && (l.held[id] != nil || l.strays[id] != nil) {
 			return true
 		}
 	}
@@ -66,17 +66,17 @@
 
 // isLost finds out about a job that this leader does not know: its record is read. Until
 // that is known, and if there is none, the task is left alone.
-func (l *Leader) isLost(id string, m *cluster.Machine, n int, t *workers.Task) bool {
+func (l *Leader) isLost(id string, m *cluster.Machine, n int, t *workers.TaskStatus) bool {
 	s := l.strays[id]
 	if s == nil {
 		s = &stray{}
 		l.strays[id] = s
 	}
 	if s.missing {
-		l.knowledge.Add(id, wordOfWorker(m, n, t))
+		l.knowledge.Merge(id, wordOfWorker(m, n, t))
 	}
 	if now := time.Now(); !s.reading && !s.missing && !now.Before(s.next) && l.strayReads < mostStrayReads {
-		s.reading, s.next = true, now.Add(l.Derived.ControlInterval)
+		s.reading, s.next = true, now.Add(l.Derived.Leader.ControlInterval)
 		l.strayReads++
 		go l.readStray(id, s, wordOfWorker(m, n, t))
 	}
@@ -84,19 +84,19 @@
 }
 
 // wordOfWorker is what a worker's task proves.
-func wordOfWorker(m *cluster.Machine, n int, t *workers.Task) recovery.Knowledge {
-	k := recovery.Knowledge{LeastTasks: n + 1}
+func wordOfWorker(m *cluster.Machine, n int, t *workers.TaskStatus) recovery.Knowledge {
+	k := recovery.Knowledge{MinTasks: n + 1}
 	switch {
-	case t.State != workers.Ended:
-		k.Running = []int{n}
+	case t.State != workers.StateEnded:
+		k.RunningTasks = []int{n}
 	case t.Cause == workers.CauseDone:
-		k.TasksDone = []int{n}
+		k.CompletedTasks = []int{n}
 	}
-	return recovery.Says(recovery.FromWorker(m.ID), k)
+	return recovery.Attribute(recovery.FromWorker(m.ID), k)
 }
 
 func (l *Leader) readStray(id string, s *stray, word recovery.Knowledge) {
-	ctx, cancel := context.WithTimeout(context.Background(), l.Derived.StateWait)
+	ctx, cancel := context.WithTimeout(context.Background(), l.Derived.Store.RequestTimeout)
 	defer cancel()
 	p, found, err := l.Store.Get(ctx, jobs.RecordKey(id))
 	outcome := func(now time.Time) {
@@ -108,9 +108,9 @@
 			l.strayFound(id, p, now)
 		case !s.missing:
 			s.missing = true
-			l.Cache.Missing(id)
-			l.knowledge.Add(id, word)
-			l.suspect(detection.Loss{Kind: detection.TaskUnknown, Key: id}, now)
+			l.Cache.NoteMissing(id)
+			l.knowledge.Merge(id, word)
+			l.suspect(detection.Evidence{Kind: detection.TaskUnknown, Key: id}, now)
 		}
 	}
 	select {
@@ -120,9 +120,9 @@
 }
 
 // strayFound takes in the record of a job that was not known here.
-func (l *Leader) strayFound(id string, p kvstore.Pair, now time.Time) {
+func (l *Leader) strayFound(id string, p kvstore.KeyValue, now time.Time) {
 	delete(l.strays, id)
-	l.Cache.Set(p.Key, p.Value, p.Revision)
+	l.Cache.Apply(p.Key, p.Value, p.Revision)
 	l.jobChanged(kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision}, now)
 }
 
@@ -140,17 +140,17 @@
 	if old != nil && old.revision >= revision {
 		return
 	}
-	h := &heldJob{revision: revision, why: rec.Held.Reason, sinceMs: rec.Held.HeldMs}
-	k := recovery.Knowledge{Spec: rec.Held.Spec, AtMs: rec.Held.AtMs, Unfinished: rec.Held.Complete}
+	h := &heldJob{revision: revision, why: rec.Held.Reason, sinceMs: rec.Held.HeldSinceMs}
+	k := recovery.Knowledge{Spec: rec.Held.Spec, AcceptedMs: rec.Held.AcceptedAtMs, Unfinished: rec.Held.OnlySpecMissing}
 	if rec.Held.Spec != nil {
 		k.Tasks = rec.Tasks
 	} else {
-		k.LeastTasks = rec.Tasks
+		k.MinTasks = rec.Tasks
 	}
 	if rec.Held.Contradicts {
 		k.Done, k.Cancelled = true, true
 	}
-	h.known = recovery.Says(recovery.FromService, k)
+	h.known = recovery.Attribute(recovery.FromService, k)
 	if old != nil {
 		h.known = h.known.Join(old.known)
 	}
@@ -161,11 +161,11 @@
 
 // heldSeen takes in a worker's task of a held job. If that proves what was open, the
 // job's record is written.
-func (l *Leader) heldSeen(id string, m *cluster.Machine, n int, t *workers.Task) {
+func (l *Leader) heldSeen(id string, m *cluster.Machine, n int, t *workers.TaskStatus) {
 	h := l.held[id]
 	before := h.known
 	h.known = before.Join(wordOfWorker(m, n, t))
-	if len(h.known.TasksDone) == len(before.TasksDone) {
+	if len(h.known.CompletedTasks) == len(before.CompletedTasks) {
 		return
 	}
 	if d := recovery.Decide(h.known, true); !d.Held {
--- a/internal/leader/recovery_token.go
+++ b/internal/leader/recovery_token.go
@@ -22,14 +22,14 @@
 	}
 	l.checkingToken = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), l.Derived.StateWait)
+		ctx, cancel := context.WithTimeout(context.Background(), l.Derived.Store.RequestTimeout)
 		defer cancel()
 		p, found, err := l.Store.Get(ctx, election.HolderKey)
 		outcome := func(now time.Time) {
 			l.checkingToken = false
 			switch {
 			case err != nil:
-			case !found || p.Revision != l.term.Revision:
+			case !found || p.Revision != l.term.HolderRevision:
 				slog.Info("term lost", "term", l.token, "reason", "a worker has seen a higher token")
 				l.resign = true
 			default:
@@ -48,16 +48,16 @@
 		return
 	}
 	l.tokenFloor, l.raiseToken = shown, true
-	l.suspect(detection.Loss{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.token}, now)
+	l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.token}, now)
 }
 
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
-	if l.tokenFloor < l.term.Token {
+	if l.tokenFloor < l.term.FencingToken {
 		return
 	}
-	l.term.Token = l.token
+	l.term.FencingToken = l.token
 	l.attempts = max(l.attempts, l.token<<attemptBits)
 	for _, m := range l.machines.All {
 		for _, a := range m.Assignments {
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -61,11 +61,11 @@
 // refill queues the next page of jobs that are over and of which nothing else has to be known,
 // and tells whether there were any left.
 func (l *Leader) refill() bool {
-	page, more := l.Cache.Lost(l.plainAfter, lostPageRows)
+	page, more := l.Cache.LostPage(l.plainAfter, lostPageRows)
 	for _, lost := range page {
 		l.plainAfter = lost.ID
 		// One whose record says less may have been without any when it was compared.
-		contradicted := lost.Found == jobs.Done || lost.Found == jobs.Cancelled
+		contradicted := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
 		if _, open := l.knowledge[lost.ID]; open || contradicted || !l.isOverHere(lost) {
 			continue
 		}
@@ -100,7 +100,7 @@
 	}
 	r := lostRecord{id: id, decision: d, revision: l.Cache.RecordRevision(id)}
 	if d.Final() {
-		r.value = rec.Ended(d.State, l.Derived.ValueBytes)
+		r.value = rec.FinalForm(d.State, l.Derived.Store.ValueBytes)
 	} else {
 		r.value, _ = json.Marshal(rec)
 	}
@@ -115,7 +115,7 @@
 	}
 	var batch []lostRecord
 	bytes := 0
-	for len(l.unwritten) > 0 && len(batch) < max(1, l.Derived.TxnOps/2) {
+	for len(l.unwritten) > 0 && len(batch) < max(1, l.Derived.Store.TxnOps/2) {
 		id := l.unwritten[0]
 		k, known := l.knowledgeOf(id)
 		if !known || l.isBack(id, k) {
@@ -128,7 +128,7 @@
 			break
 		}
 		l.unwritten = l.unwritten[1:]
-		if len(r.value) > l.Derived.ValueBytes {
+		if len(r.value) > l.Derived.Store.ValueBytes {
 			slog.Error("lost record too large to be written", "job", id, "bytes", len(r.value))
 			continue
 		}
@@ -150,7 +150,7 @@
 // knowledgeOf returns what is known of a job that is to be written, with what this node has
 // learnt of it by now.
 func (l *Leader) knowledgeOf(id string) (recovery.Knowledge, bool) {
-	if now, found := l.Cache.Known(id); found && now.Over() {
+	if now, found := l.Cache.Known(id); found && now.Finished() {
 		l.learn(id, recovery.FromCache(l.Node), now.State, now.Tasks, nil)
 	}
 	if h := l.held[id]; h != nil {
@@ -162,9 +162,9 @@
 
 func (l *Leader) commitRecords(ctx context.Context, batch []lostRecord, now time.Time) {
 	l.recording = true
-	perSecond := recoveryShare * leaderWriteShare * l.Settings.Deployment.State.Within().WriteRPS
+	perSecond := recoveryShare * leaderWriteShare * l.Settings.Deployment.Store.Effective().WriteRPS
 	l.recordAt = now.Add(time.Duration(float64(len(batch)) / perSecond * float64(time.Second)))
-	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}}
+	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}}
 	var writes []kvstore.Write
 	for _, r := range batch {
 		guards = append(guards, kvstore.Guard{Key: jobs.RecordKey(r.id), Revision: r.revision})
@@ -179,11 +179,11 @@
 
 // readRecords reads the records whose guards have failed. One that cannot be read stays
 // unknown, and is tried again.
-func (l *Leader) readRecords(ctx context.Context, keys []string) map[string]kvstore.Pair {
-	found := map[string]kvstore.Pair{}
+func (l *Leader) readRecords(ctx context.Context, keys []string) map[string]kvstore.KeyValue {
+	found := map[string]kvstore.KeyValue{}
 	for _, key := range keys {
 		if p, _, err := l.Store.Get(ctx, key); err == nil && key != election.HolderKey {
-			found[jobs.IDOf(key)] = p
+			found[jobs.JobIDFromKey(key)] = p
 		}
 	}
 	return found
@@ -191,7 +191,7 @@
 
 // recordsWritten takes in the outcome. What was not executed, or may not have been, is
 // queued again: if it was, its guard fails, and what is read then settles it.
-func (l *Leader) recordsWritten(batch []lostRecord, rev uint64, failed []string, found map[string]kvstore.Pair, err error, now time.Time) {
+func (l *Leader) recordsWritten(batch []lostRecord, rev uint64, failed []string, found map[string]kvstore.KeyValue, err error, now time.Time) {
 	l.recording = false
 	if slices.Contains(failed, election.HolderKey) {
 		slog.Info("term lost", "term", l.token, "reason", "holder key changed")
@@ -206,7 +206,7 @@
 	}
 	if err != nil {
 		slog.Debug("lost records not written", "term", l.token, "reason", err)
-		l.recordAt = now.Add(l.Derived.TermRenew)
+		l.recordAt = now.Add(l.Derived.Election.RenewInterval)
 	}
 	for _, r := range slices.Backward(batch) {
 		if p, read := found[r.id]; read && l.standsAlready(r, p) {
@@ -219,18 +219,18 @@
 
 // standsAlready takes in a record that was not as expected, and tells whether it needs no
 // writing any more: it says as much as what would be written.
-func (l *Leader) standsAlready(r lostRecord, p kvstore.Pair) bool {
+func (l *Leader) standsAlready(r lostRecord, p kvstore.KeyValue) bool {
 	if p.Revision == 0 {
-		l.Cache.Missing(r.id)
+		l.Cache.NoteMissing(r.id)
 		return false
 	}
-	l.Cache.Set(p.Key, p.Value, p.Revision)
+	l.Cache.Apply(p.Key, p.Value, p.Revision)
 	var rec jobs.Record
 	if jsonv2.Unmarshal(p.Value, &rec) != nil {
 		return false // what cannot be read is written over, by its revision
 	}
 	switch {
-	case rec.Over():
+	case rec.Finished():
 		// Another end than what is known is for an operator to see.
 		return rec.State == r.decision.State || !r.decision.Final()
 	case rec.Held != nil:
@@ -242,9 +242,9 @@
 
 func (l *Leader) recordWritten(r lostRecord, rev uint64, now time.Time) {
 	l.restored[r.decision.Outcome]++
-	l.Cache.Set(jobs.RecordKey(r.id), r.value, rev)
+	l.Cache.Apply(jobs.RecordKey(r.id), r.value, rev)
 	k, _ := l.knowledgeOf(r.id)
-	slog.Info("lost record written", "job", r.id, "term", l.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Words())
+	slog.Info("lost record written", "job", r.id, "term", l.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Provenance())
 	l.history.add(now, string(r.decision.Outcome), r.id)
 	delete(l.knowledge, r.id)
 	delete(l.ranks, r.id)
@@ -262,7 +262,7 @@
 	if l.marked || l.recording || now.Before(l.recordAt) || !l.Valid() {
 		return
 	}
-	value, _ := json.Marshal(recoveryStatus{Token: l.term.Token, SinceMs: now.UnixMilli(), Log: l.affectsLog || l.logDamaged})
+	value, _ := json.Marshal(recoveryStatus{Token: l.term.FencingToken, SinceMs: now.UnixMilli(), Log: l.affectsLog || l.logDamaged})
 	l.commitStatus(ctx, kvstore.Write{Set: jobs.RecoveryStatusKey, Value: value}, true)
 }
 
@@ -283,7 +283,7 @@
 // writeLogSize keeps the key that says how many segments there are. A lease is long enough
 // between two writes: the log grows seldom.
 func (l *Leader) writeLogSize(ctx context.Context, now time.Time) {
-	if l.recording || now.Sub(l.logSizeAt) < l.Derived.Lease || !l.Valid() {
+	if l.recording || now.Sub(l.logSizeAt) < l.Derived.Workers.Lease || !l.Valid() {
 		return
 	}
 	written := l.log.WrittenSegments()
@@ -298,7 +298,7 @@
 // commitKey writes one key of the recovery's own, guarded by the term.
 func (l *Leader) commitKey(ctx context.Context, w kvstore.Write, written func()) {
 	l.recording = true
-	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}}
+	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}}
 	go func() {
 		_, failed, err := l.Store.Commit(ctx, guards, []kvstore.Write{w})
 		l.post(ctx, func(now time.Time) {
@@ -308,7 +308,7 @@
 				slog.Info("term lost", "term", l.token, "reason", "holder key changed")
 				l.resign = true
 			case err != nil:
-				l.recordAt = now.Add(l.Derived.TermRenew)
+				l.recordAt = now.Add(l.Derived.Election.RenewInterval)
 			default:
 				written()
 			}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -11,11 +11,11 @@
 )
 
 // report answers a worker, or returns nil if this node has no right to.
-func (l *Leader) report(r *workers.Report, now time.Time) *workers.Answer {
-	if r.Token > l.token {
-		l.tokenAhead(r.Token, now)
+func (l *Leader) report(r *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
+	if r.FencingToken > l.token {
+		l.tokenAhead(r.FencingToken, now)
 	}
-	if !l.Valid() || l.viewAge(now) > l.Derived.WatchStale || r.Token > l.token {
+	if !l.Valid() || l.viewAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.token {
 		return nil
 	}
 	m := l.machines.ByID[r.Machine]
@@ -33,24 +33,24 @@
 		if l.mayStartCancelled(m, now) {
 			return nil
 		}
-		if r.Session < m.Worker.Session || c == m.Worker.NewestHeartbeat || c.Before(m.Worker.NewestHeartbeat) {
+		if r.AgentEpoch < m.Worker.Session || c == m.Worker.NewestHeartbeat || c.Before(m.Worker.NewestHeartbeat) {
 			return nil // from before a lease that has run out, or a late copy
 		}
 		// Whoever gets an answer has its lease renewed by it.
-		m.Worker.LeaseUntil, m.Worker.NewestHeartbeat = now.Add(l.Derived.LeaseOver), c
+		m.Worker.LeaseUntil, m.Worker.NewestHeartbeat = now.Add(l.Derived.Workers.LeaseExpiry), c
 	}
-	l.takeover.Answered(now)
-	if r.Token < l.term.Token {
+	l.takeover.HeartbeatAnswered(now)
+	if r.FencingToken < l.term.FencingToken {
 		// Sent before the worker heard of this term, or a copy of such a report
 		// that was under way for any length of time. It proves nothing; the
 		// answer brings the token, and with it a report that does.
-		return &workers.Answer{Token: l.term.Token, Calls: l.stopsOfCancelled(r)}
+		return &workers.HeartbeatResponse{FencingToken: l.term.FencingToken, Commands: l.stopsOfCancelled(r)}
 	}
-	l.takeover.Heard(r.Machine)
+	l.takeover.MachineReported(r.Machine)
 	if m == nil {
 		m = cluster.NewMachine(r.Machine, now)
 		m.Type, m.Zone, m.Spot, m.Addr = r.Type, r.Zone, r.Spot, r.Addr
-		m.Worker.LeaseUntil = now.Add(l.Derived.LeaseOver)
+		m.Worker.LeaseUntil = now.Add(l.Derived.Workers.LeaseExpiry)
 		m.Worker.NewestHeartbeat = c
 		l.machines.Add(m)
 	}
@@ -58,8 +58,8 @@
 		l.booted(m, now)
 	}
 	l.checkDelivery(m, r, now)
-	l.watch.Heard(m.ID, r.Zone, c, now)
-	if m.Health.Dead && !l.watch.Judged(m.ID) {
+	l.watch.Heartbeat(m.ID, r.Zone, c, now)
+	if m.Health.Dead && !l.watch.IsDead(m.ID) {
 		m.Health.Dead = false
 		slog.Info("machine reports again", "machine", m.ID, "term", l.token)
 	}
@@ -69,19 +69,19 @@
 	l.updateCapacity(m, now)
 	calls := l.calls(m, true)
 	m.Commands.LastAnswer = calls
-	return &workers.Answer{Token: l.tokenFor(m), Calls: calls}
+	return &workers.HeartbeatResponse{FencingToken: l.tokenFor(m), Commands: calls}
 }
 
 // stopsOfCancelled returns stops for the tasks in a report whose jobs are cancelled. Any
 // answer renews the worker's lease: were it without them, and this leader to end before
 // the next report, they would run for a whole lease more, and one leader after the other
 // could give them that. To stop them is right however old the report is.
-func (l *Leader) stopsOfCancelled(r *workers.Report) []workers.Call {
-	calls := []workers.Call{}
+func (l *Leader) stopsOfCancelled(r *workers.Heartbeat) []workers.Command {
+	calls := []workers.Command{}
 	for _, t := range r.Tasks {
-		id, _, ok := workers.SplitTask(t.Task)
-		if d := reconcile.OfEarlierReport(&t, ok && l.isCancelled(id)); d.Action == reconcile.Stop {
-			calls = append(calls, l.tell(stopCall(t.Task, t.Attempt, 0), d))
+		id, _, ok := workers.SplitTask(t.Name)
+		if d := reconcile.DecideOnStaleHeartbeat(&t, ok && l.isCancelled(id)); d.Action == reconcile.Stop {
+			calls = append(calls, l.tell(stopCall(t.Name, t.Attempt, 0), d))
 		}
 	}
 	return calls
@@ -105,7 +105,7 @@
 		return false
 	}
 	for _, a := range m.Assignments {
-		if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 && a.Job.End.Cancelled && now.Sub(a.Job.End.CancelSeenAt) > l.Derived.WatchStale/2 {
+		if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 && a.Job.End.Cancelled && now.Sub(a.Job.End.CancelSeenAt) > l.Derived.Store.MaxStaleness/2 {
 			return true
 		}
 	}
@@ -118,7 +118,7 @@
 // checkDelivery finds machines whose reports arrive while our answers do not: what an
 // answer asked for has not happened by the next report. Such a machine would
 // look healthy for ever, and task after task would be given to it in vain.
-func (l *Leader) checkDelivery(m *cluster.Machine, r *workers.Report, now time.Time) {
+func (l *Leader) checkDelivery(m *cluster.Machine, r *workers.Heartbeat, now time.Time) {
 	heard := len(m.Commands.LastAnswer) == 0
 	for _, c := range m.Commands.LastAnswer {
 		t := taskIn(r, cluster.CommandRef(&c))
@@ -128,22 +128,22 @@
 			heard = heard || t != nil
 		case c.Op == workers.OpClear:
 			heard = heard || t == nil
-		case a != nil && a.Job.IsGang() && t != nil && t.State == workers.Running:
+		case a != nil && a.Job.IsGang() && t != nil && t.State == workers.StateRunning:
 			heard = true // it runs on, in its report, until all have saved
 		default:
-			heard = heard || t == nil || t.State != workers.Running && t.State != workers.Fetching && t.State != workers.Gathering
+			heard = heard || t == nil || t.State != workers.StateRunning && t.State != workers.StateFetching && t.State != workers.StateGathering
 		}
 	}
 	switch {
-	case r.Session > m.Worker.Session || len(m.Commands.LastAnswer) == 0: // nothing to be learnt
+	case r.AgentEpoch > m.Worker.Session || len(m.Commands.LastAnswer) == 0: // nothing to be learnt
 	case heard:
 		m.Commands.UndeliveredAnswers = 0
-		l.watch.Reachable(m.ID)
+		l.watch.MarkReachable(m.ID)
 	default:
 		m.Commands.UndeliveredAnswers++
 		if m.Commands.UndeliveredAnswers == mostUndelivered {
 			slog.Info("machine does not hear", "machine", m.ID, "term", l.token)
-			l.watch.Unreachable(m.ID)
+			l.watch.MarkUnreachable(m.ID)
 			l.replan = true
 		}
 	}
@@ -154,8 +154,8 @@
 // flight, so that no run in an earlier answer can follow it. An attempt that was
 // begun by an order is cleared when the worker has seen a higher token: it then
 // refuses a late copy of that order, which would start the task once more.
-func (l *Leader) calls(m *cluster.Machine, answer bool) []workers.Call {
-	calls := []workers.Call{}
+func (l *Leader) calls(m *cluster.Machine, answer bool) []workers.Command {
+	calls := []workers.Command{}
 	if m.Phase == cluster.Releasing {
 		return calls
 	}
@@ -164,12 +164,12 @@
 		if a.Outcome != cluster.Open || a.Session != m.Worker.Session {
 			continue
 		}
-		switch d := reconcile.Command(l.attemptFacts(a, now)); d.Action {
+		switch d := reconcile.DecideCommand(l.attemptFacts(a, now)); d.Action {
 		case reconcile.Stop:
 			calls = append(calls, l.tell(stopCall(a.TaskName(), a.WireAttempt(), d.GraceS), d))
-		case reconcile.Begin:
+		case reconcile.Start:
 			a.Start.Sent, a.Start.OrderInFlight = true, !answer
-			calls = append(calls, l.tell(workers.Call{Op: workers.OpRun, Task: a.TaskName(), Attempt: a.WireAttempt()}, d))
+			calls = append(calls, l.tell(workers.Command{Op: workers.OpRun, Task: a.TaskName(), Attempt: a.WireAttempt()}, d))
 		default: // it goes on, or has to wait
 		}
 	}
@@ -177,24 +177,24 @@
 }
 
 // unassignedCalls adds what the worker should do with tasks that are not assigned to it.
-func (l *Leader) unassignedCalls(m *cluster.Machine, calls []workers.Call, answer bool) []workers.Call {
+func (l *Leader) unassignedCalls(m *cluster.Machine, calls []workers.Command, answer bool) []workers.Command {
 	var held heldEnds
 	for _, t := range m.Worker.Tasks {
 		if m.FindAssignment(cluster.RefOf(&t)) != nil {
 			continue // its end is not durable yet
 		}
-		id, _, _ := workers.SplitTask(t.Task)
-		facts := reconcile.Unassigned{
-			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), MaybeLost: l.accountsFor(m, &t),
-			OrderToken: m.Commands.StartedByOrder[cluster.RefOf(&t)], ShownToken: m.Worker.Token, Answering: answer,
+		id, _, _ := workers.SplitTask(t.Name)
+		facts := reconcile.OrphanedTask{
+			Ended: t.State == workers.StateEnded, JobCancelled: l.isCancelled(id), RecordsIncomplete: l.accountsFor(m, &t),
+			CommandToken: m.Commands.StartedByOrder[cluster.RefOf(&t)], WorkerToken: m.Worker.Token, InHeartbeatAnswer: answer,
 		}
-		switch d := facts.Command(); {
+		switch d := facts.DecideCommand(); {
 		case d.Action == reconcile.Stop:
-			calls = append(calls, l.tell(stopCall(t.Task, t.Attempt, 0), d))
-		case d.Action == reconcile.Clear:
-			calls = append(calls, l.tell(workers.Call{Op: workers.OpClear, Task: t.Task, Attempt: t.Attempt}, d))
-		case d.Reason == reconcile.TokenNotShown:
-			held.add(&t, facts.OrderToken, l.mayRunAgain(&t))
+			calls = append(calls, l.tell(stopCall(t.Name, t.Attempt, 0), d))
+		case d.Action == reconcile.Acknowledge:
+			calls = append(calls, l.tell(workers.Command{Op: workers.OpClear, Task: t.Name, Attempt: t.Attempt}, d))
+		case d.Reason == reconcile.TokenNotSuperseded:
+			held.add(&t, facts.CommandToken, l.mayRunAgain(&t))
 		}
 	}
 	m.Commands.NeedsHigherToken = held.wantToken()
@@ -202,6 +202,6 @@
 	return calls
 }
 
-func stopCall(task string, attempt uint64, grace float64) workers.Call {
-	return workers.Call{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &grace}
+func stopCall(task string, attempt uint64, grace float64) workers.Command {
+	return workers.Command{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &grace}
 }
--- a/internal/leader/returns_test.go
+++ b/internal/leader/returns_test.go
@@ -30,11 +30,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, m, _, now := bench()
 		released := 0
-		l.Cloud = autoscaler.NewCloud("cloud:1", handlerTransport{http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		l.Cloud = autoscaler.NewClient("cloud:1", handlerTransport{http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			released++
 			w.WriteHeader(http.StatusOK)
 		})}, time.Second, 10)
-		l.Derived.Report = time.Second
+		l.Derived.Workers.HeartbeatInterval = time.Second
 		l.events = make(chan func(time.Time), 8)
 		covered := false
 		l.Valid = func() bool { return covered }
--- a/internal/leader/runtimes.go
+++ b/internal/leader/runtimes.go
@@ -12,9 +12,9 @@
 // by how far the estimates of its class have been off lately.
 func (l *Leader) runS(s *jobs.Spec) float64 {
 	if r := l.runTimes[s.Class]; r != nil {
-		return s.EstimateS * math.Exp(r.off)
+		return s.EstimatedRuntimeS * math.Exp(r.off)
 	}
-	return s.EstimateS
+	return s.EstimatedRuntimeS
 }
 
 // runTimes is what was learnt of the run times of a class, as logarithms: how far
@@ -42,7 +42,7 @@
 // ran learns from a completed task.
 func (l *Leader) ran(a *cluster.Assignment, now time.Time) {
 	took := now.Sub(a.RunningSince).Seconds()
-	if a.RunningSince.Equal(a.CreatedAt) || a.Restored && a.Job.IsGang() || a.Job.Spec.EstimateS <= 0 || took <= 0 {
+	if a.RunningSince.Equal(a.CreatedAt) || a.Restored && a.Job.IsGang() || a.Job.Spec.EstimatedRuntimeS <= 0 || took <= 0 {
 		return // nobody saw it start
 	}
 	r, x := l.runsOf(a.Job.Spec.Class), math.Log(took)
@@ -51,7 +51,7 @@
 	}
 	a.Job.RecordRunTime(x)
 	r.tasks++
-	r.off += max(taskWeight, 1/r.tasks) * (x - math.Log(a.Job.Spec.EstimateS) - r.off)
+	r.off += max(taskWeight, 1/r.tasks) * (x - math.Log(a.Job.Spec.EstimatedRuntimeS) - r.off)
 }
 
 // vary learns from a completed job how much its tasks' run times vary.
