--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -33,7 +33,7 @@
 
 // fleetOf is a leader with a fleet in which every machine runs one task that
 // fills it, and what each worker reports.
-func fleetOf(tb testing.TB, size int) (*Leader, []*workers.Report, time.Time) {
+func fleetOf(tb testing.TB, size int) (*Leader, []*workers.Heartbeat, time.Time) {
 	quiet(tb)
 	l, m, _, now := bench()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
@@ -43,16 +43,16 @@
 	l.watch.Forget(m.ID)
 	l.jobs = map[string]*cluster.Job{}
 	l.readLog(nil)
-	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
+	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimatedRuntimeS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
 	l.jobs[j.ID] = j
-	var reports []*workers.Report
+	var reports []*workers.Heartbeat
 	for i := range size {
-		r := &workers.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), Session: 1, Seq: 1, Token: 5}
+		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
 		l.report(r, now)
 		a := l.assign(j, j.TakePendingTask(), l.machines.ByID[r.Machine], now)
 		a.Log.Durable, a.Start.Sent = true, true
-		r.Tasks = []workers.Task{{Task: a.TaskName(), Attempt: a.Attempt, State: workers.Running}}
+		r.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
 		r.Seq++
 		l.report(r, now)
 		reports = append(reports, r)
@@ -61,9 +61,9 @@
 }
 
 // again is a worker's next report, with nothing new in it.
-func again(l *Leader, r *workers.Report, now time.Time) {
+func again(l *Leader, r *workers.Heartbeat, now time.Time) {
 	r.Seq++
-	if a := l.report(r, now); a == nil || len(a.Calls) != 0 {
+	if a := l.report(r, now); a == nil || len(a.Commands) != 0 {
 		panic("a report without news was not simply answered")
 	}
 }
@@ -97,7 +97,7 @@
 // BenchmarkPlan places one job's tasks that find no room, and one that does.
 func BenchmarkPlan(b *testing.B) {
 	l, reports, now := fleetOf(b, largest)
-	idle := &workers.Report{Machine: "m-900000", Type: "c4", Zone: "a", Session: 1, Seq: 1, Token: 5}
+	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 	l.report(idle, now)
 	l.queue(l.jobs["j-7"])
 	_ = reports
@@ -121,7 +121,7 @@
 func BenchmarkPlanFull(b *testing.B) {
 	l, _, now := fleetOf(b, 400)
 	for i := range 100 {
-		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimateS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
+		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimatedRuntimeS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
 		j := cluster.NewJob(s.ID, s, uint64(i+2), 0, now)
 		l.jobs[j.ID] = j
 		l.queue(j)
@@ -136,7 +136,7 @@
 // work that could make room for it.
 func BenchmarkPlanGang(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
-	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimateS: 30, Image: "img", OneZone: true}
+	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
 	l.jobs[j.ID] = j
 	l.queue(j)
@@ -179,32 +179,32 @@
 
 // written is the log of a leader as it stands in the state service when all that waits
 // is written.
-func written(l *Leader) []kvstore.Pair {
-	segments := map[string]kvstore.Pair{}
+func written(l *Leader) []kvstore.KeyValue {
+	segments := map[string]kvstore.KeyValue{}
 	for rev := uint64(1); l.log.HasWork(); rev++ {
 		l.log.Grow(1)
 		batch := transaction.New()
 		l.log.AddSegments(batch, 1)
 		l.committed(batch, rev)
 		w := batch.Writes[0]
-		segments[w.Set] = kvstore.Pair{Key: w.Set, Value: w.Value, Revision: rev}
+		segments[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: rev}
 	}
 	return slices.Collect(maps.Values(segments))
 }
 
 // successor is the next leader, which has read the log but heard of no machine.
-func successor(l *Leader, segments []kvstore.Pair, now time.Time, specs ...*jobs.Spec) *Leader {
-	next := newLeader(l.Deps, election.Term{Token: 6})
+func successor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
+	next := newLeader(l.Deps, election.Term{FencingToken: 6})
 	next.viewTime = now
 	next.watch = liveness.New(liveness.Config{})
 	for _, s := range specs {
 		next.jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
 	}
 	log := next.readLog(segments)
-	ended := map[string]kvstore.Pair{} // of the others, the records say that they are cancelled
+	ended := map[string]kvstore.KeyValue{} // of the others, the records say that they are cancelled
 	for id := range assignmentlog.JobsNamed(log) {
 		if next.jobs[id] == nil {
-			ended[id] = kvstore.Pair{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
+			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
 	}
 	next.restore(log, ended, now)
--- a/internal/leader/slow.go
+++ b/internal/leader/slow.go
@@ -41,23 +41,23 @@
 		if m.Phase != cluster.Up || len(m.Assignments) == 0 {
 			continue
 		}
-		if !m.Offer.Slow {
+		if !m.Offer.Straggler {
 			odds := l.slowOdds(m, now)
 			if odds < math.Log(slowOdds) {
 				continue
 			}
 			slog.Info("machine slow", "machine", m.ID, "term", l.token, "odds", math.Exp(odds))
-			m.Offer.Slow = true
+			m.Offer.Straggler = true
 		}
 		services := false
 		for _, a := range m.Assignments {
-			if !a.Job.Spec.Ends() {
+			if !a.Job.Spec.RunsToCompletion() {
 				services = true
 				continue
 			}
 			took, runS := now.Sub(a.RunningSince).Seconds(), l.runS(a.Job.Spec)
 			if a.Outcome == cluster.Open && !a.Stop.Requested && (slowFactor*runS-took > runS || took > slowFactor*runS) {
-				l.stopWithGang(a, a.Job.Spec.SaveS)
+				l.stopWithGang(a, a.Job.Spec.CheckpointSaveS)
 				l.replan = true
 			}
 		}
@@ -70,7 +70,7 @@
 func (l *Leader) slowOdds(m *cluster.Machine, now time.Time) float64 {
 	odds := m.Health.SlowLogOdds
 	for _, a := range m.Assignments {
-		if a.Outcome != cluster.Open || a.ObservedState != workers.Running || a.Job.Spec.Shape != jobs.Batch {
+		if a.Outcome != cluster.Open || a.ObservedState != workers.StateRunning || a.Job.Spec.Shape != jobs.Batch {
 			continue
 		}
 		// What an earlier leader began has run for longer than we have seen.
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -80,8 +80,8 @@
 
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
-		Term: l.term.Token, Token: l.token, PictureS: l.viewAge(now).Seconds(),
-		Held: l.watch.Held(now), Disrupted: l.watch.Disrupted(),
+		Term: l.term.FencingToken, Token: l.token, PictureS: l.viewAge(now).Seconds(),
+		Held: l.watch.VerdictsOnHold(now), Disrupted: l.watch.FullDisruption(),
 		WriteQueue: len(l.finished) + l.log.QueueLength(),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
 		Takeover: l.takeover.Progress(now),
@@ -130,7 +130,7 @@
 		return "dead"
 	case m.Health.Draining:
 		return "draining"
-	case !l.watch.Placeable(m.ID, now):
+	case !l.watch.Schedulable(m.ID, now):
 		return "silent"
 	case len(m.Assignments) == 0:
 		return "idle"
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -14,28 +14,28 @@
 func (l *Leader) attemptFacts(a *cluster.Assignment, now time.Time) reconcile.Attempt {
 	j := a.Job
 	return reconcile.Attempt{
-		Session: a.Session, Durable: a.Log.Durable, Ordered: a.Start.OrderInFlight, Sent: a.Start.Sent, DoubtToken: a.Start.InDoubtToken, Seen: a.ObservedState,
-		Ends: j.Spec.Ends(), JobOver: j.IsOver(), JobCancelled: j.End.Cancelled, Stopping: a.Stop.Requested, GraceS: a.Stop.GraceS,
-		GangWhole: a.MayRun(),
+		Session: a.Session, Durable: a.Log.Durable, CommandPending: a.Start.OrderInFlight, Sent: a.Start.Sent, InDoubtToken: a.Start.InDoubtToken, ObservedState: a.ObservedState,
+		RunsToCompletion: j.Spec.RunsToCompletion(), JobFinished: j.IsOver(), JobCancelled: j.End.Cancelled, Preempted: a.Stop.Requested, GraceS: a.Stop.GraceS,
+		GangReady: a.MayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		Incomplete: a.Restored && a.ObservedState == "" && l.awaitsWorkers(j, now),
+		RecordsIncomplete: a.Restored && a.ObservedState == "" && l.awaitsWorkers(j, now),
 	}
 }
 
 // tell counts a command to a worker.
-func (l *Leader) tell(c workers.Call, d reconcile.Decision) workers.Call {
-	l.takeover.Told(c.Op, d.Reason)
+func (l *Leader) tell(c workers.Command, d reconcile.Decision) workers.Command {
+	l.takeover.CountCommand(c.Op, d.Reason)
 	return c
 }
 
 // settleTakeover notes when every machine that the records name is accounted for.
 func (l *Leader) settleTakeover(now time.Time) {
-	if !l.takeover.Settle(now) {
+	if !l.takeover.TryFinish(now) {
 		return
 	}
 	p := l.takeover.Progress(now)
-	slog.Info("take-over settled", "term", l.token, "afterS", p.SettledS, "machines", p.Expected, "heard", p.Heard,
-		"never", p.Never, "answerS", p.AnswerS, "orderS", p.OrderS, "commands", p.Commands)
+	slog.Info("take-over settled", "term", l.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
+		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
 	l.replan = true
 }
 
@@ -43,7 +43,7 @@
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
 func (l *Leader) mayPreempt(j *cluster.Job, now time.Time) bool {
-	if !l.takeover.ExpectsRoom(now) {
+	if !l.takeover.AwaitsCapacity(now) {
 		return true // which is so but for the first seconds of a term
 	}
 	return l.takeover.MayPreempt(now, j.Scheduling.LastServedAt, l.preemptionBound(j))
@@ -57,7 +57,7 @@
 	if j.Spec.Priority == jobs.Prod {
 		return 0
 	}
-	bound := l.Derived.Overdue
+	bound := l.Derived.Detection.HeartbeatOverdue
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class || o.Kind == "guarantee" && j.Scheduling.WithinGuarantee && j.Spec.Shape == jobs.Batch {
 			bound = min(bound, times(time.Second, patientShare*o.WithinS))
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -12,18 +12,18 @@
 
 // count makes an assignment weigh in room, quota and zones.
 func (l *Leader) count(a *cluster.Assignment) {
-	need := placement.Of(a.Job.Spec)
+	need := placement.TaskRequest(a.Job.Spec)
 	a.CountsAsUsed = true
-	l.setRoom(a.Machine, a.Machine.Used.Plus(need, 1))
-	l.used[a.Job.Spec.Team] = l.used[a.Job.Spec.Team].Plus(need, 1)
+	l.setRoom(a.Machine, a.Machine.Used.AddTimes(need, 1))
+	l.used[a.Job.Spec.Team] = l.used[a.Job.Spec.Team].AddTimes(need, 1)
 	l.tasksByRank[a.Job.Spec.Rank()]++
 	a.Job.Zones[a.Machine.Zone]++
 }
 
 // setRoom notes what assignments take of a machine.
-func (l *Leader) setRoom(m *cluster.Machine, room placement.Amount) {
+func (l *Leader) setRoom(m *cluster.Machine, room placement.Resources) {
 	m.Used = room
-	l.capacity.Set(m.Offer, m.Offer.Total.Plus(room, -1))
+	l.capacity.SetFree(m.Offer, m.Offer.Total.AddTimes(room, -1))
 }
 
 // updateCapacity offers a machine to placement while it takes work.
@@ -32,17 +32,17 @@
 		l.capacity.Remove(m.Offer)
 		return
 	}
-	if o := m.Offer; o.Total == (placement.Amount{}) || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot {
+	if o := m.Offer; o.Total == (placement.Resources{}) || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot {
 		t := l.machineType(m.Type)
 		if t == nil {
 			return
 		}
 		l.capacity.Remove(o)
 		o.Type, o.Zone, o.Spot = m.Type, m.Zone, m.Spot
-		o.Total, o.FetchGBPS = placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}, t.FetchGBPS
-		o.Free = o.Total.Plus(m.Used, -1)
+		o.Total, o.FetchGBPS = placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}, t.FetchGBPS
+		o.Free = o.Total.AddTimes(m.Used, -1)
 	}
-	if l.capacity.Put(m.Offer) {
+	if l.capacity.Insert(m.Offer) {
 		l.replan = true
 	}
 }
@@ -62,13 +62,13 @@
 	if a.Outcome != cluster.Open {
 		return
 	}
-	j, m, need := a.Job, a.Machine, placement.Of(a.Job.Spec)
+	j, m, need := a.Job, a.Machine, placement.TaskRequest(a.Job.Spec)
 	l.see(a, "")
 	a.Outcome = o
 	if a.CountsAsUsed {
 		a.CountsAsUsed = false
-		l.setRoom(m, m.Used.Plus(need, -1))
-		l.used[j.Spec.Team] = l.used[j.Spec.Team].Plus(need, -1)
+		l.setRoom(m, m.Used.AddTimes(need, -1))
+		l.used[j.Spec.Team] = l.used[j.Spec.Team].AddTimes(need, -1)
 		l.tasksByRank[j.Spec.Rank()]--
 		j.Zones[m.Zone]--
 	}
@@ -99,10 +99,10 @@
 
 // see notes the state in which a task was seen.
 func (l *Leader) see(a *cluster.Assignment, state string) {
-	if a.ObservedState == workers.Running {
+	if a.ObservedState == workers.StateRunning {
 		a.Job.Running--
 	}
-	if state == workers.Running {
+	if state == workers.StateRunning {
 		a.Job.Running++
 	}
 	a.ObservedState = state
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -15,7 +15,7 @@
 // doubts asks for a higher token where orders have been in doubt for long, and
 // once in a lease where an end waits for it to be cleared.
 func (l *Leader) doubts(now time.Time) {
-	raise := l.clearHeld && now.Sub(l.raisedAt) > l.Derived.Lease
+	raise := l.clearHeld && now.Sub(l.raisedAt) > l.Derived.Workers.Lease
 	for m := range l.doubtful {
 		if m.Commands.InDoubtSince.IsZero() || !l.machines.Contains(m) {
 			delete(l.doubtful, m)
@@ -25,7 +25,7 @@
 		for _, a := range m.Assignments {
 			if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 {
 				inDoubt = true
-				raise = raise || a.Start.InDoubtToken == l.token && now.Sub(m.Commands.InDoubtSince) > l.Derived.DoubtFor && now.Sub(l.raisedAt) > l.Derived.ControlInterval
+				raise = raise || a.Start.InDoubtToken == l.token && now.Sub(m.Commands.InDoubtSince) > l.Derived.Workers.InDoubtTimeout && now.Sub(l.raisedAt) > l.Derived.Leader.ControlInterval
 			}
 		}
 		if !inDoubt {
@@ -45,24 +45,24 @@
 	if now.Before(l.expireAt) {
 		return
 	}
-	l.expireAt = now.Add(l.Derived.LeaseOver)
+	l.expireAt = now.Add(l.Derived.Workers.LeaseExpiry)
 	for _, m := range l.machines.All {
 		if m.Phase == cluster.Booting {
 			continue
 		}
-		d := reconcile.Unheard(m.Worker.LeaseUntil, now)
+		d := reconcile.DecideWithoutHeartbeat(m.Worker.LeaseUntil, now)
 		if d.Action == reconcile.Wait {
 			l.expireAt = earlier(l.expireAt, d.Until)
 			continue
 		}
 		l.lost(m, string(d.Reason))
-		l.takeover.Gone(m.ID)
+		l.takeover.MachineGone(m.ID)
 		// Whatever still comes from the old session is out of date.
 		if m.Worker.Session != 0 {
 			m.Worker.Session, m.Worker.Seq, m.Worker.Tasks = m.Worker.Session+1, 0, nil
 			m.Commands.InDoubtSince = time.Time{}
 		}
-		m.Worker.LeaseUntil = now.Add(l.Derived.LeaseOver)
+		m.Worker.LeaseUntil = now.Add(l.Derived.Workers.LeaseExpiry)
 	}
 }
 
@@ -104,7 +104,7 @@
 	if l.tickGroup == 0 && l.mayBegin(now) {
 		l.findSlow(now)
 	}
-	calls, verdicts := l.watch.Tick(now, l.Derived.OrdersInFlight-l.callsInFlight)
+	calls, verdicts := l.watch.Tick(now, l.Derived.Host.CommandsInFlight-l.callsInFlight)
 	for _, id := range calls {
 		m := l.machines.ByID[id]
 		if m == nil {
@@ -114,7 +114,7 @@
 		l.callsInFlight++
 		addr := m.Addr // a report may change it meanwhile
 		go func() {
-			r, err := l.Workers.Inspect(ctx, addr)
+			r, err := l.Workers.Probe(ctx, addr)
 			l.post(ctx, func(now time.Time) { l.inspected(m, r, err, now) })
 		}()
 	}
@@ -125,11 +125,11 @@
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
-	if l.watch.Disrupted() && l.mayResign && !l.writing && !l.log.HasWork() {
+	if l.watch.FullDisruption() && l.mayResign && !l.writing && !l.log.HasWork() {
 		slog.Info("resigning", "term", l.token, "reason", "no machine of any zone reports here")
 		l.resign = true
 	}
-	if now.Sub(l.shownAt) > l.Derived.ControlInterval/2 {
+	if now.Sub(l.shownAt) > l.Derived.Leader.ControlInterval/2 {
 		l.shownAt = now
 		l.Publish(l.Counts.shown(), l.changes)
 		l.changes = nil
@@ -152,19 +152,19 @@
 // viewAge is how old the picture of users' wishes may be.
 func (l *Leader) viewAge(now time.Time) time.Duration { return now.Sub(l.viewTime) }
 
-func (l *Leader) inspected(m *cluster.Machine, r *workers.Report, err error, now time.Time) {
+func (l *Leader) inspected(m *cluster.Machine, r *workers.Heartbeat, err error, now time.Time) {
 	l.callsInFlight--
-	if workers.NoSocket(err) {
-		l.watch.CallLost(m.ID, now) // it never left this process
+	if workers.OutOfSockets(err) {
+		l.watch.ProbeNotSent(m.ID, now) // it never left this process
 		return
 	}
 	if err != nil {
-		l.watch.CallDone(m.ID, false, liveness.Counter{}, now)
+		l.watch.ProbeDone(m.ID, false, liveness.HeartbeatSeq{}, now)
 		return
 	}
 	m.Commands.UndeliveredAnswers = 0
 	// The answer is a newer picture of the tasks, though it renews no lease.
-	l.watch.CallDone(m.ID, true, counter(r), now)
+	l.watch.ProbeDone(m.ID, true, counter(r), now)
 	l.observe(m, r, now)
 }
 
@@ -180,14 +180,14 @@
 	for _, a := range m.Assignments {
 		// A gang that runs may well run on. One that gathers would hold its room until
 		// the workers give up waiting.
-		if a.Outcome == cluster.Open && a.Job.IsGang() && a.ObservedState != workers.Running {
+		if a.Outcome == cluster.Open && a.Job.IsGang() && a.ObservedState != workers.StateRunning {
 			l.stopGang(a.Job, 0)
 		}
 	}
 	l.log.QueueDeath(m.ID)
 	l.updateCapacity(m, now)
 	l.replan = true
-	if reason == liveness.CallFailed {
+	if reason == liveness.ProbeFailed {
 		l.release(ctx, now, m)
 	}
 }
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -22,7 +22,7 @@
 
 // flush starts the next transaction.
 func (l *Leader) flush(ctx context.Context, now time.Time) {
-	if l.writing || !l.raiseToken && len(l.finished) == 0 && !l.log.HasWork() || now.Sub(l.flushedAt) < l.Derived.FlushGap || !l.Valid() {
+	if l.writing || !l.raiseToken && len(l.finished) == 0 && !l.log.HasWork() || now.Sub(l.flushedAt) < l.Derived.Leader.FlushInterval || !l.Valid() {
 		return
 	}
 	l.flushedAt = now
@@ -40,9 +40,9 @@
 // compose puts the next transaction together.
 func (l *Leader) compose() *transaction.Batch {
 	b := transaction.New()
-	l.log.Grow(l.Derived.TxnOps / 2)
+	l.log.Grow(l.Derived.Store.TxnOps / 2)
 	// The segments of a transaction of unknown outcome come before all else.
-	left := l.Derived.TxnOps - l.log.UnsettledSegments()
+	left := l.Derived.Store.TxnOps - l.log.UnsettledSegments()
 	if l.raiseToken && left > 0 {
 		l.addToken(b)
 		left--
@@ -57,8 +57,8 @@
 		l.finished = l.finished[1:]
 		l.addFinal(b, j)
 	}
-	l.log.AddSegments(b, l.Derived.TxnOps)
-	b.Guard(election.HolderKey, l.term.Revision)
+	l.log.AddSegments(b, l.Derived.Store.TxnOps)
+	b.Guard(election.HolderKey, l.term.HolderRevision)
 	return b
 }
 
@@ -86,7 +86,7 @@
 		return // its user was faster
 	}
 	rec := jobs.Record{Tasks: j.Spec.Tasks, Spec: j.Spec}
-	b.Set(jobs.RecordKey(j.ID), j.Revision, rec.Ended(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
+	b.Set(jobs.RecordKey(j.ID), j.Revision, rec.FinalForm(jobs.Done, l.Derived.Store.ValueBytes), func(uint64) {})
 	b.OnFailure(func() { l.finished = append(l.finished, j) })
 	b.OnCommit(func(uint64) {
 		slog.Debug("job done", "job", j.ID, "term", l.token)
@@ -117,7 +117,7 @@
 func (l *Leader) written(ctx context.Context, b *transaction.Batch, rev uint64, failed []string, err error) {
 	// What was too large is no outage: were it taken for one, and nothing were left to
 	// be written, nothing would be planned any more.
-	l.storeFailing = err != nil && !errors.Is(err, kvstore.ErrRejected)
+	l.storeFailing = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failed) == 0 {
 		l.writing = false
 		l.committed(b, rev)
@@ -126,16 +126,16 @@
 	b.Failed()
 	if err != nil {
 		slog.Debug("records not written", "term", l.token, "reason", err)
-		if !errors.Is(err, kvstore.ErrRefused) {
+		if !errors.Is(err, kvstore.ErrNotExecuted) {
 			l.log.MarkOutcomeUnknown()
 		}
-		if errors.Is(err, kvstore.ErrRejected) {
+		if errors.Is(err, kvstore.ErrInvalidRequest) {
 			l.rejected(b, err)
 		}
-		if !errors.Is(err, kvstore.ErrUnknown) && !errors.Is(err, kvstore.ErrRefused) {
+		if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
 			slog.Error("records not written", "term", l.token, "reason", err)
 		}
-		l.later(ctx, l.Derived.TermRenew/4, func() { l.writing = false })
+		l.later(ctx, l.Derived.Election.RenewInterval/4, func() { l.writing = false })
 		return
 	}
 	if slices.Contains(failed, election.HolderKey) {
@@ -201,14 +201,14 @@
 			if ctx.Err() != nil {
 				return
 			}
-			l.pause(ctx, l.Derived.TermRenew)
+			l.pause(ctx, l.Derived.Election.RenewInterval)
 		}
 	}
 	l.post(ctx, func(time.Time) { l.writing = false })
 }
 
-func (l *Leader) relearn(b *transaction.Batch, key string, p kvstore.Pair) {
-	id := jobs.IDOf(key)
+func (l *Leader) relearn(b *transaction.Batch, key string, p kvstore.KeyValue) {
+	id := jobs.JobIDFromKey(key)
 	if id == key { // not a job's record
 		b.Learn(key, p.Revision)
 		l.checkSegment(key, p)
@@ -223,13 +223,13 @@
 	if p.Revision == 0 {
 		// Lost: it is written in place of what is not there any more.
 		j.Revision = 0
-		l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: key}, time.Now())
+		l.suspect(detection.Evidence{Kind: detection.RecordMissing, Key: key}, time.Now())
 		return
 	}
 	if jsonv2.Unmarshal(p.Value, &rec) != nil {
 		return
 	}
-	if !rec.Over() {
+	if !rec.Finished() {
 		j.Revision = p.Revision // it was lost and is back
 		return
 	}
