--- /dev/null
+++ b/internal/compat/adapter_test.go
@@ -0,0 +1,308 @@
+package compat
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	jsonv2 "github.com/go-json-experiment/json"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/loss"
+	"ospreyslip/internal/node"
+	"ospreyslip/internal/peer"
+	"ospreyslip/internal/settings"
+	"ospreyslip/internal/snapshot"
+	"ospreyslip/internal/standin"
+	"ospreyslip/internal/workers"
+)
+
+// This file is the only one of the package that names identifiers of other packages.
+
+// outside is the simulated world around the controllers.
+type outside struct{ world *standin.World }
+
+const (
+	stateAddr = "10.2.0.1:1"
+	cloudAddr = "10.2.0.2:1"
+)
+
+// newOutside starts a state service and a cloud that rents these machine types.
+func newOutside(ctx context.Context, catalog []byte, nodes []string) (*outside, error) {
+	var types []jobs.MachineType
+	if err := jsonv2.Unmarshal(catalog, &types); err != nil {
+		return nil, err
+	}
+	pace := standin.Pace{
+		Report: 2 * time.Second, Lease: 20 * time.Second, Fetch: time.Second,
+		GangWait: 12 * time.Second, GangPeer: 4 * time.Second, Nodes: nodes, Addrs: map[string]string{},
+	}
+	for _, n := range nodes {
+		pace.Addrs[n] = userAddr(n)
+	}
+	w := standin.NewWorld(ctx, types, pace)
+	w.Cancel = 40 * time.Second
+	w.Teams = settingsOf(nodes[0], nodes, 0).Deployment.Teams
+	w.Net.Attach("state", stateAddr, w.State)
+	w.Net.Attach("cloud", cloudAddr, w)
+	return &outside{w}, nil
+}
+
+func (o *outside) put(key string, value []byte) { o.world.State.Put(key, value) }
+func (o *outside) value(key string) []byte      { return o.world.State.Value(key) }
+func (o *outside) keys() []string               { return o.world.State.Keys("") }
+func (o *outside) machineOf(task string) string { return o.world.On(task)[0] }
+func (o *outside) tasksOn(task string) int      { return len(o.world.On(task)) }
+func (o *outside) kill(machine string)          { o.world.Kill(machine) }
+
+// lose makes the state service lose keys, with or without a change in its watch.
+func (o *outside) lose(silently bool, match func(key string) bool) {
+	o.world.State.Lose(silently, match)
+}
+
+// upload gives workers the description of a job.
+func (o *outside) upload(t *testing.T, submission []byte) {
+	t.Helper()
+	spec, err := jobs.ParseSpec(submission)
+	if err != nil {
+		t.Fatal(err)
+	}
+	o.world.Upload(spec)
+}
+
+// userTransport is the network as users see it; dialOperator opens a stream connection.
+func (o *outside) userTransport() http.RoundTripper { return o.world.Net.From("user") }
+
+func (o *outside) dialOperator(ctx context.Context, _, addr string) (net.Conn, error) {
+	return o.world.Net.Dial(ctx, "operator", addr)
+}
+
+// wait ends the simulation.
+func (o *outside) wait() {
+	o.world.Wait()
+	o.world.Net.Wait()
+}
+
+// runNode runs a controller until the context ends. Requests that it sends pass through
+// sent, and requests to it through served.
+func (o *outside) runNode(ctx context.Context, name string, all []string, valueKB float64, sent func(http.RoundTripper) http.RoundTripper, served func(http.Handler) http.Handler) (done chan struct{}) {
+	n := node.New(settingsOf(name, all, valueKB), node.Wire{
+		HTTP:   sent(o.world.Net.From(name)),
+		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return o.world.Net.Dial(ctx, name, addr) },
+		Memory: func() uint64 { return 0 },
+	})
+	o.world.Net.Attach(name, userAddr(name), served(n.Handler()))
+	done = make(chan struct{})
+	go func() {
+		defer close(done)
+		n.Work(ctx, o.world.Net.Listen(name, clusterAddr(name)))
+		o.world.Net.Attach(name, userAddr(name), nil)
+	}()
+	return done
+}
+
+const defaultValueKB = 32
+
+func settingsOf(name string, all []string, valueKB float64) *settings.Settings {
+	gangWait, gangPeer := 12.0, 4.0
+	if valueKB == 0 {
+		valueKB = defaultValueKB
+	}
+	s := &settings.Settings{
+		Operator: settings.DefaultOperator(),
+		Node:     name, Zone: "a", Listen: userAddr(name), ClusterListen: clusterAddr(name),
+		Endpoints: settings.Endpoints{Cloud: cloudAddr, State: stateAddr},
+		Deployment: settings.Deployment{
+			Nodes: len(all), Zones: []string{"a", "b", "c"},
+			Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 40}},
+			Workers: settings.Workers{ReportS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWait, GangPeerS: &gangPeer},
+			State:   settings.State{RPS: 150, WriteRPS: 50, ValueKB: valueKB, TxnOps: 12},
+			Cloud:   settings.Cloud{RPS: 6, ListLagS: 4},
+			Limits:  settings.Limits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
+		},
+	}
+	for _, n := range all {
+		if n != name {
+			s.Peers = append(s.Peers, settings.Peer{Node: n, Zone: "a", Addr: clusterAddr(n)})
+		}
+	}
+	return s
+}
+
+// deploymentID is the name of the deployment in snapshots and imports.
+func deploymentID(all []string) string { return settingsOf(all[0], all, 0).ClusterID() }
+
+// operatorSchema is the published JSON schema of the operators' file.
+func operatorSchema() []byte { return settings.OperatorSchema }
+
+// recodeJob reads a job's record and writes it again, as the controllers do.
+func recodeJob(raw []byte) ([]byte, error) {
+	var rec jobs.Record
+	if err := jsonv2.Unmarshal(raw, &rec); err != nil {
+		return nil, err
+	}
+	return json.Marshal(&rec)
+}
+
+// recodeReport, recodeAnswer and recodeOrder do so with messages of workers.
+func recodeReport(raw []byte) ([]byte, error) { return recode[workers.Report](raw) }
+func recodeAnswer(raw []byte) ([]byte, error) { return recode[workers.Answer](raw) }
+func recodeOrder(raw []byte) ([]byte, error)  { return recode[workers.Order](raw) }
+
+func recode[T any](raw []byte) ([]byte, error) {
+	var v T
+	if err := jsonv2.Unmarshal(raw, &v); err != nil {
+		return nil, err
+	}
+	return jsonv2.Marshal(&v)
+}
+
+// sendOrder sends a command of each kind to a worker.
+func sendOrder(ctx context.Context, transport http.RoundTripper) error {
+	grace := 10.0
+	_, _, err := workers.NewClient(transport, time.Second).Order(ctx, "10.1.0.232:9000", workers.Order{Token: 41, Session: 1, Calls: []workers.Call{
+		{Op: workers.OpRun, Task: "j-000412/4", Attempt: 2},
+		{Op: workers.OpStop, Task: "j-000377/1", Attempt: 1, GraceS: &grace},
+		{Op: workers.OpClear, Task: "j-000398/0", Attempt: 1},
+	}})
+	return err
+}
+
+// sendInspect asks a worker for its report.
+func sendInspect(ctx context.Context, transport http.RoundTripper) (machine string, err error) {
+	r, err := workers.NewClient(transport, time.Second).Inspect(ctx, "10.1.0.232:9000")
+	if err != nil {
+		return "", err
+	}
+	return r.Machine, nil
+}
+
+// answerReport answers a worker's report with a command of each kind, or redirects it.
+func answerReport(leader string) http.Handler {
+	grace := 10.0
+	h := &workers.Handler{
+		Answer: func(context.Context, *workers.Report) *workers.Answer {
+			if leader != "" {
+				return nil
+			}
+			return &workers.Answer{Token: 41, Calls: []workers.Call{
+				{Op: workers.OpRun, Task: "j-000412/4", Attempt: 2},
+				{Op: workers.OpStop, Task: "j-000377/1", Attempt: 1, GraceS: &grace},
+				{Op: workers.OpClear, Task: "j-000398/0", Attempt: 1},
+			}}
+		},
+		Leader: func() string { return leader },
+	}
+	mux := http.NewServeMux()
+	h.Register(mux)
+	return mux
+}
+
+// readSnapshot returns what a snapshot file holds, as text.
+func readSnapshot(path string) (string, error) {
+	s, err := snapshot.Read(path)
+	if err != nil {
+		return "", err
+	}
+	m := s.Manifest
+	out := fmt.Sprintf("format %d, cluster %s, revision %d, token %d, taken %d, records %d, jobs %v, checksum %s, name %s\n",
+		m.Format, m.Cluster, m.Revision, m.Token, m.TakenMs, m.Records, m.Jobs, m.Checksum, m.Name())
+	for _, r := range s.Records {
+		out += fmt.Sprintf("%s %d %q %d %s\n", r.Key, r.Revision, r.State, r.Tasks, r.Value)
+	}
+	return out, nil
+}
+
+// rewriteSnapshot reads a snapshot and writes it into a folder.
+func rewriteSnapshot(path, dir string) ([]byte, error) {
+	s, err := snapshot.Read(path)
+	if err != nil {
+		return nil, err
+	}
+	written, err := snapshot.Write(dir, s)
+	if err != nil {
+		return nil, err
+	}
+	return os.ReadFile(written)
+}
+
+// conversation has one controller send a message of each kind to another, over a
+// connection that dial makes, and returns what was understood of each.
+func conversation(t *testing.T, dial func() (asker, answerer net.Conn)) (heard []string) {
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	note := func(format string, args ...any) { heard = append(heard, fmt.Sprintf(format, args...)) }
+	links := &handedListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
+	asking := peer.NewHub("perch-0", []settings.Peer{{Node: "perch-1"}}, func(context.Context, string) (net.Conn, error) {
+		asker, answerer := dial()
+		links.conns <- answerer
+		return asker, nil
+	}, time.Second)
+	answering := peer.NewHub("perch-1", []settings.Peer{{Node: "perch-0"}}, func(ctx context.Context, _ string) (net.Conn, error) {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}, time.Second)
+	noticed := make(chan struct{})
+	answering.Progress = func(from string, p peer.Progress) {
+		note("progress from %s: served %v, uncertain %v, known %d, put back %v, restoring %v", from, p.Served, p.Uncertain, p.Known, p.PutBack, p.Restoring)
+		for id, c := range p.Counts {
+			note("counts of %s: done %d, running %d", id, c.Done, c.Running)
+		}
+		for _, c := range p.Changes {
+			note("change of %s: %s, %d tasks", c.ID, c.State, c.Tasks)
+		}
+	}
+	answering.Promise = func(_ context.Context, from string, token, seen uint64) peer.Promise {
+		note("asked for a promise by %s: token %d, seen %d", from, token, seen)
+		return peer.Promise{Given: true, Complete: true, Cancellations: []jobs.Cancellation{{Job: "j-000007", Revision: 431}, {Job: "j-8", Revision: 1 << 40}}}
+	}
+	answering.Lost = func(q peer.Question) peer.LostPage {
+		note("asked for lost jobs: round %d, after %q", q.Round, q.After)
+		return peer.LostPage{
+			Ready: true, More: true, Known: 12, Noticed: true, Newest: 433, ReliesOnNothing: true,
+			Jobs: []peer.LostJob{{ID: "j-3", State: "queued", Tasks: 4, Record: []byte(`{"stance":"queued","tasks":4}`)}, {ID: "j-4", State: "done", Tasks: 1}},
+		}
+	}
+	answering.Noticed = func(from string, l loss.Loss) {
+		note("loss noticed by %s: %q %q", from, l.Kind, l.Key)
+		close(noticed)
+	}
+	own := &handedListener{conns: make(chan net.Conn), done: make(chan struct{})}
+	ended := make(chan struct{}, 2)
+	go func() { asking.Run(ctx, own); ended <- struct{}{} }()
+	go func() { answering.Run(ctx, links); ended <- struct{}{} }()
+	asking.Publish(peer.Progress{
+		Served: true, Uncertain: true, Known: 9, PutBack: true, Restoring: true,
+		Counts:  map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}},
+		Changes: []peer.JobChange{{ID: "j-3", State: "queued", Tasks: 4}, {ID: "j-000004", State: "aborted", Tasks: 1}},
+	})
+	promise := asking.AllPromise(ctx, 41, 430)
+	note("promise: given %v, complete %v", promise.Given, promise.Complete)
+	for _, c := range promise.Cancellations {
+		note("cancellation of %s at %d", c.Job, c.Revision)
+	}
+	page, err := asking.AskLost(ctx, "perch-1", peer.Question{Round: 5, After: "j-2"})
+	note("lost jobs: ready %v, more %v, known %d, noticed %v, newest %d, relies on nothing %v, %v", page.Ready, page.More, page.Known, page.Noticed, page.Newest, page.ReliesOnNothing, err)
+	for _, j := range page.Jobs {
+		note("lost job %s: %s, %d tasks, %s", j.ID, j.State, j.Tasks, j.Record)
+	}
+	asking.NotifyLoss("perch-1", loss.Loss{Kind: loss.RecordRemoved, Key: "job/j-3"})
+	<-noticed
+	cancel()
+	<-ended
+	<-ended
+	return heard
+}
+
+// lossKinds are the names of evidence in messages, metrics and recovery reports.
+func lossKinds() []loss.Kind {
+	return []loss.Kind{
+		loss.RecordRemoved, loss.RecordMissing, loss.RecordOlder, loss.RecordContradicts, loss.RevisionBack, loss.TokenBack, loss.HolderLost,
+		loss.SegmentMissing, loss.SegmentUnreadable, loss.SegmentOlder, loss.TaskUnknown, loss.ReportedByPeer, loss.Earlier, loss.Imported,
+	}
+}
--- /dev/null
+++ b/internal/compat/cluster_test.go
@@ -0,0 +1,246 @@
+package compat
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func clusterAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8081" }
+
+func userAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8080" }
+
+const smallCatalog = `[{"label":"c4","vcpus":4,"gpus":0,"ramGb":32,"localGb":50,"fetchGbPerS":1,"rate":0.3,"lowPrice":0.1,"startupS":10,"eyries":["a","b","c"]}]`
+
+// cluster is controllers in a simulated world, on a simulated clock.
+type cluster struct {
+	t       *testing.T
+	ctx     context.Context
+	out     *outside
+	nodes   []string
+	valueKB float64
+	running map[string]*runningNode
+	records fieldSet // of all values that were written to the state service
+	calls   fieldSet // of all requests that controllers sent
+	answers fieldSet // of all answers to workers' reports
+}
+
+type runningNode struct {
+	cancel context.CancelFunc
+	done   chan struct{}
+}
+
+// inCluster runs a scenario on a simulated clock.
+func inCluster(t *testing.T, catalog string, valueKB float64, nodes []string, scenario func(*cluster)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		out, err := newOutside(ctx, []byte(catalog), nodes)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c := &cluster{t: t, ctx: ctx, out: out, nodes: nodes, valueKB: valueKB, running: map[string]*runningNode{}}
+		scenario(c)
+		cancel()
+		for _, n := range c.running {
+			<-n.done
+		}
+		out.wait()
+	})
+}
+
+func (c *cluster) startAll() {
+	for _, name := range c.nodes {
+		ctx, cancel := context.WithCancel(c.ctx)
+		c.running[name] = &runningNode{cancel, c.out.runNode(ctx, name, c.nodes, c.valueKB, c.tapCalls, c.tapAnswers)}
+	}
+	c.run(5 * time.Second)
+}
+
+func (c *cluster) stopAll() {
+	for _, n := range c.running {
+		n.cancel()
+	}
+	for _, n := range c.running {
+		<-n.done
+	}
+}
+
+func (c *cluster) run(d time.Duration) {
+	time.Sleep(d)
+	synctest.Wait()
+}
+
+// within waits until something is so.
+func (c *cluster) within(d time.Duration, what string, is func() bool) {
+	c.t.Helper()
+	for start := time.Now(); time.Since(start) < d; c.run(200 * time.Millisecond) {
+		if is() {
+			return
+		}
+	}
+	c.t.Errorf("not within %v: %s", d, what)
+}
+
+func (c *cluster) onMachines(job string, tasks int) bool {
+	for i := range tasks {
+		if c.out.tasksOn(fmt.Sprintf("%s/%d", job, i)) != 1 {
+			return false
+		}
+	}
+	return true
+}
+
+var (
+	keyPath   = regexp.MustCompile(`^/keys/.+`)
+	grantPath = regexp.MustCompile(`^/grants/[0-9]+`)
+)
+
+// tapCalls notes the requests that a controller sends, and the values that it stores.
+func (c *cluster) tapCalls(next http.RoundTripper) http.RoundTripper {
+	return roundTrip(func(req *http.Request) (*http.Response, error) {
+		path := grantPath.ReplaceAllString(keyPath.ReplaceAllString(req.URL.Path, "/keys/{key}"), "/grants/{id}")
+		line := req.Method + " " + path
+		c.calls.add(line)
+		for name := range req.URL.Query() {
+			c.calls.add(line + " ?" + name)
+		}
+		var body []byte
+		if req.Body != nil {
+			body, _ = io.ReadAll(req.Body)
+			req.Body = io.NopCloser(bytes.NewReader(body))
+		}
+		if len(body) > 0 {
+			c.noteBody(line, body)
+		}
+		return next.RoundTrip(req)
+	})
+}
+
+func (c *cluster) noteBody(line string, body []byte) {
+	if !strings.HasSuffix(line, " /commit") {
+		c.calls.addJSON(c.t, line, body)
+		return
+	}
+	var transaction map[string]any
+	if err := json.Unmarshal(body, &transaction); err != nil {
+		c.t.Errorf("transaction %s: %v", body, err)
+	}
+	if transaction["writes"] == nil {
+		delete(transaction, "writes") // it only compares; whether there is one depends on chance
+	}
+	writes, _ := transaction["writes"].([]any)
+	for _, w := range writes {
+		write := w.(map[string]any)
+		if key, ok := write["set"].(string); ok {
+			c.records.walk(kindOf(key), write["value"], nil)
+			write["value"] = nil // seen with its key
+		}
+	}
+	c.calls.walk(line, transaction, nil)
+}
+
+// kindOf is a key without what differs among the keys of one kind.
+func kindOf(key string) string {
+	for _, prefix := range []string{"job/", "book/", "catalog/"} {
+		if strings.HasPrefix(key, prefix) {
+			return prefix + "*"
+		}
+	}
+	return key
+}
+
+// tapAnswers notes the answers to workers' reports.
+func (c *cluster) tapAnswers(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		rec := httptest.NewRecorder()
+		next.ServeHTTP(rec, r)
+		if r.URL.Path == "/v1/report" {
+			line := fmt.Sprintf("%s %d", r.URL.Path, rec.Code)
+			c.answers.add(line)
+			if rec.Body.Len() > 0 {
+				c.answers.addJSON(c.t, line, rec.Body.Bytes())
+				// Which way a stop takes depends on chance; worker-answer.json has one.
+				c.answers.forget(line + " .calls[] .glideS number")
+			}
+		}
+		for name, values := range rec.Header() {
+			w.Header()[name] = values
+		}
+		w.WriteHeader(rec.Code)
+		_, _ = w.Write(rec.Body.Bytes())
+	})
+}
+
+// user sends a user's request and returns the answer as a line.
+func (c *cluster) user(node, method, path, body string) string {
+	c.t.Helper()
+	client := &http.Client{Transport: c.out.userTransport(), Timeout: 5 * time.Second}
+	return c.ask(client, userAddr(node), method, path, body)
+}
+
+// operator sends an operator's request.
+func (c *cluster) operator(node, method, path, body string) string {
+	c.t.Helper()
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: c.out.dialOperator}, Timeout: 10 * time.Second}
+	return c.ask(client, clusterAddr(node), method, path, body)
+}
+
+func (c *cluster) ask(client *http.Client, addr, method, path, body string) string {
+	c.t.Helper()
+	req, err := http.NewRequestWithContext(c.ctx, method, "http://"+addr+path, strings.NewReader(body))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return err.Error()
+	}
+	defer resp.Body.Close()
+	raw, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err.Error()
+	}
+	return fmt.Sprintf("%d %s", resp.StatusCode, raw)
+}
+
+// accept submits a job, which is accepted.
+func (c *cluster) accept(node, submission string) {
+	c.t.Helper()
+	c.out.upload(c.t, []byte(submission))
+	if got := c.user(node, "POST", "/v1/jobs", submission); !strings.HasPrefix(got, "201 ") {
+		c.t.Fatalf("%s: %s", submission, got)
+	}
+}
+
+// leader is the node that holds the term, or empty.
+func (c *cluster) leader() string {
+	var holder struct {
+		Node string `json:"node"`
+	}
+	_ = json.Unmarshal(c.out.value("term/holder"), &holder)
+	return holder.Node
+}
+
+// follower is a node that does not lead.
+func (c *cluster) follower() string {
+	leader := c.leader()
+	return c.nodes[slices.IndexFunc(c.nodes, func(n string) bool { return n != leader })]
+}
+
+// stored returns all keys of the state service.
+func (c *cluster) stored() (pairs []pair) {
+	for _, key := range c.out.keys() {
+		pairs = append(pairs, pair{key, c.out.value(key)})
+	}
+	return pairs
+}
--- /dev/null
+++ b/internal/compat/day_test.go
@@ -0,0 +1,313 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// submission is a job as its user describes it; fields replace those of an array of two.
+func submission(id string, fields string) string {
+	base := map[string]any{
+		"id": id, "flock": "sums", "crew": "blue", "shape": "batch", "rank": "standard", "talons": 2, "vcpus": 1.0, "gpus": 0.0, "ramGb": 1.0,
+		"plumage": "img", "imageGb": 1.0, "perches": nil, "eyrie": nil, "samePlace": false, "scatter": false, "driftwood": true,
+		"flightS": 400.0, "roostS": 10.0, "stashS": 2.0, "duskS": nil,
+	}
+	var other map[string]any
+	if err := json.Unmarshal([]byte("{"+fields+"}"), &other); err != nil {
+		panic(err)
+	}
+	maps.Copy(base, other)
+	raw, _ := json.Marshal(base)
+	return string(raw)
+}
+
+const (
+	serviceFields = `"flock":"web","crew":"red","shape":"daemon","rank":"prod","vcpus":2,"plumage":"web","scatter":true,"driftwood":false,"flightS":0,"roostS":0,"stashS":0`
+	arrayFields   = `"talons":4,"perches":["c4"],"eyrie":"a","duskS":900`
+	shortFields   = `"flightS":5`
+	stepsFields   = `"talons":40,"vcpus":2,"flightS":30` // more than the team may run at a time
+	gangFields    = `"flock":"joint","shape":"gang","vcpus":2,"plumage":"joint","samePlace":true,"driftwood":false`
+)
+
+// observed is what a day of the cluster showed from outside.
+type observed struct {
+	users                   bytes.Buffer // requests of users, and their answers
+	records, calls, answers []byte
+	operators, metrics      fieldSet
+	jobs, catalog           []byte // values that are the same on every run
+	parts                   []byte
+}
+
+var metricLine = regexp.MustCompile(`^([a-z_]+)(?:\{(.*)\})? `)
+
+// seeOperators notes what operators see of all nodes.
+func (o *observed) seeOperators(t *testing.T, c *cluster) {
+	for _, n := range c.nodes {
+		for _, path := range []string{"/status", "/recovery"} {
+			status, body, _ := strings.Cut(c.operator(n, "GET", path, ""), " ")
+			o.operators.addJSON(t, "GET "+path+" "+status, []byte(body), " .evidence", " .written")
+		}
+		_, body, _ := strings.Cut(c.operator(n, "GET", "/metrics", ""), " ")
+		for line := range strings.Lines(body) {
+			line = strings.TrimSpace(line)
+			if m := metricLine.FindStringSubmatch(line); m != nil && !strings.HasPrefix(line, "#") {
+				line = m[1]
+				for label := range strings.SplitSeq(m[2], ",") {
+					name, _, _ := strings.Cut(label, "=")
+					line += " " + name
+				}
+			}
+			o.metrics.add(strings.TrimSpace(line))
+		}
+	}
+}
+
+// day has the cluster write, send and show as much as it can in a quiet time.
+func (o *observed) day(t *testing.T, c *cluster) {
+	ask := func(node, method, path, body string) {
+		fmt.Fprintf(&o.users, "%s %s\n%s\n", method, path, c.user(node, method, path, body))
+	}
+	submit := func(node, submission string) {
+		c.out.upload(t, []byte(submission))
+		ask(node, "POST", "/v1/jobs", submission)
+	}
+	c.startAll()
+	submit("perch-0", submission("j-1", serviceFields))
+	submit("perch-1", submission("j-2", arrayFields))
+	submit("perch-2", submission("j-3", shortFields))
+	submit("perch-0", submission("j-4", ""))
+	submit("perch-1", submission("j-5", gangFields))
+	submit("perch-2", submission("j-6", arrayFields+`,"eyrie":"b","colour":"of no meaning"`))
+	c.within(time.Minute, "all run", func() bool {
+		return c.onMachines("j-1", 2) && c.onMachines("j-2", 4) && c.onMachines("j-4", 2) && c.onMachines("j-5", 2) && c.onMachines("j-6", 4)
+	})
+	submit("perch-0", submission("j-7", stepsFields))
+	c.within(time.Minute, "an array done", func() bool {
+		return strings.Contains(c.user("perch-0", "GET", "/v1/jobs/j-3", ""), `"done"`) && strings.Contains(string(c.out.value("job/j-3")), `"done"`)
+	})
+	o.seeOperators(t, c)
+	ask("perch-0", "POST", "/v1/jobs", submission("j-9", `"crew":"green"`))
+	ask("perch-0", "POST", "/v1/jobs", submission("j-9", `"vcpus":5`))
+	ask("perch-0", "POST", "/v1/jobs", submission("j-9", `"talons":0,"shape":"circle"`))
+	ask("perch-0", "POST", "/v1/jobs", "{")
+	ask("perch-1", "POST", "/v1/jobs", submission("j-3", shortFields))
+	c.within(10*time.Second, "counts known to all", func() bool { return strings.Contains(c.user("perch-2", "GET", "/v1/jobs/j-1", ""), `"running":2`) })
+	ask("perch-2", "GET", "/v1/jobs/j-1", "")
+	ask("perch-2", "GET", "/v1/jobs/j-3", "")
+	ask("perch-2", "GET", "/v1/jobs/j-77", "")
+	ask("perch-0", "POST", "/v1/jobs/j-4/withdraw", "")
+	ask("perch-0", "POST", "/v1/jobs/j-3/withdraw", "")
+	ask("perch-0", "POST", "/v1/jobs/j-77/withdraw", "")
+	c.run(5 * time.Second)
+	ask("perch-1", "GET", "/v1/jobs/j-4", "")
+	c.out.kill(c.onlyArrays("j-2/0", "j-2/3", "j-6/0", "j-6/3"))
+	c.run(time.Minute)
+	o.seeOperators(t, c)
+	var jobs []pair
+	for _, p := range c.stored() {
+		if strings.HasPrefix(p.Key, "job/") && p.Key != "job/j-7" { // accepted at some moment
+			jobs = append(jobs, p)
+		}
+	}
+	o.jobs, o.catalog = writePairs(jobs), c.out.value("catalog")
+}
+
+// onlyArrays is a machine of one of these tasks that has none of the service j-1, whose
+// replica would take the place of others, and of the gang j-5.
+func (c *cluster) onlyArrays(tasks ...string) string {
+	var others []string
+	for _, task := range []string{"j-1/0", "j-1/1", "j-5/0", "j-5/1"} {
+		others = append(others, c.out.machineOf(task))
+	}
+	for _, task := range tasks {
+		if m := c.out.machineOf(task); !slices.Contains(others, m) {
+			return m
+		}
+	}
+	c.t.Fatal("no machine has tasks of arrays only")
+	return ""
+}
+
+// restart ends all controllers, and a machine with them, and starts them again.
+func (o *observed) restart(t *testing.T, c *cluster) {
+	c.stopAll()
+	c.out.kill(c.out.machineOf("j-2/0"))
+	c.startAll()
+	c.accept("perch-0", submission("j-8", shortFields))
+	c.run(3 * time.Second)
+	o.seeOperators(t, c)
+	c.run(time.Minute)
+	o.seeOperators(t, c)
+}
+
+// losses has the state service lose its records, first while the controllers know them,
+// then with all controllers.
+func (o *observed) losses(t *testing.T, c *cluster) {
+	c.out.lose(false, func(key string) bool { return strings.HasPrefix(key, "job/") || key == "book/0" })
+	c.within(time.Minute, "word of a recovery", func() bool { return c.out.value("recovery/status") != nil })
+	o.seeOperators(t, c)
+	c.within(3*time.Minute, "records whole again", func() bool {
+		return c.out.value("recovery/status") == nil && c.out.value("job/j-2") != nil
+	})
+	c.run(10 * time.Second)
+	o.seeOperators(t, c)
+	c.accept("perch-0", submission("j-10", `"flightS":6`))
+	c.within(time.Minute, "a short array runs", func() bool { return c.onMachines("j-10", 2) })
+	c.stopAll()
+	c.out.lose(true, func(string) bool { return true })
+	c.run(10 * time.Second) // it ends meanwhile
+	c.startAll()
+	isHeld := func() bool { return strings.Contains(string(c.out.value("job/j-2")), `"held"`) }
+	c.within(2*time.Minute, "jobs held", isHeld)
+	o.seeOperators(t, c)
+	c.within(2*time.Minute, "held jobs known", func() bool {
+		return strings.HasPrefix(c.user("perch-0", "POST", "/v1/jobs", submission("j-2", arrayFields)), "200")
+	})
+	c.within(time.Minute, "held job described", func() bool {
+		return strings.Contains(c.operator(c.leader(), "GET", "/recovery", ""), `"described":true`)
+	})
+	o.seeOperators(t, c)
+	request := func(what, node, path, body string) {
+		status, answer, _ := strings.Cut(c.operator(node, "POST", path, body), " ")
+		o.operators.addJSON(t, "POST "+path+", "+what+": "+status, []byte(answer))
+	}
+	request("done, and it runs", c.leader(), "/recovery/settle", `{"job":"j-2","as":"done"}`)
+	request("run", c.leader(), "/recovery/settle", `{"job":"j-2","as":"run"}`)
+	request("not held", c.leader(), "/recovery/settle", `{"job":"j-99","as":"run"}`)
+	request("no id", c.leader(), "/recovery/settle", `{"job":"x","as":"run"}`)
+	request("not the leader", c.follower(), "/recovery/settle", `{"job":"j-2","as":"run"}`)
+	request("of another deployment", c.leader(), "/recovery/import", `{"cluster":"other","revision":3,"jobs":[]}`)
+	request("of this deployment", c.leader(), "/recovery/import",
+		fmt.Sprintf(`{"cluster":%q,"revision":3,"jobs":[{"id":"j-4","record":{"stance":"aborted","tasks":2}}]}`, deploymentID(c.nodes)))
+	c.run(time.Minute)
+	o.seeOperators(t, c)
+}
+
+// largeCatalog has more machine types than fit into one value of a kilobyte.
+func largeCatalog() string {
+	var types []string
+	for i := range 12 {
+		types = append(types, strings.Replace(strings.Trim(smallCatalog, "[]"), "c4", fmt.Sprintf("c%d", i+4), 1))
+	}
+	return "[" + strings.Join(types, ",") + "]"
+}
+
+// What the cluster writes, sends and shows has the names that it had in version 0.8.0, and
+// the same bytes where they do not depend on chance.
+func TestNamesStay(t *testing.T) {
+	var o observed
+	inCluster(t, smallCatalog, 0, []string{"perch-0", "perch-1", "perch-2"}, func(c *cluster) {
+		o.day(t, c)
+		o.restart(t, c)
+		o.losses(t, c)
+		o.records, o.calls, o.answers = c.records.lines(), c.calls.lines(), c.answers.lines()
+	})
+	inCluster(t, largeCatalog(), 1, []string{"perch-0"}, func(c *cluster) {
+		c.startAll()
+		parts := slices.DeleteFunc(c.stored(), func(p pair) bool { return !strings.HasPrefix(p.Key, "catalog") })
+		o.parts = writePairs(parts)
+	})
+	golden(t, "user-answers.txt", o.users.Bytes())
+	golden(t, "stored-jobs.jsonl", o.jobs)
+	golden(t, "stored-catalog.json", o.catalog)
+	golden(t, "stored-catalog-parts.jsonl", o.parts)
+	golden(t, "stored-fields.txt", o.records)
+	golden(t, "sent-fields.txt", o.calls)
+	golden(t, "report-answer-fields.txt", o.answers)
+	golden(t, "operator-fields.txt", o.operators.lines())
+	golden(t, "metrics.txt", o.metrics.lines())
+}
+
+// A cluster that begins with the records of version 0.8.0 knows what they say: those of a
+// quiet day, those that were lost and written again, and those of held jobs.
+func TestStateIsRead(t *testing.T) {
+	for _, name := range []string{"state", "state-restored", "state-held"} {
+		t.Run(name, func(t *testing.T) {
+			var seen bytes.Buffer
+			begin := func(pairs []pair, see func(*cluster)) {
+				inCluster(t, smallCatalog, 0, []string{"perch-0", "perch-1", "perch-2"}, func(c *cluster) {
+					for _, p := range pairs {
+						c.out.put(p.Key, p.Value)
+					}
+					c.startAll()
+					see(c)
+				})
+			}
+			pairs := goldenPairs(t, name+".jsonl")
+			begin(pairs, func(c *cluster) { fmt.Fprintf(&seen, "leads by its key: %s\n", c.knownLeader()) })
+			ended := slices.DeleteFunc(slices.Clone(pairs), func(p pair) bool { return p.Key == "term/holder" })
+			begin(ended, func(c *cluster) { c.describe(&seen, pairs) })
+			golden(t, name+"-read.txt", seen.Bytes())
+		})
+	}
+}
+
+// Records of jobs are read and written again without the loss of a byte.
+func TestJobRecordsReadAndWritten(t *testing.T) {
+	count := 0
+	for _, name := range []string{"state.jsonl", "state-restored.jsonl", "state-held.jsonl", "rare-jobs.jsonl"} {
+		for _, p := range goldenPairs(t, name) {
+			if !strings.HasPrefix(p.Key, "job/") {
+				continue
+			}
+			count++
+			if got, err := recodeJob(p.Value); err != nil || string(got) != string(p.Value) {
+				t.Errorf("%s: %v, written as\n%s\nfor\n%s", p.Key, err, got, p.Value)
+			}
+		}
+	}
+	if count == 0 {
+		t.Error("no record was read")
+	}
+}
+
+// knownLeader is the leader that the nodes name.
+func (c *cluster) knownLeader() string {
+	var s struct {
+		Leader string `json:"leader"`
+	}
+	_, body, _ := strings.Cut(c.operator(c.follower(), "GET", "/status", ""), " ")
+	_ = json.Unmarshal([]byte(body), &s)
+	return s.Leader
+}
+
+// describe writes what the nodes say of the records that they began with.
+func (c *cluster) describe(to *bytes.Buffer, pairs []pair) {
+	for _, p := range pairs {
+		if id, isJob := strings.CutPrefix(p.Key, "job/"); isJob {
+			fmt.Fprintf(to, "%s: %s\n", id, c.user(c.follower(), "GET", "/v1/jobs/"+id, ""))
+		}
+	}
+	_, status, _ := strings.Cut(c.operator(c.leader(), "GET", "/status", ""), " ")
+	c.keep(to, status, "term", "token", "classes", "teams", "machines")
+	_, recovery, _ := strings.Cut(c.operator(c.leader(), "GET", "/recovery", ""), " ")
+	c.keep(to, recovery, "phase", "held", "heldJobs")
+}
+
+// keep writes some fields of an object, or of the view in it, a line each element.
+func (c *cluster) keep(to *bytes.Buffer, object string, names ...string) {
+	var fields map[string]any
+	if err := json.Unmarshal([]byte(object), &fields); err != nil {
+		c.t.Errorf("%v: %s", err, object)
+	}
+	if view, ok := fields["view"].(map[string]any); ok {
+		fields = view
+	}
+	for _, name := range names {
+		elements, ok := fields[name].([]any)
+		if !ok {
+			elements = []any{fields[name]}
+		}
+		for _, e := range elements {
+			raw, _ := json.Marshal(e)
+			fmt.Fprintf(to, "%s: %s\n", name, raw)
+		}
+	}
+}
