--- /dev/null
+++ b/cmd/ospreyslip-operator/help_test.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The commands, flags and what is printed of them stay as version 0.8.0 had them.
+func TestHelp(t *testing.T) {
+	for name, args := range map[string][]string{
+		"help":                 {"--help"},
+		"help-snapshot":        {"snapshot", "--help"},
+		"help-snapshot-verify": {"snapshot", "verify", "--help"},
+		"help-snapshot-show":   {"snapshot", "show", "--help"},
+		"help-recover":         {"recover", "--help"},
+		"help-recover-status":  {"recover", "status", "--help"},
+		"help-recover-report":  {"recover", "report", "--help"},
+		"help-recover-import":  {"recover", "import", "--help"},
+		"help-recover-settle":  {"recover", "settle", "--help"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			cmd := root()
+			cmd.SetOut(&out)
+			cmd.SetErr(&out)
+			cmd.SetArgs(args)
+			if err := cmd.ExecuteContext(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join("testdata", name+".txt")
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if d := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(out.String(), "\n")); d != "" {
+				t.Errorf("%s (-want +got):\n%s", path, d)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/ospreyslip/help_test.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The commands, flags and what is printed of them stay as version 0.8.0 had them.
+func TestHelp(t *testing.T) {
+	t.Setenv("OSPREYSLIP_OPERATOR", "") // stands in the help
+	for name, args := range map[string][]string{
+		"help":        {"--help"},
+		"help-check":  {"check", "--help"},
+		"help-status": {"status", "--help"},
+		"check":       {"check", "--config", "../../internal/settings/testdata/perch-0.toml"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			cmd := root()
+			cmd.SetOut(&out)
+			cmd.SetErr(&out)
+			cmd.SetArgs(args)
+			if err := cmd.ExecuteContext(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join("testdata", name+".txt")
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if d := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(out.String(), "\n")); d != "" {
+				t.Errorf("%s (-want +got):\n%s", path, d)
+			}
+		})
+	}
+}
