--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -185,7 +185,7 @@
 	mux := http.NewServeMux()
 	users := &jobs.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
 	users.Register(mux)
-	reports := &workers.Handler{HandleHeartbeat: n.gate.Report, Leader: func() string {
+	reports := &workers.Handler{HandleHeartbeat: n.gate.HandleHeartbeat, Leader: func() string {
 		if l := n.keeper.Leader(); l != n.set.Node {
 			return l
 		}
@@ -199,7 +199,7 @@
 func (n *Controller) Work(ctx context.Context, cluster net.Listener) {
 	deps := leader.Deps{
 		Settings: n.set, Derived: n.d, Store: n.store, Cloud: n.cloud,
-		Workers: n.workers, Valid: n.keeper.IsLeader, Promised: n.keeper.PeerLeasesRequestedAt, Raised: n.keeper.TokenRaised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
+		Workers: n.workers, IsLeader: n.keeper.IsLeader, PromisesRequestedAt: n.keeper.PeerLeasesRequestedAt, TokenRaised: n.keeper.TokenRaised, Broadcast: n.publish, MachineTypes: n.types, Counts: n.counts,
 		Cache: n.cache, Peers: n.hub, Node: n.set.Node,
 	}
 	var duties sync.WaitGroup
@@ -236,11 +236,11 @@
 // what all nodes, this one too, have told users and it has not seen: that none reaches
 // the state service now says nothing of what was told before.
 func (n *Controller) allPromise(ctx context.Context, token uint64) bool {
-	asked, seen := time.Now(), n.gate.Seen()
+	asked, seen := time.Now(), n.gate.SeenRevision()
 	p := n.hub.AllPromise(ctx, token, seen)
 	own, complete := n.cache.CancellationsAfter(seen)
 	if p.Given && p.Complete && complete && seen > 0 {
-		n.gate.Cancelled(ctx, append(p.Cancellations, own...), asked)
+		n.gate.ApplyPeerCancellations(ctx, append(p.Cancellations, own...), asked)
 	}
 	return p.Given
 }
--- a/internal/leader/announce.go
+++ b/internal/leader/announce.go
@@ -14,30 +14,30 @@
 // something is wanted: room for work, or the end of a task. The others have a report
 // period to report by themselves.
 
-// announce orders the machines found in the records that cannot wait.
-func (l *Leader) announce() {
-	needs := l.openNeeds()
+// announceTerm orders the machines found in the records that cannot wait.
+func (l *Leader) announceTerm() {
+	needs := l.pendingRequests()
 	for _, p := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(p.Begun) {
 			a := p.Begun[attempt]
-			if a.Job.IsOver() || a.Stop.Requested || l.mayTake(a.Machine, needs) {
+			if a.Job.IsOver() || a.Stop.Requested || l.mayHaveRoom(a.Machine, needs) {
 				l.notify(a.Machine)
 			}
 		}
 	}
 }
 
-// announceLate orders a machine that has not reported to this leader by itself.
-func (l *Leader) announceLate(m *cluster.Machine, now time.Time) {
+// announceToSilent orders a machine that has not reported to this leader by itself.
+func (l *Leader) announceToSilent(m *cluster.Machine, now time.Time) {
 	if m.Phase == cluster.Up && m.Worker.HeartbeatAt.IsZero() && m.Worker.Token < l.term.FencingToken && now.Sub(m.Rental.KnownSince) > l.Derived.Workers.AnnounceDelay {
 		l.notify(m)
 	}
 }
 
-// openNeeds returns what the tasks of unfinished jobs take, each amount once.
-func (l *Leader) openNeeds() map[placement.Resources]bool {
+// pendingRequests returns what the tasks of unfinished jobs take, each amount once.
+func (l *Leader) pendingRequests() map[placement.Resources]bool {
 	needs := map[placement.Resources]bool{}
-	for _, j := range l.jobs {
+	for _, j := range l.state.Jobs {
 		if !j.IsOver() {
 			needs[placement.TaskRequest(j.Spec)] = true
 		}
@@ -45,9 +45,9 @@
 	return needs
 }
 
-// mayTake tells whether a machine has room for one more task, as far as the records
+// mayHaveRoom tells whether a machine has room for one more task, as far as the records
 // tell. One of unknown type may have.
-func (l *Leader) mayTake(m *cluster.Machine, needs map[placement.Resources]bool) bool {
+func (l *Leader) mayHaveRoom(m *cluster.Machine, needs map[placement.Resources]bool) bool {
 	t := l.machineType(m.Type)
 	if t == nil {
 		return true
--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -21,20 +21,20 @@
 	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
 		j := cluster.NewJob(spec.ID, spec, 2, 0, now)
-		l.jobs[j.ID] = j
+		l.state.Jobs[j.ID] = j
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
-		l.report(r, now)
-		l.assign(j, j.TakePendingTask(), l.machines.ByID[r.Machine], now)
+		l.answerHeartbeat(r, now)
+		l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
 	}
 
 	// The record of a cancelled job has no description, so that it is not among the jobs.
-	spec, live := *l.jobs["j-7"].Spec, *small
+	spec, live := *l.state.Jobs["j-7"].Spec, *small
 	next := successor(l, written(l), now, &spec, &live)
 	notifyPending := func() (ids []string) {
-		for _, m := range next.unconfirmedQueue {
+		for _, m := range next.unresponsiveQueue {
 			ids = append(ids, m.ID)
 		}
-		next.unconfirmedQueue = nil
+		next.unresponsiveQueue = nil
 		slices.Sort(ids)
 		return ids
 	}
@@ -44,8 +44,8 @@
 	interval := func(at time.Time) {
 		for range cluster.TickGroups {
 			next.tickGroup = (next.tickGroup + 1) % cluster.TickGroups
-			for m := range next.machines.Groups[next.tickGroup] {
-				next.announceLate(m, at)
+			for m := range next.state.Machines.Groups[next.tickGroup] {
+				next.announceToSilent(m, at)
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 	for _, r := range reports[:10] {
 		r.FencingToken = 6
 		r.Seq++
-		next.report(r, now)
+		next.answerHeartbeat(r, now)
 	}
 	interval(now.Add(next.Derived.Workers.AnnounceDelay + time.Second))
 	if got := notifyPending(); fmt.Sprint(got) != "[m-000010 m-000011]" {
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -61,22 +61,22 @@
 // logLeader is a leader that reads the log from the segments, with the jobs given.
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
-	l.lost(m, "not of this test")
-	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Resources{}, assignmentlog.New(assignmentlog.Config{}), nil
-	l.watch = liveness.New(liveness.Config{})
+	l.endMachineTasks(m, "not of this test")
+	l.state.Jobs, l.state.Machines, l.used, l.log, l.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Resources{}, assignmentlog.New(assignmentlog.Config{}), nil
+	l.detector = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
 	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
 	for i, spec := range specs {
-		l.jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
+		l.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
 	}
-	l.restore(l.readLog(s.pairs()), nil, now)
+	l.restoreLog(l.readLog(s.pairs()), nil, now)
 	return l
 }
 
 // durable is what a leader knows to be in the log: what is on machines, and what
 // is done.
 func (l *Leader) durable() (out []string) {
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		for _, a := range m.Assignments {
 			if a.Log.Durable {
 				out = append(out, fmt.Sprint(a.TaskName(), " ", a.Attempt, " on ", m.ID, " ", a.Session))
@@ -84,7 +84,7 @@
 		}
 	}
 	slices.Sort(out)
-	for _, j := range l.jobs {
+	for _, j := range l.state.Jobs {
 		for n := range j.Spec.Tasks {
 			if ch := j.Completions.Chunks[n/l.Derived.Store.ChunkTasks]; j.IsTaskDone(n) && ch != nil && ch.Saved && !ch.Dirty {
 				out = append(out, fmt.Sprintf("done %s/%05d", j.ID, n))
@@ -143,7 +143,7 @@
 				case len(failed) > 0:
 					b.Failed()
 					for _, key := range failed {
-						l.relearn(b, key, s.keys[key])
+						l.takeInConflict(b, key, s.keys[key])
 					}
 				default:
 					l.committed(b, s.rev)
@@ -157,7 +157,7 @@
 					if d := cmp.Diff(l.durable(), next.durable()); d != "" {
 						t.Fatalf("step %d, what the next leader reads: %s", step, d)
 					}
-					for _, a := range next.jobs["j-3"].Assignments {
+					for _, a := range next.state.Jobs["j-3"].Assignments {
 						if a.GangAttempt != 7 {
 							t.Fatalf("step %d: %s has lost its gang", step, a.TaskName())
 						}
@@ -182,13 +182,13 @@
 	now := time.Now()
 	for range rnd.IntN(12) {
 		id := fmt.Sprintf("m-%06d", rnd.IntN(200))
-		m := l.machines.ByID[id]
+		m := l.state.Machines.ByID[id]
 		if m == nil {
 			m = cluster.NewMachine(id, now)
 			m.Addr, m.Type, m.Zone, m.Worker.Session = "10.1.0.232:9000", "c4", "far <away>", 1
-			l.machines.Add(m)
+			l.state.Machines.Add(m)
 		}
-		if j := l.jobs[fmt.Sprint("j-", 1+rnd.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
+		if j := l.state.Jobs[fmt.Sprint("j-", 1+rnd.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
 			a := l.assign(j, j.TakePendingTask(), m, now)
 			if j.Spec.Shape == jobs.Gang {
 				a.GangAttempt = 7
@@ -196,13 +196,13 @@
 		}
 	}
 	for _, id := range sortedMachines(l) {
-		m := l.machines.ByID[id]
+		m := l.state.Machines.ByID[id]
 		for _, attempt := range cluster.SortedAttempts(m.Assignments) {
 			if a := m.Assignments[attempt]; a.Log.Durable && a.Outcome == cluster.Open && rnd.IntN(60) == 0 {
 				if a.Job.Spec.Shape == jobs.Batch && a.Job.Completions.Count+1 < a.Job.Spec.Tasks {
-					l.conclude(a, cluster.Success)
+					l.endAssignment(a, cluster.Success)
 				} else {
-					l.conclude(a, cluster.Retry)
+					l.endAssignment(a, cluster.Retry)
 				}
 			}
 		}
@@ -210,7 +210,7 @@
 }
 
 func sortedMachines(l *Leader) (ids []string) {
-	for id := range l.machines.ByID {
+	for id := range l.state.Machines.ByID {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -223,8 +223,8 @@
 	l, m, j, now := bench()
 	l.term.HolderRevision, l.tokenRevision, j.Revision = 77, 78, 79
 	l.readLog(nil)
-	l.raiseToken = true
-	l.finished = append(l.finished, j)
+	l.raisePending = true
+	l.completedJobs = append(l.completedJobs, j)
 	l.assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
 	b := l.compose()
 	revisions := map[string]uint64{}
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -43,8 +43,8 @@
 	c.m = m
 }
 
-// shown returns the counts that say more than that nothing has happened.
-func (c *Counts) shown() map[string]jobs.Counts {
+// nonZero returns the counts that say more than that nothing has happened.
+func (c *Counts) nonZero() map[string]jobs.Counts {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	out := make(map[string]jobs.Counts, len(c.m))
@@ -62,8 +62,8 @@
 	clear(c.m)
 }
 
-// show publishes a job's counts when they have changed.
-func (l *Leader) show(j *cluster.Job) {
+// publishCounts publishes a job's counts when they have changed.
+func (l *Leader) publishCounts(j *cluster.Job) {
 	c := jobs.Counts{Done: j.Completions.Count, Running: j.Running}
 	if c != j.PublishedCounts || c == (jobs.Counts{}) {
 		j.PublishedCounts = c
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -28,13 +28,13 @@
 
 // manageFleet returns what is not needed and rents what is.
 func (l *Leader) manageFleet(ctx context.Context, now time.Time) {
-	if now.Sub(l.fleetAt) < max(l.Derived.Leader.ControlInterval/4, times(l.fleetDuration, 1/planShare)) || l.Catalog() == nil {
+	if now.Sub(l.fleetAt) < max(l.Derived.Leader.ControlInterval/4, times(l.fleetDuration, 1/planShare)) || l.MachineTypes() == nil {
 		return
 	}
 	l.fleetAt = now
 	defer func() { l.fleetDuration = time.Since(now) }()
 	var back []*cluster.Machine
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		switch {
 		case m.Phase == cluster.Releasing || !m.Health.Dead && l.mayHaveTasks(m):
 		case m.Phase == cluster.Booting && l.neverCameUp(m, now):
@@ -84,7 +84,7 @@
 	}
 	have := map[autoscaler.MachinePool]int{}
 	coming := map[autoscaler.MachinePool]int{}
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		k := autoscaler.MachinePool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		if m.Phase != cluster.Releasing {
 			have[k]++
@@ -98,11 +98,11 @@
 		coming[k] += n // on its way, though not in the books yet
 	}
 	plan := autoscaler.PlanScaleOut(needs, coming, autoscaler.Market{
-		Types:         l.Catalog(),
+		Types:         l.MachineTypes(),
 		MachineCounts: have,
 		OutOfCapacity: func(k autoscaler.MachinePool) bool {
 			// What boots in a zone that is cut off is paid for and cannot be used.
-			return now.Before(l.refused[k].until) || l.watch.ZoneFellSilent(k.Zone, now, 2*l.Derived.Workers.CancelDeadline)
+			return now.Before(l.refused[k].until) || l.detector.ZoneFellSilent(k.Zone, now, 2*l.Derived.Workers.CancelDeadline)
 		},
 	})
 	for _, k := range autoscaler.LargestFirst(plan) {
@@ -130,7 +130,7 @@
 // same request, which the cloud carries out once only, goes out again.
 func (l *Leader) requestRental(ctx context.Context, r autoscaler.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
-		if !l.Valid() {
+		if !l.IsLeader() {
 			return nil, backoff.Permanent(errTermOver)
 		}
 		ids, err := l.Cloud.Provision(ctx, r)
@@ -156,10 +156,10 @@
 		}
 		slog.Log(ctx, level, "machines rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ids), "term", l.token)
 		for _, id := range ids {
-			if l.machines.ByID[id] == nil {
+			if l.state.Machines.ByID[id] == nil {
 				m := cluster.NewMachine(id, now)
 				m.Type, m.Zone, m.Spot = r.Type, r.Zone, r.Spot
-				l.machines.Add(m)
+				l.state.Machines.Add(m)
 			}
 		}
 	})
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -16,8 +16,8 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// follow watches the jobs.
-func (l *Leader) follow(ctx context.Context, after uint64) {
+// followJobRecords watches the jobs.
+func (l *Leader) followJobRecords(ctx context.Context, after uint64) {
 	var least uint64
 	var asked time.Time
 	var newest detection.Watermark
@@ -60,43 +60,43 @@
 		proven := after >= least && !asked.IsZero()
 		sent := asked
 		l.post(ctx, func(now time.Time) {
-			if proven && sent.After(l.viewTime) {
-				l.viewTime = sent
+			if proven && sent.After(l.wishesAsOf) {
+				l.wishesAsOf = sent
 			}
 			for _, c := range changes {
-				l.jobChanged(c, now)
+				l.applyJobChange(c, now)
 			}
-			l.seen.Store(seen)
-			maps.DeleteFunc(l.unseen, func(_ string, at uint64) bool { return at <= seen })
+			l.seenRevision.Store(seen)
+			maps.DeleteFunc(l.cancelledLater, func(_ string, at uint64) bool { return at <= seen })
 		})
 	}
 }
 
-// cancelledUnseen takes in what users were told by a moment, while no change can be
+// cancelFromPeers takes in what users were told by a moment, while no change can be
 // had from the state service. What it names ends at once, and is not begun when the
 // changes come that say that it was accepted.
-func (l *Leader) cancelledUnseen(all []jobs.Cancellation, by time.Time) {
+func (l *Leader) cancelFromPeers(all []jobs.Cancellation, by time.Time) {
 	for _, c := range all {
-		if c.Revision <= l.seen.Load() {
+		if c.Revision <= l.seenRevision.Load() {
 			continue
 		}
-		l.unseen[c.Job] = c.Revision
-		if j := l.jobs[c.Job]; j != nil && !j.End.Cancelled {
-			l.cancelled(j, c.Revision)
+		l.cancelledLater[c.Job] = c.Revision
+		if j := l.state.Jobs[c.Job]; j != nil && !j.End.Cancelled {
+			l.cancelJob(j, c.Revision)
 		}
 	}
-	if by.After(l.viewTime) {
-		l.viewTime = by
+	if by.After(l.wishesAsOf) {
+		l.wishesAsOf = by
 	}
 }
 
-func (l *Leader) cancelled(j *cluster.Job, revision uint64) {
+func (l *Leader) cancelJob(j *cluster.Job, revision uint64) {
 	slog.Info("job cancelled", "job", j.ID, "term", l.token)
 	j.End.Cancelled, j.Revision, j.End.CancelSeenAt = true, revision, time.Now()
-	l.cancelTasks(j)
+	l.endTasksOf(j)
 }
 
-func (l *Leader) jobChanged(c kvstore.Change, now time.Time) {
+func (l *Leader) applyJobChange(c kvstore.Change, now time.Time) {
 	if c.Set == "" {
 		l.Cache.ApplyRemoval(c.Remove, c.Revision)
 		return
@@ -107,8 +107,8 @@
 		return
 	}
 	id := jobs.JobIDFromKey(c.Set)
-	l.changes = append(l.changes, peer.JobChange{ID: id, State: rec.State, Tasks: rec.Tasks})
-	j := l.jobs[id]
+	l.unpublishedChanges = append(l.unpublishedChanges, peer.JobChange{ID: id, State: rec.State, Tasks: rec.Tasks})
+	j := l.state.Jobs[id]
 	if known, _ := l.Cache.Known(id); known.Finished() && !rec.Finished() {
 		return // the record is older than what users were told: it will be written again
 	}
@@ -118,44 +118,44 @@
 		delete(l.held, id)
 	}
 	switch {
-	case j == nil && l.unseen[id] > c.Revision: // cancelled since
+	case j == nil && l.cancelledLater[id] > c.Revision: // cancelled since
 	case j == nil && !rec.Finished() && rec.Spec != nil:
 		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AcceptedAtMs, now)
-		l.jobs[id] = j
+		l.state.Jobs[id] = j
 		if _, seen := l.knowledge[id]; seen || rec.Restored || l.strays[id] != nil {
 			l.adoptTasksOf(j, now)
 		}
-		l.show(j)
+		l.publishCounts(j)
 		l.queue(j)
 		l.arrived(j, 0, now)
 		l.replan, l.uncovered = true, true
 	case j == nil: // over, or held
 	case rec.State == jobs.Cancelled && !j.End.Cancelled:
-		l.cancelled(j, c.Revision)
+		l.cancelJob(j, c.Revision)
 	case rec.State == jobs.Done && !j.End.CompletionDurable && !j.End.Cancelled:
-		l.doneElsewhere(j)
+		l.completeElsewhere(j)
 	case !rec.Finished() && c.Revision > j.Revision && !j.End.CompletionDurable:
 		j.Revision = c.Revision // its record was lost, and is written again
 	}
 }
 
-func (l *Leader) cancelTasks(j *cluster.Job) {
+func (l *Leader) endTasksOf(j *cluster.Job) {
 	for _, a := range j.Assignments {
 		l.dropUnsent(a)
 	}
 	l.replan = true
-	l.settled(j)
+	l.removeIfSettled(j)
 }
 
-// settled forgets a job that is over and has no task anywhere.
-func (l *Leader) settled(j *cluster.Job) {
-	if !j.IsOver() || len(j.Assignments) > 0 || l.jobs[j.ID] != j {
+// removeIfSettled forgets a job that is over and has no task anywhere.
+func (l *Leader) removeIfSettled(j *cluster.Job) {
+	if !j.IsOver() || len(j.Assignments) > 0 || l.state.Jobs[j.ID] != j {
 		return
 	}
 	if j.End.Complete && !j.End.Cancelled && !j.End.CompletionDurable {
 		return // its record is still to be written
 	}
-	delete(l.jobs, j.ID)
+	delete(l.state.Jobs, j.ID)
 	delete(l.queued, j)
 	l.uncovered = true
 	l.Counts.drop(j.ID)
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -7,9 +7,9 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// gangWritten notes that the beginning of a task of a gang is durable. The last one
+// gangBeginDurable notes that the beginning of a task of a gang is durable. The last one
 // lets all of them go.
-func (l *Leader) gangWritten(j *cluster.Job) {
+func (l *Leader) gangBeginDurable(j *cluster.Job) {
 	if j.Gang.Durable++; j.GangVerdict() == gang.Run {
 		for _, a := range j.Assignments {
 			l.notify(a.Machine)
@@ -17,9 +17,9 @@
 	}
 }
 
-// parted takes in that a task of a gang is off its machine. If it is not done, the
+// leaveGang takes in that a task of a gang is off its machine. If it is not done, the
 // others have to stop.
-func (l *Leader) parted(j *cluster.Job) {
+func (l *Leader) leaveGang(j *cluster.Job) {
 	if j.Gang.Assigned--; !j.IsOver() && j.GangVerdict() == gang.Abort {
 		slog.Debug("gang not whole", "job", j.ID, "attempt", j.Gang.Number, "term", l.token, "left", j.Gang.Assigned)
 		l.stopGang(j, 0)
@@ -42,11 +42,11 @@
 	l.replan = true
 }
 
-// stopWithGang stops a task, and with it the gang that it is one of.
-func (l *Leader) stopWithGang(a *cluster.Assignment, grace float64) {
+// stopTask stops a task, and with it the gang that it is one of.
+func (l *Leader) stopTask(a *cluster.Assignment, grace float64) {
 	if a.Job.IsGang() {
 		l.stopGang(a.Job, grace)
 		return
 	}
-	l.stop(a, grace)
+	l.requestStop(a, grace)
 }
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -18,18 +18,18 @@
 func withGang() (l *Leader, j *cluster.Job, now time.Time) {
 	l, m, old, now := bench()
 	for _, a := range m.Assignments {
-		l.conclude(a, cluster.Retry)
-		l.forget(a)
+		l.endAssignment(a, cluster.Retry)
+		l.removeAssignment(a)
 	}
-	delete(l.jobs, old.ID)
+	delete(l.state.Jobs, old.ID)
 	l.readLog(nil)
 	other := report(1, 1)
 	other.Machine = "m-2"
-	l.report(other, now)
+	l.answerHeartbeat(other, now)
 	j = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimatedRuntimeS: 30, CheckpointIntervalS: 10, CheckpointSaveS: 3, OneZone: true}, 1, 0, now)
-	l.jobs[j.ID] = j
+	l.state.Jobs[j.ID] = j
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
-		if a := l.assign(j, j.TakePendingTask(), l.machines.ByID[id], now); a.Index != i {
+		if a := l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[id], now); a.Index != i {
 			panic("tasks are not given out in order")
 		}
 	}
@@ -56,7 +56,7 @@
 	seq++
 	r := report(1, seq, tasks...)
 	r.Machine = machine
-	answer := l.report(r, now)
+	answer := l.answerHeartbeat(r, now)
 	if answer == nil {
 		return []string{"no answer"}
 	}
@@ -111,11 +111,11 @@
 	l.says("m-2", j, now)
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
 	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
-	l.lost(l.machines.ByID["m-2"], "its lease is over")
+	l.endMachineTasks(l.state.Machines.ByID["m-2"], "its lease is over")
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
 		t.Error(d)
 	}
-	l.forget(j.Assignments[2])
+	l.removeAssignment(j.Assignments[2])
 	l.queue(j)
 	l.place(now)
 	if len(j.Assignments) != 2 {
@@ -123,13 +123,13 @@
 	}
 	first := j.Assignments[0].GangAttempt
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateEnded, workers.CauseMatesGone))
-	l.forget(j.Assignments[0])
+	l.removeAssignment(j.Assignments[0])
 	l.place(now)
 	if len(j.Assignments) != 1 {
 		t.Error("begun before the last end was durable")
 	}
-	l.forget(j.Assignments[1])
-	if a := l.assign(j, j.TakePendingTask(), l.machines.ByID["m-1"], now); a.GangAttempt == first || j.Pending.Count != 2 {
+	l.removeAssignment(j.Assignments[1])
+	if a := l.assign(j, j.TakePendingTask(), l.state.Machines.ByID["m-1"], now); a.GangAttempt == first || j.Pending.Count != 2 {
 		t.Errorf("the next attempt is %d, the last was %d; %d wait", a.GangAttempt, first, j.Pending.Count)
 	}
 }
@@ -141,7 +141,7 @@
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))
 	l.returning = true // a request to the cloud is on its way: ours waits for it
-	l.judged(t.Context(), l.machines.ByID["m-2"], liveness.ProbeFailed, now)
+	l.carryOutVerdict(t.Context(), l.state.Machines.ByID["m-2"], liveness.ProbeFailed, now)
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
@@ -162,8 +162,8 @@
 	if d := cmp.Diff([]string(nil), l.says("m-2", j, now, done)); d != "" {
 		t.Errorf("before the job's end is durable: %s", d)
 	}
-	if j.Completions.Count != 3 || !j.End.Complete || len(l.finished) != 1 {
-		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.finished))
+	if j.Completions.Count != 3 || !j.End.Complete || len(l.completedJobs) != 1 {
+		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.completedJobs))
 	}
 	b := l.compose()
 	if a := j.Assignments[2]; !a.Log.EndInFlight || len(b.Writes) < 2 {
@@ -178,16 +178,16 @@
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
 	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
-	l.stopWithGang(j.Assignments[1], 3)
-	for range mostUndelivered + 2 {
+	l.stopTask(j.Assignments[1], 3)
+	for range maxUndelivered + 2 {
 		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
 			t.Fatal(d)
 		}
 	}
-	if !l.usable(l.machines.ByID["m-1"], now) {
+	if !l.usable(l.state.Machines.ByID["m-1"], now) {
 		t.Error("a machine whose tasks save is taken for one that does not hear")
 	}
-	if a := j.Assignments[2]; !a.Stop.Requested || a.Stop.GraceS != 3 || !l.machines.ByID["m-2"].Commands.NotifyPending {
+	if a := j.Assignments[2]; !a.Stop.Requested || a.Stop.GraceS != 3 || !l.state.Machines.ByID["m-2"].Commands.NotifyPending {
 		t.Error("a mate on another machine is not told at once, with time to save")
 	}
 }
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -14,20 +14,20 @@
 
 // Gate leads reports to the leader that is on duty, if there is one.
 type Gate struct {
-	on       atomic.Pointer[Leader]
+	leader   atomic.Pointer[Leader]
 	resigned time.Time // owned by the goroutine that leads
 }
 
-// Report hands a report over and returns the answer; nil means that this node
+// HandleHeartbeat hands a report over and returns the answer; nil means that this node
 // has no right, or no time, to answer.
-func (g *Gate) Report(ctx context.Context, r *workers.Heartbeat) *workers.HeartbeatResponse {
-	l := g.on.Load()
+func (g *Gate) HandleHeartbeat(ctx context.Context, r *workers.Heartbeat) *workers.HeartbeatResponse {
+	l := g.leader.Load()
 	if l == nil {
 		return nil
 	}
-	req := reportIn{r, make(chan *workers.HeartbeatResponse, 1)}
+	req := heartbeatRequest{r, make(chan *workers.HeartbeatResponse, 1)}
 	select {
-	case l.reports <- req:
+	case l.heartbeats <- req:
 	case <-l.quit:
 		return nil
 	case <-ctx.Done():
@@ -43,26 +43,26 @@
 	}
 }
 
-// Seen returns up to which revision the picture of the jobs on duty has all changes;
+// SeenRevision returns up to which revision the picture of the jobs on duty has all changes;
 // 0 if there is none.
-func (g *Gate) Seen() uint64 {
-	if l := g.on.Load(); l != nil {
-		return l.seen.Load()
+func (g *Gate) SeenRevision() uint64 {
+	if l := g.leader.Load(); l != nil {
+		return l.seenRevision.Load()
 	}
 	return 0
 }
 
-// Cancelled hands over all cancellations that users may have been told of by a
+// ApplyPeerCancellations hands over all cancellations that users may have been told of by a
 // moment and that are newer than what was seen.
-func (g *Gate) Cancelled(ctx context.Context, all []jobs.Cancellation, by time.Time) {
-	if l := g.on.Load(); l != nil {
-		l.post(ctx, func(time.Time) { l.cancelledUnseen(all, by) })
+func (g *Gate) ApplyPeerCancellations(ctx context.Context, all []jobs.Cancellation, by time.Time) {
+	if l := g.leader.Load(); l != nil {
+		l.post(ctx, func(time.Time) { l.cancelFromPeers(all, by) })
 	}
 }
 
-type reportIn struct {
-	report *workers.Heartbeat
-	reply  chan *workers.HeartbeatResponse
+type heartbeatRequest struct {
+	heartbeat *workers.Heartbeat
+	reply     chan *workers.HeartbeatResponse
 }
 
 // Lead does one term's work until the context ends.
@@ -71,23 +71,23 @@
 	ctx, stop := context.WithCancel(ctx)
 	var duties sync.WaitGroup
 	defer func() {
-		g.on.CompareAndSwap(l, nil)
+		g.leader.CompareAndSwap(l, nil)
 		stop()
 		close(l.quit)
 		duties.Wait()
 		d.Counts.clear()
 	}()
-	after, err := l.load(ctx)
+	after, err := l.loadRecords(ctx)
 	if err != nil {
 		slog.Info("records not read, resigning", "term", t.FencingToken, "reason", err)
 		return
 	}
-	duties.Go(func() { l.follow(ctx, after) })
+	duties.Go(func() { l.followJobRecords(ctx, after) })
 	duties.Go(func() { l.listing(ctx) })
 	// A leader that no worker reaches makes way for one that may be reached. It
 	// does so once in a while only: if all machines are really gone, nobody can.
 	l.mayResign = time.Since(g.resigned) > 4*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
-	g.on.Store(l)
+	g.leader.Store(l)
 	l.run(ctx)
 	if l.resign {
 		g.resigned = time.Now()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -28,28 +28,28 @@
 	Store    *kvstore.Client
 	Cloud    *autoscaler.Client
 	Workers  *workers.Client
-	Valid    func() bool // holds the term at this moment
-	// Promised is when the promises were asked for that keep the term in an outage;
+	IsLeader func() bool // holds the term at this moment
+	// PromisesRequestedAt is when the promises were asked for that keep the term in an outage;
 	// they came from all other nodes.
-	Promised func() time.Time
-	Raised   func(token uint64) // told of a token raised within the term
-	Publish  func(map[string]jobs.Counts, []peer.JobChange)
-	Catalog  func() []jobs.MachineType
-	Counts   *Counts
-	Cache    *jobs.Cache // what this node knows of all jobs
-	Peers    PeerKnowledge
-	Node     string
+	PromisesRequestedAt func() time.Time
+	TokenRaised         func(token uint64) // told of a token raised within the term
+	Broadcast           func(map[string]jobs.Counts, []peer.JobChange)
+	MachineTypes        func() []jobs.MachineType
+	Counts              *Counts
+	Cache               *jobs.Cache // what this node knows of all jobs
+	Peers               PeerKnowledge
+	Node                string
 }
 
 // Leader is one term's work.
 type Leader struct {
 	Deps
 	term     election.Term
-	takeover *reconcile.Failover
+	failover *reconcile.Failover
 
-	reports chan reportIn
-	events  chan func(now time.Time) // outcomes of I/O, applied by the one goroutine
-	quit    chan struct{}
+	heartbeats chan heartbeatRequest
+	events     chan func(now time.Time) // outcomes of I/O, applied by the one goroutine
+	quit       chan struct{}
 
 	view
 	tokens
@@ -59,44 +59,43 @@
 	fleetManager
 	recoverer
 
-	tickGroup int // of the ticks in a control interval
-	shownAt   time.Time
-	changes   []peer.JobChange // of records, since then
-	mayResign bool
-	resign    bool
+	tickGroup          int // of the ticks in a control interval
+	publishedAt        time.Time
+	unpublishedChanges []peer.JobChange // of records, since then
+	mayResign          bool
+	resign             bool
 }
 
 // view is what the leader knows of jobs and machines, and as of when.
 type view struct {
-	jobs     map[string]*cluster.Job
-	machines cluster.MachineSet
-	watch    *liveness.Detector
-	used     map[string]placement.Resources // by team
-	viewTime time.Time                      // all that users were told by then is in the jobs
-	seen     atomic.Uint64                  // as are all changes up to this revision
-	unseen   map[string]uint64              // jobs known to be cancelled at a later revision
-	expireAt time.Time                      // no worker's lease ends before
+	state           *cluster.State
+	detector        *liveness.Detector
+	used            map[string]placement.Resources // by team
+	wishesAsOf      time.Time                      // all that users were told by then is in the jobs
+	seenRevision    atomic.Uint64                  // as are all changes up to this revision
+	cancelledLater  map[string]uint64              // jobs known to be cancelled at a later revision
+	nextLeaseExpiry time.Time                      // no worker's lease ends before
 }
 
 // tokens is the fencing token, as raised within the term to end doubts.
 type tokens struct {
-	token         uint64
-	tokenRevision uint64
-	raiseToken    bool
-	tokenFloor    uint64 // the next token is above it: a worker, or the log, shows it
-	checkingToken bool
-	raisedAt      time.Time
-	clearHeld     bool                      // an end is not cleared, for want of a higher token
-	doubtful      map[*cluster.Machine]bool // with a doubtSince, and some that had one
+	token                uint64
+	tokenRevision        uint64
+	raisePending         bool
+	tokenAbove           uint64 // the next token is above it: a worker, or the log, shows it
+	checkingHolder       bool
+	raisedAt             time.Time
+	acknowledgementsHeld bool                      // an end is not cleared, for want of a higher token
+	inDoubtMachines      map[*cluster.Machine]bool // with a doubtSince, and some that had one
 }
 
 // writer is what waits to be made durable, and the transaction under way.
 type writer struct {
-	log          *assignmentlog.Log
-	finished     []*cluster.Job // whose records are to be written as done
-	writing      bool
-	storeFailing bool // the last transaction was not executed, as far as is known
-	flushedAt    time.Time
+	log                 *assignmentlog.Log
+	completedJobs       []*cluster.Job // whose records are to be written as done
+	transactionInFlight bool
+	storeUnavailable    bool // the last transaction was not executed, as far as is known
+	flushedAt           time.Time
 }
 
 // planner is the queue of tasks that wait, and what plans need besides.
@@ -115,10 +114,10 @@
 
 // dispatcher is the orders and calls to workers.
 type dispatcher struct {
-	notifyQueue      []*cluster.Machine // have something to be told at once
-	unconfirmedQueue []*cluster.Machine // the same, but they may not answer
-	ordersInFlight   int
-	callsInFlight    int
+	notifyQueue       []*cluster.Machine // have something to be told at once
+	unresponsiveQueue []*cluster.Machine // the same, but they may not answer
+	commandsInFlight  int
+	probesInFlight    int
 }
 
 // fleetManager is the renting and returning of machines.
@@ -140,20 +139,20 @@
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
-		Deps: d, term: t, takeover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
-		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Resources{}, unseen: map[string]uint64{}},
-		tokens:       tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
+		Deps: d, term: t, failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
+		heartbeats: make(chan heartbeatRequest, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
+		view:         view{state: cluster.NewState(), used: map[string]placement.Resources{}, cancelledLater: map[string]uint64{}},
+		tokens:       tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, inDoubtMachines: map[*cluster.Machine]bool{}},
 		writer:       writer{log: assignmentlog.New(logConfig(d.Derived))},
 		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.FencingToken << attemptBits},
 		fleetManager: fleetManager{renting: map[autoscaler.MachinePool]int{}, refused: map[autoscaler.MachinePool]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
 	l.round = t.FencingToken << roundBits
-	l.watch = liveness.New(liveness.Config{
+	l.detector = liveness.New(liveness.Config{
 		SuspectAfter: d.Derived.Detection.SuspectAfter, LeaseExpiry: d.Derived.Workers.LeaseExpiry,
 		HoldTimeout: d.Derived.Detection.MaxHold, VerdictInterval: d.Derived.Detection.VerdictInterval, MachinesPerVerdict: smallZone,
-		HeartbeatOverdue: d.Derived.Detection.HeartbeatOverdue, GroupSuspectAfter: d.Derived.Detection.ZoneSilenceLimit, Importance: l.services,
+		HeartbeatOverdue: d.Derived.Detection.HeartbeatOverdue, GroupSuspectAfter: d.Derived.Detection.ZoneSilenceLimit, Importance: l.productionTasks,
 	})
 	return l
 }
@@ -194,8 +193,8 @@
 			return
 		case f := <-l.events:
 			f(time.Now())
-		case in := <-l.reports:
-			in.reply <- l.report(in.report, time.Now())
+		case in := <-l.heartbeats:
+			in.reply <- l.answerHeartbeat(in.heartbeat, time.Now())
 		case <-tick.C:
 			l.tick(ctx, time.Now())
 		}
@@ -204,8 +203,8 @@
 			select {
 			case f := <-l.events:
 				f(time.Now())
-			case in := <-l.reports:
-				in.reply <- l.report(in.report, time.Now())
+			case in := <-l.heartbeats:
+				in.reply <- l.answerHeartbeat(in.heartbeat, time.Now())
 			default:
 				more = false
 			}
@@ -217,13 +216,13 @@
 		if l.mayPlan(now) {
 			l.place(now)
 		}
-		l.flush(ctx, now)
-		l.orders(ctx, now)
+		l.writeNext(ctx, now)
+		l.sendCommands(ctx, now)
 	}
 }
 
 // mayBegin tells whether new work can be made durable. While it cannot, a plan
 // would stop tasks to make room that nothing can be placed in.
 func (l *Leader) mayBegin(now time.Time) bool {
-	return !l.storeFailing && now.Sub(l.Promised()) > l.Derived.Election.LeaseDuration
+	return !l.storeUnavailable && now.Sub(l.PromisesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -22,7 +22,7 @@
 		} else {
 			l.post(ctx, func(now time.Time) { l.listed(ctx, all, asked, now) })
 		}
-		l.pause(ctx, max(l.Derived.Cloud.ListInterval, time.Duration(float64(segments)/(listShare*l.Settings.Deployment.Cloud.RPS)*float64(time.Second))))
+		l.sleep(ctx, max(l.Derived.Cloud.ListInterval, time.Duration(float64(segments)/(listShare*l.Settings.Deployment.Cloud.RPS)*float64(time.Second))))
 	}
 }
 
@@ -33,7 +33,7 @@
 func (l *Leader) listed(ctx context.Context, all []autoscaler.ListedMachine, asked, now time.Time) {
 	var failed []*cluster.Machine
 	for _, e := range all {
-		m := l.machines.ByID[e.ID]
+		m := l.state.Machines.ByID[e.ID]
 		if m == nil {
 			if until, ok := l.returned[e.ID]; ok && now.Before(until) {
 				continue
@@ -41,7 +41,7 @@
 			m = cluster.NewMachine(e.ID, now.Add(-time.Duration(e.AgeS*float64(time.Second))))
 			m.Rental.IdleSince = now
 			m.Type, m.Zone, m.Spot = e.Type, e.Zone, e.Spot
-			l.machines.Add(m)
+			l.state.Machines.Add(m)
 			slog.Info("machine found in the list", "machine", m.ID, "term", l.token, "state", e.State)
 		}
 		if m.Addr == "" {
@@ -57,9 +57,9 @@
 		}
 	}
 	l.release(ctx, now, failed...)
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		if m.Phase == cluster.Up && !m.Rental.ListedAt.IsZero() && m.Rental.ListedAt != asked && m.Worker.HeartbeatAt.Before(asked) {
-			l.watch.Suspect(m.ID)
+			l.detector.Suspect(m.ID)
 		}
 	}
 	for id, until := range l.returned {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -15,11 +15,11 @@
 	"ospreyslip/internal/reconcile"
 )
 
-// load reads all records. The term is ours already, so that no earlier leader
+// loadRecords reads all records. The term is ours already, so that no earlier leader
 // can change them any more; users can, and the watch starts where load began.
-func (l *Leader) load(ctx context.Context) (after uint64, err error) {
+func (l *Leader) loadRecords(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.viewTime, l.fresh = now, !l.Cache.ProvenCurrent()
+	l.wishesAsOf, l.fresh = now, !l.Cache.ProvenCurrent()
 	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
@@ -50,7 +50,7 @@
 			return
 		case rec.Spec != nil:
 			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AcceptedAtMs, now)
-			l.jobs[id] = j
+			l.state.Jobs[id] = j
 			if rec.Restored || l.affectsLog {
 				l.adoptTasksOf(j, now)
 			}
@@ -65,15 +65,15 @@
 		return 0, err
 	}
 	l.checkRecords(log, ended, known, listed, now)
-	l.restore(log, ended, now)
-	for _, j := range l.jobs {
+	l.restoreLog(log, ended, now)
+	for _, j := range l.state.Jobs {
 		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.Abort {
 			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
 		}
 		if !j.IsOver() && j.Spec.Shape == jobs.Batch && j.Completions.Count == j.Spec.Tasks {
-			l.finish(j)
+			l.completeJob(j)
 		}
-		l.show(j)
+		l.publishCounts(j)
 		l.queue(j)
 		age := time.Duration(now.UnixMilli()-j.AcceptedMs) * time.Millisecond
 		l.arrived(j, age, now)
@@ -82,9 +82,9 @@
 	l.replan, l.uncovered = true, true
 	l.raisedAt = now
 	l.listSyncAt = now.Add(2 * l.Derived.Cloud.ListLag)
-	l.seen.Store(after)
-	l.takeover.RecordsLoaded(time.Now())
-	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.All))
+	l.seenRevision.Store(after)
+	l.failover.RecordsLoaded(time.Now())
+	slog.Info("records read", "term", l.token, "jobs", len(l.state.Jobs), "ended", over, "machines", len(l.state.Machines.All))
 	return after, nil
 }
 
@@ -94,12 +94,12 @@
 	return read
 }
 
-// restore takes in the log. Whatever it names may be there: the tasks count
+// restoreLog takes in the log. Whatever it names may be there: the tasks count
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
-func (l *Leader) restore(segments []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, now time.Time) {
+func (l *Leader) restoreLog(segments []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, now time.Time) {
 	where := map[uint64]*cluster.Segment{}
-	defer l.announce()
+	defer l.announceTerm()
 	for _, stored := range segments {
 		p := stored.Segment
 		for _, b := range stored.Record.Begun {
@@ -118,7 +118,7 @@
 			}
 		}
 		for _, d := range stored.Record.Done {
-			j := l.jobs[d.Job]
+			j := l.state.Jobs[d.Job]
 			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.Store.ChunkTasks >= j.Spec.Tasks {
 				continue
 			}
@@ -144,9 +144,9 @@
 			a := p.Begun[attempt]
 			switch d := reconcile.DecideOnRecords(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
 			case reconcile.Complete:
-				l.conclude(a, cluster.Success)
+				l.endAssignment(a, cluster.Success)
 			case reconcile.Reschedule:
-				l.conclude(a, cluster.Retry)
+				l.endAssignment(a, cluster.Retry)
 			default: // its machine is heard first
 			}
 		}
@@ -154,13 +154,13 @@
 }
 
 func (l *Leader) restoreMachine(b assignmentlog.MachineRecord, now time.Time) *cluster.Machine {
-	m := l.machines.ByID[b.Machine]
+	m := l.state.Machines.ByID[b.Machine]
 	if m == nil {
 		m = cluster.NewMachine(b.Machine, now)
 		m.Phase, m.Worker.LeaseUntil = cluster.Up, now.Add(l.Derived.Workers.LeaseExpiry)
-		l.machines.Add(m)
-		l.watch.Restore(m.ID, b.Zone, now)
-		l.takeover.ExpectMachine(m.ID)
+		l.state.Machines.Add(m)
+		l.detector.Restore(m.ID, b.Zone, now)
+		l.failover.ExpectMachine(m.ID)
 	}
 	m.Addr, m.Type, m.Zone, m.Spot = b.Addr, b.Type, b.Zone, b.Spot
 	m.Worker.Session = max(m.Worker.Session, b.Session)
@@ -170,7 +170,7 @@
 // restoreTask finds out what may be on a machine; it does not count before the
 // whole log is read.
 func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t assignmentlog.TaskRecord, ended map[string]kvstore.KeyValue, now time.Time) {
-	j := l.jobs[t.Job]
+	j := l.state.Jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
 		l.learnFromLog(t)
 		return
@@ -184,7 +184,7 @@
 		}
 		j = cluster.NewJob(t.Job, old.Spec, ended[t.Job].Revision, 0, now)
 		j.End.Cancelled, j.End.Recorded = true, old.State
-		l.jobs[t.Job] = j
+		l.state.Jobs[t.Job] = j
 	}
 	if t.Index < 0 || t.Index >= j.Spec.Tasks {
 		if !j.End.Cancelled {
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -81,13 +81,13 @@
 func (l *Leader) shortfall(now time.Time) float64 {
 	l.decayFlow(now)
 	work := 0.0
-	for _, j := range l.jobs {
+	for _, j := range l.state.Jobs {
 		if !j.IsOver() && j.Spec.RunsToCompletion() {
 			work += float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs
 		}
 	}
 	missing := max(l.arrivalRate, work/l.flowOver().Seconds())
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		if t := l.machineType(m.Type); t != nil && m.Phase != cluster.Releasing && !m.Health.Dead && !m.Health.Draining {
 			missing -= t.CPUs
 			for _, a := range m.Assignments {
@@ -108,7 +108,7 @@
 // rooms is what the forecast plays on.
 func (l *Leader) rooms(now time.Time) []autoscaler.MachineForecast {
 	var rooms []autoscaler.MachineForecast
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		t := l.machineType(m.Type)
 		if t == nil {
 			continue
@@ -143,7 +143,7 @@
 
 func (l *Leader) shortestBoot() time.Duration {
 	least := time.Duration(math.MaxInt64)
-	for _, t := range l.Catalog() {
+	for _, t := range l.MachineTypes() {
 		least = min(least, l.bootTime(t.Name))
 	}
 	return least
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -11,9 +11,9 @@
 	"ospreyslip/internal/workers"
 )
 
-// observe takes a worker's own picture of its machine. It returns false for an
+// applyObservation takes a worker's own picture of its machine. It returns false for an
 // old copy, which must not turn the picture back.
-func (l *Leader) observe(m *cluster.Machine, r *workers.Heartbeat, now time.Time) bool {
+func (l *Leader) applyObservation(m *cluster.Machine, r *workers.Heartbeat, now time.Time) bool {
 	if r.AgentEpoch < m.Worker.Session || r.AgentEpoch == m.Worker.Session && m.Worker.Seq != 0 && r.Seq <= m.Worker.Seq {
 		return false
 	}
@@ -28,10 +28,10 @@
 	m.Worker.Session, m.Worker.Seq, m.Worker.Token, m.Worker.Tasks = r.AgentEpoch, r.Seq, r.FencingToken, r.Tasks
 	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
 	if r.SpotNoticeS != nil {
-		l.notice(m, *r.SpotNoticeS, now)
+		l.applySpotNotice(m, *r.SpotNoticeS, now)
 	}
 	for begun, token := range m.Commands.StartedByOrder {
-		if token < m.Worker.Token && taskIn(r, begun) == nil {
+		if token < m.Worker.Token && findTask(r, begun) == nil {
 			delete(m.Commands.StartedByOrder, begun)
 		}
 	}
@@ -41,37 +41,37 @@
 		}
 		p := reconcile.Observation{Session: r.AgentEpoch, Token: r.FencingToken}
 		if a.Session == r.AgentEpoch {
-			p.Task = taskIn(r, a.Ref())
+			p.Task = findTask(r, a.Ref())
 		}
-		l.pictured(a, p, reconcile.DecideOnHeartbeat(l.attemptFacts(a, now), p), now)
+		l.applyDecision(a, p, reconcile.DecideOnHeartbeat(l.attemptFacts(a, now), p), now)
 	}
 	return true
 }
 
-// pictured carries out what a picture means for an assignment.
-func (l *Leader) pictured(a *cluster.Assignment, p reconcile.Observation, d reconcile.Decision, now time.Time) {
+// applyDecision carries out what a picture means for an assignment.
+func (l *Leader) applyDecision(a *cluster.Assignment, p reconcile.Observation, d reconcile.Decision, now time.Time) {
 	if p.Task != nil {
-		l.present(a, p.Task, now)
+		l.applyTaskState(a, p.Task, now)
 	}
 	switch d.Action {
 	case reconcile.Complete:
-		l.completed(a, now)
+		l.taskCompleted(a, now)
 	case reconcile.Start:
 		a.Start.InDoubtToken, a.Start.Sent = 0, false
-		l.see(a, "")
+		l.setObservedState(a, "")
 	case reconcile.Reschedule:
 		if p.Task != nil {
-			l.blame(a, p.Task, now)
+			l.recordFailure(a, p.Task, now)
 		} else {
 			a.Start.InDoubtToken, a.Start.Sent = 0, false
 		}
-		l.conclude(a, cluster.Retry)
+		l.endAssignment(a, cluster.Retry)
 	default: // it goes on, or nothing is certain
 	}
 }
 
-// present takes in the state of an assignment's task on its machine.
-func (l *Leader) present(a *cluster.Assignment, t *workers.TaskStatus, now time.Time) {
+// applyTaskState takes in the state of an assignment's task on its machine.
+func (l *Leader) applyTaskState(a *cluster.Assignment, t *workers.TaskStatus, now time.Time) {
 	// One run is sent in one order only, so that one seen is one used up.
 	a.Start.InDoubtToken, a.Start.Sent = 0, true
 	if a.ObservedState == t.State {
@@ -87,11 +87,11 @@
 	case workers.StateGathering:
 		a.Machine.CacheImage(a.Job.Spec, l.cacheGB(a.Machine))
 	}
-	l.see(a, t.State)
-	l.show(a.Job)
+	l.setObservedState(a, t.State)
+	l.publishCounts(a.Job)
 }
 
-func taskIn(r *workers.Heartbeat, of cluster.TaskRef) *workers.TaskStatus {
+func findTask(r *workers.Heartbeat, of cluster.TaskRef) *workers.TaskStatus {
 	for i := range r.Tasks {
 		if cluster.RefOf(&r.Tasks[i]) == of {
 			return &r.Tasks[i]
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// completed takes in that a task is done.
-func (l *Leader) completed(a *cluster.Assignment, now time.Time) {
+// taskCompleted takes in that a task is done.
+func (l *Leader) taskCompleted(a *cluster.Assignment, now time.Time) {
 	a.Job.Scheduling.ConsecutiveFailures, a.Job.Scheduling.LastServedAt = 0, now
 	clear(a.Machine.Health.FailedJobs)
 	l.ran(a, now)
-	l.conclude(a, cluster.Success)
+	l.endAssignment(a, cluster.Success)
 }
 
-// blame finds out whether a task that ended without being done says something against its
+// recordFailure finds out whether a task that ended without being done says something against its
 // machine or its job.
-func (l *Leader) blame(a *cluster.Assignment, t *workers.TaskStatus, now time.Time) {
+func (l *Leader) recordFailure(a *cluster.Assignment, t *workers.TaskStatus, now time.Time) {
 	j, m := a.Job, a.Machine
 	switch t.Cause {
 	case workers.CauseStopped, workers.CauseMatesGone, workers.CauseIncomplete:
@@ -137,9 +137,9 @@
 	slog.Debug("task ended", "task", a.TaskName(), "machine", m.ID, "term", l.token, "reason", t.Cause)
 }
 
-// notice prepares for the loss of a machine: what can save does so, what may still
+// applySpotNotice prepares for the loss of a machine: what can save does so, what may still
 // complete goes on, and the rest begins anew elsewhere at once.
-func (l *Leader) notice(m *cluster.Machine, inS float64, now time.Time) {
+func (l *Leader) applySpotNotice(m *cluster.Machine, inS float64, now time.Time) {
 	if m.Health.NoticeUntil.IsZero() {
 		slog.Info("machine will be taken", "machine", m.ID, "term", l.token, "inS", inS)
 	}
@@ -153,17 +153,17 @@
 		switch s := a.Job.Spec; {
 		case a.Job.IsGang() && gang.ShouldCheckpoint(s.CheckpointIntervalS, s.CheckpointSaveS, l.Derived.Workers.GangStopWindow.Seconds(), inS),
 			!a.Job.IsGang() && s.CheckpointIntervalS > 0 && s.CheckpointSaveS < inS:
-			l.stopWithGang(a, s.CheckpointSaveS)
-		case l.hopeless(a, inS, now):
-			l.stopWithGang(a, 0)
+			l.stopTask(a, s.CheckpointSaveS)
+		case l.shouldRestartElsewhere(a, inS, now):
+			l.stopTask(a, 0)
 		}
 	}
 	l.replan = true
 }
 
-// hopeless tells whether a task on a machine that will be taken should begin anew
+// shouldRestartElsewhere tells whether a task on a machine that will be taken should begin anew
 // elsewhere: if it stays, it most likely loses the time until then as well.
-func (l *Leader) hopeless(a *cluster.Assignment, inS float64, now time.Time) bool {
+func (l *Leader) shouldRestartElsewhere(a *cluster.Assignment, inS float64, now time.Time) bool {
 	if !a.Job.Spec.RunsToCompletion() {
 		return len(l.unmet) == 0 // it never completes; while others wait it would, too
 	}
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -44,16 +44,16 @@
 		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
 	}}
 	l := newLeader(Deps{
-		Settings: set, Derived: set.Derive(), Counts: NewCounts(), Valid: func() bool { return true },
-		Promised: func() time.Time { return time.Time{} }, Catalog: func() []jobs.MachineType { return nil },
+		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
+		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
 		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
-	l.attempts, l.viewTime = 100, now
-	l.watch = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
+	l.attempts, l.wishesAsOf = 100, now
+	l.detector = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
-	l.jobs["j-1"] = j
-	l.report(report(1, 1), now)
-	m := l.machines.ByID["m-1"]
+	l.state.Jobs["j-1"] = j
+	l.answerHeartbeat(report(1, 1), now)
+	m := l.state.Machines.ByID["m-1"]
 	l.assign(j, j.TakePendingTask(), m, now)
 	for _, a := range m.Assignments {
 		a.Log.Durable = true
@@ -77,13 +77,13 @@
 // it placed elsewhere while it is still saving.
 func TestOldReportsChangeNothing(t *testing.T) {
 	l, m, j, now := bench()
-	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.report(report(1, 2), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.answerHeartbeat(report(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
 	}
-	l.report(report(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	l.stop(j.Assignments[0], 5)
-	l.report(report(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
-	l.report(report(1, 3), now)
+	l.answerHeartbeat(report(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.requestStop(j.Assignments[0], 5)
+	l.answerHeartbeat(report(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
+	l.answerHeartbeat(report(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
 		t.Error("an old report ended a task that is still saving")
 	}
@@ -91,8 +91,8 @@
 		t.Errorf("picture at %d, %v CPUs taken", m.Worker.Seq, m.Used.CPUs)
 	}
 	// A report of an earlier session says nothing at all.
-	l.report(report(2, 1), now)
-	if l.report(report(1, 9), now) != nil {
+	l.answerHeartbeat(report(2, 1), now)
+	if l.answerHeartbeat(report(1, 9), now) != nil {
 		t.Error("answered a session that is over")
 	}
 }
@@ -101,18 +101,18 @@
 // a run in an answer that is still on its way could follow a clear sent by order.
 func TestClearFollowsTheRecord(t *testing.T) {
 	l, m, _, now := bench()
-	l.report(report(1, 2), now)
+	l.answerHeartbeat(report(1, 2), now)
 	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
-	if calls := l.report(report(1, 3, done), now).Commands; len(calls) > 0 {
+	if calls := l.answerHeartbeat(report(1, 3, done), now).Commands; len(calls) > 0 {
 		t.Errorf("before the completion is durable: %v", ops(calls))
 	}
 	for _, a := range m.Assignments {
-		l.forget(a) // as after the write
+		l.removeAssignment(a) // as after the write
 	}
-	if calls := l.calls(m, false); len(calls) > 0 {
+	if calls := l.commandsFor(m, false); len(calls) > 0 {
 		t.Errorf("by order: %v", ops(calls))
 	}
-	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.report(report(1, 4, done), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.answerHeartbeat(report(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -123,7 +123,7 @@
 func TestUnassignedTasksAreStopped(t *testing.T) {
 	l, _, _, now := bench()
 	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
-	l.report(report(1, 2), now)
+	l.answerHeartbeat(report(1, 2), now)
 	tasks := []workers.TaskStatus{
 		{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		{Name: "j-1/1", Attempt: 7, State: workers.StateRunning},
@@ -132,7 +132,7 @@
 		{Name: "j-9/3", Attempt: 10, State: workers.StateRunning},
 		{Name: "j-9/4", Attempt: 11, State: workers.StateEnded, Cause: workers.CauseDone},
 	}
-	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.report(report(1, 3, tasks...), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.answerHeartbeat(report(1, 3, tasks...), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -143,14 +143,14 @@
 	l, _, _, now := bench()
 	higher := report(1, 2)
 	higher.FencingToken = 6
-	if l.report(higher, now) != nil {
+	if l.answerHeartbeat(higher, now) != nil {
 		t.Error("answered under a lower token than the worker has seen")
 	}
-	if l.report(report(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
+	if l.answerHeartbeat(report(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
 		t.Error("answered with a picture in which cancellations may be missing")
 	}
-	l.Valid = func() bool { return false }
-	if l.report(report(1, 4), now) != nil {
+	l.IsLeader = func() bool { return false }
+	if l.answerHeartbeat(report(1, 4), now) != nil {
 		t.Error("answered without the term")
 	}
 }
@@ -160,23 +160,23 @@
 // that a task is not.
 func TestReportsBeforeTheTerm(t *testing.T) {
 	l, m, j, now := bench()
-	l.report(report(1, 2), now)
+	l.answerHeartbeat(report(1, 2), now)
 	old := report(1, 9)
 	old.FencingToken = 4
 	until := l.Derived.Detection.SuspectAfter + time.Second
-	if a := l.report(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
+	if a := l.answerHeartbeat(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
 		t.Errorf("answered %+v, want the token and no commands", a)
 	}
 	lease := m.Worker.LeaseUntil
-	if l.report(old, now.Add(until+time.Second)) != nil || m.Worker.LeaseUntil != lease {
+	if l.answerHeartbeat(old, now.Add(until+time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("a copy of it renewed the lease once more")
 	}
-	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.watch.Schedulable("m-1", now.Add(until)) {
+	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.detector.Schedulable("m-1", now.Add(until)) {
 		t.Error("an old report counted as news")
 	}
 	other := report(1, 3)
 	other.Machine, other.FencingToken = "m-2", 4
-	if l.report(other, now); l.machines.ByID["m-2"] != nil {
+	if l.answerHeartbeat(other, now); l.state.Machines.ByID["m-2"] != nil {
 		t.Error("a machine was taken in by an old report of it")
 	}
 }
@@ -188,15 +188,15 @@
 func TestOldReportsOfCancelledTasks(t *testing.T) {
 	l, m, j, now := bench()
 	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
-	l.jobs[live.ID] = live
-	l.cancelled(j, 9)
+	l.state.Jobs[live.ID] = live
+	l.cancelJob(j, 9)
 	old := report(1, 9,
 		workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		workers.TaskStatus{Name: "j-1/1", Attempt: 102, State: workers.StateEnded, Cause: workers.CauseDone},
 		workers.TaskStatus{Name: "j-2/0", Attempt: 103, State: workers.StateRunning},
 		workers.TaskStatus{Name: "j-3/0", Attempt: 104, State: workers.StateRunning})
 	old.FencingToken = 4
-	a := l.report(old, now.Add(time.Second))
+	a := l.answerHeartbeat(old, now.Add(time.Second))
 	if a == nil || a.FencingToken != 5 || len(a.Commands) != 1 {
 		t.Fatalf("answered %+v, want one stop", a)
 	}
@@ -212,10 +212,10 @@
 // Were its reports answered, its tasks would run on, even those of cancelled jobs.
 func TestReturningMachinesAreNotAnswered(t *testing.T) {
 	l, m, _, now := bench()
-	l.report(report(1, 2), now)
+	l.answerHeartbeat(report(1, 2), now)
 	lease := m.Worker.LeaseUntil
 	m.Phase = cluster.Releasing
-	if l.report(report(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
+	if l.answerHeartbeat(report(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("its lease was renewed")
 	}
 }
@@ -224,12 +224,12 @@
 // and sets no floor.
 func TestCopiesOfReports(t *testing.T) {
 	l, m, _, now := bench()
-	l.report(report(1, 2), now)
-	l.report(report(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.answerHeartbeat(report(1, 2), now)
+	l.answerHeartbeat(report(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	lease := m.Worker.LeaseUntil
 	m.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
-		if l.report(report(1, seq), now.Add(5*time.Second)) != nil {
+		if l.answerHeartbeat(report(1, seq), now.Add(5*time.Second)) != nil {
 			t.Errorf("a copy of report %d was answered", seq)
 		}
 	}
@@ -237,8 +237,8 @@
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
-	l.observe(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if l.report(report(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
+	l.applyObservation(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	if l.answerHeartbeat(report(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
 }
@@ -264,7 +264,7 @@
 			l, m, _, now := bench()
 			l.runTimes["sums"] = &runTimes{variance: 0.25, tasks: 100, jobs: 100}
 			j := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10}, 1, 0, now)
-			l.jobs["j-2"] = j
+			l.state.Jobs["j-2"] = j
 			for range 25 {
 				j.RecordRunTime(math.Log(10))
 			}
@@ -297,23 +297,23 @@
 // happens. It must not look healthy for ever.
 func TestAnswersUnheeded(t *testing.T) {
 	l, m, _, now := bench()
-	for seq := uint64(2); seq < 2+mostUndelivered+1; seq++ {
-		if calls := l.report(report(1, seq), now).Commands; len(calls) != 1 {
+	for seq := uint64(2); seq < 2+maxUndelivered+1; seq++ {
+		if calls := l.answerHeartbeat(report(1, seq), now).Commands; len(calls) != 1 {
 			t.Fatalf("report %d: %v", seq, ops(calls))
 		}
 	}
 	if l.usable(m, now) {
 		t.Error("a machine that does not hear is given work")
 	}
-	if calls, _ := l.watch.Tick(now, 1); len(calls) != 1 {
+	if calls, _ := l.detector.Tick(now, 1); len(calls) != 1 {
 		t.Error("it is not called")
 	}
-	l.inspected(m, report(1, 20), nil, now)
+	l.probeReturned(m, report(1, 20), nil, now)
 	if !l.usable(m, now) {
 		t.Error("it answers calls, but is given no work")
 	}
-	l.report(report(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	l.report(report(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.answerHeartbeat(report(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.answerHeartbeat(report(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if m.Commands.UndeliveredAnswers != 0 || !l.usable(m, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
@@ -326,15 +326,15 @@
 	for _, id := range []string{"m-2", "m-3"} {
 		r := report(1, 1)
 		r.Machine = id
-		l.report(r, now)
+		l.answerHeartbeat(r, now)
 	}
 	l.listed(t.Context(), []autoscaler.ListedMachine{{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := report(1, 2)
 	r.Machine = "m-2"
-	l.report(r, asked.Add(time.Millisecond))
+	l.answerHeartbeat(r, asked.Add(time.Millisecond))
 	l.listed(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
-	calls, _ := l.watch.Tick(asked.Add(3*time.Millisecond), 10)
+	calls, _ := l.detector.Tick(asked.Add(3*time.Millisecond), 10)
 	if d := cmp.Diff([]string{"m-1"}, calls); d != "" {
 		t.Error(d)
 	}
@@ -367,13 +367,13 @@
 			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
 			l.notify(lost) // from an earlier leader's records: it has not reported to this one
 		}
-		l.orders(ctx, now)
-		if l.ordersInFlight != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.ordersInFlight)
+		l.sendCommands(ctx, now)
+		if l.commandsInFlight != 2 {
+			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.commandsInFlight)
 		}
 		m.Worker.LeaseUntil = now.Add(time.Hour)
 		l.notify(m)
-		l.orders(ctx, now)
+		l.sendCommands(ctx, now)
 		if !m.Commands.OrderInFlight {
 			t.Error("a machine that reports waits behind those that do not")
 		}
@@ -389,18 +389,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, m, j, now := bench()
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
-		l.Catalog = func() []jobs.MachineType { return types }
+		l.MachineTypes = func() []jobs.MachineType { return types }
 		asked := 0
 		l.Cloud = autoscaler.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
-		l.Publish, l.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
+		l.Broadcast, l.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
 		for _, a := range j.Assignments {
-			l.conclude(a, cluster.Retry)
-			l.forget(a)
+			l.endAssignment(a, cluster.Retry)
+			l.removeAssignment(a)
 		}
-		l.Valid = func() bool { return false }
+		l.IsLeader = func() bool { return false }
 		ctx, stop := context.WithCancel(t.Context())
 		l.tick(ctx, now.Add(l.Derived.Workers.Lease))
 		if m.Phase != cluster.Up {
@@ -422,7 +422,7 @@
 // long. (Found with real processes: a job waited until the next one came.)
 func TestPlansWhenAMachineReports(t *testing.T) {
 	l, _, _, now := bench()
-	l.Catalog = func() []jobs.MachineType {
+	l.MachineTypes = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
 	l.restoreMachine(assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
@@ -432,12 +432,12 @@
 	}
 	r := report(1, 7)
 	r.Machine = "m-9"
-	if l.report(r, now); !l.replan {
+	if l.answerHeartbeat(r, now); !l.replan {
 		t.Error("no plan when it takes work")
 	}
 	l.place(now)
 	r.Seq++
-	if l.report(r, now); l.replan {
+	if l.answerHeartbeat(r, now); l.replan {
 		t.Error("a plan after a report without news")
 	}
 }
@@ -448,12 +448,12 @@
 		l, _, _, now := bench()
 		quiet(t)
 		l.events = make(chan func(time.Time), 1)
-		l.written(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
+		l.transactionReturned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
 			t.Error("plans while nothing can be made durable")
 		}
 		l.readLog(nil)
-		l.written(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
+		l.transactionReturned(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
 		if !l.mayBegin(now) {
 			t.Error("plans no more")
 		}
@@ -479,19 +479,19 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, j, now := bench()
 			j.Spec.EstimatedRuntimeS, j.Spec.Shape = 30, tc.shape
-			l.report(report(1, 2), now)
+			l.answerHeartbeat(report(1, 2), now)
 			task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
-			l.report(report(1, 3, task), now)
+			l.answerHeartbeat(report(1, 3, task), now)
 			r := report(1, 4, task)
 			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
-			l.viewTime = now
-			l.report(r, now)
+			l.wishesAsOf = now
+			l.answerHeartbeat(r, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
 				t.Errorf("stopped: %v", a.Stop.Requested)
 			}
 			// Not heard of after the notice, it is taken, and given back at once.
-			l.Catalog = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
+			l.MachineTypes = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
 			l.returning = true // a request is on its way: ours waits for it
 			l.manageFleet(t.Context(), m.Health.NoticeUntil.Add(time.Millisecond))
 			if m.Phase != cluster.Releasing {
@@ -505,11 +505,11 @@
 // would wait for ever if each of them began its wait anew.
 func TestStartsThatDoNotLast(t *testing.T) {
 	l, _, j, now := bench()
-	l.report(report(1, 2), now)
+	l.answerHeartbeat(report(1, 2), now)
 	task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
 	late := now.Add(l.Derived.Leader.StarvationLimit)
-	l.viewTime = late
-	l.report(report(1, 3, task), late)
+	l.wishesAsOf = late
+	l.answerHeartbeat(report(1, 3, task), late)
 	a := j.Assignments[0]
 	if n := l.overdue(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("with a task that has just begun: %d go first", n)
@@ -518,7 +518,7 @@
 	if n := l.overdue(j, late.Add(time.Second)); n != 0 {
 		t.Errorf("with one ahead already: %d go first", n)
 	}
-	l.stop(a, 5)
+	l.requestStop(a, 5)
 	if n := l.overdue(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("when it has to stop again: %d go first", n)
 	}
@@ -536,18 +536,18 @@
 	l, m, j, now := bench()
 	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	l.observe(m, report(2, 1), at(19))
+	l.applyObservation(m, report(2, 1), at(19))
 	if old.Outcome == cluster.Open {
 		t.Fatal("the old session's task goes on")
 	}
 	a := l.assign(j, 1, m, at(19.1))
 	a.Log.Durable, a.Start.Sent = true, true
-	l.observe(m, report(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
-	l.expire(at(21)) // by which the old lease is over, by any clock
+	l.applyObservation(m, report(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
+	l.expireLeases(at(21)) // by which the old lease is over, by any clock
 	if a.Outcome != cluster.Open {
 		t.Error("lost with the old lease, while the new session runs on")
 	}
-	l.expire(at(40))
+	l.expireLeases(at(40))
 	if a.Outcome == cluster.Open {
 		t.Error("no lease lasts for ever")
 	}
@@ -558,23 +558,23 @@
 // tick after its time.
 func TestLeasesEndInTime(t *testing.T) {
 	l, _, _, start := bench()
-	l.Publish = func(map[string]jobs.Counts, []peer.JobChange) {}
+	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 	rnd := rand.New(rand.NewPCG(7, 0))
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
 	for now := start; now.Sub(start) < 20*l.Derived.Workers.LeaseExpiry; now = now.Add(step) {
-		l.viewTime = now
+		l.wishesAsOf = now
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := report(1, seq)
 			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
-			if m := l.machines.ByID[r.Machine]; m != nil {
+			if m := l.state.Machines.ByID[r.Machine]; m != nil {
 				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
 			}
-			l.report(r, now)
+			l.answerHeartbeat(r, now)
 		}
-		l.expire(now)
-		for _, m := range l.machines.All {
+		l.expireLeases(now)
+		for _, m := range l.state.Machines.All {
 			if m.Phase == cluster.Up && now.After(m.Worker.LeaseUntil) {
 				t.Fatalf("%v: the lease of %s was over %v ago", now.Sub(start), m.ID, now.Sub(m.Worker.LeaseUntil))
 			}
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -65,11 +65,11 @@
 		if !s.WithoutGrace {
 			grace = a.Job.Spec.CheckpointSaveS
 		}
-		l.stopWithGang(a, grace)
+		l.stopTask(a, grace)
 	}
 	for _, as := range out.Assignments {
 		j := back[as.Job]
-		l.assign(j, j.TakePendingTask(), l.machines.ByID[as.Machine.ID], now).Overdue = as.Starved
+		l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[as.Machine.ID], now).Overdue = as.Starved
 	}
 	for _, j := range out.Preempting {
 		back[j].Scheduling.PreemptingForGangAt = now
@@ -79,13 +79,13 @@
 
 // usable tells whether work may go to a machine.
 func (l *Leader) usable(m *cluster.Machine, now time.Time) bool {
-	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.watch.Schedulable(m.ID, now)
+	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.detector.Schedulable(m.ID, now)
 }
 
 // fillOffer shows placement what could be stopped on a machine.
 func (l *Leader) fillOffer(p *placement.Machine, jobs map[*cluster.Job]*placement.Job, placed map[*placement.RunningTask]*cluster.Assignment, now time.Time) {
 	p.Releasing, p.Tasks = placement.Resources{}, p.Tasks[:0]
-	for _, a := range l.machines.ByID[p.ID].Assignments {
+	for _, a := range l.state.Machines.ByID[p.ID].Assignments {
 		switch {
 		case a.Outcome != cluster.Open:
 		case a.Stop.Requested || a.Job.IsOver():
@@ -113,7 +113,7 @@
 }
 
 func (l *Leader) machineType(name string) *jobs.MachineType {
-	types := l.Catalog()
+	types := l.MachineTypes()
 	i := slices.IndexFunc(types, func(t jobs.MachineType) bool { return t.Name == name })
 	if i < 0 {
 		return nil
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -134,7 +134,7 @@
 	l := logLeader(s, 5, specs)
 	for _, line := range world {
 		task, m, on := strings.Cut(line, " on ")
-		if a := l.machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
+		if a := l.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
 			t.Errorf("%s, and the book does not say so", line)
 		}
 	}
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -66,7 +66,7 @@
 	l.uncovered = false
 	var all []*placement.Job
 	back := map[*placement.Job]*cluster.Job{}
-	for _, j := range l.jobs {
+	for _, j := range l.state.Jobs {
 		if !j.IsOver() {
 			p := &placement.Job{Spec: j.Spec, AcceptanceOrder: j.SubmissionOrder}
 			back[p] = j
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -102,7 +102,7 @@
 	if e.Kind.AffectsLog() && l.phase != Comparing {
 		// What this leader holds is the truth: it is written once more, all of it.
 		l.log.RewriteAll()
-		l.raiseToken = true
+		l.raisePending = true
 	}
 	switch {
 	case e.Kind == detection.TaskUnknown || e.Kind == detection.TokenBack:
@@ -127,8 +127,8 @@
 	l.ignorant = true
 	// Tokens may have been given out before this one that were this one as well, and with
 	// them the numbers of attempts.
-	if l.term.FencingToken > l.tokenFloor {
-		l.tokenFloor, l.raiseToken = l.token, true
+	if l.term.FencingToken > l.tokenAbove {
+		l.tokenAbove, l.raisePending = l.token, true
 	}
 	l.expectAllTasks(now)
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	l.affectsLog, l.workersBy = true, until
-	for _, j := range l.jobs {
+	for _, j := range l.state.Jobs {
 		if !j.IsOver() {
 			j.Adoption.Until = until
 			l.adopting[j] = true
@@ -243,7 +243,7 @@
 
 // RecoveryPhase is how far the recovery of the leader on duty here is; Whole if there is none.
 func (g *Gate) RecoveryPhase() RecoveryPhase {
-	if l := g.on.Load(); l != nil {
+	if l := g.leader.Load(); l != nil {
 		if phase, entered := l.shownPhase.Load().(RecoveryPhase); entered {
 			return phase
 		}
@@ -254,13 +254,13 @@
 // PutBack tells whether records may say less than users were told, as far as the leader on
 // duty here knows.
 func (g *Gate) PutBack() bool {
-	l := g.on.Load()
+	l := g.leader.Load()
 	return l != nil && l.putBack.Load()
 }
 
 // Noticed hands evidence of a loss to the leader on duty, and tells whether there is one.
 func (g *Gate) Noticed(e detection.Evidence) bool {
-	l := g.on.Load()
+	l := g.leader.Load()
 	if l == nil {
 		return false
 	}
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -73,7 +73,7 @@
 	}
 	for _, t := range r.Tasks {
 		id, n, ok := workers.SplitTask(t.Name)
-		j := l.jobs[id]
+		j := l.state.Jobs[id]
 		if !ok || j == nil || !l.adopting[j] || !j.MayAdopt(n, &t) || m.FindAssignment(cluster.RefOf(&t)) != nil {
 			continue
 		}
@@ -131,7 +131,7 @@
 func (l *Leader) adoptGang(j *cluster.Job, now time.Time) {
 	for n := range j.Spec.Tasks {
 		p, ok := j.Adoption.GangParts[n]
-		if !ok || !l.machines.Contains(p.Machine) || p.Machine.Worker.Session != p.Session && p.Machine.Worker.Session != 0 {
+		if !ok || !l.state.Machines.Contains(p.Machine) || p.Machine.Worker.Session != p.Session && p.Machine.Worker.Session != 0 {
 			continue
 		}
 		l.attemptOf(&p.Task)
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -58,7 +58,7 @@
 // has nothing else to do with it.
 func (l *Leader) isOverHere(lost jobs.LostJob) bool {
 	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
-	return over && l.jobs[lost.ID] == nil && l.held[lost.ID] == nil
+	return over && l.state.Jobs[lost.ID] == nil && l.held[lost.ID] == nil
 }
 
 // knownAlike tells whether a peer says no more of a job than this node's cache, which has it
@@ -66,12 +66,12 @@
 func (l *Leader) knownAlike(j peer.LostJob) bool {
 	known, _ := l.Cache.Known(j.ID)
 	_, open := l.knowledge[j.ID]
-	return !open && known.Finished() && known.State == j.State && l.jobs[j.ID] == nil
+	return !open && known.Finished() && known.State == j.State && l.state.Jobs[j.ID] == nil
 }
 
 // learnOwn takes in what this leader's own picture says of a lost job.
 func (l *Leader) learnOwn(id string) {
-	j := l.jobs[id]
+	j := l.state.Jobs[id]
 	if j == nil {
 		return
 	}
@@ -104,12 +104,12 @@
 	}
 	l.knowledge.Merge(id, recovery.Attribute(from, k))
 	// Whatever else is not certain yet: what is over stops at once.
-	switch j := l.jobs[id]; {
+	switch j := l.state.Jobs[id]; {
 	case j == nil || j.IsOver():
 	case k.Cancelled:
-		l.cancelled(j, j.Revision)
+		l.cancelJob(j, j.Revision)
 	case k.Done:
-		l.doneElsewhere(j)
+		l.completeElsewhere(j)
 	}
 }
 
@@ -262,7 +262,7 @@
 		l.suspect(detection.Evidence{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
 	}
 	for id := range assignmentlog.JobsNamed(log) {
-		if _, recorded := ended[id]; !recorded && l.jobs[id] == nil && l.held[id] == nil {
+		if _, recorded := ended[id]; !recorded && l.state.Jobs[id] == nil && l.held[id] == nil {
 			l.expectTasks(now)
 			l.suspect(detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
 		}
@@ -307,7 +307,7 @@
 	l.attempts = max(l.attempts, newest)
 	if token := detection.TokenOfAttempt(newest, attemptBits); token > l.token {
 		l.expectTasks(now)
-		l.tokenFloor, l.raiseToken = max(l.tokenFloor, token), true
+		l.tokenAbove, l.raisePending = max(l.tokenAbove, token), true
 		l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.token}, now)
 	}
 }
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -64,7 +64,7 @@
 
 // call has a question answered by the leader's goroutine.
 func call[T any](ctx context.Context, g *Gate, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
-	l := g.on.Load()
+	l := g.leader.Load()
 	if l == nil {
 		return out, ErrNotLeading
 	}
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -24,13 +24,13 @@
 // meanwhile, and at the end of the leases all is accounted for.
 func TestAdoptionAtScale(t *testing.T) {
 	l, reports, now := fleetOf(t, lostFleet)
-	spec := *l.jobs["j-7"].Spec
+	spec := *l.state.Jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
-	next.viewTime = now
-	next.watch = liveness.New(liveness.Config{})
+	next.wishesAsOf = now
+	next.detector = liveness.New(liveness.Config{})
 	next.readLog(nil)
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
-	next.jobs[spec.ID] = j
+	next.state.Jobs[spec.ID] = j
 	next.suspect(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
 	if !next.awaitsWorkers(j, now) {
 		t.Fatal("tasks would be placed before those that run are known")
@@ -39,7 +39,7 @@
 	for _, r := range reports {
 		r.FencingToken = 6
 		r.Seq++
-		answer := next.report(r, now)
+		answer := next.answerHeartbeat(r, now)
 		if answer == nil {
 			t.Fatalf("%s is not answered", r.Machine)
 		}
@@ -67,7 +67,7 @@
 		next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 		spec := *j.Spec
 		job := cluster.NewJob(j.ID, &spec, 1, 0, now)
-		next.jobs[j.ID] = job
+		next.state.Jobs[j.ID] = job
 		var segments []kvstore.KeyValue
 		for i, machine := range []string{"m-1", "m-2"} {
 			value, err := json.Marshal(assignmentlog.SegmentRecord{Number: uint64(i + 1), Begun: []assignmentlog.MachineRecord{{
@@ -79,14 +79,14 @@
 			}
 			segments = append(segments, kvstore.KeyValue{Key: fmt.Sprint(assignmentlog.Prefix, i), Value: value, Revision: 1})
 		}
-		next.restore(next.readLog(segments), nil, now)
+		next.restoreLog(next.readLog(segments), nil, now)
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
 			t.Fatalf("%d wait, %d are placed", job.Pending.Count, len(job.Assignments))
 		}
-		both := []*cluster.Assignment{next.machines.ByID["m-1"].Assignments[1], next.machines.ByID["m-2"].Assignments[2]}
+		both := []*cluster.Assignment{next.state.Machines.ByID["m-1"].Assignments[1], next.state.Machines.ByID["m-2"].Assignments[2]}
 		for i, a := range []*cluster.Assignment{both[firstEnds], both[1-firstEnds]} {
-			next.conclude(a, cluster.Retry)
-			next.forget(a)
+			next.endAssignment(a, cluster.Retry)
+			next.removeAssignment(a)
 			if want := 1 + i; job.Pending.Count != want {
 				t.Errorf("after %d of two has ended, %d tasks wait, want %d", i+1, job.Pending.Count, want)
 			}
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -31,7 +31,7 @@
 	if !ok || !jobs.ValidID(id) {
 		return false // no task of ours
 	}
-	if j := l.jobs[id]; j != nil {
+	if j := l.state.Jobs[id]; j != nil {
 		return l.adopting[j] && !j.IsOver() && j.Adoption.GangParts[n].Machine == m
 	}
 	if known, found := l.Cache.Known(id); found && known.Finished() {
@@ -123,7 +123,7 @@
 func (l *Leader) strayFound(id string, p kvstore.KeyValue, now time.Time) {
 	delete(l.strays, id)
 	l.Cache.Apply(p.Key, p.Value, p.Revision)
-	l.jobChanged(kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision}, now)
+	l.applyJobChange(kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision}, now)
 }
 
 // heldJob is a job that is not run, as it is not certain that it should be.
--- a/internal/leader/recovery_token.go
+++ b/internal/leader/recovery_token.go
@@ -13,20 +13,20 @@
 // now, and this one has not noticed. If the term is still held, the token was lost: it is
 // raised above all that workers have seen.
 func (l *Leader) tokenAhead(shown uint64, now time.Time) {
-	if l.checkingToken || shown <= l.tokenFloor || !l.Valid() {
+	if l.checkingHolder || shown <= l.tokenAbove || !l.IsLeader() {
 		return
 	}
 	if !detection.PlausibleToken(shown, l.token) {
 		slog.Error("report with a token that cannot be", "term", l.token, "token", shown)
 		return
 	}
-	l.checkingToken = true
+	l.checkingHolder = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), l.Derived.Store.RequestTimeout)
 		defer cancel()
 		p, found, err := l.Store.Get(ctx, election.HolderKey)
 		outcome := func(now time.Time) {
-			l.checkingToken = false
+			l.checkingHolder = false
 			switch {
 			case err != nil:
 			case !found || p.Revision != l.term.HolderRevision:
@@ -44,22 +44,22 @@
 }
 
 func (l *Leader) tokenWasLost(shown uint64, now time.Time) {
-	if shown <= max(l.token, l.tokenFloor) {
+	if shown <= max(l.token, l.tokenAbove) {
 		return
 	}
-	l.tokenFloor, l.raiseToken = shown, true
+	l.tokenAbove, l.raisePending = shown, true
 	l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.token}, now)
 }
 
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
-	if l.tokenFloor < l.term.FencingToken {
+	if l.tokenAbove < l.term.FencingToken {
 		return
 	}
 	l.term.FencingToken = l.token
 	l.attempts = max(l.attempts, l.token<<attemptBits)
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		for _, a := range m.Assignments {
 			if a.Start.InDoubtToken != 0 {
 				a.Start.InDoubtToken = l.token - 1 // an order under any earlier token may still arrive
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -95,7 +95,7 @@
 // composeRecord makes a job's record of what is known of it.
 func (l *Leader) composeRecord(id string, k recovery.Knowledge, d recovery.Decision, now time.Time) lostRecord {
 	rec := k.Record(d, now.UnixMilli())
-	if l.jobs[id] != nil {
+	if l.state.Jobs[id] != nil {
 		rec.Restored = false // this leader's log has its tasks
 	}
 	r := lostRecord{id: id, decision: d, revision: l.Cache.RecordRevision(id)}
@@ -110,7 +110,7 @@
 // writeBack writes the next lost records. Each is guarded by what stands there, and all
 // by the term.
 func (l *Leader) writeBack(ctx context.Context, now time.Time) {
-	if len(l.unwritten) == 0 || l.recording || now.Before(l.recordAt) || !l.Valid() {
+	if len(l.unwritten) == 0 || l.recording || now.Before(l.recordAt) || !l.IsLeader() {
 		return
 	}
 	var batch []lostRecord
@@ -253,13 +253,13 @@
 	}
 	if !r.decision.Final() && !r.decision.Held {
 		// Its tasks count from now on, not only when the watch shows its record.
-		l.jobChanged(kvstore.Change{Set: jobs.RecordKey(r.id), Value: r.value, Revision: rev}, now)
+		l.applyJobChange(kvstore.Change{Set: jobs.RecordKey(r.id), Value: r.value, Revision: rev}, now)
 	}
 }
 
 // writeStatus leaves word that records are being compared, before anything else is done.
 func (l *Leader) writeStatus(ctx context.Context, now time.Time) {
-	if l.marked || l.recording || now.Before(l.recordAt) || !l.Valid() {
+	if l.marked || l.recording || now.Before(l.recordAt) || !l.IsLeader() {
 		return
 	}
 	value, _ := json.Marshal(recoveryStatus{Token: l.term.FencingToken, SinceMs: now.UnixMilli(), Log: l.affectsLog || l.logDamaged})
@@ -267,7 +267,7 @@
 }
 
 func (l *Leader) removeStatus(ctx context.Context, now time.Time) {
-	if !l.unmark || l.recording || now.Before(l.recordAt) || len(l.adopting) > 0 || l.log.HasWork() || !l.Valid() {
+	if !l.unmark || l.recording || now.Before(l.recordAt) || len(l.adopting) > 0 || l.log.HasWork() || !l.IsLeader() {
 		return // tasks that were adopted are durable first
 	}
 	l.commitStatus(ctx, kvstore.Write{Remove: jobs.RecoveryStatusKey}, false)
@@ -283,7 +283,7 @@
 // writeLogSize keeps the key that says how many segments there are. A lease is long enough
 // between two writes: the log grows seldom.
 func (l *Leader) writeLogSize(ctx context.Context, now time.Time) {
-	if l.recording || now.Sub(l.logSizeAt) < l.Derived.Workers.Lease || !l.Valid() {
+	if l.recording || now.Sub(l.logSizeAt) < l.Derived.Workers.Lease || !l.IsLeader() {
 		return
 	}
 	written := l.log.WrittenSegments()
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -10,19 +10,19 @@
 	"ospreyslip/internal/workers"
 )
 
-// report answers a worker, or returns nil if this node has no right to.
-func (l *Leader) report(r *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
+// answerHeartbeat answers a worker, or returns nil if this node has no right to.
+func (l *Leader) answerHeartbeat(r *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
 	if r.FencingToken > l.token {
 		l.tokenAhead(r.FencingToken, now)
 	}
-	if !l.Valid() || l.viewAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.token {
+	if !l.IsLeader() || l.wishesAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.token {
 		return nil
 	}
-	m := l.machines.ByID[r.Machine]
+	m := l.state.Machines.ByID[r.Machine]
 	if _, gone := l.returned[r.Machine]; m == nil && gone {
 		return nil
 	}
-	c := counter(r)
+	c := heartbeatSeq(r)
 	if m != nil {
 		if m.Phase == cluster.Releasing {
 			// Its release may take as long as an outage of the cloud. Unanswered,
@@ -39,49 +39,49 @@
 		// Whoever gets an answer has its lease renewed by it.
 		m.Worker.LeaseUntil, m.Worker.NewestHeartbeat = now.Add(l.Derived.Workers.LeaseExpiry), c
 	}
-	l.takeover.HeartbeatAnswered(now)
+	l.failover.HeartbeatAnswered(now)
 	if r.FencingToken < l.term.FencingToken {
 		// Sent before the worker heard of this term, or a copy of such a report
 		// that was under way for any length of time. It proves nothing; the
 		// answer brings the token, and with it a report that does.
-		return &workers.HeartbeatResponse{FencingToken: l.term.FencingToken, Commands: l.stopsOfCancelled(r)}
+		return &workers.HeartbeatResponse{FencingToken: l.term.FencingToken, Commands: l.stopsForCancelledJobs(r)}
 	}
-	l.takeover.MachineReported(r.Machine)
+	l.failover.MachineReported(r.Machine)
 	if m == nil {
 		m = cluster.NewMachine(r.Machine, now)
 		m.Type, m.Zone, m.Spot, m.Addr = r.Type, r.Zone, r.Spot, r.Addr
 		m.Worker.LeaseUntil = now.Add(l.Derived.Workers.LeaseExpiry)
 		m.Worker.NewestHeartbeat = c
-		l.machines.Add(m)
+		l.state.Machines.Add(m)
 	}
 	if m.Phase == cluster.Booting {
 		l.booted(m, now)
 	}
 	l.checkDelivery(m, r, now)
-	l.watch.Heartbeat(m.ID, r.Zone, c, now)
-	if m.Health.Dead && !l.watch.IsDead(m.ID) {
+	l.detector.Heartbeat(m.ID, r.Zone, c, now)
+	if m.Health.Dead && !l.detector.IsDead(m.ID) {
 		m.Health.Dead = false
 		slog.Info("machine reports again", "machine", m.ID, "term", l.token)
 	}
 	l.adopt(m, r, now)
-	l.observe(m, r, now)
+	l.applyObservation(m, r, now)
 	m.Worker.HeartbeatAt, m.Commands.OrderFailures = now, 0
 	l.updateCapacity(m, now)
-	calls := l.calls(m, true)
+	calls := l.commandsFor(m, true)
 	m.Commands.LastAnswer = calls
 	return &workers.HeartbeatResponse{FencingToken: l.tokenFor(m), Commands: calls}
 }
 
-// stopsOfCancelled returns stops for the tasks in a report whose jobs are cancelled. Any
+// stopsForCancelledJobs returns stops for the tasks in a report whose jobs are cancelled. Any
 // answer renews the worker's lease: were it without them, and this leader to end before
 // the next report, they would run for a whole lease more, and one leader after the other
 // could give them that. To stop them is right however old the report is.
-func (l *Leader) stopsOfCancelled(r *workers.Heartbeat) []workers.Command {
+func (l *Leader) stopsForCancelledJobs(r *workers.Heartbeat) []workers.Command {
 	calls := []workers.Command{}
 	for _, t := range r.Tasks {
 		id, _, ok := workers.SplitTask(t.Name)
 		if d := reconcile.DecideOnStaleHeartbeat(&t, ok && l.isCancelled(id)); d.Action == reconcile.Stop {
-			calls = append(calls, l.tell(stopCall(t.Name, t.Attempt, 0), d))
+			calls = append(calls, l.countCommand(stopCommand(t.Name, t.Attempt, 0), d))
 		}
 	}
 	return calls
@@ -89,7 +89,7 @@
 
 // isCancelled tells whether a job is known to be cancelled.
 func (l *Leader) isCancelled(id string) bool {
-	if j := l.jobs[id]; j != nil {
+	if j := l.state.Jobs[id]; j != nil {
 		return j.End.Cancelled
 	}
 	known, _ := l.Cache.Known(id)
@@ -112,8 +112,8 @@
 	return false
 }
 
-// mostUndelivered is how many answers in a row may go undelivered.
-const mostUndelivered = 2
+// maxUndelivered is how many answers in a row may go undelivered.
+const maxUndelivered = 2
 
 // checkDelivery finds machines whose reports arrive while our answers do not: what an
 // answer asked for has not happened by the next report. Such a machine would
@@ -121,7 +121,7 @@
 func (l *Leader) checkDelivery(m *cluster.Machine, r *workers.Heartbeat, now time.Time) {
 	heard := len(m.Commands.LastAnswer) == 0
 	for _, c := range m.Commands.LastAnswer {
-		t := taskIn(r, cluster.CommandRef(&c))
+		t := findTask(r, cluster.CommandRef(&c))
 		a := m.FindAssignment(cluster.CommandRef(&c))
 		switch {
 		case c.Op == workers.OpRun:
@@ -138,23 +138,23 @@
 	case r.AgentEpoch > m.Worker.Session || len(m.Commands.LastAnswer) == 0: // nothing to be learnt
 	case heard:
 		m.Commands.UndeliveredAnswers = 0
-		l.watch.MarkReachable(m.ID)
+		l.detector.MarkReachable(m.ID)
 	default:
 		m.Commands.UndeliveredAnswers++
-		if m.Commands.UndeliveredAnswers == mostUndelivered {
+		if m.Commands.UndeliveredAnswers == maxUndelivered {
 			slog.Info("machine does not hear", "machine", m.ID, "term", l.token)
-			l.watch.MarkUnreachable(m.ID)
+			l.detector.MarkUnreachable(m.ID)
 			l.replan = true
 		}
 	}
 }
 
-// calls returns what the worker should do, from the difference between its
+// commandsFor returns what the worker should do, from the difference between its
 // picture and ours. A clear goes out in answers only: there is one report in
 // flight, so that no run in an earlier answer can follow it. An attempt that was
 // begun by an order is cleared when the worker has seen a higher token: it then
 // refuses a late copy of that order, which would start the task once more.
-func (l *Leader) calls(m *cluster.Machine, answer bool) []workers.Command {
+func (l *Leader) commandsFor(m *cluster.Machine, answer bool) []workers.Command {
 	calls := []workers.Command{}
 	if m.Phase == cluster.Releasing {
 		return calls
@@ -166,19 +166,19 @@
 		}
 		switch d := reconcile.DecideCommand(l.attemptFacts(a, now)); d.Action {
 		case reconcile.Stop:
-			calls = append(calls, l.tell(stopCall(a.TaskName(), a.WireAttempt(), d.GraceS), d))
+			calls = append(calls, l.countCommand(stopCommand(a.TaskName(), a.WireAttempt(), d.GraceS), d))
 		case reconcile.Start:
 			a.Start.Sent, a.Start.OrderInFlight = true, !answer
-			calls = append(calls, l.tell(workers.Command{Op: workers.OpRun, Task: a.TaskName(), Attempt: a.WireAttempt()}, d))
+			calls = append(calls, l.countCommand(workers.Command{Op: workers.OpRun, Task: a.TaskName(), Attempt: a.WireAttempt()}, d))
 		default: // it goes on, or has to wait
 		}
 	}
-	return l.unassignedCalls(m, calls, answer)
+	return l.addOrphanCommands(m, calls, answer)
 }
 
-// unassignedCalls adds what the worker should do with tasks that are not assigned to it.
-func (l *Leader) unassignedCalls(m *cluster.Machine, calls []workers.Command, answer bool) []workers.Command {
-	var held heldEnds
+// addOrphanCommands adds what the worker should do with tasks that are not assigned to it.
+func (l *Leader) addOrphanCommands(m *cluster.Machine, calls []workers.Command, answer bool) []workers.Command {
+	var held heldAcknowledgements
 	for _, t := range m.Worker.Tasks {
 		if m.FindAssignment(cluster.RefOf(&t)) != nil {
 			continue // its end is not durable yet
@@ -190,18 +190,18 @@
 		}
 		switch d := facts.DecideCommand(); {
 		case d.Action == reconcile.Stop:
-			calls = append(calls, l.tell(stopCall(t.Name, t.Attempt, 0), d))
+			calls = append(calls, l.countCommand(stopCommand(t.Name, t.Attempt, 0), d))
 		case d.Action == reconcile.Acknowledge:
-			calls = append(calls, l.tell(workers.Command{Op: workers.OpClear, Task: t.Name, Attempt: t.Attempt}, d))
+			calls = append(calls, l.countCommand(workers.Command{Op: workers.OpClear, Task: t.Name, Attempt: t.Attempt}, d))
 		case d.Reason == reconcile.TokenNotSuperseded:
 			held.add(&t, facts.CommandToken, l.mayRunAgain(&t))
 		}
 	}
-	m.Commands.NeedsHigherToken = held.wantToken()
-	l.clearHeld = l.clearHeld || m.Commands.NeedsHigherToken && held.newest >= l.token
+	m.Commands.NeedsHigherToken = held.needHigherToken()
+	l.acknowledgementsHeld = l.acknowledgementsHeld || m.Commands.NeedsHigherToken && held.newest >= l.token
 	return calls
 }
 
-func stopCall(task string, attempt uint64, grace float64) workers.Command {
+func stopCommand(task string, attempt uint64, grace float64) workers.Command {
 	return workers.Command{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &grace}
 }
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -34,7 +34,7 @@
 	slog.Info("machines going back", "machines", ids, "term", l.token)
 	go func() {
 		_, err := backoff.Retry(ctx, func() (struct{}, error) {
-			if !l.Valid() {
+			if !l.IsLeader() {
 				return struct{}{}, backoff.Permanent(errTermOver)
 			}
 			return struct{}{}, l.Cloud.Release(ctx, ids)
@@ -55,14 +55,14 @@
 
 func (l *Leader) released(ids []string, now time.Time) {
 	for _, id := range ids {
-		m := l.machines.ByID[id]
+		m := l.state.Machines.ByID[id]
 		if m == nil {
 			continue
 		}
-		l.lost(m, "machine given back")
-		l.watch.Forget(id)
-		l.machines.Remove(m)
-		l.takeover.MachineGone(id)
+		l.endMachineTasks(m, "machine given back")
+		l.detector.Forget(id)
+		l.state.Machines.Remove(m)
+		l.failover.MachineGone(id)
 		// Reports, too, may arrive long after their machine is gone.
 		l.returned[id] = now.Add(4 * l.Derived.Workers.CancelDeadline)
 	}
--- a/internal/leader/returns_test.go
+++ b/internal/leader/returns_test.go
@@ -37,19 +37,19 @@
 		l.Derived.Workers.HeartbeatInterval = time.Second
 		l.events = make(chan func(time.Time), 8)
 		covered := false
-		l.Valid = func() bool { return covered }
+		l.IsLeader = func() bool { return covered }
 		l.release(t.Context(), now, m)
 		synctest.Wait()
 		(<-l.events)(now)
-		if released != 0 || m.Phase != cluster.Releasing || !l.machines.Contains(m) {
+		if released != 0 || m.Phase != cluster.Releasing || !l.state.Machines.Contains(m) {
 			t.Fatalf("%d requests sent without a term, machine in phase %v", released, m.Phase)
 		}
 		covered = true
 		l.release(t.Context(), now) // as each look at the fleet does
 		synctest.Wait()
 		(<-l.events)(now)
-		if released != 1 || l.machines.Contains(m) || l.returning || len(l.returns) > 0 {
-			t.Errorf("%d requests, still known %v, waiting %v", released, l.machines.Contains(m), l.returns)
+		if released != 1 || l.state.Machines.Contains(m) || l.returning || len(l.returns) > 0 {
+			t.Errorf("%d requests, still known %v, waiting %v", released, l.state.Machines.Contains(m), l.returns)
 		}
 	})
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -37,24 +37,24 @@
 	quiet(tb)
 	l, m, _, now := bench()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
-	l.Catalog = func() []jobs.MachineType { return types }
-	l.lost(m, "not of this fleet")
-	l.machines.Remove(m)
-	l.watch.Forget(m.ID)
-	l.jobs = map[string]*cluster.Job{}
+	l.MachineTypes = func() []jobs.MachineType { return types }
+	l.endMachineTasks(m, "not of this fleet")
+	l.state.Machines.Remove(m)
+	l.detector.Forget(m.ID)
+	l.state.Jobs = map[string]*cluster.Job{}
 	l.readLog(nil)
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimatedRuntimeS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
-	l.jobs[j.ID] = j
+	l.state.Jobs[j.ID] = j
 	var reports []*workers.Heartbeat
 	for i := range size {
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
-		l.report(r, now)
-		a := l.assign(j, j.TakePendingTask(), l.machines.ByID[r.Machine], now)
+		l.answerHeartbeat(r, now)
+		a := l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
 		a.Log.Durable, a.Start.Sent = true, true
 		r.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
 		r.Seq++
-		l.report(r, now)
+		l.answerHeartbeat(r, now)
 		reports = append(reports, r)
 	}
 	return l, reports, now
@@ -63,7 +63,7 @@
 // again is a worker's next report, with nothing new in it.
 func again(l *Leader, r *workers.Heartbeat, now time.Time) {
 	r.Seq++
-	if a := l.report(r, now); a == nil || len(a.Commands) != 0 {
+	if a := l.answerHeartbeat(r, now); a == nil || len(a.Commands) != 0 {
 		panic("a report without news was not simply answered")
 	}
 }
@@ -98,18 +98,18 @@
 func BenchmarkPlan(b *testing.B) {
 	l, reports, now := fleetOf(b, largest)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
-	l.report(idle, now)
-	l.queue(l.jobs["j-7"])
+	l.answerHeartbeat(idle, now)
+	l.queue(l.state.Jobs["j-7"])
 	_ = reports
 	for b.Loop() {
 		l.place(now)
-		m := l.machines.ByID[idle.Machine]
+		m := l.state.Machines.ByID[idle.Machine]
 		if len(m.Assignments) != 1 {
 			b.Fatalf("%d tasks placed", len(m.Assignments))
 		}
 		for _, a := range m.Assignments {
-			l.conclude(a, cluster.Retry)
-			l.forget(a)
+			l.endAssignment(a, cluster.Retry)
+			l.removeAssignment(a)
 		}
 		b.StopTimer()
 		l.readLog(nil) // drops what the plan has queued
@@ -123,7 +123,7 @@
 	for i := range 100 {
 		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimatedRuntimeS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
 		j := cluster.NewJob(s.ID, s, uint64(i+2), 0, now)
-		l.jobs[j.ID] = j
+		l.state.Jobs[j.ID] = j
 		l.queue(j)
 	}
 	for b.Loop() {
@@ -138,7 +138,7 @@
 	l, _, now := fleetOf(b, largest)
 	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
-	l.jobs[j.ID] = j
+	l.state.Jobs[j.ID] = j
 	l.queue(j)
 	for b.Loop() {
 		l.place(now)
@@ -153,8 +153,8 @@
 func TestWorkPerTick(t *testing.T) {
 	cost := func(size int) float64 {
 		l, _, now := fleetOf(t, size)
-		l.Publish = func(map[string]jobs.Counts, []peer.JobChange) {}
-		l.unmet, l.shownAt = nil, now
+		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+		l.unmet, l.publishedAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.fleetAt = time.Time{}
 			l.tick(t.Context(), now)
@@ -169,7 +169,7 @@
 // planned for anew among it.
 func BenchmarkTick(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
-	l.Publish = func(map[string]jobs.Counts, []peer.JobChange) {}
+	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 	l.listSyncAt = now.Add(time.Hour) // nothing is rented
 	for b.Loop() {
 		l.fleetAt = time.Time{}
@@ -195,19 +195,19 @@
 // successor is the next leader, which has read the log but heard of no machine.
 func successor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
 	next := newLeader(l.Deps, election.Term{FencingToken: 6})
-	next.viewTime = now
-	next.watch = liveness.New(liveness.Config{})
+	next.wishesAsOf = now
+	next.detector = liveness.New(liveness.Config{})
 	for _, s := range specs {
-		next.jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
+		next.state.Jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
 	}
 	log := next.readLog(segments)
 	ended := map[string]kvstore.KeyValue{} // of the others, the records say that they are cancelled
 	for id := range assignmentlog.JobsNamed(log) {
-		if next.jobs[id] == nil {
+		if next.state.Jobs[id] == nil {
 			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
 	}
-	next.restore(log, ended, now)
+	next.restoreLog(log, ended, now)
 	return next
 }
 
@@ -215,7 +215,7 @@
 func BenchmarkTakeOver(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
 	segments := written(l)
-	spec, _ := json.Marshal(l.jobs["j-7"].Spec)
+	spec, _ := json.Marshal(l.state.Jobs["j-7"].Spec)
 	bytes := 0
 	for _, p := range segments {
 		bytes += len(p.Value)
@@ -227,8 +227,8 @@
 		if err := json.Unmarshal(spec, &s); err != nil {
 			b.Fatal(err)
 		}
-		if next := successor(l, segments, now, &s); len(next.machines.All) != largest {
-			b.Fatalf("%d machines restored", len(next.machines.All))
+		if next := successor(l, segments, now, &s); len(next.state.Machines.All) != largest {
+			b.Fatalf("%d machines restored", len(next.state.Machines.All))
 		}
 	}
 }
--- a/internal/leader/slow.go
+++ b/internal/leader/slow.go
@@ -37,7 +37,7 @@
 // findSlow finds machines that run tasks much slower than others, and takes the
 // batch work off them that would be over sooner elsewhere.
 func (l *Leader) findSlow(now time.Time) {
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		if m.Phase != cluster.Up || len(m.Assignments) == 0 {
 			continue
 		}
@@ -57,7 +57,7 @@
 			}
 			took, runS := now.Sub(a.RunningSince).Seconds(), l.runS(a.Job.Spec)
 			if a.Outcome == cluster.Open && !a.Stop.Requested && (slowFactor*runS-took > runS || took > slowFactor*runS) {
-				l.stopWithGang(a, a.Job.Spec.CheckpointSaveS)
+				l.stopTask(a, a.Job.Spec.CheckpointSaveS)
 				l.replan = true
 			}
 		}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -56,7 +56,7 @@
 
 // Status returns the view of the leader on duty, or nil if there is none here.
 func (g *Gate) Status(ctx context.Context) *Status {
-	l := g.on.Load()
+	l := g.leader.Load()
 	if l == nil {
 		return nil
 	}
@@ -80,13 +80,13 @@
 
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
-		Term: l.term.FencingToken, Token: l.token, PictureS: l.viewAge(now).Seconds(),
-		Held: l.watch.VerdictsOnHold(now), Disrupted: l.watch.FullDisruption(),
-		WriteQueue: len(l.finished) + l.log.QueueLength(),
+		Term: l.term.FencingToken, Token: l.token, PictureS: l.wishesAge(now).Seconds(),
+		Held: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
+		WriteQueue: len(l.completedJobs) + l.log.QueueLength(),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
-		Takeover: l.takeover.Progress(now),
+		Takeover: l.failover.Progress(now),
 	}
-	for _, m := range l.machines.All {
+	for _, m := range l.state.Machines.All {
 		s.Machines = append(s.Machines, MachineStatus{
 			ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: l.stateOf(m, now),
 			Session: m.Worker.Session, Tasks: len(m.Assignments), CPUs: m.Used.CPUs, Doubt: !m.Commands.InDoubtSince.IsZero(),
@@ -94,7 +94,7 @@
 	}
 	slices.SortFunc(s.Machines, func(a, b MachineStatus) int { return cmp.Compare(a.ID, b.ID) })
 	classes := map[string]*ClassStatus{}
-	for _, j := range l.jobs {
+	for _, j := range l.state.Jobs {
 		if j.IsOver() {
 			continue
 		}
@@ -130,7 +130,7 @@
 		return "dead"
 	case m.Health.Draining:
 		return "draining"
-	case !l.watch.Schedulable(m.ID, now):
+	case !l.detector.Schedulable(m.ID, now):
 		return "silent"
 	case len(m.Assignments) == 0:
 		return "idle"
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -22,18 +22,18 @@
 	}
 }
 
-// tell counts a command to a worker.
-func (l *Leader) tell(c workers.Command, d reconcile.Decision) workers.Command {
-	l.takeover.CountCommand(c.Op, d.Reason)
+// countCommand counts a command to a worker.
+func (l *Leader) countCommand(c workers.Command, d reconcile.Decision) workers.Command {
+	l.failover.CountCommand(c.Op, d.Reason)
 	return c
 }
 
-// settleTakeover notes when every machine that the records name is accounted for.
-func (l *Leader) settleTakeover(now time.Time) {
-	if !l.takeover.TryFinish(now) {
+// finishFailover notes when every machine that the records name is accounted for.
+func (l *Leader) finishFailover(now time.Time) {
+	if !l.failover.TryFinish(now) {
 		return
 	}
-	p := l.takeover.Progress(now)
+	p := l.failover.Progress(now)
 	slog.Info("take-over settled", "term", l.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
 		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
 	l.replan = true
@@ -43,10 +43,10 @@
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
 func (l *Leader) mayPreempt(j *cluster.Job, now time.Time) bool {
-	if !l.takeover.AwaitsCapacity(now) {
+	if !l.failover.AwaitsCapacity(now) {
 		return true // which is so but for the first seconds of a term
 	}
-	return l.takeover.MayPreempt(now, j.Scheduling.LastServedAt, l.preemptionBound(j))
+	return l.failover.MayPreempt(now, j.Scheduling.LastServedAt, l.preemptionBound(j))
 }
 
 // preemptionBound is for how long a job waits in a take-over before others are stopped for
--- a/internal/leader/takeover_test.go
+++ b/internal/leader/takeover_test.go
@@ -19,9 +19,9 @@
 	l.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "web", WithinS: 2}, {Kind: "guarantee", WithinS: 6},
 	}
-	l.takeover = reconcile.NewFailover(now, l.Derived.Detection.HeartbeatOverdue)
-	l.takeover.ExpectMachine("m-2")
-	l.takeover.RecordsLoaded(now)
+	l.failover = reconcile.NewFailover(now, l.Derived.Detection.HeartbeatOverdue)
+	l.failover.ExpectMachine("m-2")
+	l.failover.RecordsLoaded(now)
 	waiting := func(class, priority string, covered bool) *cluster.Job {
 		j := cluster.NewJob("j-9", &jobs.Spec{ID: "j-9", Class: class, Team: "red", Shape: jobs.Batch, Priority: priority, Tasks: 1, CPUs: 1}, 1, 0, now)
 		j.Scheduling.WithinGuarantee = covered
@@ -48,7 +48,7 @@
 		t.Error("operators want others to be stopped at once")
 	}
 	l.Settings.Operator.TakeoverPatience = 1
-	l.takeover.MachineReported("m-2")
+	l.failover.MachineReported("m-2")
 	if !l.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
 		t.Error("all machines have reported: there is no other room")
 	}
@@ -74,31 +74,31 @@
 // their leases are over. What runs as stored is told nothing; what is gone is begun elsewhere.
 func TestTakeoverIsFollowed(t *testing.T) {
 	l, reports, now := fleetOf(t, 4)
-	next := successor(l, written(l), now, l.jobs["j-7"].Spec)
-	next.takeover.RecordsLoaded(now)
+	next := successor(l, written(l), now, l.state.Jobs["j-7"].Spec)
+	next.failover.RecordsLoaded(now)
 	for i, r := range reports[:3] {
 		r.FencingToken = 6
 		r.Seq += 10
 		if i == 2 { // its lease ran out meanwhile
 			r.AgentEpoch, r.Tasks = r.AgentEpoch+1, nil
 		}
-		if answer := next.report(r, now.Add(time.Second)); answer == nil || len(answer.Commands) > 0 {
+		if answer := next.answerHeartbeat(r, now.Add(time.Second)); answer == nil || len(answer.Commands) > 0 {
 			t.Errorf("%s is told %+v", r.Machine, answer)
 		}
 	}
-	next.settleTakeover(now.Add(time.Second))
-	if p := next.takeover.Progress(now.Add(time.Second)); p.Phase != reconcile.AwaitingHeartbeats || p.Expected != 4 || p.Reported != 3 {
+	next.finishFailover(now.Add(time.Second))
+	if p := next.failover.Progress(now.Add(time.Second)); p.Phase != reconcile.AwaitingHeartbeats || p.Expected != 4 || p.Reported != 3 {
 		t.Errorf("one is missing: %+v", p)
 	}
 	over := now.Add(2 * next.Derived.Workers.LeaseExpiry)
-	next.expire(over)
-	next.settleTakeover(over)
-	p := next.takeover.Progress(over)
+	next.expireLeases(over)
+	next.finishFailover(over)
+	p := next.failover.Progress(over)
 	if p.Phase != reconcile.FailoverDone || p.Reported != 3 || p.NeverReported != 1 || len(p.Commands) > 0 {
 		t.Errorf("its lease is over: %+v", p)
 	}
 	gone := 0
-	for _, a := range next.jobs["j-7"].Assignments {
+	for _, a := range next.state.Jobs["j-7"].Assignments {
 		if a.Outcome == cluster.Retry {
 			gone++
 		}
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -55,15 +55,15 @@
 	return 0
 }
 
-// conclude ends an assignment whose task is certainly off its machine. It is
+// endAssignment ends an assignment whose task is certainly off its machine. It is
 // forgotten, and a task that is not done pending again, once that is durable:
 // until then a new leader would still find it there.
-func (l *Leader) conclude(a *cluster.Assignment, o cluster.Outcome) {
+func (l *Leader) endAssignment(a *cluster.Assignment, o cluster.Outcome) {
 	if a.Outcome != cluster.Open {
 		return
 	}
 	j, m, need := a.Job, a.Machine, placement.TaskRequest(a.Job.Spec)
-	l.see(a, "")
+	l.setObservedState(a, "")
 	a.Outcome = o
 	if a.CountsAsUsed {
 		a.CountsAsUsed = false
@@ -79,7 +79,7 @@
 			}
 		}
 		if j.Completions.Count == j.Spec.Tasks {
-			l.finish(j)
+			l.completeJob(j)
 		} else {
 			l.log.QueueCompletion(j, a.Index)
 		}
@@ -90,15 +90,15 @@
 		delete(m.Offer.Fetching, j.Spec.Image) // nobody waits for it any more
 	}
 	l.log.QueueEnd(a)
-	l.show(j)
+	l.publishCounts(j)
 	l.replan = true
 	if j.IsGang() {
-		l.parted(j)
+		l.leaveGang(j)
 	}
 }
 
-// see notes the state in which a task was seen.
-func (l *Leader) see(a *cluster.Assignment, state string) {
+// setObservedState notes the state in which a task was seen.
+func (l *Leader) setObservedState(a *cluster.Assignment, state string) {
 	if a.ObservedState == workers.StateRunning {
 		a.Job.Running--
 	}
@@ -108,15 +108,15 @@
 	a.ObservedState = state
 }
 
-// finish lets the job's record be written as done.
-func (l *Leader) finish(j *cluster.Job) {
+// completeJob lets the job's record be written as done.
+func (l *Leader) completeJob(j *cluster.Job) {
 	j.End.Complete = true
 	l.vary(j)
-	l.finished = append(l.finished, j)
+	l.completedJobs = append(l.completedJobs, j)
 }
 
-// forget drops an assignment whose end is durable.
-func (l *Leader) forget(a *cluster.Assignment) {
+// removeAssignment drops an assignment whose end is durable.
+func (l *Leader) removeAssignment(a *cluster.Assignment) {
 	j, m := a.Job, a.Machine
 	delete(m.Assignments, a.Attempt)
 	if len(m.Assignments) == 0 {
@@ -132,19 +132,19 @@
 		}
 	}
 	l.replan = true
-	l.settled(j)
+	l.removeIfSettled(j)
 }
 
 // dropUnsent ends an assignment that no worker can have heard of.
 func (l *Leader) dropUnsent(a *cluster.Assignment) {
 	if a.ObservedState == "" && !a.Start.Sent && !a.Start.OrderInFlight && a.Start.InDoubtToken == 0 {
-		l.conclude(a, cluster.Retry)
+		l.endAssignment(a, cluster.Retry)
 		return
 	}
 	l.notify(a.Machine)
 }
 
-func (l *Leader) stop(a *cluster.Assignment, grace float64) {
+func (l *Leader) requestStop(a *cluster.Assignment, grace float64) {
 	a.Stop.Requested, a.Stop.GraceS = true, grace
 	l.dropUnsent(a)
 }
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -12,13 +12,13 @@
 	"ospreyslip/internal/workers"
 )
 
-// doubts asks for a higher token where orders have been in doubt for long, and
+// resolveInDoubt asks for a higher token where orders have been in doubt for long, and
 // once in a lease where an end waits for it to be cleared.
-func (l *Leader) doubts(now time.Time) {
-	raise := l.clearHeld && now.Sub(l.raisedAt) > l.Derived.Workers.Lease
-	for m := range l.doubtful {
-		if m.Commands.InDoubtSince.IsZero() || !l.machines.Contains(m) {
-			delete(l.doubtful, m)
+func (l *Leader) resolveInDoubt(now time.Time) {
+	raise := l.acknowledgementsHeld && now.Sub(l.raisedAt) > l.Derived.Workers.Lease
+	for m := range l.inDoubtMachines {
+		if m.Commands.InDoubtSince.IsZero() || !l.state.Machines.Contains(m) {
+			delete(l.inDoubtMachines, m)
 			continue
 		}
 		inDoubt := false
@@ -34,29 +34,29 @@
 		}
 	}
 	if raise {
-		l.raiseToken, l.raisedAt = true, now // once, however long the write takes
+		l.raisePending, l.raisedAt = true, now // once, however long the write takes
 	}
 }
 
-// expire ends what a worker's own lease has ended by now. Leases only grow longer, and
+// expireLeases ends what a worker's own lease has ended by now. Leases only grow longer, and
 // each is set to the same time from then on: none that is set after a look at all of
 // them ends before the first of these.
-func (l *Leader) expire(now time.Time) {
-	if now.Before(l.expireAt) {
+func (l *Leader) expireLeases(now time.Time) {
+	if now.Before(l.nextLeaseExpiry) {
 		return
 	}
-	l.expireAt = now.Add(l.Derived.Workers.LeaseExpiry)
-	for _, m := range l.machines.All {
+	l.nextLeaseExpiry = now.Add(l.Derived.Workers.LeaseExpiry)
+	for _, m := range l.state.Machines.All {
 		if m.Phase == cluster.Booting {
 			continue
 		}
 		d := reconcile.DecideWithoutHeartbeat(m.Worker.LeaseUntil, now)
 		if d.Action == reconcile.Wait {
-			l.expireAt = earlier(l.expireAt, d.Until)
+			l.nextLeaseExpiry = earlier(l.nextLeaseExpiry, d.Until)
 			continue
 		}
-		l.lost(m, string(d.Reason))
-		l.takeover.MachineGone(m.ID)
+		l.endMachineTasks(m, string(d.Reason))
+		l.failover.MachineGone(m.ID)
 		// Whatever still comes from the old session is out of date.
 		if m.Worker.Session != 0 {
 			m.Worker.Session, m.Worker.Seq, m.Worker.Tasks = m.Worker.Session+1, 0, nil
@@ -73,12 +73,12 @@
 	return b
 }
 
-// lost ends all assignments of a machine on which nothing can run any more.
-func (l *Leader) lost(m *cluster.Machine, reason string) {
+// endMachineTasks ends all assignments of a machine on which nothing can run any more.
+func (l *Leader) endMachineTasks(m *cluster.Machine, reason string) {
 	for _, a := range m.Assignments {
 		if a.Outcome == cluster.Open {
 			slog.Info("task lost", "task", a.TaskName(), "machine", m.ID, "term", l.token, "reason", reason)
-			l.conclude(a, cluster.Retry)
+			l.endAssignment(a, cluster.Retry)
 		}
 	}
 }
@@ -87,15 +87,15 @@
 	// A process that stood still for longer than its term finds all machines idle
 	// and silent when it goes on, while its successor is at work on them: it must
 	// not give them back before its keeper has noticed.
-	if !l.Valid() {
+	if !l.IsLeader() {
 		return
 	}
-	l.expire(now)
-	l.settleTakeover(now)
-	l.doubts(now)
+	l.expireLeases(now)
+	l.finishFailover(now)
+	l.resolveInDoubt(now)
 	l.tickGroup = (l.tickGroup + 1) % cluster.TickGroups
-	for m := range l.machines.Groups[l.tickGroup] {
-		l.announceLate(m, now)
+	for m := range l.state.Machines.Groups[l.tickGroup] {
+		l.announceToSilent(m, now)
 		l.updateCapacity(m, now) // what has fallen silent takes no work
 		if m.ExpireAvoidance(now) {
 			l.replan = true
@@ -104,42 +104,42 @@
 	if l.tickGroup == 0 && l.mayBegin(now) {
 		l.findSlow(now)
 	}
-	calls, verdicts := l.watch.Tick(now, l.Derived.Host.CommandsInFlight-l.callsInFlight)
+	calls, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.probesInFlight)
 	for _, id := range calls {
-		m := l.machines.ByID[id]
+		m := l.state.Machines.ByID[id]
 		if m == nil {
-			l.watch.Forget(id)
+			l.detector.Forget(id)
 			continue
 		}
-		l.callsInFlight++
+		l.probesInFlight++
 		addr := m.Addr // a report may change it meanwhile
 		go func() {
 			r, err := l.Workers.Probe(ctx, addr)
-			l.post(ctx, func(now time.Time) { l.inspected(m, r, err, now) })
+			l.post(ctx, func(now time.Time) { l.probeReturned(m, r, err, now) })
 		}()
 	}
 	for _, v := range verdicts {
-		l.judged(ctx, l.machines.ByID[v.Machine], v.Reason, now)
+		l.carryOutVerdict(ctx, l.state.Machines.ByID[v.Machine], v.Reason, now)
 	}
 	l.manageFleet(ctx, now)
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
-	if l.watch.FullDisruption() && l.mayResign && !l.writing && !l.log.HasWork() {
+	if l.detector.FullDisruption() && l.mayResign && !l.transactionInFlight && !l.log.HasWork() {
 		slog.Info("resigning", "term", l.token, "reason", "no machine of any zone reports here")
 		l.resign = true
 	}
-	if now.Sub(l.shownAt) > l.Derived.Leader.ControlInterval/2 {
-		l.shownAt = now
-		l.Publish(l.Counts.shown(), l.changes)
-		l.changes = nil
+	if now.Sub(l.publishedAt) > l.Derived.Leader.ControlInterval/2 {
+		l.publishedAt = now
+		l.Broadcast(l.Counts.nonZero(), l.unpublishedChanges)
+		l.unpublishedChanges = nil
 	}
 }
 
-// services is how many production tasks a machine has: their users wait, while
+// productionTasks is how many production tasks a machine has: their users wait, while
 // other work is only late.
-func (l *Leader) services(id string) (n int) {
-	if m := l.machines.ByID[id]; m != nil {
+func (l *Leader) productionTasks(id string) (n int) {
+	if m := l.state.Machines.ByID[id]; m != nil {
 		for _, a := range m.Assignments {
 			if a.Outcome == cluster.Open && a.Job.Spec.Priority == jobs.Prod {
 				n++
@@ -149,29 +149,29 @@
 	return n
 }
 
-// viewAge is how old the picture of users' wishes may be.
-func (l *Leader) viewAge(now time.Time) time.Duration { return now.Sub(l.viewTime) }
+// wishesAge is how old the picture of users' wishes may be.
+func (l *Leader) wishesAge(now time.Time) time.Duration { return now.Sub(l.wishesAsOf) }
 
-func (l *Leader) inspected(m *cluster.Machine, r *workers.Heartbeat, err error, now time.Time) {
-	l.callsInFlight--
+func (l *Leader) probeReturned(m *cluster.Machine, r *workers.Heartbeat, err error, now time.Time) {
+	l.probesInFlight--
 	if workers.OutOfSockets(err) {
-		l.watch.ProbeNotSent(m.ID, now) // it never left this process
+		l.detector.ProbeNotSent(m.ID, now) // it never left this process
 		return
 	}
 	if err != nil {
-		l.watch.ProbeDone(m.ID, false, liveness.HeartbeatSeq{}, now)
+		l.detector.ProbeDone(m.ID, false, liveness.HeartbeatSeq{}, now)
 		return
 	}
 	m.Commands.UndeliveredAnswers = 0
 	// The answer is a newer picture of the tasks, though it renews no lease.
-	l.watch.ProbeDone(m.ID, true, counter(r), now)
-	l.observe(m, r, now)
+	l.detector.ProbeDone(m.ID, true, heartbeatSeq(r), now)
+	l.applyObservation(m, r, now)
 }
 
-// judged carries out a verdict. A machine that did not answer is given back:
+// carryOutVerdict carries out a verdict. A machine that did not answer is given back:
 // once the cloud has taken it, its tasks are certainly gone, which is sooner
 // than the end of a long lease. One that answers keeps its tasks meanwhile.
-func (l *Leader) judged(ctx context.Context, m *cluster.Machine, reason liveness.Reason, now time.Time) {
+func (l *Leader) carryOutVerdict(ctx context.Context, m *cluster.Machine, reason liveness.Reason, now time.Time) {
 	if m == nil {
 		return
 	}
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -19,30 +19,32 @@
 	return max(m.Worker.Token, l.term.FencingToken)
 }
 
-// mostHeldEnds is how many ended tasks may stay in a machine's reports for want of a
+// maxHeldAcknowledgements is how many ended tasks may stay in a machine's reports for want of a
 // higher token. Each makes every report a little longer; clearing them costs two reports.
-const mostHeldEnds = 8
+const maxHeldAcknowledgements = 8
 
-// heldEnds are the ended tasks of a machine that cannot be cleared yet: they were begun
+// heldAcknowledgements are the ended tasks of a machine that cannot be cleared yet: they were begun
 // by orders that its worker would still accept a copy of.
-type heldEnds struct {
+type heldAcknowledgements struct {
 	count  int
 	urgent bool   // a task that may run again; its worker would refuse it until then
 	newest uint64 // token of the newest such order
 }
 
-func (h *heldEnds) add(t *workers.TaskStatus, ordered uint64, mayRunAgain bool) {
+func (h *heldAcknowledgements) add(t *workers.TaskStatus, ordered uint64, mayRunAgain bool) {
 	h.count++
 	h.newest = max(h.newest, ordered)
 	h.urgent = h.urgent || mayRunAgain && t.Cause != workers.CauseDone
 }
 
-// wantToken tells whether a machine is to see a higher token for its held ends.
-func (h *heldEnds) wantToken() bool { return h.urgent || h.count >= mostHeldEnds }
+// needHigherToken tells whether a machine is to see a higher token for its held ends.
+func (h *heldAcknowledgements) needHigherToken() bool {
+	return h.urgent || h.count >= maxHeldAcknowledgements
+}
 
 // mayRunAgain tells whether an ended task's job is still to be worked on.
 func (l *Leader) mayRunAgain(t *workers.TaskStatus) bool {
 	id, _, ok := workers.SplitTask(t.Name)
-	j := l.jobs[id]
+	j := l.state.Jobs[id]
 	return ok && j != nil && !j.IsOver()
 }
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -20,9 +20,9 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// flush starts the next transaction.
-func (l *Leader) flush(ctx context.Context, now time.Time) {
-	if l.writing || !l.raiseToken && len(l.finished) == 0 && !l.log.HasWork() || now.Sub(l.flushedAt) < l.Derived.Leader.FlushInterval || !l.Valid() {
+// writeNext starts the next transaction.
+func (l *Leader) writeNext(ctx context.Context, now time.Time) {
+	if l.transactionInFlight || !l.raisePending && len(l.completedJobs) == 0 && !l.log.HasWork() || now.Sub(l.flushedAt) < l.Derived.Leader.FlushInterval || !l.IsLeader() {
 		return
 	}
 	l.flushedAt = now
@@ -30,10 +30,10 @@
 	if len(b.Writes) == 0 {
 		return
 	}
-	l.writing = true
+	l.transactionInFlight = true
 	go func() {
 		rev, failed, err := l.Store.Commit(ctx, b.Guards, b.Writes)
-		l.post(ctx, func(time.Time) { l.written(ctx, b, rev, failed, err) })
+		l.post(ctx, func(time.Time) { l.transactionReturned(ctx, b, rev, failed, err) })
 	}()
 }
 
@@ -43,7 +43,7 @@
 	l.log.Grow(l.Derived.Store.TxnOps / 2)
 	// The segments of a transaction of unknown outcome come before all else.
 	left := l.Derived.Store.TxnOps - l.log.UnsettledSegments()
-	if l.raiseToken && left > 0 {
+	if l.raisePending && left > 0 {
 		l.addToken(b)
 		left--
 	}
@@ -52,10 +52,10 @@
 	if l.log.UnsettledSegments() == 0 && l.log.HasNews() {
 		limit = len(b.Writes) + max(1, left/2)
 	}
-	for len(l.finished) > 0 && len(b.Writes) < limit {
-		j := l.finished[0]
-		l.finished = l.finished[1:]
-		l.addFinal(b, j)
+	for len(l.completedJobs) > 0 && len(b.Writes) < limit {
+		j := l.completedJobs[0]
+		l.completedJobs = l.completedJobs[1:]
+		l.addJobCompletion(b, j)
 	}
 	l.log.AddSegments(b, l.Derived.Store.TxnOps)
 	b.Guard(election.HolderKey, l.term.HolderRevision)
@@ -63,63 +63,63 @@
 }
 
 func (l *Leader) addToken(b *transaction.Batch) {
-	next := max(l.token, l.tokenFloor) + 1
-	l.raiseToken = false
-	b.OnFailure(func() { l.raiseToken = true })
+	next := max(l.token, l.tokenAbove) + 1
+	l.raisePending = false
+	b.OnFailure(func() { l.raisePending = true })
 	b.OnCommit(func(rev uint64) {
 		l.token, l.tokenRevision = next, rev
-		l.clearHeld = false
-		l.Raised(next)
+		l.acknowledgementsHeld = false
+		l.TokenRaised(next)
 		l.tokenRaised()
 		slog.Info("token raised", "term", l.token, "reason", "an order may still arrive")
 	})
 	b.Set(election.TokenKey, l.tokenRevision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
 		// Ours, from an attempt whose outcome was unknown; or the key was lost.
 		l.token, l.tokenRevision = next, m
-		l.Raised(next)
+		l.TokenRaised(next)
 		l.tokenRaised()
 	})
 }
 
-func (l *Leader) addFinal(b *transaction.Batch, j *cluster.Job) {
+func (l *Leader) addJobCompletion(b *transaction.Batch, j *cluster.Job) {
 	if j.End.Cancelled {
 		return // its user was faster
 	}
 	rec := jobs.Record{Tasks: j.Spec.Tasks, Spec: j.Spec}
 	b.Set(jobs.RecordKey(j.ID), j.Revision, rec.FinalForm(jobs.Done, l.Derived.Store.ValueBytes), func(uint64) {})
-	b.OnFailure(func() { l.finished = append(l.finished, j) })
+	b.OnFailure(func() { l.completedJobs = append(l.completedJobs, j) })
 	b.OnCommit(func(uint64) {
 		slog.Debug("job done", "job", j.ID, "term", l.token)
-		l.finalDone(j)
+		l.jobCompletionDurable(j)
 	})
 }
 
-func (l *Leader) finalDone(j *cluster.Job) {
+func (l *Leader) jobCompletionDurable(j *cluster.Job) {
 	j.End.CompletionDurable = true
-	l.settled(j)
+	l.removeIfSettled(j)
 }
 
-// doneElsewhere takes in that a job is done by what others know, while this leader had it
+// completeElsewhere takes in that a job is done by what others know, while this leader had it
 // from a record that was put back.
-func (l *Leader) doneElsewhere(j *cluster.Job) {
+func (l *Leader) completeElsewhere(j *cluster.Job) {
 	j.End.Complete = true
-	l.dropFinished(j.ID)
-	l.cancelTasks(j)
-	l.finalDone(j)
+	l.dropCompleted(j.ID)
+	l.endTasksOf(j)
+	l.jobCompletionDurable(j)
 }
 
-// dropFinished takes a job off those whose end is to be written.
-func (l *Leader) dropFinished(id string) {
-	l.finished = slices.DeleteFunc(l.finished, func(f *cluster.Job) bool { return f.ID == id })
+// dropCompleted takes a job off those whose end is to be written.
+func (l *Leader) dropCompleted(id string) {
+	l.completedJobs = slices.DeleteFunc(l.completedJobs, func(f *cluster.Job) bool { return f.ID == id })
 }
 
-// written takes in the outcome of a transaction.
-func (l *Leader) written(ctx context.Context, b *transaction.Batch, rev uint64, failed []string, err error) {
+// transactionReturned takes in the outcome of a transaction.
+func (l *Leader) transactionReturned(ctx context.Context, b *transaction.Batch, rev uint64, failed []string, err error) {
 	// What was too large is no outage: were it taken for one, and nothing were left to
 	// be written, nothing would be planned any more.
-	l.storeFailing = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
+	l.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failed) == 0 {
-		l.writing = false
+		l.transactionInFlight = false
 		l.committed(b, rev)
 		return
 	}
@@ -130,12 +130,12 @@
 			l.log.MarkOutcomeUnknown()
 		}
 		if errors.Is(err, kvstore.ErrInvalidRequest) {
-			l.rejected(b, err)
+			l.transactionRejected(b, err)
 		}
 		if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
 			slog.Error("records not written", "term", l.token, "reason", err)
 		}
-		l.later(ctx, l.Derived.Election.RenewInterval/4, func() { l.writing = false })
+		l.postAfter(ctx, l.Derived.Election.RenewInterval/4, func() { l.transactionInFlight = false })
 		return
 	}
 	if slices.Contains(failed, election.HolderKey) {
@@ -146,7 +146,7 @@
 	// An earlier transaction of ours was executed after all, or a user ended a
 	// job. Only keys that others never write under our term are written again.
 	slog.Debug("guards failed", "term", l.token, "keys", failed)
-	go l.reread(ctx, b, failed)
+	go l.readConflictingKeys(ctx, b, failed)
 }
 
 // committed takes in that a transaction was executed.
@@ -157,7 +157,7 @@
 		case assignmentlog.BeginDurable:
 			l.beginDurable(event.Assignment)
 		case assignmentlog.EndDurable:
-			l.forget(event.Assignment)
+			l.removeAssignment(event.Assignment)
 		}
 	}
 }
@@ -165,16 +165,16 @@
 // beginDurable lets a worker hear of an assignment. Tasks of a gang go together.
 func (l *Leader) beginDurable(a *cluster.Assignment) {
 	if a.Job.IsGang() {
-		l.gangWritten(a.Job)
+		l.gangBeginDurable(a.Job)
 	} else {
 		l.notify(a.Machine)
 	}
 }
 
-// rejected looks for a transaction that the state service takes: its limits are
+// transactionRejected looks for a transaction that the state service takes: its limits are
 // lower than the settings say. The same one would be rejected for ever, and with it
 // all that waits behind it.
-func (l *Leader) rejected(b *transaction.Batch, err error) {
+func (l *Leader) transactionRejected(b *transaction.Batch, err error) {
 	most := 0
 	for _, w := range b.Writes {
 		most = max(most, len(w.Value))
@@ -189,25 +189,25 @@
 	l.log.ShrinkSegments()
 }
 
-// reread learns the revisions of keys that were not as expected.
-func (l *Leader) reread(ctx context.Context, b *transaction.Batch, keys []string) {
+// readConflictingKeys learns the revisions of keys that were not as expected.
+func (l *Leader) readConflictingKeys(ctx context.Context, b *transaction.Batch, keys []string) {
 	for _, key := range keys {
 		for {
 			p, _, err := l.Store.Get(ctx, key)
 			if err == nil {
-				l.post(ctx, func(time.Time) { l.relearn(b, key, p) })
+				l.post(ctx, func(time.Time) { l.takeInConflict(b, key, p) })
 				break
 			}
 			if ctx.Err() != nil {
 				return
 			}
-			l.pause(ctx, l.Derived.Election.RenewInterval)
+			l.sleep(ctx, l.Derived.Election.RenewInterval)
 		}
 	}
-	l.post(ctx, func(time.Time) { l.writing = false })
+	l.post(ctx, func(time.Time) { l.transactionInFlight = false })
 }
 
-func (l *Leader) relearn(b *transaction.Batch, key string, p kvstore.KeyValue) {
+func (l *Leader) takeInConflict(b *transaction.Batch, key string, p kvstore.KeyValue) {
 	id := jobs.JobIDFromKey(key)
 	if id == key { // not a job's record
 		b.Learn(key, p.Revision)
@@ -215,9 +215,9 @@
 		return
 	}
 	var rec jobs.Record
-	j := l.jobs[id]
+	j := l.state.Jobs[id]
 	if j == nil {
-		l.dropFinished(id) // settled meanwhile: its end is written by others
+		l.dropCompleted(id) // settled meanwhile: its end is written by others
 		return
 	}
 	if p.Revision == 0 {
@@ -233,27 +233,27 @@
 		j.Revision = p.Revision // it was lost and is back
 		return
 	}
-	l.dropFinished(id)
+	l.dropCompleted(id)
 	switch rec.State {
 	case jobs.Done:
-		l.finalDone(j)
+		l.jobCompletionDurable(j)
 	case jobs.Cancelled:
 		if !j.End.Cancelled {
-			l.cancelled(j, p.Revision)
+			l.cancelJob(j, p.Revision)
 		}
 	}
 }
 
-func (l *Leader) pause(ctx context.Context, d time.Duration) {
+func (l *Leader) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-func (l *Leader) later(ctx context.Context, d time.Duration, f func()) {
+func (l *Leader) postAfter(ctx context.Context, d time.Duration, f func()) {
 	go func() {
-		l.pause(ctx, d)
+		l.sleep(ctx, d)
 		l.post(ctx, func(time.Time) { f() })
 	}()
 }
