--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -14,9 +14,9 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/planner"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
-	"ospreyslip/internal/placement"
 )
 
 // segmentStore is a state service that holds segments, and checks what it is given.
@@ -62,7 +62,7 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.endMachineTasks(m, "not of this test")
-	l.state.Jobs, l.state.Machines, l.used, l.log, l.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Resources{}, assignmentlog.New(assignmentlog.Config{}), nil
+	l.state.Jobs, l.state.Machines, l.planner.Capacity, l.log, l.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.machineType), assignmentlog.New(assignmentlog.Config{}), nil
 	l.detector = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
 	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -12,6 +12,7 @@
 
 	"ospreyslip/internal/autoscaler"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/planner"
 )
 
 // bootTime is how long a machine type usually takes to come up.
@@ -28,7 +29,7 @@
 
 // manageFleet returns what is not needed and rents what is.
 func (l *Leader) manageFleet(ctx context.Context, now time.Time) {
-	if now.Sub(l.fleetAt) < max(l.Derived.Leader.ControlInterval/4, times(l.fleetDuration, 1/planShare)) || l.MachineTypes() == nil {
+	if now.Sub(l.fleetAt) < max(l.Derived.Leader.ControlInterval/4, times(l.fleetDuration, 1/planner.MaxTimeShare)) || l.MachineTypes() == nil {
 		return
 	}
 	l.fleetAt = now
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -126,9 +126,9 @@
 			l.adoptTasksOf(j, now)
 		}
 		l.publishCounts(j)
-		l.queue(j)
+		l.planner.Enqueue(j)
 		l.arrived(j, 0, now)
-		l.replan, l.uncovered = true, true
+		l.planner.Requested, l.planner.GuaranteesStale = true, true
 	case j == nil: // over, or held
 	case rec.State == jobs.Cancelled && !j.End.Cancelled:
 		l.cancelJob(j, c.Revision)
@@ -143,7 +143,7 @@
 	for _, a := range j.Assignments {
 		l.dropUnsent(a)
 	}
-	l.replan = true
+	l.planner.Requested = true
 	l.removeIfSettled(j)
 }
 
@@ -156,7 +156,6 @@
 		return // its record is still to be written
 	}
 	delete(l.state.Jobs, j.ID)
-	delete(l.queued, j)
-	l.uncovered = true
+	l.planner.Forget(j)
 	l.Counts.drop(j.ID)
 }
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -39,7 +39,7 @@
 			l.dropUnsent(a)
 		}
 	}
-	l.replan = true
+	l.planner.Requested = true
 }
 
 // stopTask stops a task, and with it the gang that it is one of.
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -116,15 +116,15 @@
 		t.Error(d)
 	}
 	l.removeAssignment(j.Assignments[2])
-	l.queue(j)
-	l.place(now)
+	l.planner.Enqueue(j)
+	l.plan(now)
 	if len(j.Assignments) != 2 {
 		t.Error("a task was begun while the others may still run")
 	}
 	first := j.Assignments[0].GangAttempt
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateEnded, workers.CauseMatesGone))
 	l.removeAssignment(j.Assignments[0])
-	l.place(now)
+	l.plan(now)
 	if len(j.Assignments) != 1 {
 		t.Error("begun before the last end was durable")
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -13,9 +13,10 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/leader/runtimes"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
-	"ospreyslip/internal/placement"
 	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/settings"
 	"ospreyslip/internal/workers"
@@ -54,7 +55,9 @@
 	view
 	tokens
 	writer
-	planner
+	planner  *planner.Planner
+	runTimes *runtimes.Estimator
+	attempts uint64 // the number given out last
 	dispatcher
 	fleetManager
 	recoverer
@@ -70,11 +73,10 @@
 type view struct {
 	state           *cluster.State
 	detector        *liveness.Detector
-	used            map[string]placement.Resources // by team
-	wishesAsOf      time.Time                      // all that users were told by then is in the jobs
-	seenRevision    atomic.Uint64                  // as are all changes up to this revision
-	cancelledLater  map[string]uint64              // jobs known to be cancelled at a later revision
-	nextLeaseExpiry time.Time                      // no worker's lease ends before
+	wishesAsOf      time.Time         // all that users were told by then is in the jobs
+	seenRevision    atomic.Uint64     // as are all changes up to this revision
+	cancelledLater  map[string]uint64 // jobs known to be cancelled at a later revision
+	nextLeaseExpiry time.Time         // no worker's lease ends before
 }
 
 // tokens is the fencing token, as raised within the term to end doubts.
@@ -98,20 +100,6 @@
 	flushedAt           time.Time
 }
 
-// planner is the queue of tasks that wait, and what plans need besides.
-type planner struct {
-	capacity     placement.CapacityIndex
-	tasksByRank  [8]int // tasks on machines, by priority
-	attempts     uint64 // the number given out last
-	queued       map[*cluster.Job]bool
-	uncovered    bool // which jobs are covered is to be found out anew
-	replan       bool
-	plannedAt    time.Time
-	planDuration time.Duration
-	unmet        []placement.Demand
-	runTimes     map[string]*runTimes // by class
-}
-
 // dispatcher is the orders and calls to workers.
 type dispatcher struct {
 	notifyQueue       []*cluster.Machine // have something to be told at once
@@ -141,13 +129,14 @@
 	l := &Leader{
 		Deps: d, term: t, failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
 		heartbeats: make(chan heartbeatRequest, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:         view{state: cluster.NewState(), used: map[string]placement.Resources{}, cancelledLater: map[string]uint64{}},
-		tokens:       tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, inDoubtMachines: map[*cluster.Machine]bool{}},
-		writer:       writer{log: assignmentlog.New(logConfig(d.Derived))},
-		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.FencingToken << attemptBits},
+		view:     view{state: cluster.NewState(), cancelledLater: map[string]uint64{}},
+		tokens:   tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, inDoubtMachines: map[*cluster.Machine]bool{}},
+		writer:   writer{log: assignmentlog.New(logConfig(d.Derived))},
+		runTimes: runtimes.NewEstimator(), attempts: t.FencingToken << attemptBits,
 		fleetManager: fleetManager{renting: map[autoscaler.MachinePool]int{}, refused: map[autoscaler.MachinePool]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
+	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.machineType, l)
 	l.round = t.FencingToken << roundBits
 	l.detector = liveness.New(liveness.Config{
 		SuspectAfter: d.Derived.Detection.SuspectAfter, LeaseExpiry: d.Derived.Workers.LeaseExpiry,
@@ -162,6 +151,15 @@
 	return assignmentlog.Config{ChunkTasks: derived.Store.ChunkTasks, MaxOps: derived.Store.TxnOps, ValueBytes: derived.Store.ValueBytes}
 }
 
+// plannerConfig is what plans go by.
+func plannerConfig(d Deps) planner.Config {
+	return planner.Config{
+		Teams: d.Settings.Deployment.Teams, Objectives: d.Settings.Deployment.Objectives,
+		ControlInterval: d.Derived.Leader.ControlInterval, StarvationLimit: d.Derived.Leader.StarvationLimit,
+		CountedRunTime: d.Derived.Leader.CountedRunTime,
+	}
+}
+
 // roundBits is how many rounds of comparison a term has numbers for.
 const roundBits = 16
 
@@ -213,8 +211,8 @@
 			return
 		}
 		now := time.Now()
-		if l.mayPlan(now) {
-			l.place(now)
+		if l.planner.IsDue(now) && l.mayBegin(now) {
+			l.plan(now)
 		}
 		l.writeNext(ctx, now)
 		l.sendCommands(ctx, now)
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -74,5 +74,5 @@
 	m.Rental.IdleSince = now
 	took := now.Sub(m.Rental.KnownSince)
 	slog.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", l.token, "bootS", took.Seconds())
-	l.replan = true
+	l.planner.Requested = true
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -74,12 +74,12 @@
 			l.completeJob(j)
 		}
 		l.publishCounts(j)
-		l.queue(j)
+		l.planner.Enqueue(j)
 		age := time.Duration(now.UnixMilli()-j.AcceptedMs) * time.Millisecond
 		l.arrived(j, age, now)
-		l.remember(j, age, now)
+		l.planner.RestoreAge(j, age, now)
 	}
-	l.replan, l.uncovered = true, true
+	l.planner.Requested, l.planner.GuaranteesStale = true, true
 	l.raisedAt = now
 	l.listSyncAt = now.Add(2 * l.Derived.Cloud.ListLag)
 	l.seenRevision.Store(after)
@@ -134,7 +134,7 @@
 	for _, p := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(p.Begun) {
 			a := p.Begun[attempt]
-			l.count(a)
+			l.planner.Capacity.Count(a)
 			a.Machine.Assignments[attempt] = a
 			a.Job.RestoreAssignment(a)
 		}
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -23,9 +23,9 @@
 // batch tasks that would be over too late on the machines there are.
 func (l *Leader) needs(now time.Time) []autoscaler.Demand {
 	var queue []autoscaler.PendingTasks
-	for _, d := range l.unmet {
+	for _, d := range l.planner.Unmet {
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
-			queue = append(queue, autoscaler.PendingTasks{Spec: s, Count: d.Count, RunS: l.runS(s), DeadlineS: l.Settings.Operator.TimeLeftShare * l.timeLeft(d.Job)})
+			queue = append(queue, autoscaler.PendingTasks{Spec: s, Count: d.Count, RunS: l.runTimes.Seconds(s), DeadlineS: l.Settings.Operator.TimeLeftShare * l.timeLeft(d.Job)})
 		}
 	}
 	var late []int
@@ -34,12 +34,12 @@
 		late, short = autoscaler.ForecastLateTasks(l.rooms(now), queue), l.shortfall(now)
 	}
 	var needs []autoscaler.Demand
-	for _, d := range l.unmet {
+	for _, d := range l.planner.Unmet {
 		n := d.Count
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
 			n, late = late[0], late[1:]
 			// A new machine works off several tasks one after the other.
-			if waves := (l.timeLeft(d.Job) - l.shortestBoot().Seconds()) / l.runS(s); waves > 1 && n > 0 {
+			if waves := (l.timeLeft(d.Job) - l.shortestBoot().Seconds()) / l.runTimes.Seconds(s); waves > 1 && n > 0 {
 				n = int(math.Ceil(float64(n) / math.Floor(waves)))
 			}
 			// The forecast knows of no work that is still to come.
@@ -66,7 +66,7 @@
 		return
 	}
 	l.decayFlow(now)
-	work := float64(j.Spec.Tasks) * l.runS(j.Spec) * j.Spec.CPUs
+	work := float64(j.Spec.Tasks) * l.runTimes.Seconds(j.Spec) * j.Spec.CPUs
 	l.arrivalRate += work / l.flowOver().Seconds() * math.Exp(-max(0, age.Seconds())/l.flowOver().Seconds())
 }
 
@@ -83,7 +83,7 @@
 	work := 0.0
 	for _, j := range l.state.Jobs {
 		if !j.IsOver() && j.Spec.RunsToCompletion() {
-			work += float64(j.Spec.Tasks-j.Completions.Count) * l.runS(j.Spec) * j.Spec.CPUs
+			work += float64(j.Spec.Tasks-j.Completions.Count) * l.runTimes.Seconds(j.Spec) * j.Spec.CPUs
 		}
 	}
 	missing := max(l.arrivalRate, work/l.flowOver().Seconds())
@@ -129,11 +129,11 @@
 			if a.Outcome != cluster.Open || !a.Job.Spec.RunsToCompletion() {
 				continue
 			}
-			left := l.runS(a.Job.Spec) - now.Sub(a.RunningSince).Seconds()
+			left := l.runTimes.Seconds(a.Job.Spec) - now.Sub(a.RunningSince).Seconds()
 			if a.Stop.Requested || a.Job.IsOver() {
 				left = a.Stop.GraceS
 			}
-			r.Releases = append(r.Releases, autoscaler.Release{AtS: max(left, overrun*l.runS(a.Job.Spec)), Resources: placement.TaskRequest(a.Job.Spec)})
+			r.Releases = append(r.Releases, autoscaler.Release{AtS: max(left, overrun*l.runTimes.Seconds(a.Job.Spec)), Resources: placement.TaskRequest(a.Job.Spec)})
 		}
 		rooms = append(rooms, r)
 	}
@@ -155,5 +155,5 @@
 	if j.DeadlineS < placement.NoDeadline {
 		return j.DeadlineS
 	}
-	return patience * (l.runS(j.Spec) + l.shortestBoot().Seconds())
+	return patience * (l.runTimes.Seconds(j.Spec) + l.shortestBoot().Seconds())
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"math"
 	"time"
 
 	"ospreyslip/internal/gang"
@@ -23,7 +22,7 @@
 		// What begins in the new one may run for a whole lease from now.
 		m.Worker.LeaseUntil = now.Add(l.Derived.Workers.LeaseExpiry)
 		m.Commands.InDoubtSince = time.Time{}
-		l.replan = true
+		l.planner.Requested = true
 	}
 	m.Worker.Session, m.Worker.Seq, m.Worker.Token, m.Worker.Tasks = r.AgentEpoch, r.Seq, r.FencingToken, r.Tasks
 	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
@@ -104,7 +103,7 @@
 func (l *Leader) taskCompleted(a *cluster.Assignment, now time.Time) {
 	a.Job.Scheduling.ConsecutiveFailures, a.Job.Scheduling.LastServedAt = 0, now
 	clear(a.Machine.Health.FailedJobs)
-	l.ran(a, now)
+	l.runTimes.TaskCompleted(a, now)
 	l.endAssignment(a, cluster.Success)
 }
 
@@ -126,7 +125,7 @@
 		if len(m.Health.FailedJobs) > 1 && !m.Health.Draining {
 			slog.Info("machine suspected", "machine", m.ID, "term", l.token, "reason", "several jobs failed on it")
 			m.Health.Draining = true
-			l.capacity.Remove(m.Offer)
+			l.planner.Capacity.Withdraw(m)
 		}
 	default: // no_room, busy, unknown: refused, and worth another try soon
 		m.AvoidJobUntil(j.ID, now.Add(l.Derived.Workers.HeartbeatInterval))
@@ -144,7 +143,7 @@
 		slog.Info("machine will be taken", "machine", m.ID, "term", l.token, "inS", inS)
 	}
 	m.Health.Draining = true
-	l.capacity.Remove(m.Offer)
+	l.planner.Capacity.Withdraw(m)
 	m.Health.NoticeUntil = now.Add(time.Duration(inS * float64(time.Second)))
 	for _, a := range m.Assignments {
 		if a.Outcome != cluster.Open || a.Stop.Requested {
@@ -158,23 +157,20 @@
 			l.stopTask(a, 0)
 		}
 	}
-	l.replan = true
+	l.planner.Requested = true
 }
 
 // shouldRestartElsewhere tells whether a task on a machine that will be taken should begin anew
 // elsewhere: if it stays, it most likely loses the time until then as well.
 func (l *Leader) shouldRestartElsewhere(a *cluster.Assignment, inS float64, now time.Time) bool {
 	if !a.Job.Spec.RunsToCompletion() {
-		return len(l.unmet) == 0 // it never completes; while others wait it would, too
+		return len(l.planner.Unmet) == 0 // it never completes; while others wait it would, too
 	}
 	ran := 0.0
 	if a.ObservedState == workers.StateRunning {
 		ran = now.Sub(a.RunningSince).Seconds()
 	}
-	runS := l.runS(a.Job.Spec)
-	if usual, known := a.Job.MedianRunTime(); known {
-		runS = math.Exp(usual)
-	}
-	p := l.runsOf(a.Job.Spec.Class).endsWithin(ran, inS, runS)
+	runS := l.runTimes.JobSeconds(a.Job)
+	p := l.runTimes.Of(a.Job.Spec.Class).ChanceToEnd(ran, inS, runS)
 	return p*runS < (1-p)*inS
 }
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -19,6 +19,7 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/runtimes"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
@@ -262,7 +263,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, _, now := bench()
-			l.runTimes["sums"] = &runTimes{variance: 0.25, tasks: 100, jobs: 100}
+			*l.runTimes.Of("sums") = runtimes.Distribution{Variance: 0.25, Tasks: 100, Jobs: 100}
 			j := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10}, 1, 0, now)
 			l.state.Jobs["j-2"] = j
 			for range 25 {
@@ -274,7 +275,7 @@
 				return a
 			}
 			for _, r := range tc.before {
-				l.ran(start(r), now)
+				l.runTimes.TaskCompleted(start(r), now)
 			}
 			clear(m.Assignments)
 			for _, r := range tc.running {
@@ -285,9 +286,9 @@
 				start(9)
 				start(9)
 			}
-			l.findSlow(now)
+			l.drainStragglers(now)
 			if m.Offer.Straggler != tc.slow {
-				t.Errorf("slow: %v, odds %.1f", m.Offer.Straggler, l.slowOdds(m, now))
+				t.Errorf("slow: %v, odds %.1f", m.Offer.Straggler, l.runTimes.StragglerLogOdds(m, now))
 			}
 		})
 	}
@@ -426,18 +427,18 @@
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
 	l.restoreMachine(assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
-	l.place(now)
-	if l.replan {
+	l.plan(now)
+	if l.planner.Requested {
 		t.Fatal("a plan is wanted before anything has happened")
 	}
 	r := report(1, 7)
 	r.Machine = "m-9"
-	if l.answerHeartbeat(r, now); !l.replan {
+	if l.answerHeartbeat(r, now); !l.planner.Requested {
 		t.Error("no plan when it takes work")
 	}
-	l.place(now)
+	l.plan(now)
 	r.Seq++
-	if l.answerHeartbeat(r, now); l.replan {
+	if l.answerHeartbeat(r, now); l.planner.Requested {
 		t.Error("a plan after a report without news")
 	}
 }
@@ -511,19 +512,19 @@
 	l.wishesAsOf = late
 	l.answerHeartbeat(report(1, 3, task), late)
 	a := j.Assignments[0]
-	if n := l.overdue(j, late.Add(time.Second)); n != 1 {
+	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("with a task that has just begun: %d go first", n)
 	}
 	a.Overdue = true
-	if n := l.overdue(j, late.Add(time.Second)); n != 0 {
+	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 0 {
 		t.Errorf("with one ahead already: %d go first", n)
 	}
 	l.requestStop(a, 5)
-	if n := l.overdue(j, late.Add(time.Second)); n != 1 {
+	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("when it has to stop again: %d go first", n)
 	}
 	a.Stop.Requested = false
-	if n := l.overdue(j, late.Add(l.Derived.Leader.CountedRunTime+time.Second)); n != 0 {
+	if n := l.planner.StarvedTasks(j, late.Add(l.Derived.Leader.CountedRunTime+time.Second)); n != 0 {
 		t.Errorf("with a task that has lasted: %d go first", n)
 	}
 }
--- /dev/null
+++ b/internal/leader/plan.go
@@ -0,0 +1,61 @@
+package leader
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+)
+
+// plan places pending tasks on the state as it is.
+func (l *Leader) plan(now time.Time) {
+	defer func() { l.planner.Finished(time.Since(now)) }()
+	plan := l.planner.Plan(now)
+	for _, preemption := range plan.Preemptions {
+		l.stopTask(preemption.Assignment, preemption.GraceS)
+	}
+	for _, placed := range plan.Placements {
+		l.assign(placed.Job, placed.Job.TakePendingTask(), placed.Machine, now).Overdue = placed.Starved
+	}
+}
+
+// usable tells whether work may go to a machine.
+func (l *Leader) usable(m *cluster.Machine, now time.Time) bool {
+	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.detector.Schedulable(m.ID, now)
+}
+
+// machineType looks up a machine type; nil if it is not known.
+func (l *Leader) machineType(name string) *jobs.MachineType {
+	types := l.MachineTypes()
+	i := slices.IndexFunc(types, func(t jobs.MachineType) bool { return t.Name == name })
+	if i < 0 {
+		return nil
+	}
+	return &types[i]
+}
+
+// assign gives a task to a machine, as far as this leader is concerned.
+func (l *Leader) assign(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Assignment {
+	l.attempts++
+	a := &cluster.Assignment{Job: j, Index: task, Attempt: l.attempts, Session: m.Worker.Session, Machine: m, RunningSince: now, CreatedAt: now}
+	if j.IsGang() {
+		if a.GangAttempt = j.Gang.Number; a.GangAttempt == 0 {
+			// The number of the first task is that of all; its own is another.
+			a.GangAttempt = l.attempts
+			l.attempts++
+			a.Attempt = l.attempts
+		}
+		j.JoinGang(a)
+	}
+	slog.Debug("task placed", "task", a.TaskName(), "machine", m.ID, "term", l.token, "class", j.Spec.Class)
+	l.planner.Capacity.Count(a)
+	m.Assignments[a.Attempt] = a
+	j.Assignments[task] = a
+	l.log.QueueBegin(a)
+	if !m.Offer.Images[j.Spec.Image] {
+		m.Offer.Fetching[j.Spec.Image] = j.Spec.ImageGB
+	}
+	return a
+}
--- /dev/null
+++ b/internal/leader/planner/capacity.go
@@ -0,0 +1,87 @@
+package planner
+
+import (
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/placement"
+)
+
+// Capacity is what assignments use of machines and quotas, and the index of free room by which
+// placement finds machines.
+type Capacity struct {
+	index       placement.CapacityIndex
+	usedByTeam  map[string]placement.Resources
+	tasksByRank [8]int // tasks on machines, by priority
+	machineType func(name string) *jobs.MachineType
+}
+
+// NewCapacity makes one without machines. MachineType returns nil for a type that is not known.
+func NewCapacity(machineType func(name string) *jobs.MachineType) *Capacity {
+	return &Capacity{usedByTeam: map[string]placement.Resources{}, machineType: machineType}
+}
+
+// UsedBy is what a team's tasks take that are, or may be, on machines.
+func (c *Capacity) UsedBy(team string) placement.Resources { return c.usedByTeam[team] }
+
+// Count makes an assignment count against its machine's room, its team's quota and its job's
+// spread over zones.
+func (c *Capacity) Count(a *cluster.Assignment) {
+	a.CountsAsUsed = true
+	c.add(a, 1)
+}
+
+// Release undoes Count. It does nothing for an assignment that does not count.
+func (c *Capacity) Release(a *cluster.Assignment) {
+	if a.CountsAsUsed {
+		a.CountsAsUsed = false
+		c.add(a, -1)
+	}
+}
+
+func (c *Capacity) add(a *cluster.Assignment, sign int) {
+	machine, spec := a.Machine, a.Job.Spec
+	request := placement.TaskRequest(spec)
+	machine.Used = machine.Used.AddTimes(request, float64(sign))
+	c.index.SetFree(machine.Offer, machine.Offer.Total.AddTimes(machine.Used, -1))
+	c.usedByTeam[spec.Team] = c.usedByTeam[spec.Team].AddTimes(request, float64(sign))
+	c.tasksByRank[spec.Rank()] += sign
+	a.Job.Zones[machine.Zone] += sign
+}
+
+// Offer lets placement use a machine, if its type is known, and tells whether that is new.
+func (c *Capacity) Offer(m *cluster.Machine) (isNew bool) {
+	offer := m.Offer
+	changed := offer.Type != m.Type || offer.Zone != m.Zone || offer.Spot != m.Spot
+	if offer.Total == (placement.Resources{}) || changed {
+		machineType := c.machineType(m.Type)
+		if machineType == nil {
+			return false
+		}
+		c.index.Remove(offer)
+		offer.Type, offer.Zone, offer.Spot = m.Type, m.Zone, m.Spot
+		offer.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+		offer.FetchGBPS = machineType.FetchGBPS
+		offer.Free = offer.Total.AddTimes(m.Used, -1)
+	}
+	return c.index.Insert(offer)
+}
+
+// Withdraw keeps placement from using a machine.
+func (c *Capacity) Withdraw(m *cluster.Machine) { c.index.Remove(m.Offer) }
+
+// usage returns a copy of what the teams use.
+func (c *Capacity) usage() map[string]placement.Resources {
+	used := make(map[string]placement.Resources, len(c.usedByTeam))
+	for team, resources := range c.usedByTeam {
+		used[team] = resources
+	}
+	return used
+}
+
+// lowestRank is the lowest priority of which a task is on a machine.
+func (c *Capacity) lowestRank() (rank int) {
+	for rank < len(c.tasksByRank)-1 && c.tasksByRank[rank] == 0 {
+		rank++
+	}
+	return rank
+}
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -20,10 +20,10 @@
 	l.adopting[j] = true
 }
 
-// awaitsWorkers tells whether a job may have tasks on machines that are not known yet, or
+// MayHaveUnknownTasks tells whether a job may have tasks on machines that are not known yet, or
 // whether its team may: then it could come over its limit. A node that began after a loss
 // does not know which jobs are new: it places none before all have been compared.
-func (l *Leader) awaitsWorkers(j *cluster.Job, now time.Time) bool {
+func (l *Leader) MayHaveUnknownTasks(j *cluster.Job, now time.Time) bool {
 	if now.Before(j.Adoption.Until) || l.settling(now) {
 		return true
 	}
@@ -55,9 +55,9 @@
 	return false
 }
 
-// countHeld adds what tasks of held jobs take, as far as these are described: they run on,
+// AddHeldUsage adds what tasks of held jobs take, as far as these are described: they run on,
 // though no assignment accounts for them.
-func (l *Leader) countHeld(used map[string]placement.Resources) {
+func (l *Leader) AddHeldUsage(used map[string]placement.Resources) {
 	for _, h := range l.held {
 		if h.known.Spec != nil && len(h.known.RunningTasks) > 0 {
 			need := placement.TaskRequest(h.known.Spec)
@@ -106,7 +106,7 @@
 	}
 	slog.Info("task adopted", "task", a.TaskName(), "machine", a.Machine.ID, "term", l.token, "state", p.Task.State)
 	l.history.add(now, "task adopted", a.TaskName())
-	l.count(a)
+	l.planner.Capacity.Count(a)
 	a.Machine.Assignments[a.Attempt] = a
 	j.Assignments[n] = a
 	j.Pending.Count--
@@ -155,7 +155,7 @@
 				l.stopGang(j, 0)
 			}
 		}
-		l.queue(j)
-		l.replan = true
+		l.planner.Enqueue(j)
+		l.planner.Requested = true
 	}
 }
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -200,7 +200,7 @@
 	if l.fresh && !l.settling(now) {
 		l.fresh = false
 		l.Cache.AssumeComplete()
-		l.replan = true
+		l.planner.Requested = true
 	}
 }
 
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -32,7 +32,7 @@
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
 	next.state.Jobs[spec.ID] = j
 	next.suspect(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
-	if !next.awaitsWorkers(j, now) {
+	if !next.MayHaveUnknownTasks(j, now) {
 		t.Fatal("tasks would be placed before those that run are known")
 	}
 	began := time.Now()
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -144,7 +144,7 @@
 		if m.Commands.UndeliveredAnswers == maxUndelivered {
 			slog.Info("machine does not hear", "machine", m.ID, "term", l.token)
 			l.detector.MarkUnreachable(m.ID)
-			l.replan = true
+			l.planner.Requested = true
 		}
 	}
 }
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		m.Phase = cluster.Releasing
-		l.capacity.Remove(m.Offer)
+		l.planner.Capacity.Withdraw(m)
 		l.returns = append(l.returns, m.ID)
 	}
 	if len(l.returns) == 0 || l.returning {
@@ -66,5 +66,5 @@
 		// Reports, too, may arrive long after their machine is gone.
 		l.returned[id] = now.Add(4 * l.Derived.Workers.CancelDeadline)
 	}
-	l.replan = true
+	l.planner.Requested = true
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -73,10 +73,10 @@
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
 		l, reports, now := fleetOf(t, size)
-		l.replan, l.notifyQueue = false, nil
+		l.planner.Requested, l.notifyQueue = false, nil
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { again(l, reports[20], now) })
-		if l.replan || l.log.HasWork() || len(l.notifyQueue) > 0 {
+		if l.planner.Requested || l.log.HasWork() || len(l.notifyQueue) > 0 {
 			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
 		}
 		return n
@@ -99,10 +99,10 @@
 	l, reports, now := fleetOf(b, largest)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 	l.answerHeartbeat(idle, now)
-	l.queue(l.state.Jobs["j-7"])
+	l.planner.Enqueue(l.state.Jobs["j-7"])
 	_ = reports
 	for b.Loop() {
-		l.place(now)
+		l.plan(now)
 		m := l.state.Machines.ByID[idle.Machine]
 		if len(m.Assignments) != 1 {
 			b.Fatalf("%d tasks placed", len(m.Assignments))
@@ -124,11 +124,11 @@
 		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimatedRuntimeS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
 		j := cluster.NewJob(s.ID, s, uint64(i+2), 0, now)
 		l.state.Jobs[j.ID] = j
-		l.queue(j)
+		l.planner.Enqueue(j)
 	}
 	for b.Loop() {
-		l.uncovered = true
-		l.place(now)
+		l.planner.GuaranteesStale = true
+		l.plan(now)
 	}
 }
 
@@ -139,9 +139,9 @@
 	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
 	l.state.Jobs[j.ID] = j
-	l.queue(j)
+	l.planner.Enqueue(j)
 	for b.Loop() {
-		l.place(now)
+		l.plan(now)
 		if len(j.Assignments) > 0 {
 			b.Fatal("placed where nothing fits")
 		}
@@ -154,7 +154,7 @@
 	cost := func(size int) float64 {
 		l, _, now := fleetOf(t, size)
 		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
-		l.unmet, l.publishedAt = nil, now
+		l.planner.Unmet, l.publishedAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.fleetAt = time.Time{}
 			l.tick(t.Context(), now)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -113,7 +113,7 @@
 	}
 	slices.SortFunc(s.Classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
 	for _, t := range l.Settings.Deployment.Teams {
-		used := l.used[t.Name]
+		used := l.planner.Capacity.UsedBy(t.Name)
 		s.Teams = append(s.Teams, TeamStatus{t.Name, used.CPUs, used.GPUs})
 	}
 	return s
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -6,6 +6,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/planner"
 	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/workers"
 )
@@ -18,7 +19,7 @@
 		RunsToCompletion: j.Spec.RunsToCompletion(), JobFinished: j.IsOver(), JobCancelled: j.End.Cancelled, Preempted: a.Stop.Requested, GraceS: a.Stop.GraceS,
 		GangReady: a.MayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		RecordsIncomplete: a.Restored && a.ObservedState == "" && l.awaitsWorkers(j, now),
+		RecordsIncomplete: a.Restored && a.ObservedState == "" && l.MayHaveUnknownTasks(j, now),
 	}
 }
 
@@ -36,13 +37,13 @@
 	p := l.failover.Progress(now)
 	slog.Info("take-over settled", "term", l.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
 		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
-	l.replan = true
+	l.planner.Requested = true
 }
 
-// mayPreempt tells whether others may be stopped for a job. In a take-over, machines that
+// MayPreempt tells whether others may be stopped for a job. In a take-over, machines that
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
-func (l *Leader) mayPreempt(j *cluster.Job, now time.Time) bool {
+func (l *Leader) MayPreempt(j *cluster.Job, now time.Time) bool {
 	if !l.failover.AwaitsCapacity(now) {
 		return true // which is so but for the first seconds of a term
 	}
@@ -60,7 +61,7 @@
 	bound := l.Derived.Detection.HeartbeatOverdue
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class || o.Kind == "guarantee" && j.Scheduling.WithinGuarantee && j.Spec.Shape == jobs.Batch {
-			bound = min(bound, times(time.Second, patientShare*o.WithinS))
+			bound = min(bound, times(time.Second, planner.PatienceShare*o.WithinS))
 		}
 	}
 	return times(bound, l.Settings.Operator.TakeoverPatience)
--- a/internal/leader/takeover_test.go
+++ b/internal/leader/takeover_test.go
@@ -36,20 +36,20 @@
 		"nothing that it should be": {waiting("sums", jobs.Urgent, false), l.Derived.Detection.HeartbeatOverdue},
 	} {
 		c.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders as well
-		if l.mayPreempt(c.j, now.Add(c.bound-time.Millisecond)) || !l.mayPreempt(c.j, now.Add(c.bound)) {
+		if l.MayPreempt(c.j, now.Add(c.bound-time.Millisecond)) || !l.MayPreempt(c.j, now.Add(c.bound)) {
 			t.Errorf("%s: others are stopped for it at another time than after %v", what, c.bound)
 		}
 	}
-	if !l.mayPreempt(waiting("web", jobs.Prod, false), now) {
+	if !l.MayPreempt(waiting("web", jobs.Prod, false), now) {
 		t.Error("production waits")
 	}
 	l.Settings.Operator.TakeoverPatience = 0
-	if !l.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
+	if !l.MayPreempt(waiting("sums", jobs.Urgent, false), now) {
 		t.Error("operators want others to be stopped at once")
 	}
 	l.Settings.Operator.TakeoverPatience = 1
 	l.failover.MachineReported("m-2")
-	if !l.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
+	if !l.MayPreempt(waiting("sums", jobs.Urgent, false), now) {
 		t.Error("all machines have reported: there is no other room")
 	}
 }
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -6,44 +6,17 @@
 	"time"
 
 	"ospreyslip/internal/leader/cluster"
-	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
 )
 
-// count makes an assignment weigh in room, quota and zones.
-func (l *Leader) count(a *cluster.Assignment) {
-	need := placement.TaskRequest(a.Job.Spec)
-	a.CountsAsUsed = true
-	l.setRoom(a.Machine, a.Machine.Used.AddTimes(need, 1))
-	l.used[a.Job.Spec.Team] = l.used[a.Job.Spec.Team].AddTimes(need, 1)
-	l.tasksByRank[a.Job.Spec.Rank()]++
-	a.Job.Zones[a.Machine.Zone]++
-}
-
-// setRoom notes what assignments take of a machine.
-func (l *Leader) setRoom(m *cluster.Machine, room placement.Resources) {
-	m.Used = room
-	l.capacity.SetFree(m.Offer, m.Offer.Total.AddTimes(room, -1))
-}
-
 // updateCapacity offers a machine to placement while it takes work.
 func (l *Leader) updateCapacity(m *cluster.Machine, now time.Time) {
 	if !l.usable(m, now) {
-		l.capacity.Remove(m.Offer)
+		l.planner.Capacity.Withdraw(m)
 		return
 	}
-	if o := m.Offer; o.Total == (placement.Resources{}) || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot {
-		t := l.machineType(m.Type)
-		if t == nil {
-			return
-		}
-		l.capacity.Remove(o)
-		o.Type, o.Zone, o.Spot = m.Type, m.Zone, m.Spot
-		o.Total, o.FetchGBPS = placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}, t.FetchGBPS
-		o.Free = o.Total.AddTimes(m.Used, -1)
-	}
-	if l.capacity.Insert(m.Offer) {
-		l.replan = true
+	if l.planner.Capacity.Offer(m) {
+		l.planner.Requested = true
 	}
 }
 
@@ -62,16 +35,10 @@
 	if a.Outcome != cluster.Open {
 		return
 	}
-	j, m, need := a.Job, a.Machine, placement.TaskRequest(a.Job.Spec)
+	j, m := a.Job, a.Machine
 	l.setObservedState(a, "")
 	a.Outcome = o
-	if a.CountsAsUsed {
-		a.CountsAsUsed = false
-		l.setRoom(m, m.Used.AddTimes(need, -1))
-		l.used[j.Spec.Team] = l.used[j.Spec.Team].AddTimes(need, -1)
-		l.tasksByRank[j.Spec.Rank()]--
-		j.Zones[m.Zone]--
-	}
+	l.planner.Capacity.Release(a)
 	if o == cluster.Success && !j.IsOver() && j.MarkTaskDone(a.Index) {
 		if j.IsGang() {
 			for n := range j.Spec.Tasks { // if one is done, all are
@@ -91,7 +58,7 @@
 	}
 	l.log.QueueEnd(a)
 	l.publishCounts(j)
-	l.replan = true
+	l.planner.Requested = true
 	if j.IsGang() {
 		l.leaveGang(j)
 	}
@@ -111,7 +78,7 @@
 // completeJob lets the job's record be written as done.
 func (l *Leader) completeJob(j *cluster.Job) {
 	j.End.Complete = true
-	l.vary(j)
+	l.runTimes.JobCompleted(j)
 	l.completedJobs = append(l.completedJobs, j)
 }
 
@@ -128,10 +95,10 @@
 		}
 		if a.Outcome == cluster.Retry && !j.IsOver() {
 			j.RequeueTask(a.Index)
-			l.queue(j)
+			l.planner.Enqueue(j)
 		}
 	}
-	l.replan = true
+	l.planner.Requested = true
 	l.removeIfSettled(j)
 }
 
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -98,11 +98,11 @@
 		l.announceToSilent(m, now)
 		l.updateCapacity(m, now) // what has fallen silent takes no work
 		if m.ExpireAvoidance(now) {
-			l.replan = true
+			l.planner.Requested = true
 		}
 	}
 	if l.tickGroup == 0 && l.mayBegin(now) {
-		l.findSlow(now)
+		l.drainStragglers(now)
 	}
 	calls, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.probesInFlight)
 	for _, id := range calls {
@@ -186,7 +186,7 @@
 	}
 	l.log.QueueDeath(m.ID)
 	l.updateCapacity(m, now)
-	l.replan = true
+	l.planner.Requested = true
 	if reason == liveness.ProbeFailed {
 		l.release(ctx, now, m)
 	}
