--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -31,10 +31,10 @@
 	spec, live := *l.state.Jobs["j-7"].Spec, *small
 	next := successor(l, written(l), now, &spec, &live)
 	notifyPending := func() (ids []string) {
-		for _, m := range next.unresponsiveQueue {
+		for _, m := range next.dispatcher.unresponsive {
 			ids = append(ids, m.ID)
 		}
-		next.unresponsiveQueue = nil
+		next.dispatcher.unresponsive = nil
 		slices.Sort(ids)
 		return ids
 	}
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -62,9 +62,9 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.endMachineTasks(m, "not of this test")
-	l.state.Jobs, l.state.Machines, l.planner.Capacity, l.log, l.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.machineType), assignmentlog.New(assignmentlog.Config{}), nil
+	l.state.Jobs, l.state.Machines, l.planner.Capacity, l.log, l.writer.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.machineType), assignmentlog.New(assignmentlog.Config{}), nil
 	l.detector = liveness.New(liveness.Config{})
-	l.token, l.attempts = token, token<<24
+	l.fencing.token, l.lastAttempt = token, token<<24
 	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
 	for i, spec := range specs {
 		l.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
@@ -221,10 +221,10 @@
 // copy that is carried out late, after newer ones or under the next leader, fails.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	l, m, j, now := bench()
-	l.term.HolderRevision, l.tokenRevision, j.Revision = 77, 78, 79
+	l.term.HolderRevision, l.fencing.revision, j.Revision = 77, 78, 79
 	l.readLog(nil)
-	l.raisePending = true
-	l.completedJobs = append(l.completedJobs, j)
+	l.fencing.raisePending = true
+	l.writer.completedJobs = append(l.writer.completedJobs, j)
 	l.assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
 	b := l.compose()
 	revisions := map[string]uint64{}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -39,7 +39,7 @@
 		switch {
 		case m.Phase == cluster.Releasing || !m.Health.Dead && l.mayHaveTasks(m):
 		case m.Phase == cluster.Booting && l.neverCameUp(m, now):
-			slog.Info("machine never came up", "machine", m.ID, "term", l.token)
+			slog.Info("machine never came up", "machine", m.ID, "term", l.fencing.token)
 			back = append(back, m)
 		case m.Phase == cluster.Up && !m.Health.NoticeUntil.IsZero() && now.After(m.Health.NoticeUntil) && !m.Worker.HeartbeatAt.After(m.Health.NoticeUntil):
 			// Announced and not heard since: taken. Giving it back makes that certain,
@@ -155,7 +155,7 @@
 		if len(ids) == 0 {
 			level = slog.LevelDebug
 		}
-		slog.Log(ctx, level, "machines rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ids), "term", l.token)
+		slog.Log(ctx, level, "machines rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ids), "term", l.fencing.token)
 		for _, id := range ids {
 			if l.state.Machines.ByID[id] == nil {
 				m := cluster.NewMachine(id, now)
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -60,14 +60,14 @@
 		proven := after >= least && !asked.IsZero()
 		sent := asked
 		l.post(ctx, func(now time.Time) {
-			if proven && sent.After(l.wishesAsOf) {
-				l.wishesAsOf = sent
+			if proven && sent.After(l.view.asOf) {
+				l.view.asOf = sent
 			}
 			for _, c := range changes {
 				l.applyJobChange(c, now)
 			}
-			l.seenRevision.Store(seen)
-			maps.DeleteFunc(l.cancelledLater, func(_ string, at uint64) bool { return at <= seen })
+			l.view.seenRevision.Store(seen)
+			maps.DeleteFunc(l.view.cancelledLater, func(_ string, at uint64) bool { return at <= seen })
 		})
 	}
 }
@@ -77,21 +77,21 @@
 // changes come that say that it was accepted.
 func (l *Leader) cancelFromPeers(all []jobs.Cancellation, by time.Time) {
 	for _, c := range all {
-		if c.Revision <= l.seenRevision.Load() {
+		if c.Revision <= l.view.seenRevision.Load() {
 			continue
 		}
-		l.cancelledLater[c.Job] = c.Revision
+		l.view.cancelledLater[c.Job] = c.Revision
 		if j := l.state.Jobs[c.Job]; j != nil && !j.End.Cancelled {
 			l.cancelJob(j, c.Revision)
 		}
 	}
-	if by.After(l.wishesAsOf) {
-		l.wishesAsOf = by
+	if by.After(l.view.asOf) {
+		l.view.asOf = by
 	}
 }
 
 func (l *Leader) cancelJob(j *cluster.Job, revision uint64) {
-	slog.Info("job cancelled", "job", j.ID, "term", l.token)
+	slog.Info("job cancelled", "job", j.ID, "term", l.fencing.token)
 	j.End.Cancelled, j.Revision, j.End.CancelSeenAt = true, revision, time.Now()
 	l.endTasksOf(j)
 }
@@ -107,7 +107,7 @@
 		return
 	}
 	id := jobs.JobIDFromKey(c.Set)
-	l.unpublishedChanges = append(l.unpublishedChanges, peer.JobChange{ID: id, State: rec.State, Tasks: rec.Tasks})
+	l.broadcast.changes = append(l.broadcast.changes, peer.JobChange{ID: id, State: rec.State, Tasks: rec.Tasks})
 	j := l.state.Jobs[id]
 	if known, _ := l.Cache.Known(id); known.Finished() && !rec.Finished() {
 		return // the record is older than what users were told: it will be written again
@@ -118,7 +118,7 @@
 		delete(l.held, id)
 	}
 	switch {
-	case j == nil && l.cancelledLater[id] > c.Revision: // cancelled since
+	case j == nil && l.view.cancelledLater[id] > c.Revision: // cancelled since
 	case j == nil && !rec.Finished() && rec.Spec != nil:
 		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AcceptedAtMs, now)
 		l.state.Jobs[id] = j
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -21,7 +21,7 @@
 // others have to stop.
 func (l *Leader) leaveGang(j *cluster.Job) {
 	if j.Gang.Assigned--; !j.IsOver() && j.GangVerdict() == gang.Abort {
-		slog.Debug("gang not whole", "job", j.ID, "attempt", j.Gang.Number, "term", l.token, "left", j.Gang.Assigned)
+		slog.Debug("gang not whole", "job", j.ID, "attempt", j.Gang.Number, "term", l.fencing.token, "left", j.Gang.Assigned)
 		l.stopGang(j, 0)
 	}
 }
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -162,8 +162,8 @@
 	if d := cmp.Diff([]string(nil), l.says("m-2", j, now, done)); d != "" {
 		t.Errorf("before the job's end is durable: %s", d)
 	}
-	if j.Completions.Count != 3 || !j.End.Complete || len(l.completedJobs) != 1 {
-		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.completedJobs))
+	if j.Completions.Count != 3 || !j.End.Complete || len(l.writer.completedJobs) != 1 {
+		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.writer.completedJobs))
 	}
 	b := l.compose()
 	if a := j.Assignments[2]; !a.Log.EndInFlight || len(b.Writes) < 2 {
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -47,7 +47,7 @@
 // 0 if there is none.
 func (g *Gate) SeenRevision() uint64 {
 	if l := g.leader.Load(); l != nil {
-		return l.seenRevision.Load()
+		return l.view.seenRevision.Load()
 	}
 	return 0
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -42,70 +42,77 @@
 	Node                string
 }
 
-// Leader is one term's work.
+// Leader is one term's work. One goroutine, in run, owns all of it but the channels and what is
+// atomic; Gate hands it what others ask for.
 type Leader struct {
 	Deps
-	term     election.Term
-	failover *reconcile.Failover
+	term  election.Term
+	state *cluster.State // jobs, machines and assignments
 
 	heartbeats chan heartbeatRequest
-	events     chan func(now time.Time) // outcomes of I/O, applied by the one goroutine
-	quit       chan struct{}
-
-	view
-	tokens
-	writer
-	planner  *planner.Planner
-	runTimes *runtimes.Estimator
-	attempts uint64 // the number given out last
-	dispatcher
+	events     chan func(now time.Time) // outcomes of I/O, applied by the event loop
+	quit       chan struct{}            // closed when the event loop has ended
+
+	view       recordView
+	fencing    fencing
+	detector   *liveness.Detector
+	failover   *reconcile.Failover
+	log        *assignmentlog.Log
+	writer     recordWriter
+	planner    *planner.Planner
+	runTimes   *runtimes.Estimator
+	dispatcher dispatcher
 	fleetManager
 	recoverer
 
-	tickGroup          int // of the ticks in a control interval
-	publishedAt        time.Time
-	unpublishedChanges []peer.JobChange // of records, since then
-	mayResign          bool
-	resign             bool
+	lastAttempt     uint64    // number of the newest assignment
+	nextLeaseExpiry time.Time // no worker's lease ends before
+	tickGroup       int       // of the ticks in a control interval
+	broadcast       broadcast
+	mayResign       bool
+	resign          bool
 }
 
-// view is what the leader knows of jobs and machines, and as of when.
-type view struct {
-	state           *cluster.State
-	detector        *liveness.Detector
-	wishesAsOf      time.Time         // all that users were told by then is in the jobs
-	seenRevision    atomic.Uint64     // as are all changes up to this revision
-	cancelledLater  map[string]uint64 // jobs known to be cancelled at a later revision
-	nextLeaseExpiry time.Time         // no worker's lease ends before
+// recordView is as of when the leader knows the records of jobs.
+type recordView struct {
+	asOf           time.Time         // all that users were told by then is in the jobs
+	seenRevision   atomic.Uint64     // all changes up to this revision are
+	cancelledLater map[string]uint64 // jobs known to be cancelled at a revision that is not seen yet
 }
 
-// tokens is the fencing token, as raised within the term to end doubts.
-type tokens struct {
+// fencing is the fencing token. It is raised within the term so that commands whose outcome is
+// unknown are refused from then on.
+type fencing struct {
 	token                uint64
-	tokenRevision        uint64
+	revision             uint64 // of the token's key
 	raisePending         bool
-	tokenAbove           uint64 // the next token is above it: a worker, or the log, shows it
-	checkingHolder       bool
+	raiseAbove           uint64 // the next token is above it, as a worker or the log shows it
+	checkingHolder       bool   // whether the term is still held is being read
 	raisedAt             time.Time
-	acknowledgementsHeld bool                      // an end is not cleared, for want of a higher token
-	inDoubtMachines      map[*cluster.Machine]bool // with a doubtSince, and some that had one
+	acknowledgementsHeld bool                      // an ended task waits for a higher token to be cleared
+	inDoubtMachines      map[*cluster.Machine]bool // a superset of those with Commands.InDoubtSince
 }
 
-// writer is what waits to be made durable, and the transaction under way.
-type writer struct {
-	log                 *assignmentlog.Log
-	completedJobs       []*cluster.Job // whose records are to be written as done
-	transactionInFlight bool
-	storeUnavailable    bool // the last transaction was not executed, as far as is known
-	flushedAt           time.Time
+// recordWriter is what waits to be written besides the log, and the transaction under way.
+type recordWriter struct {
+	completedJobs    []*cluster.Job // whose records are to be written as done
+	inFlight         bool
+	storeUnavailable bool // the last transaction was not executed, as far as is known
+	startedAt        time.Time
 }
 
-// dispatcher is the orders and calls to workers.
+// dispatcher is the commands and probes to workers.
 type dispatcher struct {
-	notifyQueue       []*cluster.Machine // have something to be told at once
-	unresponsiveQueue []*cluster.Machine // the same, but they may not answer
-	commandsInFlight  int
-	probesInFlight    int
+	queue            []*cluster.Machine // have something to be told at once
+	unresponsive     []*cluster.Machine // the same, but they may not answer
+	commandsInFlight int
+	probesInFlight   int
+}
+
+// broadcast is what other controllers are told from time to time.
+type broadcast struct {
+	sentAt  time.Time
+	changes []peer.JobChange // of records, since then
 }
 
 // fleetManager is the renting and returning of machines.
@@ -127,25 +134,42 @@
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
-		Deps: d, term: t, failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
-		heartbeats: make(chan heartbeatRequest, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:     view{state: cluster.NewState(), cancelledLater: map[string]uint64{}},
-		tokens:   tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, inDoubtMachines: map[*cluster.Machine]bool{}},
-		writer:   writer{log: assignmentlog.New(logConfig(d.Derived))},
-		runTimes: runtimes.NewEstimator(), attempts: t.FencingToken << attemptBits,
+		Deps: d, term: t, state: cluster.NewState(),
+		heartbeats: make(chan heartbeatRequest, heartbeatQueue),
+		events:     make(chan func(time.Time), eventQueue),
+		quit:       make(chan struct{}),
+		view:       recordView{cancelledLater: map[string]uint64{}},
+		fencing: fencing{
+			token: t.FencingToken, revision: t.TokenRevision, inDoubtMachines: map[*cluster.Machine]bool{},
+		},
+		failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
+		log:      assignmentlog.New(logConfig(d.Derived)),
+		runTimes: runtimes.NewEstimator(), lastAttempt: t.FencingToken << attemptBits,
 		fleetManager: fleetManager{renting: map[autoscaler.MachinePool]int{}, refused: map[autoscaler.MachinePool]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
 	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.machineType, l)
 	l.round = t.FencingToken << roundBits
-	l.detector = liveness.New(liveness.Config{
-		SuspectAfter: d.Derived.Detection.SuspectAfter, LeaseExpiry: d.Derived.Workers.LeaseExpiry,
-		HoldTimeout: d.Derived.Detection.MaxHold, VerdictInterval: d.Derived.Detection.VerdictInterval, MachinesPerVerdict: smallZone,
-		HeartbeatOverdue: d.Derived.Detection.HeartbeatOverdue, GroupSuspectAfter: d.Derived.Detection.ZoneSilenceLimit, Importance: l.productionTasks,
-	})
+	l.detector = liveness.New(detectorConfig(d.Derived, l.productionTasks))
 	return l
 }
 
+// How many heartbeats and outcomes wait for the event loop before their senders do.
+const (
+	heartbeatQueue = 16
+	eventQueue     = 64
+)
+
+// detectorConfig is what the failure detector goes by.
+func detectorConfig(derived settings.Derived, importance func(machine string) int) liveness.Config {
+	return liveness.Config{
+		SuspectAfter: derived.Detection.SuspectAfter, LeaseExpiry: derived.Workers.LeaseExpiry,
+		HoldTimeout: derived.Detection.MaxHold, VerdictInterval: derived.Detection.VerdictInterval,
+		MachinesPerVerdict: smallZone, HeartbeatOverdue: derived.Detection.HeartbeatOverdue,
+		GroupSuspectAfter: derived.Detection.ZoneSilenceLimit, Importance: importance,
+	}
+}
+
 // logConfig is the limits of the assignment log.
 func logConfig(derived settings.Derived) assignmentlog.Config {
 	return assignmentlog.Config{ChunkTasks: derived.Store.ChunkTasks, MaxOps: derived.Store.TxnOps, ValueBytes: derived.Store.ValueBytes}
@@ -222,5 +246,5 @@
 // mayBegin tells whether new work can be made durable. While it cannot, a plan
 // would stop tasks to make room that nothing can be placed in.
 func (l *Leader) mayBegin(now time.Time) bool {
-	return !l.storeUnavailable && now.Sub(l.PromisesRequestedAt()) > l.Derived.Election.LeaseDuration
+	return !l.writer.storeUnavailable && now.Sub(l.PromisesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -42,7 +42,7 @@
 			m.Rental.IdleSince = now
 			m.Type, m.Zone, m.Spot = e.Type, e.Zone, e.Spot
 			l.state.Machines.Add(m)
-			slog.Info("machine found in the list", "machine", m.ID, "term", l.token, "state", e.State)
+			slog.Info("machine found in the list", "machine", m.ID, "term", l.fencing.token, "state", e.State)
 		}
 		if m.Addr == "" {
 			m.Addr = e.Addr
@@ -52,7 +52,7 @@
 			m.Rental.ListedRunningSince = now
 		}
 		if e.State == autoscaler.StateFailed && m.Phase != cluster.Releasing {
-			slog.Info("machine failed", "machine", m.ID, "term", l.token, "reason", "cloud says so")
+			slog.Info("machine failed", "machine", m.ID, "term", l.fencing.token, "reason", "cloud says so")
 			failed = append(failed, m)
 		}
 	}
@@ -73,6 +73,6 @@
 	m.Phase = cluster.Up
 	m.Rental.IdleSince = now
 	took := now.Sub(m.Rental.KnownSince)
-	slog.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", l.token, "bootS", took.Seconds())
+	slog.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", l.fencing.token, "bootS", took.Seconds())
 	l.planner.Requested = true
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -19,7 +19,7 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) loadRecords(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.wishesAsOf, l.fresh = now, !l.Cache.ProvenCurrent()
+	l.view.asOf, l.fresh = now, !l.Cache.ProvenCurrent()
 	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
@@ -80,11 +80,11 @@
 		l.planner.RestoreAge(j, age, now)
 	}
 	l.planner.Requested, l.planner.GuaranteesStale = true, true
-	l.raisedAt = now
+	l.fencing.raisedAt = now
 	l.listSyncAt = now.Add(2 * l.Derived.Cloud.ListLag)
-	l.seenRevision.Store(after)
+	l.view.seenRevision.Store(after)
 	l.failover.RecordsLoaded(time.Now())
-	slog.Info("records read", "term", l.token, "jobs", len(l.state.Jobs), "ended", over, "machines", len(l.state.Machines.All))
+	slog.Info("records read", "term", l.fencing.token, "jobs", len(l.state.Jobs), "ended", over, "machines", len(l.state.Machines.All))
 	return after, nil
 }
 
@@ -194,6 +194,6 @@
 		j.GrowTo(t.Index + 1)
 	}
 	p.Begun[t.Attempt] = &cluster.Assignment{
-		Job: j, Index: t.Index, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.token - 1}, CreatedAt: now, RunningSince: now,
+		Job: j, Index: t.Index, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.fencing.token - 1}, CreatedAt: now, RunningSince: now,
 	}
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -76,7 +76,7 @@
 	if a.ObservedState == t.State {
 		return
 	}
-	slog.Debug("task seen", "task", t.Name, "machine", a.Machine.ID, "term", l.token, "state", t.State)
+	slog.Debug("task seen", "task", t.Name, "machine", a.Machine.ID, "term", l.fencing.token, "state", t.State)
 	switch t.State {
 	case workers.StateRunning:
 		if a.ObservedState == workers.StateFetching || a.ObservedState == workers.StateGathering || !a.Restored {
@@ -123,7 +123,7 @@
 			j.Scheduling.BackoffUntil = now.Add(min(l.Derived.Workers.HeartbeatInterval<<min(j.Scheduling.ConsecutiveFailures-2, 6), l.Derived.Workers.CancelDeadline))
 		}
 		if len(m.Health.FailedJobs) > 1 && !m.Health.Draining {
-			slog.Info("machine suspected", "machine", m.ID, "term", l.token, "reason", "several jobs failed on it")
+			slog.Info("machine suspected", "machine", m.ID, "term", l.fencing.token, "reason", "several jobs failed on it")
 			m.Health.Draining = true
 			l.planner.Capacity.Withdraw(m)
 		}
@@ -133,14 +133,14 @@
 			j.Scheduling.BackoffUntil = now.Add(l.Derived.Workers.HeartbeatInterval)
 		}
 	}
-	slog.Debug("task ended", "task", a.TaskName(), "machine", m.ID, "term", l.token, "reason", t.Cause)
+	slog.Debug("task ended", "task", a.TaskName(), "machine", m.ID, "term", l.fencing.token, "reason", t.Cause)
 }
 
 // applySpotNotice prepares for the loss of a machine: what can save does so, what may still
 // complete goes on, and the rest begins anew elsewhere at once.
 func (l *Leader) applySpotNotice(m *cluster.Machine, inS float64, now time.Time) {
 	if m.Health.NoticeUntil.IsZero() {
-		slog.Info("machine will be taken", "machine", m.ID, "term", l.token, "inS", inS)
+		slog.Info("machine will be taken", "machine", m.ID, "term", l.fencing.token, "inS", inS)
 	}
 	m.Health.Draining = true
 	l.planner.Capacity.Withdraw(m)
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -31,21 +31,21 @@
 	switch {
 	case !m.Commands.NotifyPending:
 	case m.Commands.OrderFailures > 0 || m.Worker.HeartbeatAt.IsZero():
-		l.unresponsiveQueue = append(l.unresponsiveQueue, m)
+		l.dispatcher.unresponsive = append(l.dispatcher.unresponsive, m)
 	default:
-		l.notifyQueue = append(l.notifyQueue, m)
+		l.dispatcher.queue = append(l.dispatcher.queue, m)
 	}
 }
 
 // sendCommands tells workers at once what cannot wait for their next report. A few
 // orders are on their way at a time: at a take-over every worker has to be told.
 func (l *Leader) sendCommands(ctx context.Context, now time.Time) {
-	l.sendQueuedCommands(ctx, now, &l.notifyQueue, l.Derived.Host.CommandsInFlight)
-	l.sendQueuedCommands(ctx, now, &l.unresponsiveQueue, l.Derived.Host.CommandsInFlight/2)
+	l.sendQueuedCommands(ctx, now, &l.dispatcher.queue, l.Derived.Host.CommandsInFlight)
+	l.sendQueuedCommands(ctx, now, &l.dispatcher.unresponsive, l.Derived.Host.CommandsInFlight/2)
 }
 
 func (l *Leader) sendQueuedCommands(ctx context.Context, now time.Time, queue *[]*cluster.Machine, most int) {
-	for len(*queue) > 0 && l.commandsInFlight < most {
+	for len(*queue) > 0 && l.dispatcher.commandsInFlight < most {
 		m := (*queue)[0]
 		*queue = (*queue)[1:]
 		if !m.Commands.NotifyPending || m.Commands.OrderInFlight {
@@ -64,7 +64,7 @@
 		if len(calls) == 0 && m.Worker.Token >= token {
 			continue
 		}
-		l.commandsInFlight++
+		l.dispatcher.commandsInFlight++
 		l.failover.CommandSent(now)
 		m.Commands.OrderInFlight = true
 		l.detector.CommandSent(m.ID)
@@ -88,7 +88,7 @@
 // until a report shows them or the worker has seen a higher token.
 func (l *Leader) commandsReturned(m *cluster.Machine, o workers.CommandRequest, r *workers.Heartbeat, ok bool, err error, now time.Time) {
 	m.Commands.OrderInFlight = false
-	l.commandsInFlight--
+	l.dispatcher.commandsInFlight--
 	defer l.enqueueNotification(m)
 	neverSent := !ok && err == nil
 	var op *net.OpError
@@ -107,11 +107,11 @@
 		case err != nil && a.ObservedState == "":
 			a.Start.InDoubtToken = o.FencingToken
 			m.Commands.InDoubtSince = now
-			l.inDoubtMachines[m] = true
+			l.fencing.inDoubtMachines[m] = true
 		}
 	}
 	if err != nil {
-		slog.Debug("order failed", "machine", m.ID, "term", l.token, "reason", err)
+		slog.Debug("order failed", "machine", m.ID, "term", l.fencing.token, "reason", err)
 		m.Commands.RetryAfter = now.Add(min(l.Derived.Leader.ControlInterval<<min(m.Commands.OrderFailures, 8), l.Derived.Workers.Lease/4))
 		m.Commands.OrderFailures++
 		m.Commands.NotifyPending = true
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -49,7 +49,7 @@
 		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
 		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
-	l.attempts, l.wishesAsOf = 100, now
+	l.lastAttempt, l.view.asOf = 100, now
 	l.detector = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	l.state.Jobs["j-1"] = j
@@ -369,8 +369,8 @@
 			l.notify(lost) // from an earlier leader's records: it has not reported to this one
 		}
 		l.sendCommands(ctx, now)
-		if l.commandsInFlight != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.commandsInFlight)
+		if l.dispatcher.commandsInFlight != 2 {
+			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.dispatcher.commandsInFlight)
 		}
 		m.Worker.LeaseUntil = now.Add(time.Hour)
 		l.notify(m)
@@ -486,7 +486,7 @@
 			r := report(1, 4, task)
 			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
-			l.wishesAsOf = now
+			l.view.asOf = now
 			l.answerHeartbeat(r, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
 				t.Errorf("stopped: %v", a.Stop.Requested)
@@ -509,7 +509,7 @@
 	l.answerHeartbeat(report(1, 2), now)
 	task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
 	late := now.Add(l.Derived.Leader.StarvationLimit)
-	l.wishesAsOf = late
+	l.view.asOf = late
 	l.answerHeartbeat(report(1, 3, task), late)
 	a := j.Assignments[0]
 	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
@@ -564,11 +564,11 @@
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
 	for now := start; now.Sub(start) < 20*l.Derived.Workers.LeaseExpiry; now = now.Add(step) {
-		l.wishesAsOf = now
+		l.view.asOf = now
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := report(1, seq)
-			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
+			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.fencing.token
 			if m := l.state.Machines.ByID[r.Machine]; m != nil {
 				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
 			}
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -23,7 +23,7 @@
 
 // usable tells whether work may go to a machine.
 func (l *Leader) usable(m *cluster.Machine, now time.Time) bool {
-	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.token && l.detector.Schedulable(m.ID, now)
+	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.fencing.token && l.detector.Schedulable(m.ID, now)
 }
 
 // machineType looks up a machine type; nil if it is not known.
@@ -38,18 +38,18 @@
 
 // assign gives a task to a machine, as far as this leader is concerned.
 func (l *Leader) assign(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Assignment {
-	l.attempts++
-	a := &cluster.Assignment{Job: j, Index: task, Attempt: l.attempts, Session: m.Worker.Session, Machine: m, RunningSince: now, CreatedAt: now}
+	l.lastAttempt++
+	a := &cluster.Assignment{Job: j, Index: task, Attempt: l.lastAttempt, Session: m.Worker.Session, Machine: m, RunningSince: now, CreatedAt: now}
 	if j.IsGang() {
 		if a.GangAttempt = j.Gang.Number; a.GangAttempt == 0 {
 			// The number of the first task is that of all; its own is another.
-			a.GangAttempt = l.attempts
-			l.attempts++
-			a.Attempt = l.attempts
+			a.GangAttempt = l.lastAttempt
+			l.lastAttempt++
+			a.Attempt = l.lastAttempt
 		}
 		j.JoinGang(a)
 	}
-	slog.Debug("task placed", "task", a.TaskName(), "machine", m.ID, "term", l.token, "class", j.Spec.Class)
+	slog.Debug("task placed", "task", a.TaskName(), "machine", m.ID, "term", l.fencing.token, "class", j.Spec.Class)
 	l.planner.Capacity.Count(a)
 	m.Assignments[a.Attempt] = a
 	j.Assignments[task] = a
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -88,7 +88,7 @@
 // suspect takes in what shows that records are lost.
 func (l *Leader) suspect(e detection.Evidence, now time.Time) {
 	if l.evidence[e.Kind]++; l.evidence[e.Kind] == 1 || l.phase == Whole {
-		slog.Error("records may be lost", "term", l.token, "evidence", e.String())
+		slog.Error("records may be lost", "term", l.fencing.token, "evidence", e.String())
 	}
 	l.history.add(now, "evidence", e.String())
 	switch e.Kind {
@@ -102,7 +102,7 @@
 	if e.Kind.AffectsLog() && l.phase != Comparing {
 		// What this leader holds is the truth: it is written once more, all of it.
 		l.log.RewriteAll()
-		l.raisePending = true
+		l.fencing.raisePending = true
 	}
 	switch {
 	case e.Kind == detection.TaskUnknown || e.Kind == detection.TokenBack:
@@ -127,8 +127,8 @@
 	l.ignorant = true
 	// Tokens may have been given out before this one that were this one as well, and with
 	// them the numbers of attempts.
-	if l.term.FencingToken > l.tokenAbove {
-		l.tokenAbove, l.raisePending = l.token, true
+	if l.term.FencingToken > l.fencing.raiseAbove {
+		l.fencing.raiseAbove, l.fencing.raisePending = l.fencing.token, true
 	}
 	l.expectAllTasks(now)
 }
@@ -212,7 +212,7 @@
 	}
 	l.Cache.MarkCompared()
 	l.queueDecided()
-	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostCount(), "to decide", len(l.knowledge))
+	slog.Info("records compared", "term", l.fencing.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostCount(), "to decide", len(l.knowledge))
 	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostCount()))
 }
 
@@ -237,7 +237,7 @@
 	l.putBack.Store(false)
 	clear(l.knowledge)
 	clear(l.strays)
-	slog.Info("records whole", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "held", len(l.held))
+	slog.Info("records whole", "term", l.fencing.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "held", len(l.held))
 	l.history.add(now, "whole", fmt.Sprintf("%d jobs held", len(l.held)))
 }
 
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -95,7 +95,7 @@
 // attemptOf is the number of an adopted task's attempt: that by which its worker knows
 // it. Numbers given out later are above it.
 func (l *Leader) attemptOf(t *workers.TaskStatus) uint64 {
-	l.attempts = max(l.attempts, t.Attempt)
+	l.lastAttempt = max(l.lastAttempt, t.Attempt)
 	return t.Attempt
 }
 
@@ -104,7 +104,7 @@
 		Job: j, Index: n, Attempt: attempt, GangAttempt: gang, Session: p.Session, Machine: p.Machine,
 		Restored: true, Start: cluster.Start{Sent: true}, CreatedAt: now, RunningSince: now,
 	}
-	slog.Info("task adopted", "task", a.TaskName(), "machine", a.Machine.ID, "term", l.token, "state", p.Task.State)
+	slog.Info("task adopted", "task", a.TaskName(), "machine", a.Machine.ID, "term", l.fencing.token, "state", p.Task.State)
 	l.history.add(now, "task adopted", a.TaskName())
 	l.planner.Capacity.Count(a)
 	a.Machine.Assignments[a.Attempt] = a
@@ -135,8 +135,8 @@
 			continue
 		}
 		l.attemptOf(&p.Task)
-		l.attempts++
-		l.adoptTask(j, n, p, l.attempts, p.Task.Attempt, now)
+		l.lastAttempt++
+		l.adoptTask(j, n, p, l.lastAttempt, p.Task.Attempt, now)
 	}
 	j.Adoption.GangParts = nil
 }
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -126,7 +126,7 @@
 		}
 		if !scan.gone && now.Sub(l.since) > l.Derived.Workers.CancelDeadline {
 			scan.gone = true
-			slog.Info("controller not heard, taken for gone", "term", l.token, "peer", name)
+			slog.Info("controller not heard, taken for gone", "term", l.fencing.token, "peer", name)
 			l.history.add(now, "peer not heard", name)
 		}
 		if scan.gone {
@@ -304,11 +304,11 @@
 		l.expectTasks(now)
 		l.suspect(e, now)
 	}
-	l.attempts = max(l.attempts, newest)
-	if token := detection.TokenOfAttempt(newest, attemptBits); token > l.token {
+	l.lastAttempt = max(l.lastAttempt, newest)
+	if token := detection.TokenOfAttempt(newest, attemptBits); token > l.fencing.token {
 		l.expectTasks(now)
-		l.tokenAbove, l.raisePending = max(l.tokenAbove, token), true
-		l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.token}, now)
+		l.fencing.raiseAbove, l.fencing.raisePending = max(l.fencing.raiseAbove, token), true
+		l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.fencing.token}, now)
 	}
 }
 
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -131,7 +131,7 @@
 	}
 	r := l.composeRecord(id, h.known, d, now)
 	r.revision = h.revision
-	slog.Info("job settled by an operator", "job", id, "term", l.token, "as", string(as), "said", h.known.Provenance())
+	slog.Info("job settled by an operator", "job", id, "term", l.fencing.token, "as", string(as), "said", h.known.Provenance())
 	l.history.add(now, "settled as "+string(as), id)
 	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}, {Key: jobs.RecordKey(id), Revision: r.revision}}
 	go func() {
@@ -235,7 +235,7 @@
 	case rec.Finished() && known.Finished() && known.State != rec.State:
 		// What users were told last stays; which of the two is right is for a person to see.
 		count.Contradicting++
-		slog.Error("snapshot contradicts a record", "job", id, "term", l.token, "record", known.State, "snapshot", rec.State)
+		slog.Error("snapshot contradicts a record", "job", id, "term", l.fencing.token, "record", known.State, "snapshot", rec.State)
 		l.history.add(now, "snapshot contradicts the record", id)
 	case rec.Finished() && known.State != rec.State:
 		count.Ended++
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -26,7 +26,7 @@
 	l, reports, now := fleetOf(t, lostFleet)
 	spec := *l.state.Jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
-	next.wishesAsOf = now
+	next.view.asOf = now
 	next.detector = liveness.New(liveness.Config{})
 	next.readLog(nil)
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -156,7 +156,7 @@
 	}
 	l.held[id] = h
 	delete(l.strays, id)
-	slog.Info("job held", "job", id, "term", l.token, "reason", h.why)
+	slog.Info("job held", "job", id, "term", l.fencing.token, "reason", h.why)
 }
 
 // heldSeen takes in a worker's task of a held job. If that proves what was open, the
@@ -186,7 +186,7 @@
 		if _, err := recovery.Settle(h.known, recovery.SettleRun); err == nil {
 			h.known.Unfinished = true
 			l.unwritten = append(l.unwritten, id)
-			slog.Info("uncertain job runs", "job", id, "term", l.token, "reason", "held for runUncertainAfterS")
+			slog.Info("uncertain job runs", "job", id, "term", l.fencing.token, "reason", "held for runUncertainAfterS")
 		}
 		h.sinceMs = now.UnixMilli()
 	}
--- a/internal/leader/recovery_token.go
+++ b/internal/leader/recovery_token.go
@@ -13,24 +13,24 @@
 // now, and this one has not noticed. If the term is still held, the token was lost: it is
 // raised above all that workers have seen.
 func (l *Leader) tokenAhead(shown uint64, now time.Time) {
-	if l.checkingHolder || shown <= l.tokenAbove || !l.IsLeader() {
+	if l.fencing.checkingHolder || shown <= l.fencing.raiseAbove || !l.IsLeader() {
 		return
 	}
-	if !detection.PlausibleToken(shown, l.token) {
-		slog.Error("report with a token that cannot be", "term", l.token, "token", shown)
+	if !detection.PlausibleToken(shown, l.fencing.token) {
+		slog.Error("report with a token that cannot be", "term", l.fencing.token, "token", shown)
 		return
 	}
-	l.checkingHolder = true
+	l.fencing.checkingHolder = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), l.Derived.Store.RequestTimeout)
 		defer cancel()
 		p, found, err := l.Store.Get(ctx, election.HolderKey)
 		outcome := func(now time.Time) {
-			l.checkingHolder = false
+			l.fencing.checkingHolder = false
 			switch {
 			case err != nil:
 			case !found || p.Revision != l.term.HolderRevision:
-				slog.Info("term lost", "term", l.token, "reason", "a worker has seen a higher token")
+				slog.Info("term lost", "term", l.fencing.token, "reason", "a worker has seen a higher token")
 				l.resign = true
 			default:
 				l.tokenWasLost(shown, now)
@@ -44,25 +44,25 @@
 }
 
 func (l *Leader) tokenWasLost(shown uint64, now time.Time) {
-	if shown <= max(l.token, l.tokenAbove) {
+	if shown <= max(l.fencing.token, l.fencing.raiseAbove) {
 		return
 	}
-	l.tokenAbove, l.raisePending = shown, true
-	l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.token}, now)
+	l.fencing.raiseAbove, l.fencing.raisePending = shown, true
+	l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.fencing.token}, now)
 }
 
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
-	if l.tokenAbove < l.term.FencingToken {
+	if l.fencing.raiseAbove < l.term.FencingToken {
 		return
 	}
-	l.term.FencingToken = l.token
-	l.attempts = max(l.attempts, l.token<<attemptBits)
+	l.term.FencingToken = l.fencing.token
+	l.lastAttempt = max(l.lastAttempt, l.fencing.token<<attemptBits)
 	for _, m := range l.state.Machines.All {
 		for _, a := range m.Assignments {
 			if a.Start.InDoubtToken != 0 {
-				a.Start.InDoubtToken = l.token - 1 // an order under any earlier token may still arrive
+				a.Start.InDoubtToken = l.fencing.token - 1 // an order under any earlier token may still arrive
 			}
 		}
 	}
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -194,7 +194,7 @@
 func (l *Leader) recordsWritten(batch []lostRecord, rev uint64, failed []string, found map[string]kvstore.KeyValue, err error, now time.Time) {
 	l.recording = false
 	if slices.Contains(failed, election.HolderKey) {
-		slog.Info("term lost", "term", l.token, "reason", "holder key changed")
+		slog.Info("term lost", "term", l.fencing.token, "reason", "holder key changed")
 		l.resign = true
 		return
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	if err != nil {
-		slog.Debug("lost records not written", "term", l.token, "reason", err)
+		slog.Debug("lost records not written", "term", l.fencing.token, "reason", err)
 		l.recordAt = now.Add(l.Derived.Election.RenewInterval)
 	}
 	for _, r := range slices.Backward(batch) {
@@ -244,7 +244,7 @@
 	l.restored[r.decision.Outcome]++
 	l.Cache.Apply(jobs.RecordKey(r.id), r.value, rev)
 	k, _ := l.knowledgeOf(r.id)
-	slog.Info("lost record written", "job", r.id, "term", l.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Provenance())
+	slog.Info("lost record written", "job", r.id, "term", l.fencing.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Provenance())
 	l.history.add(now, string(r.decision.Outcome), r.id)
 	delete(l.knowledge, r.id)
 	delete(l.ranks, r.id)
@@ -305,7 +305,7 @@
 			l.recording = false
 			switch {
 			case len(failed) > 0:
-				slog.Info("term lost", "term", l.token, "reason", "holder key changed")
+				slog.Info("term lost", "term", l.fencing.token, "reason", "holder key changed")
 				l.resign = true
 			case err != nil:
 				l.recordAt = now.Add(l.Derived.Election.RenewInterval)
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -12,10 +12,10 @@
 
 // answerHeartbeat answers a worker, or returns nil if this node has no right to.
 func (l *Leader) answerHeartbeat(r *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
-	if r.FencingToken > l.token {
+	if r.FencingToken > l.fencing.token {
 		l.tokenAhead(r.FencingToken, now)
 	}
-	if !l.IsLeader() || l.wishesAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.token {
+	if !l.IsLeader() || l.wishesAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.fencing.token {
 		return nil
 	}
 	m := l.state.Machines.ByID[r.Machine]
@@ -61,7 +61,7 @@
 	l.detector.Heartbeat(m.ID, r.Zone, c, now)
 	if m.Health.Dead && !l.detector.IsDead(m.ID) {
 		m.Health.Dead = false
-		slog.Info("machine reports again", "machine", m.ID, "term", l.token)
+		slog.Info("machine reports again", "machine", m.ID, "term", l.fencing.token)
 	}
 	l.adopt(m, r, now)
 	l.applyObservation(m, r, now)
@@ -142,7 +142,7 @@
 	default:
 		m.Commands.UndeliveredAnswers++
 		if m.Commands.UndeliveredAnswers == maxUndelivered {
-			slog.Info("machine does not hear", "machine", m.ID, "term", l.token)
+			slog.Info("machine does not hear", "machine", m.ID, "term", l.fencing.token)
 			l.detector.MarkUnreachable(m.ID)
 			l.planner.Requested = true
 		}
@@ -198,7 +198,7 @@
 		}
 	}
 	m.Commands.NeedsHigherToken = held.needHigherToken()
-	l.acknowledgementsHeld = l.acknowledgementsHeld || m.Commands.NeedsHigherToken && held.newest >= l.token
+	l.fencing.acknowledgementsHeld = l.fencing.acknowledgementsHeld || m.Commands.NeedsHigherToken && held.newest >= l.fencing.token
 	return calls
 }
 
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -31,7 +31,7 @@
 	ids := slices.Clone(l.returns[:min(len(l.returns), autoscaler.MaxMachinesPerRelease)])
 	l.returns = slices.Delete(l.returns, 0, len(ids))
 	l.returning = true
-	slog.Info("machines going back", "machines", ids, "term", l.token)
+	slog.Info("machines going back", "machines", ids, "term", l.fencing.token)
 	go func() {
 		_, err := backoff.Retry(ctx, func() (struct{}, error) {
 			if !l.IsLeader() {
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -73,10 +73,10 @@
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
 		l, reports, now := fleetOf(t, size)
-		l.planner.Requested, l.notifyQueue = false, nil
+		l.planner.Requested, l.dispatcher.queue = false, nil
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { again(l, reports[20], now) })
-		if l.planner.Requested || l.log.HasWork() || len(l.notifyQueue) > 0 {
+		if l.planner.Requested || l.log.HasWork() || len(l.dispatcher.queue) > 0 {
 			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
 		}
 		return n
@@ -154,7 +154,7 @@
 	cost := func(size int) float64 {
 		l, _, now := fleetOf(t, size)
 		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
-		l.planner.Unmet, l.publishedAt = nil, now
+		l.planner.Unmet, l.broadcast.sentAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.fleetAt = time.Time{}
 			l.tick(t.Context(), now)
@@ -195,7 +195,7 @@
 // successor is the next leader, which has read the log but heard of no machine.
 func successor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
 	next := newLeader(l.Deps, election.Term{FencingToken: 6})
-	next.wishesAsOf = now
+	next.view.asOf = now
 	next.detector = liveness.New(liveness.Config{})
 	for _, s := range specs {
 		next.state.Jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -80,9 +80,9 @@
 
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
-		Term: l.term.FencingToken, Token: l.token, PictureS: l.wishesAge(now).Seconds(),
+		Term: l.term.FencingToken, Token: l.fencing.token, PictureS: l.wishesAge(now).Seconds(),
 		Held: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
-		WriteQueue: len(l.completedJobs) + l.log.QueueLength(),
+		WriteQueue: len(l.writer.completedJobs) + l.log.QueueLength(),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
 		Takeover: l.failover.Progress(now),
 	}
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -19,7 +19,7 @@
 			if !slow {
 				continue
 			}
-			slog.Info("machine slow", "machine", m.ID, "term", l.token, "odds", odds)
+			slog.Info("machine slow", "machine", m.ID, "term", l.fencing.token, "odds", odds)
 			m.Offer.Straggler = true
 		}
 		servesUsers := false
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -35,7 +35,7 @@
 		return
 	}
 	p := l.failover.Progress(now)
-	slog.Info("take-over settled", "term", l.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
+	slog.Info("take-over settled", "term", l.fencing.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
 		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
 	l.planner.Requested = true
 }
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -79,7 +79,7 @@
 func (l *Leader) completeJob(j *cluster.Job) {
 	j.End.Complete = true
 	l.runTimes.JobCompleted(j)
-	l.completedJobs = append(l.completedJobs, j)
+	l.writer.completedJobs = append(l.writer.completedJobs, j)
 }
 
 // removeAssignment drops an assignment whose end is durable.
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -15,17 +15,17 @@
 // resolveInDoubt asks for a higher token where orders have been in doubt for long, and
 // once in a lease where an end waits for it to be cleared.
 func (l *Leader) resolveInDoubt(now time.Time) {
-	raise := l.acknowledgementsHeld && now.Sub(l.raisedAt) > l.Derived.Workers.Lease
-	for m := range l.inDoubtMachines {
+	raise := l.fencing.acknowledgementsHeld && now.Sub(l.fencing.raisedAt) > l.Derived.Workers.Lease
+	for m := range l.fencing.inDoubtMachines {
 		if m.Commands.InDoubtSince.IsZero() || !l.state.Machines.Contains(m) {
-			delete(l.inDoubtMachines, m)
+			delete(l.fencing.inDoubtMachines, m)
 			continue
 		}
 		inDoubt := false
 		for _, a := range m.Assignments {
 			if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 {
 				inDoubt = true
-				raise = raise || a.Start.InDoubtToken == l.token && now.Sub(m.Commands.InDoubtSince) > l.Derived.Workers.InDoubtTimeout && now.Sub(l.raisedAt) > l.Derived.Leader.ControlInterval
+				raise = raise || a.Start.InDoubtToken == l.fencing.token && now.Sub(m.Commands.InDoubtSince) > l.Derived.Workers.InDoubtTimeout && now.Sub(l.fencing.raisedAt) > l.Derived.Leader.ControlInterval
 			}
 		}
 		if !inDoubt {
@@ -34,7 +34,7 @@
 		}
 	}
 	if raise {
-		l.raisePending, l.raisedAt = true, now // once, however long the write takes
+		l.fencing.raisePending, l.fencing.raisedAt = true, now // once, however long the write takes
 	}
 }
 
@@ -77,7 +77,7 @@
 func (l *Leader) endMachineTasks(m *cluster.Machine, reason string) {
 	for _, a := range m.Assignments {
 		if a.Outcome == cluster.Open {
-			slog.Info("task lost", "task", a.TaskName(), "machine", m.ID, "term", l.token, "reason", reason)
+			slog.Info("task lost", "task", a.TaskName(), "machine", m.ID, "term", l.fencing.token, "reason", reason)
 			l.endAssignment(a, cluster.Retry)
 		}
 	}
@@ -104,14 +104,14 @@
 	if l.tickGroup == 0 && l.mayBegin(now) {
 		l.drainStragglers(now)
 	}
-	calls, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.probesInFlight)
+	calls, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.dispatcher.probesInFlight)
 	for _, id := range calls {
 		m := l.state.Machines.ByID[id]
 		if m == nil {
 			l.detector.Forget(id)
 			continue
 		}
-		l.probesInFlight++
+		l.dispatcher.probesInFlight++
 		addr := m.Addr // a report may change it meanwhile
 		go func() {
 			r, err := l.Workers.Probe(ctx, addr)
@@ -125,14 +125,14 @@
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
-	if l.detector.FullDisruption() && l.mayResign && !l.transactionInFlight && !l.log.HasWork() {
-		slog.Info("resigning", "term", l.token, "reason", "no machine of any zone reports here")
+	if l.detector.FullDisruption() && l.mayResign && !l.writer.inFlight && !l.log.HasWork() {
+		slog.Info("resigning", "term", l.fencing.token, "reason", "no machine of any zone reports here")
 		l.resign = true
 	}
-	if now.Sub(l.publishedAt) > l.Derived.Leader.ControlInterval/2 {
-		l.publishedAt = now
-		l.Broadcast(l.Counts.nonZero(), l.unpublishedChanges)
-		l.unpublishedChanges = nil
+	if now.Sub(l.broadcast.sentAt) > l.Derived.Leader.ControlInterval/2 {
+		l.broadcast.sentAt = now
+		l.Broadcast(l.Counts.nonZero(), l.broadcast.changes)
+		l.broadcast.changes = nil
 	}
 }
 
@@ -150,10 +150,10 @@
 }
 
 // wishesAge is how old the picture of users' wishes may be.
-func (l *Leader) wishesAge(now time.Time) time.Duration { return now.Sub(l.wishesAsOf) }
+func (l *Leader) wishesAge(now time.Time) time.Duration { return now.Sub(l.view.asOf) }
 
 func (l *Leader) probeReturned(m *cluster.Machine, r *workers.Heartbeat, err error, now time.Time) {
-	l.probesInFlight--
+	l.dispatcher.probesInFlight--
 	if workers.OutOfSockets(err) {
 		l.detector.ProbeNotSent(m.ID, now) // it never left this process
 		return
@@ -175,7 +175,7 @@
 	if m == nil {
 		return
 	}
-	slog.Info("machine judged dead", "machine", m.ID, "zone", m.Zone, "term", l.token, "reason", string(reason), "tasks", len(m.Assignments))
+	slog.Info("machine judged dead", "machine", m.ID, "zone", m.Zone, "term", l.fencing.token, "reason", string(reason), "tasks", len(m.Assignments))
 	m.Health.Dead = true
 	for _, a := range m.Assignments {
 		// A gang that runs may well run on. One that gathers would hold its room until
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -14,7 +14,7 @@
 // tokenFor is the token in answers and orders to a machine.
 func (l *Leader) tokenFor(m *cluster.Machine) uint64 {
 	if m.Commands.NeedsHigherToken || !m.Commands.InDoubtSince.IsZero() {
-		return l.token
+		return l.fencing.token
 	}
 	return max(m.Worker.Token, l.term.FencingToken)
 }
--- a/internal/leader/token_test.go
+++ b/internal/leader/token_test.go
@@ -16,7 +16,7 @@
 	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
-			l.state.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.token
+			l.state.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.fencing.token
 			r.Tasks = append(r.Tasks, task)
 		}
 	}
@@ -47,10 +47,10 @@
 			t.Errorf("%s, before there is a higher token: %+v", r.Machine, a)
 		}
 	}
-	if !l.acknowledgementsHeld {
+	if !l.fencing.acknowledgementsHeld {
 		t.Error("no higher token is asked for")
 	}
-	l.token = 6
+	l.fencing.token = 6
 	for _, want := range []struct {
 		r     *workers.Heartbeat
 		token uint64
@@ -67,7 +67,7 @@
 	if got := l.tokenFor(l.state.Machines.ByID[few.Machine]); got != 5 {
 		t.Errorf("token %d where nothing waits, want 5", got)
 	}
-	l.term.FencingToken, l.token = 7, 7
+	l.term.FencingToken, l.fencing.token = 7, 7
 	if got := l.tokenFor(l.state.Machines.ByID[few.Machine]); got != 7 {
 		t.Errorf("token %d, of an earlier term", got)
 	}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -22,15 +22,15 @@
 
 // writeNext starts the next transaction.
 func (l *Leader) writeNext(ctx context.Context, now time.Time) {
-	if l.transactionInFlight || !l.raisePending && len(l.completedJobs) == 0 && !l.log.HasWork() || now.Sub(l.flushedAt) < l.Derived.Leader.FlushInterval || !l.IsLeader() {
+	if l.writer.inFlight || !l.fencing.raisePending && len(l.writer.completedJobs) == 0 && !l.log.HasWork() || now.Sub(l.writer.startedAt) < l.Derived.Leader.FlushInterval || !l.IsLeader() {
 		return
 	}
-	l.flushedAt = now
+	l.writer.startedAt = now
 	b := l.compose()
 	if len(b.Writes) == 0 {
 		return
 	}
-	l.transactionInFlight = true
+	l.writer.inFlight = true
 	go func() {
 		rev, failed, err := l.Store.Commit(ctx, b.Guards, b.Writes)
 		l.post(ctx, func(time.Time) { l.transactionReturned(ctx, b, rev, failed, err) })
@@ -43,7 +43,7 @@
 	l.log.Grow(l.Derived.Store.TxnOps / 2)
 	// The segments of a transaction of unknown outcome come before all else.
 	left := l.Derived.Store.TxnOps - l.log.UnsettledSegments()
-	if l.raisePending && left > 0 {
+	if l.fencing.raisePending && left > 0 {
 		l.addToken(b)
 		left--
 	}
@@ -52,9 +52,9 @@
 	if l.log.UnsettledSegments() == 0 && l.log.HasNews() {
 		limit = len(b.Writes) + max(1, left/2)
 	}
-	for len(l.completedJobs) > 0 && len(b.Writes) < limit {
-		j := l.completedJobs[0]
-		l.completedJobs = l.completedJobs[1:]
+	for len(l.writer.completedJobs) > 0 && len(b.Writes) < limit {
+		j := l.writer.completedJobs[0]
+		l.writer.completedJobs = l.writer.completedJobs[1:]
 		l.addJobCompletion(b, j)
 	}
 	l.log.AddSegments(b, l.Derived.Store.TxnOps)
@@ -63,19 +63,19 @@
 }
 
 func (l *Leader) addToken(b *transaction.Batch) {
-	next := max(l.token, l.tokenAbove) + 1
-	l.raisePending = false
-	b.OnFailure(func() { l.raisePending = true })
+	next := max(l.fencing.token, l.fencing.raiseAbove) + 1
+	l.fencing.raisePending = false
+	b.OnFailure(func() { l.fencing.raisePending = true })
 	b.OnCommit(func(rev uint64) {
-		l.token, l.tokenRevision = next, rev
-		l.acknowledgementsHeld = false
+		l.fencing.token, l.fencing.revision = next, rev
+		l.fencing.acknowledgementsHeld = false
 		l.TokenRaised(next)
 		l.tokenRaised()
-		slog.Info("token raised", "term", l.token, "reason", "an order may still arrive")
+		slog.Info("token raised", "term", l.fencing.token, "reason", "an order may still arrive")
 	})
-	b.Set(election.TokenKey, l.tokenRevision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
+	b.Set(election.TokenKey, l.fencing.revision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
 		// Ours, from an attempt whose outcome was unknown; or the key was lost.
-		l.token, l.tokenRevision = next, m
+		l.fencing.token, l.fencing.revision = next, m
 		l.TokenRaised(next)
 		l.tokenRaised()
 	})
@@ -87,9 +87,9 @@
 	}
 	rec := jobs.Record{Tasks: j.Spec.Tasks, Spec: j.Spec}
 	b.Set(jobs.RecordKey(j.ID), j.Revision, rec.FinalForm(jobs.Done, l.Derived.Store.ValueBytes), func(uint64) {})
-	b.OnFailure(func() { l.completedJobs = append(l.completedJobs, j) })
+	b.OnFailure(func() { l.writer.completedJobs = append(l.writer.completedJobs, j) })
 	b.OnCommit(func(uint64) {
-		slog.Debug("job done", "job", j.ID, "term", l.token)
+		slog.Debug("job done", "job", j.ID, "term", l.fencing.token)
 		l.jobCompletionDurable(j)
 	})
 }
@@ -110,22 +110,22 @@
 
 // dropCompleted takes a job off those whose end is to be written.
 func (l *Leader) dropCompleted(id string) {
-	l.completedJobs = slices.DeleteFunc(l.completedJobs, func(f *cluster.Job) bool { return f.ID == id })
+	l.writer.completedJobs = slices.DeleteFunc(l.writer.completedJobs, func(f *cluster.Job) bool { return f.ID == id })
 }
 
 // transactionReturned takes in the outcome of a transaction.
 func (l *Leader) transactionReturned(ctx context.Context, b *transaction.Batch, rev uint64, failed []string, err error) {
 	// What was too large is no outage: were it taken for one, and nothing were left to
 	// be written, nothing would be planned any more.
-	l.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
+	l.writer.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failed) == 0 {
-		l.transactionInFlight = false
+		l.writer.inFlight = false
 		l.committed(b, rev)
 		return
 	}
 	b.Failed()
 	if err != nil {
-		slog.Debug("records not written", "term", l.token, "reason", err)
+		slog.Debug("records not written", "term", l.fencing.token, "reason", err)
 		if !errors.Is(err, kvstore.ErrNotExecuted) {
 			l.log.MarkOutcomeUnknown()
 		}
@@ -133,19 +133,19 @@
 			l.transactionRejected(b, err)
 		}
 		if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
-			slog.Error("records not written", "term", l.token, "reason", err)
+			slog.Error("records not written", "term", l.fencing.token, "reason", err)
 		}
-		l.postAfter(ctx, l.Derived.Election.RenewInterval/4, func() { l.transactionInFlight = false })
+		l.postAfter(ctx, l.Derived.Election.RenewInterval/4, func() { l.writer.inFlight = false })
 		return
 	}
 	if slices.Contains(failed, election.HolderKey) {
 		// The term is over. The keeper notices by itself; nothing is written.
-		slog.Info("term lost", "term", l.token, "reason", "holder key changed")
+		slog.Info("term lost", "term", l.fencing.token, "reason", "holder key changed")
 		return
 	}
 	// An earlier transaction of ours was executed after all, or a user ended a
 	// job. Only keys that others never write under our term are written again.
-	slog.Debug("guards failed", "term", l.token, "keys", failed)
+	slog.Debug("guards failed", "term", l.fencing.token, "keys", failed)
 	go l.readConflictingKeys(ctx, b, failed)
 }
 
@@ -179,7 +179,7 @@
 	for _, w := range b.Writes {
 		most = max(most, len(w.Value))
 	}
-	slog.Error("transaction rejected", "term", l.token, "writes", len(b.Writes), "bytes", b.Bytes, "largest", most, "reason", err)
+	slog.Error("transaction rejected", "term", l.fencing.token, "writes", len(b.Writes), "bytes", b.Bytes, "largest", most, "reason", err)
 	if l.log.OutcomeUnknown() {
 		// An earlier one may still be carried out, and its segments have to be written
 		// again. The end of the term is what makes sure that it is not.
@@ -204,7 +204,7 @@
 			l.sleep(ctx, l.Derived.Election.RenewInterval)
 		}
 	}
-	l.post(ctx, func(time.Time) { l.transactionInFlight = false })
+	l.post(ctx, func(time.Time) { l.writer.inFlight = false })
 }
 
 func (l *Leader) takeInConflict(b *transaction.Batch, key string, p kvstore.KeyValue) {
