--- a/internal/leader/announce.go
+++ b/internal/leader/announce.go
@@ -48,7 +48,7 @@
 // mayTake tells whether a machine has room for one more task, as far as the records
 // tell. One of unknown type may have.
 func (l *Leader) mayTake(m *cluster.Machine, needs map[placement.Amount]bool) bool {
-	t := l.machineType(m.Type)
+	t := l.catalog.Type(m.Type)
 	if t == nil {
 		return true
 	}
--- /dev/null
+++ b/internal/leader/cluster/duration.go
@@ -0,0 +1,8 @@
+package cluster
+
+import "time"
+
+// ScaleDuration returns a duration times a ratio.
+func ScaleDuration(d time.Duration, ratio float64) time.Duration {
+	return time.Duration(float64(d) * ratio)
+}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -14,21 +14,9 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// bootTime is how long a machine type usually takes to come up.
-func (l *Leader) bootTime(typ string) time.Duration {
-	if t := l.machineType(typ); t != nil && t.BootS > 0 {
-		return time.Duration(t.BootS * float64(time.Second))
-	}
-	return l.Derived.Lease
-}
-
-func times(d time.Duration, ratio float64) time.Duration {
-	return time.Duration(float64(d) * ratio)
-}
-
 // manageFleet returns what is not needed and rents what is.
 func (l *Leader) manageFleet(ctx context.Context, now time.Time) {
-	if now.Sub(l.fleetAt) < max(l.Derived.ControlInterval/4, times(l.fleetDuration, 1/planShare)) || l.Catalog() == nil {
+	if now.Sub(l.fleetAt) < max(l.Derived.ControlInterval/4, cluster.ScaleDuration(l.fleetDuration, 1/planShare)) || l.catalog.Types() == nil {
 		return
 	}
 	l.fleetAt = now
@@ -69,7 +57,7 @@
 	if !m.Rental.ListedRunningSince.IsZero() && now.Sub(m.Rental.ListedRunningSince) < l.Derived.LeaseOver {
 		return false
 	}
-	return now.Sub(m.Rental.KnownSince) > times(l.bootTime(m.Type), l.Settings.Operator.LateBoots)
+	return now.Sub(m.Rental.KnownSince) > cluster.ScaleDuration(l.catalog.BootTime(m.Type), l.Settings.Operator.LateBoots)
 }
 
 // rent asks for machines, with a few requests at a time: more would only wait for
@@ -89,7 +77,7 @@
 		if m.Phase != cluster.Releasing {
 			have[k]++
 		}
-		if m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(l.bootTime(m.Type), l.Settings.Operator.SlowBoots) {
+		if m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < cluster.ScaleDuration(l.catalog.BootTime(m.Type), l.Settings.Operator.SlowBoots) {
 			coming[k]++
 		}
 	}
@@ -98,7 +86,7 @@
 		coming[k] += n // on its way, though not in the books yet
 	}
 	plan := autoscaler.Plan(needs, coming, autoscaler.Market{
-		Types: l.Catalog(),
+		Types: l.catalog.Types(),
 		Have:  have,
 		Refused: func(k autoscaler.Kind) bool {
 			// What boots in a zone that is cut off is paid for and cannot be used.
@@ -119,9 +107,9 @@
 // idleTime is how long an idle machine is kept. The cheaper it is, by the price
 // of the ordinary kind, the longer keeping it costs less than booting another.
 func (l *Leader) idleTime(m *cluster.Machine) time.Duration {
-	keep := times(l.bootTime(m.Type), l.Settings.Operator.IdleBoots)
-	if t := l.machineType(m.Type); m.Spot && t != nil && t.SpotPrice > 0 {
-		keep = times(keep, t.Price/t.SpotPrice)
+	keep := cluster.ScaleDuration(l.catalog.BootTime(m.Type), l.Settings.Operator.IdleBoots)
+	if t := l.catalog.Type(m.Type); m.Spot && t != nil && t.SpotPrice > 0 {
+		keep = cluster.ScaleDuration(keep, t.Price/t.SpotPrice)
 	}
 	return keep
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -45,6 +45,7 @@
 type Leader struct {
 	Deps
 	term     election.Term
+	catalog  *cluster.Catalog
 	takeover *reconcile.Takeover
 
 	reports chan reportIn
@@ -140,7 +141,7 @@
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
-		Deps: d, term: t, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
+		Deps: d, term: t, catalog: &cluster.Catalog{Types: d.Catalog, DefaultBootTime: d.Derived.Lease}, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
 		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
 		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -39,7 +39,7 @@
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
 			n, late = late[0], late[1:]
 			// A new machine works off several tasks one after the other.
-			if waves := (l.timeLeft(d.Job) - l.shortestBoot().Seconds()) / l.runS(s); waves > 1 && n > 0 {
+			if waves := (l.timeLeft(d.Job) - l.catalog.ShortestBootTime().Seconds()) / l.runS(s); waves > 1 && n > 0 {
 				n = int(math.Ceil(float64(n) / math.Floor(waves)))
 			}
 			// The forecast knows of no work that is still to come.
@@ -88,7 +88,7 @@
 	}
 	missing := max(l.arrivalRate, work/l.flowOver().Seconds())
 	for _, m := range l.machines.All {
-		if t := l.machineType(m.Type); t != nil && m.Phase != cluster.Releasing && !m.Health.Dead && !m.Health.Draining {
+		if t := l.catalog.Type(m.Type); t != nil && m.Phase != cluster.Releasing && !m.Health.Dead && !m.Health.Draining {
 			missing -= t.CPUs
 			for _, a := range m.Assignments {
 				if !a.Job.Spec.Ends() {
@@ -98,7 +98,7 @@
 		}
 	}
 	for k, n := range l.renting {
-		if t := l.machineType(k.Type); t != nil {
+		if t := l.catalog.Type(k.Type); t != nil {
 			missing -= t.CPUs * float64(n)
 		}
 	}
@@ -109,18 +109,18 @@
 func (l *Leader) rooms(now time.Time) []autoscaler.Room {
 	var rooms []autoscaler.Room
 	for _, m := range l.machines.All {
-		t := l.machineType(m.Type)
+		t := l.catalog.Type(m.Type)
 		if t == nil {
 			continue
 		}
-		boot := l.bootTime(m.Type)
+		boot := l.catalog.BootTime(m.Type)
 		r := autoscaler.Room{
 			Kind: autoscaler.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
 			Free: placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.Used, -1),
 		}
 		switch {
 		case l.usable(m, now):
-		case m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < times(boot, l.Settings.Operator.SlowBoots):
+		case m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < cluster.ScaleDuration(boot, l.Settings.Operator.SlowBoots):
 			r.From = max(boot-now.Sub(m.Rental.KnownSince), boot/8).Seconds()
 		default:
 			continue
@@ -141,19 +141,11 @@
 	return rooms
 }
 
-func (l *Leader) shortestBoot() time.Duration {
-	least := time.Duration(math.MaxInt64)
-	for _, t := range l.Catalog() {
-		least = min(least, l.bootTime(t.Name))
-	}
-	return least
-}
-
 // timeLeft is how many seconds a batch job has left. Without an aim to meet it
 // should not wait for ever either.
 func (l *Leader) timeLeft(j *placement.Job) float64 {
 	if j.DueS < placement.NoDeadline {
 		return j.DueS
 	}
-	return patience * (l.runS(j.Spec) + l.shortestBoot().Seconds())
+	return patience * (l.runS(j.Spec) + l.catalog.ShortestBootTime().Seconds())
 }
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -389,7 +389,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, m, j, now := bench()
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
-		l.Catalog = func() []jobs.MachineType { return types }
+		l.catalog.Types = func() []jobs.MachineType { return types }
 		asked := 0
 		l.Cloud = autoscaler.NewCloud("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
 			asked++
@@ -422,7 +422,7 @@
 // long. (Found with real processes: a job waited until the next one came.)
 func TestPlansWhenAMachineReports(t *testing.T) {
 	l, _, _, now := bench()
-	l.Catalog = func() []jobs.MachineType {
+	l.catalog.Types = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
 	l.restoreMachine(assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
@@ -491,7 +491,7 @@
 				t.Errorf("stopped: %v", a.Stop.Requested)
 			}
 			// Not heard of after the notice, it is taken, and given back at once.
-			l.Catalog = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
+			l.catalog.Types = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
 			l.returning = true // a request is on its way: ours waits for it
 			l.manageFleet(t.Context(), m.Health.NoticeUntil.Add(time.Millisecond))
 			if m.Phase != cluster.Releasing {
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
@@ -18,7 +17,7 @@
 
 // mayPlan tells whether it is time for a plan.
 func (l *Leader) mayPlan(now time.Time) bool {
-	return l.replan && l.mayBegin(now) && now.Sub(l.plannedAt) >= max(l.Derived.ControlInterval/32, times(l.planDuration, 1/planShare))
+	return l.replan && l.mayBegin(now) && now.Sub(l.plannedAt) >= max(l.Derived.ControlInterval/32, cluster.ScaleDuration(l.planDuration, 1/planShare))
 }
 
 // place plans on the picture as it is and carries the plan out.
@@ -112,15 +111,6 @@
 	})
 }
 
-func (l *Leader) machineType(name string) *jobs.MachineType {
-	types := l.Catalog()
-	i := slices.IndexFunc(types, func(t jobs.MachineType) bool { return t.Name == name })
-	if i < 0 {
-		return nil
-	}
-	return &types[i]
-}
-
 // assign gives a task to a machine, as far as this leader is concerned.
 func (l *Leader) assign(j *cluster.Job, n int, m *cluster.Machine, now time.Time) *cluster.Assignment {
 	l.attempts++
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -38,6 +38,7 @@
 	l, m, _, now := bench()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
 	l.Catalog = func() []jobs.MachineType { return types }
+	l.catalog.Types = l.Catalog
 	l.lost(m, "not of this fleet")
 	l.machines.Remove(m)
 	l.watch.Forget(m.ID)
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -60,8 +60,8 @@
 	bound := l.Derived.Overdue
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class || o.Kind == "guarantee" && j.Scheduling.WithinGuarantee && j.Spec.Shape == jobs.Batch {
-			bound = min(bound, times(time.Second, patientShare*o.WithinS))
+			bound = min(bound, cluster.ScaleDuration(time.Second, patientShare*o.WithinS))
 		}
 	}
-	return times(bound, l.Settings.Operator.TakeoverPatience)
+	return cluster.ScaleDuration(bound, l.Settings.Operator.TakeoverPatience)
 }
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if o := m.Offer; o.Total == (placement.Amount{}) || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot {
-		t := l.machineType(m.Type)
+		t := l.catalog.Type(m.Type)
 		if t == nil {
 			return
 		}
@@ -49,7 +49,7 @@
 
 // cacheGB is how much a machine keeps of images; 0 if that is not known.
 func (l *Leader) cacheGB(m *cluster.Machine) float64 {
-	if t := l.machineType(m.Type); t != nil {
+	if t := l.catalog.Type(m.Type); t != nil {
 		return t.CacheGB
 	}
 	return 0
