--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -62,7 +62,8 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.lost(m, "not of this test")
-	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*cluster.Job{}, cluster.NewMachineSet(), map[string]placement.Amount{}, assignmentlog.New(assignmentlog.Config{}), nil
+	clear(l.jobs)
+	l.machines, l.used, l.log, l.finished = cluster.NewMachineSet(), map[string]placement.Amount{}, assignmentlog.New(assignmentlog.Config{}), nil
 	l.watch = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
 	l.Derived.ValueBytes, l.Derived.TxnOps = s.value, s.ops
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -127,7 +127,7 @@
 		}
 		l.show(j)
 		l.queue(j)
-		l.arrived(j, 0, now)
+		l.scaler.JobArrived(j, 0, now)
 		l.replan, l.uncovered = true, true
 	case j == nil: // over, or held
 	case rec.State == jobs.Cancelled && !j.End.Cancelled:
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -140,7 +140,6 @@
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Gathering, ""))
-	l.returning = true // a request to the cloud is on its way: ours waits for it
 	l.judged(t.Context(), l.machines.ByID["m-2"], liveness.CallFailed, now)
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.Gathering, ""), gangTask(j, 1, workers.Gathering, ""))); d != "" {
 		t.Error(d)
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -83,7 +83,7 @@
 		return
 	}
 	duties.Go(func() { l.follow(ctx, after) })
-	duties.Go(func() { l.listing(ctx) })
+	duties.Go(func() { l.scaler.PollList(ctx) })
 	// A leader that no worker reaches makes way for one that may be reached. It
 	// does so once in a while only: if all machines are really gone, nobody can.
 	l.mayResign = time.Since(g.resigned) > 4*d.Derived.Lease && len(d.Settings.Peers) > 0
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -13,6 +13,7 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/scaler"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/placement"
@@ -46,6 +47,7 @@
 	Deps
 	term     election.Term
 	catalog  *cluster.Catalog
+	scaler   *scaler.Scaler
 	takeover *reconcile.Takeover
 
 	reports chan reportIn
@@ -57,7 +59,6 @@
 	writer
 	planner
 	dispatcher
-	fleetManager
 	recoverer
 
 	tickGroup int // of the ticks in a control interval
@@ -122,34 +123,18 @@
 	callsInFlight    int
 }
 
-// fleetManager is the renting and returning of machines.
-type fleetManager struct {
-	fleetAt         time.Time
-	fleetDuration   time.Duration
-	rentalsMade     int
-	rentalsInFlight int
-	returns         []string // machines to be given back
-	returning       bool     // a request is on its way
-	renting         map[autoscaler.Kind]int
-	refused         map[autoscaler.Kind]refusal
-	listSyncAt      time.Time
-	arrivalRate     float64 // batch work that arrives, in CPUs
-	arrivalRateAt   time.Time
-	returned        map[string]time.Time // given back, though perhaps still listed
-}
-
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
 		Deps: d, term: t, catalog: &cluster.Catalog{Types: d.Catalog, DefaultBootTime: d.Derived.Lease}, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:         view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
-		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
-		writer:       writer{log: assignmentlog.New(logConfig(d.Derived))},
-		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
-		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
-		recoverer:    newRecoverer(),
+		view:      view{jobs: map[string]*cluster.Job{}, machines: cluster.NewMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
+		tokens:    tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*cluster.Machine]bool{}},
+		writer:    writer{log: assignmentlog.New(logConfig(d.Derived))},
+		planner:   planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
+		recoverer: newRecoverer(),
 	}
+	l.scaler = newScaler(l)
 	l.round = t.Token << roundBits
 	l.watch = liveness.New(liveness.Config{
 		SilentFor: d.Derived.SilentFor, LeaseOver: d.Derived.LeaseOver,
@@ -170,11 +155,6 @@
 // attemptBits is how many attempts a token has numbers for: no other term uses them.
 const attemptBits = 24
 
-type refusal struct {
-	until time.Time
-	wait  time.Duration
-}
-
 // smallZone is the size of a zone that the operators' gap between verdicts is for.
 const smallZone = 20
 
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -76,12 +76,12 @@
 		l.show(j)
 		l.queue(j)
 		age := time.Duration(now.UnixMilli()-j.AcceptedMs) * time.Millisecond
-		l.arrived(j, age, now)
+		l.scaler.JobArrived(j, age, now)
 		l.remember(j, age, now)
 	}
 	l.replan, l.uncovered = true, true
 	l.raisedAt = now
-	l.listSyncAt = now.Add(2 * l.Derived.ListLag)
+	l.scaler.DeferRentals(now.Add(2 * l.Derived.ListLag))
 	l.seen.Store(after)
 	l.takeover.RecordsRead(time.Now())
 	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.All))
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -46,6 +46,7 @@
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), Valid: func() bool { return true },
 		Promised: func() time.Time { return time.Time{} }, Catalog: func() []jobs.MachineType { return nil },
+		Cloud: autoscaler.NewCloud("cloud:1", silent, time.Minute, 10),
 		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
 	}, election.Term{Token: 5})
 	l.attempts, l.viewTime = 100, now
@@ -328,12 +329,12 @@
 		r.Machine = id
 		l.report(r, now)
 	}
-	l.listed(t.Context(), []autoscaler.Listed{{ID: "m-1", State: autoscaler.Running}, {ID: "m-2", State: autoscaler.Running}}, now.Add(time.Millisecond), now)
+	l.scaler.ApplyList(t.Context(), []autoscaler.Listed{{ID: "m-1", State: autoscaler.Running}, {ID: "m-2", State: autoscaler.Running}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := report(1, 2)
 	r.Machine = "m-2"
 	l.report(r, asked.Add(time.Millisecond))
-	l.listed(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
+	l.scaler.ApplyList(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
 	calls, _ := l.watch.Tick(asked.Add(3*time.Millisecond), 10)
 	if d := cmp.Diff([]string{"m-1"}, calls); d != "" {
 		t.Error(d)
@@ -401,14 +402,14 @@
 			l.forget(a)
 		}
 		l.Valid = func() bool { return false }
+		l.scaler = newScaler(l)
 		ctx, stop := context.WithCancel(t.Context())
 		l.tick(ctx, now.Add(l.Derived.Lease))
 		if m.Phase != cluster.Up {
 			t.Error("a machine was given back")
 		}
 		// What had begun before is not sent any more either.
-		l.release(ctx, now, m)
-		l.requestRental(ctx, autoscaler.Rental{Name: "r-5-1", Count: 1})
+		l.scaler.Release(ctx, m)
 		synctest.Wait()
 		if asked > 0 {
 			t.Errorf("%d requests to the cloud", asked)
@@ -492,8 +493,7 @@
 			}
 			// Not heard of after the notice, it is taken, and given back at once.
 			l.catalog.Types = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
-			l.returning = true // a request is on its way: ours waits for it
-			l.manageFleet(t.Context(), m.Health.NoticeUntil.Add(time.Millisecond))
+			l.scale(t.Context(), m.Health.NoticeUntil.Add(time.Millisecond))
 			if m.Phase != cluster.Releasing {
 				t.Error("not given back when its notice was over")
 			}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	m := l.machines.ByID[r.Machine]
-	if _, gone := l.returned[r.Machine]; m == nil && gone {
+	if m == nil && l.scaler.WasReleased(r.Machine) {
 		return nil
 	}
 	c := counter(r)
@@ -55,7 +55,7 @@
 		l.machines.Add(m)
 	}
 	if m.Phase == cluster.Booting {
-		l.booted(m, now)
+		l.scaler.MachineUp(m, now)
 	}
 	l.checkDelivery(m, r, now)
 	l.watch.Heard(m.ID, r.Zone, c, now)
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -42,7 +42,7 @@
 	l.lost(m, "not of this fleet")
 	l.machines.Remove(m)
 	l.watch.Forget(m.ID)
-	l.jobs = map[string]*cluster.Job{}
+	clear(l.jobs)
 	l.readLog(nil)
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
@@ -157,8 +157,8 @@
 		l.Publish = func(map[string]jobs.Counts, []peer.JobChange) {}
 		l.unmet, l.shownAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
-			l.fleetAt = time.Time{}
 			l.tick(t.Context(), now)
+			l.scaler.Reconcile(t.Context(), now, l.unmet) // in each tick, as if it were due
 		})
 	}
 	if few, many := cost(25), cost(largest); many > few+5 {
@@ -171,10 +171,10 @@
 func BenchmarkTick(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
 	l.Publish = func(map[string]jobs.Counts, []peer.JobChange) {}
-	l.listSyncAt = now.Add(time.Hour) // nothing is rented
+	l.scaler.DeferRentals(now.Add(time.Hour)) // nothing is rented
 	for b.Loop() {
-		l.fleetAt = time.Time{}
 		l.tick(b.Context(), now)
+		l.scaler.Reconcile(b.Context(), now, l.unmet) // in each tick, as if it were due
 	}
 }
 
--- /dev/null
+++ b/internal/leader/scaler/demand.go
@@ -0,0 +1,111 @@
+package scaler
+
+import (
+	"math"
+	"time"
+
+	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/placement"
+)
+
+// defaultPatience is how many times its run and boot time a job is given that has no
+// service-level objective and no deadline.
+const defaultPatience = 4.0
+
+// demand is the tasks that machines should be rented for: those of services at once, and batch
+// tasks that would be over too late on the machines there are.
+func (s *Scaler) demand(now time.Time, unmet []placement.Demand) []autoscaler.Need {
+	var late []int // by the order of the queue
+	missingCPUs := 0.0
+	if queue := s.batchQueue(unmet); len(queue) > 0 {
+		late, missingCPUs = autoscaler.Late(s.forecastRooms(now), queue), s.missingCPUs(now)
+	}
+	var needs []autoscaler.Need
+	for _, d := range unmet {
+		count := d.Count
+		if d.Job.Spec.Shape == jobs.Batch {
+			count, missingCPUs = s.batchDemand(d, late[0], missingCPUs)
+			late = late[1:]
+		}
+		if count > 0 {
+			needs = append(needs, autoscaler.Need{Spec: d.Job.Spec, Zones: d.Job.Zones, Count: count})
+		}
+	}
+	return needs
+}
+
+// batchQueue is the batch tasks without a machine, as the forecast sees them.
+func (s *Scaler) batchQueue(unmet []placement.Demand) (queue []autoscaler.Waiting) {
+	for _, d := range unmet {
+		if spec := d.Job.Spec; spec.Shape == jobs.Batch {
+			queue = append(queue, autoscaler.Waiting{
+				Spec: spec, Count: d.Count, RunS: s.host.RunTimeS(spec),
+				DueS: s.deps.Settings.Operator.DueShare * s.timeLeftS(d.Job),
+			})
+		}
+	}
+	return queue
+}
+
+// batchDemand is for how many of a job's tasks to rent machines if so many would be late, and
+// so many CPUs are missing for batch work in all. It returns how many CPUs are missing then.
+func (s *Scaler) batchDemand(d placement.Demand, late int, missingCPUs float64) (count int, stillMissing float64) {
+	spec := d.Job.Spec
+	count = late
+	// A new machine works off several tasks one after the other.
+	waves := (s.timeLeftS(d.Job) - s.deps.Catalog.ShortestBootTime().Seconds()) / s.host.RunTimeS(spec)
+	if waves > 1 && count > 0 {
+		count = int(math.Ceil(float64(count) / math.Floor(waves)))
+	}
+	// The forecast knows of no work that is still to come.
+	if spec.CPUs > 0 && missingCPUs > 0 {
+		count = max(count, min(d.Count, int(math.Ceil(missingCPUs/spec.CPUs))))
+		missingCPUs -= float64(count) * spec.CPUs
+	}
+	return count, missingCPUs
+}
+
+// timeLeftS is how many seconds a batch job has left. One without an objective to meet should
+// not wait for ever either.
+func (s *Scaler) timeLeftS(job *placement.Job) float64 {
+	if job.DueS < placement.NoDeadline {
+		return job.DueS
+	}
+	return defaultPatience * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
+}
+
+// missingCPUs is how many CPUs are missing, next to the services, for the recent arrival rate
+// of batch work and for working off the backlog within the same window.
+func (s *Scaler) missingCPUs(now time.Time) float64 {
+	missing := max(s.arrivals.at(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
+	for _, m := range s.deps.Machines.All {
+		machineType := s.deps.Catalog.Type(m.Type)
+		if machineType == nil || m.Phase == cluster.Releasing || m.Health.Dead || m.Health.Draining {
+			continue
+		}
+		missing -= machineType.CPUs
+		for _, a := range m.Assignments {
+			if !a.Job.Spec.Ends() {
+				missing += a.Job.Spec.CPUs
+			}
+		}
+	}
+	for kind, count := range s.rentals.machines {
+		if machineType := s.deps.Catalog.Type(kind.Type); machineType != nil {
+			missing -= machineType.CPUs * float64(count)
+		}
+	}
+	return missing
+}
+
+// backlogCPUSeconds is the work of all tasks that end by themselves and are not done.
+func (s *Scaler) backlogCPUSeconds() (work float64) {
+	for _, job := range s.deps.Jobs {
+		if !job.IsOver() && job.Spec.Ends() {
+			work += float64(job.Spec.Tasks-job.Completions.Count) * s.host.RunTimeS(job.Spec) * job.Spec.CPUs
+		}
+	}
+	return work
+}
--- /dev/null
+++ b/internal/leader/scaler/forecast.go
@@ -0,0 +1,77 @@
+package scaler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/placement"
+)
+
+const (
+	// overrunShare is the part of its run time for which a task is expected to run on that
+	// should be over by now.
+	overrunShare = 0.2
+	// lateBootShare is the part of its boot time for which a machine is expected to go on
+	// booting that should be up by now.
+	lateBootShare = 1.0 / 8
+)
+
+// forecastRooms is the machines that take work now or once they are up, as the forecast sees
+// them, the earliest first.
+func (s *Scaler) forecastRooms(now time.Time) []autoscaler.Room {
+	var rooms []autoscaler.Room
+	for _, m := range s.deps.Machines.All {
+		machineType := s.deps.Catalog.Type(m.Type)
+		if machineType == nil {
+			continue
+		}
+		from, takesWork := s.takesWorkIn(m, now)
+		if !takesWork {
+			continue
+		}
+		total := placement.Amount{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+		rooms = append(rooms, autoscaler.Room{
+			Kind: kindOf(m), From: from.Seconds(), Free: total.Plus(m.Used, -1), Leaves: s.forecastLeaves(m, now),
+		})
+	}
+	slices.SortFunc(rooms, func(a, b autoscaler.Room) int { return cmp.Compare(a.From, b.From) })
+	return rooms
+}
+
+// takesWorkIn is how long it takes until a machine takes work, if it does.
+func (s *Scaler) takesWorkIn(m *cluster.Machine, now time.Time) (wait time.Duration, takesWork bool) {
+	switch {
+	case s.host.IsUsable(m, now):
+		return 0, true
+	case s.isBootingInTime(m, now):
+		boot := s.deps.Catalog.BootTime(m.Type)
+		return max(boot-now.Sub(m.Rental.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
+	}
+	return 0, false
+}
+
+// isBootingInTime tells whether a machine boots, and not for so long that it must not be
+// counted on.
+func (s *Scaler) isBootingInTime(m *cluster.Machine, now time.Time) bool {
+	slow := cluster.ScaleDuration(s.deps.Catalog.BootTime(m.Type), s.deps.Settings.Operator.SlowBoots)
+	return m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < slow
+}
+
+// forecastLeaves is when the tasks on a machine are expected to leave it. Services never do.
+func (s *Scaler) forecastLeaves(m *cluster.Machine, now time.Time) (leaves []autoscaler.Leave) {
+	for _, a := range m.Assignments {
+		if a.Outcome != cluster.Open || !a.Job.Spec.Ends() {
+			continue
+		}
+		runS := s.host.RunTimeS(a.Job.Spec)
+		leftS := runS - now.Sub(a.RunningSince).Seconds()
+		if a.Stop.Requested || a.Job.IsOver() {
+			leftS = a.Stop.GraceS
+		}
+		leaves = append(leaves, autoscaler.Leave{At: max(leftS, overrunShare*runS), Need: placement.Of(a.Job.Spec)})
+	}
+	return leaves
+}
--- /dev/null
+++ b/internal/leader/scaler/provision.go
@@ -0,0 +1,159 @@
+package scaler
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"github.com/cenkalti/backoff/v5"
+
+	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/placement"
+)
+
+// rentals is the requests for machines.
+type rentals struct {
+	made     int                     // in this term, by which the next one is named
+	inFlight int                     // requests on their way
+	machines map[autoscaler.Kind]int // asked for by these
+	refusals map[autoscaler.Kind]refusal
+}
+
+// refusal is the exponential backoff of a kind of machine of which the cloud had too few.
+type refusal struct {
+	until time.Time // it is not asked for before
+	wait  time.Duration
+}
+
+func newRentals() rentals {
+	return rentals{machines: map[autoscaler.Kind]int{}, refusals: map[autoscaler.Kind]refusal{}}
+}
+
+// backOff doubles a kind's wait within bounds, and begins it.
+func (r *rentals) backOff(kind autoscaler.Kind, now time.Time, least, most time.Duration) {
+	wait := min(max(2*r.refusals[kind].wait, least), most)
+	r.refusals[kind] = refusal{until: now.Add(wait), wait: wait}
+}
+
+// provision asks for the machines that are missing, with a few requests at a time: more would
+// only wait for each other at the cloud, and what they ask for be out of date when it comes.
+func (s *Scaler) provision(ctx context.Context, now time.Time, unmet []placement.Demand) {
+	if s.rentals.inFlight >= s.deps.Derived.RentalsInFlight {
+		return
+	}
+	needs := s.demand(now, unmet)
+	if len(needs) == 0 {
+		return
+	}
+	have, coming := s.supply(now)
+	plan := autoscaler.Plan(needs, coming, autoscaler.Market{
+		Types: s.deps.Catalog.Types(), Have: have,
+		Refused: func(kind autoscaler.Kind) bool { return s.isUnavailable(kind, now) },
+	})
+	for _, kind := range autoscaler.Sorted(plan) {
+		for left := plan[kind]; left > 0 && s.rentals.inFlight < s.deps.Derived.RentalsInFlight; left -= autoscaler.MaxRent {
+			s.startRental(ctx, kind, min(left, autoscaler.MaxRent))
+		}
+	}
+}
+
+// supply counts the machines of each kind: all that are not being released, and those of them
+// that are expected soon. Those asked for count as both.
+func (s *Scaler) supply(now time.Time) (have, coming map[autoscaler.Kind]int) {
+	have, coming = map[autoscaler.Kind]int{}, map[autoscaler.Kind]int{}
+	for _, m := range s.deps.Machines.All {
+		if m.Phase != cluster.Releasing {
+			have[kindOf(m)]++
+		}
+		if s.isBootingInTime(m, now) {
+			coming[kindOf(m)]++
+		}
+	}
+	for kind, count := range s.rentals.machines {
+		have[kind] += count
+		coming[kind] += count
+	}
+	return have, coming
+}
+
+// isUnavailable tells whether a kind of machine is not to be asked for now: the cloud had too
+// few of it a short while ago, or its zone is cut off, so that what boots there is paid for and
+// cannot be used.
+func (s *Scaler) isUnavailable(kind autoscaler.Kind, now time.Time) bool {
+	return now.Before(s.rentals.refusals[kind].until) || s.host.IsZoneSilent(kind.Zone, now, 2*s.deps.Derived.Cancel)
+}
+
+func (s *Scaler) startRental(ctx context.Context, kind autoscaler.Kind, count int) {
+	s.rentals.made++
+	s.rentals.inFlight++
+	s.rentals.machines[kind] += count
+	name := fmt.Sprintf("r-%d-%d", s.deps.Term, s.rentals.made)
+	go s.requestRental(ctx, autoscaler.Rental{Name: name, Kind: kind, Count: count})
+}
+
+// requestRental rents until the outcome is known: after anything but an answer the same
+// request, which the cloud carries out once only, goes out again. It runs on a goroutine of its
+// own.
+func (s *Scaler) requestRental(ctx context.Context, rental autoscaler.Rental) {
+	ids, err := backoff.Retry(ctx, func() ([]string, error) {
+		if !s.deps.Valid() {
+			return nil, backoff.Permanent(errNotLeading)
+		}
+		ids, err := s.deps.Cloud.Rent(ctx, rental)
+		if errors.Is(err, autoscaler.ErrNoCapacity) {
+			return nil, backoff.Permanent(err)
+		}
+		return ids, err
+	}, backoff.WithBackOff(s.retryBackOff()), backoff.WithMaxElapsedTime(0))
+	s.deps.Post(ctx, func(now time.Time) { s.rentalDone(ctx, rental, ids, err, now) })
+}
+
+// rentalDone takes in the outcome of a request for machines.
+func (s *Scaler) rentalDone(ctx context.Context, rental autoscaler.Rental, ids []string, err error, now time.Time) {
+	s.rentals.inFlight--
+	s.rentals.machines[rental.Kind] -= rental.Count
+	if err != nil || len(ids) < rental.Count {
+		s.rentals.backOff(rental.Kind, now, 2*s.deps.Derived.ControlInterval, 8*s.deps.Derived.ListLag)
+	} else {
+		delete(s.rentals.refusals, rental.Kind)
+	}
+	level := slog.LevelInfo
+	if len(ids) == 0 {
+		level = slog.LevelDebug
+	}
+	slog.Log(ctx, level, "machines rented", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(ids), "term", s.host.Token())
+	for _, id := range ids {
+		if s.deps.Machines.ByID[id] == nil {
+			m := cluster.NewMachine(id, now)
+			m.Type, m.Zone, m.Spot = rental.Type, rental.Zone, rental.Spot
+			s.deps.Machines.Add(m)
+		}
+	}
+}
+
+// MachineUp notes that a machine which was booting has sent its first heartbeat.
+func (s *Scaler) MachineUp(m *cluster.Machine, now time.Time) {
+	m.Phase = cluster.Up
+	m.Rental.IdleSince = now
+	took := now.Sub(m.Rental.KnownSince)
+	slog.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", s.host.Token(), "bootS", took.Seconds())
+	s.host.RequestPlan()
+}
+
+func kindOf(m *cluster.Machine) autoscaler.Kind {
+	return autoscaler.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+}
+
+// errNotLeading ends what only the leader may ask of the cloud.
+var errNotLeading = errors.New("leadership is not held")
+
+// retryBackOff is the waits between two sendings of one request.
+func (s *Scaler) retryBackOff() *backoff.ExponentialBackOff {
+	waits := backoff.NewExponentialBackOff()
+	waits.InitialInterval = s.deps.Derived.Report / 2
+	waits.MaxInterval = 2 * s.deps.Derived.Report
+	return waits
+}
--- /dev/null
+++ b/internal/leader/scaler/provision_test.go
@@ -0,0 +1,148 @@
+package scaler
+
+import (
+	"fmt"
+	"math"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/placement"
+)
+
+// serviceDemand is a service that waits for so many machines of its own.
+func serviceDemand(count int) placement.Demand {
+	spec := &jobs.Spec{ID: "j-9", Shape: jobs.Service, Tasks: count, CPUs: 4}
+	return placement.Demand{Job: &placement.Job{Spec: spec, DueS: placement.NoDeadline}, Count: count}
+}
+
+// What is rented counts as coming until it is known, and is booting from then on: it is not
+// rented once more.
+func TestProvisionOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		requests := 0
+		b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+			requests++
+			fmt.Fprint(w, `{"hosts":["m-7"]}`)
+		})
+		unmet := []placement.Demand{serviceDemand(1)}
+		b.provision(t.Context(), b.now, unmet)
+		b.provision(t.Context(), b.now, unmet)
+		synctest.Wait()
+		(<-b.events)(b.now)
+		b.provision(t.Context(), b.now, unmet)
+		synctest.Wait()
+		if requests != 1 || b.rentals.inFlight != 0 {
+			t.Errorf("%d requests, %d on their way", requests, b.rentals.inFlight)
+		}
+		if m := b.deps.Machines.ByID["m-7"]; m == nil || m.Phase != cluster.Booting || m.Type != "c4" {
+			t.Errorf("rented: %+v", m)
+		}
+	})
+}
+
+// An earlier leader's rentals may not be listed yet: nothing is rented before, but in the first
+// term of all.
+func TestDeferRentals(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		term    uint64
+		at      float64
+		rentals int
+	}{
+		{"too early", 5, 7.9, 0},
+		{"first term", 1, 1, 1},
+		{"late enough", 5, 8, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"hosts":["m-7"]}`) })
+				b.deps.Term = tc.term
+				b.host.unknownTasks = true // nothing is released
+				b.DeferRentals(after(b.now, 8))
+				b.Reconcile(t.Context(), after(b.now, tc.at), []placement.Demand{serviceDemand(1)})
+				if b.rentals.made != tc.rentals {
+					t.Errorf("%d rentals", b.rentals.made)
+				}
+			})
+		})
+	}
+}
+
+// A kind of machine that is not to be had is asked for ever more rarely, until it is had again.
+func TestRefusalBacksOff(t *testing.T) {
+	b, _ := newBench(t, refuseAll(t))
+	kind := autoscaler.Kind{Type: "c4", Zone: "a"}
+	rental := autoscaler.Rental{Kind: kind, Count: 1}
+	interval, most := b.deps.Derived.ControlInterval, 8*b.deps.Derived.ListLag
+	var waits []time.Duration
+	for range 6 {
+		b.rentalDone(t.Context(), rental, nil, autoscaler.ErrNoCapacity, b.now)
+		if !b.isUnavailable(kind, b.now) {
+			t.Fatal("asked for again at once")
+		}
+		waits = append(waits, b.rentals.refusals[kind].until.Sub(b.now))
+	}
+	if d := cmp.Diff([]time.Duration{2 * interval, 4 * interval, 8 * interval, 16 * interval, most, most}, waits); d != "" {
+		t.Error(d)
+	}
+	b.rentalDone(t.Context(), rental, []string{"m-7"}, nil, b.now)
+	if b.isUnavailable(kind, b.now) {
+		t.Error("not asked for, though it is to be had")
+	}
+	b.host.silentZones["a"] = true
+	if !b.isUnavailable(kind, b.now) {
+		t.Error("asked for in a zone that is cut off")
+	}
+}
+
+// Batch work is rented for as far as it would be late, several waves of it to one machine; and
+// as far as CPUs are missing for the arrival rate.
+func TestBatchDemand(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		demand      placement.Demand
+		late        int
+		missingCPUs float64
+		count       int
+		stillCPUs   float64
+	}{
+		{"in time", batchDemand(8, 2, 10, 100), 0, 0, 0, 0},
+		{"late, one wave", batchDemand(8, 2, 10, 25), 8, 0, 8, 0},
+		{"late, three waves", batchDemand(8, 2, 10, 45), 8, 0, 3, 0},
+		{"in time, but CPUs are missing", batchDemand(8, 2, 10, 100), 0, 5, 3, -1},
+		{"more CPUs are missing than its tasks take", batchDemand(8, 2, 10, 100), 0, 50, 8, 34},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			b, _ := newBench(t, refuseAll(t))
+			count, still := b.batchDemand(tc.demand, tc.late, tc.missingCPUs)
+			if count != tc.count || still != tc.stillCPUs {
+				t.Errorf("%d machines' tasks, %v CPUs still missing", count, still)
+			}
+		})
+	}
+}
+
+// The arrival rate decays, and work that arrived earlier counts as it would by now.
+func TestArrivalRate(t *testing.T) {
+	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	rate := arrivalRate{window: 100 * time.Second}
+	rate.add(500, 0, start)
+	if got := rate.at(start); got != 5 {
+		t.Errorf("%v CPUs at first", got)
+	}
+	if got, want := rate.at(after(start, 100)), 5/math.E; math.Abs(got-want) > 1e-9 {
+		t.Errorf("%v CPUs a window later, want %v", got, want)
+	}
+	found := arrivalRate{window: 100 * time.Second}
+	found.add(500, 100*time.Second, after(start, 100))
+	if got, want := found.at(after(start, 100)), rate.at(after(start, 100)); math.Abs(got-want) > 1e-9 {
+		t.Errorf("found by a new leader it counts as %v CPUs, want %v", got, want)
+	}
+}
--- /dev/null
+++ b/internal/leader/scaler/scaler_test.go
@@ -0,0 +1,154 @@
+package scaler
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/placement"
+	"ospreyslip/internal/settings"
+)
+
+// fakeHost is the other parts of a leader, as far as a test needs them. Tasks run for as long
+// as their owners estimate.
+type fakeHost struct {
+	machines      *cluster.MachineSet
+	unknownTasks  bool            // on all machines
+	silentZones   map[string]bool // for any time
+	suspected     []string
+	withdrawn     []string
+	plansAskedFor int
+}
+
+func (h *fakeHost) Token() uint64 { return 5 }
+
+func (h *fakeHost) RunTimeS(spec *jobs.Spec) float64 { return spec.EstimateS }
+
+func (h *fakeHost) IsUsable(m *cluster.Machine, _ time.Time) bool { return m.Phase == cluster.Up }
+
+func (h *fakeHost) MayHaveUnknownTasks(*cluster.Machine) bool { return h.unknownTasks }
+
+func (h *fakeHost) IsZoneSilent(zone string, _ time.Time, _ time.Duration) bool {
+	return h.silentZones[zone]
+}
+
+func (h *fakeHost) SuspectMachine(id string) { h.suspected = append(h.suspected, id) }
+
+func (h *fakeHost) WithdrawOffer(m *cluster.Machine) { h.withdrawn = append(h.withdrawn, m.ID) }
+
+func (h *fakeHost) RemoveMachine(m *cluster.Machine) { h.machines.Remove(m) }
+
+func (h *fakeHost) RequestPlan() { h.plansAskedFor++ }
+
+// handlerTransport answers requests by a handler in this process.
+type handlerTransport struct{ http.Handler }
+
+func (h handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if err := r.Context().Err(); err != nil {
+		return nil, errors.Join(err, http.ErrHandlerTimeout)
+	}
+	rec := httptest.NewRecorder()
+	h.ServeHTTP(rec, r)
+	return rec.Result(), nil
+}
+
+// bench is a scaler and the ends that a test holds of it.
+type bench struct {
+	*Scaler
+	host    *fakeHost
+	now     time.Time
+	leading bool
+	events  chan func(time.Time) // posted to the event loop
+}
+
+// newBench makes a scaler with an idle machine, m-1, and a cloud that answers by a handler.
+func newBench(t *testing.T, cloud http.HandlerFunc) (*bench, *cluster.Machine) {
+	t.Helper()
+	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
+		Workers: settings.Workers{ReportS: 1, LeaseS: 20, CancelS: 40},
+		State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
+		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
+	}}
+	machines := cluster.NewMachineSet()
+	b := &bench{
+		host: &fakeHost{machines: &machines, silentZones: map[string]bool{}},
+		now:  time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), leading: true, events: make(chan func(time.Time), 8),
+	}
+	derived := set.Derive()
+	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, Price: 4, SpotPrice: 1, Zones: []string{"a", "b"}, BootS: 10}}
+	b.Scaler = New(Deps{
+		Settings: set, Derived: derived, Cloud: autoscaler.NewCloud("cloud:1", handlerTransport{cloud}, time.Second, 10),
+		Catalog: &cluster.Catalog{Types: func() []jobs.MachineType { return types }, DefaultBootTime: derived.Lease},
+		Term:    5, Jobs: map[string]*cluster.Job{}, Machines: &machines, Host: b.host,
+		Valid: func() bool { return b.leading },
+		Post: func(ctx context.Context, apply func(time.Time)) {
+			select {
+			case b.events <- apply:
+			case <-ctx.Done():
+			}
+		},
+	})
+	return b, b.addMachine("m-1", cluster.Up)
+}
+
+func (b *bench) addMachine(id string, phase cluster.Phase) *cluster.Machine {
+	m := cluster.NewMachine(id, b.now)
+	m.Phase, m.Type, m.Zone = phase, "c4", "a"
+	b.deps.Machines.Add(m)
+	return m
+}
+
+// refuseAll is a cloud that must not be asked for anything.
+func refuseAll(t *testing.T) http.HandlerFunc {
+	return func(_ http.ResponseWriter, r *http.Request) { t.Errorf("request to the cloud: %s", r.URL.Path) }
+}
+
+func after(start time.Time, seconds float64) time.Time {
+	return start.Add(time.Duration(seconds * float64(time.Second)))
+}
+
+// batchDemand is waiting tasks of a batch job with so many seconds left.
+func batchDemand(count int, cpus, estimateS, dueS float64) placement.Demand {
+	spec := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Tasks: count, CPUs: cpus, EstimateS: estimateS}
+	return placement.Demand{Job: &placement.Job{Spec: spec, DueS: dueS}, Count: count}
+}
+
+// Without a valid lease nothing is asked of the cloud, whatever was under way.
+func TestNoRequestsWithoutLeadership(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b, m := newBench(t, refuseAll(t))
+		b.leading = false
+		b.Release(t.Context(), m)
+		b.requestRental(t.Context(), autoscaler.Rental{Name: "r-5-1", Count: 1})
+		synctest.Wait()
+	})
+}
+
+// The scaler runs at a pace, and not before the catalog is known.
+func TestIsDue(t *testing.T) {
+	b, _ := newBench(t, refuseAll(t))
+	b.now = time.Now() // how long a run took is measured
+	b.deps.Machines.Remove(b.deps.Machines.ByID["m-1"])
+	if !b.IsDue(b.now) {
+		t.Error("not due at first")
+	}
+	b.Reconcile(t.Context(), b.now, nil)
+	if b.IsDue(b.now) {
+		t.Error("due again at once")
+	}
+	later := b.now.Add(time.Minute)
+	if !b.IsDue(later) {
+		t.Error("never due again")
+	}
+	b.deps.Catalog.Types = func() []jobs.MachineType { return nil }
+	if b.IsDue(later) {
+		t.Error("due without a catalog")
+	}
+}
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -121,7 +121,7 @@
 	for _, v := range verdicts {
 		l.judged(ctx, l.machines.ByID[v.Machine], v.Reason, now)
 	}
-	l.manageFleet(ctx, now)
+	l.scale(ctx, now)
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
@@ -188,6 +188,6 @@
 	l.updateCapacity(m, now)
 	l.replan = true
 	if reason == liveness.CallFailed {
-		l.release(ctx, now, m)
+		l.scaler.Release(ctx, m)
 	}
 }
