--- a/internal/leader/scaler/list.go
+++ b/internal/leader/scaler/list.go
@@ -84,8 +84,8 @@
 // for at a moment, and has not reported since: it is mostly gone.
 func (s *Scaler) suspectUnlisted(askedAt time.Time) {
 	for _, m := range s.deps.Machines.All {
-		wasListed, isListed := !m.Rental.ListedAt.IsZero(), m.Rental.ListedAt == askedAt
-		if m.Phase == cluster.Up && wasListed && !isListed && m.Worker.HeartbeatAt.Before(askedAt) {
+		unlisted := !m.Rental.ListedAt.IsZero() && m.Rental.ListedAt != askedAt
+		if m.Phase == cluster.Up && unlisted && m.Worker.HeartbeatAt.Before(askedAt) {
 			s.host.SuspectMachine(m.ID)
 		}
 	}
--- a/internal/leader/scaler/release_test.go
+++ b/internal/leader/scaler/release_test.go
@@ -151,7 +151,7 @@
 	late := after(b.now, 161)
 	b.ApplyList(t.Context(), listed, late, late)
 	if b.deps.Machines.ByID["m-2"] == nil || b.WasReleased("m-2") {
-		t.Error("a machine is not listed any more for ever")
+		t.Error("a machine that is listed long after its release is ignored for ever")
 	}
 }
 
