--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -14,7 +14,7 @@
 // service-level objective and no deadline.
 const defaultPatience = 4.0
 
-// demand is the tasks that machines should be rented for: those of services at once, and batch
+// demand is the tasks that machines should be rented for: services and gangs at once, and batch
 // tasks that would be over too late on the machines there are.
 func (s *Scaler) demand(now time.Time, unmet []placement.Demand) []autoscaler.Need {
 	var late []int // by the order of the queue
