--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -127,7 +127,7 @@
 		}
 		l.publishCounts(j)
 		l.planner.Enqueue(j)
-		l.arrived(j, 0, now)
+		l.scaler.JobArrived(j, 0, now)
 		l.planner.Requested, l.planner.GuaranteesStale = true, true
 	case j == nil: // over, or held
 	case rec.State == jobs.Cancelled && !j.End.Cancelled:
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -15,6 +15,7 @@
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/planner"
 	"ospreyslip/internal/leader/runtimes"
+	"ospreyslip/internal/leader/scaler"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/reconcile"
@@ -46,8 +47,9 @@
 // atomic; Gate hands it what others ask for.
 type Leader struct {
 	Deps
-	term  election.Term
-	state *cluster.State // jobs, machines and assignments
+	term    election.Term
+	state   *cluster.State   // jobs, machines and assignments
+	catalog *cluster.Catalog // machine types
 
 	heartbeats chan heartbeatRequest
 	events     chan func(now time.Time) // outcomes of I/O, applied by the event loop
@@ -62,7 +64,7 @@
 	planner    *planner.Planner
 	runTimes   *runtimes.Estimator
 	dispatcher dispatcher
-	fleetManager
+	scaler     *scaler.Scaler
 	recoverer
 
 	lastAttempt     uint64    // number of the newest assignment
@@ -115,26 +117,11 @@
 	changes []peer.JobChange // of records, since then
 }
 
-// fleetManager is the renting and returning of machines.
-type fleetManager struct {
-	fleetAt         time.Time
-	fleetDuration   time.Duration
-	rentalsMade     int
-	rentalsInFlight int
-	returns         []string // machines to be given back
-	returning       bool     // a request is on its way
-	renting         map[autoscaler.MachinePool]int
-	refused         map[autoscaler.MachinePool]refusal
-	listSyncAt      time.Time
-	arrivalRate     float64 // batch work that arrives, in CPUs
-	arrivalRateAt   time.Time
-	returned        map[string]time.Time // given back, though perhaps still listed
-}
-
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
 		Deps: d, term: t, state: cluster.NewState(),
+		catalog:    &cluster.Catalog{Types: d.MachineTypes, DefaultBootTime: d.Derived.Workers.Lease},
 		heartbeats: make(chan heartbeatRequest, heartbeatQueue),
 		events:     make(chan func(time.Time), eventQueue),
 		quit:       make(chan struct{}),
@@ -145,10 +132,10 @@
 		failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
 		log:      assignmentlog.New(logConfig(d.Derived)),
 		runTimes: runtimes.NewEstimator(), lastAttempt: t.FencingToken << attemptBits,
-		fleetManager: fleetManager{renting: map[autoscaler.MachinePool]int{}, refused: map[autoscaler.MachinePool]refusal{}, returned: map[string]time.Time{}},
-		recoverer:    newRecoverer(),
+		recoverer: newRecoverer(),
 	}
-	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.machineType, l)
+	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.catalog.Type, l)
+	l.scaler = newScaler(l)
 	l.round = t.FencingToken << roundBits
 	l.detector = liveness.New(detectorConfig(d.Derived, l.productionTasks))
 	return l
@@ -190,11 +177,6 @@
 // attemptBits is how many attempts a token has numbers for: no other term uses them.
 const attemptBits = 24
 
-type refusal struct {
-	until time.Time
-	wait  time.Duration
-}
-
 // smallZone is the size of a zone that the operators' gap between verdicts is for.
 const smallZone = 20
 
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -76,12 +76,12 @@
 		l.publishCounts(j)
 		l.planner.Enqueue(j)
 		age := time.Duration(now.UnixMilli()-j.AcceptedMs) * time.Millisecond
-		l.arrived(j, age, now)
+		l.scaler.JobArrived(j, age, now)
 		l.planner.RestoreAge(j, age, now)
 	}
 	l.planner.Requested, l.planner.GuaranteesStale = true, true
 	l.fencing.raisedAt = now
-	l.listSyncAt = now.Add(2 * l.Derived.Cloud.ListLag)
+	l.scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.view.seenRevision.Store(after)
 	l.failover.RecordsLoaded(time.Now())
 	slog.Info("records read", "term", l.fencing.token, "jobs", len(l.state.Jobs), "ended", over, "machines", len(l.state.Machines.All))
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -2,10 +2,8 @@
 
 import (
 	"log/slog"
-	"slices"
 	"time"
 
-	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 )
 
@@ -26,16 +24,6 @@
 	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.fencing.token && l.detector.Schedulable(m.ID, now)
 }
 
-// machineType looks up a machine type; nil if it is not known.
-func (l *Leader) machineType(name string) *jobs.MachineType {
-	types := l.MachineTypes()
-	i := slices.IndexFunc(types, func(t jobs.MachineType) bool { return t.Name == name })
-	if i < 0 {
-		return nil
-	}
-	return &types[i]
-}
-
 // assign gives a task to a machine, as far as this leader is concerned.
 func (l *Leader) assign(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Assignment {
 	l.lastAttempt++
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	m := l.state.Machines.ByID[r.Machine]
-	if _, gone := l.returned[r.Machine]; m == nil && gone {
+	if m == nil && l.scaler.WasReleased(r.Machine) {
 		return nil
 	}
 	c := heartbeatSeq(r)
@@ -55,7 +55,7 @@
 		l.state.Machines.Add(m)
 	}
 	if m.Phase == cluster.Booting {
-		l.booted(m, now)
+		l.scaler.MachineUp(m, now)
 	}
 	l.checkDelivery(m, r, now)
 	l.detector.Heartbeat(m.ID, r.Zone, c, now)
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -121,7 +121,7 @@
 	for _, v := range verdicts {
 		l.carryOutVerdict(ctx, l.state.Machines.ByID[v.Machine], v.Reason, now)
 	}
-	l.manageFleet(ctx, now)
+	l.scale(ctx, now)
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
@@ -188,6 +188,6 @@
 	l.updateCapacity(m, now)
 	l.planner.Requested = true
 	if reason == liveness.ProbeFailed {
-		l.release(ctx, now, m)
+		l.scaler.Release(ctx, m)
 	}
 }
