--- a/cmd/ospreyslip-operator/snapshot.go
+++ b/cmd/ospreyslip-operator/snapshot.go
@@ -108,7 +108,7 @@
 	began := time.Now()
 	requests := snapshotShare * set.Deployment.State.Within().RPS
 	wait := max(leastSnapshotWait, time.Duration(4/requests*float64(time.Second)))
-	client := kvstore.New(set.Endpoints.State, &http.Transport{}, wait, kvstore.Budget{Requests: requests})
+	client := kvstore.New(set.Endpoints.State, &http.Transport{}, wait, kvstore.RateLimits{RequestsPerSecond: requests})
 	s, err := snapshot.Take(ctx, client, set.ClusterID(), began)
 	if err != nil {
 		return "", err
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -29,7 +29,7 @@
 		{name: "all go on", lasts: true},
 		{name: "promises of an earlier version", adapt: func(n *Node) {
 			n.hub.Promise = func(ctx context.Context, _ string, token, _ uint64) peer.Promise {
-				return peer.Promise{Given: n.keeper.Promise(ctx, token)}
+				return peer.Promise{Given: n.keeper.GrantPeerLease(ctx, token)}
 			}
 		}},
 		{name: "the leader confirmed", lasts: true, leader: true},
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -47,7 +47,7 @@
 	cache   *jobs.Cache
 	cloud   *autoscaler.Cloud
 	workers *workers.Client
-	keeper  *election.Keeper
+	keeper  *election.Elector
 	gate    *leader.Gate
 	counts  *leader.Counts
 	hub     *peer.Hub
@@ -90,14 +90,14 @@
 	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
 	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.budget(false))
 	n.cache = jobs.NewCache(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
-	n.keeper = election.NewKeeper(set.Node, n.store, election.Timing{
-		Lease: d.TermLease, Renew: d.TermRenew, Safe: d.TermSafe, WatchWait: d.WatchWait, Retry: d.TermRenew,
+	n.keeper = election.NewElector(set.Node, n.store, election.Timing{
+		LeaseDuration: d.TermLease, RenewPeriod: d.TermRenew, ValidFor: d.TermSafe, WatchTimeout: d.WatchWait, RetryPeriod: d.TermRenew,
 	})
 	n.hub = peer.NewHub(set.Node, set.Peers, w.Dial, d.TermRenew)
 	n.debug = newHanded()
 	n.losses = newLossDesk()
 	n.cache.OnLoss = n.losses.notice
-	n.keeper.Lost = func(l detection.Loss) {
+	n.keeper.ReportLoss = func(l detection.Loss) {
 		n.cache.Suspect(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
 		n.losses.notice(l)
 	}
@@ -115,7 +115,7 @@
 	n.hub.HTTP = n.debug.take
 	n.hub.Promise = n.promise
 	n.hub.Progress = func(from string, p peer.Progress) {
-		if n.keeper.Valid() {
+		if n.keeper.IsLeader() {
 			return
 		}
 		n.counts.Replace(p.Counts)
@@ -130,8 +130,8 @@
 		}
 	}
 	if len(set.Peers) == set.Deployment.Nodes-1 {
-		n.keeper.AllPromise = n.allPromise
-		n.keeper.NobodyRelies = n.nobodyRelies
+		n.keeper.RequestPeerLeases = n.allPromise
+		n.keeper.NoPeerReliesOnGrants = n.nobodyRelies
 	}
 	n.cloud = autoscaler.NewCloud(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudShare)
 	return n
@@ -199,7 +199,7 @@
 func (n *Node) Work(ctx context.Context, cluster net.Listener) {
 	deps := leader.Deps{
 		Settings: n.set, Derived: n.d, Store: n.store, Cloud: n.cloud,
-		Workers: n.workers, Valid: n.keeper.Valid, Promised: n.keeper.Promised, Raised: n.keeper.Raised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
+		Workers: n.workers, Valid: n.keeper.IsLeader, Promised: n.keeper.PeerLeasesRequestedAt, Raised: n.keeper.TokenRaised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
 		Cache: n.cache, Peers: n.hub, Node: n.set.Node,
 	}
 	var duties sync.WaitGroup
@@ -214,8 +214,8 @@
 	duties.Go(func() { n.memory.watch(ctx, n.d.TermRenew) })
 	duties.Go(func() {
 		n.keeper.Run(ctx, func(ctx context.Context, t election.Term) {
-			n.store.SetBudget(n.budget(true))
-			defer n.store.SetBudget(n.budget(false))
+			n.store.SetRateLimits(n.budget(true))
+			defer n.store.SetRateLimits(n.budget(false))
 			n.gate.Lead(ctx, deps, t)
 		})
 	})
@@ -225,7 +225,7 @@
 // promise answers the holder of the term, which has lost the state service. The
 // promise comes first: what this node tells users later is newer than the question.
 func (n *Node) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
-	p := peer.Promise{Given: n.keeper.Promise(ctx, token)}
+	p := peer.Promise{Given: n.keeper.GrantPeerLease(ctx, token)}
 	if p.Given && seen > 0 {
 		p.Cancellations, p.Complete = n.cache.Cancellations(seen)
 	}
@@ -246,12 +246,12 @@
 }
 
 // budget is what this node may ask of the state service.
-func (n *Node) budget(leading bool) kvstore.Budget {
+func (n *Node) budget(leading bool) kvstore.RateLimits {
 	all := n.set.Deployment.State.Within()
-	b := kvstore.Budget{Requests: leaderRequests * all.RPS, Writes: leaderWrites * all.WriteRPS}
+	b := kvstore.RateLimits{RequestsPerSecond: leaderRequests * all.RPS, WritesPerSecond: leaderWrites * all.WriteRPS}
 	if others := float64(n.set.Deployment.Nodes - 1); !leading && others > 0 {
-		b.Requests = (1 - leaderRequests) * all.RPS / others
-		b.Writes = (1 - leaderWrites) * all.WriteRPS / others
+		b.RequestsPerSecond = (1 - leaderRequests) * all.RPS / others
+		b.WritesPerSecond = (1 - leaderWrites) * all.WriteRPS / others
 	}
 	return b
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -80,7 +80,7 @@
 		}
 		return peer.LostPage{
 			Ready: fresh, Known: n.cache.Jobs(), Newest: n.cache.Newest(), Noticed: n.cache.Suspected() || n.cache.LostJobs() > 0,
-			ReliesOnNothing: n.keeper.ReliesOnNothing(),
+			ReliesOnNothing: n.keeper.ReliesOnNoGrant(),
 		}
 	}
 	n.losses.mu.Lock()
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -65,7 +65,7 @@
 	}
 	store := storedJobs(count)
 	wire := &direct{handler: store}
-	client := kvstore.New("state:1", wire, time.Minute, kvstore.Budget{Requests: 1e6, Writes: 1e6})
+	client := kvstore.New("state:1", wire, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
 	measure := func(what string, do func()) {
 		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
 		do()
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -342,7 +342,7 @@
 // snapshotNow copies all records, as the operators' command does.
 func (c *cluster) snapshotNow() *snapshot.Snapshot {
 	c.t.Helper()
-	client := kvstore.New("10.2.0.1:1", c.world.Net.From("tool"), time.Second, kvstore.Budget{Requests: 100})
+	client := kvstore.New("10.2.0.1:1", c.world.Net.From("tool"), time.Second, kvstore.RateLimits{RequestsPerSecond: 100})
 	s, err := snapshot.Take(c.ctx, client, c.settings(c.names[0]).ClusterID(), time.Now())
 	if err != nil {
 		c.t.Fatal(err)
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -88,7 +88,7 @@
 	began := time.Now()
 	for time.Since(began) < 30*time.Second {
 		for _, n := range names {
-			if c.nodes[n].node.keeper.Valid() {
+			if c.nodes[n].node.keeper.IsLeader() {
 				return time.Since(began)
 			}
 		}
@@ -129,7 +129,7 @@
 		old, lease := c.leader(), c.nodes[c.names[0]].node.d.TermLease
 		c.world.State.Down(true)
 		c.run(2 * lease)
-		if !c.nodes[old].node.keeper.Valid() {
+		if !c.nodes[old].node.keeper.IsLeader() {
 			t.Fatal("the holder does not live on promises")
 		}
 		var others []string
@@ -147,7 +147,7 @@
 		for range 3000 {
 			led := 0
 			for _, n := range c.names {
-				if c.nodes[n].node.keeper.Valid() {
+				if c.nodes[n].node.keeper.IsLeader() {
 					led++
 				}
 			}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -27,7 +27,7 @@
 
 func (n *Node) status(ctx context.Context) Status {
 	return Status{
-		Node: n.set.Node, Zone: n.set.Zone, Leader: n.keeper.Leader(), Leading: n.keeper.Valid(),
+		Node: n.set.Node, Zone: n.set.Zone, Leader: n.keeper.Leader(), Leading: n.keeper.IsLeader(),
 		View: n.gate.Status(ctx),
 	}
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -15,7 +15,7 @@
 
 // Run campaigns until the context ends. For each term it calls lead, whose
 // context ends with the term, and waits for its return before going on.
-func (k *Keeper) Run(ctx context.Context, lead func(context.Context, Term)) {
+func (k *Elector) Run(ctx context.Context, lead func(context.Context, Term)) {
 	var standDown time.Time
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -32,7 +32,7 @@
 		// Our own key from an earlier life is free to take: its holder is gone.
 		own := s.holder != nil && s.holder.Node == k.node
 		if s.holder != nil && !own {
-			k.follow(ctx, s.revision, k.timing.WatchWait)
+			k.follow(ctx, s.revision, k.timing.WatchTimeout)
 			continue
 		}
 		if s.holder == nil {
@@ -43,7 +43,7 @@
 				continue
 			}
 			if lost {
-				standDown = time.Now().Add(k.timing.Lease)
+				standDown = time.Now().Add(k.timing.LeaseDuration)
 			}
 		}
 		now, first := time.Now(), own || s.tokenRevision == 0 && k.promised.highest() == 0
@@ -52,9 +52,9 @@
 				continue
 			}
 			if k.promised.fromEarlier(k.now()) {
-				left = min(left, k.timing.Retry/2) // others may answer soon
+				left = min(left, k.timing.RetryPeriod/2) // others may answer soon
 			}
-			k.follow(ctx, s.revision, min(left, k.timing.WatchWait))
+			k.follow(ctx, s.revision, min(left, k.timing.WatchTimeout))
 			continue
 		}
 		t, lease, sent, err := k.take(ctx, s, first)
@@ -64,20 +64,20 @@
 			continue
 		}
 		if k.hold(ctx, t, lease, sent, lead) == resigned {
-			standDown = time.Now().Add(2 * k.timing.Lease)
+			standDown = time.Now().Add(2 * k.timing.LeaseDuration)
 		}
 	}
 }
 
 // releaseEarlier asks all others whether anybody may rely on what an earlier life of this node
 // has promised, and returns true if nobody does: then it need not be waited out.
-func (k *Keeper) releaseEarlier(ctx context.Context) bool {
-	if k.NobodyRelies == nil || !k.promised.fromEarlier(k.now()) {
+func (k *Elector) releaseEarlier(ctx context.Context) bool {
+	if k.NoPeerReliesOnGrants == nil || !k.promised.fromEarlier(k.now()) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.timing.Renew)
+	ctx, cancel := context.WithTimeout(ctx, k.timing.RenewPeriod)
 	defer cancel()
-	if !k.NobodyRelies(ctx) {
+	if !k.NoPeerReliesOnGrants(ctx) {
 		return false
 	}
 	k.promised.earlierIsVoid(k.now())
@@ -88,9 +88,9 @@
 // atLeastKnown takes in the stored token. Should the state service have lost it, or have
 // been put back to an older one, the highest that this node knows of takes its place: no
 // token may be given out twice.
-func (k *Keeper) atLeastKnown(stored uint64) uint64 {
+func (k *Elector) atLeastKnown(stored uint64) uint64 {
 	if known := k.promised.highest(); stored < known {
-		k.Lost(detection.Loss{Kind: detection.TokenBack, Key: TokenKey, Known: known, Found: stored})
+		k.ReportLoss(detection.Loss{Kind: detection.TokenBack, Key: TokenKey, Known: known, Found: stored})
 		return known
 	}
 	k.promised.know(stored)
@@ -100,7 +100,7 @@
 // dropPutBack takes a holder that others have followed for none: the service was put back to
 // before that, and the lease that its key was tied to is over, so that nothing else would
 // ever remove the key.
-func (k *Keeper) dropPutBack(s *stored) {
+func (k *Elector) dropPutBack(s *stored) {
 	switch {
 	case s.holder == nil:
 	case s.holder.Token < k.last.Token:
@@ -113,16 +113,16 @@
 // endLast ends the lease of the last holder known, when nobody holds the term. Mostly it
 // has ended by itself, and the key with it. If it is alive, then the key was lost: the
 // holder goes on renewing it and has to learn that it is over.
-func (k *Keeper) endLast(ctx context.Context) (lost bool, err error) {
+func (k *Elector) endLast(ctx context.Context) (lost bool, err error) {
 	if k.last.Lease == 0 || k.last.Life == k.life {
 		return false, nil
 	}
-	alive, err := k.store.EndIfAlive(ctx, k.last.Lease)
+	alive, err := k.store.RevokeLeaseIfAlive(ctx, k.last.Lease)
 	if err != nil {
 		return false, err
 	}
 	if alive {
-		k.Lost(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: k.last.Token})
+		k.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: k.last.Token})
 	}
 	k.last.Lease = 0
 	return alive, nil
@@ -137,14 +137,14 @@
 	revision       uint64 // as of which all this was read
 }
 
-func (k *Keeper) read(ctx context.Context) (stored, error) {
+func (k *Elector) read(ctx context.Context) (stored, error) {
 	asked := k.newest.Ask()
 	pairs, revision, err := k.store.List(ctx, prefix)
 	if err != nil {
 		return stored{}, err
 	}
 	if e, back := k.newest.See(asked, detection.RevisionBack, prefix, revision); back {
-		k.Lost(e)
+		k.ReportLoss(e)
 	}
 	s := stored{revision: revision}
 	for _, p := range pairs {
@@ -167,7 +167,7 @@
 }
 
 // follow waits until something about the term changes.
-func (k *Keeper) follow(ctx context.Context, after uint64, wait time.Duration) {
+func (k *Elector) follow(ctx context.Context, after uint64, wait time.Duration) {
 	_, changes, err := k.store.Watch(ctx, prefix, after, wait)
 	if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
 		k.pause(ctx)
@@ -183,9 +183,9 @@
 
 // take campaigns for the term on what was read of it. It returns the term, its lease and
 // when that was asked for. First is true if no promise of an earlier life can matter.
-func (k *Keeper) take(ctx context.Context, s stored, first bool) (Term, uint64, time.Time, error) {
+func (k *Elector) take(ctx context.Context, s stored, first bool) (Term, uint64, time.Time, error) {
 	sent := time.Now()
-	lease, err := k.store.Grant(ctx, k.timing.Lease)
+	lease, err := k.store.GrantLease(ctx, k.timing.LeaseDuration)
 	if err != nil {
 		return Term{}, 0, sent, fmt.Errorf("grant: %w", err)
 	}
@@ -193,31 +193,31 @@
 	value, _ := json.Marshal(h)
 	next, _ := json.Marshal(h.Token)
 	if !k.promised.campaign(k.now(), first, s.token) {
-		_ = k.store.Revoke(ctx, lease)
+		_ = k.store.RevokeLease(ctx, lease)
 		return Term{}, 0, sent, errors.New("promised not to")
 	}
 	rev, failed, err := k.store.Commit(ctx,
 		[]kvstore.Guard{{Key: HolderKey, Revision: s.holderRevision}, {Key: TokenKey, Revision: s.tokenRevision}},
 		[]kvstore.Write{{Set: HolderKey, Value: value, Lease: lease}, {Set: TokenKey, Value: next}})
-	if !errors.Is(err, kvstore.ErrUnknown) {
+	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		k.promised.settled()
 	}
 	if err == nil && len(failed) == 0 {
 		k.promised.know(h.Token)
-		return Term{Token: h.Token, Revision: rev, TokenRevision: rev, Since: time.Now()}, lease, sent, nil
+		return Term{FencingToken: h.Token, HolderRevision: rev, TokenRevision: rev, Since: time.Now()}, lease, sent, nil
 	}
 	// An unknown outcome is not pursued: should the transaction be applied
 	// late, its lease is no longer renewed and the key falls free by itself.
 	// Ending the lease at once keeps that from costing a whole lease.
-	drop, cancel := context.WithTimeout(ctx, k.timing.Retry)
+	drop, cancel := context.WithTimeout(ctx, k.timing.RetryPeriod)
 	defer cancel()
-	_ = k.store.Revoke(drop, lease)
+	_ = k.store.RevokeLease(drop, lease)
 	return Term{}, 0, sent, errors.Join(err, fmt.Errorf("guards failed: %v", failed))
 }
 
 // pause spreads the tries of several nodes.
-func (k *Keeper) pause(ctx context.Context) {
-	wait := k.timing.Retry/2 + mrand.N(k.timing.Retry)
+func (k *Elector) pause(ctx context.Context) {
+	wait := k.timing.RetryPeriod/2 + mrand.N(k.timing.RetryPeriod)
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
--- a/internal/election/hold.go
+++ b/internal/election/hold.go
@@ -24,8 +24,8 @@
 // watchOwnKey looks at the holder's key once in a term lease, and closes lost when it is
 // not this term's any more. Without it, a holder whose key the state service has lost
 // would go on for as long as its lease is renewed, beside the next one.
-func (k *Keeper) watchOwnKey(ctx context.Context, t Term, lost chan<- struct{}) {
-	tick := time.NewTicker(k.timing.Lease)
+func (k *Elector) watchOwnKey(ctx context.Context, t Term, lost chan<- struct{}) {
+	tick := time.NewTicker(k.timing.LeaseDuration)
 	defer tick.Stop()
 	for {
 		select {
@@ -34,11 +34,11 @@
 		case <-tick.C:
 		}
 		p, found, err := k.store.Get(ctx, HolderKey)
-		if err != nil || found && p.Revision == t.Revision {
+		if err != nil || found && p.Revision == t.HolderRevision {
 			continue
 		}
-		if ctx.Err() == nil && k.Valid() {
-			k.Lost(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: t.Revision, Found: p.Revision})
+		if ctx.Err() == nil && k.IsLeader() {
+			k.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: t.HolderRevision, Found: p.Revision})
 		}
 		close(lost)
 		return
@@ -46,18 +46,18 @@
 }
 
 // hold keeps the term until it can no longer be proven, and tells why it ended.
-func (k *Keeper) hold(ctx context.Context, t Term, lease uint64, sent time.Time, lead func(context.Context, Term)) (reason string) {
-	k.cover.begin(sent.Sub(k.base), k.timing.Safe)
-	if !k.Valid() {
+func (k *Elector) hold(ctx context.Context, t Term, lease uint64, sent time.Time, lead func(context.Context, Term)) (reason string) {
+	k.cover.begin(sent.Sub(k.base), k.timing.ValidFor)
+	if !k.IsLeader() {
 		k.cover.end()
 		return "taken too slowly"
 	}
-	self := &Holder{Node: k.node, Life: k.life, Token: t.Token}
+	self := &Holder{Node: k.node, Life: k.life, Token: t.FencingToken}
 	k.last = *self
 	k.listened(time.Now())
 	k.holder.Store(self)
-	k.token.Store(t.Token)
-	slog.Info("term taken", "term", t.Token)
+	k.token.Store(t.FencingToken)
+	slog.Info("term taken", "term", t.FencingToken)
 	leadCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -66,22 +66,22 @@
 	}()
 	lost := make(chan struct{})
 	go k.watchOwnKey(leadCtx, t, lost)
-	reason = k.renew(leadCtx, lease, t.Token, done, lost)
+	reason = k.renew(leadCtx, lease, t.FencingToken, done, lost)
 	k.cover.end()
 	k.holder.CompareAndSwap(self, nil)
 	stop()
 	<-done
-	slog.Info("term ended", "term", t.Token, "reason", reason)
-	drop, cancel := context.WithTimeout(context.WithoutCancel(ctx), k.timing.Retry)
+	slog.Info("term ended", "term", t.FencingToken, "reason", reason)
+	drop, cancel := context.WithTimeout(context.WithoutCancel(ctx), k.timing.RetryPeriod)
 	defer cancel()
-	_ = k.store.Revoke(drop, lease)
+	_ = k.store.RevokeLease(drop, lease)
 	return reason
 }
 
 // renew keeps the lease. While the state service does not answer, promises of
 // all other nodes take its place: see docs/design.md for why that is safe.
-func (k *Keeper) renew(ctx context.Context, lease, token uint64, done, lost <-chan struct{}) (reason string) {
-	tick := time.NewTicker(k.timing.Renew)
+func (k *Elector) renew(ctx context.Context, lease, token uint64, done, lost <-chan struct{}) (reason string) {
+	tick := time.NewTicker(k.timing.RenewPeriod)
 	defer tick.Stop()
 	type outcome struct {
 		sent time.Time
@@ -104,11 +104,11 @@
 			switch {
 			case o.err == nil && o.sent.After(good):
 				good = o.sent
-				k.cover.renewed(o.sent.Sub(k.base), k.timing.Safe)
+				k.cover.renewed(o.sent.Sub(k.base), k.timing.ValidFor)
 			case o.err == nil: // one that was sent later has been answered already
-			case errors.Is(o.err, kvstore.ErrNoLease):
-				if k.Valid() { // renewed in time, it cannot end by itself
-					k.Lost(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: token})
+			case errors.Is(o.err, kvstore.ErrLeaseNotFound):
+				if k.IsLeader() { // renewed in time, it cannot end by itself
+					k.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: token})
 				}
 				return "lease ended"
 			default:
@@ -116,7 +116,7 @@
 			}
 		case o := <-promises:
 			asking = false
-			if o.err == nil && k.cover.promised(k.now(), o.sent.Sub(k.base), k.timing.Safe) {
+			if o.err == nil && k.cover.promised(k.now(), o.sent.Sub(k.base), k.timing.ValidFor) {
 				k.asked.Store(int64(o.sent.Sub(k.base)))
 			}
 		case <-tick.C:
@@ -128,22 +128,22 @@
 		}
 		// On a busy processor an answer may take most of the time for which it counts: the
 		// next try does not wait for it, and it is not given up with those before.
-		if renewing < mostRenewals && now.Sub(tried) >= k.timing.Renew*9/10 {
+		if renewing < mostRenewals && now.Sub(tried) >= k.timing.RenewPeriod*9/10 {
 			renewing++
 			tried = now
 			go func() {
-				try, cancel := context.WithTimeout(ctx, k.timing.Safe)
+				try, cancel := context.WithTimeout(ctx, k.timing.ValidFor)
 				defer cancel()
-				renewals <- outcome{now, k.store.Renew(try, lease)}
+				renewals <- outcome{now, k.store.RenewLease(try, lease)}
 			}()
 		}
-		if !asking && k.AllPromise != nil && now.Sub(good) >= 2*k.timing.Renew && now.Sub(asked) >= k.timing.Renew*9/10 {
+		if !asking && k.RequestPeerLeases != nil && now.Sub(good) >= 2*k.timing.RenewPeriod && now.Sub(asked) >= k.timing.RenewPeriod*9/10 {
 			asking, asked = true, now
 			go func() {
-				try, cancel := context.WithTimeout(ctx, min(left, 3*k.timing.Renew))
+				try, cancel := context.WithTimeout(ctx, min(left, 3*k.timing.RenewPeriod))
 				defer cancel()
 				o := outcome{sent: now}
-				if !k.AllPromise(try, k.token.Load()) {
+				if !k.RequestPeerLeases(try, k.token.Load()) {
 					o.err = errors.New("not promised")
 				}
 				promises <- o
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -43,9 +43,9 @@
 		first, firstTerms, stopFirst := keep(t, world, "perch-0", nil)
 		time.Sleep(time.Second)
 		second, secondTerms, stopSecond := keep(t, world, "perch-1", nil)
-		first.Lost, second.Lost = seen.add, seen.add
+		first.ReportLoss, second.ReportLoss = seen.add, seen.add
 		time.Sleep(5300 * time.Millisecond) // between two looks of the holder at its key
-		if !first.Valid() || second.Valid() {
+		if !first.IsLeader() || second.IsLeader() {
 			t.Fatal("the first one should lead")
 		}
 		if len(seen.all) > 0 {
@@ -54,11 +54,11 @@
 		lose(store)
 		for range 6000 {
 			time.Sleep(10 * time.Millisecond)
-			if first.Valid() && second.Valid() {
+			if first.IsLeader() && second.IsLeader() {
 				t.Fatal("two nodes hold the term")
 			}
 		}
-		if !first.Valid() && !second.Valid() {
+		if !first.IsLeader() && !second.IsLeader() {
 			t.Error("nobody leads a minute later")
 		}
 		stopFirst()
@@ -106,12 +106,12 @@
 		before = store.Backup() // empty
 		k, terms, stop := keep(t, world, "perch-0", nil)
 		seen := &noted{}
-		k.Lost = seen.add
+		k.ReportLoss = seen.add
 		time.Sleep(3 * time.Second)
 		store.Restore(before)
 		time.Sleep(10 * time.Second)
-		if got := terms(); len(got) < 2 || got[1] <= got[0] || !k.Valid() {
-			t.Errorf("tokens %v after the service was put back, leading %v", got, k.Valid())
+		if got := terms(); len(got) < 2 || got[1] <= got[0] || !k.IsLeader() {
+			t.Errorf("tokens %v after the service was put back, leading %v", got, k.IsLeader())
 		}
 		if !seen.has(detection.TokenBack) {
 			t.Error("that the token went back was not noticed")
@@ -128,14 +128,14 @@
 		world.Attach("state", "state:1", store)
 		seen := &noted{}
 		first, _, stopFirst := keep(t, world, "perch-0", nil)
-		first.Lost = seen.add
+		first.ReportLoss = seen.add
 		time.Sleep(time.Second)
 		second, _, stopSecond := keep(t, world, "perch-1", nil)
-		second.Lost = seen.add
+		second.ReportLoss = seen.add
 		time.Sleep(3 * time.Second)
 		store.RefuseFrom("perch-0", true) // its lease ends
 		time.Sleep(10 * time.Second)
-		if !second.Valid() {
+		if !second.IsLeader() {
 			t.Error("the second one does not lead")
 		}
 		store.RefuseFrom("perch-0", false)
@@ -146,8 +146,8 @@
 		time.Sleep(5 * time.Second)
 		stopSecond() // ends its lease itself
 		time.Sleep(5 * time.Second)
-		if !first.Valid() || len(seen.all) > 0 {
-			t.Errorf("first leads: %v; noticed %v", first.Valid(), seen.all)
+		if !first.IsLeader() || len(seen.all) > 0 {
+			t.Errorf("first leads: %v; noticed %v", first.IsLeader(), seen.all)
 		}
 		stopFirst()
 		world.Wait()
@@ -168,17 +168,17 @@
 		before := store.Backup()
 		stopFirst()
 		time.Sleep(5 * time.Second)
-		if !second.Valid() && !third.Valid() {
+		if !second.IsLeader() && !third.IsLeader() {
 			t.Fatal("nobody has followed")
 		}
 		store.Restore(before)
 		for range 1500 {
 			time.Sleep(10 * time.Millisecond)
-			if second.Valid() && third.Valid() {
+			if second.IsLeader() && third.IsLeader() {
 				t.Fatal("two nodes hold the term")
 			}
 		}
-		if !second.Valid() && !third.Valid() {
+		if !second.IsLeader() && !third.IsLeader() {
 			t.Error("nobody leads after the service was put back")
 		}
 		stopSecond()
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -35,23 +35,23 @@
 
 // Term is one time of leadership.
 type Term struct {
-	Token         uint64
-	Revision      uint64 // revision of HolderKey
-	TokenRevision uint64 // revision of TokenKey
-	Since         time.Time
+	FencingToken   uint64
+	HolderRevision uint64 // revision of HolderKey
+	TokenRevision  uint64 // revision of TokenKey
+	Since          time.Time
 }
 
 // Timing is how long the lease lasts and how it is kept.
 type Timing struct {
-	Lease     time.Duration // of the term and of a promise
-	Renew     time.Duration // between two renewals
-	Safe      time.Duration // how long after its request was sent a renewal, or a promise, counts
-	WatchWait time.Duration
-	Retry     time.Duration
+	LeaseDuration time.Duration // of the term and of a promise
+	RenewPeriod   time.Duration // between two renewals
+	ValidFor      time.Duration // how long after its request was sent a renewal, or a promise, counts
+	WatchTimeout  time.Duration
+	RetryPeriod   time.Duration
 }
 
-// Keeper campaigns for the term and keeps it.
-type Keeper struct {
+// Elector campaigns for the term and keeps it.
+type Elector struct {
 	node     string
 	life     string
 	store    *kvstore.Client
@@ -66,47 +66,47 @@
 	last     Holder            // the last one read, owned by Run
 	newest   detection.Highest // revision that was read, owned by Run
 
-	// AllPromise asks all other nodes for a promise; nil means that there are
+	// RequestPeerLeases asks all other nodes for a promise; nil means that there are
 	// none to be had.
-	AllPromise func(ctx context.Context, token uint64) bool
-	// NobodyRelies asks all other nodes whether each has answered, in its present life, that
+	RequestPeerLeases func(ctx context.Context, token uint64) bool
+	// NoPeerReliesOnGrants asks all other nodes whether each has answered, in its present life, that
 	// it relies on no promise; nil means that this cannot be found out.
-	NobodyRelies func(ctx context.Context) bool
-	// Lost is told what shows that the state service has lost keys of the term.
-	Lost func(detection.Loss)
+	NoPeerReliesOnGrants func(ctx context.Context) bool
+	// ReportLoss is told what shows that the state service has lost keys of the term.
+	ReportLoss func(detection.Loss)
 }
 
-// NewKeeper makes a keeper for a node.
-func NewKeeper(node string, store *kvstore.Client, timing Timing) *Keeper {
-	k := &Keeper{node: node, life: rand.Text(), store: store, timing: timing, base: time.Now(), Lost: func(detection.Loss) {}}
-	k.promised.giver = rules.Restarted(0, timing.Lease)
+// NewElector makes a keeper for a node.
+func NewElector(node string, store *kvstore.Client, timing Timing) *Elector {
+	k := &Elector{node: node, life: rand.Text(), store: store, timing: timing, base: time.Now(), ReportLoss: func(detection.Loss) {}}
+	k.promised.giver = rules.Restarted(0, timing.LeaseDuration)
 	return k
 }
 
-// Valid tells whether this node holds the term at this moment, by its own
+// IsLeader tells whether this node holds the term at this moment, by its own
 // clock and counted from when the last good renewal was sent.
-func (k *Keeper) Valid() bool { return k.cover.valid(k.now()) }
+func (k *Elector) IsLeader() bool { return k.cover.valid(k.now()) }
 
 // now is this node's steady clock, as all decisions about the term count.
-func (k *Keeper) now() time.Duration { return time.Since(k.base) }
+func (k *Elector) now() time.Duration { return time.Since(k.base) }
 
-// ReliesOnNothing tells whether this node, in its present life, neither holds a term nor may
+// ReliesOnNoGrant tells whether this node, in its present life, neither holds a term nor may
 // come to act by one that it took: then no promise that others have given it matters.
-func (k *Keeper) ReliesOnNothing() bool { return k.cover.reliesOnNothing() }
+func (k *Elector) ReliesOnNoGrant() bool { return k.cover.reliesOnNothing() }
 
-// Promised returns when the last promises were asked for that all others gave. It
+// PeerLeasesRequestedAt returns when the last promises were asked for that all others gave. It
 // is the zero time if that was never so.
-func (k *Keeper) Promised() time.Time {
+func (k *Elector) PeerLeasesRequestedAt() time.Time {
 	if at := k.asked.Load(); at > 0 {
 		return k.base.Add(time.Duration(at))
 	}
 	return time.Time{}
 }
 
-// Raised notes that the holder has raised the token within its term. Questions
+// TokenRaised notes that the holder has raised the token within its term. Questions
 // for promises carry the newest: by an older one, the others would take the
 // holder for one that has been succeeded.
-func (k *Keeper) Raised(token uint64) {
+func (k *Elector) TokenRaised(token uint64) {
 	k.token.Store(token)
 	k.promised.know(token)
 }
@@ -114,30 +114,30 @@
 // Leader names the node that held the term when last seen, or is empty. What was
 // seen too long ago is not told: a node that is cut off would send workers to
 // one that leads no more.
-func (k *Keeper) Leader() string {
+func (k *Elector) Leader() string {
 	h := k.holder.Load()
-	if h == nil || time.Since(k.base)-time.Duration(k.heard.Load()) > k.timing.WatchWait+2*k.timing.Lease {
+	if h == nil || time.Since(k.base)-time.Duration(k.heard.Load()) > k.timing.WatchTimeout+2*k.timing.LeaseDuration {
 		return ""
 	}
 	return h.Node
 }
 
 // listened notes that the state service has told of the term, as of a moment.
-func (k *Keeper) listened(at time.Time) { k.heard.Store(int64(at.Sub(k.base))) }
+func (k *Elector) listened(at time.Time) { k.heard.Store(int64(at.Sub(k.base))) }
 
-// Promise decides whether this node promises not to take the term for the time of
+// GrantPeerLease decides whether this node promises not to take the term for the time of
 // one lease, as the term's holder asks. It does so only while the state service
 // does not answer it either: otherwise the holder's trouble is its own.
-func (k *Keeper) Promise(ctx context.Context, token uint64) bool {
-	if k.Valid() {
+func (k *Elector) GrantPeerLease(ctx context.Context, token uint64) bool {
+	if k.IsLeader() {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.timing.Renew)
+	ctx, cancel := context.WithTimeout(ctx, k.timing.RenewPeriod)
 	defer cancel()
-	if _, _, err := k.store.Get(ctx, HolderKey); err == nil || errors.Is(err, kvstore.ErrBusy) {
+	if _, _, err := k.store.Get(ctx, HolderKey); err == nil || errors.Is(err, kvstore.ErrRateLimited) {
 		return false // a service that is only busy still takes cancellations
 	}
-	if !k.promised.give(k.now(), k.timing.Lease, token) {
+	if !k.promised.give(k.now(), k.timing.LeaseDuration, token) {
 		return false
 	}
 	if h := k.holder.Load(); h != nil && h.Token <= token {
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -13,15 +13,15 @@
 )
 
 var timing = Timing{
-	Lease: 2 * time.Second, Renew: 400 * time.Millisecond, Safe: 1900 * time.Millisecond,
-	WatchWait: time.Second, Retry: 400 * time.Millisecond,
+	LeaseDuration: 2 * time.Second, RenewPeriod: 400 * time.Millisecond, ValidFor: 1900 * time.Millisecond,
+	WatchTimeout: time.Second, RetryPeriod: 400 * time.Millisecond,
 }
 
 // keep runs a keeper and records the tokens of its terms.
-func keep(t *testing.T, world *emulator.Net, node string, promise func(context.Context, uint64) bool) (k *Keeper, terms func() []uint64, stop func()) {
+func keep(t *testing.T, world *emulator.Net, node string, promise func(context.Context, uint64) bool) (k *Elector, terms func() []uint64, stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
-	k = NewKeeper(node, kvstore.New("state:1", world.From(node), time.Second, kvstore.Budget{Requests: 100, Writes: 50}), timing)
-	k.AllPromise = promise
+	k = NewElector(node, kvstore.New("state:1", world.From(node), time.Second, kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}), timing)
+	k.RequestPeerLeases = promise
 	var mu sync.Mutex
 	var tokens []uint64
 	done := make(chan struct{})
@@ -29,7 +29,7 @@
 		defer close(done)
 		k.Run(ctx, func(ctx context.Context, tm Term) {
 			mu.Lock()
-			tokens = append(tokens, tm.Token)
+			tokens = append(tokens, tm.FencingToken)
 			mu.Unlock()
 			<-ctx.Done()
 		})
@@ -56,13 +56,13 @@
 		}
 		k, terms, stop := keep(t, world, "perch-0", slow)
 		time.Sleep(5 * time.Second)
-		if !k.Valid() || len(terms()) != 1 {
+		if !k.IsLeader() || len(terms()) != 1 {
 			t.Fatal("no term to begin with")
 		}
 		store.Down(true)
 		time.Sleep(2500 * time.Millisecond)
 		for range 40 {
-			if k.Valid() {
+			if k.IsLeader() {
 				t.Fatal("the term came back without a gapless cover")
 			}
 			time.Sleep(250 * time.Millisecond)
@@ -83,17 +83,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		world, store := emulator.NewNet(), emulator.NewState()
 		world.Attach("state", "state:1", store)
-		k := NewKeeper("perch-0", kvstore.New("state:1", world.From("perch-0"), time.Second, kvstore.Budget{Requests: 100, Writes: 50}), timing)
-		if k.Promise(t.Context(), 1) {
+		k := NewElector("perch-0", kvstore.New("state:1", world.From("perch-0"), time.Second, kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}), timing)
+		if k.GrantPeerLease(t.Context(), 1) {
 			t.Error("promised while served")
 		}
 		store.Busy(true)
-		if k.Promise(t.Context(), 1) {
+		if k.GrantPeerLease(t.Context(), 1) {
 			t.Error("promised while the service was over its limit")
 		}
 		store.Busy(false)
 		store.Down(true)
-		if !k.Promise(t.Context(), 1) {
+		if !k.GrantPeerLease(t.Context(), 1) {
 			t.Error("refused in an outage")
 		}
 		world.Wait()
@@ -112,7 +112,7 @@
 		time.Sleep(time.Second)
 		b, termsB, stopB := keep(t, world, "perch-1", never)
 		both := func(what string) {
-			if a.Valid() && b.Valid() {
+			if a.IsLeader() && b.IsLeader() {
 				t.Fatalf("two leaders: %s", what)
 			}
 		}
@@ -155,7 +155,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		world, store := emulator.NewNet(), emulator.NewState()
 		world.Attach("state", "state:1", store)
-		world.Lateness = timing.Safe * 7 / 10 // of what the rule below calls slow
+		world.Lateness = timing.ValidFor * 7 / 10 // of what the rule below calls slow
 		never := func(context.Context, uint64) bool { return false }
 		k, terms, stop := keep(t, world, "perch-0", never)
 		time.Sleep(time.Second)
@@ -167,7 +167,7 @@
 		})
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
-			if !k.Valid() {
+			if !k.IsLeader() {
 				t.Fatal("the term is lost though each renewal is answered in time")
 			}
 		}
--- a/internal/jobs/api.go
+++ b/internal/jobs/api.go
@@ -185,7 +185,7 @@
 			}
 			if len(failed) == 0 {
 				// Should the state service lose the record, nobody else may know of it.
-				a.Cache.Take(asked, kvstore.Pair{Key: RecordKey(spec.ID), Value: value, Revision: rev})
+				a.Cache.Take(asked, kvstore.KeyValue{Key: RecordKey(spec.ID), Value: value, Revision: rev})
 				slog.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
 				reply(w, http.StatusCreated, view{ID: spec.ID, State: Queued})
 				return true, nil
@@ -256,7 +256,7 @@
 		if answered {
 			return
 		}
-		if errors.Is(err, kvstore.ErrRefused) || ctx.Err() != nil {
+		if errors.Is(err, kvstore.ErrNotExecuted) || ctx.Err() != nil {
 			a.later(w, "state service does not answer")
 			return
 		}
@@ -337,7 +337,7 @@
 		if err != nil || len(failed) > 0 {
 			return false, err
 		}
-		a.Cache.Take(asked, kvstore.Pair{Key: RecordKey(id), Value: ended, Revision: rev})
+		a.Cache.Take(asked, kvstore.KeyValue{Key: RecordKey(id), Value: ended, Revision: rev})
 		slog.Debug("job cancelled", "job", id)
 		reply(w, http.StatusOK, view{ID: id, State: Cancelled})
 		return true, nil
--- a/internal/jobs/cache_test.go
+++ b/internal/jobs/cache_test.go
@@ -27,7 +27,7 @@
 		world, store := emulator.NewNet(), emulator.NewState()
 		world.Attach("state", "state:1", store)
 		client := func(host string) *kvstore.Client {
-			return kvstore.New("state:1", world.From(host), time.Second, kvstore.Budget{Requests: 1000, Writes: 1000})
+			return kvstore.New("state:1", world.From(host), time.Second, kvstore.RateLimits{RequestsPerSecond: 1000, WritesPerSecond: 1000})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		// The only node: there is nobody who could know more.
--- a/internal/jobs/verify.go
+++ b/internal/jobs/verify.go
@@ -17,7 +17,7 @@
 
 // Take takes in a record that was read or written elsewhere in this process. If the service
 // was put back meanwhile, its revision may be of the past, and the record lost.
-func (m *Cache) Take(asked detection.Request, p kvstore.Pair) {
+func (m *Cache) Take(asked detection.Request, p kvstore.KeyValue) {
 	if !m.newest.Raise(asked, p.Revision) {
 		p.Revision = 0
 	}
@@ -40,14 +40,14 @@
 // listing is one reading of all records.
 type listing struct {
 	read  int
-	older []kvstore.Pair // records of an older revision than is known
+	older []kvstore.KeyValue // records of an older revision than is known
 }
 
 // readAll reads all records once. A record is older than known if that was learnt while
 // its page was on the way, or if the service was put back: only what was known before the
 // reading began proves the latter.
 func (m *Cache) readAll(ctx context.Context, pause time.Duration, each func(id string)) (l listing, revision uint64, err error) {
-	revision, err = m.store.EachPaced(ctx, RecordPrefix, pause, func(p kvstore.Pair) {
+	revision, err = m.store.ForEachPaced(ctx, RecordPrefix, pause, func(p kvstore.KeyValue) {
 		l.read++
 		id := IDOf(p.Key)
 		each(id)
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -9,37 +9,37 @@
 )
 
 // Get reads one key. A key that does not exist is found == false with no error.
-func (c *Client) Get(ctx context.Context, key string) (p Pair, found bool, err error) {
+func (c *Client) Get(ctx context.Context, key string) (p KeyValue, found bool, err error) {
 	status, err := c.do(ctx, c.wait, http.MethodGet, "/keys/"+key, nil, &p)
 	switch {
 	case err != nil:
-		return Pair{}, false, err
+		return KeyValue{}, false, err
 	case status == http.StatusOK:
 		return p, true, nil
 	case status == http.StatusNotFound:
-		return Pair{}, false, nil
+		return KeyValue{}, false, nil
 	}
-	return Pair{}, false, unexpected(status, "get "+key)
+	return KeyValue{}, false, unexpected(status, "get "+key)
 }
 
 // List reads all keys with a prefix. The revision is that of the first page:
 // a watch from there sees every change that later pages may have missed.
-func (c *Client) List(ctx context.Context, prefix string) (pairs []Pair, revision uint64, err error) {
-	revision, err = c.Each(ctx, prefix, func(p Pair) { pairs = append(pairs, p) })
+func (c *Client) List(ctx context.Context, prefix string) (pairs []KeyValue, revision uint64, err error) {
+	revision, err = c.ForEach(ctx, prefix, func(p KeyValue) { pairs = append(pairs, p) })
 	if err != nil {
 		return nil, 0, err
 	}
 	return pairs, revision, nil
 }
 
-// Each is List for keys of which there may be more than fit into memory: it hands over
+// ForEach is List for keys of which there may be more than fit into memory: it hands over
 // one after the other. After an error, some may have been handed over.
-func (c *Client) Each(ctx context.Context, prefix string, take func(Pair)) (revision uint64, err error) {
-	return c.EachPaced(ctx, prefix, 0, take)
+func (c *Client) ForEach(ctx context.Context, prefix string, take func(KeyValue)) (revision uint64, err error) {
+	return c.ForEachPaced(ctx, prefix, 0, take)
 }
 
-// EachPaced is Each with a pause between two pages, so that others get their turn.
-func (c *Client) EachPaced(ctx context.Context, prefix string, pause time.Duration, take func(Pair)) (revision uint64, err error) {
+// ForEachPaced is Each with a pause between two pages, so that others get their turn.
+func (c *Client) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, take func(KeyValue)) (revision uint64, err error) {
 	after := ""
 	for {
 		page, err := c.page(ctx, prefix, after)
@@ -68,9 +68,9 @@
 
 // keyPage is a part of the keys with a prefix.
 type keyPage struct {
-	Pairs []Pair `json:"pairs"`
-	More  bool   `json:"hasNext"`
-	Tide  uint64 `json:"tide"`
+	Pairs []KeyValue `json:"pairs"`
+	More  bool       `json:"hasNext"`
+	Tide  uint64     `json:"tide"`
 }
 
 func (c *Client) page(ctx context.Context, prefix, after string) (page keyPage, err error) {
--- a/internal/kvstore/state.go
+++ b/internal/kvstore/state.go
@@ -19,24 +19,24 @@
 )
 
 var (
-	// ErrRefused means that the request was certainly not executed.
-	ErrRefused = errors.New("state service refused the request")
-	// ErrBusy comes with ErrRefused where a limit was the reason, the service's or
+	// ErrNotExecuted means that the request was certainly not executed.
+	ErrNotExecuted = errors.New("state service refused the request")
+	// ErrRateLimited comes with ErrRefused where a limit was the reason, the service's or
 	// this node's own: it says nothing of an outage.
-	ErrBusy = errors.New("over the limit")
-	// ErrRejected comes with ErrRefused where the request itself was the reason, as
+	ErrRateLimited = errors.New("over the limit")
+	// ErrInvalidRequest comes with ErrRefused where the request itself was the reason, as
 	// it is larger than the service takes: sent again, it would be refused again.
-	ErrRejected = errors.New("rejected as it is")
-	// ErrUnknown means that the request may have been executed, or may yet be.
-	ErrUnknown = errors.New("outcome unknown")
-	// ErrNoLease means that the lease has ended.
-	ErrNoLease = errors.New("no such lease")
+	ErrInvalidRequest = errors.New("rejected as it is")
+	// ErrOutcomeUnknown means that the request may have been executed, or may yet be.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
+	// ErrLeaseNotFound means that the lease has ended.
+	ErrLeaseNotFound = errors.New("no such lease")
 	// ErrCompacted means that a watch asked for changes no longer kept.
 	ErrCompacted = errors.New("changes no longer kept")
 )
 
-// Pair is a key, its value and the revision of its last change.
-type Pair struct {
+// KeyValue is a key, its value and the revision of its last change.
+type KeyValue struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"value"`
 	Revision uint64          `json:"mark"`
@@ -80,8 +80,8 @@
 // Failing tells whether the service has stopped answering this node.
 func (c *Client) Failing() bool { return c.failing.Load() }
 
-// Budget is this node's part of what the state service takes from all.
-type Budget struct{ Requests, Writes float64 }
+// RateLimits is this node's part of what the state service takes from all.
+type RateLimits struct{ RequestsPerSecond, WritesPerSecond float64 }
 
 // Outages returns how often the service has stopped answering this node.
 func (c *Client) Outages() uint64 { return c.outages.Load() }
@@ -94,29 +94,29 @@
 }
 
 // New makes a client on a transport. Each request waits for at most wait.
-func New(addr string, rt http.RoundTripper, wait time.Duration, b Budget) *Client {
+func New(addr string, rt http.RoundTripper, wait time.Duration, b RateLimits) *Client {
 	return &Client{
 		base:   "http://" + addr,
 		wait:   wait,
-		reqs:   rate.NewLimiter(rate.Limit(b.Requests), max(1, int(b.Requests))),
-		writes: rate.NewLimiter(rate.Limit(b.Writes), max(1, int(b.Writes))),
+		reqs:   rate.NewLimiter(rate.Limit(b.RequestsPerSecond), max(1, int(b.RequestsPerSecond))),
+		writes: rate.NewLimiter(rate.Limit(b.WritesPerSecond), max(1, int(b.WritesPerSecond))),
 		http:   &http.Client{Transport: rt},
 	}
 }
 
-// SetBudget changes this node's part; the leader needs more.
-func (c *Client) SetBudget(b Budget) {
-	c.reqs.SetLimit(rate.Limit(b.Requests))
-	c.reqs.SetBurst(max(1, int(b.Requests)))
-	c.writes.SetLimit(rate.Limit(b.Writes))
-	c.writes.SetBurst(max(1, int(b.Writes)))
+// SetRateLimits changes this node's part; the leader needs more.
+func (c *Client) SetRateLimits(b RateLimits) {
+	c.reqs.SetLimit(rate.Limit(b.RequestsPerSecond))
+	c.reqs.SetBurst(max(1, int(b.RequestsPerSecond)))
+	c.writes.SetLimit(rate.Limit(b.WritesPerSecond))
+	c.writes.SetBurst(max(1, int(b.WritesPerSecond)))
 }
 
 func (c *Client) do(ctx context.Context, wait time.Duration, method, path string, in, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	if err := c.reqs.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("%w: request budget: %w: %w", ErrRefused, ErrBusy, err)
+		return 0, fmt.Errorf("%w: request budget: %w: %w", ErrNotExecuted, ErrRateLimited, err)
 	}
 	return c.send(ctx, method, path, in, out)
 }
@@ -126,13 +126,13 @@
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+			return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 		}
 		body = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -140,7 +140,7 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		c.failed()
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable {
@@ -150,12 +150,12 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests:
-		return resp.StatusCode, fmt.Errorf("%w: %w", ErrRefused, ErrBusy)
+		return resp.StatusCode, fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
 	case http.StatusServiceUnavailable:
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
+		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrNotExecuted, resp.StatusCode)
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusBadRequest, http.StatusGone:
 	default:
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrUnknown, resp.StatusCode)
+		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, resp.StatusCode)
 	}
 	if out == nil {
 		_, err = io.Copy(io.Discard, resp.Body) // so that the connection can be used again
@@ -164,13 +164,13 @@
 	}
 	// What a rejected request is told is for the log only.
 	if err != nil && resp.StatusCode != http.StatusBadRequest {
-		return resp.StatusCode, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return resp.StatusCode, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return resp.StatusCode, nil
 }
 
 func unexpected(status int, what string) error {
-	return fmt.Errorf("%w: %s: status %d", ErrRefused, what, status)
+	return fmt.Errorf("%w: %s: status %d", ErrNotExecuted, what, status)
 }
 
 // Commit applies a transaction. Failed guards are returned by key with no
@@ -180,7 +180,7 @@
 	defer cancel()
 	if n := len(writes); n > 0 {
 		if err := c.writes.WaitN(ctx, min(n, c.writes.Burst())); err != nil {
-			return 0, nil, fmt.Errorf("%w: write budget: %w", ErrRefused, err)
+			return 0, nil, fmt.Errorf("%w: write budget: %w", ErrNotExecuted, err)
 		}
 	}
 	in := struct {
@@ -201,9 +201,9 @@
 	case status == http.StatusConflict:
 		return out.Tide, out.Failed, nil
 	case status == http.StatusBadRequest && out.Error == "no such lease":
-		return 0, nil, ErrNoLease
+		return 0, nil, ErrLeaseNotFound
 	case status == http.StatusBadRequest:
-		return 0, nil, fmt.Errorf("%w: %w: %s", ErrRefused, ErrRejected, out.Error)
+		return 0, nil, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, out.Error)
 	}
 	return 0, nil, unexpected(status, "commit")
 }
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -19,7 +19,7 @@
 // segmentStore is a state service that holds segments, and checks what it is given.
 type segmentStore struct {
 	t     *testing.T
-	keys  map[string]kvstore.Pair
+	keys  map[string]kvstore.KeyValue
 	rev   uint64
 	value int // bytes
 	ops   int
@@ -43,12 +43,12 @@
 		if len(w.Value) > s.value {
 			s.t.Fatalf("%s is written with %d bytes, %d are allowed", w.Set, len(w.Value), s.value)
 		}
-		s.keys[w.Set] = kvstore.Pair{Key: w.Set, Value: w.Value, Revision: s.rev}
+		s.keys[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: s.rev}
 	}
 	return nil
 }
 
-func (s *segmentStore) pairs() (out []kvstore.Pair) {
+func (s *segmentStore) pairs() (out []kvstore.KeyValue) {
 	for _, p := range s.keys {
 		out = append(out, p)
 	}
@@ -100,7 +100,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			quiet(t)
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			s := &segmentStore{t: t, keys: map[string]kvstore.Pair{}, value: 32 << 10, ops: 12}
+			s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, value: 32 << 10, ops: 12}
 			specs := []*jobs.Spec{
 				{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 3000, CPUs: 1},
 				{ID: "j-2", Team: "red", Shape: jobs.Service, Tasks: 900, CPUs: 1},
@@ -224,7 +224,7 @@
 // copy that is carried out late, after newer ones or under the next leader, fails.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	l, m, j, now := bench()
-	l.term.Revision, l.tokenRevision, j.revision = 77, 78, 79
+	l.term.HolderRevision, l.tokenRevision, j.revision = 77, 78, 79
 	l.readLog(nil)
 	l.raiseToken = true
 	l.finished = append(l.finished, j)
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -56,7 +56,7 @@
 		return 1
 	})
 	l.release(ctx, now, back...)
-	if now.Before(l.listSyncAt) && l.term.Token > 1 {
+	if now.Before(l.listSyncAt) && l.term.FencingToken > 1 {
 		return // an earlier leader's rentals may not be listed yet
 	}
 	l.rent(ctx, now)
@@ -108,7 +108,7 @@
 		for n := plan[k]; n > 0 && l.rentalsInFlight < l.Derived.RentalsInFlight; n -= autoscaler.MaxRent {
 			l.rentalsMade++
 			l.rentalsInFlight++
-			r := autoscaler.Rental{Name: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalsMade), Kind: k, Count: min(n, autoscaler.MaxRent)}
+			r := autoscaler.Rental{Name: fmt.Sprintf("r-%d-%d", l.term.FencingToken, l.rentalsMade), Kind: k, Count: min(n, autoscaler.MaxRent)}
 			l.renting[k] += r.Count
 			go l.requestRental(ctx, r)
 		}
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -38,7 +38,7 @@
 		request = newest.Ask()
 		rev, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.WatchWait)
 		if putBack || l.listAnew.Swap(false) || errors.Is(err, kvstore.ErrCompacted) {
-			var pairs []kvstore.Pair
+			var pairs []kvstore.KeyValue
 			if pairs, rev, err = l.Store.List(ctx, jobs.RecordPrefix); err == nil {
 				for _, p := range pairs {
 					changes = append(changes, kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision})
@@ -46,7 +46,7 @@
 			}
 		}
 		if err != nil {
-			slog.Debug("watch failed", "term", l.term.Token, "reason", err)
+			slog.Debug("watch failed", "term", l.term.FencingToken, "reason", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(l.Derived.TermRenew):
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -79,7 +79,7 @@
 	}()
 	after, err := l.load(ctx)
 	if err != nil {
-		slog.Info("records not read, resigning", "term", t.Token, "reason", err)
+		slog.Info("records not read, resigning", "term", t.FencingToken, "reason", err)
 		return
 	}
 	duties.Go(func() { l.follow(ctx, after) })
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -141,12 +141,12 @@
 		Deps: d, term: t, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
 		view:         view{jobs: map[string]*job{}, machines: newMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
-		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*machine]bool{}},
-		planner:      planner{queued: map[*job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
+		tokens:       tokens{token: t.FencingToken, tokenRevision: t.TokenRevision, doubtful: map[*machine]bool{}},
+		planner:      planner{queued: map[*job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.FencingToken << attemptBits},
 		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
-	l.round = t.Token << roundBits
+	l.round = t.FencingToken << roundBits
 	l.watch = liveness.New(liveness.Config{
 		SilentFor: d.Derived.SilentFor, LeaseOver: d.Derived.LeaseOver,
 		HoldGrace: d.Derived.HoldGrace, Gap: d.Derived.VerdictGap, ZoneSize: smallZone,
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -17,7 +17,7 @@
 		asked := time.Now()
 		all, segments, err := l.Cloud.List(ctx)
 		if err != nil {
-			slog.Debug("machines not listed", "term", l.term.Token, "reason", err)
+			slog.Debug("machines not listed", "term", l.term.FencingToken, "reason", err)
 		} else {
 			l.post(ctx, func(now time.Time) { l.listed(ctx, all, asked, now) })
 		}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -28,9 +28,9 @@
 	log := l.readLog(segments)
 	l.checkLog(log, now)
 	named := jobsNamed(log)
-	ended := map[string]kvstore.Pair{} // of which tasks may be left
+	ended := map[string]kvstore.KeyValue{} // of which tasks may be left
 	over, listed, known := 0, 0, l.Cache.Recorded()
-	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) {
+	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(p kvstore.KeyValue) {
 		listed++
 		var rec jobs.Record
 		if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
@@ -102,7 +102,7 @@
 // restore takes in the log. Whatever it names may be there: the tasks count
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
-func (l *Leader) restore(recs []segmentRecord, ended map[string]kvstore.Pair, now time.Time) {
+func (l *Leader) restore(recs []segmentRecord, ended map[string]kvstore.KeyValue, now time.Time) {
 	first := len(l.log.segments) - len(recs)
 	where := map[uint64]*segment{}
 	defer l.announce()
@@ -196,7 +196,7 @@
 
 // restoreTask finds out what may be on a machine; it does not count before the
 // whole log is read.
-func (l *Leader) restoreTask(p *segment, m *machine, session uint64, t taskRecord, ended map[string]kvstore.Pair, now time.Time) {
+func (l *Leader) restoreTask(p *segment, m *machine, session uint64, t taskRecord, ended map[string]kvstore.KeyValue, now time.Time) {
 	j := l.jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
 		l.learnFromLog(t)
--- a/internal/leader/log_records.go
+++ b/internal/leader/log_records.go
@@ -51,7 +51,7 @@
 }
 
 // readLog puts the segments in order. What each says is for the caller.
-func (l *Leader) readLog(pairs []kvstore.Pair) []segmentRecord {
+func (l *Leader) readLog(pairs []kvstore.KeyValue) []segmentRecord {
 	type read struct {
 		p   *segment
 		rec segmentRecord
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -43,8 +43,8 @@
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), Valid: func() bool { return true },
 		Promised: func() time.Time { return time.Time{} }, Catalog: func() []jobs.MachineType { return nil },
-		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
-	}, election.Term{Token: 5})
+		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.RateLimits{}),
+	}, election.Term{FencingToken: 5})
 	l.attempts, l.viewTime = 100, now
 	l.watch = liveness.New(liveness.Config{SilentFor: time.Second, LeaseOver: time.Second, HoldGrace: time.Second, Gap: time.Second})
 	j := newJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
@@ -445,12 +445,12 @@
 		l, _, _, now := bench()
 		quiet(t)
 		l.events = make(chan func(time.Time), 1)
-		l.written(t.Context(), &batch{}, 0, nil, kvstore.ErrUnknown)
+		l.written(t.Context(), &batch{}, 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
 			t.Error("plans while nothing can be made durable")
 		}
 		l.log.open = false
-		l.written(t.Context(), &batch{}, 0, nil, fmt.Errorf("%w: %w", kvstore.ErrRefused, kvstore.ErrRejected))
+		l.written(t.Context(), &batch{}, 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
 		if !l.mayBegin(now) {
 			t.Error("plans no more")
 		}
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -22,7 +22,7 @@
 
 // asProduction reads the book as version 0.3.0 does, which may lead at any time of
 // an upgrade: the order of pages, what overrules what, and the fields that it knows.
-func asProduction(t *testing.T, pairs []kvstore.Pair, chunkTasks int) (out []string) {
+func asProduction(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
 	type page struct {
 		Number uint64
 		Begun  []struct {
@@ -87,13 +87,13 @@
 
 // kept reads the records that production wrote on a day with a lost leader, and
 // what was on machines at that moment.
-func kept(t *testing.T) (pairs []kvstore.Pair, specs []*jobs.Spec, world []string) {
+func kept(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for lines := bufio.NewScanner(bytes.NewReader(raw)); lines.Scan(); {
-		var p kvstore.Pair
+		var p kvstore.KeyValue
 		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 func TestContinuesProduction(t *testing.T) {
 	quiet(t)
 	pairs, specs, world := kept(t)
-	s := &segmentStore{t: t, keys: map[string]kvstore.Pair{}, value: 2 << 10, ops: 4}
+	s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, value: 2 << 10, ops: 4}
 	for _, p := range pairs {
 		if strings.HasPrefix(p.Key, logPrefix) {
 			s.keys[p.Key] = p
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -126,7 +126,7 @@
 	l.ignorant = true
 	// Tokens may have been given out before this one that were this one as well, and with
 	// them the numbers of attempts.
-	if l.term.Token > l.tokenFloor {
+	if l.term.FencingToken > l.tokenFloor {
 		l.tokenFloor, l.raiseToken = l.token, true
 	}
 	l.expectAllTasks(now)
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -241,7 +241,7 @@
 	return nil
 }
 
-func (l *Leader) readStatus(p kvstore.Pair, now time.Time) {
+func (l *Leader) readStatus(p kvstore.KeyValue, now time.Time) {
 	var was recoveryStatus
 	if err := json.Unmarshal(p.Value, &was); err != nil {
 		slog.Error("recovery status unreadable", "reason", err)
@@ -255,7 +255,7 @@
 
 // checkRecords compares the records that a new leader has read with what this node knew
 // before, and with the jobs that the log names. No record is ever removed.
-func (l *Leader) checkRecords(log []segmentRecord, ended map[string]kvstore.Pair, known, listed int, now time.Time) {
+func (l *Leader) checkRecords(log []segmentRecord, ended map[string]kvstore.KeyValue, known, listed int, now time.Time) {
 	if listed < known {
 		l.expectTasks(now)
 		l.suspect(detection.Loss{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
@@ -314,7 +314,7 @@
 
 // checkSegment looks at a key whose revision was not as this leader wrote it. Without a
 // transaction of unknown outcome, only a loss explains that.
-func (l *Leader) checkSegment(key string, p kvstore.Pair) {
+func (l *Leader) checkSegment(key string, p kvstore.KeyValue) {
 	if !strings.HasPrefix(key, logPrefix) || l.log.open {
 		return
 	}
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -133,7 +133,7 @@
 	r.revision = h.revision
 	slog.Info("job settled by an operator", "job", id, "term", l.token, "as", string(as), "said", h.known.Words())
 	l.history.add(now, "settled as "+string(as), id)
-	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}, {Key: jobs.RecordKey(id), Revision: r.revision}}
+	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}, {Key: jobs.RecordKey(id), Revision: r.revision}}
 	go func() {
 		rev, failed, err := l.Store.Commit(ctx, guards, []kvstore.Write{{Set: jobs.RecordKey(id), Value: r.value}})
 		if err == nil && len(failed) > 0 {
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -20,7 +20,7 @@
 func TestAdoptionAtScale(t *testing.T) {
 	l, reports, now := fleetOf(t, lostFleet)
 	spec := *l.jobs["j-7"].spec
-	next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
+	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 	next.viewTime = now
 	next.watch = liveness.New(liveness.Config{})
 	next.readLog(nil)
@@ -59,7 +59,7 @@
 func TestTaskTwiceInALogWithAHole(t *testing.T) {
 	for _, firstEnds := range []int{0, 1} {
 		l, _, j, now := bench()
-		next := newLeader(l.Deps, election.Term{Token: 6, Since: now})
+		next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 		next.readLog(nil)
 		spec := *j.spec
 		job := newJob(j.id, &spec, 1, 0, now)
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -119,7 +119,7 @@
 }
 
 // strayFound takes in the record of a job that was not known here.
-func (l *Leader) strayFound(id string, p kvstore.Pair, now time.Time) {
+func (l *Leader) strayFound(id string, p kvstore.KeyValue, now time.Time) {
 	delete(l.strays, id)
 	l.Cache.Set(p.Key, p.Value, p.Revision)
 	l.jobChanged(kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision}, now)
--- a/internal/leader/recovery_token.go
+++ b/internal/leader/recovery_token.go
@@ -29,7 +29,7 @@
 			l.checkingToken = false
 			switch {
 			case err != nil:
-			case !found || p.Revision != l.term.Revision:
+			case !found || p.Revision != l.term.HolderRevision:
 				slog.Info("term lost", "term", l.token, "reason", "a worker has seen a higher token")
 				l.resign = true
 			default:
@@ -54,10 +54,10 @@
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
-	if l.tokenFloor < l.term.Token {
+	if l.tokenFloor < l.term.FencingToken {
 		return
 	}
-	l.term.Token = l.token
+	l.term.FencingToken = l.token
 	l.attempts = max(l.attempts, l.token<<attemptBits)
 	for _, m := range l.machines.all {
 		for _, a := range m.assigned {
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -163,7 +163,7 @@
 	l.recording = true
 	perSecond := recoveryShare * leaderWriteShare * l.Settings.Deployment.State.Within().WriteRPS
 	l.recordAt = now.Add(time.Duration(float64(len(batch)) / perSecond * float64(time.Second)))
-	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}}
+	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}}
 	var writes []kvstore.Write
 	for _, r := range batch {
 		guards = append(guards, kvstore.Guard{Key: jobs.RecordKey(r.id), Revision: r.revision})
@@ -178,8 +178,8 @@
 
 // readRecords reads the records whose guards have failed. One that cannot be read stays
 // unknown, and is tried again.
-func (l *Leader) readRecords(ctx context.Context, keys []string) map[string]kvstore.Pair {
-	found := map[string]kvstore.Pair{}
+func (l *Leader) readRecords(ctx context.Context, keys []string) map[string]kvstore.KeyValue {
+	found := map[string]kvstore.KeyValue{}
 	for _, key := range keys {
 		if p, _, err := l.Store.Get(ctx, key); err == nil && key != election.HolderKey {
 			found[jobs.IDOf(key)] = p
@@ -190,7 +190,7 @@
 
 // recordsWritten takes in the outcome. What was not executed, or may not have been, is
 // queued again: if it was, its guard fails, and what is read then settles it.
-func (l *Leader) recordsWritten(batch []lostRecord, rev uint64, failed []string, found map[string]kvstore.Pair, err error, now time.Time) {
+func (l *Leader) recordsWritten(batch []lostRecord, rev uint64, failed []string, found map[string]kvstore.KeyValue, err error, now time.Time) {
 	l.recording = false
 	if slices.Contains(failed, election.HolderKey) {
 		slog.Info("term lost", "term", l.token, "reason", "holder key changed")
@@ -218,7 +218,7 @@
 
 // standsAlready takes in a record that was not as expected, and tells whether it needs no
 // writing any more: it says as much as what would be written.
-func (l *Leader) standsAlready(r lostRecord, p kvstore.Pair) bool {
+func (l *Leader) standsAlready(r lostRecord, p kvstore.KeyValue) bool {
 	if p.Revision == 0 {
 		l.Cache.Missing(r.id)
 		return false
@@ -261,7 +261,7 @@
 	if l.marked || l.recording || now.Before(l.recordAt) || !l.Valid() {
 		return
 	}
-	value, _ := json.Marshal(recoveryStatus{Token: l.term.Token, SinceMs: now.UnixMilli(), Log: l.affectsLog || l.logDamaged})
+	value, _ := json.Marshal(recoveryStatus{Token: l.term.FencingToken, SinceMs: now.UnixMilli(), Log: l.affectsLog || l.logDamaged})
 	l.commitStatus(ctx, kvstore.Write{Set: jobs.RecoveryStatusKey, Value: value}, true)
 }
 
@@ -302,7 +302,7 @@
 // commitKey writes one key of the recovery's own, guarded by the term.
 func (l *Leader) commitKey(ctx context.Context, w kvstore.Write, written func()) {
 	l.recording = true
-	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}}
+	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.HolderRevision}}
 	go func() {
 		_, failed, err := l.Store.Commit(ctx, guards, []kvstore.Write{w})
 		l.post(ctx, func(now time.Time) {
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -39,11 +39,11 @@
 		m.leaseUntil, m.lastReport = now.Add(l.Derived.LeaseOver), c
 	}
 	l.takeover.Answered(now)
-	if r.Token < l.term.Token {
+	if r.Token < l.term.FencingToken {
 		// Sent before the worker heard of this term, or a copy of such a report
 		// that was under way for any length of time. It proves nothing; the
 		// answer brings the token, and with it a report that does.
-		return &workers.Answer{Token: l.term.Token, Calls: l.stopsOfCancelled(r)}
+		return &workers.Answer{Token: l.term.FencingToken, Calls: l.stopsOfCancelled(r)}
 	}
 	l.takeover.Heard(r.Machine)
 	if m == nil {
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -173,8 +173,8 @@
 
 // written is the log of a leader as it stands in the state service when all that waits
 // is written.
-func written(l *Leader) []kvstore.Pair {
-	segments := map[string]kvstore.Pair{}
+func written(l *Leader) []kvstore.KeyValue {
+	segments := map[string]kvstore.KeyValue{}
 	for rev := uint64(1); l.log.waiting(); rev++ {
 		l.log.grow(1)
 		batch := &batch{revisions: map[string]func(uint64){}}
@@ -184,24 +184,24 @@
 		}
 		l.log.rotate(1)
 		w := batch.writes[0]
-		segments[w.Set] = kvstore.Pair{Key: w.Set, Value: w.Value, Revision: rev}
+		segments[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: rev}
 	}
 	return slices.Collect(maps.Values(segments))
 }
 
 // successor is the next leader, which has read the log but heard of no machine.
-func successor(l *Leader, segments []kvstore.Pair, now time.Time, specs ...*jobs.Spec) *Leader {
-	next := newLeader(l.Deps, election.Term{Token: 6})
+func successor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
+	next := newLeader(l.Deps, election.Term{FencingToken: 6})
 	next.viewTime = now
 	next.watch = liveness.New(liveness.Config{})
 	for _, s := range specs {
 		next.jobs[s.ID] = newJob(s.ID, s, 1, 0, now)
 	}
 	log := next.readLog(segments)
-	ended := map[string]kvstore.Pair{} // of the others, the records say that they are cancelled
+	ended := map[string]kvstore.KeyValue{} // of the others, the records say that they are cancelled
 	for id := range jobsNamed(log) {
 		if next.jobs[id] == nil {
-			ended[id] = kvstore.Pair{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
+			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
 	}
 	next.restore(log, ended, now)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -79,7 +79,7 @@
 
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
-		Term: l.term.Token, Token: l.token, PictureS: l.viewAge(now).Seconds(),
+		Term: l.term.FencingToken, Token: l.token, PictureS: l.viewAge(now).Seconds(),
 		Held: l.watch.Held(now), Disrupted: l.watch.Disrupted(),
 		WriteQueue: len(l.finished) + len(l.log.begins) + len(l.log.ends) + len(l.log.chunks),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -13,7 +13,7 @@
 	if m.wantsToken || !m.doubtSince.IsZero() {
 		return l.token
 	}
-	return max(m.token, l.term.Token)
+	return max(m.token, l.term.FencingToken)
 }
 
 // mostHeldEnds is how many ended tasks may stay in a machine's reports for want of a
--- a/internal/leader/token_test.go
+++ b/internal/leader/token_test.go
@@ -66,7 +66,7 @@
 	if got := l.tokenFor(l.machines.byID[few.Machine]); got != 5 {
 		t.Errorf("token %d where nothing waits, want 5", got)
 	}
-	l.term.Token, l.token = 7, 7
+	l.term.FencingToken, l.token = 7, 7
 	if got := l.tokenFor(l.machines.byID[few.Machine]); got != 7 {
 		t.Errorf("token %d, of an earlier term", got)
 	}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -87,7 +87,7 @@
 		l.log.again = max(l.log.again, segments+1) // until the outcome is known
 	}
 	b.done = append(b.done, func(uint64) { l.log.rotate(segments) })
-	b.guards = append(b.guards, kvstore.Guard{Key: election.HolderKey, Revision: l.term.Revision})
+	b.guards = append(b.guards, kvstore.Guard{Key: election.HolderKey, Revision: l.term.HolderRevision})
 	return b
 }
 
@@ -146,7 +146,7 @@
 func (l *Leader) written(ctx context.Context, b *batch, rev uint64, failed []string, err error) {
 	// What was too large is no outage: were it taken for one, and nothing were left to
 	// be written, nothing would be planned any more.
-	l.storeFailing = err != nil && !errors.Is(err, kvstore.ErrRejected)
+	l.storeFailing = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failed) == 0 {
 		l.writing = false
 		for _, f := range b.done {
@@ -160,11 +160,11 @@
 	}
 	if err != nil {
 		slog.Debug("records not written", "term", l.token, "reason", err)
-		l.log.open = l.log.open || !errors.Is(err, kvstore.ErrRefused)
-		if errors.Is(err, kvstore.ErrRejected) {
+		l.log.open = l.log.open || !errors.Is(err, kvstore.ErrNotExecuted)
+		if errors.Is(err, kvstore.ErrInvalidRequest) {
 			l.rejected(b, err)
 		}
-		if !errors.Is(err, kvstore.ErrUnknown) && !errors.Is(err, kvstore.ErrRefused) {
+		if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
 			slog.Error("records not written", "term", l.token, "reason", err)
 		}
 		l.later(ctx, l.Derived.TermRenew/4, func() { l.writing = false })
@@ -218,7 +218,7 @@
 	l.post(ctx, func(time.Time) { l.writing = false })
 }
 
-func (l *Leader) relearn(b *batch, key string, p kvstore.Pair) {
+func (l *Leader) relearn(b *batch, key string, p kvstore.KeyValue) {
 	id := jobs.IDOf(key)
 	if id == key { // not a job's record
 		if learn := b.revisions[key]; learn != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -67,7 +67,7 @@
 
 // Source is the state service.
 type Source interface {
-	EachPaced(ctx context.Context, prefix string, pause time.Duration, take func(kvstore.Pair)) (uint64, error)
+	ForEachPaced(ctx context.Context, prefix string, pause time.Duration, take func(kvstore.KeyValue)) (uint64, error)
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (uint64, []kvstore.Change, error)
 	Revision(ctx context.Context) (uint64, error)
 }
@@ -99,9 +99,9 @@
 // errPutBack means that revisions went back while records were copied.
 var errPutBack = errors.New("state service was put back")
 
-func takeOnce(ctx context.Context, from Source) (map[string]kvstore.Pair, uint64, error) {
-	pairs := map[string]kvstore.Pair{}
-	at, err := from.EachPaced(ctx, "", 0, func(p kvstore.Pair) { pairs[p.Key] = p })
+func takeOnce(ctx context.Context, from Source) (map[string]kvstore.KeyValue, uint64, error) {
+	pairs := map[string]kvstore.KeyValue{}
+	at, err := from.ForEachPaced(ctx, "", 0, func(p kvstore.KeyValue) { pairs[p.Key] = p })
 	if err != nil {
 		return nil, 0, err
 	}
@@ -135,7 +135,7 @@
 }
 
 // apply brings a copy up to a change. Pages that were read later may have it already.
-func apply(pairs map[string]kvstore.Pair, c kvstore.Change) {
+func apply(pairs map[string]kvstore.KeyValue, c kvstore.Change) {
 	if c.Remove != "" {
 		if pairs[c.Remove].Revision < c.Revision {
 			delete(pairs, c.Remove)
@@ -143,7 +143,7 @@
 		return
 	}
 	if pairs[c.Set].Revision < c.Revision {
-		pairs[c.Set] = kvstore.Pair{Key: c.Set, Value: c.Value, Revision: c.Revision}
+		pairs[c.Set] = kvstore.KeyValue{Key: c.Set, Value: c.Value, Revision: c.Revision}
 	}
 }
 
@@ -157,7 +157,7 @@
 }
 
 // compose makes a snapshot of what was copied.
-func compose(pairs map[string]kvstore.Pair, revision uint64, cluster string, now time.Time) *Snapshot {
+func compose(pairs map[string]kvstore.KeyValue, revision uint64, cluster string, now time.Time) *Snapshot {
 	s := &Snapshot{Manifest: Manifest{
 		Format: Format, Cluster: cluster, Revision: revision, TakenMs: now.UnixMilli(),
 		Records: len(pairs), Jobs: map[string]int{},
@@ -181,7 +181,7 @@
 // unreadable is the state of a job's record that cannot be read.
 const unreadable = "unreadable"
 
-func jobOf(p kvstore.Pair) (jobState string, tasks int32) {
+func jobOf(p kvstore.KeyValue) (jobState string, tasks int32) {
 	var rec struct {
 		State string `json:"stance"`
 		Tasks int32  `json:"tasks"`
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -26,7 +26,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		world, store := emulator.NewNet(), emulator.NewState()
 		world.Attach("state", "state:1", store)
-		scenario(t.Context(), store, kvstore.New("state:1", world.From("tool"), time.Second, kvstore.Budget{Requests: 1000, Writes: 1000}))
+		scenario(t.Context(), store, kvstore.New("state:1", world.From("tool"), time.Second, kvstore.RateLimits{RequestsPerSecond: 1000, WritesPerSecond: 1000}))
 		world.Wait()
 	})
 }
@@ -42,9 +42,9 @@
 	write func()
 }
 
-func (w writingSource) EachPaced(ctx context.Context, prefix string, pause time.Duration, take func(kvstore.Pair)) (uint64, error) {
+func (w writingSource) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, take func(kvstore.KeyValue)) (uint64, error) {
 	n := 0
-	return w.Source.EachPaced(ctx, prefix, pause, func(p kvstore.Pair) {
+	return w.Source.ForEachPaced(ctx, prefix, pause, func(p kvstore.KeyValue) {
 		if n++; n%7 == 0 {
 			w.write()
 		}
@@ -132,12 +132,12 @@
 }
 
 func example(records int) *Snapshot {
-	pairs := map[string]kvstore.Pair{"term/token": {Key: "term/token", Value: json.RawMessage("41"), Revision: 7}}
+	pairs := map[string]kvstore.KeyValue{"term/token": {Key: "term/token", Value: json.RawMessage("41"), Revision: 7}}
 	for i := range records {
 		key := fmt.Sprintf("job/j-%06d", i)
-		pairs[key] = kvstore.Pair{Key: key, Value: record([]string{jobs.Queued, jobs.Done, jobs.Cancelled}[i%3], i%50+1), Revision: uint64(i + 8)}
+		pairs[key] = kvstore.KeyValue{Key: key, Value: record([]string{jobs.Queued, jobs.Done, jobs.Cancelled}[i%3], i%50+1), Revision: uint64(i + 8)}
 	}
-	pairs["job/j-x"] = kvstore.Pair{Key: "job/j-x", Value: json.RawMessage(`{"stance":7}`), Revision: 3}
+	pairs["job/j-x"] = kvstore.KeyValue{Key: "job/j-x", Value: json.RawMessage(`{"stance":7}`), Revision: 3}
 	return compose(pairs, 9000, "abc", time.UnixMilli(1_800_000_000_000))
 }
 
