--- a/internal/kvstore/state.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,3 @@
-// Package kvstore speaks to the state service: a small key-value store with
-// strong consistency, guarded transactions, leases and watches.
 package kvstore
 
 import (
@@ -18,53 +16,6 @@
 	"golang.org/x/time/rate"
 )
 
-var (
-	// ErrNotExecuted means that the request was certainly not executed.
-	ErrNotExecuted = errors.New("state service refused the request")
-	// ErrRateLimited comes with ErrRefused where a limit was the reason, the service's or
-	// this node's own: it says nothing of an outage.
-	ErrRateLimited = errors.New("over the limit")
-	// ErrInvalidRequest comes with ErrRefused where the request itself was the reason, as
-	// it is larger than the service takes: sent again, it would be refused again.
-	ErrInvalidRequest = errors.New("rejected as it is")
-	// ErrOutcomeUnknown means that the request may have been executed, or may yet be.
-	ErrOutcomeUnknown = errors.New("outcome unknown")
-	// ErrLeaseNotFound means that the lease has ended.
-	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted means that a watch asked for changes no longer kept.
-	ErrCompacted = errors.New("changes no longer kept")
-)
-
-// KeyValue is a key, its value and the revision of its last change.
-type KeyValue struct {
-	Key      string          `json:"k"`
-	Value    json.RawMessage `json:"value"`
-	Revision uint64          `json:"mark"`
-	Lease    uint64          `json:"tether,omitempty"`
-}
-
-// Guard demands that a key is at a revision; 0 demands its absence.
-type Guard struct {
-	Key      string `json:"k"`
-	Revision uint64 `json:"mark"`
-}
-
-// Write sets or removes one key.
-type Write struct {
-	Set    string          `json:"set,omitempty"`
-	Value  json.RawMessage `json:"value,omitempty"`
-	Lease  uint64          `json:"tether,omitempty"`
-	Remove string          `json:"remove,omitempty"`
-}
-
-// Change is one entry of a watch.
-type Change struct {
-	Set      string          `json:"set"`
-	Value    json.RawMessage `json:"value"`
-	Remove   string          `json:"remove"`
-	Revision uint64          `json:"mark"`
-}
-
 // Client is safe for use by many goroutines.
 type Client struct {
 	base   string
@@ -168,42 +119,3 @@
 	}
 	return resp.StatusCode, nil
 }
-
-func unexpected(status int, what string) error {
-	return fmt.Errorf("%w: %s: status %d", ErrNotExecuted, what, status)
-}
-
-// Commit applies a transaction. Failed guards are returned by key with no
-// error; then nothing was written. ErrUnknown leaves the outcome open.
-func (c *Client) Commit(ctx context.Context, guards []Guard, writes []Write) (revision uint64, failed []string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
-	defer cancel()
-	if n := len(writes); n > 0 {
-		if err := c.writes.WaitN(ctx, min(n, c.writes.Burst())); err != nil {
-			return 0, nil, fmt.Errorf("%w: write budget: %w", ErrNotExecuted, err)
-		}
-	}
-	in := struct {
-		Guards []Guard `json:"guards"`
-		Writes []Write `json:"writes"`
-	}{guards, writes}
-	var out struct {
-		Tide   uint64   `json:"tide"`
-		Failed []string `json:"failed"`
-		Error  string   `json:"error"`
-	}
-	status, err := c.do(ctx, c.wait, http.MethodPost, "/commit", in, &out)
-	switch {
-	case err != nil:
-		return 0, nil, err
-	case status == http.StatusOK:
-		return out.Tide, nil, nil
-	case status == http.StatusConflict:
-		return out.Tide, out.Failed, nil
-	case status == http.StatusBadRequest && out.Error == "no such lease":
-		return 0, nil, ErrLeaseNotFound
-	case status == http.StatusBadRequest:
-		return 0, nil, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, out.Error)
-	}
-	return 0, nil, unexpected(status, "commit")
-}
