--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -16,106 +15,149 @@
 	"golang.org/x/time/rate"
 )
 
-// Client is safe for use by many goroutines.
+// Client sends requests to the store, within rate limits of its own. It is safe for use by many
+// goroutines.
 type Client struct {
-	base   string
-	http   *http.Client
-	wait   time.Duration
-	writes *rate.Limiter
-	reqs   *rate.Limiter
+	baseURL        string
+	http           *http.Client
+	timeout        time.Duration // of a request, without the time that a watch is to wait
+	requestLimiter *rate.Limiter
+	writeLimiter   *rate.Limiter
 
-	failing atomic.Bool   // the last request that tells had no good answer
+	failing atomic.Bool   // the last request that tells of outages had no good answer
 	outages atomic.Uint64 // how often that began
 }
 
-// Failing tells whether the service has stopped answering this node.
-func (c *Client) Failing() bool { return c.failing.Load() }
+// RateLimits are this node's share of the rates that the store takes from all nodes together,
+// and how much of each it may use in one burst.
+type RateLimits struct {
+	RequestsPerSecond float64
+	WritesPerSecond   float64 // keys that transactions set or remove
+}
 
-// RateLimits is this node's part of what the state service takes from all.
-type RateLimits struct{ RequestsPerSecond, WritesPerSecond float64 }
+// New makes a client of the store at an address, on a transport. Each request is given up after
+// a timeout, which includes the wait for its turn within the rate limits.
+func New(addr string, transport http.RoundTripper, timeout time.Duration, limits RateLimits) *Client {
+	return &Client{
+		baseURL:        "http://" + addr,
+		http:           &http.Client{Transport: transport},
+		timeout:        timeout,
+		requestLimiter: rate.NewLimiter(rate.Limit(limits.RequestsPerSecond), burst(limits.RequestsPerSecond)),
+		writeLimiter:   rate.NewLimiter(rate.Limit(limits.WritesPerSecond), burst(limits.WritesPerSecond)),
+	}
+}
+
+// SetRateLimits changes this node's share; the leader needs more than the others.
+func (c *Client) SetRateLimits(limits RateLimits) {
+	c.requestLimiter.SetLimit(rate.Limit(limits.RequestsPerSecond))
+	c.requestLimiter.SetBurst(burst(limits.RequestsPerSecond))
+	c.writeLimiter.SetLimit(rate.Limit(limits.WritesPerSecond))
+	c.writeLimiter.SetBurst(burst(limits.WritesPerSecond))
+}
 
-// Outages returns how often the service has stopped answering this node.
+// burst is what a limiter lets through at once: what comes due in a second, but always something.
+func burst(perSecond float64) int { return max(1, int(perSecond)) }
+
+// Failing tells whether the store has stopped answering this node.
+func (c *Client) Failing() bool { return c.failing.Load() }
+
+// Outages returns how often the store has stopped answering this node.
 func (c *Client) Outages() uint64 { return c.outages.Load() }
 
-// failed notes a request without a good answer.
-func (c *Client) failed() {
+// noteFailure notes a request without a good answer.
+func (c *Client) noteFailure() {
 	if !c.failing.Swap(true) {
 		c.outages.Add(1)
 	}
 }
 
-// New makes a client on a transport. Each request waits for at most wait.
-func New(addr string, rt http.RoundTripper, wait time.Duration, b RateLimits) *Client {
-	return &Client{
-		base:   "http://" + addr,
-		wait:   wait,
-		reqs:   rate.NewLimiter(rate.Limit(b.RequestsPerSecond), max(1, int(b.RequestsPerSecond))),
-		writes: rate.NewLimiter(rate.Limit(b.WritesPerSecond), max(1, int(b.WritesPerSecond))),
-		http:   &http.Client{Transport: rt},
-	}
+// request is one HTTP request to the store.
+type request struct {
+	operation string // for errors
+	method    string
+	path      string
+	body      any  // sent as JSON; nil: none
+	answer    any  // what the JSON of the answer is read into; nil: it is not read
+	longPoll  bool // it is held open, and its end is no proof that the store answers again
 }
 
-// SetRateLimits changes this node's part; the leader needs more.
-func (c *Client) SetRateLimits(b RateLimits) {
-	c.reqs.SetLimit(rate.Limit(b.RequestsPerSecond))
-	c.reqs.SetBurst(max(1, int(b.RequestsPerSecond)))
-	c.writes.SetLimit(rate.Limit(b.WritesPerSecond))
-	c.writes.SetBurst(max(1, int(b.WritesPerSecond)))
-}
-
-func (c *Client) do(ctx context.Context, wait time.Duration, method, path string, in, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// do sends a request within the rate limits, and returns the status of the answer. It fails for
+// statuses that say the same of all requests; the others are for the caller to judge.
+func (c *Client) do(ctx context.Context, timeout time.Duration, r *request) (status int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if err := c.reqs.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("%w: request budget: %w: %w", ErrNotExecuted, ErrRateLimited, err)
+	if err := c.requestLimiter.Wait(ctx); err != nil {
+		return 0, r.failed(0, fmt.Errorf("%w: request rate: %w: %w", ErrNotExecuted, ErrRateLimited, err))
 	}
-	return c.send(ctx, method, path, in, out)
+	return c.send(ctx, r)
 }
 
-func (c *Client) send(ctx context.Context, method, path string, in, out any) (int, error) {
-	var body io.Reader
-	if in != nil {
-		raw, err := json.Marshal(in)
-		if err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
-		}
-		body = bytes.NewReader(raw)
+// send is do without rate limits and without a timeout.
+func (c *Client) send(ctx context.Context, r *request) (status int, err error) {
+	httpRequest, err := c.httpRequest(ctx, r)
+	if err != nil {
+		return 0, r.failed(0, fmt.Errorf("%w: %w", ErrNotExecuted, err))
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
+		c.noteFailure()
+		return 0, r.failed(0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+	}
+	defer response.Body.Close()
+	status = response.StatusCode
+	if status == http.StatusServiceUnavailable {
+		c.noteFailure()
+	} else if !r.longPoll {
+		c.failing.Store(false)
 	}
-	if in != nil {
-		req.Header.Set("Content-Type", "application/json")
+	if err := statusError(status); err != nil {
+		return status, r.failed(status, err)
+	}
+	// The body of a rejection is for the log only: without it, the status still counts.
+	if err := r.readAnswer(response.Body); err != nil && status != http.StatusBadRequest {
+		return status, r.failed(status, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+	}
+	return status, nil
+}
+
+func (c *Client) httpRequest(ctx context.Context, r *request) (*http.Request, error) {
+	if r.body == nil {
+		return http.NewRequestWithContext(ctx, r.method, c.baseURL+r.path, nil)
 	}
-	resp, err := c.http.Do(req)
+	body, err := json.Marshal(r.body)
 	if err != nil {
-		c.failed()
-		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+		return nil, err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusServiceUnavailable {
-		c.failed()
-	} else if !strings.HasPrefix(path, "/watch") {
-		c.failing.Store(false) // an open watch ends in an outage, too
+	httpRequest, err := http.NewRequestWithContext(ctx, r.method, c.baseURL+r.path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
 	}
-	switch resp.StatusCode {
+	httpRequest.Header.Set("Content-Type", "application/json")
+	return httpRequest, nil
+}
+
+// statusError is what a status says of any request; nil if its meaning depends on the request.
+func statusError(status int) error {
+	switch status {
 	case http.StatusTooManyRequests:
-		return resp.StatusCode, fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
+		return fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
 	case http.StatusServiceUnavailable:
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrNotExecuted, resp.StatusCode)
+		return fmt.Errorf("%w: status %d", ErrNotExecuted, status)
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusBadRequest, http.StatusGone:
-	default:
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, resp.StatusCode)
+		return nil
 	}
-	if out == nil {
-		_, err = io.Copy(io.Discard, resp.Body) // so that the connection can be used again
-	} else if err = jsonv2.UnmarshalRead(resp.Body, out); errors.Is(err, io.EOF) {
-		err = nil // an answer without a body
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+}
+
+// readAnswer reads a body to its end, so that the connection can be used again.
+func (r *request) readAnswer(body io.Reader) error {
+	if r.answer == nil {
+		_, err := io.Copy(io.Discard, body)
+		return err
 	}
-	// What a rejected request is told is for the log only.
-	if err != nil && resp.StatusCode != http.StatusBadRequest {
-		return resp.StatusCode, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	err := jsonv2.UnmarshalRead(body, r.answer)
+	if errors.Is(err, io.EOF) {
+		return nil // an answer without a body
 	}
-	return resp.StatusCode, nil
+	return err
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -159,3 +159,48 @@
 type transportFunc func(*http.Request) (*http.Response, error)
 
 func (f transportFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+
+// Errors name the request, and the status of the answer if there was one.
+func TestErrorsNameTheRequest(t *testing.T) {
+	for _, test := range []struct {
+		answer cannedAnswer
+		call   func(*Client) error
+		want   RequestError // without Err
+		text   string
+	}{
+		{
+			cannedAnswer{status: 409, body: "{}"},
+			func(c *Client) error { _, _, err := c.Get(t.Context(), "term/holder"); return err },
+			RequestError{Operation: "get term/holder", Status: 409},
+			"get term/holder: state service refused the request: status 409",
+		},
+		{
+			cannedAnswer{status: 400, body: `{"error":"value too large"}`},
+			func(c *Client) error { _, _, err := c.Commit(t.Context(), nil, nil); return err },
+			RequestError{Operation: "commit", Status: 400},
+			"commit: state service refused the request: rejected as it is: value too large",
+		},
+		{
+			cannedAnswer{err: errConnection},
+			func(c *Client) error { _, _, err := c.List(t.Context(), "job/"); return err },
+			RequestError{Operation: "list job/"},
+			`list job/: outcome unknown: Get "http://state:1/keys?prefix=job%2F&most=1000": connection reset`,
+		},
+		{
+			cannedAnswer{status: 404, body: "{}"},
+			func(c *Client) error { return c.RenewLease(t.Context(), 7) },
+			RequestError{Operation: "renew lease", Status: 404},
+			"renew lease: no such lease",
+		},
+	} {
+		err := test.call(clientWith(test.answer))
+		var failed *RequestError
+		if !errors.As(err, &failed) {
+			t.Errorf("%v is no RequestError", err)
+			continue
+		}
+		if failed.Operation != test.want.Operation || failed.Status != test.want.Status || err.Error() != test.text {
+			t.Errorf("got %+v, text %q; want %+v, text %q", failed, err, test.want, test.text)
+		}
+	}
+}
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -8,37 +8,41 @@
 	"time"
 )
 
-// GrantLease makes a lease.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	var out struct {
-		Lease uint64 `json:"tether"`
+// GrantLease makes a lease that ends when it has not been renewed for a duration. Keys that are
+// tied to it are removed with it.
+func (c *Client) GrantLease(ctx context.Context, duration time.Duration) (lease uint64, err error) {
+	var granted leaseAnswer
+	r := request{
+		operation: "grant lease", method: http.MethodPost, path: "/grants",
+		body: leaseRequest{Milliseconds: duration.Milliseconds()}, answer: &granted,
 	}
-	status, err := c.do(ctx, c.wait, http.MethodPost, "/grants", map[string]int64{"lifeMs": life.Milliseconds()}, &out)
+	status, err := c.do(ctx, c.timeout, &r)
 	if err == nil && status != http.StatusOK {
-		err = unexpected(status, "grant")
+		err = r.unexpected(status)
 	}
-	return out.Lease, err
+	return granted.Lease, err
 }
 
-// RenewLease gives a lease its full time again. It passes by the node's own request
-// budget: nothing else is worth sending when the term is lost. How long it may take is
-// for the caller.
+// RenewLease gives a lease its full duration again. It fails with ErrLeaseNotFound if the lease
+// has ended. It does not wait for this client's own rate limits, as nothing else is worth
+// sending once leadership is lost, and only the caller's context bounds how long it takes.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	status, err := c.send(ctx, http.MethodPost, "/grants/"+strconv.FormatUint(lease, 10)+"/renew", nil, nil)
+	r := request{operation: "renew lease", method: http.MethodPost, path: leasePath(lease) + "/renew"}
+	status, err := c.send(ctx, &r)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return ErrLeaseNotFound
+		return r.failed(status, ErrLeaseNotFound)
 	case status != http.StatusOK:
-		return unexpected(status, "renew")
+		return r.unexpected(status)
 	}
 	return nil
 }
 
 // RevokeLeaseIfAlive ends a lease that still lives, and tells whether it did.
 func (c *Client) RevokeLeaseIfAlive(ctx context.Context, lease uint64) (alive bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	err = c.RenewLease(ctx, lease)
 	if errors.Is(err, ErrLeaseNotFound) {
@@ -50,8 +54,11 @@
 	return true, c.RevokeLease(ctx, lease)
 }
 
-// RevokeLease ends a lease and removes its keys.
+// RevokeLease ends a lease and removes the keys that are tied to it. One that has ended already
+// is no error.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
-	_, err := c.do(ctx, c.wait, http.MethodDelete, "/grants/"+strconv.FormatUint(lease, 10), nil, nil)
+	_, err := c.do(ctx, c.timeout, &request{operation: "revoke lease", method: http.MethodDelete, path: leasePath(lease)})
 	return err
 }
+
+func leasePath(lease uint64) string { return "/grants/" + strconv.FormatUint(lease, 10) }
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -4,41 +4,47 @@
 	"context"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 )
 
+// pageSize is how many keys a listing asks for at a time.
+const pageSize = 1000
+
 // Get reads one key. A key that does not exist is found == false with no error.
-func (c *Client) Get(ctx context.Context, key string) (p KeyValue, found bool, err error) {
-	status, err := c.do(ctx, c.wait, http.MethodGet, "/keys/"+key, nil, &p)
+func (c *Client) Get(ctx context.Context, key string) (kv KeyValue, found bool, err error) {
+	r := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, answer: &kv}
+	status, err := c.do(ctx, c.timeout, &r)
 	switch {
 	case err != nil:
 		return KeyValue{}, false, err
 	case status == http.StatusOK:
-		return p, true, nil
+		return kv, true, nil
 	case status == http.StatusNotFound:
 		return KeyValue{}, false, nil
 	}
-	return KeyValue{}, false, unexpected(status, "get "+key)
+	return KeyValue{}, false, r.unexpected(status)
 }
 
 // List reads all keys with a prefix. The revision is that of the first page:
 // a watch from there sees every change that later pages may have missed.
-func (c *Client) List(ctx context.Context, prefix string) (pairs []KeyValue, revision uint64, err error) {
-	revision, err = c.ForEach(ctx, prefix, func(p KeyValue) { pairs = append(pairs, p) })
+func (c *Client) List(ctx context.Context, prefix string) (kvs []KeyValue, revision uint64, err error) {
+	revision, err = c.ForEach(ctx, prefix, func(kv KeyValue) { kvs = append(kvs, kv) })
 	if err != nil {
 		return nil, 0, err
 	}
-	return pairs, revision, nil
+	return kvs, revision, nil
 }
 
-// ForEach is List for keys of which there may be more than fit into memory: it hands over
-// one after the other. After an error, some may have been handed over.
-func (c *Client) ForEach(ctx context.Context, prefix string, take func(KeyValue)) (revision uint64, err error) {
-	return c.ForEachPaced(ctx, prefix, 0, take)
+// ForEach is List for keys of which there may be more than fit into memory: it hands them to
+// visit one after the other, in the order of their names. After an error, visit may have got
+// some of them.
+func (c *Client) ForEach(ctx context.Context, prefix string, visit func(KeyValue)) (revision uint64, err error) {
+	return c.ForEachPaced(ctx, prefix, 0, visit)
 }
 
-// ForEachPaced is Each with a pause between two pages, so that others get their turn.
-func (c *Client) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, take func(KeyValue)) (revision uint64, err error) {
+// ForEachPaced is ForEach with a pause between two pages, so that other requests get their turn.
+func (c *Client) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, visit func(KeyValue)) (revision uint64, err error) {
 	after := ""
 	for {
 		page, err := c.page(ctx, prefix, after)
@@ -46,15 +52,15 @@
 			return 0, err
 		}
 		if revision == 0 {
-			revision = page.Tide
+			revision = page.Revision
 		}
-		for _, p := range page.Pairs {
-			take(p)
+		for _, kv := range page.KeyValues {
+			visit(kv)
 		}
-		if !page.More || len(page.Pairs) == 0 {
+		if !page.More || len(page.KeyValues) == 0 {
 			return revision, nil
 		}
-		after = page.Pairs[len(page.Pairs)-1].Key
+		after = page.KeyValues[len(page.KeyValues)-1].Key
 		if pause > 0 {
 			select {
 			case <-ctx.Done():
@@ -65,21 +71,16 @@
 	}
 }
 
-// keyPage is a part of the keys with a prefix.
-type keyPage struct {
-	Pairs []KeyValue `json:"pairs"`
-	More  bool       `json:"hasNext"`
-	Tide  uint64     `json:"tide"`
-}
-
+// page reads the keys with a prefix that come after one, as many as fit into an answer.
 func (c *Client) page(ctx context.Context, prefix, after string) (page keyPage, err error) {
-	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&most=1000"
+	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(pageSize)
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
-	status, err := c.do(ctx, c.wait, http.MethodGet, path, nil, &page)
+	r := request{operation: "list " + prefix, method: http.MethodGet, path: path, answer: &page}
+	status, err := c.do(ctx, c.timeout, &r)
 	if err == nil && status != http.StatusOK {
-		err = unexpected(status, "list "+prefix)
+		err = r.unexpected(status)
 	}
 	return page, err
 }
@@ -88,14 +89,13 @@
 // the revision.
 const noKey = "nothing"
 
-// Revision returns a revision that is no older than the call.
+// Revision returns a revision of the store that is no older than the call.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
-	var out struct {
-		Tide uint64 `json:"tide"`
-	}
-	status, err := c.do(ctx, c.wait, http.MethodGet, "/keys/"+noKey, nil, &out)
+	var current revisionAnswer
+	r := request{operation: "revision", method: http.MethodGet, path: "/keys/" + noKey, answer: &current}
+	status, err := c.do(ctx, c.timeout, &r)
 	if err == nil && status != http.StatusNotFound {
-		err = unexpected(status, "revision")
+		err = r.unexpected(status)
 	}
-	return out.Tide, err
+	return current.Revision, err
 }
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -6,37 +6,38 @@
 	"net/http"
 )
 
-// Commit applies a transaction. Failed guards are returned by key with no
-// error; then nothing was written. ErrUnknown leaves the outcome open.
+// Commit executes a transaction: all writes if all guards hold, else none. Guards that do not
+// hold are returned by key with no error; then nothing was written. The revision is that of the
+// transaction, or of the store where guards have failed.
+//
+// ErrOutcomeUnknown leaves open whether the transaction was executed, or will be. If it writes a
+// key that it guards, a repetition with the same guards is safe: whichever of the two comes
+// second finds the revision changed, and fails.
 func (c *Client) Commit(ctx context.Context, guards []Guard, writes []Write) (revision uint64, failed []string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
+	var result commitAnswer
+	r := request{
+		operation: "commit", method: http.MethodPost, path: "/commit",
+		body: commitRequest{Guards: guards, Writes: writes}, answer: &result,
+	}
 	if n := len(writes); n > 0 {
-		if err := c.writes.WaitN(ctx, min(n, c.writes.Burst())); err != nil {
-			return 0, nil, fmt.Errorf("%w: write budget: %w", ErrNotExecuted, err)
+		if err := c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst())); err != nil {
+			return 0, nil, r.failed(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
 		}
 	}
-	in := struct {
-		Guards []Guard `json:"guards"`
-		Writes []Write `json:"writes"`
-	}{guards, writes}
-	var out struct {
-		Tide   uint64   `json:"tide"`
-		Failed []string `json:"failed"`
-		Error  string   `json:"error"`
-	}
-	status, err := c.do(ctx, c.wait, http.MethodPost, "/commit", in, &out)
+	status, err := c.do(ctx, c.timeout, &r)
 	switch {
 	case err != nil:
 		return 0, nil, err
 	case status == http.StatusOK:
-		return out.Tide, nil, nil
+		return result.Revision, nil, nil
 	case status == http.StatusConflict:
-		return out.Tide, out.Failed, nil
-	case status == http.StatusBadRequest && out.Error == "no such lease":
-		return 0, nil, ErrLeaseNotFound
+		return result.Revision, result.Failed, nil
+	case status == http.StatusBadRequest && result.Error == leaseNotFoundText:
+		return 0, nil, r.failed(status, ErrLeaseNotFound)
 	case status == http.StatusBadRequest:
-		return 0, nil, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, out.Error)
+		return 0, nil, r.failed(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, result.Error))
 	}
-	return 0, nil, unexpected(status, "commit")
+	return 0, nil, r.unexpected(status)
 }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -8,23 +8,25 @@
 	"time"
 )
 
-// Watch returns the changes under a prefix after a revision. An empty result
-// means that there was none while it waited, or that the service cannot tell: only
-// a revision that has reached one asked for with Revision proves anything.
+// Watch waits for changes under a prefix after a revision and returns them, with the revision
+// up to which they are complete. An empty result means that there was none while it waited, or
+// that the store cannot tell: only a revision that has reached one that Revision returned
+// proves anything. It fails with ErrCompacted if the changes are no longer kept.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (revision uint64, changes []Change, err error) {
-	path := fmt.Sprintf("/watch?prefix=%s&after=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds())
-	var out struct {
-		Tide uint64   `json:"tide"`
-		Log  []Change `json:"log"`
+	var seen watchAnswer
+	r := request{
+		operation: "watch " + prefix, method: http.MethodGet,
+		path:   fmt.Sprintf("/watch?prefix=%s&after=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds()),
+		answer: &seen, longPoll: true,
 	}
-	status, err := c.do(ctx, wait+c.wait, http.MethodGet, path, nil, &out)
+	status, err := c.do(ctx, wait+c.timeout, &r)
 	switch {
 	case err != nil:
 		return 0, nil, err
 	case status == http.StatusGone:
-		return 0, nil, ErrCompacted
+		return 0, nil, r.failed(status, ErrCompacted)
 	case status != http.StatusOK:
-		return 0, nil, unexpected(status, "watch")
+		return 0, nil, r.unexpected(status)
 	}
-	return out.Tide, out.Log, nil
+	return seen.Revision, seen.Changes, nil
 }
--- a/internal/kvstore/wire.go
+++ b/internal/kvstore/wire.go
@@ -7,27 +7,64 @@
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"value"`
 	Revision uint64          `json:"mark"`
-	Lease    uint64          `json:"tether,omitempty"`
+	Lease    uint64          `json:"tether,omitempty"` // that the key is tied to; 0: none
 }
 
-// Guard demands that a key is at a revision; 0 demands its absence.
+// Guard is a condition of a transaction: the key is at a revision, or absent where that is 0.
 type Guard struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"mark"`
 }
 
-// Write sets or removes one key.
+// Write sets or removes one key in a transaction. Exactly one of Set and Remove names a key.
 type Write struct {
 	Set    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
-	Lease  uint64          `json:"tether,omitempty"`
+	Lease  uint64          `json:"tether,omitempty"` // to tie the key to, so that it ends with it
 	Remove string          `json:"remove,omitempty"`
 }
 
-// Change is one entry of a watch.
+// Change is one change of a key that a watch has seen. Exactly one of Set and Remove names it.
 type Change struct {
 	Set      string          `json:"set"`
 	Value    json.RawMessage `json:"value"`
 	Remove   string          `json:"remove"`
 	Revision uint64          `json:"mark"`
 }
+
+type keyPage struct {
+	KeyValues []KeyValue `json:"pairs"`
+	More      bool       `json:"hasNext"`
+	Revision  uint64     `json:"tide"`
+}
+
+type revisionAnswer struct {
+	Revision uint64 `json:"tide"`
+}
+
+type watchAnswer struct {
+	Revision uint64   `json:"tide"`
+	Changes  []Change `json:"log"`
+}
+
+type commitRequest struct {
+	Guards []Guard `json:"guards"`
+	Writes []Write `json:"writes"`
+}
+
+type commitAnswer struct {
+	Revision uint64   `json:"tide"`
+	Failed   []string `json:"failed"` // keys of guards
+	Error    string   `json:"error"`
+}
+
+// leaseNotFoundText is commitAnswer.Error where a lease that a write names has ended.
+const leaseNotFoundText = "no such lease"
+
+type leaseRequest struct {
+	Milliseconds int64 `json:"lifeMs"`
+}
+
+type leaseAnswer struct {
+	Lease uint64 `json:"tether"`
+}
