--- a/internal/election/model/state.go
+++ b/internal/election/model/state.go
@@ -77,13 +77,13 @@
 	sinceSlow    int8 // ticks until the slow clock may lose another
 }
 
-func (n *nodeState) giver() rules.Giver {
-	return rules.Giver{Until: time.Duration(n.left), FromEarlier: n.fromEarlier, Open: n.open, After: uint64(n.after), Known: uint64(n.known)}
+func (n *nodeState) giver() rules.Grantor {
+	return rules.Grantor{BoundUntil: time.Duration(n.left), FromEarlierIncarnation: n.fromEarlier, CampaignPending: n.open, CampaignBase: uint64(n.after), HighestToken: uint64(n.known)}
 }
 
-func (n *nodeState) setGiver(g rules.Giver) {
-	n.left, n.fromEarlier, n.open = int8(max(0, g.Until)), g.FromEarlier, g.Open
-	n.after, n.known = int8(g.After), int8(g.Known)
+func (n *nodeState) setGiver(g rules.Grantor) {
+	n.left, n.fromEarlier, n.open = int8(max(0, g.BoundUntil)), g.FromEarlierIncarnation, g.CampaignPending
+	n.after, n.known = int8(g.CampaignBase), int8(g.HighestToken)
 	if !n.open {
 		n.after = 0
 	}
@@ -92,12 +92,12 @@
 	}
 }
 
-func (n *nodeState) coverage() rules.Cover {
-	return rules.Cover{Holding: n.holding, Until: time.Duration(n.cover)}
+func (n *nodeState) coverage() rules.LeaseValidity {
+	return rules.LeaseValidity{Held: n.holding, Until: time.Duration(n.cover)}
 }
 
-func (n *nodeState) setCoverage(c rules.Cover) {
-	n.holding, n.cover = c.Holding, int8(max(0, c.Until))
+func (n *nodeState) setCoverage(c rules.LeaseValidity) {
+	n.holding, n.cover = c.Held, int8(max(0, c.Until))
 }
 
 // acts tells whether a node may act as the leader.
