--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,6 +1,3 @@
-// Package election keeps the leadership: one node at a time holds a key that is
-// tied to a lease of the state service. The token that workers compare is a
-// counter raised in the transaction that takes the key.
 package election
 
 import (
@@ -14,86 +11,103 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Timing is how long the lease lasts and how it is kept.
+// Timing is how long a lease lasts and how it is kept.
 type Timing struct {
-	LeaseDuration time.Duration // of the term and of a promise
+	LeaseDuration time.Duration // of the term's lease and of a peer lease
 	RenewPeriod   time.Duration // between two renewals
-	ValidFor      time.Duration // how long after its request was sent a renewal, or a promise, counts
-	WatchTimeout  time.Duration
-	RetryPeriod   time.Duration
+	// ValidFor is how long a renewal, or the grants of all peers, count from when they were
+	// requested. It is shorter than LeaseDuration by the drift of clocks.
+	ValidFor     time.Duration
+	WatchTimeout time.Duration // of one watch of the holder key
+	RetryPeriod  time.Duration // the mean pause after a failure
 }
 
-// Elector campaigns for the term and keeps it.
+// LeadFunc is what a node does with a term that it has won. It has to return soon after its
+// context has ended; if it returns before, the node resigns.
+type LeadFunc func(ctx context.Context, term Term)
+
+// Elector campaigns for the leadership and keeps it. Run is called once; all other methods may
+// be called from any goroutine.
 type Elector struct {
-	node                  string
-	incarnation           string
-	store                 *kvstore.Client
-	timing                Timing
-	clockStart            time.Time
-	validity              lockedValidity // of the term that this node holds
-	peerLeasesRequestedAt atomic.Int64   // for the last promises of all others, at base+asked
-	observedHolder        atomic.Pointer[holderRecord]
-	contactAt             atomic.Int64      // of the term, from the state service, at base+heard
-	grantor               lockedGrantor     // to another node
-	ownToken              atomic.Uint64     // of the term that this node holds, as raised since
-	lastHolder            holderRecord      // the last one read, owned by Run
-	newestRevision        detection.Highest // revision that was read, owned by Run
-
-	// RequestPeerLeases asks all other nodes for a promise; nil means that there are
-	// none to be had.
+	node        string
+	incarnation string // this run of the node's process
+	store       *kvstore.Client
+	timing      Timing
+	clockStart  time.Time // where the clock of all decisions reads 0
+
+	validity lockedValidity // of the term that this node holds
+	grantor  lockedGrantor  // of peer leases to other nodes
+	ownToken atomic.Uint64  // newest fencing token of the term that this node holds
+
+	// Readings of the decisions' clock.
+	peerLeasesRequestedAt atomic.Int64 // the last ones that all peers granted; 0: never
+	contactAt             atomic.Int64 // as of when observedHolder is known
+
+	observedHolder atomic.Pointer[holderRecord] // nil: nobody
+	lastHolder     holderRecord                 // the last one observed; owned by Run
+	newestRevision detection.Highest            // of the store
+
+	// RequestPeerLeases asks all peers to grant a lease to the leader with a fencing token, and
+	// tells whether all did. Nil means that there are none to be had. Set before Run.
 	RequestPeerLeases func(ctx context.Context, token uint64) bool
-	// NoPeerReliesOnGrants asks all other nodes whether each has answered, in its present life, that
-	// it relies on no promise; nil means that this cannot be found out.
+	// NoPeerReliesOnGrants asks all peers, and tells whether each has answered this incarnation
+	// that it relies on no grant. Nil means that this cannot be found out. Set before Run.
 	NoPeerReliesOnGrants func(ctx context.Context) bool
-	// ReportLoss is told what shows that the state service has lost keys of the term.
+	// ReportLoss is called with what shows that the store has lost keys of the election. Set
+	// before Run; it is called by several goroutines.
 	ReportLoss func(detection.Loss)
 }
 
-// NewElector makes a keeper for a node.
+// NewElector makes an elector for a node, which has begun just now.
 func NewElector(node string, store *kvstore.Client, timing Timing) *Elector {
-	k := &Elector{node: node, incarnation: rand.Text(), store: store, timing: timing, clockStart: time.Now(), ReportLoss: func(detection.Loss) {}}
-	k.grantor.grantor = rules.RestartedGrantor(0, timing.LeaseDuration)
-	return k
+	e := &Elector{
+		node: node, incarnation: rand.Text(), store: store, timing: timing, clockStart: time.Now(),
+		ReportLoss: func(detection.Loss) {},
+	}
+	e.grantor.grantor = rules.RestartedGrantor(0, timing.LeaseDuration)
+	return e
 }
 
-// IsLeader tells whether this node holds the term at this moment, by its own
-// clock and counted from when the last good renewal was sent.
-func (k *Elector) IsLeader() bool { return k.validity.valid(k.now()) }
+// clock reads the monotonic clock of all decisions.
+func (e *Elector) clock() time.Duration { return time.Since(e.clockStart) }
+
+// clockAt is what that clock read at a moment.
+func (e *Elector) clockAt(at time.Time) time.Duration { return at.Sub(e.clockStart) }
 
-// now is this node's steady clock, as all decisions about the term count.
-func (k *Elector) now() time.Duration { return time.Since(k.clockStart) }
+// IsLeader tells whether this node may act as the leader at this moment, by its own clock.
+func (e *Elector) IsLeader() bool { return e.validity.valid(e.clock()) }
 
-// ReliesOnNoGrant tells whether this node, in its present life, neither holds a term nor may
-// come to act by one that it took: then no promise that others have given it matters.
-func (k *Elector) ReliesOnNoGrant() bool { return k.validity.reliesOnNoGrant() }
+// ReliesOnNoGrant tells whether no lease that a peer has granted to this node up to now can help
+// it: in its present incarnation it holds no term, valid or not.
+func (e *Elector) ReliesOnNoGrant() bool { return e.validity.reliesOnNoGrant() }
 
-// PeerLeasesRequestedAt returns when the last promises were asked for that all others gave. It
-// is the zero time if that was never so.
-func (k *Elector) PeerLeasesRequestedAt() time.Time {
-	if at := k.peerLeasesRequestedAt.Load(); at > 0 {
-		return k.clockStart.Add(time.Duration(at))
+// PeerLeasesRequestedAt returns when the last peer leases were requested that all peers granted.
+// It is the zero time if that was never so.
+func (e *Elector) PeerLeasesRequestedAt() time.Time {
+	if at := e.peerLeasesRequestedAt.Load(); at > 0 {
+		return e.clockStart.Add(time.Duration(at))
 	}
 	return time.Time{}
 }
 
-// TokenRaised notes that the holder has raised the token within its term. Questions
-// for promises carry the newest: by an older one, the others would take the
-// holder for one that has been succeeded.
-func (k *Elector) TokenRaised(token uint64) {
-	k.ownToken.Store(token)
-	k.grantor.observeToken(token)
+// TokenRaised notes that the leader has raised the fencing token within its term. Requests for
+// peer leases carry the newest one: by an older one, peers would take the leader for one that has
+// been succeeded.
+func (e *Elector) TokenRaised(token uint64) {
+	e.ownToken.Store(token)
+	e.grantor.observeToken(token)
 }
 
-// Leader names the node that held the term when last seen, or is empty. What was
-// seen too long ago is not told: a node that is cut off would send workers to
-// one that leads no more.
-func (k *Elector) Leader() string {
-	h := k.observedHolder.Load()
-	if h == nil || time.Since(k.clockStart)-time.Duration(k.contactAt.Load()) > k.timing.WatchTimeout+2*k.timing.LeaseDuration {
+// Leader names the node that was last observed to hold the leadership, or is empty. It is empty
+// too when that is too long ago: a node that is cut off would send workers to one that leads no
+// more.
+func (e *Elector) Leader() string {
+	holder := e.observedHolder.Load()
+	if holder == nil || e.clock()-time.Duration(e.contactAt.Load()) > e.timing.WatchTimeout+2*e.timing.LeaseDuration {
 		return ""
 	}
-	return h.Node
+	return holder.Node
 }
 
-// noteContact notes that the state service has told of the term, as of a moment.
-func (k *Elector) noteContact(at time.Time) { k.contactAt.Store(int64(at.Sub(k.clockStart))) }
+// noteContact notes that observedHolder is known as of a moment.
+func (e *Elector) noteContact(at time.Time) { e.contactAt.Store(int64(e.clockAt(at))) }
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -8,22 +8,57 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// maxRenewalsInFlight is how many renewals may be without an answer at a time: as many as are
-// begun while one counts. With fewer, slow answers would leave gaps.
-const maxRenewalsInFlight = 5
+// endReason is why a term has ended, as the log has it.
+type endReason string
 
-// resigned is why a term ends when lead returns by itself.
-const resigned = "resigned"
+const (
+	wonTooSlowly  endReason = "taken too slowly"             // the lease was no longer valid when it was
+	shuttingDown  endReason = "shutting down"                // Run's context has ended
+	resigned      endReason = "resigned"                     // lead has returned by itself
+	holderKeyLost endReason = "holder key lost"              // it is gone or another's, though the lease is renewed
+	leaseEnded    endReason = "lease ended"                  // in the store
+	validityEnded endReason = "neither renewed nor promised" // neither the store nor all peers have answered in time
+)
+
+// serve leads for a term until its lease can no longer be proven valid, and tells why it ended.
+func (e *Elector) serve(ctx context.Context, won wonTerm, lead LeadFunc) endReason {
+	e.validity.begin(e.clockAt(won.requestedAt), e.timing.ValidFor)
+	if !e.IsLeader() {
+		e.validity.end()
+		return wonTooSlowly
+	}
+	self := &holderRecord{Node: e.node, Incarnation: e.incarnation, FencingToken: won.FencingToken}
+	e.lastHolder = *self
+	e.noteContact(time.Now())
+	e.observedHolder.Store(self)
+	e.ownToken.Store(won.FencingToken)
+	slog.Info("term taken", "term", won.FencingToken)
 
-// holderKeyLost is why a term ends when the holder's key is gone, or another's, though its lease
-// is renewed.
-const holderKeyLost = "holder key lost"
+	leadCtx, stop := context.WithCancel(ctx)
+	leadReturned := make(chan struct{})
+	go func() {
+		defer close(leadReturned)
+		lead(leadCtx, won.Term)
+	}()
+	// It ends with leadCtx; nobody waits for the answer to its last read.
+	keyLost := make(chan struct{})
+	go e.watchHolderKey(leadCtx, won.Term, keyLost)
+
+	reason := newLeaseKeeper(e, won).run(leadCtx, leadReturned, keyLost)
+	e.validity.end()
+	e.observedHolder.CompareAndSwap(self, nil)
+	stop()
+	<-leadReturned
+	slog.Info("term ended", "term", won.FencingToken, "reason", string(reason))
+	e.tryRevokeLease(context.WithoutCancel(ctx), won.lease)
+	return reason
+}
 
-// watchHolderKey looks at the holder's key once in a term lease, and closes lost when it is
-// not this term's any more. Without it, a holder whose key the state service has lost
-// would go on for as long as its lease is renewed, beside the next one.
-func (k *Elector) watchHolderKey(ctx context.Context, t Term, lost chan<- struct{}) {
-	tick := time.NewTicker(k.timing.LeaseDuration)
+// watchHolderKey reads the holder key once in a lease duration, and closes lost when it is not
+// this term's any more. Without it, a leader whose key the store has lost would go on for as long
+// as its lease is renewed, beside the next one.
+func (e *Elector) watchHolderKey(ctx context.Context, term Term, lost chan<- struct{}) {
+	tick := time.NewTicker(e.timing.LeaseDuration)
 	defer tick.Stop()
 	for {
 		select {
@@ -31,47 +66,14 @@
 			return
 		case <-tick.C:
 		}
-		p, found, err := k.store.Get(ctx, HolderKey)
-		if err != nil || found && p.Revision == t.HolderRevision {
+		kv, found, err := e.store.Get(ctx, HolderKey)
+		if err != nil || found && kv.Revision == term.HolderRevision {
 			continue
 		}
-		if ctx.Err() == nil && k.IsLeader() {
-			k.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: t.HolderRevision, Found: p.Revision})
+		if ctx.Err() == nil && e.IsLeader() {
+			e.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: term.HolderRevision, Found: kv.Revision})
 		}
 		close(lost)
 		return
 	}
 }
-
-// lead keeps the term until it can no longer be proven, and tells why it ended.
-func (k *Elector) lead(ctx context.Context, t Term, lease uint64, sent time.Time, lead func(context.Context, Term)) (reason string) {
-	k.validity.begin(sent.Sub(k.clockStart), k.timing.ValidFor)
-	if !k.IsLeader() {
-		k.validity.end()
-		return "taken too slowly"
-	}
-	self := &holderRecord{Node: k.node, Incarnation: k.incarnation, FencingToken: t.FencingToken}
-	k.lastHolder = *self
-	k.noteContact(time.Now())
-	k.observedHolder.Store(self)
-	k.ownToken.Store(t.FencingToken)
-	slog.Info("term taken", "term", t.FencingToken)
-	leadCtx, stop := context.WithCancel(ctx)
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		lead(leadCtx, t)
-	}()
-	lost := make(chan struct{})
-	go k.watchHolderKey(leadCtx, t, lost)
-	reason = k.keepLease(leadCtx, lease, t.FencingToken, done, lost)
-	k.validity.end()
-	k.observedHolder.CompareAndSwap(self, nil)
-	stop()
-	<-done
-	slog.Info("term ended", "term", t.FencingToken, "reason", reason)
-	drop, cancel := context.WithTimeout(context.WithoutCancel(ctx), k.timing.RetryPeriod)
-	defer cancel()
-	_ = k.store.RevokeLease(drop, lease)
-	return reason
-}
--- /dev/null
+++ b/internal/election/locked.go
@@ -0,0 +1,124 @@
+package election
+
+import (
+	"sync"
+	"time"
+
+	"ospreyslip/internal/election/rules"
+)
+
+// The types of this file add a lock to those of package rules and decide nothing themselves: each
+// method executes the one of the same name there, or reads fields. Times are readings of the
+// elector's clock.
+
+// lockedGrantor is a rules.Grantor for several goroutines: peers ask it for leases while Run
+// campaigns. A campaign and a grant are never decided at the same time, as each would forbid the
+// other.
+type lockedGrantor struct {
+	mu      sync.Mutex
+	grantor rules.Grantor
+}
+
+func (g *lockedGrantor) campaignDelay(now time.Duration, exempt bool) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.grantor.CampaignDelay(now, exempt)
+}
+
+func (g *lockedGrantor) beginCampaign(now time.Duration, exempt bool, base uint64) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.grantor.BeginCampaign(now, exempt, base)
+}
+
+func (g *lockedGrantor) campaignSettled() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.grantor.CampaignSettled()
+}
+
+func (g *lockedGrantor) observeToken(token uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.grantor.ObserveToken(token)
+}
+
+// highestToken returns the highest fencing token known to have been issued.
+func (g *lockedGrantor) highestToken() uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.grantor.HighestToken
+}
+
+func (g *lockedGrantor) grant(now, leaseDuration time.Duration, token uint64) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.grantor.Grant(now, leaseDuration, token)
+}
+
+// boundByEarlierIncarnation tells whether this node is waiting out what an earlier incarnation
+// may have granted.
+func (g *lockedGrantor) boundByEarlierIncarnation(now time.Duration) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.grantor.FromEarlierIncarnation && g.grantor.BoundUntil > now
+}
+
+func (g *lockedGrantor) voidEarlierGrants(now time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.grantor.VoidEarlierGrants(now)
+}
+
+// lockedValidity is a rules.LeaseValidity for several goroutines: many ask whether this node
+// leads while Run keeps the lease.
+type lockedValidity struct {
+	mu       sync.RWMutex
+	validity rules.LeaseValidity
+}
+
+func (v *lockedValidity) valid(now time.Duration) bool {
+	v.mu.RLock()
+	defer v.mu.RUnlock()
+	return v.validity.Valid(now)
+}
+
+// remaining is how long the validity lasts if nothing extends it.
+func (v *lockedValidity) remaining(now time.Duration) time.Duration {
+	v.mu.RLock()
+	defer v.mu.RUnlock()
+	return v.validity.Until - now
+}
+
+func (v *lockedValidity) reliesOnNoGrant() bool {
+	v.mu.RLock()
+	defer v.mu.RUnlock()
+	return v.validity.ReliesOnNoGrant()
+}
+
+// begin starts a term, whose lease was requested at a moment.
+func (v *lockedValidity) begin(requested, validFor time.Duration) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.validity = rules.LeaseValidity{Held: true}
+	v.validity.ExtendByRenewal(requested, validFor)
+}
+
+// end gives the term up for good.
+func (v *lockedValidity) end() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.validity = rules.LeaseValidity{}
+}
+
+func (v *lockedValidity) extendByRenewal(sent, validFor time.Duration) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.validity.ExtendByRenewal(sent, validFor)
+}
+
+func (v *lockedValidity) extendByGrants(now, sent, validFor time.Duration) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.validity.ExtendByGrants(now, sent, validFor)
+}
--- a/internal/election/peer_leases.go
+++ b/internal/election/peer_leases.go
@@ -9,39 +9,40 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// voidEarlierGrants asks all others whether anybody may rely on what an earlier life of this node
-// has promised, and returns true if nobody does: then it need not be waited out.
-func (k *Elector) voidEarlierGrants(ctx context.Context) bool {
-	if k.NoPeerReliesOnGrants == nil || !k.grantor.boundByEarlierIncarnation(k.now()) {
+// GrantPeerLease decides whether this node grants the leader with a fencing token a lease, which
+// forbids this node to campaign for one lease duration. It does so only while it, too, gets no
+// answer from the store, which it tries now: else the leader is cut off alone, and another node
+// shall lead.
+func (e *Elector) GrantPeerLease(ctx context.Context, token uint64) bool {
+	if e.IsLeader() {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.timing.RenewPeriod)
+	ctx, cancel := context.WithTimeout(ctx, e.timing.RenewPeriod)
 	defer cancel()
-	if !k.NoPeerReliesOnGrants(ctx) {
+	if _, _, err := e.store.Get(ctx, HolderKey); err == nil || errors.Is(err, kvstore.ErrRateLimited) {
+		return false // a store that is only busy still takes cancellations, which the leader must see
+	}
+	if !e.grantor.grant(e.clock(), e.timing.LeaseDuration, token) {
 		return false
 	}
-	k.grantor.voidEarlierGrants(k.now())
-	slog.Info("promises of an earlier life are void", "reason", "no other node relies on one")
+	if holder := e.observedHolder.Load(); holder != nil && holder.FencingToken <= token {
+		e.noteContact(time.Now()) // by this request the holder itself has told that it leads
+	}
 	return true
 }
 
-// GrantPeerLease decides whether this node promises not to take the term for the time of
-// one lease, as the term's holder asks. It does so only while the state service
-// does not answer it either: otherwise the holder's trouble is its own.
-func (k *Elector) GrantPeerLease(ctx context.Context, token uint64) bool {
-	if k.IsLeader() {
+// voidEarlierGrants asks all peers whether any may rely on what an earlier incarnation of this
+// node has granted. It returns true if none does: then those grants need not be waited out.
+func (e *Elector) voidEarlierGrants(ctx context.Context) bool {
+	if e.NoPeerReliesOnGrants == nil || !e.grantor.boundByEarlierIncarnation(e.clock()) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.timing.RenewPeriod)
+	ctx, cancel := context.WithTimeout(ctx, e.timing.RenewPeriod)
 	defer cancel()
-	if _, _, err := k.store.Get(ctx, HolderKey); err == nil || errors.Is(err, kvstore.ErrRateLimited) {
-		return false // a service that is only busy still takes cancellations
-	}
-	if !k.grantor.grant(k.now(), k.timing.LeaseDuration, token) {
+	if !e.NoPeerReliesOnGrants(ctx) {
 		return false
 	}
-	if h := k.observedHolder.Load(); h != nil && h.FencingToken <= token {
-		k.noteContact(time.Now()) // the holder itself has told of the term
-	}
+	e.grantor.voidEarlierGrants(e.clock())
+	slog.Info("lease grants of an earlier incarnation are void", "reason", "no other node relies on one")
 	return true
 }
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -3,27 +3,25 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"time"
 
-	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery/detection"
 )
 
 const (
 	keyPrefix = "term/"
-	// HolderKey guards every write of a leader: its revision stays the same
-	// for the whole term.
+	// HolderKey is the key whose holder leads. It guards every write of a leader: its revision
+	// stays the same for the whole term.
 	HolderKey = "term/holder"
-	// TokenKey holds the highest token ever given out. It outlives the lease.
+	// TokenKey holds the highest fencing token ever issued. It outlives the lease.
 	TokenKey = "term/token"
 )
 
-// holderRecord is what the holder key says.
+// holderRecord is the value of HolderKey.
 type holderRecord struct {
 	Node         string `json:"node"`
-	Incarnation  string `json:"life"` // one run of that node's process
+	Incarnation  string `json:"life"`
 	FencingToken uint64 `json:"token"`
 	// Lease is the one that the key is tied to; 0 if an earlier version wrote it.
 	Lease uint64 `json:"lease,omitempty"`
@@ -31,61 +29,51 @@
 
 // Term is one time of leadership.
 type Term struct {
-	FencingToken   uint64
+	FencingToken   uint64 // with which it began
 	HolderRevision uint64 // revision of HolderKey
-	TokenRevision  uint64 // revision of TokenKey
+	TokenRevision  uint64 // revision of TokenKey when it began
 	Since          time.Time
 }
 
-// stored is what the state service has of the term.
-type stored struct {
-	holder         *holderRecord // nil if nobody holds it
-	holderRevision uint64
-	token          uint64 // the highest ever given out
-	tokenRevision  uint64 // 0 if nobody ever held it
-	revision       uint64 // as of which all this was read
+// storedElection is what the store has of the election.
+type storedElection struct {
+	holder         *holderRecord // nil: nobody
+	holderRevision uint64        // of HolderKey; 0: it does not exist
+	highestToken   uint64        // ever issued
+	tokenRevision  uint64        // of TokenKey; 0: it does not exist, as nobody ever led
+	revision       uint64        // of the store, as of which all this was read
 }
 
-func (k *Elector) readStored(ctx context.Context) (stored, error) {
-	asked := k.newestRevision.Ask()
-	pairs, revision, err := k.store.List(ctx, keyPrefix)
+// heldBy tells whether a node holds the key, in whichever incarnation.
+func (s *storedElection) heldBy(node string) bool { return s.holder != nil && s.holder.Node == node }
+
+// readStored reads the keys of the election. It reports a loss if the revision is below one that
+// was read before: then the store was put back to an earlier state.
+func (e *Elector) readStored(ctx context.Context) (storedElection, error) {
+	asked := e.newestRevision.Ask()
+	kvs, revision, err := e.store.List(ctx, keyPrefix)
 	if err != nil {
-		return stored{}, err
+		return storedElection{}, err
 	}
-	if e, back := k.newestRevision.See(asked, detection.RevisionBack, keyPrefix, revision); back {
-		k.ReportLoss(e)
+	if loss, back := e.newestRevision.See(asked, detection.RevisionBack, keyPrefix, revision); back {
+		e.ReportLoss(loss)
 	}
-	s := stored{revision: revision}
-	for _, p := range pairs {
+	stored := storedElection{revision: revision}
+	for _, kv := range kvs {
 		var into any
-		switch p.Key {
+		switch kv.Key {
 		case HolderKey:
-			s.holder, s.holderRevision = new(holderRecord), p.Revision
-			into = s.holder
+			stored.holder, stored.holderRevision = new(holderRecord), kv.Revision
+			into = stored.holder
 		case TokenKey:
-			s.tokenRevision = p.Revision
-			into = &s.token
+			stored.tokenRevision = kv.Revision
+			into = &stored.highestToken
 		default:
 			continue
 		}
-		if err := json.Unmarshal(p.Value, into); err != nil {
-			return stored{}, fmt.Errorf("%s: %w", p.Key, err)
-		}
-	}
-	return s, nil
-}
-
-// awaitChange waits until something about the term changes.
-func (k *Elector) awaitChange(ctx context.Context, after uint64, wait time.Duration) {
-	_, changes, err := k.store.Watch(ctx, keyPrefix, after, wait)
-	if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
-		k.pause(ctx)
-		return
-	}
-	k.noteContact(time.Now())
-	for _, c := range changes {
-		if c.Remove == HolderKey {
-			k.observedHolder.Store(nil)
+		if err := json.Unmarshal(kv.Value, into); err != nil {
+			return storedElection{}, fmt.Errorf("%s: %w", kv.Key, err)
 		}
 	}
+	return stored, nil
 }
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -10,76 +10,145 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// keepLease keeps the lease. While the state service does not answer, promises of
-// all other nodes take its place: see docs/design.md for why that is safe.
-func (k *Elector) keepLease(ctx context.Context, lease, token uint64, done, lost <-chan struct{}) (reason string) {
-	tick := time.NewTicker(k.timing.RenewPeriod)
-	defer tick.Stop()
-	type outcome struct {
-		sent time.Time
-		err  error
+// maxRenewalsInFlight is how many renewals may wait for their answers at a time: as many as are
+// sent while one counts. With fewer, slow answers would leave gaps.
+const maxRenewalsInFlight = 5
+
+// requestOutcome is what became of a renewal, or of a request for peer leases.
+type requestOutcome struct {
+	sentAt time.Time
+	err    error
+}
+
+// leaseKeeper keeps the lease of one term: by renewals in the store, and by peer leases while
+// the store does not answer. docs/design.md ("Promises during an outage") has why that is safe.
+// One goroutine owns it; each request has a goroutine of its own, which ends with the context of
+// run and leaves its outcome in a channel that has room for it.
+type leaseKeeper struct {
+	elector *Elector
+	term    wonTerm
+
+	renewals         chan requestOutcome
+	renewalsInFlight int
+	renewedAt        time.Time // when the last renewal that succeeded was sent
+	renewalSentAt    time.Time // the last one, whatever its outcome
+
+	peerLeases           chan requestOutcome
+	requestingPeerLeases bool
+	peerLeasesSentAt     time.Time // the last request, whatever its outcome
+}
+
+func newLeaseKeeper(elector *Elector, won wonTerm) *leaseKeeper {
+	now := time.Now()
+	return &leaseKeeper{
+		elector: elector, term: won,
+		renewals: make(chan requestOutcome, maxRenewalsInFlight), renewedAt: now, renewalSentAt: now,
+		peerLeases: make(chan requestOutcome, 1), peerLeasesSentAt: now,
 	}
-	renewals, promises := make(chan outcome, maxRenewalsInFlight), make(chan outcome, 1)
-	renewing, asking := 0, false
-	good := time.Now()
-	tried, asked := good, good // a refusal comes at once, and must not be asked for again at once
+}
+
+// run keeps the lease until the term ends, and tells why it did.
+func (k *leaseKeeper) run(ctx context.Context, leadReturned, keyLost <-chan struct{}) endReason {
+	tick := time.NewTicker(k.elector.timing.RenewPeriod)
+	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return "shutting down"
-		case <-done:
+			return shuttingDown
+		case <-leadReturned:
 			return resigned
-		case <-lost:
+		case <-keyLost:
 			return holderKeyLost
-		case o := <-renewals:
-			renewing--
-			switch {
-			case o.err == nil && o.sent.After(good):
-				good = o.sent
-				k.validity.extendByRenewal(o.sent.Sub(k.clockStart), k.timing.ValidFor)
-			case o.err == nil: // one that was sent later has been answered already
-			case errors.Is(o.err, kvstore.ErrLeaseNotFound):
-				if k.IsLeader() { // renewed in time, it cannot end by itself
-					k.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: token})
-				}
-				return "lease ended"
-			default:
-				slog.Debug("renewal failed", "term", token, "reason", o.err)
-			}
-		case o := <-promises:
-			asking = false
-			if o.err == nil && k.validity.extendByGrants(k.now(), o.sent.Sub(k.clockStart), k.timing.ValidFor) {
-				k.peerLeasesRequestedAt.Store(int64(o.sent.Sub(k.clockStart)))
+		case outcome := <-k.renewals:
+			if ended := k.renewalAnswered(outcome); ended {
+				return leaseEnded
 			}
+		case outcome := <-k.peerLeases:
+			k.peerLeasesAnswered(outcome)
 		case <-tick.C:
 		}
 		now := time.Now()
-		left := k.validity.remaining(now.Sub(k.clockStart))
-		if left <= 0 {
-			return "neither renewed nor promised"
+		remaining := k.elector.validity.remaining(k.elector.clockAt(now))
+		if remaining <= 0 {
+			return validityEnded
 		}
-		// On a busy processor an answer may take most of the time for which it counts: the
-		// next try does not wait for it, and it is not given up with those before.
-		if renewing < maxRenewalsInFlight && now.Sub(tried) >= k.timing.RenewPeriod*9/10 {
-			renewing++
-			tried = now
-			go func() {
-				try, cancel := context.WithTimeout(ctx, k.timing.ValidFor)
-				defer cancel()
-				renewals <- outcome{now, k.store.RenewLease(try, lease)}
-			}()
+		k.renew(ctx, now)
+		k.requestPeerLeases(ctx, now, remaining)
+	}
+}
+
+// due tells whether a request may be sent again. One that is refused is answered at once, and
+// must not be repeated at once. Ticks may come a little early.
+func (k *leaseKeeper) due(now, sentAt time.Time) bool {
+	return now.Sub(sentAt) >= k.elector.timing.RenewPeriod*9/10
+}
+
+// renew sends a renewal if one is due. On a busy processor an answer may take most of the time
+// for which it counts: the next renewal does not wait for it, and it is not given up when a later
+// one is sent.
+func (k *leaseKeeper) renew(ctx context.Context, now time.Time) {
+	if k.renewalsInFlight >= maxRenewalsInFlight || !k.due(now, k.renewalSentAt) {
+		return
+	}
+	k.renewalsInFlight++
+	k.renewalSentAt = now
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, k.elector.timing.ValidFor)
+		defer cancel()
+		k.renewals <- requestOutcome{now, k.elector.store.RenewLease(ctx, k.term.lease)}
+	}()
+}
+
+// renewalAnswered takes in the outcome of a renewal, and tells whether the lease has ended in
+// the store.
+func (k *leaseKeeper) renewalAnswered(outcome requestOutcome) (ended bool) {
+	k.renewalsInFlight--
+	e := k.elector
+	switch {
+	case outcome.err == nil && outcome.sentAt.After(k.renewedAt):
+		k.renewedAt = outcome.sentAt
+		e.validity.extendByRenewal(e.clockAt(outcome.sentAt), e.timing.ValidFor)
+	case outcome.err == nil: // one that was sent later has been answered already
+	case errors.Is(outcome.err, kvstore.ErrLeaseNotFound):
+		if e.IsLeader() { // renewed in time, the lease cannot have ended by itself
+			e.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: k.term.FencingToken})
 		}
-		if !asking && k.RequestPeerLeases != nil && now.Sub(good) >= 2*k.timing.RenewPeriod && now.Sub(asked) >= k.timing.RenewPeriod*9/10 {
-			asking, asked = true, now
-			go func() {
-				try, cancel := context.WithTimeout(ctx, min(left, 3*k.timing.RenewPeriod))
-				defer cancel()
-				o := outcome{sent: now}
-				if !k.RequestPeerLeases(try, k.ownToken.Load()) {
-					o.err = errors.New("not promised")
-				}
-				promises <- o
-			}()
+		return true
+	default:
+		slog.Debug("renewal failed", "term", k.term.FencingToken, "reason", outcome.err)
+	}
+	return false
+}
+
+// requestPeerLeases asks all peers for a lease if no renewal of the last two periods has
+// succeeded. Remaining is how long the leader may still act.
+func (k *leaseKeeper) requestPeerLeases(ctx context.Context, now time.Time, remaining time.Duration) {
+	e := k.elector
+	storeSilent := now.Sub(k.renewedAt) >= 2*e.timing.RenewPeriod
+	if k.requestingPeerLeases || e.RequestPeerLeases == nil || !storeSilent || !k.due(now, k.peerLeasesSentAt) {
+		return
+	}
+	k.requestingPeerLeases, k.peerLeasesSentAt = true, now
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, min(remaining, 3*e.timing.RenewPeriod))
+		defer cancel()
+		outcome := requestOutcome{sentAt: now}
+		if !e.RequestPeerLeases(ctx, e.ownToken.Load()) {
+			outcome.err = errNotGranted
 		}
+		k.peerLeases <- outcome
+	}()
+}
+
+// errNotGranted is that not all peers have granted a lease.
+var errNotGranted = errors.New("not all peers have granted a lease")
+
+// peerLeasesAnswered takes in whether all peers have granted a lease.
+func (k *leaseKeeper) peerLeasesAnswered(outcome requestOutcome) {
+	k.requestingPeerLeases = false
+	e := k.elector
+	requestedAt := e.clockAt(outcome.sentAt)
+	if outcome.err == nil && e.validity.extendByGrants(e.clock(), requestedAt, e.timing.ValidFor) {
+		e.peerLeasesRequestedAt.Store(int64(requestedAt))
 	}
 }
--- a/internal/election/rules/grantor.go
+++ b/internal/election/rules/grantor.go
@@ -2,62 +2,72 @@
 
 import "time"
 
-// Grantor is what a node has promised others, and the campaign of its own that stands against it.
+// Grantor is what a node has granted to leaders, and the campaign of its own that a grant could
+// conflict with. The zero value has granted nothing.
+//
+// Two invariants keep a leader that relies on a grant safe: while a grant binds, its grantor
+// begins no campaign; and while a campaign could succeed against a leader, its node grants that
+// leader nothing.
 type Grantor struct {
-	BoundUntil             time.Duration // takes no term before this
-	FromEarlierIncarnation bool          // it stands for what an earlier life may have promised
-	CampaignPending        bool          // the outcome of a campaign is unknown
-	CampaignBase           uint64        // the token that this campaign builds on
-	HighestToken           uint64        // highest token known to have been given out
+	BoundUntil time.Duration // it begins no campaign before
+	// FromEarlierIncarnation is that BoundUntil stands for what an earlier incarnation (run of
+	// this node's process) may have granted, which nobody remembers.
+	FromEarlierIncarnation bool
+	// CampaignPending is that a campaign's transaction may yet be executed: its outcome is
+	// unknown.
+	CampaignPending bool
+	CampaignBase    uint64 // the fencing token that the pending campaign succeeds
+	HighestToken    uint64 // highest fencing token known to have been issued
 }
 
-// RestartedGrantor is a node that has just begun: its earlier life may have promised something just
-// before its end, for as long as one lease.
-func RestartedGrantor(now, lease time.Duration) Grantor {
-	return Grantor{BoundUntil: now + lease, FromEarlierIncarnation: true}
+// RestartedGrantor is a node that has just begun: its earlier incarnation may have granted a
+// lease just before its end.
+func RestartedGrantor(now, leaseDuration time.Duration) Grantor {
+	return Grantor{BoundUntil: now + leaseDuration, FromEarlierIncarnation: true}
 }
 
-// CampaignDelay is how long this node must not campaign. A node whose own earlier life holds the term,
-// or that finds no term ever taken, need not wait out what that life may have promised: it
-// cannot have kept another in office.
-func (g *Grantor) CampaignDelay(now time.Duration, first bool) time.Duration {
-	if g.FromEarlierIncarnation && first {
+// CampaignDelay is how long this node must not begin a campaign. Exempt says that its own earlier
+// incarnation holds the leadership, or that nobody ever held it: then no grant of an earlier
+// incarnation can have kept another node in office, and none has to be waited out.
+func (g *Grantor) CampaignDelay(now time.Duration, exempt bool) time.Duration {
+	if g.FromEarlierIncarnation && exempt {
 		return 0
 	}
 	return max(0, g.BoundUntil-now)
 }
 
-// BeginCampaign notes that a transaction that takes the term is about to be sent; it returns false
-// if a promise forbids that.
-func (g *Grantor) BeginCampaign(now time.Duration, first bool, after uint64) bool {
-	if g.CampaignDelay(now, first) > 0 {
+// BeginCampaign notes that the transaction of a campaign is about to be sent, which succeeds the
+// leader with the fencing token base. It returns false if a grant forbids that.
+func (g *Grantor) BeginCampaign(now time.Duration, exempt bool, base uint64) bool {
+	if g.CampaignDelay(now, exempt) > 0 {
 		return false
 	}
-	g.CampaignPending, g.CampaignBase = true, after
+	g.CampaignPending, g.CampaignBase = true, base
 	return true
 }
 
 // CampaignSettled notes that the campaign's outcome is known.
 func (g *Grantor) CampaignSettled() { g.CampaignPending = false }
 
-// ObserveToken notes a token that was given out.
+// ObserveToken notes a fencing token that was issued.
 func (g *Grantor) ObserveToken(token uint64) { g.HighestToken = max(g.HighestToken, token) }
 
-// Grant promises not to take the term for the time of one lease. It is refused while a campaign
-// that could still succeed against this holder is on its way (one that builds on an older token
-// cannot), and to a holder that has been succeeded.
-func (g *Grantor) Grant(now, lease time.Duration, token uint64) bool {
+// Grant promises the leader with a fencing token to begin no campaign for one lease duration
+// from now. It returns false, and promises nothing, while a campaign of this node could still
+// succeed against that leader (one that builds on an older token cannot, as the transaction's
+// guards fail), and to a leader that has been succeeded.
+func (g *Grantor) Grant(now, leaseDuration time.Duration, token uint64) bool {
 	if g.CampaignPending && g.CampaignBase >= token || g.HighestToken > token {
 		return false
 	}
-	g.BoundUntil = max(g.BoundUntil, now+lease)
+	g.BoundUntil = max(g.BoundUntil, now+leaseDuration)
 	g.FromEarlierIncarnation = false
 	return true
 }
 
-// VoidEarlierGrants takes in that nobody relies on what an earlier life may have promised: every
-// other node, asked by this life, has answered that it does not hold the term. A promise of
-// this life stands.
+// VoidEarlierGrants notes that nobody relies on what an earlier incarnation may have granted:
+// every peer, asked by this incarnation, has answered that it relies on no grant. A grant of this
+// incarnation goes on to bind.
 func (g *Grantor) VoidEarlierGrants(now time.Duration) {
 	if g.FromEarlierIncarnation {
 		g.BoundUntil, g.FromEarlierIncarnation = now, false
