--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -12,110 +13,135 @@
 	"ospreyslip/internal/kvstore"
 )
 
-var timing = Timing{
+var testTiming = Timing{
 	LeaseDuration: 2 * time.Second, RenewPeriod: 400 * time.Millisecond, ValidFor: 1900 * time.Millisecond,
 	WatchTimeout: time.Second, RetryPeriod: 400 * time.Millisecond,
 }
 
-// keep runs a keeper and records the tokens of its terms.
-func keep(t *testing.T, world *emulator.Net, node string, promise func(context.Context, uint64) bool) (k *Elector, terms func() []uint64, stop func()) {
+// newTestElector makes an elector whose requests go through a network to the store there.
+func newTestElector(network *emulator.Net, node string) *Elector {
+	limits := kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}
+	return NewElector(node, kvstore.New("state:1", network.From(node), time.Second, limits), testTiming)
+}
+
+// runningElector records the fencing tokens of the terms that its node wins.
+type runningElector struct {
+	*Elector
+	stop func() // ends Run and waits for its return
+
+	mu     sync.Mutex
+	tokens []uint64
+}
+
+// startElector runs an elector; configure, if any, sets its hooks before.
+func startElector(t *testing.T, network *emulator.Net, node string, configure func(*Elector)) *runningElector {
+	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	k = NewElector(node, kvstore.New("state:1", world.From(node), time.Second, kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}), timing)
-	k.RequestPeerLeases = promise
-	var mu sync.Mutex
-	var tokens []uint64
+	running := &runningElector{Elector: newTestElector(network, node)}
+	if configure != nil {
+		configure(running.Elector)
+	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		k.Run(ctx, func(ctx context.Context, tm Term) {
-			mu.Lock()
-			tokens = append(tokens, tm.FencingToken)
-			mu.Unlock()
+		running.Run(ctx, func(ctx context.Context, term Term) {
+			running.mu.Lock()
+			running.tokens = append(running.tokens, term.FencingToken)
+			running.mu.Unlock()
 			<-ctx.Done()
 		})
 	}()
-	return k, func() []uint64 {
-			mu.Lock()
-			defer mu.Unlock()
-			return append([]uint64(nil), tokens...)
-		}, func() {
-			cancel()
-			<-done
+	running.stop = func() {
+		cancel()
+		<-done
+	}
+	return running
+}
+
+// wonTokens returns the fencing tokens of all terms up to now.
+func (r *runningElector) wonTokens() []uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.tokens)
+}
+
+// grantingAfter configures an elector whose peers all grant each lease, or all refuse it, after
+// a delay.
+func grantingAfter(delay time.Duration, granted bool) func(*Elector) {
+	return func(e *Elector) {
+		e.RequestPeerLeases = func(context.Context, uint64) bool {
+			time.Sleep(delay) // whatever the deadline says
+			return granted
 		}
+	}
 }
 
-// Promises keep a term only without a gap. One that arrives when the cover has
-// ended must not bring the old term back: another may have taken it since.
-func TestLatePromiseRevivesNothing(t *testing.T) {
+// Peer leases keep a term only without a gap. Grants that arrive when the validity has ended must
+// not bring the old term back: another node may have won one since.
+func TestLatePeerLeaseRevivesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		slow := func(context.Context, uint64) bool {
-			time.Sleep(3 * time.Second) // past all cover, whatever the deadline says
-			return true
-		}
-		k, terms, stop := keep(t, world, "perch-0", slow)
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		pastValidity := 3 * time.Second
+		elector := startElector(t, network, "perch-0", grantingAfter(pastValidity, true))
 		time.Sleep(5 * time.Second)
-		if !k.IsLeader() || len(terms()) != 1 {
+		if !elector.IsLeader() || len(elector.wonTokens()) != 1 {
 			t.Fatal("no term to begin with")
 		}
 		store.Down(true)
 		time.Sleep(2500 * time.Millisecond)
 		for range 40 {
-			if k.IsLeader() {
-				t.Fatal("the term came back without a gapless cover")
+			if elector.IsLeader() {
+				t.Fatal("the term came back after a gap in its validity")
 			}
 			time.Sleep(250 * time.Millisecond)
 		}
 		store.Down(false)
 		time.Sleep(10 * time.Second)
-		if got := terms(); len(got) != 2 || got[1] <= got[0] {
-			t.Errorf("after the outage a new term with a higher token was due: %v", got)
+		if tokens := elector.wonTokens(); len(tokens) != 2 || tokens[1] <= tokens[0] {
+			t.Errorf("after the outage a new term with a higher token was due: %v", tokens)
 		}
-		stop()
-		world.Wait()
+		elector.stop()
+		network.Wait()
 	})
 }
 
-// A node promises in an outage only: a service that is merely over its limit
-// still takes cancellations, which the holder would not see.
-func TestPromiseNeedsAnOutage(t *testing.T) {
+// A node grants peer leases in an outage only: a store that is merely over its limit still takes
+// cancellations, which the leader would not see.
+func TestPeerLeaseNeedsAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		k := NewElector("perch-0", kvstore.New("state:1", world.From("perch-0"), time.Second, kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}), timing)
-		if k.GrantPeerLease(t.Context(), 1) {
-			t.Error("promised while served")
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		elector := newTestElector(network, "perch-0")
+		if elector.GrantPeerLease(t.Context(), 1) {
+			t.Error("granted while served")
 		}
 		store.Busy(true)
-		if k.GrantPeerLease(t.Context(), 1) {
-			t.Error("promised while the service was over its limit")
+		if elector.GrantPeerLease(t.Context(), 1) {
+			t.Error("granted while the store was over its limit")
 		}
 		store.Busy(false)
 		store.Down(true)
-		if !k.GrantPeerLease(t.Context(), 1) {
+		if !elector.GrantPeerLease(t.Context(), 1) {
 			t.Error("refused in an outage")
 		}
-		world.Wait()
+		network.Wait()
 	})
 }
 
-// Two nodes, one store: the second leads only when the first has stopped, and
-// a resigned or cut-off holder's token is never used again.
+// Two nodes, one store: the second leads only when the first has stopped, and the token of a
+// holder that resigned or was cut off is never used again.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		asked := 0
-		never := func(context.Context, uint64) bool { asked++; return false }
-		a, _, stopA := keep(t, world, "perch-0", never)
-		time.Sleep(time.Second)
-		b, termsB, stopB := keep(t, world, "perch-1", never)
-		both := func(what string) {
-			if a.IsLeader() && b.IsLeader() {
-				t.Fatalf("two leaders: %s", what)
-			}
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		requests := 0
+		refuse := func(e *Elector) {
+			e.RequestPeerLeases = func(context.Context, uint64) bool { requests++; return false }
 		}
+		first := startElector(t, network, "perch-0", refuse)
+		time.Sleep(time.Second)
+		second := startElector(t, network, "perch-1", refuse)
 		for i := range 400 {
 			switch i {
 			case 50:
@@ -123,43 +149,44 @@
 			case 150:
 				store.RefuseFrom("perch-0", false)
 			case 200:
-				world.Faults(func(from, _, _ string) emulator.Fault {
+				network.Faults(func(from, _, _ string) emulator.Fault {
 					if from == "perch-1" {
 						return emulator.Silent
 					}
 					return emulator.Deliver
 				})
 			case 300:
-				world.Faults(nil)
+				network.Faults(nil)
 			}
 			time.Sleep(50 * time.Millisecond)
-			both("along the way")
+			if first.IsLeader() && second.IsLeader() {
+				t.Fatal("two leaders along the way")
+			}
 		}
-		if got := termsB(); len(got) == 0 || got[0] < 2 {
-			t.Errorf("perch-1 was due to lead once: %v", got)
+		if tokens := second.wonTokens(); len(tokens) == 0 || tokens[0] < 2 {
+			t.Errorf("perch-1 was due to lead once: %v", tokens)
 		}
 		// A refusal comes at once: it must not be asked for again at once.
-		if asked == 0 || asked > 40 {
-			t.Errorf("asked %d times for promises in some ten seconds without the state service", asked)
+		if requests == 0 || requests > 40 {
+			t.Errorf("peer leases were requested %d times in some ten seconds without the store", requests)
 		}
-		stopA()
-		stopB()
-		world.Wait()
+		first.stop()
+		second.stop()
+		network.Wait()
 	})
 }
 
-// On a starved processor, or with a slow state service, the answer to a renewal may take
-// most of the term. The next renewal does not wait for it, and each that is answered counts
-// from when it was sent: the term is kept.
+// On a starved processor, or with a slow store, the answer to a renewal may take most of the
+// lease. The next renewal does not wait for it, and each that is answered counts from when it was
+// sent: the term is kept.
 func TestSlowRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		world.Lateness = timing.ValidFor * 7 / 10 // of what the rule below calls slow
-		never := func(context.Context, uint64) bool { return false }
-		k, terms, stop := keep(t, world, "perch-0", never)
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		network.Lateness = testTiming.ValidFor * 7 / 10 // of what the rule below calls slow
+		elector := startElector(t, network, "perch-0", grantingAfter(0, false))
 		time.Sleep(time.Second)
-		world.Faults(func(_, _, path string) emulator.Fault {
+		network.Faults(func(_, _, path string) emulator.Fault {
 			if strings.HasSuffix(path, "/renew") {
 				return emulator.Slow
 			}
@@ -167,14 +194,14 @@
 		})
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
-			if !k.IsLeader() {
+			if !elector.IsLeader() {
 				t.Fatal("the term is lost though each renewal is answered in time")
 			}
 		}
-		if got := terms(); len(got) != 1 {
-			t.Errorf("terms: %v", got)
+		if tokens := elector.wonTokens(); len(tokens) != 1 {
+			t.Errorf("terms: %v", tokens)
 		}
-		stop()
-		world.Wait()
+		elector.stop()
+		network.Wait()
 	})
 }
--- a/internal/election/locked_test.go
+++ b/internal/election/locked_test.go
@@ -7,69 +7,69 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// The promise is what keeps two nodes from leading while the holder lives on
-// promises. Times are in units of one promise.
-func TestPromise(t *testing.T) {
-	life := time.Second
-	at := func(units float64) time.Duration { return time.Duration(units * float64(life)) }
+// Peer leases are what keeps two nodes from leading while the leader relies on them. Times are in
+// units of one lease duration.
+func TestPeerLease(t *testing.T) {
+	lease := time.Second
+	at := func(units float64) time.Duration { return time.Duration(units * float64(lease)) }
 
-	t.Run("a promise forbids campaigns until it ends", func(t *testing.T) {
-		var p lockedGrantor
-		if !p.grant(at(0), life, 7) {
+	t.Run("a grant forbids campaigns until it ends", func(t *testing.T) {
+		var grantor lockedGrantor
+		if !grantor.grant(at(0), lease, 7) {
 			t.Fatal("nothing stands against it")
 		}
-		if p.beginCampaign(at(0.9), false, 7) {
-			t.Error("campaigned within the promise")
+		if grantor.beginCampaign(at(0.9), false, 7) {
+			t.Error("campaigned while the grant binds")
 		}
-		if !p.beginCampaign(at(1.1), false, 7) {
-			t.Error("the promise is over")
+		if !grantor.beginCampaign(at(1.1), false, 7) {
+			t.Error("the grant has ended")
 		}
 	})
-	t.Run("no promise while a campaign may still succeed", func(t *testing.T) {
-		var p lockedGrantor
-		p.beginCampaign(at(0), false, 7) // built on token 7; its outcome is never learnt
-		if p.grant(at(60), life, 7) {
-			t.Error("the late campaign could unseat the holder of token 7")
+	t.Run("no grant while a campaign may still succeed", func(t *testing.T) {
+		var grantor lockedGrantor
+		grantor.beginCampaign(at(0), false, 7) // its outcome is never learnt
+		if grantor.grant(at(60), lease, 7) {
+			t.Error("the late campaign could unseat the leader with token 7")
 		}
-		if !p.grant(at(60), life, 8) {
+		if !grantor.grant(at(60), lease, 8) {
 			t.Error("token 8 came after the campaign, which can no longer succeed")
 		}
 	})
 	t.Run("a settled campaign stands against nothing", func(t *testing.T) {
-		var p lockedGrantor
-		p.beginCampaign(at(0), false, 7)
-		p.campaignSettled()
-		if !p.grant(at(0.1), life, 7) {
+		var grantor lockedGrantor
+		grantor.beginCampaign(at(0), false, 7)
+		grantor.campaignSettled()
+		if !grantor.grant(at(0.1), lease, 7) {
 			t.Error("refused without a reason")
 		}
 	})
-	t.Run("a new life waits out what an earlier one may have promised", func(t *testing.T) {
-		p := lockedGrantor{grantor: rules.RestartedGrantor(at(0), life)}
-		if p.beginCampaign(at(0.5), false, 7) {
-			t.Error("campaigned within the earlier life's promise")
+	t.Run("a new incarnation waits out what an earlier one may have granted", func(t *testing.T) {
+		grantor := lockedGrantor{grantor: rules.RestartedGrantor(at(0), lease)}
+		if grantor.beginCampaign(at(0.5), false, 7) {
+			t.Error("campaigned while an earlier incarnation's grant may bind")
 		}
-		if !p.beginCampaign(at(0.5), true, 7) {
-			t.Error("its own earlier life held the term, so that it had promised nobody")
+		if !grantor.beginCampaign(at(0.5), true, 7) {
+			t.Error("its own earlier incarnation led, so that it had granted nobody a lease")
 		}
-		p = lockedGrantor{grantor: rules.RestartedGrantor(at(0), life)}
-		p.grant(at(0.2), life, 7)
-		if p.beginCampaign(at(0.5), true, 7) {
-			t.Error("a promise of this life binds in any case")
+		grantor = lockedGrantor{grantor: rules.RestartedGrantor(at(0), lease)}
+		grantor.grant(at(0.2), lease, 7)
+		if grantor.beginCampaign(at(0.5), true, 7) {
+			t.Error("a grant of this incarnation binds in any case")
 		}
 	})
-	t.Run("no promise to a holder that has been succeeded", func(t *testing.T) {
-		var p lockedGrantor
-		p.observeToken(8)
-		if p.grant(at(0), life, 7) || !p.grant(at(0), life, 8) {
-			t.Error("token 8 was given out")
+	t.Run("no grant to a leader that has been succeeded", func(t *testing.T) {
+		var grantor lockedGrantor
+		grantor.observeToken(8)
+		if grantor.grant(at(0), lease, 7) || !grantor.grant(at(0), lease, 8) {
+			t.Error("token 8 was issued")
 		}
 	})
-	t.Run("promises only grow", func(t *testing.T) {
-		var p lockedGrantor
-		p.grant(at(0), 3*life, 7)
-		p.grant(at(1), life, 7)
-		if left := p.campaignDelay(at(1), false); left != 2*life {
-			t.Errorf("left %v", left)
+	t.Run("a later grant never ends an earlier one sooner", func(t *testing.T) {
+		var grantor lockedGrantor
+		grantor.grant(at(0), 3*lease, 7)
+		grantor.grant(at(1), lease, 7)
+		if delay := grantor.campaignDelay(at(1), false); delay != 2*lease {
+			t.Errorf("campaigns are delayed by %v", delay)
 		}
 	})
 }
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -1,6 +1,7 @@
 package election
 
 import (
+	"slices"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -10,128 +11,125 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// noted collects what a keeper tells of lost keys.
-type noted struct {
-	mu  sync.Mutex
-	all []detection.Loss
+// lossRecorder records what electors report of lost keys.
+type lossRecorder struct {
+	mu     sync.Mutex
+	losses []detection.Loss
 }
 
-func (n *noted) add(l detection.Loss) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.all = append(n.all, l)
+func (r *lossRecorder) record(e *Elector) {
+	e.ReportLoss = func(loss detection.Loss) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.losses = append(r.losses, loss)
+	}
 }
 
-func (n *noted) has(kind detection.Kind) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, l := range n.all {
-		if l.Kind == kind {
-			return true
-		}
-	}
-	return false
+func (r *lossRecorder) all() []detection.Loss {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.losses)
+}
+
+func (r *lossRecorder) has(kind detection.Kind) bool {
+	return slices.ContainsFunc(r.all(), func(loss detection.Loss) bool { return loss.Kind == kind })
 }
 
-// loseTerm runs two keepers, has the state service lose keys, and checks in every
-// moment of the next minute that no two hold the term and no token is given out twice.
-func loseTerm(t *testing.T, lose func(*emulator.State)) (seen *noted, tokens []uint64) {
-	seen = &noted{}
+// loseKeys runs two electors, has the store lose keys, and checks in every moment of the next
+// minute that no two nodes lead. No token may be issued twice.
+func loseKeys(t *testing.T, lose func(*emulator.State)) (reported *lossRecorder, tokens []uint64) {
+	t.Helper()
+	reported = &lossRecorder{}
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		first, firstTerms, stopFirst := keep(t, world, "perch-0", nil)
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		first := startElector(t, network, "perch-0", reported.record)
 		time.Sleep(time.Second)
-		second, secondTerms, stopSecond := keep(t, world, "perch-1", nil)
-		first.ReportLoss, second.ReportLoss = seen.add, seen.add
+		second := startElector(t, network, "perch-1", reported.record)
 		time.Sleep(5300 * time.Millisecond) // between two looks of the holder at its key
 		if !first.IsLeader() || second.IsLeader() {
 			t.Fatal("the first one should lead")
 		}
-		if len(seen.all) > 0 {
-			t.Errorf("a loss was noticed where there was none: %v", seen.all)
+		if losses := reported.all(); len(losses) > 0 {
+			t.Errorf("a loss was noticed where there was none: %v", losses)
 		}
 		lose(store)
 		for range 6000 {
 			time.Sleep(10 * time.Millisecond)
 			if first.IsLeader() && second.IsLeader() {
-				t.Fatal("two nodes hold the term")
+				t.Fatal("two nodes lead")
 			}
 		}
 		if !first.IsLeader() && !second.IsLeader() {
 			t.Error("nobody leads a minute later")
 		}
-		stopFirst()
-		stopSecond()
-		world.Wait()
-		tokens = append(firstTerms(), secondTerms()...)
-		given := map[uint64]bool{}
+		first.stop()
+		second.stop()
+		network.Wait()
+		tokens = append(first.wonTokens(), second.wonTokens()...)
+		issued := map[uint64]bool{}
 		for _, token := range tokens {
-			if given[token] {
-				t.Errorf("token %d was given out twice: %v", token, tokens)
+			if issued[token] {
+				t.Errorf("token %d was issued twice: %v", token, tokens)
 			}
-			given[token] = true
+			issued[token] = true
 		}
 	})
-	return seen, tokens
+	return reported, tokens
 }
 
-// The term's key is lost while its lease lives on: the holder renews what holds nothing.
+// The holder key is lost while its lease lives on: the holder renews what holds nothing.
 // It must have stopped before another leads.
 func TestHolderKeyLost(t *testing.T) {
 	for _, silently := range []bool{false, true} {
-		seen, tokens := loseTerm(t, func(s *emulator.State) { s.Lose(silently, emulator.Only(HolderKey)) })
-		if !seen.has(detection.HolderLost) || len(tokens) < 2 {
-			t.Errorf("silently %v: noticed %v, tokens %v", silently, seen.all, tokens)
+		reported, tokens := loseKeys(t, func(s *emulator.State) { s.Lose(silently, emulator.Only(HolderKey)) })
+		if !reported.has(detection.HolderLost) || len(tokens) < 2 {
+			t.Errorf("silently %v: noticed %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
 }
 
-// All keys of the term are lost: the next token is above all that were given out.
-func TestAllTermKeysLost(t *testing.T) {
+// All keys of the election are lost: the next token is above all that were issued.
+func TestAllElectionKeysLost(t *testing.T) {
 	for _, silently := range []bool{false, true} {
-		seen, tokens := loseTerm(t, func(s *emulator.State) { s.Lose(silently, emulator.WithPrefix(keyPrefix)) })
-		if !seen.has(detection.HolderLost) || !seen.has(detection.TokenBack) {
-			t.Errorf("silently %v: noticed %v, tokens %v", silently, seen.all, tokens)
+		reported, tokens := loseKeys(t, func(s *emulator.State) { s.Lose(silently, emulator.WithPrefix(keyPrefix)) })
+		if !reported.has(detection.HolderLost) || !reported.has(detection.TokenBack) {
+			t.Errorf("silently %v: noticed %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
 }
 
-// The service is put back to before the term: its holder is one that has long ended.
-func TestTermPutBack(t *testing.T) {
-	var before emulator.Backup
+// The store is put back to before the term, when there was no key of the election.
+func TestStorePutBackToNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		before = store.Backup() // empty
-		k, terms, stop := keep(t, world, "perch-0", nil)
-		seen := &noted{}
-		k.ReportLoss = seen.add
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		empty := store.Backup()
+		reported := &lossRecorder{}
+		elector := startElector(t, network, "perch-0", reported.record)
 		time.Sleep(3 * time.Second)
-		store.Restore(before)
+		store.Restore(empty)
 		time.Sleep(10 * time.Second)
-		if got := terms(); len(got) < 2 || got[1] <= got[0] || !k.IsLeader() {
-			t.Errorf("tokens %v after the service was put back, leading %v", got, k.IsLeader())
+		if tokens := elector.wonTokens(); len(tokens) < 2 || tokens[1] <= tokens[0] || !elector.IsLeader() {
+			t.Errorf("tokens %v after the store was put back, leading %v", tokens, elector.IsLeader())
 		}
-		if !seen.has(detection.TokenBack) {
+		if !reported.has(detection.TokenBack) {
 			t.Error("that the token went back was not noticed")
 		}
-		stop()
-		world.Wait()
+		elector.stop()
+		network.Wait()
 	})
 }
 
 // A holder that ends by itself, or whose lease ends, is no loss.
 func TestEndOfATermIsNoLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		seen := &noted{}
-		first, _, stopFirst := keep(t, world, "perch-0", nil)
-		first.ReportLoss = seen.add
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		reported := &lossRecorder{}
+		first := startElector(t, network, "perch-0", reported.record)
 		time.Sleep(time.Second)
-		second, _, stopSecond := keep(t, world, "perch-1", nil)
-		second.ReportLoss = seen.add
+		second := startElector(t, network, "perch-1", reported.record)
 		time.Sleep(3 * time.Second)
 		store.RefuseFrom("perch-0", true) // its lease ends
 		time.Sleep(10 * time.Second)
@@ -144,47 +142,47 @@
 		time.Sleep(10 * time.Second)
 		store.Down(false)
 		time.Sleep(5 * time.Second)
-		stopSecond() // ends its lease itself
+		second.stop() // revokes its lease itself
 		time.Sleep(5 * time.Second)
-		if !first.IsLeader() || len(seen.all) > 0 {
-			t.Errorf("first leads: %v; noticed %v", first.IsLeader(), seen.all)
+		if losses := reported.all(); !first.IsLeader() || len(losses) > 0 {
+			t.Errorf("first leads: %v; noticed %v", first.IsLeader(), losses)
 		}
-		stopFirst()
-		world.Wait()
+		first.stop()
+		network.Wait()
 	})
 }
 
-// The service is put back to an earlier term, whose lease is long over: nothing would ever
-// remove its holder's key. Who knows that others have followed takes the term all the same.
-func TestPutBackToAnEarlierHolder(t *testing.T) {
+// The store is put back to an earlier term, whose lease is long over: nothing would ever remove
+// its holder key. A node that knows that others have succeeded that holder leads all the same.
+func TestStorePutBackToAnEarlierHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
-		world.Attach("state", "state:1", store)
-		_, _, stopFirst := keep(t, world, "perch-0", nil)
+		network, store := emulator.NewNet(), emulator.NewState()
+		network.Attach("state", "state:1", store)
+		first := startElector(t, network, "perch-0", nil)
 		time.Sleep(time.Second)
-		second, secondTerms, stopSecond := keep(t, world, "perch-1", nil)
-		third, thirdTerms, stopThird := keep(t, world, "perch-2", nil)
+		second := startElector(t, network, "perch-1", nil)
+		third := startElector(t, network, "perch-2", nil)
 		time.Sleep(3 * time.Second)
-		before := store.Backup()
-		stopFirst()
+		earlier := store.Backup()
+		first.stop()
 		time.Sleep(5 * time.Second)
 		if !second.IsLeader() && !third.IsLeader() {
-			t.Fatal("nobody has followed")
+			t.Fatal("nobody has succeeded the first one")
 		}
-		store.Restore(before)
+		store.Restore(earlier)
 		for range 1500 {
 			time.Sleep(10 * time.Millisecond)
 			if second.IsLeader() && third.IsLeader() {
-				t.Fatal("two nodes hold the term")
+				t.Fatal("two nodes lead")
 			}
 		}
 		if !second.IsLeader() && !third.IsLeader() {
-			t.Error("nobody leads after the service was put back")
+			t.Error("nobody leads after the store was put back")
 		}
-		stopSecond()
-		stopThird()
-		world.Wait()
-		if tokens := append(secondTerms(), thirdTerms()...); len(tokens) < 2 || tokens[0] == tokens[1] {
+		second.stop()
+		third.stop()
+		network.Wait()
+		if tokens := append(second.wonTokens(), third.wonTokens()...); len(tokens) < 2 || tokens[0] == tokens[1] {
 			t.Errorf("tokens %v", tokens)
 		}
 	})
