--- a/internal/election/model/campaign_steps.go
+++ b/internal/election/model/campaign_steps.go
@@ -2,91 +2,114 @@
 
 import "ospreyslip/internal/election/rules"
 
-// arrivals are transactions of a node that reach the state service. Its answer may be heard
-// at any later time, or never.
-func (e *explorer) arrivals(s *State, i int) {
-	for j, t := range s.transactions[i] {
+// arrivalSteps are transactions of a node that reach the store. The answer may be heard at any
+// later time, or never.
+func (e *explorer) arrivalSteps(state *clusterState, node int) {
+	for slot, t := range state.transactions[node] {
 		if !t.present {
 			continue
 		}
-		next := *s
-		next.transactions[i][j] = transaction{}
-		free := t.own == 0 && s.service.holder < 0 || t.own != 0 && int(s.service.holder) == i && s.service.life == t.own
-		n := &next.nodes[i]
-		mine := n.up && n.life == t.life
-		if free && s.service.token == t.after {
-			next.service.holder, next.service.life, next.service.lease, next.service.token = int8(i), t.life, t.grant, t.after+1
-			if mine && !n.holding {
-				n.taken, n.sentAgo = t.after+1, e.lease-t.grant
+		next := *state
+		next.transactions[node][slot] = transaction{}
+		sender := &next.nodes[node]
+		heard := sender.up && sender.incarnation == t.incarnation
+		if state.guardsHold(node, t) {
+			next.store.holder, next.store.incarnation = int8(node), t.incarnation
+			next.store.lease, next.store.token = t.lease, t.base+1
+			if heard && !sender.held {
+				sender.wonToken, sender.wonAge = t.base+1, e.lease-t.lease
 			}
-			e.add(next, "node %d's transaction (life %d) takes token %d", i, t.life, t.after+1)
+			e.add(next, "node %d's transaction (incarnation %d) takes token %d", node, t.incarnation, t.base+1)
 			continue
 		}
-		e.add(next, "node %d's transaction (life %d) fails, which nobody hears", i, t.life)
-		if mine && n.open && n.after == t.after {
-			g := n.giver()
-			g.CampaignSettled()
-			n.setGiver(g)
-			e.add(next, "node %d's transaction (life %d) fails", i, t.life)
+		e.add(next, "node %d's transaction (incarnation %d) fails, which nobody hears", node, t.incarnation)
+		if heard && sender.campaignPending && sender.campaignBase == t.base {
+			grantor := sender.grantor()
+			grantor.CampaignSettled()
+			sender.setGrantor(grantor)
+			e.add(next, "node %d's transaction (incarnation %d) fails", node, t.incarnation)
 		}
 	}
 }
 
-// campaignSteps are those of a node that does not hold the term.
-func (e *explorer) campaignSteps(s *State, i int) {
-	n := &s.nodes[i]
-	if n.holding {
+// guardsHold tells whether a node's transaction finds both keys as they were when they were read.
+func (s *clusterState) guardsHold(node int, t transaction) bool {
+	if s.store.token != t.base {
+		return false
+	}
+	if t.ownIncarnation == 0 {
+		return s.store.holder < 0
+	}
+	return int(s.store.holder) == node && s.store.incarnation == t.ownIncarnation
+}
+
+// campaignSteps are those of a node that does not hold the leadership.
+func (e *explorer) campaignSteps(state *clusterState, node int) {
+	n := &state.nodes[node]
+	if n.held {
 		return
 	}
-	if n.taken != 0 {
-		e.hold(s, i)
+	if n.wonToken != 0 {
+		e.winStep(state, node)
 		return
 	}
-	own := int(s.service.holder) == i && s.service.life != n.life
-	busy := s.transactions[i][0].present && s.transactions[i][1].present
-	if s.service.up && (s.service.holder < 0 || own) && s.service.token < mostTokens && !busy {
-		e.campaign(s, i, own)
+	store := &state.store
+	ownKey := int(store.holder) == node && store.incarnation != n.incarnation
+	bothInUse := state.transactions[node][0].present && state.transactions[node][1].present
+	if store.up && (store.holder < 0 || ownKey) && store.token < maxToken && !bothInUse {
+		e.campaignStep(state, node, ownKey)
 	}
 }
 
-// campaign reads that the term is free to take, and sends a transaction that takes it.
-func (e *explorer) campaign(s *State, i int, own bool) {
-	next := *s
-	m := &next.nodes[i]
-	g := m.giver()
-	g.ObserveToken(uint64(s.service.token))
-	until, earlier := g.BoundUntil, g.FromEarlierIncarnation
-	if e.without == PromiseForbids && !earlier || e.without == WaitAfterRestart && earlier {
-		g.BoundUntil = 0
+// campaignStep is that a node reads that nobody leads, or its own earlier incarnation, and sends
+// the transaction of a campaign.
+func (e *explorer) campaignStep(state *clusterState, node int, ownKey bool) {
+	next := *state
+	n := &next.nodes[node]
+	base := uint64(state.store.token)
+	grantor := n.grantor()
+	grantor.ObserveToken(base)
+	boundUntil := grantor.BoundUntil
+	if e.bindsNothing(grantor) {
+		grantor.BoundUntil = 0
 	}
-	if !g.BeginCampaign(0, own, uint64(s.service.token)) {
+	if !grantor.BeginCampaign(0, ownKey, base) {
 		return
 	}
-	g.BoundUntil = until
-	m.setGiver(g)
+	grantor.BoundUntil = boundUntil
+	n.setGrantor(grantor)
+
+	t := transaction{present: true, incarnation: n.incarnation, base: state.store.token, lease: e.lease}
+	if ownKey {
+		t.ownIncarnation = state.store.incarnation
+	}
 	slot := 0
-	if s.transactions[i][0].present {
+	if state.transactions[node][0].present {
 		slot = 1
 	}
-	t := transaction{present: true, life: m.life, after: s.service.token, grant: e.lease}
-	if own {
-		t.own = s.service.life
+	next.transactions[node][slot] = t
+	e.add(next, "node %d (incarnation %d) campaigns after token %d", node, n.incarnation, state.store.token)
+}
+
+// bindsNothing tells whether the guard is left out by which a grantor is bound.
+func (e *explorer) bindsNothing(grantor rules.Grantor) bool {
+	if grantor.FromEarlierIncarnation {
+		return e.without == WaitAfterRestart
 	}
-	next.transactions[i][slot] = t
-	e.add(next, "node %d (life %d) campaigns after token %d", i, m.life, s.service.token)
+	return e.without == GrantForbidsCampaigns
 }
 
-// hold is that a node hears that it has taken the term.
-func (e *explorer) hold(s *State, i int) {
-	next := *s
-	m := &next.nodes[i]
-	g := m.giver()
-	g.CampaignSettled()
-	g.ObserveToken(uint64(m.taken))
-	m.setGiver(g)
-	c := rules.LeaseValidity{Held: true}
-	c.ExtendByRenewal(e.sent(m.sentAgo), e.safe())
-	m.setCoverage(c)
-	m.token, m.taken, m.sentAgo = m.taken, 0, 0
-	e.add(next, "node %d (life %d) holds the term with token %d", i, m.life, m.token)
+// winStep is that a node hears that its campaign has succeeded.
+func (e *explorer) winStep(state *clusterState, node int) {
+	next := *state
+	n := &next.nodes[node]
+	grantor := n.grantor()
+	grantor.CampaignSettled()
+	grantor.ObserveToken(uint64(n.wonToken))
+	n.setGrantor(grantor)
+	validity := rules.LeaseValidity{Held: true}
+	validity.ExtendByRenewal(e.sentAt(n.wonAge), e.validFor())
+	n.setValidity(validity)
+	n.token, n.wonToken, n.wonAge = n.wonToken, 0, 0
+	e.add(next, "node %d (incarnation %d) leads with token %d", node, n.incarnation, n.token)
 }
--- a/internal/election/model/environment_steps.go
+++ b/internal/election/model/environment_steps.go
@@ -1,73 +1,93 @@
 package model
 
-// time lets a tick pass. The slow clock may lose it.
-func (e *explorer) time(s *State) {
-	next := *s
-	next.tickService()
-	for i := range e.nodes {
-		next.nodes[i].tick(e.lease)
+// tickSteps let a tick pass. The slow clock may lose it.
+func (e *explorer) tickSteps(state *clusterState) {
+	next := *state
+	next.tickStore()
+	for node := range e.nodes {
+		next.nodes[node].tick(e.lease)
 	}
-	next.sinceSlow = max(0, s.sinceSlow-1)
+	next.sinceSlow = max(0, state.sinceSlow-1)
 	e.add(next, "a tick passes")
-	if s.sinceSlow == 0 && s.nodes[e.slow].up {
-		next.nodes[e.slow] = s.nodes[e.slow]
+	if state.sinceSlow == 0 && state.nodes[e.slowNode].up {
+		next.nodes[e.slowNode] = state.nodes[e.slowNode]
 		next.sinceSlow = e.lease
-		e.add(next, "a tick passes, which node %d's clock loses", e.slow)
+		e.add(next, "a tick passes, which node %d's clock loses", e.slowNode)
 	}
 }
 
+// tick lets a tick pass on a node's clock. Ages beyond a lease duration make no difference.
 func (n *nodeState) tick(lease int8) {
-	n.cover, n.left = max(0, n.cover-1), max(0, n.left-1)
-	if n.taken != 0 {
-		n.sentAgo = min(lease, n.sentAgo+1)
+	n.validFor, n.boundFor = max(0, n.validFor-1), max(0, n.boundFor-1)
+	if n.wonToken != 0 {
+		n.wonAge = min(lease, n.wonAge+1)
 	}
 	if n.renewed {
-		n.renewAgo = min(lease, n.renewAgo+1)
+		n.renewAge = min(lease, n.renewAge+1)
 	}
-	if n.asking {
-		n.askAgo = min(lease, n.askAgo+1)
+	if n.requesting {
+		n.requestAge = min(lease, n.requestAge+1)
 	}
-	if n.left == 0 {
-		n.fromEarlier, n.idle = false, 0
+	if n.boundFor == 0 {
+		n.fromEarlier, n.relyOnNone = false, 0
 	}
 }
 
-func (s *State) tickService() {
-	if !s.service.up {
-		return // leases do not end in an outage
+// tickStore lets a tick pass on the store's clock. Leases do not end in an outage.
+func (s *clusterState) tickStore() {
+	if !s.store.up {
+		return
 	}
-	if s.service.holder >= 0 {
-		if s.service.lease--; s.service.lease <= 0 {
-			s.service.holder, s.service.life, s.service.lease = -1, 0, 0
+	if s.store.holder >= 0 {
+		if s.store.lease--; s.store.lease <= 0 {
+			s.store.holder, s.store.incarnation, s.store.lease = -1, 0, 0
 		}
 	}
-	for i := range s.transactions {
-		for j := range s.transactions[i] {
-			t := &s.transactions[i][j]
-			if t.grant = max(0, t.grant-1); t.grant == 0 {
-				*t = transaction{} // its lease is over: it would be refused
+	for node := range s.transactions {
+		for slot := range s.transactions[node] {
+			t := &s.transactions[node][slot]
+			if t.lease = max(0, t.lease-1); t.lease == 0 {
+				*t = transaction{} // without its lease, it would be refused
 			}
 		}
 	}
 }
 
-// outage begins or ends one. At its end, every lease has its full time again.
-func (e *explorer) outage(s *State) {
-	next := *s
-	next.service.up = !s.service.up
-	if s.service.up {
-		e.add(next, "the state service is away")
+// outageSteps begin or end an outage of the store. At its end, every lease has its full duration
+// again.
+func (e *explorer) outageSteps(state *clusterState) {
+	next := *state
+	next.store.up = !state.store.up
+	if state.store.up {
+		e.add(next, "the store is away")
 		return
 	}
-	if next.service.holder >= 0 {
-		next.service.lease = e.lease
+	if next.store.holder >= 0 {
+		next.store.lease = e.lease
 	}
-	for i := range next.transactions {
-		for j := range next.transactions[i] {
-			if t := &next.transactions[i][j]; t.present {
-				t.grant = e.lease
+	for node := range next.transactions {
+		for slot := range next.transactions[node] {
+			if t := &next.transactions[node][slot]; t.present {
+				t.lease = e.lease
 			}
 		}
 	}
-	e.add(next, "the state service is back")
+	e.add(next, "the store is back")
+}
+
+// processSteps end a node's process, or begin its next incarnation. Its answers to others stay on
+// their way.
+func (e *explorer) processSteps(state *clusterState, node int) {
+	next := *state
+	n := &next.nodes[node]
+	if state.nodes[node].up {
+		if state.nodes[node].incarnation < maxIncarnation {
+			*n = nodeState{incarnation: state.nodes[node].incarnation}
+			e.add(next, "node %d ends", node)
+		}
+		return
+	}
+	*n = nodeState{up: true, incarnation: state.nodes[node].incarnation + 1}
+	n.setGrantor(e.restartedGrantor())
+	e.add(next, "node %d begins its incarnation %d", node, n.incarnation)
 }
--- a/internal/election/model/guards.go
+++ b/internal/election/model/guards.go
@@ -1,26 +1,26 @@
 package model
 
-// Guard is a rule that can be left out, to show what it is for.
+// Guard is a rule that an exploration can leave out, to show what it is for.
 type Guard string
 
 // The guards.
 const (
-	NoGuard              Guard = ""
-	WaitAfterRestart     Guard = "a restarted node waits out what its earlier life may have promised"
-	PromiseForbids       Guard = "a promise forbids campaigns"
-	OpenCampaignRefuses  Guard = "no promise while a campaign of one's own may succeed"
-	SucceededGetsNone    Guard = "no promise to a holder that has been succeeded"
-	CoveredWhenPromised  Guard = "promises count only for a holder that is covered"
-	DriftIsTakenOff      Guard = "a holder counts less than the lease"
-	AllOthersPromise     Guard = "all others have to promise"
-	HolderGivesNone      Guard = "a holder promises nothing"
-	CountFromSending     Guard = "a holder counts from when it sent its request"
-	AllAnswerIdle        Guard = "all others answer that they rely on no promise"
-	UncoveredStillRelies Guard = "a holder that is not covered at the moment still relies on promises"
+	NoGuard                Guard = ""
+	WaitAfterRestart       Guard = "a restarted node waits out what its earlier incarnation may have granted"
+	GrantForbidsCampaigns  Guard = "a grant forbids campaigns"
+	PendingCampaignRefuses Guard = "no grant while a campaign of one's own may succeed"
+	SucceededGetsNoGrant   Guard = "no grant to a leader that has been succeeded"
+	GrantsNeedValidity     Guard = "grants count only for a leader whose lease is valid"
+	DriftIsDeducted        Guard = "a leader counts less than the lease duration"
+	AllPeersGrant          Guard = "all peers have to grant"
+	LeaderGrantsNone       Guard = "a leader grants nothing"
+	CountFromSending       Guard = "a leader counts from when it sent its request"
+	AllPeersRelyOnNone     Guard = "all peers answer that they rely on no grant"
+	InvalidStillRelies     Guard = "a leader whose lease is not valid at the moment still relies on grants"
 )
 
 // Guards lists all of them.
 var Guards = []Guard{
-	WaitAfterRestart, PromiseForbids, OpenCampaignRefuses, SucceededGetsNone, CoveredWhenPromised, DriftIsTakenOff,
-	AllOthersPromise, HolderGivesNone, CountFromSending, AllAnswerIdle, UncoveredStillRelies,
+	WaitAfterRestart, GrantForbidsCampaigns, PendingCampaignRefuses, SucceededGetsNoGrant, GrantsNeedValidity, DriftIsDeducted,
+	AllPeersGrant, LeaderGrantsNone, CountFromSending, AllPeersRelyOnNone, InvalidStillRelies,
 }
--- a/internal/election/model/restart_steps.go
+++ b/internal/election/model/restart_steps.go
@@ -6,50 +6,42 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// idleSteps are the answers to a restarted node that asks whether anybody relies on promises.
-func (e *explorer) idleSteps(s *State, i int) {
-	n := &s.nodes[i]
+func (e *explorer) restartedGrantor() rules.Grantor {
+	return rules.RestartedGrantor(0, time.Duration(e.lease))
+}
+
+// voidingSteps are those of a restarted node that asks its peers whether they rely on grants: the
+// answers, and that it voids what its earlier incarnation may have granted.
+func (e *explorer) voidingSteps(state *clusterState, node int) {
+	n := &state.nodes[node]
 	if !n.fromEarlier {
 		return
 	}
-	for j := range e.nodes {
-		if j == i || has(n.idle, j) || !s.nodes[j].up {
+	for peer := range e.nodes {
+		if peer == node || contains(n.relyOnNone, peer) || !state.nodes[peer].up {
 			continue
 		}
-		c := s.nodes[j].coverage()
-		relies := !c.ReliesOnNoGrant()
-		if e.without == UncoveredStillRelies {
-			relies = c.Valid(0)
-		}
-		if !relies {
-			next := *s
-			next.nodes[i].idle |= 1 << j
-			e.add(next, "node %d (life %d) answers node %d that it relies on no promise", j, s.nodes[j].life, i)
+		if !e.reliesOnGrants(&state.nodes[peer]) {
+			next := *state
+			next.nodes[node].relyOnNone |= 1 << peer
+			e.add(next, "node %d (incarnation %d) answers node %d that it relies on no grant", peer, state.nodes[peer].incarnation, node)
 		}
 	}
-	if n.idle == e.others(i) || e.without == AllAnswerIdle && n.idle != 0 {
-		next := *s
-		m := &next.nodes[i]
-		g := m.giver()
-		g.VoidEarlierGrants(0)
-		m.setGiver(g)
-		e.add(next, "node %d disregards what its earlier life may have promised", i)
+	if n.relyOnNone == e.peersOf(node) || e.without == AllPeersRelyOnNone && n.relyOnNone != 0 {
+		next := *state
+		restarted := &next.nodes[node]
+		grantor := restarted.grantor()
+		grantor.VoidEarlierGrants(0)
+		restarted.setGrantor(grantor)
+		e.add(next, "node %d voids what its earlier incarnation may have granted", node)
 	}
 }
 
-// lifeSteps are ends and new beginnings of a node's process. Its answers to others stay on
-// their way.
-func (e *explorer) lifeSteps(s *State, i int) {
-	next := *s
-	n := &next.nodes[i]
-	if s.nodes[i].up {
-		if s.nodes[i].life < mostLives {
-			*n = nodeState{life: s.nodes[i].life}
-			e.add(next, "node %d ends", i)
-		}
-		return
+// reliesOnGrants is what a peer answers.
+func (e *explorer) reliesOnGrants(peer *nodeState) bool {
+	validity := peer.validity()
+	if e.without == InvalidStillRelies {
+		return validity.Valid(0)
 	}
-	*n = nodeState{up: true, life: s.nodes[i].life + 1}
-	n.setGiver(rules.RestartedGrantor(0, time.Duration(e.lease)))
-	e.add(next, "node %d begins its life %d", i, n.life)
+	return !validity.ReliesOnNoGrant()
 }
--- a/internal/election/model/state.go
+++ b/internal/election/model/state.go
@@ -1,7 +1,3 @@
-// Package model explores, breadth first and exhaustively up to a bound, what the decisions
-// of internal/termrules lead to when nodes crash and come back, messages are lost, late or
-// doubled, the state service is away, and clocks run at different rates. It looks for two nodes
-// that may act as the leader at a time.
 package model
 
 import (
@@ -10,135 +6,143 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// MostNodes is the largest cluster that is explored.
-const MostNodes = 3
+// MaxNodes is the largest cluster that can be explored.
+const MaxNodes = 3
 
-// Time goes in ticks. A holder counts one tick less than the lease from when it sent its request.
-// The clock of one node may lose one tick in each lease: that is the drift that the tick between
-// the two makes up for.
-
-// mostTokens and mostLives bound the exploration.
+// Bounds of all explorations.
 const (
-	mostTokens = 3
-	mostLives  = 2
+	maxToken       = 3
+	maxIncarnation = 2 // of each node
 )
 
-// transaction is one that takes the term, on its way to the state service. It may arrive at any
-// later time, also when its sender has ended.
-type transaction struct {
-	present bool
-	life    int8
-	after   int8 // the token that it builds on
-	own     int8 // the life of its sender's that held the term when it was read; 0: nobody did
-	grant   int8 // ticks left of the lease that was granted for it
+// clusterState is the whole cluster at a moment. Two that are equal have the same future.
+type clusterState struct {
+	store storeState
+	nodes [MaxNodes]nodeState
+	// Two for each node: of its present incarnation and of one before.
+	transactions [MaxNodes][2]transaction
+	sinceSlow    int8 // ticks until the slow clock may lose another
 }
 
-// nodeState is one controller. Times are what is left, or has passed, by its own clock. A
-// message that never comes is one that stays on its way.
-type nodeState struct {
-	up   bool
-	life int8
-
-	taken   int8 // the answer on its way says that its transaction took this token; 0: none
-	sentAgo int8 // that transaction
-
-	holding  bool
-	token    int8
-	cover    int8
-	renewed  bool // the answer to a renewal is on its way
-	renewAgo int8
-	asking   bool // all others for promises
-	askAgo   int8
-	promised uint8 // nodes that have promised; their answers may be on their way still
-
-	left        int8 // of its own promise
-	fromEarlier bool
-	open        bool
-	after       int8
-	known       int8
-	idle        uint8 // nodes that have answered that they rely on no promise
+// storeState is the key-value store.
+type storeState struct {
+	up          bool
+	holder      int8 // the node that holds the key, or -1
+	incarnation int8 // of the holder
+	lease       int8 // ticks left of the holder's lease
+	token       int8 // highest fencing token issued
 }
 
-// service is the state service.
-type service struct {
-	up     bool
-	holder int8 // the node, or -1
-	life   int8
-	lease  int8
-	token  int8
+// transaction is that of a campaign, on its way to the store. It may arrive at any later time,
+// also when its sender has ended.
+type transaction struct {
+	present     bool
+	incarnation int8 // of its sender
+	base        int8 // the fencing token that it succeeds
+	// ownIncarnation is the sender's earlier one that held the key when it was read; 0: nobody did.
+	ownIncarnation int8
+	lease          int8 // ticks left of the lease that was granted for it
 }
 
-// State is the whole cluster at a moment.
-type State struct {
-	service service
-	nodes   [MostNodes]nodeState
-	// Two for each node: of its present life and of one before.
-	transactions [MostNodes][2]transaction
-	sinceSlow    int8 // ticks until the slow clock may lose another
+// nodeState is one controller. Times are ticks that are left, or have passed, by its own clock. A
+// message that never comes is one that stays on its way.
+type nodeState struct {
+	up          bool
+	incarnation int8
+
+	// The campaign whose success the node has yet to hear of.
+	wonToken int8 // 0: none
+	wonAge   int8 // of its transaction
+
+	// As the leader: rules.LeaseValidity, and requests that extend it.
+	held       bool
+	token      int8
+	validFor   int8
+	renewed    bool // the answer to a renewal is on its way
+	renewAge   int8
+	requesting bool // peer leases
+	requestAge int8
+	granted    uint8 // peers that have granted; their answers may be on their way still
+
+	// As a peer: rules.Grantor, and what an incarnation that has just begun has heard.
+	boundFor        int8
+	fromEarlier     bool
+	campaignPending bool
+	campaignBase    int8
+	highestToken    int8
+	relyOnNone      uint8 // peers that have answered that they rely on no grant
 }
 
-func (n *nodeState) giver() rules.Grantor {
-	return rules.Grantor{BoundUntil: time.Duration(n.left), FromEarlierIncarnation: n.fromEarlier, CampaignPending: n.open, CampaignBase: uint64(n.after), HighestToken: uint64(n.known)}
+// grantor is the node's state as rules has it, at reading 0 of its clock.
+func (n *nodeState) grantor() rules.Grantor {
+	return rules.Grantor{
+		BoundUntil: time.Duration(n.boundFor), FromEarlierIncarnation: n.fromEarlier,
+		CampaignPending: n.campaignPending, CampaignBase: uint64(n.campaignBase), HighestToken: uint64(n.highestToken),
+	}
 }
 
-func (n *nodeState) setGiver(g rules.Grantor) {
-	n.left, n.fromEarlier, n.open = int8(max(0, g.BoundUntil)), g.FromEarlierIncarnation, g.CampaignPending
-	n.after, n.known = int8(g.CampaignBase), int8(g.HighestToken)
-	if !n.open {
-		n.after = 0
+// setGrantor stores a grantor. What has no meaning any more is zeroed, so that states that
+// differ in nothing else are equal.
+func (n *nodeState) setGrantor(grantor rules.Grantor) {
+	n.boundFor, n.fromEarlier = int8(max(0, grantor.BoundUntil)), grantor.FromEarlierIncarnation
+	n.campaignPending, n.campaignBase = grantor.CampaignPending, int8(grantor.CampaignBase)
+	n.highestToken = int8(grantor.HighestToken)
+	if !n.campaignPending {
+		n.campaignBase = 0
 	}
 	if !n.fromEarlier {
-		n.idle = 0
+		n.relyOnNone = 0
 	}
 }
 
-func (n *nodeState) coverage() rules.LeaseValidity {
-	return rules.LeaseValidity{Held: n.holding, Until: time.Duration(n.cover)}
+// validity is the node's state as rules has it, at reading 0 of its clock.
+func (n *nodeState) validity() rules.LeaseValidity {
+	return rules.LeaseValidity{Held: n.held, Until: time.Duration(n.validFor)}
 }
 
-func (n *nodeState) setCoverage(c rules.LeaseValidity) {
-	n.holding, n.cover = c.Held, int8(max(0, c.Until))
+func (n *nodeState) setValidity(validity rules.LeaseValidity) {
+	n.held, n.validFor = validity.Held, int8(max(0, validity.Until))
 }
 
-// acts tells whether a node may act as the leader.
-func (n *nodeState) acts() bool {
-	c := n.coverage()
-	return n.up && c.Valid(0)
+// mayAct tells whether a node may act as the leader.
+func (n *nodeState) mayAct() bool {
+	validity := n.validity()
+	return n.up && validity.Valid(0)
+}
+
+// leaders counts the nodes that may act as the leader.
+func (s *clusterState) leaders() (count int) {
+	for i := range s.nodes {
+		if s.nodes[i].mayAct() {
+			count++
+		}
+	}
+	return count
 }
 
 // Start is where an exploration begins.
 type Start string
 
-// The starts. Each can come about from the first one.
+// The starts. The second can come about from the first.
 const (
-	// JustTaken is a cluster in which node 0 has just taken the first term.
-	JustTaken Start = "node 0 has just taken the first term"
-	// OnPromises is one in which the service has refused node 0 for most of a lease, and all
-	// others have just promised it not to take the term.
-	OnPromises Start = "node 0 holds the first term by promises, its lease is about to end"
+	// JustWon is a cluster in which node 0 has just won the first term.
+	JustWon Start = "node 0 has just won the first term"
+	// OnPeerLeases is one in which the store has refused node 0 for most of a lease duration,
+	// and all peers have just granted it a lease.
+	OnPeerLeases Start = "node 0 holds the first term by peer leases, its lease is about to end"
 )
 
-func (e *explorer) start(from Start) State {
-	s := State{service: service{up: true, holder: 0, life: 1, lease: e.lease, token: 1}}
+func (e *explorer) start(start Start) clusterState {
+	s := clusterState{store: storeState{up: true, holder: 0, incarnation: 1, lease: e.lease, token: 1}}
 	for i := range e.nodes {
-		s.nodes[i] = nodeState{up: true, life: 1, known: 1}
+		s.nodes[i] = nodeState{up: true, incarnation: 1, highestToken: 1}
 	}
-	s.nodes[0].holding, s.nodes[0].token, s.nodes[0].cover = true, 1, e.lease-1
-	if from == OnPromises {
-		s.service.lease = 1
+	s.nodes[0].held, s.nodes[0].token, s.nodes[0].validFor = true, 1, e.lease-1
+	if start == OnPeerLeases {
+		s.store.lease = 1
 		for i := 1; i < e.nodes; i++ {
-			s.nodes[i].left = e.lease
+			s.nodes[i].boundFor = e.lease
 		}
 	}
 	return s
 }
-
-// leaders counts the nodes that may act as the leader.
-func (s *State) leaders() (count int) {
-	for i := range s.nodes {
-		if s.nodes[i].acts() {
-			count++
-		}
-	}
-	return count
-}
