--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -21,7 +21,7 @@
 }
 
 // leaseKeeper keeps the lease of one term: by renewals in the store, and by peer leases while
-// the store does not answer. docs/design.md ("Promises during an outage") has why that is safe.
+// the store does not answer. docs/design.md ("Peer leases during an outage") has why that is safe.
 // One goroutine owns it; each request has a goroutine of its own, which ends with the context of
 // run and leaves its outcome in a channel that has room for it.
 type leaseKeeper struct {
