--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -66,12 +66,12 @@
 			return
 		case <-tick.C:
 		}
-		kv, found, err := e.store.Get(ctx, HolderKey)
-		if err != nil || found && kv.Revision == term.HolderRevision {
+		current, found, err := e.store.Get(ctx, HolderKey)
+		if err != nil || found && current.Revision == term.HolderRevision {
 			continue
 		}
 		if ctx.Err() == nil && e.IsLeader() {
-			e.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: term.HolderRevision, Found: kv.Revision})
+			e.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: term.HolderRevision, Found: current.Revision})
 		}
 		close(lost)
 		return
--- a/internal/election/model/environment_steps.go
+++ b/internal/election/model/environment_steps.go
@@ -45,9 +45,9 @@
 	}
 	for node := range s.transactions {
 		for slot := range s.transactions[node] {
-			t := &s.transactions[node][slot]
-			if t.lease = max(0, t.lease-1); t.lease == 0 {
-				*t = transaction{} // without its lease, it would be refused
+			sent := &s.transactions[node][slot]
+			if sent.lease = max(0, sent.lease-1); sent.lease == 0 {
+				*sent = transaction{} // without its lease, it would be refused
 			}
 		}
 	}
@@ -67,8 +67,8 @@
 	}
 	for node := range next.transactions {
 		for slot := range next.transactions[node] {
-			if t := &next.transactions[node][slot]; t.present {
-				t.lease = e.lease
+			if sent := &next.transactions[node][slot]; sent.present {
+				sent.lease = e.lease
 			}
 		}
 	}
@@ -79,15 +79,15 @@
 // their way.
 func (e *explorer) processSteps(state *clusterState, node int) {
 	next := *state
-	n := &next.nodes[node]
+	self := &next.nodes[node]
 	if state.nodes[node].up {
 		if state.nodes[node].incarnation < maxIncarnation {
-			*n = nodeState{incarnation: state.nodes[node].incarnation}
+			*self = nodeState{incarnation: state.nodes[node].incarnation}
 			e.add(next, "node %d ends", node)
 		}
 		return
 	}
-	*n = nodeState{up: true, incarnation: state.nodes[node].incarnation + 1}
-	n.setGrantor(e.restartedGrantor())
-	e.add(next, "node %d begins its incarnation %d", node, n.incarnation)
+	*self = nodeState{up: true, incarnation: state.nodes[node].incarnation + 1}
+	self.setGrantor(e.restartedGrantor())
+	e.add(next, "node %d begins its incarnation %d", node, self.incarnation)
 }
--- a/internal/election/model/explore.go
+++ b/internal/election/model/explore.go
@@ -32,22 +32,22 @@
 
 // Explore goes through all that may happen within the bounds, without one guard or with all.
 func Explore(bounds Bounds, without Guard) Result {
-	e := &explorer{nodes: bounds.Nodes, slowNode: bounds.SlowNode, lease: int8(bounds.Lease), without: without}
-	reached := []reachedState{{state: e.start(bounds.Start), parent: -1}}
+	finder := &explorer{nodes: bounds.Nodes, slowNode: bounds.SlowNode, lease: int8(bounds.Lease), without: without}
+	reached := []reachedState{{state: finder.start(bounds.Start), parent: -1}}
 	seen := map[clusterState]struct{}{reached[0].state: {}}
 	frontier := 0 // index of the first state that was reached in the last step
 	for depth := range bounds.MaxDepth {
 		end := len(reached)
 		for parent := frontier; parent < end; parent++ {
 			state := reached[parent].state
-			for i, step := range e.stepsFrom(&state) {
+			for i, step := range finder.stepsFrom(&state) {
 				if _, known := seen[step.next]; known {
 					continue
 				}
 				seen[step.next] = struct{}{}
 				reached = append(reached, reachedState{step.next, int32(parent), int32(i)})
 				if step.next.leaders() > 1 {
-					return Result{States: len(reached), Depth: depth + 1, Trace: e.trace(reached)}
+					return Result{States: len(reached), Depth: depth + 1, Trace: finder.trace(reached)}
 				}
 			}
 			if len(reached) > bounds.MaxStates {
--- a/internal/election/model/restart_steps.go
+++ b/internal/election/model/restart_steps.go
@@ -13,12 +13,12 @@
 // voidingSteps are those of a restarted node that asks its peers whether they rely on grants: the
 // answers, and that it voids what its earlier incarnation may have granted.
 func (e *explorer) voidingSteps(state *clusterState, node int) {
-	n := &state.nodes[node]
-	if !n.fromEarlier {
+	self := &state.nodes[node]
+	if !self.fromEarlier {
 		return
 	}
 	for peer := range e.nodes {
-		if peer == node || contains(n.relyOnNone, peer) || !state.nodes[peer].up {
+		if peer == node || contains(self.relyOnNone, peer) || !state.nodes[peer].up {
 			continue
 		}
 		if !e.reliesOnGrants(&state.nodes[peer]) {
@@ -27,7 +27,7 @@
 			e.add(next, "node %d (incarnation %d) answers node %d that it relies on no grant", peer, state.nodes[peer].incarnation, node)
 		}
 	}
-	if n.relyOnNone == e.peersOf(node) || e.without == AllPeersRelyOnNone && n.relyOnNone != 0 {
+	if self.relyOnNone == e.peersOf(node) || e.without == AllPeersRelyOnNone && self.relyOnNone != 0 {
 		next := *state
 		restarted := &next.nodes[node]
 		grantor := restarted.grantor()
--- a/internal/election/model/state.go
+++ b/internal/election/model/state.go
@@ -133,16 +133,16 @@
 )
 
 func (e *explorer) start(start Start) clusterState {
-	s := clusterState{store: storeState{up: true, holder: 0, incarnation: 1, lease: e.lease, token: 1}}
+	state := clusterState{store: storeState{up: true, holder: 0, incarnation: 1, lease: e.lease, token: 1}}
 	for i := range e.nodes {
-		s.nodes[i] = nodeState{up: true, incarnation: 1, highestToken: 1}
+		state.nodes[i] = nodeState{up: true, incarnation: 1, highestToken: 1}
 	}
-	s.nodes[0].held, s.nodes[0].token, s.nodes[0].validFor = true, 1, e.lease-1
+	state.nodes[0].held, state.nodes[0].token, state.nodes[0].validFor = true, 1, e.lease-1
 	if start == OnPeerLeases {
-		s.store.lease = 1
+		state.store.lease = 1
 		for i := 1; i < e.nodes; i++ {
-			s.nodes[i].boundFor = e.lease
+			state.nodes[i].boundFor = e.lease
 		}
 	}
-	return s
+	return state
 }
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -51,7 +51,7 @@
 // was read before: then the store was put back to an earlier state.
 func (e *Elector) readStored(ctx context.Context) (storedElection, error) {
 	asked := e.newestRevision.Ask()
-	kvs, revision, err := e.store.List(ctx, keyPrefix)
+	keyValues, revision, err := e.store.List(ctx, keyPrefix)
 	if err != nil {
 		return storedElection{}, err
 	}
@@ -59,20 +59,20 @@
 		e.ReportLoss(loss)
 	}
 	stored := storedElection{revision: revision}
-	for _, kv := range kvs {
+	for _, keyValue := range keyValues {
 		var into any
-		switch kv.Key {
+		switch keyValue.Key {
 		case HolderKey:
-			stored.holder, stored.holderRevision = new(holderRecord), kv.Revision
+			stored.holder, stored.holderRevision = new(holderRecord), keyValue.Revision
 			into = stored.holder
 		case TokenKey:
-			stored.tokenRevision = kv.Revision
+			stored.tokenRevision = keyValue.Revision
 			into = &stored.highestToken
 		default:
 			continue
 		}
-		if err := json.Unmarshal(kv.Value, into); err != nil {
-			return storedElection{}, fmt.Errorf("%s: %w", kv.Key, err)
+		if err := json.Unmarshal(keyValue.Value, into); err != nil {
+			return storedElection{}, fmt.Errorf("%s: %w", keyValue.Key, err)
 		}
 	}
 	return stored, nil
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -103,15 +103,15 @@
 // the store.
 func (k *leaseKeeper) renewalAnswered(outcome requestOutcome) (ended bool) {
 	k.renewalsInFlight--
-	e := k.elector
+	elector := k.elector
 	switch {
 	case outcome.err == nil && outcome.sentAt.After(k.renewedAt):
 		k.renewedAt = outcome.sentAt
-		e.validity.extendByRenewal(e.clockAt(outcome.sentAt), e.timing.ValidFor)
+		elector.validity.extendByRenewal(elector.clockAt(outcome.sentAt), elector.timing.ValidFor)
 	case outcome.err == nil: // one that was sent later has been answered already
 	case errors.Is(outcome.err, kvstore.ErrLeaseNotFound):
-		if e.IsLeader() { // renewed in time, the lease cannot have ended by itself
-			e.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: k.term.FencingToken})
+		if elector.IsLeader() { // renewed in time, the lease cannot have ended by itself
+			elector.ReportLoss(detection.Loss{Kind: detection.HolderLost, Key: HolderKey, Known: k.term.FencingToken})
 		}
 		return true
 	default:
@@ -123,17 +123,17 @@
 // requestPeerLeases asks all peers for a lease if no renewal of the last two periods has
 // succeeded. Remaining is how long the leader may still act.
 func (k *leaseKeeper) requestPeerLeases(ctx context.Context, now time.Time, remaining time.Duration) {
-	e := k.elector
-	storeSilent := now.Sub(k.renewedAt) >= 2*e.timing.RenewPeriod
-	if k.requestingPeerLeases || e.RequestPeerLeases == nil || !storeSilent || !k.due(now, k.peerLeasesSentAt) {
+	elector := k.elector
+	storeSilent := now.Sub(k.renewedAt) >= 2*elector.timing.RenewPeriod
+	if k.requestingPeerLeases || elector.RequestPeerLeases == nil || !storeSilent || !k.due(now, k.peerLeasesSentAt) {
 		return
 	}
 	k.requestingPeerLeases, k.peerLeasesSentAt = true, now
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, min(remaining, 3*e.timing.RenewPeriod))
+		ctx, cancel := context.WithTimeout(ctx, min(remaining, 3*elector.timing.RenewPeriod))
 		defer cancel()
 		outcome := requestOutcome{sentAt: now}
-		if !e.RequestPeerLeases(ctx, e.ownToken.Load()) {
+		if !elector.RequestPeerLeases(ctx, elector.ownToken.Load()) {
 			outcome.err = errNotGranted
 		}
 		k.peerLeases <- outcome
@@ -146,9 +146,9 @@
 // peerLeasesAnswered takes in whether all peers have granted a lease.
 func (k *leaseKeeper) peerLeasesAnswered(outcome requestOutcome) {
 	k.requestingPeerLeases = false
-	e := k.elector
-	requestedAt := e.clockAt(outcome.sentAt)
-	if outcome.err == nil && e.validity.extendByGrants(e.clock(), requestedAt, e.timing.ValidFor) {
-		e.peerLeasesRequestedAt.Store(int64(requestedAt))
+	elector := k.elector
+	requestedAt := elector.clockAt(outcome.sentAt)
+	if outcome.err == nil && elector.validity.extendByGrants(elector.clock(), requestedAt, elector.timing.ValidFor) {
+		elector.peerLeasesRequestedAt.Store(int64(requestedAt))
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -83,52 +83,52 @@
 
 // do sends a request within the rate limits, and returns the status of the answer. It fails for
 // statuses that say the same of all requests; the others are for the caller to judge.
-func (c *Client) do(ctx context.Context, timeout time.Duration, r *request) (status int, err error) {
+func (c *Client) do(ctx context.Context, timeout time.Duration, req *request) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := c.requestLimiter.Wait(ctx); err != nil {
-		return 0, r.failed(0, fmt.Errorf("%w: request rate: %w: %w", ErrNotExecuted, ErrRateLimited, err))
+		return 0, req.failed(0, fmt.Errorf("%w: request rate: %w: %w", ErrNotExecuted, ErrRateLimited, err))
 	}
-	return c.send(ctx, r)
+	return c.send(ctx, req)
 }
 
 // send is do without rate limits and without a timeout.
-func (c *Client) send(ctx context.Context, r *request) (status int, err error) {
-	httpRequest, err := c.httpRequest(ctx, r)
+func (c *Client) send(ctx context.Context, req *request) (status int, err error) {
+	httpRequest, err := c.httpRequest(ctx, req)
 	if err != nil {
-		return 0, r.failed(0, fmt.Errorf("%w: %w", ErrNotExecuted, err))
+		return 0, req.failed(0, fmt.Errorf("%w: %w", ErrNotExecuted, err))
 	}
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		c.noteFailure()
-		return 0, r.failed(0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+		return 0, req.failed(0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 	}
 	defer response.Body.Close()
 	status = response.StatusCode
 	if status == http.StatusServiceUnavailable {
 		c.noteFailure()
-	} else if !r.longPoll {
+	} else if !req.longPoll {
 		c.failing.Store(false)
 	}
 	if err := statusError(status); err != nil {
-		return status, r.failed(status, err)
+		return status, req.failed(status, err)
 	}
 	// The body of a rejection is for the log only: without it, the status still counts.
-	if err := r.readAnswer(response.Body); err != nil && status != http.StatusBadRequest {
-		return status, r.failed(status, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+	if err := req.readAnswer(response.Body); err != nil && status != http.StatusBadRequest {
+		return status, req.failed(status, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 	}
 	return status, nil
 }
 
-func (c *Client) httpRequest(ctx context.Context, r *request) (*http.Request, error) {
-	if r.body == nil {
-		return http.NewRequestWithContext(ctx, r.method, c.baseURL+r.path, nil)
+func (c *Client) httpRequest(ctx context.Context, req *request) (*http.Request, error) {
+	if req.body == nil {
+		return http.NewRequestWithContext(ctx, req.method, c.baseURL+req.path, nil)
 	}
-	body, err := json.Marshal(r.body)
+	body, err := json.Marshal(req.body)
 	if err != nil {
 		return nil, err
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, r.method, c.baseURL+r.path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, req.method, c.baseURL+req.path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -12,13 +12,13 @@
 // tied to it are removed with it.
 func (c *Client) GrantLease(ctx context.Context, duration time.Duration) (lease uint64, err error) {
 	var granted leaseAnswer
-	r := request{
+	req := request{
 		operation: "grant lease", method: http.MethodPost, path: "/grants",
 		body: leaseRequest{Milliseconds: duration.Milliseconds()}, answer: &granted,
 	}
-	status, err := c.do(ctx, c.timeout, &r)
+	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusOK {
-		err = r.unexpected(status)
+		err = req.unexpected(status)
 	}
 	return granted.Lease, err
 }
@@ -27,15 +27,15 @@
 // has ended. It does not wait for this client's own rate limits, as nothing else is worth
 // sending once leadership is lost, and only the caller's context bounds how long it takes.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	r := request{operation: "renew lease", method: http.MethodPost, path: leasePath(lease) + "/renew"}
-	status, err := c.send(ctx, &r)
+	req := request{operation: "renew lease", method: http.MethodPost, path: leasePath(lease) + "/renew"}
+	status, err := c.send(ctx, &req)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return r.failed(status, ErrLeaseNotFound)
+		return req.failed(status, ErrLeaseNotFound)
 	case status != http.StatusOK:
-		return r.unexpected(status)
+		return req.unexpected(status)
 	}
 	return nil
 }
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -12,28 +12,28 @@
 const pageSize = 1000
 
 // Get reads one key. A key that does not exist is found == false with no error.
-func (c *Client) Get(ctx context.Context, key string) (kv KeyValue, found bool, err error) {
-	r := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, answer: &kv}
-	status, err := c.do(ctx, c.timeout, &r)
+func (c *Client) Get(ctx context.Context, key string) (keyValue KeyValue, found bool, err error) {
+	req := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, answer: &keyValue}
+	status, err := c.do(ctx, c.timeout, &req)
 	switch {
 	case err != nil:
 		return KeyValue{}, false, err
 	case status == http.StatusOK:
-		return kv, true, nil
+		return keyValue, true, nil
 	case status == http.StatusNotFound:
 		return KeyValue{}, false, nil
 	}
-	return KeyValue{}, false, r.unexpected(status)
+	return KeyValue{}, false, req.unexpected(status)
 }
 
 // List reads all keys with a prefix. The revision is that of the first page:
 // a watch from there sees every change that later pages may have missed.
-func (c *Client) List(ctx context.Context, prefix string) (kvs []KeyValue, revision uint64, err error) {
-	revision, err = c.ForEach(ctx, prefix, func(kv KeyValue) { kvs = append(kvs, kv) })
+func (c *Client) List(ctx context.Context, prefix string) (keyValues []KeyValue, revision uint64, err error) {
+	revision, err = c.ForEach(ctx, prefix, func(keyValue KeyValue) { keyValues = append(keyValues, keyValue) })
 	if err != nil {
 		return nil, 0, err
 	}
-	return kvs, revision, nil
+	return keyValues, revision, nil
 }
 
 // ForEach is List for keys of which there may be more than fit into memory: it hands them to
@@ -54,8 +54,8 @@
 		if revision == 0 {
 			revision = page.Revision
 		}
-		for _, kv := range page.KeyValues {
-			visit(kv)
+		for _, keyValue := range page.KeyValues {
+			visit(keyValue)
 		}
 		if !page.More || len(page.KeyValues) == 0 {
 			return revision, nil
@@ -77,10 +77,10 @@
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
-	r := request{operation: "list " + prefix, method: http.MethodGet, path: path, answer: &page}
-	status, err := c.do(ctx, c.timeout, &r)
+	req := request{operation: "list " + prefix, method: http.MethodGet, path: path, answer: &page}
+	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusOK {
-		err = r.unexpected(status)
+		err = req.unexpected(status)
 	}
 	return page, err
 }
@@ -92,10 +92,10 @@
 // Revision returns a revision of the store that is no older than the call.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
 	var current revisionAnswer
-	r := request{operation: "revision", method: http.MethodGet, path: "/keys/" + noKey, answer: &current}
-	status, err := c.do(ctx, c.timeout, &r)
+	req := request{operation: "revision", method: http.MethodGet, path: "/keys/" + noKey, answer: &current}
+	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusNotFound {
-		err = r.unexpected(status)
+		err = req.unexpected(status)
 	}
 	return current.Revision, err
 }
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -17,16 +17,16 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var result commitAnswer
-	r := request{
+	req := request{
 		operation: "commit", method: http.MethodPost, path: "/commit",
 		body: commitRequest{Guards: guards, Writes: writes}, answer: &result,
 	}
 	if n := len(writes); n > 0 {
 		if err := c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst())); err != nil {
-			return 0, nil, r.failed(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
+			return 0, nil, req.failed(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
 		}
 	}
-	status, err := c.do(ctx, c.timeout, &r)
+	status, err := c.do(ctx, c.timeout, &req)
 	switch {
 	case err != nil:
 		return 0, nil, err
@@ -35,9 +35,9 @@
 	case status == http.StatusConflict:
 		return result.Revision, result.Failed, nil
 	case status == http.StatusBadRequest && result.Error == leaseNotFoundText:
-		return 0, nil, r.failed(status, ErrLeaseNotFound)
+		return 0, nil, req.failed(status, ErrLeaseNotFound)
 	case status == http.StatusBadRequest:
-		return 0, nil, r.failed(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, result.Error))
+		return 0, nil, req.failed(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, result.Error))
 	}
-	return 0, nil, r.unexpected(status)
+	return 0, nil, req.unexpected(status)
 }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -14,19 +14,19 @@
 // proves anything. It fails with ErrCompacted if the changes are no longer kept.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (revision uint64, changes []Change, err error) {
 	var seen watchAnswer
-	r := request{
+	req := request{
 		operation: "watch " + prefix, method: http.MethodGet,
 		path:   fmt.Sprintf("/watch?prefix=%s&after=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds()),
 		answer: &seen, longPoll: true,
 	}
-	status, err := c.do(ctx, wait+c.timeout, &r)
+	status, err := c.do(ctx, wait+c.timeout, &req)
 	switch {
 	case err != nil:
 		return 0, nil, err
 	case status == http.StatusGone:
-		return 0, nil, r.failed(status, ErrCompacted)
+		return 0, nil, req.failed(status, ErrCompacted)
 	case status != http.StatusOK:
-		return 0, nil, r.unexpected(status)
+		return 0, nil, req.unexpected(status)
 	}
 	return seen.Revision, seen.Changes, nil
 }
