--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -2,44 +2,49 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 )
 
+// pageSize is how many keys a listing asks for at a time.
+const pageSize = 1000
+
 // Get reads one key. A key that does not exist is found == false with no error.
-func (c *Client) Get(ctx context.Context, key string) (p KeyValue, found bool, err error) {
-	status, err := c.do(ctx, c.wait, http.MethodGet, "/keys/"+key, nil, &p)
+func (c *Client) Get(ctx context.Context, key string) (keyValue KeyValue, found bool, err error) {
+	req := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, answer: &keyValue}
+	status, err := c.do(ctx, c.timeout, &req)
 	switch {
 	case err != nil:
 		return KeyValue{}, false, err
 	case status == http.StatusOK:
-		return p, true, nil
+		return keyValue, true, nil
 	case status == http.StatusNotFound:
 		return KeyValue{}, false, nil
 	}
-	return KeyValue{}, false, unexpected(status, "get "+key)
+	return KeyValue{}, false, req.unexpected(status)
 }
 
 // List reads all keys with a prefix. The revision is that of the first page:
 // a watch from there sees every change that later pages may have missed.
-func (c *Client) List(ctx context.Context, prefix string) (pairs []KeyValue, revision uint64, err error) {
-	revision, err = c.ForEach(ctx, prefix, func(p KeyValue) { pairs = append(pairs, p) })
+func (c *Client) List(ctx context.Context, prefix string) (keyValues []KeyValue, revision uint64, err error) {
+	revision, err = c.ForEach(ctx, prefix, func(keyValue KeyValue) { keyValues = append(keyValues, keyValue) })
 	if err != nil {
 		return nil, 0, err
 	}
-	return pairs, revision, nil
+	return keyValues, revision, nil
 }
 
-// ForEach is List for keys of which there may be more than fit into memory: it hands over
-// one after the other. After an error, some may have been handed over.
-func (c *Client) ForEach(ctx context.Context, prefix string, take func(KeyValue)) (revision uint64, err error) {
-	return c.ForEachPaced(ctx, prefix, 0, take)
+// ForEach is List for keys of which there may be more than fit into memory: it hands them to
+// visit one after the other, in the order of their names. After an error, visit may have got
+// some of them.
+func (c *Client) ForEach(ctx context.Context, prefix string, visit func(KeyValue)) (revision uint64, err error) {
+	return c.ForEachPaced(ctx, prefix, 0, visit)
 }
 
-// ForEachPaced is Each with a pause between two pages, so that others get their turn.
-func (c *Client) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, take func(KeyValue)) (revision uint64, err error) {
+// ForEachPaced is ForEach with a pause between two pages, so that other requests get their turn.
+func (c *Client) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, visit func(KeyValue)) (revision uint64, err error) {
 	after := ""
 	for {
 		page, err := c.page(ctx, prefix, after)
@@ -47,15 +52,15 @@
 			return 0, err
 		}
 		if revision == 0 {
-			revision = page.Tide
+			revision = page.Revision
 		}
-		for _, p := range page.Pairs {
-			take(p)
+		for _, keyValue := range page.KeyValues {
+			visit(keyValue)
 		}
-		if !page.More || len(page.Pairs) == 0 {
+		if !page.More || len(page.KeyValues) == 0 {
 			return revision, nil
 		}
-		after = page.Pairs[len(page.Pairs)-1].Key
+		after = page.KeyValues[len(page.KeyValues)-1].Key
 		if pause > 0 {
 			select {
 			case <-ctx.Done():
@@ -66,21 +71,16 @@
 	}
 }
 
-// keyPage is a part of the keys with a prefix.
-type keyPage struct {
-	Pairs []KeyValue `json:"pairs"`
-	More  bool       `json:"hasNext"`
-	Tide  uint64     `json:"tide"`
-}
-
+// page reads the keys with a prefix that come after one, as many as fit into an answer.
 func (c *Client) page(ctx context.Context, prefix, after string) (page keyPage, err error) {
-	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&most=1000"
+	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(pageSize)
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
-	status, err := c.do(ctx, c.wait, http.MethodGet, path, nil, &page)
+	req := request{operation: "list " + prefix, method: http.MethodGet, path: path, answer: &page}
+	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusOK {
-		err = unexpected(status, "list "+prefix)
+		err = req.unexpected(status)
 	}
 	return page, err
 }
@@ -89,35 +89,13 @@
 // the revision.
 const noKey = "nothing"
 
-// Revision returns a revision that is no older than the call.
+// Revision returns a revision of the store that is no older than the call.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
-	var out struct {
-		Tide uint64 `json:"tide"`
-	}
-	status, err := c.do(ctx, c.wait, http.MethodGet, "/keys/"+noKey, nil, &out)
+	var current revisionAnswer
+	req := request{operation: "revision", method: http.MethodGet, path: "/keys/" + noKey, answer: &current}
+	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusNotFound {
-		err = unexpected(status, "revision")
-	}
-	return out.Tide, err
-}
-
-// Watch returns the changes under a prefix after a revision. An empty result
-// means that there was none while it waited, or that the service cannot tell: only
-// a revision that has reached one asked for with Revision proves anything.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (revision uint64, changes []Change, err error) {
-	path := fmt.Sprintf("/watch?prefix=%s&after=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds())
-	var out struct {
-		Tide uint64   `json:"tide"`
-		Log  []Change `json:"log"`
-	}
-	status, err := c.do(ctx, wait+c.wait, http.MethodGet, path, nil, &out)
-	switch {
-	case err != nil:
-		return 0, nil, err
-	case status == http.StatusGone:
-		return 0, nil, ErrCompacted
-	case status != http.StatusOK:
-		return 0, nil, unexpected(status, "watch")
+		err = req.unexpected(status)
 	}
-	return out.Tide, out.Log, nil
+	return current.Revision, err
 }
--- /dev/null
+++ b/internal/kvstore/watch.go
@@ -0,0 +1,32 @@
+package kvstore
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/url"
+	"time"
+)
+
+// Watch waits for changes under a prefix after a revision and returns them, with the revision
+// up to which they are complete. An empty result means that there was none while it waited, or
+// that the store cannot tell: only a revision that has reached one that Revision returned
+// proves anything. It fails with ErrCompacted if the changes are no longer kept.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (revision uint64, changes []Change, err error) {
+	var seen watchAnswer
+	req := request{
+		operation: "watch " + prefix, method: http.MethodGet,
+		path:   fmt.Sprintf("/watch?prefix=%s&after=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds()),
+		answer: &seen, longPoll: true,
+	}
+	status, err := c.do(ctx, wait+c.timeout, &req)
+	switch {
+	case err != nil:
+		return 0, nil, err
+	case status == http.StatusGone:
+		return 0, nil, req.failed(status, ErrCompacted)
+	case status != http.StatusOK:
+		return 0, nil, req.unexpected(status)
+	}
+	return seen.Revision, seen.Changes, nil
+}
