--- a/cmd/ospreyslip-operator/recover.go
+++ b/cmd/ospreyslip-operator/recover.go
@@ -233,7 +233,7 @@
 		if !strings.HasPrefix(r.Key, jobs.RecordPrefix) || !json.Valid(r.Value) {
 			continue
 		}
-		page.Jobs = append(page.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+		page.Jobs = append(page.Jobs, leader.SnapshotFact{ID: jobs.JobIDFromKey(r.Key), Record: r.Value})
 		if bytes += len(r.Key) + len(r.Value); bytes < importPage {
 			continue
 		}
--- a/internal/controller/certainty.go
+++ b/internal/controller/certainty.go
@@ -18,20 +18,20 @@
 // that begins after their answers must have as many. Where one does not answer, the leader's
 // word does, or in the end the time that most outages last.
 func (n *Node) becomeSure(ctx context.Context) {
-	for time.Since(n.born) < n.d.Cancel && !n.cache.Settled() {
+	for time.Since(n.born) < n.d.Cancel && !n.cache.ProvenCurrent() {
 		others, err := n.askOthers(ctx)
 		switch {
 		case err != nil:
 		case others.noticed != "":
 			n.losses.notice(detection.Loss{Kind: detection.ReportedByPeer, Key: others.noticed})
-		case n.cache.Listed() && !n.wasPutBack(ctx, others.newest):
-			n.cache.Expect(others.known, false)
+		case n.cache.InitialReadDone() && !n.wasPutBack(ctx, others.newest):
+			n.cache.NotePeerCount(others.known, false)
 		}
 		if !n.sleep(ctx, n.d.TermRenew/2) {
 			return
 		}
 	}
-	n.cache.BeSure()
+	n.cache.AssumeComplete()
 }
 
 // staySure asks all other controllers after each outage of the state service whether that
@@ -40,7 +40,7 @@
 func (n *Node) staySure(ctx context.Context) {
 	var servedSince time.Time // since the last outage; zero if nothing is to be found out
 	for n.sleep(ctx, n.d.TermRenew/2) {
-		if n.cache.Confirmed() || n.store.Failing() {
+		if n.cache.ConfirmedByPeers() || n.store.Failing() {
 			servedSince = time.Time{}
 			continue
 		}
@@ -48,14 +48,14 @@
 			servedSince = time.Now()
 		}
 		if time.Since(servedSince) < n.d.TermRenew {
-			n.cache.CheckWitnesses()
+			n.cache.RequestRollbackCheck()
 			continue // what the others have compared by then, they have compared after it
 		}
 		outages := n.store.Outages()
 		others, err := n.askOthers(ctx)
 		heard := err == nil && others.ready && others.noticed == "" && !n.wasPutBack(ctx, others.newest)
 		if heard || time.Since(servedSince) > n.d.Cancel {
-			n.cache.Confirm(outages)
+			n.cache.ConfirmByPeers(outages)
 		}
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -193,7 +193,7 @@
 func batch(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "sums", Team: "blue", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks,
-		CPUs: 1, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: seconds,
+		CPUs: 1, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimatedRuntimeS: seconds,
 	}
 }
 
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -16,7 +16,7 @@
 func gang(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "joint", Team: "blue", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: tasks,
-		CPUs: 2, RAMGB: 1, Image: "joint", ImageGB: 1, OneZone: true, EstimateS: seconds, CheckpntS: 10, SaveS: 2,
+		CPUs: 2, RAMGB: 1, Image: "joint", ImageGB: 1, OneZone: true, EstimatedRuntimeS: seconds, CheckpointIntervalS: 10, CheckpointSaveS: 2,
 	}
 }
 
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -411,8 +411,8 @@
 		for i := range 14 {
 			s := batch(fmt.Sprintf("j-%d", i+1), 6, 12)
 			s.Priority = []string{jobs.BestEffort, jobs.Standard, jobs.Urgent}[i%3]
-			if s.CheckpntS = 0; i%2 == 0 {
-				s.CheckpntS, s.SaveS = 4, 1
+			if s.CheckpointIntervalS = 0; i%2 == 0 {
+				s.CheckpointIntervalS, s.CheckpointSaveS = 4, 1
 			}
 			c.submit(c.names[i%3], s)
 			all = append(all, s)
--- a/internal/controller/mixed_test.go
+++ b/internal/controller/mixed_test.go
@@ -421,7 +421,7 @@
 						s = gang(id, 2+r.IntN(3), float64(5+r.IntN(20)))
 					case k == 2:
 						s = batch(id, 2, 0)
-						s.EstimateS = float64(2 + r.IntN(70))
+						s.EstimatedRuntimeS = float64(2 + r.IntN(70))
 					default:
 						s = batch(id, 1+r.IntN(12), float64(1+r.IntN(40)))
 						s.Priority = []string{jobs.Standard, jobs.Urgent, jobs.BestEffort}[r.IntN(3)]
@@ -430,10 +430,10 @@
 							s.Zone = "a"
 						}
 						if r.IntN(3) == 0 {
-							s.CheckpntS, s.SaveS = 5, 1
+							s.CheckpointIntervalS, s.CheckpointSaveS = 5, 1
 						}
 					}
-					if s.Ends() {
+					if s.RunsToCompletion() {
 						switch r.IntN(4) {
 						case 0:
 							h.cancelAfter = time.Duration(1+r.IntN(90)) * time.Second
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -98,7 +98,7 @@
 	n.losses = newLossDesk()
 	n.cache.OnLoss = n.losses.notice
 	n.keeper.Lost = func(l detection.Loss) {
-		n.cache.Suspect(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
+		n.cache.SuspectLossUntil(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
 		n.losses.notice(l)
 	}
 	n.hub.Lost = n.lostPage
@@ -120,10 +120,10 @@
 		}
 		n.counts.Replace(p.Counts)
 		for _, c := range p.Changes {
-			n.cache.Hear(c.ID, c.State, c.Tasks)
+			n.cache.NoteAnnounced(c.ID, c.State, c.Tasks)
 		}
 		n.leaderIsUnsure(p)
-		n.cache.Expect(p.Known, p.Uncertain)
+		n.cache.NotePeerCount(p.Known, p.Uncertain)
 		n.heard.Store(time.Since(n.born).Nanoseconds())
 		if p.Served {
 			n.served.Store(time.Since(n.born).Nanoseconds())
@@ -210,7 +210,7 @@
 	duties.Go(func() { n.tellLosses(ctx) })
 	duties.Go(func() { n.becomeSure(ctx) })
 	duties.Go(func() { n.staySure(ctx) })
-	duties.Go(func() { n.cache.Audit(ctx, n.d.Audit, n.d.AuditPause) })
+	duties.Go(func() { n.cache.RunAudits(ctx, n.d.Audit, n.d.AuditPause) })
 	duties.Go(func() { n.memory.watch(ctx, n.d.TermRenew) })
 	duties.Go(func() {
 		n.keeper.Run(ctx, func(ctx context.Context, t election.Term) {
@@ -227,7 +227,7 @@
 func (n *Node) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
 	p := peer.Promise{Given: n.keeper.Promise(ctx, token)}
 	if p.Given && seen > 0 {
-		p.Cancellations, p.Complete = n.cache.Cancellations(seen)
+		p.Cancellations, p.Complete = n.cache.CancellationsAfter(seen)
 	}
 	return p
 }
@@ -238,7 +238,7 @@
 func (n *Node) allPromise(ctx context.Context, token uint64) bool {
 	asked, seen := time.Now(), n.gate.Seen()
 	p := n.hub.AllPromise(ctx, token, seen)
-	own, complete := n.cache.Cancellations(seen)
+	own, complete := n.cache.CancellationsAfter(seen)
 	if p.Given && p.Complete && complete && seen > 0 {
 		n.gate.Cancelled(ctx, append(p.Cancellations, own...), asked)
 	}
@@ -258,11 +258,11 @@
 
 func (n *Node) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.PutBack(n.gate.PutBack())
+	n.cache.SetRolledBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
 		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
-		PutBack: n.gate.PutBack(), Known: n.cache.Jobs(), Changes: changes,
+		PutBack: n.gate.PutBack(), Known: n.cache.JobCount(), Changes: changes,
 	})
 }
 
@@ -272,7 +272,7 @@
 // of all it stays, since users would only find nobody, and come back later than the
 // service does.
 func (n *Node) ready() bool {
-	if !n.cache.Settled() && time.Since(n.born) < 2*n.d.TermLease {
+	if !n.cache.ProvenCurrent() && time.Since(n.born) < 2*n.d.TermLease {
 		return false // it has just begun, and cannot tell a new job from a lost one yet
 	}
 	if !n.store.Failing() {
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -320,7 +320,7 @@
 	inCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(2)
 		low := batch("j-1", 8, 200)
-		low.Priority, low.CheckpntS, low.SaveS, low.Spot = jobs.BestEffort, 10, 2, false
+		low.Priority, low.CheckpointIntervalS, low.CheckpointSaveS, low.Spot = jobs.BestEffort, 10, 2, false
 		c.submit("perch-0", low)
 		c.within(40*time.Second, "machines full", func() bool { return c.on("j-1", 8) == 8 })
 		s := service("j-2", 2)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -60,7 +60,7 @@
 	if n.gate.Noticed(l) {
 		return
 	}
-	n.cache.Suspect(time.Now().Add(n.d.Cancel))
+	n.cache.SuspectLossUntil(time.Now().Add(n.d.Cancel))
 	leader := n.keeper.Leader()
 	if leader == "" || leader == n.set.Node || time.Since(n.losses.told) < n.d.TermLease {
 		return
@@ -74,28 +74,28 @@
 func (n *Node) lostPage(q peer.Question) peer.LostPage {
 	if q.Round == 0 {
 		// Who asks compares with what this node knows: that has to be in the records still.
-		fresh := time.Since(n.cache.WitnessesChecked()) < n.d.TermRenew
+		fresh := time.Since(n.cache.RollbackCheckedAt()) < n.d.TermRenew
 		if !fresh {
-			n.cache.CheckWitnesses()
+			n.cache.RequestRollbackCheck()
 		}
 		return peer.LostPage{
-			Ready: fresh, Known: n.cache.Jobs(), Newest: n.cache.Newest(), Noticed: n.cache.Suspected() || n.cache.LostJobs() > 0,
+			Ready: fresh, Known: n.cache.JobCount(), Newest: n.cache.NewestRevision(), Noticed: n.cache.LossSuspected() || n.cache.LostCount() > 0,
 			ReliesOnNothing: n.keeper.ReliesOnNothing(),
 		}
 	}
 	n.losses.mu.Lock()
 	if n.losses.round != q.Round {
-		n.losses.round, n.losses.ticket = q.Round, n.cache.Verify()
+		n.losses.round, n.losses.ticket = q.Round, n.cache.RequestAudit()
 	}
 	ticket := n.losses.ticket
 	n.losses.mu.Unlock()
-	if !n.cache.Verified(ticket) {
+	if !n.cache.AuditDone(ticket) {
 		return peer.LostPage{}
 	}
-	lost, more := n.cache.Lost(q.After, lostRows)
+	lost, more := n.cache.LostPage(q.After, lostRows)
 	page := peer.LostPage{Ready: true, More: more}
 	for _, l := range lost {
-		page.Jobs = append(page.Jobs, peer.LostJob{ID: l.ID, State: l.State, Tasks: l.Tasks, Record: n.cache.Unfinished(l.ID)})
+		page.Jobs = append(page.Jobs, peer.LostJob{ID: l.ID, State: l.State, Tasks: l.Tasks, Record: n.cache.UnfinishedRecord(l.ID)})
 	}
 	return page
 }
@@ -106,14 +106,14 @@
 // leaderIsUnsure takes in whether the leader is comparing records, or writing lost ones again.
 // Until they are written, this node may not know of a job, or know less than others.
 func (n *Node) leaderIsUnsure(p peer.Progress) {
-	n.cache.PutBack(p.PutBack)
+	n.cache.SetRolledBack(p.PutBack)
 	compared := n.losses.unsure.Swap(p.Uncertain) && !p.Uncertain
 	written := n.losses.writing.Swap(p.Restoring) && !p.Restoring
-	if compared || written || !p.Uncertain && !n.cache.SawAll() {
-		n.cache.Compared()
+	if compared || written || !p.Uncertain && !n.cache.ReadAllBeforeLoss() {
+		n.cache.MarkCompared()
 	}
 	if p.Uncertain || p.Restoring {
-		n.cache.Suspect(time.Now().Add(n.d.Cancel))
+		n.cache.SuspectLossUntil(time.Now().Add(n.d.Cancel))
 	}
 }
 
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -41,7 +41,7 @@
 		if i%8 == 0 {
 			own := *spec
 			own.ID = id
-			rec = jobs.Record{State: jobs.Queued, Tasks: 12, Spec: &own, AtMs: 1_800_000_000_000}
+			rec = jobs.Record{State: jobs.Queued, Tasks: 12, Spec: &own, AcceptedAtMs: 1_800_000_000_000}
 		}
 		raw, _ := json.Marshal(rec)
 		store.Put(jobs.RecordKey(id), raw)
@@ -98,27 +98,27 @@
 	cache := jobs.NewCache(client, time.Millisecond, time.Millisecond, time.Minute, 100)
 	measure("all records read by a node", func() {
 		go cache.Run(t.Context())
-		for !cache.Listed() {
+		for !cache.InitialReadDone() {
 			time.Sleep(time.Millisecond)
 		}
 	})
 	verified := func() {
-		ticket := cache.Verify()
-		for !cache.Verified(ticket) {
+		ticket := cache.RequestAudit()
+		for !cache.AuditDone(ticket) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	measure("compared, nothing lost", verified)
 	store.Lose(true, emulator.WithPrefix("job/"))
 	measure("compared, everything lost", verified)
-	if cache.LostJobs() != count {
-		t.Errorf("%d of %d jobs are missed", cache.LostJobs(), count)
+	if cache.LostCount() != count {
+		t.Errorf("%d of %d jobs are missed", cache.LostCount(), count)
 	}
 	view := recovery.View{}
 	measure("unfinished jobs joined and decided", func() {
 		for after, more := "", true; more; {
-			var page []jobs.Lost
-			page, more = cache.Lost(after, lostRows)
+			var page []jobs.LostJob
+			page, more = cache.LostPage(after, lostRows)
 			for _, l := range page {
 				after = l.ID
 				if l.State == jobs.Queued { // the others are written a page at a time
--- a/internal/controller/recovery_seeds_test.go
+++ b/internal/controller/recovery_seeds_test.go
@@ -173,13 +173,13 @@
 		if json.Unmarshal(c.world.State.Value(key), &rec) != nil {
 			continue
 		}
-		id := jobs.IDOf(key)
-		if !rec.Over() && (rec.Spec == nil || rec.Spec.Ends()) {
+		id := jobs.JobIDFromKey(key)
+		if !rec.Finished() && (rec.Spec == nil || rec.Spec.RunsToCompletion()) {
 			day.open++
 			day.openJobs = append(day.openJobs, fmt.Sprintf("%s %s; %s", id, c.world.State.Value(key), c.waiting()))
 		}
 		// The truth is what the machines have done.
-		if spec := c.world.Spec(id); rec.State == jobs.Done && !c.world.AllDone(id) || rec.State == jobs.Done && spec != nil && !spec.Ends() {
+		if spec := c.world.Spec(id); rec.State == jobs.Done && !c.world.AllDone(id) || rec.State == jobs.Done && spec != nil && !spec.RunsToCompletion() {
 			day.wrong = append(day.wrong, id+" is called done")
 		}
 	}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -355,7 +355,7 @@
 	in := leader.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}
 	for _, r := range s.Records {
 		if strings.HasPrefix(r.Key, jobs.RecordPrefix) {
-			in.Jobs = append(in.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+			in.Jobs = append(in.Jobs, leader.SnapshotFact{ID: jobs.JobIDFromKey(r.Key), Record: r.Value})
 		}
 	}
 	return c.nodes[c.leader()].node.gate.Import(c.ctx, in)
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -60,7 +60,7 @@
 				c.world.Net.Faults(copied)
 				c.submit("perch-0", service("j-1", 2))
 				low := batch("j-2", 16, 25)
-				low.Priority, low.CheckpntS, low.SaveS = jobs.BestEffort, 5, 1
+				low.Priority, low.CheckpointIntervalS, low.CheckpointSaveS = jobs.BestEffort, 5, 1
 				c.submit("perch-0", low)
 				c.submit("perch-1", batch("j-3", 12, 200))
 				c.within(60*time.Second, "service up", func() bool { return c.on("j-1", 2) == 2 })
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -69,7 +69,7 @@
 		}
 		return t.State, "", false
 	}
-	run := time.Duration(job.EstimateS * float64(time.Second))
+	run := time.Duration(job.EstimatedRuntimeS * float64(time.Second))
 	over := g.started.Add(run - w.progress[id])
 	switch {
 	case g.done || g.broken.IsZero() && g.stopped.IsZero() && !now.Before(over):
@@ -82,7 +82,7 @@
 		return workers.Ended, workers.CauseStopped, true
 	case !g.broken.IsZero():
 		return workers.Ended, workers.CauseMatesGone, false
-	case !g.stopped.IsZero() && len(g.told) == g.size && now.Sub(g.stopped).Seconds() >= job.SaveS:
+	case !g.stopped.IsZero() && len(g.told) == g.size && now.Sub(g.stopped).Seconds() >= job.CheckpointSaveS:
 		g.saved = true
 		w.progress[id] += g.stopped.Sub(g.started)
 		return workers.Ended, workers.CauseStopped, true
@@ -99,7 +99,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id, _, _ := workers.SplitTask(t.Task.Task)
-	if job := w.specs[id]; t.State != workers.Running || job.CheckpntS == 0 || grace < job.SaveS {
+	if job := w.specs[id]; t.State != workers.Running || job.CheckpointIntervalS == 0 || grace < job.CheckpointSaveS {
 		return false
 	}
 	g := w.gang(t.Task)
--- a/internal/emulator/restart/report_test.go
+++ b/internal/emulator/restart/report_test.go
@@ -71,7 +71,7 @@
 // Controllers take what is submitted: any zone is null on the wire.
 func TestSubmissionIsValid(t *testing.T) {
 	raw, err := onWire(&jobs.Spec{
-		ID: "j-000001", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 4, CPUs: 1, RAMGB: 1, Image: "img", EstimateS: 5,
+		ID: "j-000001", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 4, CPUs: 1, RAMGB: 1, Image: "img", EstimatedRuntimeS: 5,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/restart/trial.go
+++ b/internal/emulator/restart/trial.go
@@ -161,7 +161,7 @@
 	for i := range x.Machines {
 		spec := &jobs.Spec{
 			ID: fmt.Sprintf("j-%06d", i+1), Class: "sums", Team: []string{"red", "blue"}[i%2], Shape: jobs.Batch, Priority: jobs.Standard,
-			Tasks: tasksPerMachine, CPUs: 1, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: taskSeconds,
+			Tasks: tasksPerMachine, CPUs: 1, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimatedRuntimeS: taskSeconds,
 		}
 		if err := x.submit(ctx, x.Users[i%len(x.Users)], spec); err != nil {
 			return err
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -184,7 +184,7 @@
 				w.poke()
 			}
 		}
-		if t.State == workers.Running && job.Shape == jobs.Batch && (w.world.wasDone(id, n) || now.Sub(t.since).Seconds() >= job.EstimateS*max(1, w.slowness)) {
+		if t.State == workers.Running && job.Shape == jobs.Batch && (w.world.wasDone(id, n) || now.Sub(t.since).Seconds() >= job.EstimatedRuntimeS*max(1, w.slowness)) {
 			w.end(t, workers.CauseDone)
 		}
 		if t.State == workers.Saving && !now.Before(t.saves) {
@@ -236,9 +236,9 @@
 				if job.Shape == jobs.Gang && c.GraceS != nil && w.world.gangStop(t, *c.GraceS) {
 					continue
 				}
-				if t.State == workers.Running && job.CheckpntS > 0 && c.GraceS != nil && *c.GraceS >= job.SaveS {
+				if t.State == workers.Running && job.CheckpointIntervalS > 0 && c.GraceS != nil && *c.GraceS >= job.CheckpointSaveS {
 					t.State = workers.Saving
-					t.saves = time.Now().Add(time.Duration(job.SaveS * float64(time.Second)))
+					t.saves = time.Now().Add(time.Duration(job.CheckpointSaveS * float64(time.Second)))
 					continue
 				}
 				w.end(t, workers.CauseStopped)
--- a/internal/jobs/api.go
+++ b/internal/jobs/api.go
@@ -100,13 +100,13 @@
 // read reads a job's record, and its revision. Where the state service has lost it, or
 // says less than this node knows, what is known takes its place.
 func (a *API) read(ctx context.Context, id string) (*Record, uint64, error) {
-	asked := a.Cache.Ask()
+	asked := a.Cache.BeginRequest()
 	p, found, err := a.Store.Get(ctx, RecordKey(id))
 	if err != nil {
 		return nil, 0, err
 	}
 	if !found {
-		if known, ok := a.Cache.Missing(id); ok {
+		if known, ok := a.Cache.NoteMissing(id); ok {
 			return &known, 0, nil
 		}
 		return nil, 0, nil
@@ -115,15 +115,15 @@
 	if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
 		return nil, 0, err
 	}
-	a.Cache.Take(asked, p) // before anybody is told
-	if known, _ := a.Cache.Known(id); known.Over() {
+	a.Cache.ApplyAnswer(asked, p) // before anybody is told
+	if known, _ := a.Cache.Known(id); known.Finished() {
 		rec.State = known.State
 	}
 	return &rec, p.Revision, nil
 }
 
 func (a *API) shownState(id string, rec *Record) string {
-	if !rec.Over() && a.Counts != nil {
+	if !rec.Finished() && a.Counts != nil {
 		if c, ok := a.Counts(id); ok && c.Running > 0 {
 			return Running
 		}
@@ -151,7 +151,7 @@
 		a.later(w, "machine types are not known yet")
 		return
 	}
-	if why := CanEverRun(spec, types, a.Settings); why != nil {
+	if why := CheckRunnable(spec, types, a.Settings); why != nil {
 		// A job accepted under an earlier catalog or team stays accepted.
 		a.ifNew(ctx, w, spec.ID, func() { refuse(w, http.StatusUnprocessableEntity, why.Error()) })
 		return
@@ -160,12 +160,12 @@
 		a.ifNew(ctx, w, spec.ID, func() { a.later(w, "memory is short at this node") })
 		return
 	}
-	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.Settled() {
+	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.ProvenCurrent() {
 		// It may have been accepted, and be over, before this node began.
 		a.ifNew(ctx, w, spec.ID, func() { a.later(w, unsettledText) })
 		return
 	}
-	rec := Record{State: Queued, Tasks: spec.Tasks, Spec: spec, AtMs: time.Now().UnixMilli()}
+	rec := Record{State: Queued, Tasks: spec.Tasks, Spec: spec, AcceptedAtMs: time.Now().UnixMilli()}
 	value, err := json.Marshal(rec)
 	if err == nil && len(value) > a.Derived.ValueBytes {
 		spec.onlyTypes(types)
@@ -177,7 +177,7 @@
 	}
 	a.retry(ctx, w, func() (bool, error) {
 		if _, known := a.Cache.Known(spec.ID); !known {
-			asked := a.Cache.Ask()
+			asked := a.Cache.BeginRequest()
 			rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: RecordKey(spec.ID)}},
 				[]kvstore.Write{{Set: RecordKey(spec.ID), Value: value}})
 			if err != nil {
@@ -185,7 +185,7 @@
 			}
 			if len(failed) == 0 {
 				// Should the state service lose the record, nobody else may know of it.
-				a.Cache.Take(asked, kvstore.Pair{Key: RecordKey(spec.ID), Value: value, Revision: rev})
+				a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: RecordKey(spec.ID), Value: value, Revision: rev})
 				slog.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
 				reply(w, http.StatusCreated, view{ID: spec.ID, State: Queued})
 				return true, nil
@@ -214,7 +214,7 @@
 			if err != nil || len(failed) > 0 {
 				return false, err
 			}
-			slog.Info("description of a lost job submitted again", "job", spec.ID, "held", !known.Held.Complete)
+			slog.Info("description of a lost job submitted again", "job", spec.ID, "held", !known.Held.OnlySpecMissing)
 		}
 	}
 	reply(w, http.StatusOK, view{ID: spec.ID, State: a.shownState(spec.ID, known)})
@@ -227,7 +227,7 @@
 // unsettled tells whether a job that is unfinished, as far as this node knows, may be over: its
 // record may say less than users were told, or is lost, and was changed just before.
 func (a *API) unsettled(id string, rec *Record) bool {
-	return !rec.Over() && (!a.Cache.Settled() || a.Cache.IsLost(id) && a.Cache.Suspected())
+	return !rec.Finished() && (!a.Cache.ProvenCurrent() || a.Cache.IsLost(id) && a.Cache.LossSuspected())
 }
 
 // ifNew answers a submission of a known job with its state; what is done about a new one
@@ -275,7 +275,7 @@
 	}
 	rec, found, err := a.Cache.Get(ctx, id)
 	switch {
-	case errors.Is(err, ErrUncertain):
+	case errors.Is(err, ErrRecordsMayBeMissing):
 		a.showUncertain(w, id)
 	case err != nil:
 		a.later(w, "state service does not answer")
@@ -287,7 +287,7 @@
 		var c Counts
 		if rec.State == Done {
 			c.Done = rec.Tasks
-		} else if a.Counts != nil && !rec.Over() {
+		} else if a.Counts != nil && !rec.Finished() {
 			c, _ = a.Counts(id)
 		}
 		reply(w, http.StatusOK, view{ID: id, State: a.shownState(id, &rec), Done: &c.Done, Running: &c.Running})
@@ -323,21 +323,21 @@
 		case rec == nil:
 			refuse(w, http.StatusNotFound, "no such job")
 			return true, nil
-		case rec.Over():
+		case rec.Finished():
 			reply(w, http.StatusOK, view{ID: id, State: rec.State})
 			return true, nil
 		case a.unsettled(id, rec):
 			a.later(w, unsettledText)
 			return true, nil
 		}
-		ended := rec.Ended(Cancelled, a.Derived.ValueBytes)
-		asked := a.Cache.Ask()
+		ended := rec.FinalForm(Cancelled, a.Derived.ValueBytes)
+		asked := a.Cache.BeginRequest()
 		rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: RecordKey(id), Revision: revision}},
 			[]kvstore.Write{{Set: RecordKey(id), Value: ended}})
 		if err != nil || len(failed) > 0 {
 			return false, err
 		}
-		a.Cache.Take(asked, kvstore.Pair{Key: RecordKey(id), Value: ended, Revision: rev})
+		a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: RecordKey(id), Value: ended, Revision: rev})
 		slog.Debug("job cancelled", "job", id)
 		reply(w, http.StatusOK, view{ID: id, State: Cancelled})
 		return true, nil
--- a/internal/jobs/cache.go
+++ b/internal/jobs/cache.go
@@ -60,11 +60,11 @@
 	}
 }
 
-// Cancellations returns all cancellations after a revision that this node may have
+// CancellationsAfter returns all cancellations after a revision that this node may have
 // told a user of; complete is false if it does not know them all. What it learns of
 // is taken in before anybody is told. What an earlier process of this node told was
 // in the records when this one first read all of them.
-func (m *Cache) Cancellations(after uint64) (later []Cancellation, complete bool) {
+func (m *Cache) CancellationsAfter(after uint64) (later []Cancellation, complete bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	for _, c := range m.recent {
@@ -94,7 +94,7 @@
 	}
 	rec, found = m.Known(id)
 	if !found && !m.NeverAccepted(id) {
-		return Record{}, false, ErrUncertain
+		return Record{}, false, ErrRecordsMayBeMissing
 	}
 	return rec, found, nil
 }
@@ -148,8 +148,8 @@
 	}
 }
 
-// ErrLags means that the changes up to now were not to be had.
-var ErrLags = errors.New("changes lag")
+// ErrWatchLags means that the changes up to now were not to be had.
+var ErrWatchLags = errors.New("changes lag")
 
 // readTries is how often a read asks for changes that lag.
 const readTries = 3
@@ -184,7 +184,7 @@
 				if c.Set != "" {
 					m.set(c.Set, c.Value, c.Revision)
 				} else {
-					m.Removed(c.Remove, c.Revision)
+					m.ApplyRemoval(c.Remove, c.Revision)
 				}
 			}
 			m.revision = max(m.revision, revision)
@@ -198,7 +198,7 @@
 			case <-time.After(m.gap):
 			}
 		}
-		return ErrLags
+		return ErrWatchLags
 	}
 	return m.list(ctx)
 }
@@ -247,7 +247,7 @@
 	}
 	b := brief{tasks: rec.Tasks, revision: revision}
 	b.state = stateText(rec.State)
-	if evidence := m.take(IDOf(key), b, value); evidence != "" {
+	if evidence := m.take(JobIDFromKey(key), b, value); evidence != "" {
 		slog.Error("record says less than is known", "key", key, "reason", string(evidence))
 		m.tell(detection.Loss{Kind: evidence, Key: key, Found: revision})
 	}
--- a/internal/jobs/cache_order_test.go
+++ b/internal/jobs/cache_order_test.go
@@ -28,14 +28,14 @@
 func TestCancellationsRemembered(t *testing.T) {
 	m := NewCache(nil, time.Second, time.Second, time.Second, 4)
 	cancel := func(n uint64) { m.set(RecordKey(fmt.Sprintf("j-%d", n)), []byte(`{"stance":"aborted"}`), n) }
-	if _, complete := m.Cancellations(0); complete {
+	if _, complete := m.CancellationsAfter(0); complete {
 		t.Error("complete before the records were read")
 	}
 	m.listed = true
 	for _, n := range []uint64{7, 3, 9, 5, 1, 9} { // a list is in the order of names, and what it tells comes twice
 		cancel(n)
 	}
-	if got, complete := m.Cancellations(4); !complete || len(got) != 3 {
+	if got, complete := m.CancellationsAfter(4); !complete || len(got) != 3 {
 		t.Errorf("after 4: %v, complete %v", got, complete)
 	}
 	for n := uint64(11); n < 40; n += 2 {
@@ -44,10 +44,10 @@
 			t.Fatalf("%d are kept", len(m.recent))
 		}
 	}
-	if _, complete := m.Cancellations(11); complete {
+	if _, complete := m.CancellationsAfter(11); complete {
 		t.Error("complete back to 11, which is more than is kept")
 	}
-	if got, complete := m.Cancellations(33); !complete || len(got) != 3 {
+	if got, complete := m.CancellationsAfter(33); !complete || len(got) != 3 {
 		t.Errorf("after 33: %v, complete %v", got, complete)
 	}
 }
--- a/internal/jobs/certainty.go
+++ b/internal/jobs/certainty.go
@@ -21,25 +21,25 @@
 //     is not so while records are compared that were lost before this node began, nor after
 //     the service was put back.
 
-// ErrUncertain means that a job is not known, but that records may be missing: it may
+// ErrRecordsMayBeMissing means that a job is not known, but that records may be missing: it may
 // have been accepted all the same.
-var ErrUncertain = errors.New("records may be missing")
+var ErrRecordsMayBeMissing = errors.New("records may be missing")
 
 // RecoveryStatusKey is there while a leader compares what the state service has with what
 // others know. A node that starts meanwhile did not see what was lost.
 const RecoveryStatusKey = "recovery/status"
 
-// SawAll tells whether this node has read all records, and did so before any loss that it
+// ReadAllBeforeLoss tells whether this node has read all records, and did so before any loss that it
 // knows of: then a job that it does not know was not accepted before.
-func (m *Cache) SawAll() bool {
+func (m *Cache) ReadAllBeforeLoss() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.listed && !m.losses.compared
 }
 
-// Suspect notes that records may be missing, until a moment: what is not known may have
+// SuspectLossUntil notes that records may be missing, until a moment: what is not known may have
 // been accepted.
-func (m *Cache) Suspect(until time.Time) {
+func (m *Cache) SuspectLossUntil(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if until.After(m.losses.suspectUntil) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Compared notes that all have been compared: what nobody knows was never accepted.
-func (m *Cache) Compared() {
+// MarkCompared notes that all have been compared: what nobody knows was never accepted.
+func (m *Cache) MarkCompared() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.losses.suspectUntil = time.Time{}
@@ -56,16 +56,16 @@
 	m.losses.confirmed = m.store.Outages()
 }
 
-// Confirm notes that, after a number of outages, no other node knew of a newer revision than
+// ConfirmByPeers notes that, after a number of outages, no other node knew of a newer revision than
 // the state service.
-func (m *Cache) Confirm(outages uint64) {
+func (m *Cache) ConfirmByPeers(outages uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.losses.confirmed = max(m.losses.confirmed, outages)
 }
 
-// Confirmed tells whether that is so since the last outage.
-func (m *Cache) Confirmed() bool {
+// ConfirmedByPeers tells whether that is so since the last outage.
+func (m *Cache) ConfirmedByPeers() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.confirmedLocked()
@@ -73,16 +73,16 @@
 
 func (m *Cache) confirmedLocked() bool { return m.losses.confirmed == m.store.Outages() }
 
-// Suspected tells whether records may be missing.
-func (m *Cache) Suspected() bool {
+// LossSuspected tells whether records may be missing.
+func (m *Cache) LossSuspected() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.losses.compared || time.Now().Before(m.losses.suspectUntil)
 }
 
-// Sure tells whether what this node does not know was never accepted. A node that began a
+// KnowsAllAccepted tells whether what this node does not know was never accepted. A node that began a
 // moment ago may have begun after a loss that it could not see.
-func (m *Cache) Sure() bool {
+func (m *Cache) KnowsAllAccepted() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.losses.sure && !m.losses.compared && m.confirmedLocked() && !time.Now().Before(m.losses.suspectUntil)
@@ -90,23 +90,23 @@
 
 // tell hands on evidence. No lock may be held.
 func (m *Cache) tell(l detection.Loss) {
-	m.Suspect(time.Now().Add(m.doubtFor))
+	m.SuspectLossUntil(time.Now().Add(m.doubtFor))
 	if m.OnLoss != nil {
 		m.OnLoss(l)
 	}
 }
 
-// Expect takes in how many jobs another node knew. The next time that this node has read
+// NotePeerCount takes in how many jobs another node knew. The next time that this node has read
 // all changes, it must know of as many. While that node compares records, this one does not
 // become sure of what it knows.
-func (m *Cache) Expect(jobs int, uncertain bool) {
+func (m *Cache) NotePeerCount(jobs int, uncertain bool) {
 	m.mu.Lock()
 	m.losses.expected = max(m.losses.expected, jobs)
 	m.losses.heard = !uncertain
 	sure := m.losses.sure
 	m.mu.Unlock()
 	if !sure {
-		m.Check()
+		m.RequestRead()
 	}
 }
 
@@ -133,25 +133,25 @@
 	return m.losses.expected, m.losses.heard
 }
 
-// Settled tells whether this node has found that it began with all records there were: else
+// ProvenCurrent tells whether this node has found that it began with all records there were: else
 // a job that it does not know may have been lost, and one that is unfinished by its record
 // may be over.
-func (m *Cache) Settled() bool {
+func (m *Cache) ProvenCurrent() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.losses.sure && !m.losses.compared && !m.losses.putBack
 }
 
-// PutBack takes in whether records may say less than users were told, as the leader knows.
-func (m *Cache) PutBack(on bool) {
+// SetRolledBack takes in whether records may say less than users were told, as the leader knows.
+func (m *Cache) SetRolledBack(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.losses.putBack = on
 }
 
-// BeSure has this node take what it does not know for never accepted, though no other node
+// AssumeComplete has this node take what it does not know for never accepted, though no other node
 // has told how much it knows.
-func (m *Cache) BeSure() {
+func (m *Cache) AssumeComplete() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.losses.sure = true
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// Listed tells whether this node has read all records since it began.
-func (m *Cache) Listed() bool {
+// InitialReadDone tells whether this node has read all records since it began.
+func (m *Cache) InitialReadDone() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.listed
--- a/internal/jobs/heard.go
+++ b/internal/jobs/heard.go
@@ -17,8 +17,8 @@
 	tasks int
 }
 
-// Hear takes in what a job's record has come to say, as the leader tells.
-func (m *Cache) Hear(id, state string, tasks int) {
+// NoteAnnounced takes in what a job's record has come to say, as the leader tells.
+func (m *Cache) NoteAnnounced(id, state string, tasks int) {
 	text := stateText(state)
 	if !ValidID(id) || text == "" {
 		return
@@ -40,7 +40,7 @@
 	m.mu.RLock()
 	_, heard := m.heard[id]
 	m.mu.RUnlock()
-	return !heard && m.Sure()
+	return !heard && m.KnowsAllAccepted()
 }
 
 // seen takes in that a record says what was heard of it. The lock is held.
--- a/internal/jobs/held.go
+++ b/internal/jobs/held.go
@@ -7,12 +7,12 @@
 // Held is a job that is not run, since it is not certain that it should be. It stands in
 // a record in place of the job's description, which earlier versions would act upon.
 type Held struct {
-	Reason string `json:"reason"`
-	Spec   *Spec  `json:"spec,omitempty"`
-	AtMs   int64  `json:"atMs,omitempty"`   // time of day of its acceptance, if known
-	HeldMs int64  `json:"heldMs,omitempty"` // time of day since when it is held
-	// Complete tells that nothing but the description is missing.
-	Complete bool `json:"complete,omitempty"`
+	Reason       string `json:"reason"`
+	Spec         *Spec  `json:"spec,omitempty"`
+	AcceptedAtMs int64  `json:"atMs,omitempty"`   // time of day of its acceptance, if known
+	HeldSinceMs  int64  `json:"heldMs,omitempty"` // time of day since when it is held
+	// OnlySpecMissing tells that nothing but the description is missing.
+	OnlySpecMissing bool `json:"complete,omitempty"`
 	// Contradicts tells of a job that is over, done by one source and cancelled by another.
 	Contradicts bool `json:"contradicts,omitempty"`
 }
@@ -21,8 +21,8 @@
 // was, the job is held no more.
 func (r *Record) described(spec *Spec) json.RawMessage {
 	now := Record{State: Queued, Tasks: spec.Tasks}
-	if r.Held.Complete {
-		now.Spec, now.AtMs, now.Restored = spec, r.Held.AtMs, true
+	if r.Held.OnlySpecMissing {
+		now.Spec, now.AcceptedAtMs, now.Restored = spec, r.Held.AcceptedAtMs, true
 	} else {
 		held := *r.Held
 		held.Spec = spec
--- a/internal/jobs/lost.go
+++ b/internal/jobs/lost.go
@@ -11,13 +11,13 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Lost is a job of which this node knows more than the state service.
-type Lost struct {
-	ID       string
-	State    string // as this node knows it: more is known than the record says, or there is none
-	Tasks    int
-	Revision uint64 // of the record as it stands; 0 if there is none
-	Found    string // the state that the record tells; empty if there is none
+// LostJob is a job of which this node knows more than the state service.
+type LostJob struct {
+	ID            string
+	State         string // as this node knows it: more is known than the record says, or there is none
+	Tasks         int
+	Revision      uint64 // of the record as it stands; 0 if there is none
+	RecordedState string // the state that the record tells; empty if there is none
 }
 
 // losses is what a cache knows beyond the records. It is guarded by the cache's lock.
@@ -57,9 +57,9 @@
 	return Record{State: b.state, Tasks: b.tasks}, found
 }
 
-// Lost returns jobs of which this node knows more than the state service, in the order of
+// LostPage returns jobs of which this node knows more than the state service, in the order of
 // their ids after one, and whether there are more.
-func (m *Cache) Lost(after string, most int) (page []Lost, more bool) {
+func (m *Cache) LostPage(after string, most int) (page []LostJob, more bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	m.losses.jobs.AscendGreaterOrEqual(lostEntry{id: after}, func(l lostEntry) bool {
@@ -71,7 +71,7 @@
 			return false
 		}
 		b, _ := m.jobs.get(l.id)
-		page = append(page, Lost{ID: l.id, State: b.state, Tasks: b.tasks, Revision: b.revision, Found: l.found})
+		page = append(page, LostJob{ID: l.id, State: b.state, Tasks: b.tasks, Revision: b.revision, RecordedState: l.found})
 		return true
 	})
 	return page, more
@@ -84,23 +84,23 @@
 	return m.losses.jobs.Has(lostEntry{id: id})
 }
 
-// Recorded returns how many jobs have a record, as far as this node knows.
-func (m *Cache) Recorded() int {
+// RecordedCount returns how many jobs have a record, as far as this node knows.
+func (m *Cache) RecordedCount() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.jobs.size() - m.losses.missing
 }
 
-// LostJobs returns how many jobs this node knows more of than the state service.
-func (m *Cache) LostJobs() int {
+// LostCount returns how many jobs this node knows more of than the state service.
+func (m *Cache) LostCount() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.losses.jobs.Len()
 }
 
-// Missing takes in that a read did not find a job's record. It tells what this node knows
+// NoteMissing takes in that a read did not find a job's record. It tells what this node knows
 // of the job.
-func (m *Cache) Missing(id string) (rec Record, known bool) {
+func (m *Cache) NoteMissing(id string) (rec Record, known bool) {
 	m.mu.Lock()
 	b, known := m.jobs.get(id)
 	first := known && m.miss(id, b)
@@ -142,10 +142,10 @@
 	return was
 }
 
-// Removed takes in that a watch shows the removal of a record, which no version of ours
+// ApplyRemoval takes in that a watch shows the removal of a record, which no version of ours
 // ever removes.
-func (m *Cache) Removed(key string, revision uint64) {
-	id := IDOf(key)
+func (m *Cache) ApplyRemoval(key string, revision uint64) {
+	id := JobIDFromKey(key)
 	m.mu.Lock()
 	b, known := m.jobs.get(id)
 	news := !known || b.revision <= revision && m.miss(id, b)
@@ -181,23 +181,23 @@
 	}
 }
 
-// Unfinished returns the record of a job that is not over, as this node last saw it; nil if
+// UnfinishedRecord returns the record of a job that is not over, as this node last saw it; nil if
 // there is none.
-func (m *Cache) Unfinished(id string) json.RawMessage {
+func (m *Cache) UnfinishedRecord(id string) json.RawMessage {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.unfinished[id]
 }
 
-// Jobs returns how many jobs this node knows.
-func (m *Cache) Jobs() int {
+// JobCount returns how many jobs this node knows.
+func (m *Cache) JobCount() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.jobs.size()
 }
 
-// Learn takes in a lost job that others know of and this node does not.
-func (m *Cache) Learn(id, state string, tasks int) {
+// AddLost takes in a lost job that others know of and this node does not.
+func (m *Cache) AddLost(id, state string, tasks int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b, known := m.jobs.get(id)
@@ -221,5 +221,7 @@
 // is none.
 func (m *Cache) RecordRevision(id string) uint64 { return m.knownRevision(id) }
 
-// Set takes in a record that was read or written elsewhere in this process.
-func (m *Cache) Set(key string, value json.RawMessage, revision uint64) { m.set(key, value, revision) }
+// Apply takes in a record that was read or written elsewhere in this process.
+func (m *Cache) Apply(key string, value json.RawMessage, revision uint64) {
+	m.set(key, value, revision)
+}
--- a/internal/jobs/lost_test.go
+++ b/internal/jobs/lost_test.go
@@ -45,7 +45,7 @@
 
 func (c *cached) wantLost(when string, want ...string) {
 	c.t.Helper()
-	page, _ := c.m.Lost("", 100)
+	page, _ := c.m.LostPage("", 100)
 	var got []string
 	for _, l := range page {
 		got = append(got, l.ID+" "+l.State)
@@ -89,7 +89,7 @@
 		c.store.Down(false)
 		c.want("j-1", jobs.Queued, "after it")
 		c.want("j-99", "503", "others may know more after an outage")
-		c.m.Confirm(1) // refused and down without an answer in between: it is one
+		c.m.ConfirmByPeers(1) // refused and down without an answer in between: it is one
 		c.want("j-99", "404", "never submitted")
 		seen.none(c.t, "an ordinary day")
 		c.wantLost("an ordinary day")
@@ -112,7 +112,7 @@
 		c.write("j-2", jobs.Done)
 		c.want("j-2", jobs.Done, "written back")
 		c.wantLost("written back")
-		c.m.Compared()
+		c.m.MarkCompared()
 		c.want("j-99", "404", "all has been compared")
 	})
 }
@@ -145,7 +145,7 @@
 		ctx, stop := context.WithTimeout(c.t.Context(), 90*time.Second)
 		defer stop()
 		var audits sync.WaitGroup
-		audits.Go(func() { c.m.Audit(ctx, time.Minute, 10*time.Millisecond) })
+		audits.Go(func() { c.m.RunAudits(ctx, time.Minute, 10*time.Millisecond) })
 		c.store.Lose(true, emulator.Only("job/j-3"))
 		time.Sleep(70 * time.Second)
 		c.wantLost("audited", "j-3 aborted")
@@ -228,8 +228,8 @@
 		c.want("j-001", jobs.Queued, "lost")
 		after, pages, all := "", 0, []string{}
 		for more := true; more; pages++ {
-			var page []jobs.Lost
-			page, more = c.m.Lost(after, 10)
+			var page []jobs.LostJob
+			page, more = c.m.LostPage(after, 10)
 			for _, l := range page {
 				all = append(all, l.ID)
 				after = l.ID
@@ -264,7 +264,7 @@
 		}
 		c.want("j-51", jobs.Cancelled, "its user was told")
 		c.wantLost("put back", "j-50 queued", "j-51 aborted")
-		if time.Since(c.m.WitnessesChecked()) < time.Minute {
+		if time.Since(c.m.RollbackCheckedAt()) < time.Minute {
 			t.Error("the newest that is known was not found in the records")
 		}
 	})
@@ -278,11 +278,11 @@
 		c.fill()
 		c.write("j-4", jobs.Queued)
 		c.write("j-4", jobs.Done)
-		c.m.Hear("j-4", jobs.Done, 1)
-		c.m.Hear("j-2", jobs.Queued, 1)
-		c.m.Hear("j-3", jobs.Done, 1)
-		c.m.Hear("no job", jobs.Done, 1)
-		c.m.Hear("j-71", "flying", 1)
+		c.m.NoteAnnounced("j-4", jobs.Done, 1)
+		c.m.NoteAnnounced("j-2", jobs.Queued, 1)
+		c.m.NoteAnnounced("j-3", jobs.Done, 1)
+		c.m.NoteAnnounced("no job", jobs.Done, 1)
+		c.m.NoteAnnounced("j-71", "flying", 1)
 		c.want("j-4", jobs.Done, "both changes read after that was heard")
 		c.want("j-2", jobs.Done, "an older word")
 		c.want("j-3", jobs.Cancelled, "another end than is known")
@@ -291,8 +291,8 @@
 		before := c.store.Backup()
 		c.write("j-70", jobs.Queued)
 		c.write("j-1", jobs.Cancelled)
-		c.m.Hear("j-70", jobs.Queued, 1)
-		c.m.Hear("j-1", jobs.Cancelled, 1)
+		c.m.NoteAnnounced("j-70", jobs.Queued, 1)
+		c.m.NoteAnnounced("j-1", jobs.Cancelled, 1)
 		if c.m.NeverAccepted("j-70") {
 			t.Error("heard of, and called never accepted")
 		}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -21,23 +21,23 @@
 // job ends in one way only. A done job keeps no more than that; a cancelled one
 // keeps its description, since its tasks still count until they are gone.
 type Record struct {
-	State string `json:"stance"`
-	Tasks int    `json:"tasks"`
-	Spec  *Spec  `json:"spec,omitempty"`
-	AtMs  int64  `json:"atMs,omitempty"` // time of day of its acceptance
-	Held  *Held  `json:"held,omitempty"` // instead of Spec, while the job is not to run
+	State        string `json:"stance"`
+	Tasks        int    `json:"tasks"`
+	Spec         *Spec  `json:"spec,omitempty"`
+	AcceptedAtMs int64  `json:"atMs,omitempty"` // time of day of its acceptance
+	Held         *Held  `json:"held,omitempty"` // instead of Spec, while the job is not to run
 	// Restored tells that the record was lost and written again: tasks of the job may be
 	// on machines without an entry in the assignment log.
 	Restored bool `json:"restored,omitempty"`
 }
 
-// Over tells whether the record can change no more.
-func (r *Record) Over() bool { return r.State == Done || r.State == Cancelled }
+// Finished tells whether the record can change no more.
+func (r *Record) Finished() bool { return r.State == Done || r.State == Cancelled }
 
-// Ended returns the record's last form, in no more than so many bytes. A cancelled
+// FinalForm returns the record's last form, in no more than so many bytes. A cancelled
 // job may be from when records could be larger: then its description keeps what its
 // tasks count for until they are gone.
-func (r *Record) Ended(to string, most int) json.RawMessage {
+func (r *Record) FinalForm(to string, most int) json.RawMessage {
 	end := Record{State: to, Tasks: r.Tasks}
 	if r.Held != nil && r.Held.Contradicts {
 		end.Held = r.Held
@@ -65,8 +65,8 @@
 // RecordKey is the key of a job's record.
 func RecordKey(id string) string { return RecordPrefix + id }
 
-// IDOf returns the job of a record's key.
-func IDOf(key string) string { return strings.TrimPrefix(key, RecordPrefix) }
+// JobIDFromKey returns the job of a record's key.
+func JobIDFromKey(key string) string { return strings.TrimPrefix(key, RecordPrefix) }
 
 // Cancellation is a job that was cancelled, and the revision at which it was.
 type Cancellation struct {
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -37,27 +37,27 @@
 
 // Spec is a job as its user describes it.
 type Spec struct {
-	ID         string   `json:"id"`
-	Class      string   `json:"flock"`
-	Team       string   `json:"crew"`
-	Shape      string   `json:"shape"`
-	Priority   string   `json:"rank"`
-	Tasks      int      `json:"talons"`
-	CPUs       float64  `json:"vcpus"`
-	GPUs       float64  `json:"gpus"`
-	RAMGB      float64  `json:"ramGb"`
-	Image      string   `json:"plumage"`
-	ImageGB    float64  `json:"imageGb"`
-	Types      []string `json:"perches"`
-	Zone       string   `json:"eyrie"`
-	OneZone    bool     `json:"samePlace"`
-	Spread     bool     `json:"scatter"`
-	Spot       bool     `json:"driftwood"`
-	EstimateS  float64  `json:"flightS"`
-	CheckpntS  float64  `json:"roostS"`
-	SaveS      float64  `json:"stashS"`
-	DeadlineS  *float64 `json:"duskS"`
-	rankCached int
+	ID                  string   `json:"id"`
+	Class               string   `json:"flock"`
+	Team                string   `json:"crew"`
+	Shape               string   `json:"shape"`
+	Priority            string   `json:"rank"`
+	Tasks               int      `json:"talons"`
+	CPUs                float64  `json:"vcpus"`
+	GPUs                float64  `json:"gpus"`
+	RAMGB               float64  `json:"ramGb"`
+	Image               string   `json:"plumage"`
+	ImageGB             float64  `json:"imageGb"`
+	Types               []string `json:"perches"`
+	Zone                string   `json:"eyrie"`
+	OneZone             bool     `json:"samePlace"`
+	Spread              bool     `json:"scatter"`
+	Spot                bool     `json:"driftwood"`
+	EstimatedRuntimeS   float64  `json:"flightS"`
+	CheckpointIntervalS float64  `json:"roostS"`
+	CheckpointSaveS     float64  `json:"stashS"`
+	DeadlineS           *float64 `json:"duskS"`
+	rankCached          int
 }
 
 // Rank orders priorities; the higher one goes first.
@@ -94,8 +94,8 @@
 	s.Types = known
 }
 
-// Ends tells whether the job's tasks run to completion.
-func (s *Spec) Ends() bool { return s.Shape != Service }
+// RunsToCompletion tells whether the job's tasks run to completion.
+func (s *Spec) RunsToCompletion() bool { return s.Shape != Service }
 
 // MachineType is an entry of the cloud's catalog.
 type MachineType struct {
@@ -116,8 +116,8 @@
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.RAMGB <= t.RAMGB
 }
 
-// CanEverRun returns why a job can never run, or nil.
-func CanEverRun(s *Spec, types []MachineType, set *settings.Settings) error {
+// CheckRunnable returns why a job can never run, or nil.
+func CheckRunnable(s *Spec, types []MachineType, set *settings.Settings) error {
 	team, ok := set.Team(s.Team)
 	if !ok {
 		return fmt.Errorf("crew %q is not known", s.Team)
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -45,7 +45,7 @@
 		CPUs: v.amount("vcpus", in.CPUs), GPUs: v.amount("gpus", in.GPUs), RAMGB: v.amount("ramGb", in.RAMGB),
 		Image: v.text("plumage", in.Image), ImageGB: v.amount("imageGb", in.ImageGB),
 		OneZone: v.flag("samePlace", in.OneZone), Spread: v.flag("scatter", in.Spread), Spot: v.flag("driftwood", in.Spot),
-		EstimateS: v.amount("flightS", in.EstimateS), CheckpntS: v.amount("roostS", in.CheckpntS), SaveS: v.amount("stashS", in.SaveS),
+		EstimatedRuntimeS: v.amount("flightS", in.EstimateS), CheckpointIntervalS: v.amount("roostS", in.CheckpntS), CheckpointSaveS: v.amount("stashS", in.SaveS),
 	}
 	v.form(s)
 	s.Tasks = v.tasks(in.Tasks)
--- a/internal/jobs/verify.go
+++ b/internal/jobs/verify.go
@@ -9,15 +9,15 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Newest returns the newest revision of the state service that this node has read or written.
-func (m *Cache) Newest() uint64 { return m.newest.Value() }
+// NewestRevision returns the newest revision of the state service that this node has read or written.
+func (m *Cache) NewestRevision() uint64 { return m.newest.Value() }
 
-// Ask has to be called before a record is read or written that Take takes in.
-func (m *Cache) Ask() detection.Request { return m.newest.Ask() }
+// BeginRequest has to be called before a record is read or written that Take takes in.
+func (m *Cache) BeginRequest() detection.Request { return m.newest.Ask() }
 
-// Take takes in a record that was read or written elsewhere in this process. If the service
+// ApplyAnswer takes in a record that was read or written elsewhere in this process. If the service
 // was put back meanwhile, its revision may be of the past, and the record lost.
-func (m *Cache) Take(asked detection.Request, p kvstore.Pair) {
+func (m *Cache) ApplyAnswer(asked detection.Request, p kvstore.Pair) {
 	if !m.newest.Raise(asked, p.Revision) {
 		p.Revision = 0
 	}
@@ -49,7 +49,7 @@
 func (m *Cache) readAll(ctx context.Context, pause time.Duration, each func(id string)) (l listing, revision uint64, err error) {
 	revision, err = m.store.EachPaced(ctx, RecordPrefix, pause, func(p kvstore.Pair) {
 		l.read++
-		id := IDOf(p.Key)
+		id := JobIDFromKey(p.Key)
 		each(id)
 		if m.knownRevision(id) > p.Revision {
 			l.older = append(l.older, p)
@@ -61,8 +61,8 @@
 		return l, 0, err
 	}
 	for _, p := range l.older {
-		if m.knownRevision(IDOf(p.Key)) <= revision {
-			m.forgetRevision(IDOf(p.Key))
+		if m.knownRevision(JobIDFromKey(p.Key)) <= revision {
+			m.forgetRevision(JobIDFromKey(p.Key))
 			m.tell(detection.Loss{Kind: detection.RecordOlder, Key: p.Key, Found: p.Revision})
 			m.set(p.Key, p.Value, p.Revision)
 		}
@@ -112,15 +112,15 @@
 	return nil
 }
 
-// Audit compares all records with what this node knows, again and again.
-func (m *Cache) Audit(ctx context.Context, every, pause time.Duration) {
+// RunAudits compares all records with what this node knows, again and again.
+func (m *Cache) RunAudits(ctx context.Context, every, pause time.Duration) {
 	for every > 0 {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(every):
 		}
-		if !m.SawAll() {
+		if !m.ReadAllBeforeLoss() {
 			continue
 		}
 		if err := m.findMissing(ctx, pause); err != nil {
@@ -129,19 +129,19 @@
 	}
 }
 
-// Verify has all records compared with what this node knows, once. Verified tells when
+// RequestAudit has all records compared with what this node knows, once. Verified tells when
 // that is done.
-func (m *Cache) Verify() (ticket uint64) {
+func (m *Cache) RequestAudit() (ticket uint64) {
 	m.mu.Lock()
 	m.losses.wanted++
 	ticket = m.losses.wanted
 	m.mu.Unlock()
-	m.Check()
+	m.RequestRead()
 	return ticket
 }
 
-// Verified tells whether a comparison that was asked for has been made.
-func (m *Cache) Verified(ticket uint64) bool {
+// AuditDone tells whether a comparison that was asked for has been made.
+func (m *Cache) AuditDone(ticket uint64) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.losses.verified >= ticket
@@ -171,8 +171,8 @@
 	return m.losses.wanted != m.losses.verified
 }
 
-// Check has the cache read as soon as it may.
-func (m *Cache) Check() {
+// RequestRead has the cache read as soon as it may.
+func (m *Cache) RequestRead() {
 	select {
 	case m.asks <- make(chan error, 1):
 	default: // it is reading, or about to
--- a/internal/jobs/witness.go
+++ b/internal/jobs/witness.go
@@ -44,12 +44,12 @@
 	w.newest = append(w.newest, witness{strings.Clone(id), revision})
 }
 
-// CheckWitnesses has the newest changes that this node knows compared with the records soon.
-func (m *Cache) CheckWitnesses() {
+// RequestRollbackCheck has the newest changes that this node knows compared with the records soon.
+func (m *Cache) RequestRollbackCheck() {
 	m.mu.Lock()
 	m.witnesses.wanted = true
 	m.mu.Unlock()
-	m.Check()
+	m.RequestRead()
 }
 
 func (m *Cache) witnessesWanted() bool {
@@ -58,8 +58,8 @@
 	return m.witnesses.wanted
 }
 
-// WitnessesChecked returns when the last comparison that found nothing was begun.
-func (m *Cache) WitnessesChecked() time.Time {
+// RollbackCheckedAt returns when the last comparison that found nothing was begun.
+func (m *Cache) RollbackCheckedAt() time.Time {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.witnesses.checked
--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -16,8 +16,8 @@
 // one as well, whatever that costs: a worker may reach no controller by itself.
 func TestAnnouncedAtTakeOver(t *testing.T) {
 	l, reports, now := fleetOf(t, 12) // of each machine, one task takes all CPUs
-	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimateS: 30}
-	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimateS: 30}
+	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimatedRuntimeS: 30}
+	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
 		j := newJob(spec.ID, spec, 2, 0, now)
 		l.jobs[j.id] = j
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -97,7 +97,7 @@
 
 func (l *Leader) jobChanged(c kvstore.Change, now time.Time) {
 	if c.Set == "" {
-		l.Cache.Removed(c.Remove, c.Revision)
+		l.Cache.ApplyRemoval(c.Remove, c.Revision)
 		return
 	}
 	var rec jobs.Record
@@ -105,10 +105,10 @@
 		slog.Error("job record unreadable", "key", c.Set, "reason", err)
 		return
 	}
-	id := jobs.IDOf(c.Set)
+	id := jobs.JobIDFromKey(c.Set)
 	l.changes = append(l.changes, peer.JobChange{ID: id, State: rec.State, Tasks: rec.Tasks})
 	j := l.jobs[id]
-	if known, _ := l.Cache.Known(id); known.Over() && !rec.Over() {
+	if known, _ := l.Cache.Known(id); known.Finished() && !rec.Finished() {
 		return // the record is older than what users were told: it will be written again
 	}
 	if rec.Held != nil {
@@ -118,8 +118,8 @@
 	}
 	switch {
 	case j == nil && l.unseen[id] > c.Revision: // cancelled since
-	case j == nil && !rec.Over() && rec.Spec != nil:
-		j = newJob(id, rec.Spec, c.Revision, rec.AtMs, now)
+	case j == nil && !rec.Finished() && rec.Spec != nil:
+		j = newJob(id, rec.Spec, c.Revision, rec.AcceptedAtMs, now)
 		l.jobs[id] = j
 		if _, seen := l.knowledge[id]; seen || rec.Restored || l.strays[id] != nil {
 			l.adoptTasksOf(j, now)
@@ -133,7 +133,7 @@
 		l.cancelled(j, c.Revision)
 	case rec.State == jobs.Done && !j.recorded && !j.cancelled:
 		l.doneElsewhere(j)
-	case !rec.Over() && c.Revision > j.revision && !j.recorded:
+	case !rec.Finished() && c.Revision > j.revision && !j.recorded:
 		j.revision = c.Revision // its record was lost, and is written again
 	}
 }
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -26,7 +26,7 @@
 	other := report(1, 1)
 	other.Machine = "m-2"
 	l.report(other, now)
-	j = newJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimateS: 30, CheckpntS: 10, SaveS: 3, OneZone: true}, 1, 0, now)
+	j = newJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimatedRuntimeS: 30, CheckpointIntervalS: 10, CheckpointSaveS: 3, OneZone: true}, 1, 0, now)
 	l.jobs[j.id] = j
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
 		if a := l.assign(j, j.take(), l.machines.byID[id], now); a.n != i {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -17,7 +17,7 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.viewTime, l.fresh = now, !l.Cache.Settled()
+	l.viewTime, l.fresh = now, !l.Cache.ProvenCurrent()
 	segments, _, err := l.Store.List(ctx, logPrefix)
 	if err != nil {
 		return 0, err
@@ -29,7 +29,7 @@
 	l.checkLog(log, now)
 	named := jobsNamed(log)
 	ended := map[string]kvstore.Pair{} // of which tasks may be left
-	over, listed, known := 0, 0, l.Cache.Recorded()
+	over, listed, known := 0, 0, l.Cache.RecordedCount()
 	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) {
 		listed++
 		var rec jobs.Record
@@ -37,17 +37,17 @@
 			slog.Error("job record unreadable", "key", p.Key, "reason", err)
 			return
 		}
-		id := jobs.IDOf(p.Key)
+		id := jobs.JobIDFromKey(p.Key)
 		told, _ := l.Cache.Known(id)
 		if rec.Held != nil {
 			l.hold(id, &rec, p.Revision)
 		}
 		switch {
-		case rec.Over(), told.Over(): // the latter: it is older than what users were told
+		case rec.Finished(), told.Finished(): // the latter: it is older than what users were told
 		case rec.Held != nil:
 			return
 		case rec.Spec != nil:
-			j := newJob(id, rec.Spec, p.Revision, rec.AtMs, now)
+			j := newJob(id, rec.Spec, p.Revision, rec.AcceptedAtMs, now)
 			l.jobs[id] = j
 			if rec.Restored || l.affectsLog {
 				l.adoptTasksOf(j, now)
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -61,7 +61,7 @@
 // arrived takes in the work of a new job, in CPU seconds a second. An old one,
 // that a new leader finds, counts the less.
 func (l *Leader) arrived(j *job, age time.Duration, now time.Time) {
-	if !j.spec.Ends() {
+	if !j.spec.RunsToCompletion() {
 		return
 	}
 	l.decayFlow(now)
@@ -81,7 +81,7 @@
 	l.decayFlow(now)
 	work := 0.0
 	for _, j := range l.jobs {
-		if !j.over() && j.spec.Ends() {
+		if !j.over() && j.spec.RunsToCompletion() {
 			work += float64(j.spec.Tasks-j.doneCount) * l.runS(j.spec) * j.spec.CPUs
 		}
 	}
@@ -90,7 +90,7 @@
 		if t := l.machineType(m.typ); t != nil && m.phase != returning && !m.dead && !m.draining {
 			missing -= t.CPUs
 			for _, a := range m.assigned {
-				if !a.job.spec.Ends() {
+				if !a.job.spec.RunsToCompletion() {
 					missing += a.job.spec.CPUs
 				}
 			}
@@ -125,7 +125,7 @@
 			continue
 		}
 		for _, a := range m.assigned {
-			if a.outcome != open || !a.job.spec.Ends() {
+			if a.outcome != open || !a.job.spec.RunsToCompletion() {
 				continue
 			}
 			left := l.runS(a.job.spec) - now.Sub(a.since).Seconds()
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -167,9 +167,9 @@
 			continue
 		}
 		switch s := a.job.spec; {
-		case a.job.isGang() && gang.Saves(s.CheckpntS, s.SaveS, l.Derived.GangPeer.Seconds(), inS),
-			!a.job.isGang() && s.CheckpntS > 0 && s.SaveS < inS:
-			l.stopWithGang(a, s.SaveS)
+		case a.job.isGang() && gang.Saves(s.CheckpointIntervalS, s.CheckpointSaveS, l.Derived.GangPeer.Seconds(), inS),
+			!a.job.isGang() && s.CheckpointIntervalS > 0 && s.CheckpointSaveS < inS:
+			l.stopWithGang(a, s.CheckpointSaveS)
 		case l.hopeless(a, inS, now):
 			l.stopWithGang(a, 0)
 		}
@@ -180,7 +180,7 @@
 // hopeless tells whether a task on a machine that will be taken should begin anew
 // elsewhere: if it stays, it most likely loses the time until then as well.
 func (l *Leader) hopeless(a *assignment, inS float64, now time.Time) bool {
-	if !a.job.spec.Ends() {
+	if !a.job.spec.RunsToCompletion() {
 		return len(l.unmet) == 0 // it never completes; while others wait it would, too
 	}
 	ran := 0.0
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -119,7 +119,7 @@
 // its record may have been lost.
 func TestUnassignedTasksAreStopped(t *testing.T) {
 	l, _, _, now := bench()
-	l.Cache.Set("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
+	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
 	l.report(report(1, 2), now)
 	tasks := []workers.Task{
 		{Task: "j-1/0", Attempt: 101, State: workers.Running},
@@ -260,7 +260,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, _, now := bench()
 			l.runTimes["sums"] = &runTimes{variance: 0.25, tasks: 100, jobs: 100}
-			j := newJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimateS: 10}, 1, 0, now)
+			j := newJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10}, 1, 0, now)
 			l.jobs["j-2"] = j
 			for range 25 {
 				j.took(math.Log(10))
@@ -475,7 +475,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, j, now := bench()
-			j.spec.EstimateS, j.spec.Shape = 30, tc.shape
+			j.spec.EstimatedRuntimeS, j.spec.Shape = 30, tc.shape
 			l.report(report(1, 2), now)
 			task := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}
 			l.report(report(1, 3, task), now)
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -62,7 +62,7 @@
 	for _, s := range out.Stop {
 		a, grace := placed[s.Task], 0.0
 		if !s.AtOnce {
-			grace = a.job.spec.SaveS
+			grace = a.job.spec.CheckpointSaveS
 		}
 		l.stopWithGang(a, grace)
 	}
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -99,7 +99,7 @@
 		}
 		p.Revision = uint64(len(pairs) + 1)
 		pairs = append(pairs, p)
-		if id := jobs.IDOf(p.Key); id != p.Key {
+		if id := jobs.JobIDFromKey(p.Key); id != p.Key {
 			var rec jobs.Record
 			if err := json.Unmarshal(p.Value, &rec); err != nil {
 				t.Fatal(p.Key, err)
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -15,7 +15,7 @@
 // meet, given how long its tasks run. One that has not begun is due by its aim
 // to begin, too.
 func (l *Leader) dueS(j *job, wall int64) float64 {
-	if !j.spec.Ends() {
+	if !j.spec.RunsToCompletion() {
 		return placement.NoDeadline
 	}
 	age, runs := float64(wall-j.atMs)/1000, l.runS(j.spec)
@@ -113,7 +113,7 @@
 			}
 		}
 	}
-	if j.spec.Shape == jobs.Batch && j.spec.CheckpntS == 0 && p.DueS < placement.NoDeadline {
+	if j.spec.Shape == jobs.Batch && j.spec.CheckpointIntervalS == 0 && p.DueS < placement.NoDeadline {
 		p.Fragile = p.DueS < 2*l.runS(j.spec)
 	}
 	p.AwaitsRoom = !l.mayPreempt(j, now)
@@ -153,7 +153,7 @@
 // would begin anew. What it has by now may be there because it went first.
 func (l *Leader) remember(j *job, age time.Duration, now time.Time) {
 	j.served = now.Add(-max(0, age))
-	if !j.spec.Ends() || now.Sub(j.served) <= l.Derived.BeginBy || len(j.tasks) > mostAhead(j) {
+	if !j.spec.RunsToCompletion() || now.Sub(j.served) <= l.Derived.BeginBy || len(j.tasks) > mostAhead(j) {
 		return
 	}
 	for _, a := range j.tasks {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -160,8 +160,8 @@
 	l.enter(Comparing)
 	l.since, l.again, l.unmark = now, false, false
 	l.round++
-	l.Cache.Suspect(now.Add(l.Derived.Cancel))
-	l.ticket = l.Cache.Verify()
+	l.Cache.SuspectLossUntil(now.Add(l.Derived.Cancel))
+	l.ticket = l.Cache.RequestAudit()
 	l.listAnew.Store(true)
 	l.ownAfter, l.ownDone = "", false
 	clear(l.peers)
@@ -207,12 +207,12 @@
 	l.enter(Restoring)
 	l.affectsLog, l.ignorant = false, false
 	for id, k := range l.knowledge {
-		l.Cache.Learn(id, told(k), k.TaskCount())
+		l.Cache.AddLost(id, told(k), k.TaskCount())
 	}
-	l.Cache.Compared()
+	l.Cache.MarkCompared()
 	l.queueDecided()
-	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostJobs(), "to decide", len(l.knowledge))
-	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostJobs()))
+	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostCount(), "to decide", len(l.knowledge))
+	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostCount()))
 }
 
 // told is the state of a lost job that users may be told: an end that is concluded from its
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -32,30 +32,30 @@
 
 // compareOwn takes in a page of what this node's cache knows beyond the records.
 func (l *Leader) compareOwn() {
-	if l.ownDone || !l.Cache.Verified(l.ticket) {
+	if l.ownDone || !l.Cache.AuditDone(l.ticket) {
 		return
 	}
-	page, more := l.Cache.Lost(l.ownAfter, lostPageRows)
+	page, more := l.Cache.LostPage(l.ownAfter, lostPageRows)
 	for _, lost := range page {
 		l.ownAfter = lost.ID
 		if l.isPlain(lost) {
 			continue // it is written from the cache: see refill
 		}
 		l.learnOwn(lost.ID)
-		l.learn(lost.ID, recovery.FromCache(l.Node), lost.State, lost.Tasks, decodeRecord(l.Cache.Unfinished(lost.ID)))
+		l.learn(lost.ID, recovery.FromCache(l.Node), lost.State, lost.Tasks, decodeRecord(l.Cache.UnfinishedRecord(lost.ID)))
 	}
 	l.ownDone = !more
 }
 
 // isPlain tells whether nothing needs to be known of a lost job but that it is over, as this
 // node's cache has it. There may be hundreds of thousands of those.
-func (l *Leader) isPlain(lost jobs.Lost) bool {
-	return lost.Found == "" && l.isOverHere(lost)
+func (l *Leader) isPlain(lost jobs.LostJob) bool {
+	return lost.RecordedState == "" && l.isOverHere(lost)
 }
 
 // isOverHere tells whether a lost job is over, as this node's cache has it, and this leader
 // has nothing else to do with it.
-func (l *Leader) isOverHere(lost jobs.Lost) bool {
+func (l *Leader) isOverHere(lost jobs.LostJob) bool {
 	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
 	return over && l.jobs[lost.ID] == nil && l.held[lost.ID] == nil
 }
@@ -65,7 +65,7 @@
 func (l *Leader) knownAlike(j peer.LostJob) bool {
 	known, _ := l.Cache.Known(j.ID)
 	_, open := l.knowledge[j.ID]
-	return !open && known.Over() && known.State == j.State && l.jobs[j.ID] == nil
+	return !open && known.Finished() && known.State == j.State && l.jobs[j.ID] == nil
 }
 
 // learnOwn takes in what this leader's own picture says of a lost job.
@@ -99,7 +99,7 @@
 		k.Unfinished = true
 	}
 	if rec != nil {
-		k.Spec, k.AtMs = rec.Spec, rec.AtMs
+		k.Spec, k.AtMs = rec.Spec, rec.AcceptedAtMs
 	}
 	l.knowledge.Add(id, recovery.Says(from, k))
 	// Whatever else is not certain yet: what is over stops at once.
@@ -191,14 +191,14 @@
 
 // settling tells whether this leader still waits for that.
 func (l *Leader) settling(now time.Time) bool {
-	return l.fresh && !l.Cache.Settled() && now.Sub(l.term.Since) < mostSettling(l.Derived)
+	return l.fresh && !l.Cache.ProvenCurrent() && now.Sub(l.term.Since) < mostSettling(l.Derived)
 }
 
 // endSettling ends the wait: nobody leads who could know more.
 func (l *Leader) endSettling(now time.Time) {
 	if l.fresh && !l.settling(now) {
 		l.fresh = false
-		l.Cache.BeSure()
+		l.Cache.AssumeComplete()
 		l.replan = true
 	}
 }
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	if l.phase == Whole && (l.Cache.Suspected() || l.Cache.LostJobs() > 0) {
+	if l.phase == Whole && (l.Cache.LossSuspected() || l.Cache.LostCount() > 0) {
 		// Something was noticed while nobody led.
 		l.expectTasks(now)
 		l.suspect(detection.Loss{Kind: detection.Earlier}, now)
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -93,7 +93,7 @@
 
 func (l *Leader) recoveryStatus() RecoveryStatus {
 	s := RecoveryStatus{
-		Phase: l.phase, Since: l.since, Evidence: maps.Clone(l.evidence), Lost: l.Cache.LostJobs(), ToWrite: max(l.Cache.LostJobs(), len(l.unwritten)),
+		Phase: l.phase, Since: l.since, Evidence: maps.Clone(l.evidence), Lost: l.Cache.LostCount(), ToWrite: max(l.Cache.LostCount(), len(l.unwritten)),
 		Written: maps.Clone(l.restored), Adopting: len(l.adopting), Held: len(l.held), HeldJobs: []HeldStatus{},
 		Events: slices.Clone(l.history.events), NotShown: l.history.dropped,
 	}
@@ -140,7 +140,7 @@
 			err = fmt.Errorf("%w: its record has changed meanwhile", recovery.ErrRefused)
 		}
 		if err == nil {
-			l.Cache.Set(jobs.RecordKey(id), r.value, rev)
+			l.Cache.Apply(jobs.RecordKey(id), r.value, rev)
 		}
 		reply(err)
 	}()
@@ -194,7 +194,7 @@
 			reply(answer{err: fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)})
 			return
 		}
-		if !l.Cache.Listed() {
+		if !l.Cache.InitialReadDone() {
 			reply(answer{err: ErrNotReady})
 			return
 		}
@@ -223,7 +223,7 @@
 func (l *Leader) importFact(id string, rec *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
 	k := recovery.Knowledge{
 		Done: rec.State == jobs.Done, Cancelled: rec.State == jobs.Cancelled,
-		Spec: rec.Description(), AtMs: rec.AtMs, Tasks: rec.Tasks,
+		Spec: rec.Description(), AtMs: rec.AcceptedAtMs, Tasks: rec.Tasks,
 	}
 	known, found := l.Cache.Known(id)
 	switch {
@@ -232,12 +232,12 @@
 	case !found:
 		count.Missing++
 		l.knowledge.Add(id, recovery.Says(from, k))
-	case rec.Over() && known.Over() && known.State != rec.State:
+	case rec.Finished() && known.Finished() && known.State != rec.State:
 		// What users were told last stays; which of the two is right is for a person to see.
 		count.Contradicting++
 		slog.Error("snapshot contradicts a record", "job", id, "term", l.token, "record", known.State, "snapshot", rec.State)
 		l.history.add(now, "snapshot contradicts the record", id)
-	case rec.Over() && known.State != rec.State:
+	case rec.Finished() && known.State != rec.State:
 		count.Ended++
 		l.knowledge.Add(id, recovery.Says(from, k))
 	case l.Cache.RecordRevision(id) == 0:
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -33,7 +33,7 @@
 	if j := l.jobs[id]; j != nil {
 		return l.adopting[j] && !j.over() && j.parts[n].machine == m
 	}
-	if known, found := l.Cache.Known(id); found && known.Over() {
+	if known, found := l.Cache.Known(id); found && known.Finished() {
 		return false
 	}
 	if l.held[id] != nil {
@@ -107,7 +107,7 @@
 			l.strayFound(id, p, now)
 		case !s.missing:
 			s.missing = true
-			l.Cache.Missing(id)
+			l.Cache.NoteMissing(id)
 			l.knowledge.Add(id, word)
 			l.suspect(detection.Loss{Kind: detection.TaskUnknown, Key: id}, now)
 		}
@@ -121,7 +121,7 @@
 // strayFound takes in the record of a job that was not known here.
 func (l *Leader) strayFound(id string, p kvstore.Pair, now time.Time) {
 	delete(l.strays, id)
-	l.Cache.Set(p.Key, p.Value, p.Revision)
+	l.Cache.Apply(p.Key, p.Value, p.Revision)
 	l.jobChanged(kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision}, now)
 }
 
@@ -139,8 +139,8 @@
 	if old != nil && old.revision >= revision {
 		return
 	}
-	h := &heldJob{revision: revision, why: rec.Held.Reason, sinceMs: rec.Held.HeldMs}
-	k := recovery.Knowledge{Spec: rec.Held.Spec, AtMs: rec.Held.AtMs, Unfinished: rec.Held.Complete}
+	h := &heldJob{revision: revision, why: rec.Held.Reason, sinceMs: rec.Held.HeldSinceMs}
+	k := recovery.Knowledge{Spec: rec.Held.Spec, AtMs: rec.Held.AcceptedAtMs, Unfinished: rec.Held.OnlySpecMissing}
 	if rec.Held.Spec != nil {
 		k.Tasks = rec.Tasks
 	} else {
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -60,11 +60,11 @@
 // refill queues the next page of jobs that are over and of which nothing else has to be known,
 // and tells whether there were any left.
 func (l *Leader) refill() bool {
-	page, more := l.Cache.Lost(l.plainAfter, lostPageRows)
+	page, more := l.Cache.LostPage(l.plainAfter, lostPageRows)
 	for _, lost := range page {
 		l.plainAfter = lost.ID
 		// One whose record says less may have been without any when it was compared.
-		contradicted := lost.Found == jobs.Done || lost.Found == jobs.Cancelled
+		contradicted := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
 		if _, open := l.knowledge[lost.ID]; open || contradicted || !l.isOverHere(lost) {
 			continue
 		}
@@ -99,7 +99,7 @@
 	}
 	r := lostRecord{id: id, decision: d, revision: l.Cache.RecordRevision(id)}
 	if d.Final() {
-		r.value = rec.Ended(d.State, l.Derived.ValueBytes)
+		r.value = rec.FinalForm(d.State, l.Derived.ValueBytes)
 	} else {
 		r.value, _ = json.Marshal(rec)
 	}
@@ -149,7 +149,7 @@
 // knowledgeOf returns what is known of a job that is to be written, with what this node has
 // learnt of it by now.
 func (l *Leader) knowledgeOf(id string) (recovery.Knowledge, bool) {
-	if now, found := l.Cache.Known(id); found && now.Over() {
+	if now, found := l.Cache.Known(id); found && now.Finished() {
 		l.learn(id, recovery.FromCache(l.Node), now.State, now.Tasks, nil)
 	}
 	if h := l.held[id]; h != nil {
@@ -182,7 +182,7 @@
 	found := map[string]kvstore.Pair{}
 	for _, key := range keys {
 		if p, _, err := l.Store.Get(ctx, key); err == nil && key != election.HolderKey {
-			found[jobs.IDOf(key)] = p
+			found[jobs.JobIDFromKey(key)] = p
 		}
 	}
 	return found
@@ -220,16 +220,16 @@
 // writing any more: it says as much as what would be written.
 func (l *Leader) standsAlready(r lostRecord, p kvstore.Pair) bool {
 	if p.Revision == 0 {
-		l.Cache.Missing(r.id)
+		l.Cache.NoteMissing(r.id)
 		return false
 	}
-	l.Cache.Set(p.Key, p.Value, p.Revision)
+	l.Cache.Apply(p.Key, p.Value, p.Revision)
 	var rec jobs.Record
 	if jsonv2.Unmarshal(p.Value, &rec) != nil {
 		return false // what cannot be read is written over, by its revision
 	}
 	switch {
-	case rec.Over():
+	case rec.Finished():
 		// Another end than what is known is for an operator to see.
 		return rec.State == r.decision.State || !r.decision.Final()
 	case rec.Held != nil:
@@ -241,7 +241,7 @@
 
 func (l *Leader) recordWritten(r lostRecord, rev uint64, now time.Time) {
 	l.restored[r.decision.Outcome]++
-	l.Cache.Set(jobs.RecordKey(r.id), r.value, rev)
+	l.Cache.Apply(jobs.RecordKey(r.id), r.value, rev)
 	k, _ := l.knowledgeOf(r.id)
 	slog.Info("lost record written", "job", r.id, "term", l.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Words())
 	l.history.add(now, string(r.decision.Outcome), r.id)
--- a/internal/leader/runtimes.go
+++ b/internal/leader/runtimes.go
@@ -12,9 +12,9 @@
 // by how far the estimates of its class have been off lately.
 func (l *Leader) runS(s *jobs.Spec) float64 {
 	if r := l.runTimes[s.Class]; r != nil {
-		return s.EstimateS * math.Exp(r.off)
+		return s.EstimatedRuntimeS * math.Exp(r.off)
 	}
-	return s.EstimateS
+	return s.EstimatedRuntimeS
 }
 
 // runTimes is what was learnt of the run times of a class, as logarithms: how far
@@ -44,7 +44,7 @@
 // ran learns from a completed task.
 func (l *Leader) ran(a *assignment, now time.Time) {
 	took := now.Sub(a.since).Seconds()
-	if a.since.Equal(a.born) || a.restored && a.job.isGang() || a.job.spec.EstimateS <= 0 || took <= 0 {
+	if a.since.Equal(a.born) || a.restored && a.job.isGang() || a.job.spec.EstimatedRuntimeS <= 0 || took <= 0 {
 		return // nobody saw it start
 	}
 	r, x := l.runsOf(a.job.spec.Class), math.Log(took)
@@ -53,7 +53,7 @@
 	}
 	a.job.took(x)
 	r.tasks++
-	r.off += max(taskWeight, 1/r.tasks) * (x - math.Log(a.job.spec.EstimateS) - r.off)
+	r.off += max(taskWeight, 1/r.tasks) * (x - math.Log(a.job.spec.EstimatedRuntimeS) - r.off)
 }
 
 // took notes how long a task of the job ran.
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -40,7 +40,7 @@
 	l.watch.Forget(m.id)
 	l.jobs, l.log = map[string]*job{}, assignmentLog{}
 	l.readLog(nil)
-	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
+	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimatedRuntimeS: 30, Spot: true, Image: "img"}
 	j := newJob(spec.ID, spec, 1, 0, now)
 	l.jobs[j.id] = j
 	var reports []*workers.Report
@@ -115,7 +115,7 @@
 func BenchmarkPlanFull(b *testing.B) {
 	l, _, now := fleetOf(b, 400)
 	for i := range 100 {
-		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimateS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
+		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimatedRuntimeS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
 		j := newJob(s.ID, s, uint64(i+2), 0, now)
 		l.jobs[j.id] = j
 		l.queue(j)
@@ -130,7 +130,7 @@
 // work that could make room for it.
 func BenchmarkPlanGang(b *testing.B) {
 	l, _, now := fleetOf(b, largest)
-	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimateS: 30, Image: "img", OneZone: true}
+	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
 	j := newJob(spec.ID, spec, 1, 0, now)
 	l.jobs[j.id] = j
 	l.queue(j)
--- a/internal/leader/slow.go
+++ b/internal/leader/slow.go
@@ -50,13 +50,13 @@
 		}
 		services := false
 		for _, a := range m.assigned {
-			if !a.job.spec.Ends() {
+			if !a.job.spec.RunsToCompletion() {
 				services = true
 				continue
 			}
 			took, runS := now.Sub(a.since).Seconds(), l.runS(a.job.spec)
 			if a.outcome == open && !a.stop && (slowFactor*runS-took > runS || took > slowFactor*runS) {
-				l.stopWithGang(a, a.job.spec.SaveS)
+				l.stopWithGang(a, a.job.spec.CheckpointSaveS)
 				l.replan = true
 			}
 		}
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -14,7 +14,7 @@
 	j := a.job
 	return reconcile.Attempt{
 		Session: a.session, Durable: a.durable, Ordered: a.ordered, Sent: a.sent, DoubtToken: a.doubt, Seen: a.seen,
-		Ends: j.spec.Ends(), JobOver: j.over(), JobCancelled: j.cancelled, Stopping: a.stop, GraceS: a.grace,
+		Ends: j.spec.RunsToCompletion(), JobOver: j.over(), JobCancelled: j.cancelled, Stopping: a.stop, GraceS: a.grace,
 		GangWhole: a.mayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
 		Incomplete: a.restored && a.seen == "" && l.awaitsWorkers(j, now),
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -115,7 +115,7 @@
 		return // its user was faster
 	}
 	rec := jobs.Record{Tasks: j.spec.Tasks, Spec: j.spec}
-	b.add(jobs.RecordKey(j.id), j.revision, rec.Ended(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
+	b.add(jobs.RecordKey(j.id), j.revision, rec.FinalForm(jobs.Done, l.Derived.ValueBytes), func(uint64) {})
 	b.undo = append(b.undo, func() { l.finished = append(l.finished, j) })
 	b.done = append(b.done, func(uint64) {
 		slog.Debug("job done", "job", j.id, "term", l.token)
@@ -219,7 +219,7 @@
 }
 
 func (l *Leader) relearn(b *batch, key string, p kvstore.Pair) {
-	id := jobs.IDOf(key)
+	id := jobs.JobIDFromKey(key)
 	if id == key { // not a job's record
 		if learn := b.revisions[key]; learn != nil {
 			learn(p.Revision)
@@ -242,7 +242,7 @@
 	if jsonv2.Unmarshal(p.Value, &rec) != nil {
 		return
 	}
-	if !rec.Over() {
+	if !rec.Finished() {
 		j.revision = p.Revision // it was lost and is back
 		return
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -165,7 +165,7 @@
 			in.look(m)
 			room := m.Free.Plus(m.Freeing, 1)
 			for _, p := range m.Tasks {
-				if p.Job.Spec.Ends() {
+				if p.Job.Spec.RunsToCompletion() {
 					room = room.Plus(Of(p.Job.Spec), 1)
 				}
 			}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -45,7 +45,7 @@
 func TestPlan(t *testing.T) {
 	teams := []settings.Team{{Name: "red", CPUs: 4, CPUsMax: 8}, {Name: "blue", CPUs: 4, CPUsMax: 100}}
 	prod := func(s *jobs.Spec) { s.Priority, s.Shape, s.Spot = jobs.Prod, jobs.Service, false }
-	gang := func(s *jobs.Spec) { s.Shape, s.OneZone, s.EstimateS = jobs.Gang, true, 30 }
+	gang := func(s *jobs.Spec) { s.Shape, s.OneZone, s.EstimatedRuntimeS = jobs.Gang, true, 30 }
 	low := func(s *jobs.Spec) { s.Priority = jobs.BestEffort }
 	for _, tc := range []struct {
 		name  string
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -140,7 +140,7 @@
 func (p *Placed) cost() float64 {
 	s := p.Job.Spec
 	if s.Shape == jobs.Gang {
-		return float64(p.Falls) * (1 + (p.RanS+s.EstimateS)*s.CPUs)
+		return float64(p.Falls) * (1 + (p.RanS+s.EstimatedRuntimeS)*s.CPUs)
 	}
 	return 1 + p.RanS*s.CPUs
 }
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -80,14 +80,14 @@
 	rec := jobs.Record{State: d.State, Tasks: max(1, k.TaskCount())}
 	switch {
 	case d.Held:
-		rec.Held = &jobs.Held{Reason: string(d.Rule), Spec: k.Spec, AtMs: k.AtMs, HeldMs: nowMs, Complete: d.Complete}
+		rec.Held = &jobs.Held{Reason: string(d.Rule), Spec: k.Spec, AcceptedAtMs: k.AtMs, HeldSinceMs: nowMs, OnlySpecMissing: d.Complete}
 	case d.State == jobs.Queued:
-		rec.Spec, rec.AtMs, rec.Restored = k.Spec, k.AtMs, true
+		rec.Spec, rec.AcceptedAtMs, rec.Restored = k.Spec, k.AtMs, true
 	case d.State == jobs.Cancelled:
 		rec.Spec = k.Spec // its tasks count until they are gone
 	}
 	if d.Outcome == Contradictory {
-		rec.Held = &jobs.Held{Reason: string(d.Rule), HeldMs: nowMs, Contradicts: true}
+		rec.Held = &jobs.Held{Reason: string(d.Rule), HeldSinceMs: nowMs, Contradicts: true}
 	}
 	return rec
 }
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -140,7 +140,7 @@
 
 // allDone tells whether every task of a job of which the number of tasks is known is done.
 func (k Knowledge) allDone() bool {
-	return k.Tasks > 0 && len(k.TasksDone) >= k.Tasks && (k.Spec == nil || k.Spec.Ends())
+	return k.Tasks > 0 && len(k.TasksDone) >= k.Tasks && (k.Spec == nil || k.Spec.RunsToCompletion())
 }
 
 // View is what is known of several jobs, by id.
