--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -20,6 +20,8 @@
 	"ospreyslip/internal/autoscaler"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobapi"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader"
 	"ospreyslip/internal/peer"
@@ -44,7 +46,7 @@
 	set     *settings.Settings
 	d       settings.Derived
 	store   *kvstore.Client
-	cache   *jobs.Cache
+	cache   *jobcache.Cache
 	cloud   *autoscaler.Cloud
 	workers *workers.Client
 	keeper  *election.Keeper
@@ -89,7 +91,7 @@
 	n := &Node{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
 	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
 	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.budget(false))
-	n.cache = jobs.NewCache(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
+	n.cache = jobcache.New(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
 	n.keeper = election.NewKeeper(set.Node, n.store, election.Timing{
 		Lease: d.TermLease, Renew: d.TermRenew, Safe: d.TermSafe, WatchWait: d.WatchWait, Retry: d.TermRenew,
 	})
@@ -183,7 +185,7 @@
 // Handler serves users and workers.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
-	users := &jobs.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
+	users := &jobapi.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
 	users.Register(mux)
 	reports := &workers.Handler{Answer: n.gate.Report, Leader: func() string {
 		if l := n.keeper.Leader(); l != n.set.Node {
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -15,6 +15,7 @@
 
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/snapshot"
@@ -95,7 +96,7 @@
 	})
 	s = nil
 
-	cache := jobs.NewCache(client, time.Millisecond, time.Millisecond, time.Minute, 100)
+	cache := jobcache.New(client, time.Millisecond, time.Millisecond, time.Minute, 100)
 	measure("all records read by a node", func() {
 		go cache.Run(t.Context())
 		for !cache.InitialReadDone() {
@@ -117,7 +118,7 @@
 	view := recovery.View{}
 	measure("unfinished jobs joined and decided", func() {
 		for after, more := "", true; more; {
-			var page []jobs.LostJob
+			var page []jobcache.LostJob
 			page, more = cache.LostPage(after, lostRows)
 			for _, l := range page {
 				after = l.ID
--- a/internal/jobs/held.go
+++ b/internal/jobs/held.go
@@ -17,9 +17,9 @@
 	Contradicts bool `json:"contradicts,omitempty"`
 }
 
-// described returns a held record with the description that was missing. If nothing else
+// WithDescription returns a held record with the description that was missing. If nothing else
 // was, the job is held no more.
-func (r *Record) described(spec *Spec) json.RawMessage {
+func (r *Record) WithDescription(spec *Spec) json.RawMessage {
 	now := Record{State: Queued, Tasks: spec.Tasks}
 	if r.Held.OnlySpecMissing {
 		now.Spec, now.AcceptedAtMs, now.Restored = spec, r.Held.AcceptedAtMs, true
--- a/internal/jobs/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -1,4 +1,4 @@
-package jobs
+package jobapi
 
 import (
 	"context"
@@ -13,6 +13,8 @@
 
 	jsonv2 "github.com/go-json-experiment/json"
 
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/settings"
 )
@@ -24,11 +26,11 @@
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Store    *kvstore.Client
-	Cache    *Cache
+	Cache    *jobcache.Cache
 	// Catalog returns the machine types, or nil while they are not known.
-	Catalog func() []MachineType
+	Catalog func() []jobs.MachineType
 	// Counts returns a job's counts for display, where this node knows them.
-	Counts func(id string) (Counts, bool)
+	Counts func(id string) (jobs.Counts, bool)
 	// Ready tells whether users should come to this node.
 	Ready func() bool
 	// Room tells whether there is memory for more jobs.
@@ -99,9 +101,9 @@
 
 // read reads a job's record, and its revision. Where the state service has lost it, or
 // says less than this node knows, what is known takes its place.
-func (a *API) read(ctx context.Context, id string) (*Record, uint64, error) {
+func (a *API) read(ctx context.Context, id string) (*jobs.Record, uint64, error) {
 	asked := a.Cache.BeginRequest()
-	p, found, err := a.Store.Get(ctx, RecordKey(id))
+	p, found, err := a.Store.Get(ctx, jobs.RecordKey(id))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -111,7 +113,7 @@
 		}
 		return nil, 0, nil
 	}
-	var rec Record
+	var rec jobs.Record
 	if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
 		return nil, 0, err
 	}
@@ -122,10 +124,10 @@
 	return &rec, p.Revision, nil
 }
 
-func (a *API) shownState(id string, rec *Record) string {
+func (a *API) shownState(id string, rec *jobs.Record) string {
 	if !rec.Finished() && a.Counts != nil {
 		if c, ok := a.Counts(id); ok && c.Running > 0 {
-			return Running
+			return jobs.Running
 		}
 	}
 	return rec.State
@@ -141,7 +143,7 @@
 	case err != nil:
 		return // the user is gone
 	}
-	spec, err := ParseSpec(raw)
+	spec, err := jobs.ParseSpec(raw)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
@@ -151,7 +153,7 @@
 		a.later(w, "machine types are not known yet")
 		return
 	}
-	if why := CheckRunnable(spec, types, a.Settings); why != nil {
+	if why := jobs.CheckRunnable(spec, types, a.Settings); why != nil {
 		// A job accepted under an earlier catalog or team stays accepted.
 		a.ifNew(ctx, w, spec.ID, func() { refuse(w, http.StatusUnprocessableEntity, why.Error()) })
 		return
@@ -165,10 +167,10 @@
 		a.ifNew(ctx, w, spec.ID, func() { a.later(w, unsettledText) })
 		return
 	}
-	rec := Record{State: Queued, Tasks: spec.Tasks, Spec: spec, AcceptedAtMs: time.Now().UnixMilli()}
+	rec := jobs.Record{State: jobs.Queued, Tasks: spec.Tasks, Spec: spec, AcceptedAtMs: time.Now().UnixMilli()}
 	value, err := json.Marshal(rec)
 	if err == nil && len(value) > a.Derived.ValueBytes {
-		spec.onlyTypes(types)
+		spec.KeepOnlyTypes(types)
 		value, err = json.Marshal(rec)
 	}
 	if err != nil || len(value) > a.Derived.ValueBytes {
@@ -178,16 +180,16 @@
 	a.retry(ctx, w, func() (bool, error) {
 		if _, known := a.Cache.Known(spec.ID); !known {
 			asked := a.Cache.BeginRequest()
-			rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: RecordKey(spec.ID)}},
-				[]kvstore.Write{{Set: RecordKey(spec.ID), Value: value}})
+			rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: jobs.RecordKey(spec.ID)}},
+				[]kvstore.Write{{Set: jobs.RecordKey(spec.ID), Value: value}})
 			if err != nil {
 				return false, err
 			}
 			if len(failed) == 0 {
 				// Should the state service lose the record, nobody else may know of it.
-				a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: RecordKey(spec.ID), Value: value, Revision: rev})
+				a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: jobs.RecordKey(spec.ID), Value: value, Revision: rev})
 				slog.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
-				reply(w, http.StatusCreated, view{ID: spec.ID, State: Queued})
+				reply(w, http.StatusCreated, view{ID: spec.ID, State: jobs.Queued})
 				return true, nil
 			}
 		}
@@ -197,7 +199,7 @@
 
 // submittedAgain answers the submission of a job that is known already. Where its
 // description was lost, this brings it back.
-func (a *API) submittedAgain(ctx context.Context, w http.ResponseWriter, spec *Spec) (answered bool, err error) {
+func (a *API) submittedAgain(ctx context.Context, w http.ResponseWriter, spec *jobs.Spec) (answered bool, err error) {
 	known, revision, err := a.read(ctx, spec.ID)
 	if err != nil || known == nil {
 		return false, err
@@ -207,10 +209,10 @@
 		return true, nil
 	}
 	if known.Held != nil && known.Held.Spec == nil {
-		value := known.described(spec)
+		value := known.WithDescription(spec)
 		if len(value) <= a.Derived.ValueBytes {
-			_, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: RecordKey(spec.ID), Revision: revision}},
-				[]kvstore.Write{{Set: RecordKey(spec.ID), Value: value}})
+			_, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: jobs.RecordKey(spec.ID), Revision: revision}},
+				[]kvstore.Write{{Set: jobs.RecordKey(spec.ID), Value: value}})
 			if err != nil || len(failed) > 0 {
 				return false, err
 			}
@@ -226,7 +228,7 @@
 
 // unsettled tells whether a job that is unfinished, as far as this node knows, may be over: its
 // record may say less than users were told, or is lost, and was changed just before.
-func (a *API) unsettled(id string, rec *Record) bool {
+func (a *API) unsettled(id string, rec *jobs.Record) bool {
 	return !rec.Finished() && (!a.Cache.ProvenCurrent() || a.Cache.IsLost(id) && a.Cache.LossSuspected())
 }
 
@@ -269,13 +271,13 @@
 
 func (a *API) show(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if !ValidID(id) {
+	if !jobs.ValidID(id) {
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
 	rec, found, err := a.Cache.Get(ctx, id)
 	switch {
-	case errors.Is(err, ErrRecordsMayBeMissing):
+	case errors.Is(err, jobcache.ErrRecordsMayBeMissing):
 		a.showUncertain(w, id)
 	case err != nil:
 		a.later(w, "state service does not answer")
@@ -284,8 +286,8 @@
 	case a.unsettled(id, &rec):
 		a.later(w, unsettledText)
 	default:
-		var c Counts
-		if rec.State == Done {
+		var c jobs.Counts
+		if rec.State == jobs.Done {
 			c.Done = rec.Tasks
 		} else if a.Counts != nil && !rec.Finished() {
 			c, _ = a.Counts(id)
@@ -299,7 +301,7 @@
 func (a *API) showUncertain(w http.ResponseWriter, id string) {
 	if a.Counts != nil {
 		if c, ok := a.Counts(id); ok && c.Running > 0 {
-			reply(w, http.StatusOK, view{ID: id, State: Running, Done: &c.Done, Running: &c.Running})
+			reply(w, http.StatusOK, view{ID: id, State: jobs.Running, Done: &c.Done, Running: &c.Running})
 			return
 		}
 	}
@@ -308,7 +310,7 @@
 
 func (a *API) withdraw(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if !ValidID(id) {
+	if !jobs.ValidID(id) {
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
@@ -330,16 +332,16 @@
 			a.later(w, unsettledText)
 			return true, nil
 		}
-		ended := rec.FinalForm(Cancelled, a.Derived.ValueBytes)
+		ended := rec.FinalForm(jobs.Cancelled, a.Derived.ValueBytes)
 		asked := a.Cache.BeginRequest()
-		rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: RecordKey(id), Revision: revision}},
-			[]kvstore.Write{{Set: RecordKey(id), Value: ended}})
+		rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: jobs.RecordKey(id), Revision: revision}},
+			[]kvstore.Write{{Set: jobs.RecordKey(id), Value: ended}})
 		if err != nil || len(failed) > 0 {
 			return false, err
 		}
-		a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: RecordKey(id), Value: ended, Revision: rev})
+		a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: jobs.RecordKey(id), Value: ended, Revision: rev})
 		slog.Debug("job cancelled", "job", id)
-		reply(w, http.StatusOK, view{ID: id, State: Cancelled})
+		reply(w, http.StatusOK, view{ID: id, State: jobs.Cancelled})
 		return true, nil
 	})
 }
--- a/internal/jobs/brief.go
+++ b/internal/jobs/jobcache/brief.go
@@ -1,8 +1,10 @@
-package jobs
+package jobcache
 
 import (
 	"fmt"
 	"strings"
+
+	"ospreyslip/internal/jobs"
 )
 
 // brief is what a poll needs of a job's record.
@@ -37,7 +39,7 @@
 )
 
 // storedStates are numbered by their place; a record of none of them counts as no state.
-var storedStates = [...]string{Queued, Done, Cancelled, ""}
+var storedStates = [...]string{jobs.Queued, jobs.Done, jobs.Cancelled, ""}
 
 // packID returns an id as one word, if it fits.
 func packID(id string) (key uint64, ok bool) {
--- a/internal/jobs/brief_test.go
+++ b/internal/jobs/jobcache/brief_test.go
@@ -1,10 +1,12 @@
-package jobs
+package jobcache
 
 import (
 	"fmt"
 	"math"
 	"strings"
 	"testing"
+
+	"ospreyslip/internal/jobs"
 )
 
 // Whatever an id and a record look like, the table tells the same as a plain map: ids
@@ -14,7 +16,7 @@
 	table, plain := newBriefTable(), map[string]brief{}
 	ids := []string{"j-0", "j-00", "j-1", "j-01", "j-000412", "j-412", "j-" + strings.Repeat("9", 16), "j-" + strings.Repeat("9", 17), "j-" + strings.Repeat("0", 40), "j-", "j-1x", "x-1", ""}
 	revisions := []uint64{0, 1, 412, mostRevision, mostRevision + 1, math.MaxUint64}
-	tasks := []int{0, 1, MaxTasks, mostTasks, mostTasks + 1, -1}
+	tasks := []int{0, 1, jobs.MaxTasks, mostTasks, mostTasks + 1, -1}
 	n := 0
 	for _, revision := range revisions {
 		for _, count := range tasks {
--- a/internal/jobs/cache.go
+++ b/internal/jobs/jobcache/cache.go
@@ -1,4 +1,4 @@
-package jobs
+package jobcache
 
 import (
 	"cmp"
@@ -13,6 +13,7 @@
 
 	jsonv2 "github.com/go-json-experiment/json"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery/detection"
 )
@@ -37,10 +38,10 @@
 	// unfinished holds the records of jobs that are not over, as they stand in the state
 	// service: should that lose them, nobody else has the descriptions.
 	unfinished map[string]json.RawMessage
-	listed     bool           // all records have been read since this process began
-	recent     []Cancellation // in the order in which this node learnt of them
-	keep       int            // so many of them, at least
-	dropped    uint64         // up to this revision some may be missing
+	listed     bool                // all records have been read since this process began
+	recent     []jobs.Cancellation // in the order in which this node learnt of them
+	keep       int                 // so many of them, at least
+	dropped    uint64              // up to this revision some may be missing
 	losses     losses
 	witnesses  witnesses
 	heard      map[string]heardJob // changes that others know and this node has not read yet
@@ -50,10 +51,10 @@
 	revision uint64
 }
 
-// NewCache makes an empty cache; Run fills it. It remembers the last keep
+// New makes an empty cache; Run fills it. It remembers the last keep
 // cancellations in order, and takes records for uncertain for a time after each
 // evidence of a loss.
-func NewCache(store *kvstore.Client, gap, idle, doubtFor time.Duration, keep int) *Cache {
+func New(store *kvstore.Client, gap, idle, doubtFor time.Duration, keep int) *Cache {
 	return &Cache{
 		store: store, gap: gap, idle: idle, doubtFor: doubtFor, keep: keep,
 		asks: make(chan chan error), jobs: newBriefTable(), unfinished: map[string]json.RawMessage{}, losses: newLosses(), heard: map[string]heardJob{},
@@ -64,7 +65,7 @@
 // told a user of; complete is false if it does not know them all. What it learns of
 // is taken in before anybody is told. What an earlier process of this node told was
 // in the records when this one first read all of them.
-func (m *Cache) CancellationsAfter(after uint64) (later []Cancellation, complete bool) {
+func (m *Cache) CancellationsAfter(after uint64) (later []jobs.Cancellation, complete bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	for _, c := range m.recent {
@@ -77,24 +78,24 @@
 
 // Get returns a job as of a moment after the call. Found is false for one that
 // was not accepted by then; it is ErrUncertain where that cannot be told.
-func (m *Cache) Get(ctx context.Context, id string) (rec Record, found bool, err error) {
+func (m *Cache) Get(ctx context.Context, id string) (rec jobs.Record, found bool, err error) {
 	fresh := make(chan error, 1)
 	select {
 	case m.asks <- fresh:
 	case <-ctx.Done():
-		return Record{}, false, ctx.Err()
+		return jobs.Record{}, false, ctx.Err()
 	}
 	select {
 	case err := <-fresh:
 		if err != nil {
-			return Record{}, false, err
+			return jobs.Record{}, false, err
 		}
 	case <-ctx.Done():
-		return Record{}, false, ctx.Err()
+		return jobs.Record{}, false, ctx.Err()
 	}
 	rec, found = m.Known(id)
 	if !found && !m.NeverAccepted(id) {
-		return Record{}, false, ErrRecordsMayBeMissing
+		return jobs.Record{}, false, ErrRecordsMayBeMissing
 	}
 	return rec, found, nil
 }
@@ -172,7 +173,7 @@
 		}
 		for range readTries {
 			request := m.newest.Ask()
-			revision, changes, err := m.store.Watch(ctx, RecordPrefix, m.revision, 0)
+			revision, changes, err := m.store.Watch(ctx, jobs.RecordPrefix, m.revision, 0)
 			if errors.Is(err, kvstore.ErrCompacted) {
 				m.whole = false
 				return m.list(ctx)
@@ -247,7 +248,7 @@
 	}
 	b := brief{tasks: rec.Tasks, revision: revision}
 	b.state = stateText(rec.State)
-	if evidence := m.take(JobIDFromKey(key), b, value); evidence != "" {
+	if evidence := m.take(jobs.JobIDFromKey(key), b, value); evidence != "" {
 		slog.Error("record says less than is known", "key", key, "reason", string(evidence))
 		m.tell(detection.Loss{Kind: evidence, Key: key, Found: revision})
 	}
@@ -255,7 +256,7 @@
 
 // stateText is one copy of a state's text for all jobs; empty for what is none.
 func stateText(state string) string {
-	for _, s := range []string{Queued, Done, Cancelled} {
+	for _, s := range []string{jobs.Queued, jobs.Done, jobs.Cancelled} {
 		if s == state {
 			return s
 		}
@@ -284,18 +285,18 @@
 		return evidence
 	}
 	m.unnote(id)
-	if now.state == Cancelled && old.revision < now.revision {
-		m.remember(Cancellation{id, now.revision})
+	if now.state == jobs.Cancelled && old.revision < now.revision {
+		m.remember(jobs.Cancellation{Job: id, Revision: now.revision})
 	}
 	return ""
 }
 
-func (m *Cache) remember(c Cancellation) {
+func (m *Cache) remember(c jobs.Cancellation) {
 	m.recent = append(m.recent, c)
 	if len(m.recent) <= 2*m.keep {
 		return
 	}
-	slices.SortFunc(m.recent, func(a, b Cancellation) int { return cmp.Compare(a.Revision, b.Revision) })
+	slices.SortFunc(m.recent, func(a, b jobs.Cancellation) int { return cmp.Compare(a.Revision, b.Revision) })
 	cut := len(m.recent) - m.keep
 	m.dropped = max(m.dropped, m.recent[cut-1].Revision)
 	m.recent = append(m.recent[:0], m.recent[cut:]...)
--- a/internal/jobs/cache_order_test.go
+++ b/internal/jobs/jobcache/cache_order_test.go
@@ -1,4 +1,4 @@
-package jobs
+package jobcache
 
 import (
 	"fmt"
@@ -6,28 +6,30 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ospreyslip/internal/jobs"
 )
 
 // After the cache has read all records, the watch brings changes once more that
 // the list was ahead of. A poll that is answered meanwhile must not see them.
 func TestCacheNeverTurnsBack(t *testing.T) {
-	m := NewCache(nil, time.Second, time.Second, time.Second, 8)
+	m := New(nil, time.Second, time.Second, time.Second, 8)
 	m.set("job/j-1", []byte(`{"stance":"done","tasks":3}`), 105)   // from the list
 	m.set("job/j-1", []byte(`{"stance":"queued","tasks":3}`), 102) // from the watch, on the way to 105
-	if got, _ := m.jobs.get("j-1"); got.state != Done {
+	if got, _ := m.jobs.get("j-1"); got.state != jobs.Done {
 		t.Errorf("done went back to %s", got.state)
 	}
 	m.set("job/j-2", []byte(`{"stance":"queued","tasks":3}`), 103)
 	m.set("job/j-2", []byte(`{"stance":"aborted","tasks":3}`), 107)
-	if got, _ := m.jobs.get("j-2"); got.state != Cancelled {
+	if got, _ := m.jobs.get("j-2"); got.state != jobs.Cancelled {
 		t.Errorf("cancelled is shown as %s", got.state)
 	}
 }
 
 // Who no longer remembers all cancellations since a revision says so.
 func TestCancellationsRemembered(t *testing.T) {
-	m := NewCache(nil, time.Second, time.Second, time.Second, 4)
-	cancel := func(n uint64) { m.set(RecordKey(fmt.Sprintf("j-%d", n)), []byte(`{"stance":"aborted"}`), n) }
+	m := New(nil, time.Second, time.Second, time.Second, 4)
+	cancel := func(n uint64) { m.set(jobs.RecordKey(fmt.Sprintf("j-%d", n)), []byte(`{"stance":"aborted"}`), n) }
 	if _, complete := m.CancellationsAfter(0); complete {
 		t.Error("complete before the records were read")
 	}
@@ -62,10 +64,10 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	m := NewCache(nil, time.Second, time.Second, time.Second, 100)
+	m := New(nil, time.Second, time.Second, time.Second, 100)
 	before := heap()
 	for n := range many {
-		m.set(strings.Clone(RecordKey(fmt.Sprintf("j-%06d", n))), []byte(`{"stance":"done","tasks":30}`), uint64(n))
+		m.set(strings.Clone(jobs.RecordKey(fmt.Sprintf("j-%06d", n))), []byte(`{"stance":"done","tasks":30}`), uint64(n))
 	}
 	each := float64(heap()-before) / many
 	runtime.KeepAlive(m)
--- a/internal/jobs/cache_test.go
+++ b/internal/jobs/jobcache/cache_test.go
@@ -1,4 +1,4 @@
-package jobs_test
+package jobcache_test
 
 import (
 	"context"
@@ -11,6 +11,7 @@
 
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 )
 
@@ -19,7 +20,7 @@
 	t     *testing.T
 	store *emulator.State
 	other *kvstore.Client
-	m     *jobs.Cache
+	m     *jobcache.Cache
 }
 
 func withCache(t *testing.T, scenario func(*cached)) {
@@ -31,7 +32,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		// The only node: there is nobody who could know more.
-		m := jobs.NewCache(client("perch-0"), 100*time.Millisecond, 10*time.Second, 30*time.Second, 8)
+		m := jobcache.New(client("perch-0"), 100*time.Millisecond, 10*time.Second, 30*time.Second, 8)
 		m.AssumeComplete()
 		var duties sync.WaitGroup
 		duties.Go(func() { m.Run(ctx) })
--- a/internal/jobs/certainty.go
+++ b/internal/jobs/jobcache/certainty.go
@@ -1,10 +1,11 @@
-package jobs
+package jobcache
 
 import (
 	"context"
 	"errors"
 	"time"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/recovery/detection"
 )
 
@@ -25,10 +26,6 @@
 // have been accepted all the same.
 var ErrRecordsMayBeMissing = errors.New("records may be missing")
 
-// RecoveryStatusKey is there while a leader compares what the state service has with what
-// others know. A node that starts meanwhile did not see what was lost.
-const RecoveryStatusKey = "recovery/status"
-
 // ReadAllBeforeLoss tells whether this node has read all records, and did so before any loss that it
 // knows of: then a job that it does not know was not accepted before.
 func (m *Cache) ReadAllBeforeLoss() bool {
@@ -166,7 +163,7 @@
 
 // readStatus finds out whether records are being compared at the moment.
 func (m *Cache) readStatus(ctx context.Context) error {
-	_, found, err := m.store.Get(ctx, RecoveryStatusKey)
+	_, found, err := m.store.Get(ctx, jobs.RecoveryStatusKey)
 	if err != nil {
 		return err
 	}
--- a/internal/jobs/heard.go
+++ b/internal/jobs/jobcache/heard.go
@@ -1,9 +1,10 @@
-package jobs
+package jobcache
 
 import (
 	"maps"
 	"strings"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/recovery/detection"
 )
 
@@ -20,16 +21,16 @@
 // NoteAnnounced takes in what a job's record has come to say, as the leader tells.
 func (m *Cache) NoteAnnounced(id, state string, tasks int) {
 	text := stateText(state)
-	if !ValidID(id) || text == "" {
+	if !jobs.ValidID(id) || text == "" {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known, found := m.jobs.get(id)
-	if found && (known.state != Queued || text == Queued) {
+	if found && (known.state != jobs.Queued || text == jobs.Queued) {
 		return // nothing new: knowledge only grows
 	}
-	if earlier, had := m.heard[id]; had && earlier.state != Queued {
+	if earlier, had := m.heard[id]; had && earlier.state != jobs.Queued {
 		return
 	}
 	m.heard[strings.Clone(id)] = heardJob{text, tasks}
@@ -45,7 +46,7 @@
 
 // seen takes in that a record says what was heard of it. The lock is held.
 func (m *Cache) seen(id string, now brief) {
-	if h, heard := m.heard[id]; heard && (now.state == h.state || now.state != Queued) {
+	if h, heard := m.heard[id]; heard && (now.state == h.state || now.state != jobs.Queued) {
 		delete(m.heard, id)
 	}
 }
@@ -69,7 +70,7 @@
 		delete(m.heard, id)
 		known, found := m.jobs.get(id)
 		m.jobs.set(id, brief{state: h.state, tasks: h.tasks, revision: known.revision})
-		if h.state != Queued {
+		if h.state != jobs.Queued {
 			delete(m.unfinished, id)
 		}
 		kind, text := detection.RecordMissing, ""
@@ -77,7 +78,7 @@
 			kind, text = detection.RecordOlder, known.state
 		}
 		m.note(lostEntry{id, text})
-		first = &detection.Loss{Kind: kind, Key: RecordKey(id), Found: known.revision}
+		first = &detection.Loss{Kind: kind, Key: jobs.RecordKey(id), Found: known.revision}
 	}
 	m.mu.Unlock()
 	if first != nil {
--- a/internal/jobs/lost.go
+++ b/internal/jobs/jobcache/lost.go
@@ -1,4 +1,4 @@
-package jobs
+package jobcache
 
 import (
 	"bytes"
@@ -8,6 +8,7 @@
 
 	"github.com/google/btree"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/recovery/detection"
 )
 
@@ -50,11 +51,11 @@
 }
 
 // Known returns what this node knows of a job, however old, without a read.
-func (m *Cache) Known(id string) (rec Record, found bool) {
+func (m *Cache) Known(id string) (rec jobs.Record, found bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	b, found := m.jobs.get(id)
-	return Record{State: b.state, Tasks: b.tasks}, found
+	return jobs.Record{State: b.state, Tasks: b.tasks}, found
 }
 
 // LostPage returns jobs of which this node knows more than the state service, in the order of
@@ -100,15 +101,15 @@
 
 // NoteMissing takes in that a read did not find a job's record. It tells what this node knows
 // of the job.
-func (m *Cache) NoteMissing(id string) (rec Record, known bool) {
+func (m *Cache) NoteMissing(id string) (rec jobs.Record, known bool) {
 	m.mu.Lock()
 	b, known := m.jobs.get(id)
 	first := known && m.miss(id, b)
 	m.mu.Unlock()
 	if first {
-		m.tell(detection.Loss{Kind: detection.RecordMissing, Key: RecordKey(id), Known: b.revision})
+		m.tell(detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: b.revision})
 	}
-	return Record{State: b.state, Tasks: b.tasks}, known
+	return jobs.Record{State: b.state, Tasks: b.tasks}, known
 }
 
 // miss notes that a job has no record, and whether that is news. The lock is held.
@@ -145,7 +146,7 @@
 // ApplyRemoval takes in that a watch shows the removal of a record, which no version of ours
 // ever removes.
 func (m *Cache) ApplyRemoval(key string, revision uint64) {
-	id := JobIDFromKey(key)
+	id := jobs.JobIDFromKey(key)
 	m.mu.Lock()
 	b, known := m.jobs.get(id)
 	news := !known || b.revision <= revision && m.miss(id, b)
@@ -158,11 +159,11 @@
 // merge decides what a record says that differs from what is known. Knowledge only grows:
 // a job that is over stays so, in the way that users were told.
 func merge(known brief, found brief) (now brief, evidence detection.Kind) {
-	over := known.state == Done || known.state == Cancelled
+	over := known.state == jobs.Done || known.state == jobs.Cancelled
 	switch {
 	case !over || known.state == found.state:
 		return found, ""
-	case found.state == Done || found.state == Cancelled:
+	case found.state == jobs.Done || found.state == jobs.Cancelled:
 		return brief{known.state, known.tasks, found.revision}, detection.RecordContradicts
 	}
 	return brief{known.state, known.tasks, found.revision}, detection.RecordOlder
@@ -174,7 +175,7 @@
 // describe keeps the record of a job that is not over. The lock is held.
 func (m *Cache) describe(id string, now brief, value json.RawMessage) {
 	switch {
-	case now.state != Queued:
+	case now.state != jobs.Queued:
 		delete(m.unfinished, id)
 	case !bytes.Contains(value, heldField):
 		m.unfinished[strings.Clone(id)] = bytes.Clone(value)
@@ -201,7 +202,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b, known := m.jobs.get(id)
-	if known && (b.state == Done || b.state == Cancelled || b.state == state) {
+	if known && (b.state == jobs.Done || b.state == jobs.Cancelled || b.state == state) {
 		return
 	}
 	revision := b.revision
@@ -212,8 +213,8 @@
 		found = b.state
 	}
 	m.note(lostEntry{strings.Clone(id), found})
-	if state == Cancelled {
-		m.remember(Cancellation{id, revision})
+	if state == jobs.Cancelled {
+		m.remember(jobs.Cancellation{Job: id, Revision: revision})
 	}
 }
 
--- a/internal/jobs/lost_test.go
+++ b/internal/jobs/jobcache/lost_test.go
@@ -1,4 +1,4 @@
-package jobs_test
+package jobcache_test
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/recovery/detection"
 )
 
@@ -228,7 +229,7 @@
 		c.want("j-001", jobs.Queued, "lost")
 		after, pages, all := "", 0, []string{}
 		for more := true; more; pages++ {
-			var page []jobs.LostJob
+			var page []jobcache.LostJob
 			page, more = c.m.LostPage(after, 10)
 			for _, l := range page {
 				all = append(all, l.ID)
--- a/internal/jobs/verify.go
+++ b/internal/jobs/jobcache/verify.go
@@ -1,10 +1,11 @@
-package jobs
+package jobcache
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery/detection"
 )
@@ -47,9 +48,9 @@
 // its page was on the way, or if the service was put back: only what was known before the
 // reading began proves the latter.
 func (m *Cache) readAll(ctx context.Context, pause time.Duration, each func(id string)) (l listing, revision uint64, err error) {
-	revision, err = m.store.EachPaced(ctx, RecordPrefix, pause, func(p kvstore.Pair) {
+	revision, err = m.store.EachPaced(ctx, jobs.RecordPrefix, pause, func(p kvstore.Pair) {
 		l.read++
-		id := JobIDFromKey(p.Key)
+		id := jobs.JobIDFromKey(p.Key)
 		each(id)
 		if m.knownRevision(id) > p.Revision {
 			l.older = append(l.older, p)
@@ -61,8 +62,8 @@
 		return l, 0, err
 	}
 	for _, p := range l.older {
-		if m.knownRevision(JobIDFromKey(p.Key)) <= revision {
-			m.forgetRevision(JobIDFromKey(p.Key))
+		if m.knownRevision(jobs.JobIDFromKey(p.Key)) <= revision {
+			m.forgetRevision(jobs.JobIDFromKey(p.Key))
 			m.tell(detection.Loss{Kind: detection.RecordOlder, Key: p.Key, Found: p.Revision})
 			m.set(p.Key, p.Value, p.Revision)
 		}
@@ -100,7 +101,7 @@
 	left.each(func(id string) {
 		b, known := m.jobs.get(id)
 		if known && b.revision <= revision && m.miss(id, b) {
-			first = detection.Loss{Kind: detection.RecordMissing, Key: RecordKey(id), Known: b.revision}
+			first = detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: b.revision}
 			count++
 		}
 	})
--- a/internal/jobs/witness.go
+++ b/internal/jobs/jobcache/witness.go
@@ -1,4 +1,4 @@
-package jobs
+package jobcache
 
 import (
 	"context"
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery/detection"
 )
@@ -99,10 +100,10 @@
 	var guards []kvstore.Guard
 	revisions := map[string]uint64{}
 	for _, w := range known {
-		if revisions[RecordKey(w.id)] == 0 {
-			guards = append(guards, kvstore.Guard{Key: RecordKey(w.id)})
+		if revisions[jobs.RecordKey(w.id)] == 0 {
+			guards = append(guards, kvstore.Guard{Key: jobs.RecordKey(w.id)})
 		}
-		revisions[RecordKey(w.id)] = w.revision
+		revisions[jobs.RecordKey(w.id)] = w.revision
 	}
 	for i := range guards {
 		guards[i].Revision = revisions[guards[i].Key]
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -16,6 +16,10 @@
 // RecordPrefix holds one key a job, which is never removed.
 const RecordPrefix = "job/"
 
+// RecoveryStatusKey is there while a leader compares what the state service has with what
+// others know. A node that starts meanwhile did not see what was lost.
+const RecoveryStatusKey = "recovery/status"
+
 // Record is what the state service keeps of a job. It is written when the job
 // is accepted and once more when it ends, guarded by its revision, so that a
 // job ends in one way only. A done job keeps no more than that; a cancelled one
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -1,5 +1,3 @@
-// Package jobs takes users' jobs and keeps their records: any node may accept,
-// show or withdraw a job by linearizable reads and guarded writes.
 package jobs
 
 import (
@@ -82,9 +80,9 @@
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// onlyTypes leaves out allowed machine types that do not exist, and repetitions:
+// KeepOnlyTypes leaves out allowed machine types that do not exist, and repetitions:
 // a record has to fit into one value.
-func (s *Spec) onlyTypes(types []MachineType) {
+func (s *Spec) KeepOnlyTypes(types []MachineType) {
 	var known []string
 	for _, t := range types {
 		if slices.Contains(s.Types, t.Name) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -10,6 +10,7 @@
 	"ospreyslip/internal/autoscaler"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
@@ -34,7 +35,7 @@
 	Publish  func(map[string]jobs.Counts, []peer.JobChange)
 	Catalog  func() []jobs.MachineType
 	Counts   *Counts
-	Cache    *jobs.Cache // what this node knows of all jobs
+	Cache    *jobcache.Cache // what this node knows of all jobs
 	Peers    PeerKnowledge
 	Node     string
 }
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -11,6 +11,7 @@
 
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery"
@@ -49,13 +50,13 @@
 
 // isPlain tells whether nothing needs to be known of a lost job but that it is over, as this
 // node's cache has it. There may be hundreds of thousands of those.
-func (l *Leader) isPlain(lost jobs.LostJob) bool {
+func (l *Leader) isPlain(lost jobcache.LostJob) bool {
 	return lost.RecordedState == "" && l.isOverHere(lost)
 }
 
 // isOverHere tells whether a lost job is over, as this node's cache has it, and this leader
 // has nothing else to do with it.
-func (l *Leader) isOverHere(lost jobs.LostJob) bool {
+func (l *Leader) isOverHere(lost jobcache.LostJob) bool {
 	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
 	return over && l.jobs[lost.ID] == nil && l.held[lost.ID] == nil
 }
