--- a/internal/controller/certainty.go
+++ b/internal/controller/certainty.go
@@ -18,20 +18,20 @@
 // that begins after their answers must have as many. Where one does not answer, the leader's
 // word does, or in the end the time that most outages last.
 func (n *Node) becomeSure(ctx context.Context) {
-	for time.Since(n.born) < n.d.Cancel && !n.cache.ProvenCurrent() {
+	for time.Since(n.born) < n.d.Cancel && !n.cache.Readiness.ProvenCurrent() {
 		others, err := n.askOthers(ctx)
 		switch {
 		case err != nil:
 		case others.noticed != "":
 			n.losses.notice(detection.Loss{Kind: detection.ReportedByPeer, Key: others.noticed})
-		case n.cache.InitialReadDone() && !n.wasPutBack(ctx, others.newest):
-			n.cache.NotePeerCount(others.known, false)
+		case n.cache.Readiness.InitialReadDone() && !n.wasPutBack(ctx, others.newest):
+			n.cache.Readiness.NotePeerCount(others.known, false)
 		}
 		if !n.sleep(ctx, n.d.TermRenew/2) {
 			return
 		}
 	}
-	n.cache.AssumeComplete()
+	n.cache.Readiness.AssumeComplete()
 }
 
 // staySure asks all other controllers after each outage of the state service whether that
@@ -40,7 +40,7 @@
 func (n *Node) staySure(ctx context.Context) {
 	var servedSince time.Time // since the last outage; zero if nothing is to be found out
 	for n.sleep(ctx, n.d.TermRenew/2) {
-		if n.cache.ConfirmedByPeers() || n.store.Failing() {
+		if n.cache.Readiness.ConfirmedByPeers() || n.store.Failing() {
 			servedSince = time.Time{}
 			continue
 		}
@@ -55,7 +55,7 @@
 		others, err := n.askOthers(ctx)
 		heard := err == nil && others.ready && others.noticed == "" && !n.wasPutBack(ctx, others.newest)
 		if heard || time.Since(servedSince) > n.d.Cancel {
-			n.cache.ConfirmByPeers(outages)
+			n.cache.Readiness.ConfirmByPeers(outages)
 		}
 	}
 }
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -54,7 +54,7 @@
 	n := New(c.settings("perch-0"), Wire{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
 	n.catalog.Store(&testTypes)
 	n.memory.short.Store(true)
-	n.cache.AssumeComplete() // as Work does where there are no peers
+	n.cache.Readiness.AssumeComplete() // as Work does where there are no peers
 	body, _ := json.Marshal(asUser(batch("j-1", 1, 10)))
 	rec := httptest.NewRecorder()
 	n.Handler().ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -100,7 +100,7 @@
 	n.losses = newLossDesk()
 	n.cache.OnLoss = n.losses.notice
 	n.keeper.Lost = func(l detection.Loss) {
-		n.cache.SuspectLossUntil(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
+		n.cache.Readiness.SuspectLossUntil(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
 		n.losses.notice(l)
 	}
 	n.hub.Lost = n.lostPage
@@ -125,7 +125,7 @@
 			n.cache.NoteAnnounced(c.ID, c.State, c.Tasks)
 		}
 		n.leaderIsUnsure(p)
-		n.cache.NotePeerCount(p.Known, p.Uncertain)
+		n.cache.Readiness.NotePeerCount(p.Known, p.Uncertain)
 		n.heard.Store(time.Since(n.born).Nanoseconds())
 		if p.Served {
 			n.served.Store(time.Since(n.born).Nanoseconds())
@@ -260,7 +260,7 @@
 
 func (n *Node) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.SetRolledBack(n.gate.PutBack())
+	n.cache.Readiness.SetRolledBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
 		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
@@ -274,7 +274,7 @@
 // of all it stays, since users would only find nobody, and come back later than the
 // service does.
 func (n *Node) ready() bool {
-	if !n.cache.ProvenCurrent() && time.Since(n.born) < 2*n.d.TermLease {
+	if !n.cache.Readiness.ProvenCurrent() && time.Since(n.born) < 2*n.d.TermLease {
 		return false // it has just begun, and cannot tell a new job from a lost one yet
 	}
 	if !n.store.Failing() {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -60,7 +60,7 @@
 	if n.gate.Noticed(l) {
 		return
 	}
-	n.cache.SuspectLossUntil(time.Now().Add(n.d.Cancel))
+	n.cache.Readiness.SuspectLossUntil(time.Now().Add(n.d.Cancel))
 	leader := n.keeper.Leader()
 	if leader == "" || leader == n.set.Node || time.Since(n.losses.told) < n.d.TermLease {
 		return
@@ -79,7 +79,7 @@
 			n.cache.RequestRollbackCheck()
 		}
 		return peer.LostPage{
-			Ready: fresh, Known: n.cache.JobCount(), Newest: n.cache.NewestRevision(), Noticed: n.cache.LossSuspected() || n.cache.LostCount() > 0,
+			Ready: fresh, Known: n.cache.JobCount(), Newest: n.cache.NewestRevision(), Noticed: n.cache.Readiness.LossSuspected() || n.cache.LostCount() > 0,
 			ReliesOnNothing: n.keeper.ReliesOnNothing(),
 		}
 	}
@@ -106,14 +106,14 @@
 // leaderIsUnsure takes in whether the leader is comparing records, or writing lost ones again.
 // Until they are written, this node may not know of a job, or know less than others.
 func (n *Node) leaderIsUnsure(p peer.Progress) {
-	n.cache.SetRolledBack(p.PutBack)
+	n.cache.Readiness.SetRolledBack(p.PutBack)
 	compared := n.losses.unsure.Swap(p.Uncertain) && !p.Uncertain
 	written := n.losses.writing.Swap(p.Restoring) && !p.Restoring
-	if compared || written || !p.Uncertain && !n.cache.ReadAllBeforeLoss() {
-		n.cache.MarkCompared()
+	if compared || written || !p.Uncertain && !n.cache.Readiness.ReadAllBeforeLoss() {
+		n.cache.Readiness.MarkCompared()
 	}
 	if p.Uncertain || p.Restoring {
-		n.cache.SuspectLossUntil(time.Now().Add(n.d.Cancel))
+		n.cache.Readiness.SuspectLossUntil(time.Now().Add(n.d.Cancel))
 	}
 }
 
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -99,7 +99,7 @@
 	cache := jobcache.New(client, time.Millisecond, time.Millisecond, time.Minute, 100)
 	measure("all records read by a node", func() {
 		go cache.Run(t.Context())
-		for !cache.InitialReadDone() {
+		for !cache.Readiness.InitialReadDone() {
 			time.Sleep(time.Millisecond)
 		}
 	})
--- a/internal/jobs/held.go
+++ b/internal/jobs/held.go
@@ -1,6 +1,7 @@
 package jobs
 
 import (
+	"bytes"
 	"encoding/json"
 )
 
@@ -31,3 +32,9 @@
 	raw, _ := json.Marshal(now)
 	return raw
 }
+
+// heldField is in the record of a job that is held, and in no other.
+var heldField = []byte(`"held":`)
+
+// IsHeldRecord tells whether a stored record is that of a held job, without decoding it.
+func IsHeldRecord(value []byte) bool { return bytes.Contains(value, heldField) }
--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -162,7 +162,7 @@
 		a.ifNew(ctx, w, spec.ID, func() { a.later(w, "memory is short at this node") })
 		return
 	}
-	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.ProvenCurrent() {
+	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.Readiness.ProvenCurrent() {
 		// It may have been accepted, and be over, before this node began.
 		a.ifNew(ctx, w, spec.ID, func() { a.later(w, unsettledText) })
 		return
@@ -229,7 +229,7 @@
 // unsettled tells whether a job that is unfinished, as far as this node knows, may be over: its
 // record may say less than users were told, or is lost, and was changed just before.
 func (a *API) unsettled(id string, rec *jobs.Record) bool {
-	return !rec.Finished() && (!a.Cache.ProvenCurrent() || a.Cache.IsLost(id) && a.Cache.LossSuspected())
+	return !rec.Finished() && (!a.Cache.Readiness.ProvenCurrent() || a.Cache.IsLost(id) && a.Cache.Readiness.LossSuspected())
 }
 
 // ifNew answers a submission of a known job with its state; what is done about a new one
--- a/internal/jobs/jobcache/announcements.go
+++ b/internal/jobs/jobcache/announcements.go
@@ -8,80 +8,87 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// The leader tells the others of each change of a record that its watch has shown. A node that
-// has not read it yet keeps it apart, as its own watch may show older changes first. Whatever is
-// not in the records when it has read all changes up to a later moment was lost.
+// The leader announces to the other controllers each change of a record that its watch has
+// shown. A controller that has not read the change yet keeps it apart, as its own watch may show
+// older changes first. An announced change that is not in the records once all changes up to a
+// later moment have been read was lost.
 
-// heardJob is what a record had come to say.
-type heardJob struct {
+// announcedChange is what a record had come to say.
+type announcedChange struct {
 	state string
 	tasks int
 }
 
-// NoteAnnounced takes in what a job's record has come to say, as the leader tells.
-func (m *Cache) NoteAnnounced(id, state string, tasks int) {
-	text := stateText(state)
-	if !jobs.ValidID(id) || text == "" {
-		return
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	known, found := m.jobs.get(id)
-	if found && (known.state != jobs.Queued || text == jobs.Queued) {
-		return // nothing new: knowledge only grows
-	}
-	if earlier, had := m.heard[id]; had && earlier.state != jobs.Queued {
+// announcements are the announced changes, by job id, that are not read yet. They are guarded by
+// the cache's mutex.
+type announcements map[string]announcedChange
+
+func (a announcements) has(id string) bool {
+	_, found := a[id]
+	return found
+}
+
+// add takes in a change, unless one that finished the job was announced before.
+func (a announcements) add(id string, change announcedChange) {
+	if earlier, had := a[id]; had && earlier.state != jobs.Queued {
 		return
 	}
-	m.heard[strings.Clone(id)] = heardJob{text, tasks}
+	a[strings.Clone(id)] = change
 }
 
-// NeverAccepted tells whether a job that this node does not know was certainly never accepted.
-func (m *Cache) NeverAccepted(id string) bool {
-	m.mu.RLock()
-	_, heard := m.heard[id]
-	m.mu.RUnlock()
-	return !heard && m.KnowsAllAccepted()
+// confirm drops a change that the record shows by now, or that a finished job can not show.
+func (a announcements) confirm(id string, now entry) {
+	if change, found := a[id]; found && (now.state == change.state || now.state != jobs.Queued) {
+		delete(a, id)
+	}
 }
 
-// seen takes in that a record says what was heard of it. The lock is held.
-func (m *Cache) seen(id string, now brief) {
-	if h, heard := m.heard[id]; heard && (now.state == h.state || now.state != jobs.Queued) {
-		delete(m.heard, id)
+// NoteAnnounced takes in what a job's record has come to say, as the leader announces.
+func (c *Cache) NoteAnnounced(id, state string, tasks int) {
+	state = internedState(state)
+	if !jobs.ValidID(id) || state == "" {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known, found := c.entries.get(id)
+	if found && (known.state != jobs.Queued || state == jobs.Queued) {
+		return // nothing new: knowledge only grows
 	}
+	c.announced.add(id, announcedChange{state, tasks})
 }
 
-// heardBy returns what was heard by now, and is not in the records as they were read.
-func (m *Cache) heardBy() map[string]heardJob {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return maps.Clone(m.heard)
+// unreadAnnouncements returns a copy of the changes that are announced and not read by now.
+func (c *Cache) unreadAnnouncements() announcements {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return maps.Clone(c.announced)
 }
 
-// missHeard takes in that all changes have been read up to a moment after some were heard of:
-// those that the records do not show were lost.
-func (m *Cache) missHeard(by map[string]heardJob) {
-	var first *detection.Loss
-	m.mu.Lock()
-	for id, h := range by {
-		if m.heard[id] != h {
+// addLostAnnouncements takes in that all changes have been read up to a moment after some were
+// announced: those that the records do not show were lost.
+func (c *Cache) addLostAnnouncements(unread announcements) {
+	var evidence *detection.Loss
+	c.mu.Lock()
+	for id, change := range unread {
+		if c.announced[id] != change {
 			continue
 		}
-		delete(m.heard, id)
-		known, found := m.jobs.get(id)
-		m.jobs.set(id, brief{state: h.state, tasks: h.tasks, revision: known.revision})
-		if h.state != jobs.Queued {
-			delete(m.unfinished, id)
+		delete(c.announced, id)
+		known, found := c.entries.get(id)
+		c.entries.set(id, entry{state: change.state, tasks: change.tasks, revision: known.revision})
+		if change.state != jobs.Queued {
+			delete(c.unfinished, id)
 		}
-		kind, text := detection.RecordMissing, ""
+		kind, recorded := detection.RecordMissing, ""
 		if found && known.revision != 0 {
-			kind, text = detection.RecordOlder, known.state
+			kind, recorded = detection.RecordOlder, known.state
 		}
-		m.note(lostEntry{id, text})
-		first = &detection.Loss{Kind: kind, Key: jobs.RecordKey(id), Found: known.revision}
+		c.lost.add(lostJob{id, recorded})
+		evidence = &detection.Loss{Kind: kind, Key: jobs.RecordKey(id), Found: known.revision}
 	}
-	m.mu.Unlock()
-	if first != nil {
-		m.tell(*first)
+	c.mu.Unlock()
+	if evidence != nil {
+		c.reportLoss(*evidence)
 	}
 }
--- a/internal/jobs/jobcache/apply_test.go
+++ b/internal/jobs/jobcache/apply_test.go
@@ -14,14 +14,14 @@
 // the list was ahead of. A poll that is answered meanwhile must not see them.
 func TestCacheNeverTurnsBack(t *testing.T) {
 	m := New(nil, time.Second, time.Second, time.Second, 8)
-	m.set("job/j-1", []byte(`{"stance":"done","tasks":3}`), 105)   // from the list
-	m.set("job/j-1", []byte(`{"stance":"queued","tasks":3}`), 102) // from the watch, on the way to 105
-	if got, _ := m.jobs.get("j-1"); got.state != jobs.Done {
+	m.Apply("job/j-1", []byte(`{"stance":"done","tasks":3}`), 105)   // from the list
+	m.Apply("job/j-1", []byte(`{"stance":"queued","tasks":3}`), 102) // from the watch, on the way to 105
+	if got, _ := m.entries.get("j-1"); got.state != jobs.Done {
 		t.Errorf("done went back to %s", got.state)
 	}
-	m.set("job/j-2", []byte(`{"stance":"queued","tasks":3}`), 103)
-	m.set("job/j-2", []byte(`{"stance":"aborted","tasks":3}`), 107)
-	if got, _ := m.jobs.get("j-2"); got.state != jobs.Cancelled {
+	m.Apply("job/j-2", []byte(`{"stance":"queued","tasks":3}`), 103)
+	m.Apply("job/j-2", []byte(`{"stance":"aborted","tasks":3}`), 107)
+	if got, _ := m.entries.get("j-2"); got.state != jobs.Cancelled {
 		t.Errorf("cancelled is shown as %s", got.state)
 	}
 }
@@ -29,11 +29,11 @@
 // Who no longer remembers all cancellations since a revision says so.
 func TestCancellationsRemembered(t *testing.T) {
 	m := New(nil, time.Second, time.Second, time.Second, 4)
-	cancel := func(n uint64) { m.set(jobs.RecordKey(fmt.Sprintf("j-%d", n)), []byte(`{"stance":"aborted"}`), n) }
+	cancel := func(n uint64) { m.Apply(jobs.RecordKey(fmt.Sprintf("j-%d", n)), []byte(`{"stance":"aborted"}`), n) }
 	if _, complete := m.CancellationsAfter(0); complete {
 		t.Error("complete before the records were read")
 	}
-	m.listed = true
+	m.Readiness.setInitialReadDone()
 	for _, n := range []uint64{7, 3, 9, 5, 1, 9} { // a list is in the order of names, and what it tells comes twice
 		cancel(n)
 	}
@@ -42,8 +42,8 @@
 	}
 	for n := uint64(11); n < 40; n += 2 {
 		cancel(n)
-		if len(m.recent) > 8 {
-			t.Fatalf("%d are kept", len(m.recent))
+		if len(m.cancellations.entries) > 8 {
+			t.Fatalf("%d are kept", len(m.cancellations.entries))
 		}
 	}
 	if _, complete := m.CancellationsAfter(11); complete {
@@ -67,7 +67,7 @@
 	m := New(nil, time.Second, time.Second, time.Second, 100)
 	before := heap()
 	for n := range many {
-		m.set(strings.Clone(jobs.RecordKey(fmt.Sprintf("j-%06d", n))), []byte(`{"stance":"done","tasks":30}`), uint64(n))
+		m.Apply(strings.Clone(jobs.RecordKey(fmt.Sprintf("j-%06d", n))), []byte(`{"stance":"done","tasks":30}`), uint64(n))
 	}
 	each := float64(heap()-before) / many
 	runtime.KeepAlive(m)
--- a/internal/jobs/jobcache/audit.go
+++ b/internal/jobs/jobcache/audit.go
@@ -10,172 +10,131 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// NewestRevision returns the newest revision of the state service that this node has read or written.
-func (m *Cache) NewestRevision() uint64 { return m.newest.Value() }
-
-// BeginRequest has to be called before a record is read or written that Take takes in.
-func (m *Cache) BeginRequest() detection.Request { return m.newest.Ask() }
-
-// ApplyAnswer takes in a record that was read or written elsewhere in this process. If the service
-// was put back meanwhile, its revision may be of the past, and the record lost.
-func (m *Cache) ApplyAnswer(asked detection.Request, p kvstore.Pair) {
-	if !m.newest.Raise(asked, p.Revision) {
-		p.Revision = 0
-	}
-	m.set(p.Key, p.Value, p.Revision)
+// auditor compares all records with what the cache knows, by reading all of them. Its methods
+// may be called by several goroutines; the tickets are guarded by the cache's mutex.
+type auditor struct {
+	cache *Cache
+	store *kvstore.Client
+
+	lastTicket uint64 // the last that was given out
+	doneTicket uint64 // audits up to this one have been made
 }
 
-// checkRevision takes in a revision that was just read. One below those before shows that
-// the service was put back: revisions are given out again, and all is read anew.
-func (m *Cache) checkRevision(request detection.Request, found uint64) (back bool) {
-	l, back := m.newest.See(request, detection.RevisionBack, "", found)
-	if !back {
-		return false
-	}
-	slog.Error("state service put back", "known", l.Known, "found", l.Found)
-	m.forgetAllRevisions(found)
-	m.tell(l)
-	return true
+// RequestAudit has all records compared with what this controller knows, once. AuditDone tells
+// when that is done.
+func (c *Cache) RequestAudit() (ticket uint64) {
+	c.mu.Lock()
+	c.auditor.lastTicket++
+	ticket = c.auditor.lastTicket
+	c.mu.Unlock()
+	c.reader.request()
+	return ticket
 }
 
-// listing is one reading of all records.
-type listing struct {
-	read  int
-	older []kvstore.Pair // records of an older revision than is known
+// AuditDone tells whether an audit that was requested has been made.
+func (c *Cache) AuditDone(ticket uint64) bool {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.auditor.doneTicket >= ticket
 }
 
-// readAll reads all records once. A record is older than known if that was learnt while
-// its page was on the way, or if the service was put back: only what was known before the
-// reading began proves the latter.
-func (m *Cache) readAll(ctx context.Context, pause time.Duration, each func(id string)) (l listing, revision uint64, err error) {
-	revision, err = m.store.EachPaced(ctx, jobs.RecordPrefix, pause, func(p kvstore.Pair) {
-		l.read++
-		id := jobs.JobIDFromKey(p.Key)
-		each(id)
-		if m.knownRevision(id) > p.Revision {
-			l.older = append(l.older, p)
+// RunAudits compares all records with what this controller knows after each interval, pausing
+// between two pages of records, until the context ends. It does nothing if every is 0.
+func (c *Cache) RunAudits(ctx context.Context, every, pause time.Duration) {
+	for every > 0 {
+		select {
+		case <-ctx.Done():
 			return
+		case <-time.After(every):
 		}
-		m.set(p.Key, p.Value, p.Revision)
-	})
-	if err != nil {
-		return l, 0, err
-	}
-	for _, p := range l.older {
-		if m.knownRevision(jobs.JobIDFromKey(p.Key)) <= revision {
-			m.forgetRevision(jobs.JobIDFromKey(p.Key))
-			m.tell(detection.Loss{Kind: detection.RecordOlder, Key: p.Key, Found: p.Revision})
-			m.set(p.Key, p.Value, p.Revision)
+		if !c.Readiness.ReadAllBeforeLoss() {
+			continue
+		}
+		if err := c.auditor.findMissing(ctx, pause); err != nil {
+			slog.Debug("records not audited", "reason", err)
 		}
 	}
-	return l, revision, nil
 }
 
-func (m *Cache) knownRevision(id string) uint64 {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	b, _ := m.jobs.get(id)
-	return b.revision
+// runRequested makes the audits that were requested by now, in one.
+func (a *auditor) runRequested(ctx context.Context) error {
+	a.cache.mu.RLock()
+	requested, done := a.lastTicket, a.doneTicket
+	a.cache.mu.RUnlock()
+	if requested == done {
+		return nil
+	}
+	if err := a.findMissing(ctx, 0); err != nil {
+		return err
+	}
+	a.cache.mu.Lock()
+	defer a.cache.mu.Unlock()
+	a.doneTicket = requested
+	return nil
 }
 
-func (m *Cache) forgetRevision(id string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	b, _ := m.jobs.get(id)
-	b.revision = 0
-	m.jobs.set(id, b)
+// pending tells whether an audit is requested and not made.
+func (a *auditor) pending() bool {
+	a.cache.mu.RLock()
+	defer a.cache.mu.RUnlock()
+	return a.lastTicket != a.doneTicket
 }
 
-// findMissing reads all records once more and notes each job that is known and not among
-// them. It pauses between two pages. Jobs accepted since it began prove nothing.
-func (m *Cache) findMissing(ctx context.Context, pause time.Duration) error {
-	m.mu.RLock()
-	left := m.jobs.ids()
-	m.mu.RUnlock()
-	_, revision, err := m.readAll(ctx, pause, left.remove)
+// findMissing reads all records and notes each job that is known and not among them. It pauses
+// between two pages. Jobs accepted since it began prove nothing.
+func (a *auditor) findMissing(ctx context.Context, pause time.Duration) error {
+	c := a.cache
+	c.mu.RLock()
+	left := c.entries.ids()
+	c.mu.RUnlock()
+	_, revision, err := a.scan(ctx, pause, left.remove)
 	if err != nil {
 		return err
 	}
-	first, count := detection.Loss{}, 0
-	m.mu.Lock()
+	evidence, count := detection.Loss{}, 0
+	c.mu.Lock()
 	left.each(func(id string) {
-		b, known := m.jobs.get(id)
-		if known && b.revision <= revision && m.miss(id, b) {
-			first = detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: b.revision}
+		known, found := c.entries.get(id)
+		if found && known.revision <= revision && c.addMissingLocked(id, known) {
+			evidence = detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: known.revision}
 			count++
 		}
 	})
-	m.mu.Unlock()
+	c.mu.Unlock()
 	if count > 0 {
 		slog.Error("records missing", "jobs", count)
-		m.tell(first)
+		c.reportLoss(evidence)
 	}
 	return nil
 }
 
-// RunAudits compares all records with what this node knows, again and again.
-func (m *Cache) RunAudits(ctx context.Context, every, pause time.Duration) {
-	for every > 0 {
-		select {
-		case <-ctx.Done():
+// scan reads all records once into the cache, hands over each one's job id, and returns how many
+// there were and the revision that they are at. A record is older than known if that was learnt
+// while its page was on the way, or if the store was rolled back: only what was known before the
+// scan began proves the latter.
+func (a *auditor) scan(ctx context.Context, pause time.Duration, each func(id string)) (count int, revision uint64, err error) {
+	c := a.cache
+	var older []kvstore.Pair // records of an older revision than is known
+	revision, err = a.store.EachPaced(ctx, jobs.RecordPrefix, pause, func(pair kvstore.Pair) {
+		count++
+		id := jobs.JobIDFromKey(pair.Key)
+		each(id)
+		if c.RecordRevision(id) > pair.Revision {
+			older = append(older, pair)
 			return
-		case <-time.After(every):
-		}
-		if !m.ReadAllBeforeLoss() {
-			continue
 		}
-		if err := m.findMissing(ctx, pause); err != nil {
-			slog.Debug("records not audited", "reason", err)
-		}
-	}
-}
-
-// RequestAudit has all records compared with what this node knows, once. Verified tells when
-// that is done.
-func (m *Cache) RequestAudit() (ticket uint64) {
-	m.mu.Lock()
-	m.losses.wanted++
-	ticket = m.losses.wanted
-	m.mu.Unlock()
-	m.RequestRead()
-	return ticket
-}
-
-// AuditDone tells whether a comparison that was asked for has been made.
-func (m *Cache) AuditDone(ticket uint64) bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.verified >= ticket
-}
-
-// verify makes the comparisons that were asked for by now, in one.
-func (m *Cache) verify(ctx context.Context) error {
-	m.mu.RLock()
-	wanted, verified := m.losses.wanted, m.losses.verified
-	m.mu.RUnlock()
-	if wanted == verified {
-		return nil
-	}
-	if err := m.findMissing(ctx, 0); err != nil {
-		return err
+		c.Apply(pair.Key, pair.Value, pair.Revision)
+	})
+	if err != nil {
+		return count, 0, err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.losses.verified = wanted
-	return nil
-}
-
-// pending tells whether a comparison is asked for.
-func (m *Cache) pending() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.wanted != m.losses.verified
-}
-
-// RequestRead has the cache read as soon as it may.
-func (m *Cache) RequestRead() {
-	select {
-	case m.asks <- make(chan error, 1):
-	default: // it is reading, or about to
+	for _, pair := range older {
+		id := jobs.JobIDFromKey(pair.Key)
+		if c.RecordRevision(id) <= revision {
+			c.forgetRevision(id)
+			c.reportLoss(detection.Loss{Kind: detection.RecordOlder, Key: pair.Key, Found: pair.Revision})
+			c.Apply(pair.Key, pair.Value, pair.Revision)
+		}
 	}
+	return count, revision, nil
 }
--- a/internal/jobs/jobcache/cache.go
+++ b/internal/jobs/jobcache/cache.go
@@ -1,303 +1,145 @@
 package jobcache
 
 import (
-	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
-	"log/slog"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
-	jsonv2 "github.com/go-json-experiment/json"
-
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Cache is this node's copy of all jobs' storedStates. It answers users' polls at the
-// cost of two small reads of the state service for all polls that wait at a time.
+// ErrRecordsMayBeMissing means that a job is not known, but that records may be missing: it may
+// have been accepted all the same.
+var ErrRecordsMayBeMissing = errors.New("records may be missing")
+
+// Cache is this controller's copy of all job records. It answers users' polls at the cost of
+// two small reads of the key-value store for all polls that wait at a time.
 //
-// An answer is as good as a read of its own record: the cache holds every job
-// as of a revision, and is brought up to one that was read after the poll came in.
+// An answer is as good as a read of its own record: the cache holds every job as of a revision,
+// and is brought up to one that was read after the poll came in.
+//
+// Run keeps the cache up to date. All methods may be called by any goroutine; those whose names
+// end in Locked expect their caller to hold the mutex.
 type Cache struct {
-	store *kvstore.Client
-	gap   time.Duration // least time between two reads
-	idle  time.Duration // the cache is kept up to date without polls, too
-	asks  chan chan error
-	// doubtFor is how long one piece of evidence makes what is not known uncertain.
-	doubtFor time.Duration
-	// OnLoss is told what shows that records are lost.
+	// OnLoss is called with each piece of evidence that records are lost, without a lock held.
+	// It has to be set before the cache is used.
 	OnLoss func(detection.Loss)
-
-	mu   sync.RWMutex
-	jobs briefTable
-	// unfinished holds the records of jobs that are not over, as they stand in the state
-	// service: should that lose them, nobody else has the descriptions.
-	unfinished map[string]json.RawMessage
-	listed     bool                // all records have been read since this process began
-	recent     []jobs.Cancellation // in the order in which this node learnt of them
-	keep       int                 // so many of them, at least
-	dropped    uint64              // up to this revision some may be missing
-	losses     losses
-	witnesses  witnesses
-	heard      map[string]heardJob // changes that others know and this node has not read yet
-	newest     detection.Highest   // revision that was read or written
-	// Owned by Run.
-	whole    bool
-	revision uint64
+	// Readiness tells what may be concluded from what the cache holds.
+	Readiness *Readiness
+
+	suspectFor time.Duration // one piece of evidence makes what is not known uncertain for so long
+	newest     detection.Highest
+	reader     *reader
+	auditor    *auditor
+
+	// mu guards all that follows, and the fields of Readiness and of the auditor's tickets.
+	mu            sync.RWMutex
+	entries       entryTable
+	unfinished    unfinishedRecords
+	cancellations cancellationLog
+	lost          lostJobs
+	recent        recentChanges
+	announced     announcements
 }
 
-// New makes an empty cache; Run fills it. It remembers the last keep
-// cancellations in order, and takes records for uncertain for a time after each
-// evidence of a loss.
-func New(store *kvstore.Client, gap, idle, doubtFor time.Duration, keep int) *Cache {
-	return &Cache{
-		store: store, gap: gap, idle: idle, doubtFor: doubtFor, keep: keep,
-		asks: make(chan chan error), jobs: newBriefTable(), unfinished: map[string]json.RawMessage{}, losses: newLosses(), heard: map[string]heardJob{},
-	}
+// New makes an empty cache; Run fills it, with gap as the least time between two reads, and
+// reading after each idle time even if nobody polls. It remembers at least the last
+// cancellationsKept cancellations. After each evidence of a loss, it takes what it does not know
+// for uncertain during suspectFor.
+func New(store *kvstore.Client, gap, idle, suspectFor time.Duration, cancellationsKept int) *Cache {
+	c := &Cache{
+		suspectFor: suspectFor, entries: newEntryTable(), unfinished: unfinishedRecords{},
+		cancellations: cancellationLog{keep: cancellationsKept}, lost: newLostJobs(), announced: announcements{},
+	}
+	c.auditor = &auditor{cache: c, store: store}
+	c.reader = &reader{cache: c, store: store, gap: gap, idle: idle, requests: make(chan chan error)}
+	c.Readiness = &Readiness{mu: &c.mu, outages: store.Outages, requestRead: c.reader.request}
+	return c
 }
 
-// CancellationsAfter returns all cancellations after a revision that this node may have
-// told a user of; complete is false if it does not know them all. What it learns of
-// is taken in before anybody is told. What an earlier process of this node told was
-// in the records when this one first read all of them.
-func (m *Cache) CancellationsAfter(after uint64) (later []jobs.Cancellation, complete bool) {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	for _, c := range m.recent {
-		if c.Revision > after {
-			later = append(later, c)
-		}
-	}
-	return later, m.listed && after >= m.dropped
-}
+// Run reads for those who ask until the context ends. Who asks while a read is under way waits
+// for the next: that one may have been carried out already.
+func (c *Cache) Run(ctx context.Context) { c.reader.run(ctx) }
 
-// Get returns a job as of a moment after the call. Found is false for one that
-// was not accepted by then; it is ErrUncertain where that cannot be told.
-func (m *Cache) Get(ctx context.Context, id string) (rec jobs.Record, found bool, err error) {
-	fresh := make(chan error, 1)
-	select {
-	case m.asks <- fresh:
-	case <-ctx.Done():
-		return jobs.Record{}, false, ctx.Err()
+// Get returns a job as of a moment after the call. Found is false for one that was not accepted
+// by then; the error is ErrRecordsMayBeMissing where that cannot be told, that of the read if it
+// failed, or that of the context.
+func (c *Cache) Get(ctx context.Context, id string) (rec jobs.Record, found bool, err error) {
+	if err := c.reader.waitForRead(ctx); err != nil {
+		return jobs.Record{}, false, err
 	}
-	select {
-	case err := <-fresh:
-		if err != nil {
-			return jobs.Record{}, false, err
-		}
-	case <-ctx.Done():
-		return jobs.Record{}, false, ctx.Err()
-	}
-	rec, found = m.Known(id)
-	if !found && !m.NeverAccepted(id) {
+	rec, found = c.Known(id)
+	if !found && !c.NeverAccepted(id) {
 		return jobs.Record{}, false, ErrRecordsMayBeMissing
 	}
 	return rec, found, nil
 }
 
-// Run reads for those who ask until the context ends. Who asks while a read is
-// under way waits for the next: that one may have been carried out already.
-func (m *Cache) Run(ctx context.Context) {
-	var lastRead time.Time
-	idle := m.gap // others may soon need to know what this node has told users
-	for {
-		var waiting []chan error
-		select {
-		case <-ctx.Done():
-			return
-		case c := <-m.asks:
-			waiting = append(waiting, c)
-		case <-time.After(idle):
-		}
-		idle = m.idle
-		pause := time.After(m.gap - time.Since(lastRead))
-		for pausing := true; pausing; {
-			select {
-			case <-ctx.Done():
-				return
-			case c := <-m.asks:
-				waiting = append(waiting, c)
-			case <-pause:
-				pausing = false
-			}
-		}
-		lastRead = time.Now()
-		expected, ready := m.expectation()
-		heard := m.heardBy()
-		err := m.read(ctx)
-		if err == nil {
-			m.missHeard(heard)
-			m.checkExpected(expected, ready)
-		}
-		for _, c := range waiting {
-			c <- err
-		}
-		if err == nil {
-			err = m.verify(ctx)
-		}
-		if err != nil {
-			slog.Debug("records not read", "reason", err)
-		}
-		if m.pending() || m.becomingSure() || m.witnessesWanted() {
-			idle = m.gap
-		}
-	}
+// Known returns the state and the tasks of a job as this controller knows them, however old,
+// without a read.
+func (c *Cache) Known(id string) (rec jobs.Record, found bool) {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	e, found := c.entries.get(id)
+	return jobs.Record{State: e.state, Tasks: e.tasks}, found
 }
 
-// ErrWatchLags means that the changes up to now were not to be had.
-var ErrWatchLags = errors.New("changes lag")
-
-// readTries is how often a read asks for changes that lag.
-const readTries = 3
-
-// read brings the cache up to date. A watch may lag, or be empty because the
-// service does not serve this node: the revision, read first, is what it has to
-// reach.
-func (m *Cache) read(ctx context.Context) error {
-	if err := m.checkWitnesses(ctx); err != nil {
-		return err
-	}
-	if m.whole {
-		request := m.newest.Ask()
-		least, err := m.store.Revision(ctx)
-		if err != nil {
-			return err
-		}
-		if m.checkRevision(request, least); !m.whole {
-			return m.list(ctx)
-		}
-		for range readTries {
-			request := m.newest.Ask()
-			revision, changes, err := m.store.Watch(ctx, jobs.RecordPrefix, m.revision, 0)
-			if errors.Is(err, kvstore.ErrCompacted) {
-				m.whole = false
-				return m.list(ctx)
-			}
-			if err != nil {
-				return err
-			}
-			for _, c := range changes {
-				if c.Set != "" {
-					m.set(c.Set, c.Value, c.Revision)
-				} else {
-					m.ApplyRemoval(c.Remove, c.Revision)
-				}
-			}
-			m.revision = max(m.revision, revision)
-			m.newest.Raise(request, revision)
-			if m.revision >= least {
-				return nil
-			}
-			select {
-			case <-ctx.Done():
-				return ctx.Err()
-			case <-time.After(m.gap):
-			}
-		}
-		return ErrWatchLags
-	}
-	return m.list(ctx)
+// NeverAccepted tells whether a job that this controller does not know was certainly never
+// accepted.
+func (c *Cache) NeverAccepted(id string) bool {
+	c.mu.RLock()
+	announced := c.announced.has(id)
+	c.mu.RUnlock()
+	return !announced && c.Readiness.unknownMeansNeverAccepted()
 }
 
-// list reads all records. They are never removed, so that what is known of them
-// is only added to: if more are known afterwards than were read, some may be missing.
-func (m *Cache) list(ctx context.Context) error {
-	if !m.listed {
-		if err := m.readStatus(ctx); err != nil {
-			return err
-		}
-	}
-	request := m.newest.Ask()
-	all, revision, err := m.readAll(ctx, 0, func(string) {})
-	if err != nil {
-		return err
-	}
-	if m.checkRevision(request, revision) {
-		return m.list(ctx)
-	}
-	m.mu.Lock()
-	known := m.jobs.size() - m.losses.missing
-	m.mu.Unlock()
-	if known > all.read {
-		if err := m.findMissing(ctx, 0); err != nil {
-			return err
-		}
-	}
-	m.whole, m.revision = true, revision
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.listed = true
-	return nil
+// JobCount returns how many jobs this controller knows.
+func (c *Cache) JobCount() int {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.entries.size()
 }
 
-// set takes in a record. Changes that the list was ahead of come once more after
-// it: they must not turn an answer back while they are taken in.
-func (m *Cache) set(key string, value json.RawMessage, revision uint64) {
-	var rec struct {
-		State string `json:"stance"`
-		Tasks int    `json:"tasks"`
-	}
-	if err := jsonv2.Unmarshal(value, &rec); err != nil {
-		slog.Error("job record unreadable", "key", key, "reason", err)
-		return
-	}
-	b := brief{tasks: rec.Tasks, revision: revision}
-	b.state = stateText(rec.State)
-	if evidence := m.take(jobs.JobIDFromKey(key), b, value); evidence != "" {
-		slog.Error("record says less than is known", "key", key, "reason", string(evidence))
-		m.tell(detection.Loss{Kind: evidence, Key: key, Found: revision})
-	}
+// RecordRevision returns the revision of a job's record as this controller knows it; 0 if there
+// is none.
+func (c *Cache) RecordRevision(id string) uint64 {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	e, _ := c.entries.get(id)
+	return e.revision
 }
 
-// stateText is one copy of a state's text for all jobs; empty for what is none.
-func stateText(state string) string {
-	for _, s := range []string{jobs.Queued, jobs.Done, jobs.Cancelled} {
-		if s == state {
-			return s
-		}
-	}
-	return ""
+// UnfinishedRecord returns the record of a job that is not finished, as this controller last
+// saw it; nil if there is none.
+func (c *Cache) UnfinishedRecord(id string) json.RawMessage {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.unfinished[id]
 }
 
-// take takes in what a record says, and tells what shows that it is not the newest.
-func (m *Cache) take(id string, found brief, value json.RawMessage) (evidence detection.Kind) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	old, _ := m.jobs.get(id)
-	if old.revision > found.revision {
-		return ""
-	}
-	now, evidence := merge(old, found)
-	m.jobs.set(id, now)
-	m.seen(id, now)
-	m.witnesses.add(id, found.revision)
-	m.describe(id, now, value)
-	if evidence != "" {
-		was := m.note(lostEntry{strings.Clone(id), found.state})
-		if was.found == found.state {
-			return "" // told before
-		}
-		return evidence
-	}
-	m.unnote(id)
-	if now.state == jobs.Cancelled && old.revision < now.revision {
-		m.remember(jobs.Cancellation{Job: id, Revision: now.revision})
-	}
-	return ""
+// CancellationsAfter returns all cancellations after a revision that this controller may have
+// told a user of; complete is false if it does not know them all. What it learns of is taken in
+// before anybody is told. What an earlier process of this controller told was in the records
+// when this one first read all of them.
+func (c *Cache) CancellationsAfter(revision uint64) (later []jobs.Cancellation, complete bool) {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	later, complete = c.cancellations.after(revision)
+	return later, complete && c.Readiness.initialReadDone
 }
 
-func (m *Cache) remember(c jobs.Cancellation) {
-	m.recent = append(m.recent, c)
-	if len(m.recent) <= 2*m.keep {
-		return
+// NewestRevision returns the newest revision of the key-value store that this controller has
+// read or written.
+func (c *Cache) NewestRevision() uint64 { return c.newest.Value() }
+
+// reportLoss hands on evidence that records are lost. No lock may be held.
+func (c *Cache) reportLoss(evidence detection.Loss) {
+	c.Readiness.SuspectLossUntil(time.Now().Add(c.suspectFor))
+	if c.OnLoss != nil {
+		c.OnLoss(evidence)
 	}
-	slices.SortFunc(m.recent, func(a, b jobs.Cancellation) int { return cmp.Compare(a.Revision, b.Revision) })
-	cut := len(m.recent) - m.keep
-	m.dropped = max(m.dropped, m.recent[cut-1].Revision)
-	m.recent = append(m.recent[:0], m.recent[cut:]...)
 }
--- a/internal/jobs/jobcache/cache_test.go
+++ b/internal/jobs/jobcache/cache_test.go
@@ -33,7 +33,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		// The only node: there is nobody who could know more.
 		m := jobcache.New(client("perch-0"), 100*time.Millisecond, 10*time.Second, 30*time.Second, 8)
-		m.AssumeComplete()
+		m.Readiness.AssumeComplete()
 		var duties sync.WaitGroup
 		duties.Go(func() { m.Run(ctx) })
 		scenario(&cached{t, store, client("perch-1"), m})
@@ -113,9 +113,9 @@
 		c.store.Down(false)
 		c.want("j-15", jobs.Done, "after it")
 		c.want("j-99", "503", "the service may have been put back in it: another node may know")
-		c.m.ConfirmByPeers(1)
+		c.m.Readiness.ConfirmByPeers(1)
 		c.want("j-99", "503", "only after the first of two outages nobody knew more")
-		c.m.ConfirmByPeers(2)
+		c.m.Readiness.ConfirmByPeers(2)
 		c.want("j-99", "404", "nobody knows more")
 	})
 }
--- /dev/null
+++ b/internal/jobs/jobcache/cancellations.go
@@ -0,0 +1,37 @@
+package jobcache
+
+import (
+	"cmp"
+	"slices"
+
+	"ospreyslip/internal/jobs"
+)
+
+// cancellationLog remembers the latest cancellations that this controller has learnt of. It is
+// guarded by the cache's mutex.
+type cancellationLog struct {
+	keep           int                 // how many are kept at least
+	entries        []jobs.Cancellation // in the order in which they were learnt; at most twice keep
+	droppedThrough uint64              // cancellations up to this revision may be missing
+}
+
+func (l *cancellationLog) add(cancellation jobs.Cancellation) {
+	l.entries = append(l.entries, cancellation)
+	if len(l.entries) <= 2*l.keep {
+		return
+	}
+	slices.SortFunc(l.entries, func(a, b jobs.Cancellation) int { return cmp.Compare(a.Revision, b.Revision) })
+	cut := len(l.entries) - l.keep
+	l.droppedThrough = max(l.droppedThrough, l.entries[cut-1].Revision)
+	l.entries = append(l.entries[:0], l.entries[cut:]...)
+}
+
+// after returns the cancellations after a revision, and whether none of them was dropped.
+func (l *cancellationLog) after(revision uint64) (later []jobs.Cancellation, complete bool) {
+	for _, cancellation := range l.entries {
+		if cancellation.Revision > revision {
+			later = append(later, cancellation)
+		}
+	}
+	return later, revision >= l.droppedThrough
+}
--- a/internal/jobs/jobcache/entry_table_test.go
+++ b/internal/jobs/jobcache/entry_table_test.go
@@ -12,11 +12,11 @@
 // Whatever an id and a record look like, the table tells the same as a plain map: ids
 // that differ by leading zeros only, those of forty digits, and revisions and task
 // counts beyond what two words hold.
-func TestBriefTable(t *testing.T) {
-	table, plain := newBriefTable(), map[string]brief{}
+func TestEntryTable(t *testing.T) {
+	table, plain := newEntryTable(), map[string]entry{}
 	ids := []string{"j-0", "j-00", "j-1", "j-01", "j-000412", "j-412", "j-" + strings.Repeat("9", 16), "j-" + strings.Repeat("9", 17), "j-" + strings.Repeat("0", 40), "j-", "j-1x", "x-1", ""}
-	revisions := []uint64{0, 1, 412, mostRevision, mostRevision + 1, math.MaxUint64}
-	tasks := []int{0, 1, jobs.MaxTasks, mostTasks, mostTasks + 1, -1}
+	revisions := []uint64{0, 1, 412, maxRevision, maxRevision + 1, math.MaxUint64}
+	tasks := []int{0, 1, jobs.MaxTasks, maxTasks, maxTasks + 1, -1}
 	n := 0
 	for _, revision := range revisions {
 		for _, count := range tasks {
@@ -24,9 +24,9 @@
 				if (i+n)%3 == 0 {
 					continue // not every job has every record
 				}
-				b := brief{state: storedStates[(i+n)%len(storedStates)], tasks: count, revision: revision}
-				table.set(id, b)
-				plain[id] = b
+				e := entry{state: storedStates[(i+n)%len(storedStates)], tasks: count, revision: revision}
+				table.set(id, e)
+				plain[id] = e
 			}
 			n++
 			for _, id := range append(ids, "j-2", "j-0412") {
--- a/internal/jobs/jobcache/loss_test.go
+++ b/internal/jobs/jobcache/loss_test.go
@@ -90,7 +90,7 @@
 		c.store.Down(false)
 		c.want("j-1", jobs.Queued, "after it")
 		c.want("j-99", "503", "others may know more after an outage")
-		c.m.ConfirmByPeers(1) // refused and down without an answer in between: it is one
+		c.m.Readiness.ConfirmByPeers(1) // refused and down without an answer in between: it is one
 		c.want("j-99", "404", "never submitted")
 		seen.none(c.t, "an ordinary day")
 		c.wantLost("an ordinary day")
@@ -113,7 +113,7 @@
 		c.write("j-2", jobs.Done)
 		c.want("j-2", jobs.Done, "written back")
 		c.wantLost("written back")
-		c.m.MarkCompared()
+		c.m.Readiness.MarkCompared()
 		c.want("j-99", "404", "all has been compared")
 	})
 }
--- a/internal/jobs/jobcache/lost_jobs.go
+++ b/internal/jobs/jobcache/lost_jobs.go
@@ -1,228 +1,109 @@
 package jobcache
 
 import (
-	"bytes"
-	"encoding/json"
-	"strings"
-	"time"
-
 	"github.com/google/btree"
-
-	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/recovery/detection"
 )
 
-// LostJob is a job of which this node knows more than the state service.
+// LostJob is a job of which this controller knows more than the key-value store.
 type LostJob struct {
 	ID            string
-	State         string // as this node knows it: more is known than the record says, or there is none
+	State         string // as this controller knows it: more than the record says, or there is none
 	Tasks         int
 	Revision      uint64 // of the record as it stands; 0 if there is none
-	RecordedState string // the state that the record tells; empty if there is none
+	RecordedState string // what the record says; empty if there is none
 }
 
-// losses is what a cache knows beyond the records. It is guarded by the cache's lock.
-type losses struct {
-	jobs         *btree.BTreeG[lostEntry] // by id
-	suspectUntil time.Time
-	compared     bool   // this node began while records were being compared: it saw none of what was lost
-	missing      int    // of the jobs, those without a record
-	wanted       uint64 // comparisons asked for
-	expected     int    // jobs that another node knew
-	told         int    // of expected, when that was last missed
-	putBack      bool   // records may say less than users were told
-	heard        bool   // another node has told how much it knows
-	sure         bool   // since then, all was read: what is not known was never accepted
-	verified     uint64 // comparisons made
-	confirmed    uint64 // outages of the state service after which all others were asked
+// lostJob is what is kept of a lost job besides its entry.
+type lostJob struct {
+	id            string
+	recordedState string // what its record says; empty if there is none
 }
 
-// lostEntry is what is kept of a lost job besides what is known of it.
-type lostEntry struct {
-	id    string
-	found string // the state that its record tells; empty if there is none
+// lostJobs are the jobs of which more is known than the store says, by id. They are guarded by
+// the cache's mutex.
+type lostJobs struct {
+	byID          *btree.BTreeG[lostJob]
+	withoutRecord int // how many of them have no record
+}
+
+// lostTreeDegree is the width of the tree's nodes.
+const lostTreeDegree = 16
+
+func newLostJobs() lostJobs {
+	return lostJobs{byID: btree.NewG(lostTreeDegree, func(a, b lostJob) bool { return a.id < b.id })}
 }
 
-// lossDegree is the width of the tree's nodes.
-const lossDegree = 16
+func (l *lostJobs) get(id string) (job lostJob, found bool) { return l.byID.Get(lostJob{id: id}) }
 
-func newLosses() losses {
-	return losses{jobs: btree.NewG(lossDegree, func(a, b lostEntry) bool { return a.id < b.id })}
+// add takes in a lost job, and returns what was kept of it before.
+func (l *lostJobs) add(job lostJob) (before lostJob) {
+	before = l.remove(job.id)
+	l.byID.ReplaceOrInsert(job)
+	if job.recordedState == "" {
+		l.withoutRecord++
+	}
+	return before
 }
 
-// Known returns what this node knows of a job, however old, without a read.
-func (m *Cache) Known(id string) (rec jobs.Record, found bool) {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	b, found := m.jobs.get(id)
-	return jobs.Record{State: b.state, Tasks: b.tasks}, found
+// remove takes in that a job is not lost any more, and returns what was kept of it.
+func (l *lostJobs) remove(id string) (before lostJob) {
+	if l.byID.Len() == 0 {
+		return lostJob{}
+	}
+	before, had := l.byID.Delete(lostJob{id: id})
+	if had && before.recordedState == "" {
+		l.withoutRecord--
+	}
+	return before
 }
 
-// LostPage returns jobs of which this node knows more than the state service, in the order of
-// their ids after one, and whether there are more.
-func (m *Cache) LostPage(after string, most int) (page []LostJob, more bool) {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	m.losses.jobs.AscendGreaterOrEqual(lostEntry{id: after}, func(l lostEntry) bool {
-		if l.id == after {
+// page returns at most limit jobs in the order of their ids after one, and whether there are
+// more.
+func (l *lostJobs) page(after string, limit int) (page []lostJob, more bool) {
+	l.byID.AscendGreaterOrEqual(lostJob{id: after}, func(job lostJob) bool {
+		if job.id == after {
 			return true
 		}
-		if len(page) == most {
+		if len(page) == limit {
 			more = true
 			return false
 		}
-		b, _ := m.jobs.get(l.id)
-		page = append(page, LostJob{ID: l.id, State: b.state, Tasks: b.tasks, Revision: b.revision, RecordedState: l.found})
+		page = append(page, job)
 		return true
 	})
 	return page, more
 }
 
-// IsLost tells whether this node knows more of a job than the state service.
-func (m *Cache) IsLost(id string) bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.jobs.Has(lostEntry{id: id})
-}
-
-// RecordedCount returns how many jobs have a record, as far as this node knows.
-func (m *Cache) RecordedCount() int {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.jobs.size() - m.losses.missing
-}
-
-// LostCount returns how many jobs this node knows more of than the state service.
-func (m *Cache) LostCount() int {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.jobs.Len()
-}
-
-// NoteMissing takes in that a read did not find a job's record. It tells what this node knows
-// of the job.
-func (m *Cache) NoteMissing(id string) (rec jobs.Record, known bool) {
-	m.mu.Lock()
-	b, known := m.jobs.get(id)
-	first := known && m.miss(id, b)
-	m.mu.Unlock()
-	if first {
-		m.tell(detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: b.revision})
-	}
-	return jobs.Record{State: b.state, Tasks: b.tasks}, known
-}
-
-// miss notes that a job has no record, and whether that is news. The lock is held.
-func (m *Cache) miss(id string, b brief) (news bool) {
-	old, had := m.losses.jobs.Get(lostEntry{id: id})
-	m.note(lostEntry{id: strings.Clone(id)})
-	b.revision = 0
-	m.jobs.set(id, b)
-	return !had || old.found != ""
-}
-
-// note takes in a job that is lost. The lock is held.
-func (m *Cache) note(l lostEntry) (was lostEntry) {
-	was = m.unnote(l.id)
-	m.losses.jobs.ReplaceOrInsert(l)
-	if l.found == "" {
-		m.losses.missing++
-	}
-	return was
-}
-
-// unnote takes in that a job is not lost any more. The lock is held.
-func (m *Cache) unnote(id string) (was lostEntry) {
-	if m.losses.jobs.Len() == 0 {
-		return lostEntry{}
-	}
-	was, had := m.losses.jobs.Delete(lostEntry{id: id})
-	if had && was.found == "" {
-		m.losses.missing--
-	}
-	return was
-}
-
-// ApplyRemoval takes in that a watch shows the removal of a record, which no version of ours
-// ever removes.
-func (m *Cache) ApplyRemoval(key string, revision uint64) {
-	id := jobs.JobIDFromKey(key)
-	m.mu.Lock()
-	b, known := m.jobs.get(id)
-	news := !known || b.revision <= revision && m.miss(id, b)
-	m.mu.Unlock()
-	if news {
-		m.tell(detection.Loss{Kind: detection.RecordRemoved, Key: key, Known: b.revision, Found: revision})
-	}
-}
-
-// merge decides what a record says that differs from what is known. Knowledge only grows:
-// a job that is over stays so, in the way that users were told.
-func merge(known brief, found brief) (now brief, evidence detection.Kind) {
-	over := known.state == jobs.Done || known.state == jobs.Cancelled
-	switch {
-	case !over || known.state == found.state:
-		return found, ""
-	case found.state == jobs.Done || found.state == jobs.Cancelled:
-		return brief{known.state, known.tasks, found.revision}, detection.RecordContradicts
-	}
-	return brief{known.state, known.tasks, found.revision}, detection.RecordOlder
-}
-
-// heldField is in the record of a job that is held, and in no other.
-var heldField = []byte(`"held":`)
-
-// describe keeps the record of a job that is not over. The lock is held.
-func (m *Cache) describe(id string, now brief, value json.RawMessage) {
-	switch {
-	case now.state != jobs.Queued:
-		delete(m.unfinished, id)
-	case !bytes.Contains(value, heldField):
-		m.unfinished[strings.Clone(id)] = bytes.Clone(value)
+// LostPage returns at most limit jobs of which this controller knows more than the key-value
+// store, in the order of their ids after one, and whether there are more.
+func (c *Cache) LostPage(after string, limit int) (page []LostJob, more bool) {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	lost, more := c.lost.page(after, limit)
+	for _, job := range lost {
+		e, _ := c.entries.get(job.id)
+		page = append(page, LostJob{ID: job.id, State: e.state, Tasks: e.tasks, Revision: e.revision, RecordedState: job.recordedState})
 	}
+	return page, more
 }
 
-// UnfinishedRecord returns the record of a job that is not over, as this node last saw it; nil if
-// there is none.
-func (m *Cache) UnfinishedRecord(id string) json.RawMessage {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.unfinished[id]
-}
-
-// JobCount returns how many jobs this node knows.
-func (m *Cache) JobCount() int {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.jobs.size()
+// IsLost tells whether this controller knows more of a job than the key-value store.
+func (c *Cache) IsLost(id string) bool {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.lost.byID.Has(lostJob{id: id})
 }
 
-// AddLost takes in a lost job that others know of and this node does not.
-func (m *Cache) AddLost(id, state string, tasks int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	b, known := m.jobs.get(id)
-	if known && (b.state == jobs.Done || b.state == jobs.Cancelled || b.state == state) {
-		return
-	}
-	revision := b.revision
-	now := brief{state: state, tasks: max(b.tasks, tasks), revision: revision}
-	m.jobs.set(id, now)
-	found := ""
-	if revision != 0 {
-		found = b.state
-	}
-	m.note(lostEntry{strings.Clone(id), found})
-	if state == jobs.Cancelled {
-		m.remember(jobs.Cancellation{Job: id, Revision: revision})
-	}
+// LostCount returns how many jobs this controller knows more of than the key-value store.
+func (c *Cache) LostCount() int {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.lost.byID.Len()
 }
 
-// RecordRevision returns the revision of a job's record as this node knows it; 0 if there
-// is none.
-func (m *Cache) RecordRevision(id string) uint64 { return m.knownRevision(id) }
-
-// Apply takes in a record that was read or written elsewhere in this process.
-func (m *Cache) Apply(key string, value json.RawMessage, revision uint64) {
-	m.set(key, value, revision)
+// RecordedCount returns how many jobs have a record, as far as this controller knows.
+func (c *Cache) RecordedCount() int {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.entries.size() - c.lost.withoutRecord
 }
--- a/internal/jobs/jobcache/readiness.go
+++ b/internal/jobs/jobcache/readiness.go
@@ -1,181 +1,199 @@
 package jobcache
 
 import (
-	"context"
-	"errors"
+	"sync"
 	"time"
 
-	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/recovery/detection"
 )
 
-// What a node may conclude from its cache:
+// Readiness tells what this controller may conclude from its cache:
 //
-//   - Suspected: something shows that records are lost. What is not known may have been
+//   - Loss suspected: something shows that records are lost. What is not known may have been
 //     accepted; what is known is answered.
-//   - Sure: what is not known was never accepted. A node that has just begun becomes sure when
-//     a reading, begun after all others (or the leader) told how many jobs they know, has as
-//     many.
-//     After an outage of the state service, in which that may have been put back, all others
-//     are asked once more (Confirm).
-//   - Settled: moreover, what is unfinished by its record was not told to be over by anybody. It
-//     is not so while records are compared that were lost before this node began, nor after
-//     the service was put back.
-
-// ErrRecordsMayBeMissing means that a job is not known, but that records may be missing: it may
-// have been accepted all the same.
-var ErrRecordsMayBeMissing = errors.New("records may be missing")
-
-// ReadAllBeforeLoss tells whether this node has read all records, and did so before any loss that it
-// knows of: then a job that it does not know was not accepted before.
-func (m *Cache) ReadAllBeforeLoss() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.listed && !m.losses.compared
+//   - Complete: what is not known was never accepted. A controller that has just begun has a
+//     complete cache when a read, begun after all others (or the leader) told how many jobs they
+//     know, has as many. After an outage of the key-value store, in which that may have been
+//     rolled back, all others are asked once more (ConfirmByPeers).
+//   - Proven current: moreover, of what is unfinished by its record, no user was told that it is
+//     finished. That is not so while records are compared that were lost before this controller
+//     began, nor after the store was rolled back.
+//
+// All methods may be called by any goroutine. The fields are guarded by the cache's mutex.
+type Readiness struct {
+	mu          *sync.RWMutex // the cache's
+	outages     func() uint64 // how many outages of the store there were
+	requestRead func()        // has the cache read soon
+
+	initialReadDone   bool      // all records have been read since this process began
+	begunInRecovery   bool      // this process began while records were compared: it saw none of what was lost
+	suspectUntil      time.Time // records may be missing until then
+	rolledBack        bool      // records may say less than users were told
+	peers             peerCount
+	reportedPeerCount int    // of peers, when jobs were last found missing by it
+	complete          bool   // since peers told, all was read: what is not known was never accepted
+	confirmedOutages  uint64 // outages of the store after which all peers were asked
 }
 
-// SuspectLossUntil notes that records may be missing, until a moment: what is not known may have
-// been accepted.
-func (m *Cache) SuspectLossUntil(until time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if until.After(m.losses.suspectUntil) {
-		m.losses.suspectUntil = until
-	}
+// peerCount is how many jobs other controllers know.
+type peerCount struct {
+	jobs int  // the most that one of them knew
+	told bool // one of them has told, and it knew what it has to
 }
 
-// MarkCompared notes that all have been compared: what nobody knows was never accepted.
-func (m *Cache) MarkCompared() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.losses.suspectUntil = time.Time{}
-	m.losses.compared = false
-	m.losses.confirmed = m.store.Outages()
+// ReadAllBeforeLoss tells whether this controller has read all records, and did so before any
+// loss that it knows of: then a job that it does not know was not accepted before.
+func (r *Readiness) ReadAllBeforeLoss() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.initialReadDone && !r.begunInRecovery
 }
 
-// ConfirmByPeers notes that, after a number of outages, no other node knew of a newer revision than
-// the state service.
-func (m *Cache) ConfirmByPeers(outages uint64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.losses.confirmed = max(m.losses.confirmed, outages)
+// InitialReadDone tells whether this controller has read all records since it began.
+func (r *Readiness) InitialReadDone() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.initialReadDone
 }
 
-// ConfirmedByPeers tells whether that is so since the last outage.
-func (m *Cache) ConfirmedByPeers() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.confirmedLocked()
+func (r *Readiness) setInitialReadDone() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.initialReadDone = true
 }
 
-func (m *Cache) confirmedLocked() bool { return m.losses.confirmed == m.store.Outages() }
+func (r *Readiness) setBegunInRecovery(begun bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.begunInRecovery = begun
+}
+
+// SuspectLossUntil notes that records may be missing, until a moment: what is not known may have
+// been accepted.
+func (r *Readiness) SuspectLossUntil(until time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if until.After(r.suspectUntil) {
+		r.suspectUntil = until
+	}
+}
 
 // LossSuspected tells whether records may be missing.
-func (m *Cache) LossSuspected() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.compared || time.Now().Before(m.losses.suspectUntil)
+func (r *Readiness) LossSuspected() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.lossSuspectedLocked()
 }
 
-// KnowsAllAccepted tells whether what this node does not know was never accepted. A node that began a
-// moment ago may have begun after a loss that it could not see.
-func (m *Cache) KnowsAllAccepted() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.sure && !m.losses.compared && m.confirmedLocked() && !time.Now().Before(m.losses.suspectUntil)
+func (r *Readiness) lossSuspectedLocked() bool {
+	return r.begunInRecovery || time.Now().Before(r.suspectUntil)
 }
 
-// tell hands on evidence. No lock may be held.
-func (m *Cache) tell(l detection.Loss) {
-	m.SuspectLossUntil(time.Now().Add(m.doubtFor))
-	if m.OnLoss != nil {
-		m.OnLoss(l)
-	}
+// MarkCompared notes that the knowledge of all controllers has been compared with the records:
+// what nobody knows was never accepted.
+func (r *Readiness) MarkCompared() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.suspectUntil = time.Time{}
+	r.begunInRecovery = false
+	r.confirmedOutages = r.outages()
 }
 
-// NotePeerCount takes in how many jobs another node knew. The next time that this node has read
-// all changes, it must know of as many. While that node compares records, this one does not
-// become sure of what it knows.
-func (m *Cache) NotePeerCount(jobs int, uncertain bool) {
-	m.mu.Lock()
-	m.losses.expected = max(m.losses.expected, jobs)
-	m.losses.heard = !uncertain
-	sure := m.losses.sure
-	m.mu.Unlock()
-	if !sure {
-		m.RequestRead()
-	}
+// ConfirmByPeers notes that, after a number of outages, no other controller knew of a newer
+// revision than the key-value store.
+func (r *Readiness) ConfirmByPeers(outages uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.confirmedOutages = max(r.confirmedOutages, outages)
 }
 
-// checkExpected compares what was read with what another node knew before the reading
-// began. After the first such reading, this node is sure of what it does not know.
-func (m *Cache) checkExpected(expected int, heard bool) {
-	m.mu.Lock()
-	known := m.jobs.size()
-	missing := known < expected && expected > m.losses.told
-	if missing {
-		m.losses.told = expected
-	}
-	m.losses.sure = m.losses.sure || heard && known >= expected
-	m.mu.Unlock()
-	if missing {
-		m.tell(detection.Loss{Kind: detection.RecordMissing, Known: uint64(expected), Found: uint64(known)})
-	}
+// ConfirmedByPeers tells whether that is so since the last outage.
+func (r *Readiness) ConfirmedByPeers() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.confirmedByPeersLocked()
 }
 
-// expectation returns what other nodes knew by now.
-func (m *Cache) expectation() (jobs int, heard bool) {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.expected, m.losses.heard
+func (r *Readiness) confirmedByPeersLocked() bool { return r.confirmedOutages == r.outages() }
+
+// unknownMeansNeverAccepted tells whether what this controller does not know was never accepted.
+// A controller that began a moment ago may have begun after a loss that it could not see.
+func (r *Readiness) unknownMeansNeverAccepted() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.complete && r.confirmedByPeersLocked() && !r.lossSuspectedLocked()
 }
 
-// ProvenCurrent tells whether this node has found that it began with all records there were: else
-// a job that it does not know may have been lost, and one that is unfinished by its record
-// may be over.
-func (m *Cache) ProvenCurrent() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.sure && !m.losses.compared && !m.losses.putBack
+// ProvenCurrent tells whether this controller has found that it began with all records there
+// were: else a job that it does not know may have been lost, and one that is unfinished by its
+// record may be finished.
+func (r *Readiness) ProvenCurrent() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.complete && !r.begunInRecovery && !r.rolledBack
 }
 
 // SetRolledBack takes in whether records may say less than users were told, as the leader knows.
-func (m *Cache) SetRolledBack(on bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.losses.putBack = on
+func (r *Readiness) SetRolledBack(rolledBack bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.rolledBack = rolledBack
+}
+
+// AssumeComplete has this controller take what it does not know for never accepted, though no
+// other controller has told how much it knows.
+func (r *Readiness) AssumeComplete() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.complete = true
+}
+
+// NotePeerCount takes in how many jobs another controller knew. The next time that this one has
+// read all changes, it must know of as many. While the other compares records (uncertain), this
+// one's cache does not become complete.
+func (r *Readiness) NotePeerCount(jobs int, uncertain bool) {
+	r.mu.Lock()
+	r.peers = peerCount{jobs: max(r.peers.jobs, jobs), told: !uncertain}
+	complete := r.complete
+	r.mu.Unlock()
+	if !complete {
+		r.requestRead()
+	}
 }
 
-// AssumeComplete has this node take what it does not know for never accepted, though no other node
-// has told how much it knows.
-func (m *Cache) AssumeComplete() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.losses.sure = true
+// peerCount returns what other controllers have told by now.
+func (r *Readiness) peerCount() peerCount {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.peers
 }
 
-// becomingSure tells whether the next reading may make this node sure of what it knows.
-func (m *Cache) becomingSure() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.losses.heard && !m.losses.sure
+// comparePeerCountLocked compares how many jobs are known with what peers had told before the
+// read began. After the first read that has as many, the cache is complete. It returns whether
+// jobs are missing and that was not returned before.
+func (r *Readiness) comparePeerCountLocked(known int, peers peerCount) (missing bool) {
+	missing = known < peers.jobs && peers.jobs > r.reportedPeerCount
+	if missing {
+		r.reportedPeerCount = peers.jobs
+	}
+	r.complete = r.complete || peers.told && known >= peers.jobs
+	return missing
 }
 
-// readStatus finds out whether records are being compared at the moment.
-func (m *Cache) readStatus(ctx context.Context) error {
-	_, found, err := m.store.Get(ctx, jobs.RecoveryStatusKey)
-	if err != nil {
-		return err
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.losses.compared = found
-	return nil
+// completenessPending tells whether the next read may make the cache complete.
+func (r *Readiness) completenessPending() bool {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.peers.told && !r.complete
 }
 
-// InitialReadDone tells whether this node has read all records since it began.
-func (m *Cache) InitialReadDone() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.listed
+// comparePeerCount compares what was read with what peers had told before the read began.
+func (c *Cache) comparePeerCount(peers peerCount) {
+	c.mu.Lock()
+	known := c.entries.size()
+	missing := c.Readiness.comparePeerCountLocked(known, peers)
+	c.mu.Unlock()
+	if missing {
+		c.reportLoss(detection.Loss{Kind: detection.RecordMissing, Known: uint64(peers.jobs), Found: uint64(known)})
+	}
 }
--- a/internal/jobs/jobcache/recent_changes.go
+++ b/internal/jobs/jobcache/recent_changes.go
@@ -11,99 +11,109 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// A state service that is put back in an outage gives revisions out again. Once new changes
-// have overtaken the old ones, its revision tells nothing any more. What tells are the newest
-// changes that a node knows: each record must still be at that revision, or a later one.
+// A store that is rolled back in an outage gives its revisions out again. Once new changes have
+// overtaken the old ones, its revision tells nothing any more. What tells are the newest changes
+// that a controller knows: each record must still be at that revision, or at a later one.
 
-// mostWitnesses is how many of the newest changes are kept. One alone may have been written
+// maxRecentChanges is how many of the newest changes are kept. One alone may have been written
 // again since.
-const mostWitnesses = 8
+const maxRecentChanges = 8
 
-// witness is a record and the revision at which this node knows it.
-type witness struct {
+// recentChange is a record and the revision at which this controller knows it.
+type recentChange struct {
 	id       string
 	revision uint64
 }
 
-// witnesses are the newest changes known, the newest last. They are guarded by the cache's lock.
-type witnesses struct {
-	newest  []witness
-	outages uint64    // of the state service, before the last check
-	checked time.Time // when that was begun
-	wanted  bool      // another is asked for
+// recentChanges are the newest changes known, and what is known of their comparison with the
+// store. They are guarded by the cache's mutex.
+type recentChanges struct {
+	changes          []recentChange // the newest last
+	comparedOutages  uint64         // outages of the store before the last comparison
+	comparedAt       time.Time      // when the last comparison that found no rollback was begun
+	comparisonWanted bool           // another one is requested
 }
 
-// add takes in a change.
-func (w *witnesses) add(id string, revision uint64) {
-	if n := len(w.newest); revision == 0 || n > 0 && w.newest[n-1].revision >= revision {
+// add takes in a change, unless a newer one is known.
+func (r *recentChanges) add(id string, revision uint64) {
+	if n := len(r.changes); revision == 0 || n > 0 && r.changes[n-1].revision >= revision {
 		return
 	}
-	if len(w.newest) == mostWitnesses {
-		copy(w.newest, w.newest[1:])
-		w.newest = w.newest[:mostWitnesses-1]
+	if len(r.changes) == maxRecentChanges {
+		copy(r.changes, r.changes[1:])
+		r.changes = r.changes[:maxRecentChanges-1]
 	}
-	w.newest = append(w.newest, witness{strings.Clone(id), revision})
+	r.changes = append(r.changes, recentChange{strings.Clone(id), revision})
 }
 
-// RequestRollbackCheck has the newest changes that this node knows compared with the records soon.
-func (m *Cache) RequestRollbackCheck() {
-	m.mu.Lock()
-	m.witnesses.wanted = true
-	m.mu.Unlock()
-	m.RequestRead()
+// comparisonDue tells whether a comparison is requested, or an outage came since the last.
+func (r *recentChanges) comparisonDue(outages uint64) bool {
+	return r.comparisonWanted || r.comparedOutages != outages
 }
 
-func (m *Cache) witnessesWanted() bool {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.witnesses.wanted
+// RequestRollbackCheck has the newest changes that this controller knows compared with the
+// records soon.
+func (c *Cache) RequestRollbackCheck() {
+	c.mu.Lock()
+	c.recent.comparisonWanted = true
+	c.mu.Unlock()
+	c.reader.request()
 }
 
-// RollbackCheckedAt returns when the last comparison that found nothing was begun.
-func (m *Cache) RollbackCheckedAt() time.Time {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.witnesses.checked
+// RollbackCheckedAt returns when the last comparison that found no rollback was begun.
+func (c *Cache) RollbackCheckedAt() time.Time {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.recent.comparedAt
 }
 
-// checkWitnesses compares the newest changes with the records, after an outage or where
-// somebody wants to know. If one is gone, the service was put back.
-func (m *Cache) checkWitnesses(ctx context.Context) error {
-	began, outages := time.Now(), m.store.Outages()
-	m.mu.Lock()
-	due := m.witnesses.wanted || m.witnesses.outages != outages
-	known := append([]witness(nil), m.witnesses.newest...)
-	m.mu.Unlock()
+func (c *Cache) rollbackCheckRequested() bool {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.recent.comparisonWanted
+}
+
+// checkForRollback compares the newest changes with the records, after an outage or where that
+// is requested. If one is gone, the store was rolled back.
+func (r *reader) checkForRollback(ctx context.Context) error {
+	began, outages := time.Now(), r.store.Outages()
+	c := r.cache
+	c.mu.Lock()
+	due := c.recent.comparisonDue(outages)
+	known := append([]recentChange(nil), c.recent.changes...)
+	c.mu.Unlock()
 	if !due {
 		return nil
 	}
-	gone, err := m.firstGone(ctx, known)
+	rolledBack, err := r.findRolledBack(ctx, known)
 	if err != nil {
 		return err
 	}
-	m.mu.Lock()
-	m.witnesses.wanted, m.witnesses.outages = false, outages
-	if gone == nil {
-		m.witnesses.checked = began
+	c.mu.Lock()
+	c.recent.comparisonWanted, c.recent.comparedOutages = false, outages
+	if rolledBack == nil {
+		c.recent.comparedAt = began
 	}
-	m.mu.Unlock()
-	if gone != nil {
-		slog.Error("state service put back", "record", gone.Key, "known", gone.Known, "found", gone.Found)
-		m.forgetAllRevisions(0)
-		m.tell(*gone)
+	c.mu.Unlock()
+	if rolledBack != nil {
+		slog.Error("state service put back", "record", rolledBack.Key, "known", rolledBack.Known, "found", rolledBack.Found)
+		r.startOver(0)
+		c.reportLoss(*rolledBack)
 	}
 	return nil
 }
 
-// firstGone returns a record that stands at an older revision than is known, or is missing.
-func (m *Cache) firstGone(ctx context.Context, known []witness) (*detection.Loss, error) {
+// findRolledBack returns a record that stands at an older revision than is known, or is missing;
+// nil if there is none. One conditional transaction without writes compares them all.
+func (r *reader) findRolledBack(ctx context.Context, known []recentChange) (*detection.Loss, error) {
 	var guards []kvstore.Guard
 	revisions := map[string]uint64{}
-	for _, w := range known {
-		if revisions[jobs.RecordKey(w.id)] == 0 {
-			guards = append(guards, kvstore.Guard{Key: jobs.RecordKey(w.id)})
+	for _, change := range known {
+		key := jobs.RecordKey(change.id)
+		if revisions[key] == 0 {
+			guards = append(guards, kvstore.Guard{Key: key})
 		}
-		revisions[jobs.RecordKey(w.id)] = w.revision
+		revisions[key] = change.revision
 	}
 	for i := range guards {
 		guards[i].Revision = revisions[guards[i].Key]
@@ -111,29 +121,18 @@
 	if len(guards) == 0 {
 		return nil, nil
 	}
-	_, changed, err := m.store.Commit(ctx, guards, nil)
+	_, changed, err := r.store.Commit(ctx, guards, nil)
 	if err != nil {
 		return nil, err
 	}
 	for _, key := range changed {
-		p, _, err := m.store.Get(ctx, key)
+		pair, _, err := r.store.Get(ctx, key)
 		if err != nil {
 			return nil, err
 		}
-		if p.Revision < revisions[key] {
-			return &detection.Loss{Kind: detection.RevisionBack, Key: key, Known: revisions[key], Found: p.Revision}, nil
+		if pair.Revision < revisions[key] {
+			return &detection.Loss{Kind: detection.RevisionBack, Key: key, Known: revisions[key], Found: pair.Revision}, nil
 		}
 	}
 	return nil, nil
 }
-
-// forgetAllRevisions takes in that the service was put back: revisions above one are of the
-// past, and all is read anew.
-func (m *Cache) forgetAllRevisions(above uint64) {
-	m.whole = false
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.jobs.forgetRevisions(above)
-	m.witnesses.newest = nil
-	m.losses.putBack = true // until the leader says that it is made good
-}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"strings"
+
+	jsonv2 "github.com/go-json-experiment/json"
 )
 
 // States of a job.
@@ -80,3 +82,16 @@
 
 // Counts are a job's tasks for display.
 type Counts struct{ Done, Running int }
+
+// Summary is the part of a record that a poll needs.
+type Summary struct {
+	State string `json:"stance"`
+	Tasks int    `json:"tasks"`
+}
+
+// DecodeSummary reads the summary of a stored record.
+func DecodeSummary(value []byte) (Summary, error) {
+	var summary Summary
+	err := jsonv2.Unmarshal(value, &summary)
+	return summary, err
+}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -17,7 +17,7 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.viewTime, l.fresh = now, !l.Cache.ProvenCurrent()
+	l.viewTime, l.fresh = now, !l.Cache.Readiness.ProvenCurrent()
 	segments, _, err := l.Store.List(ctx, logPrefix)
 	if err != nil {
 		return 0, err
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -160,7 +160,7 @@
 	l.enter(Comparing)
 	l.since, l.again, l.unmark = now, false, false
 	l.round++
-	l.Cache.SuspectLossUntil(now.Add(l.Derived.Cancel))
+	l.Cache.Readiness.SuspectLossUntil(now.Add(l.Derived.Cancel))
 	l.ticket = l.Cache.RequestAudit()
 	l.listAnew.Store(true)
 	l.ownAfter, l.ownDone = "", false
@@ -209,7 +209,7 @@
 	for id, k := range l.knowledge {
 		l.Cache.AddLost(id, told(k), k.TaskCount())
 	}
-	l.Cache.MarkCompared()
+	l.Cache.Readiness.MarkCompared()
 	l.queueDecided()
 	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostCount(), "to decide", len(l.knowledge))
 	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostCount()))
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -30,7 +30,7 @@
 	if l.phase == Whole && len(l.adopting) == 0 {
 		return false
 	}
-	if l.phase == Comparing && (l.ignorant || !l.Cache.ReadAllBeforeLoss()) {
+	if l.phase == Comparing && (l.ignorant || !l.Cache.Readiness.ReadAllBeforeLoss()) {
 		return true
 	}
 	team, _ := l.Settings.Team(j.spec.Team)
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -192,14 +192,14 @@
 
 // settling tells whether this leader still waits for that.
 func (l *Leader) settling(now time.Time) bool {
-	return l.fresh && !l.Cache.ProvenCurrent() && now.Sub(l.term.Since) < mostSettling(l.Derived)
+	return l.fresh && !l.Cache.Readiness.ProvenCurrent() && now.Sub(l.term.Since) < mostSettling(l.Derived)
 }
 
 // endSettling ends the wait: nobody leads who could know more.
 func (l *Leader) endSettling(now time.Time) {
 	if l.fresh && !l.settling(now) {
 		l.fresh = false
-		l.Cache.AssumeComplete()
+		l.Cache.Readiness.AssumeComplete()
 		l.replan = true
 	}
 }
@@ -234,7 +234,7 @@
 			}
 		}
 	}
-	if l.phase == Whole && (l.Cache.LossSuspected() || l.Cache.LostCount() > 0) {
+	if l.phase == Whole && (l.Cache.Readiness.LossSuspected() || l.Cache.LostCount() > 0) {
 		// Something was noticed while nobody led.
 		l.expectTasks(now)
 		l.suspect(detection.Loss{Kind: detection.Earlier}, now)
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -194,7 +194,7 @@
 			reply(answer{err: fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)})
 			return
 		}
-		if !l.Cache.InitialReadDone() {
+		if !l.Cache.Readiness.InitialReadDone() {
 			reply(answer{err: ErrNotReady})
 			return
 		}
