--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -1,20 +1,13 @@
 package jobs
 
 import (
+	"bytes"
 	"encoding/json"
 	"strings"
 
 	jsonv2 "github.com/go-json-experiment/json"
 )
 
-// States of a job.
-const (
-	Queued    = "queued"
-	Running   = "running"
-	Done      = "done"
-	Cancelled = "aborted"
-)
-
 // RecordPrefix holds one key a job, which is never removed.
 const RecordPrefix = "job/"
 
@@ -22,21 +15,6 @@
 // others know. A node that starts meanwhile did not see what was lost.
 const RecoveryStatusKey = "recovery/status"
 
-// Record is what the state service keeps of a job. It is written when the job
-// is accepted and once more when it ends, guarded by its revision, so that a
-// job ends in one way only. A done job keeps no more than that; a cancelled one
-// keeps its description, since its tasks still count until they are gone.
-type Record struct {
-	State        string `json:"stance"`
-	Tasks        int    `json:"tasks"`
-	Spec         *Spec  `json:"spec,omitempty"`
-	AcceptedAtMs int64  `json:"atMs,omitempty"` // time of day of its acceptance
-	Held         *Held  `json:"held,omitempty"` // instead of Spec, while the job is not to run
-	// Restored tells that the record was lost and written again: tasks of the job may be
-	// on machines without an entry in the assignment log.
-	Restored bool `json:"restored,omitempty"`
-}
-
 // Finished tells whether the record can change no more.
 func (r *Record) Finished() bool { return r.State == Done || r.State == Cancelled }
 
@@ -68,6 +46,24 @@
 	return r.Spec
 }
 
+// WithDescription returns a held record with the description that was missing. If nothing else
+// was, the job is held no more.
+func (r *Record) WithDescription(spec *Spec) json.RawMessage {
+	now := Record{State: Queued, Tasks: spec.Tasks}
+	if r.Held.OnlySpecMissing {
+		now.Spec, now.AcceptedAtMs, now.Restored = spec, r.Held.AcceptedAtMs, true
+	} else {
+		held := *r.Held
+		held.Spec = spec
+		now.Held = &held
+	}
+	raw, _ := json.Marshal(now)
+	return raw
+}
+
+// IsHeldRecord tells whether a stored record is that of a held job, without decoding it.
+func IsHeldRecord(value []byte) bool { return bytes.Contains(value, heldField) }
+
 // RecordKey is the key of a job's record.
 func RecordKey(id string) string { return RecordPrefix + id }
 
@@ -83,12 +79,6 @@
 // Counts are a job's tasks for display.
 type Counts struct{ Done, Running int }
 
-// Summary is the part of a record that a poll needs.
-type Summary struct {
-	State string `json:"stance"`
-	Tasks int    `json:"tasks"`
-}
-
 // DecodeSummary reads the summary of a stored record.
 func DecodeSummary(value []byte) (Summary, error) {
 	var summary Summary
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -1,24 +1,8 @@
 package jobs
 
 import (
-	"errors"
-	"fmt"
 	"regexp"
 	"slices"
-
-	"ospreyslip/internal/settings"
-)
-
-// Shapes and priorities of jobs.
-const (
-	Batch   = "batch"
-	Service = "daemon"
-	Gang    = "gang" // its tasks run at the same time or not at all
-
-	Prod       = "prod"
-	Urgent     = "urgent"
-	Standard   = "standard"
-	BestEffort = "best_effort"
 )
 
 var shapes = []string{Batch, Service, Gang}
@@ -33,31 +17,6 @@
 // ValidID tells whether an id has the form that all jobs' ids have.
 func ValidID(id string) bool { return idForm.MatchString(id) }
 
-// Spec is a job as its user describes it.
-type Spec struct {
-	ID                  string   `json:"id"`
-	Class               string   `json:"flock"`
-	Team                string   `json:"crew"`
-	Shape               string   `json:"shape"`
-	Priority            string   `json:"rank"`
-	Tasks               int      `json:"talons"`
-	CPUs                float64  `json:"vcpus"`
-	GPUs                float64  `json:"gpus"`
-	RAMGB               float64  `json:"ramGb"`
-	Image               string   `json:"plumage"`
-	ImageGB             float64  `json:"imageGb"`
-	Types               []string `json:"perches"`
-	Zone                string   `json:"eyrie"`
-	OneZone             bool     `json:"samePlace"`
-	Spread              bool     `json:"scatter"`
-	Spot                bool     `json:"driftwood"`
-	EstimatedRuntimeS   float64  `json:"flightS"`
-	CheckpointIntervalS float64  `json:"roostS"`
-	CheckpointSaveS     float64  `json:"stashS"`
-	DeadlineS           *float64 `json:"duskS"`
-	rankCached          int
-}
-
 // Rank orders priorities; the higher one goes first.
 func (s *Spec) Rank() int {
 	if s.rankCached == 0 {
@@ -94,52 +53,3 @@
 
 // RunsToCompletion tells whether the job's tasks run to completion.
 func (s *Spec) RunsToCompletion() bool { return s.Shape != Service }
-
-// MachineType is an entry of the cloud's catalog.
-type MachineType struct {
-	Name      string   `json:"label"`
-	CPUs      float64  `json:"vcpus"`
-	GPUs      float64  `json:"gpus"`
-	RAMGB     float64  `json:"ramGb"`
-	CacheGB   float64  `json:"localGb"`
-	FetchGBPS float64  `json:"fetchGbPerS"`
-	Price     float64  `json:"rate"`
-	SpotPrice float64  `json:"lowPrice"`
-	BootS     float64  `json:"startupS"`
-	Zones     []string `json:"eyries"`
-}
-
-// Fits tells whether a task fits an empty machine of the type.
-func (t *MachineType) Fits(s *Spec) bool {
-	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.RAMGB <= t.RAMGB
-}
-
-// CheckRunnable returns why a job can never run, or nil.
-func CheckRunnable(s *Spec, types []MachineType, set *settings.Settings) error {
-	team, ok := set.Team(s.Team)
-	if !ok {
-		return fmt.Errorf("crew %q is not known", s.Team)
-	}
-	zones := map[string]bool{}
-	for _, t := range types {
-		for _, z := range t.Zones {
-			if t.Fits(s) && s.Allows(t.Name, z, false) {
-				zones[z] = true
-			}
-		}
-	}
-	if len(zones) == 0 {
-		return errors.New("a task fits no allowed machine type")
-	}
-	if s.Shape != Batch && s.ZoneLimit() < s.Tasks && (s.OneZone || len(zones) == 1) {
-		return errors.New("all tasks run at a time, and no zone may have more than half of them")
-	}
-	n := 1.0
-	if s.Shape != Batch {
-		n = float64(s.Tasks)
-	}
-	if team.CPUsMax > 0 && n*s.CPUs > team.CPUsMax || team.GPUsMax > 0 && n*s.GPUs > team.GPUsMax {
-		return fmt.Errorf("the job needs more than the limit of crew %q", s.Team)
-	}
-	return nil
-}
