--- a/internal/jobs/machine_type.go
+++ b/internal/jobs/machine_type.go
@@ -2,42 +2,57 @@
 
 import (
 	"errors"
-	"fmt"
 
 	"ospreyslip/internal/settings"
 )
 
 // Fits tells whether a task fits an empty machine of the type.
-func (t *MachineType) Fits(s *Spec) bool {
-	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.RAMGB <= t.RAMGB
+func (t *MachineType) Fits(spec *Spec) bool {
+	return spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs && spec.RAMGB <= t.RAMGB
 }
 
-// CheckRunnable returns why a job can never run, or nil.
-func CheckRunnable(s *Spec, types []MachineType, set *settings.Settings) error {
-	team, ok := set.Team(s.Team)
+// Reasons why a job can never run. Their texts are shown to users; so are those of
+// UnknownTeamError and TeamLimitError.
+var (
+	ErrFitsNoMachineType = errors.New("a task fits no allowed machine type")
+	ErrNeedsTwoZones     = errors.New("all tasks run at a time, and no zone may have more than half of them")
+)
+
+// CheckRunnable returns why a job can never run, by the catalog of machine types and its team's
+// limits, or nil: an UnknownTeamError, ErrFitsNoMachineType, ErrNeedsTwoZones or a
+// TeamLimitError.
+func CheckRunnable(spec *Spec, types []MachineType, set *settings.Settings) error {
+	team, ok := set.Team(spec.Team)
 	if !ok {
-		return fmt.Errorf("crew %q is not known", s.Team)
-	}
-	zones := map[string]bool{}
-	for _, t := range types {
-		for _, z := range t.Zones {
-			if t.Fits(s) && s.Allows(t.Name, z, false) {
-				zones[z] = true
-			}
-		}
+		return UnknownTeamError{Team: spec.Team}
 	}
-	if len(zones) == 0 {
-		return errors.New("a task fits no allowed machine type")
+	zones := zonesThatFit(spec, types)
+	if zones == 0 {
+		return ErrFitsNoMachineType
 	}
-	if s.Shape != Batch && s.ZoneLimit() < s.Tasks && (s.OneZone || len(zones) == 1) {
-		return errors.New("all tasks run at a time, and no zone may have more than half of them")
+	if spec.Shape != Batch && spec.ZoneLimit() < spec.Tasks && (spec.OneZone || zones == 1) {
+		return ErrNeedsTwoZones
 	}
-	n := 1.0
-	if s.Shape != Batch {
-		n = float64(s.Tasks)
+	atOnce := 1.0 // tasks that run at the same time, at least
+	if spec.Shape != Batch {
+		atOnce = float64(spec.Tasks)
 	}
-	if team.CPUsMax > 0 && n*s.CPUs > team.CPUsMax || team.GPUsMax > 0 && n*s.GPUs > team.GPUsMax {
-		return fmt.Errorf("the job needs more than the limit of crew %q", s.Team)
+	if team.CPUsMax > 0 && atOnce*spec.CPUs > team.CPUsMax || team.GPUsMax > 0 && atOnce*spec.GPUs > team.GPUsMax {
+		return TeamLimitError{Team: spec.Team}
 	}
 	return nil
 }
+
+// zonesThatFit returns in how many zones there are machine types, not as spot machines, on which
+// a task may run.
+func zonesThatFit(spec *Spec, types []MachineType) int {
+	zones := map[string]bool{}
+	for _, machineType := range types {
+		for _, zone := range machineType.Zones {
+			if machineType.Fits(spec) && spec.Allows(machineType.Name, zone, false) {
+				zones[zone] = true
+			}
+		}
+	}
+	return len(zones)
+}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -7,6 +7,7 @@
 
 var shapes = []string{Batch, Service, Gang}
 
+// priorities are in ascending order.
 var priorities = []string{BestEffort, Standard, Urgent, Prod}
 
 // MaxTasks is the protocol's limit of tasks per job.
@@ -17,7 +18,8 @@
 // ValidID tells whether an id has the form that all jobs' ids have.
 func ValidID(id string) bool { return idForm.MatchString(id) }
 
-// Rank orders priorities; the higher one goes first.
+// Rank orders priorities; the higher one goes first. It is remembered, so that the first call for
+// a job must not run beside another.
 func (s *Spec) Rank() int {
 	if s.rankCached == 0 {
 		s.rankCached = slices.Index(priorities, s.Priority) + 1
@@ -33,23 +35,24 @@
 	return s.Tasks
 }
 
-// Allows tells whether the job may use such a machine, its other tasks aside.
+// Allows tells whether a task may run on a machine of a type in a zone, wherever the job's other
+// tasks are.
 func (s *Spec) Allows(machineType, zone string, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, machineType)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// KeepOnlyTypes leaves out allowed machine types that do not exist, and repetitions:
-// a record has to fit into one value.
-func (s *Spec) KeepOnlyTypes(types []MachineType) {
+// KeepOnlyTypes leaves out allowed machine types that are not in the catalog, and repetitions: a
+// record has to fit into one value.
+func (s *Spec) KeepOnlyTypes(catalog []MachineType) {
 	var known []string
-	for _, t := range types {
-		if slices.Contains(s.Types, t.Name) {
-			known = append(known, t.Name)
+	for _, machineType := range catalog {
+		if slices.Contains(s.Types, machineType.Name) {
+			known = append(known, machineType.Name)
 		}
 	}
 	s.Types = known
 }
 
-// RunsToCompletion tells whether the job's tasks run to completion.
+// RunsToCompletion tells whether the job's tasks end by themselves, unlike those of a service.
 func (s *Spec) RunsToCompletion() bool { return s.Shape != Service }
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -8,71 +8,93 @@
 	"slices"
 )
 
+// This file maps a submission as it comes on the wire to a Spec: the protocol's words are the
+// names of the fields in errors, as users know them.
+
 // submission is a job as it comes on the wire: a field that is missing or null is nil.
 type submission struct {
-	ID        *string   `json:"id"`
-	Class     *string   `json:"flock"`
-	Team      *string   `json:"crew"`
-	Shape     *string   `json:"shape"`
-	Priority  *string   `json:"rank"`
-	Tasks     *int      `json:"talons"`
-	CPUs      *float64  `json:"vcpus"`
-	GPUs      *float64  `json:"gpus"`
-	RAMGB     *float64  `json:"ramGb"`
-	Image     *string   `json:"plumage"`
-	ImageGB   *float64  `json:"imageGb"`
-	Types     []*string `json:"perches"`
-	Zone      *string   `json:"eyrie"`
-	OneZone   *bool     `json:"samePlace"`
-	Spread    *bool     `json:"scatter"`
-	Spot      *bool     `json:"driftwood"`
-	EstimateS *float64  `json:"flightS"`
-	CheckpntS *float64  `json:"roostS"`
-	SaveS     *float64  `json:"stashS"`
-	DeadlineS *float64  `json:"duskS"`
+	ID                  *string   `json:"id"`
+	Class               *string   `json:"flock"`
+	Team                *string   `json:"crew"`
+	Shape               *string   `json:"shape"`
+	Priority            *string   `json:"rank"`
+	Tasks               *int      `json:"talons"`
+	CPUs                *float64  `json:"vcpus"`
+	GPUs                *float64  `json:"gpus"`
+	RAMGB               *float64  `json:"ramGb"`
+	Image               *string   `json:"plumage"`
+	ImageGB             *float64  `json:"imageGb"`
+	Types               []*string `json:"perches"`
+	Zone                *string   `json:"eyrie"`
+	OneZone             *bool     `json:"samePlace"`
+	Spread              *bool     `json:"scatter"`
+	Spot                *bool     `json:"driftwood"`
+	EstimatedRuntimeS   *float64  `json:"flightS"`
+	CheckpointIntervalS *float64  `json:"roostS"`
+	CheckpointSaveS     *float64  `json:"stashS"`
+	DeadlineS           *float64  `json:"duskS"`
+}
+
+// InvalidFieldError tells of a field of a submission that is missing or not as it must be.
+type InvalidFieldError struct {
+	Field string // its name on the wire
+	Want  string // what it must be
 }
 
-// ParseSpec reads a submission. Its errors are the user's mistakes.
+func (e *InvalidFieldError) Error() string { return e.Field + " must be " + e.Want }
+
+// ParseSpec reads a submission. Its errors are the user's mistakes, to be shown as they are:
+// that of the JSON decoder, or all fields' *InvalidFieldError, joined.
 func ParseSpec(raw []byte) (*Spec, error) {
 	var in submission
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, err
 	}
-	var v validator
-	s := &Spec{
-		ID: v.text("id", in.ID), Class: v.text("flock", in.Class), Team: v.text("crew", in.Team),
-		Shape: v.text("shape", in.Shape), Priority: v.text("rank", in.Priority),
-		CPUs: v.amount("vcpus", in.CPUs), GPUs: v.amount("gpus", in.GPUs), RAMGB: v.amount("ramGb", in.RAMGB),
-		Image: v.text("plumage", in.Image), ImageGB: v.amount("imageGb", in.ImageGB),
-		OneZone: v.flag("samePlace", in.OneZone), Spread: v.flag("scatter", in.Spread), Spot: v.flag("driftwood", in.Spot),
-		EstimatedRuntimeS: v.amount("flightS", in.EstimateS), CheckpointIntervalS: v.amount("roostS", in.CheckpntS), CheckpointSaveS: v.amount("stashS", in.SaveS),
+	var check validator
+	spec := &Spec{
+		ID:                  check.text("id", in.ID),
+		Class:               check.text("flock", in.Class),
+		Team:                check.text("crew", in.Team),
+		Shape:               check.text("shape", in.Shape),
+		Priority:            check.text("rank", in.Priority),
+		CPUs:                check.amount("vcpus", in.CPUs),
+		GPUs:                check.amount("gpus", in.GPUs),
+		RAMGB:               check.amount("ramGb", in.RAMGB),
+		Image:               check.text("plumage", in.Image),
+		ImageGB:             check.amount("imageGb", in.ImageGB),
+		OneZone:             check.flag("samePlace", in.OneZone),
+		Spread:              check.flag("scatter", in.Spread),
+		Spot:                check.flag("driftwood", in.Spot),
+		EstimatedRuntimeS:   check.amount("flightS", in.EstimatedRuntimeS),
+		CheckpointIntervalS: check.amount("roostS", in.CheckpointIntervalS),
+		CheckpointSaveS:     check.amount("stashS", in.CheckpointSaveS),
 	}
-	v.form(s)
-	s.Tasks = v.tasks(in.Tasks)
-	s.Types = v.types(in.Types)
+	check.forms(spec)
+	spec.Tasks = check.taskCount(in.Tasks)
+	spec.Types = check.machineTypes(in.Types)
 	if in.Zone != nil {
-		s.Zone = v.text("eyrie", in.Zone)
+		spec.Zone = check.text("eyrie", in.Zone)
 	}
 	if in.DeadlineS != nil {
-		d := v.amount("duskS", in.DeadlineS)
-		s.DeadlineS = &d
+		deadline := check.amount("duskS", in.DeadlineS)
+		spec.DeadlineS = &deadline
 	}
-	if err := errors.Join(v.errs...); err != nil {
+	if err := errors.Join(check.errs...); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return spec, nil
 }
 
 // validator collects what is wrong with the fields of a submission.
 type validator struct{ errs []error }
 
-func (v *validator) bad(field, want string) {
-	v.errs = append(v.errs, fmt.Errorf("%s must be %s", field, want))
+func (v *validator) reject(field, want string) {
+	v.errs = append(v.errs, &InvalidFieldError{Field: field, Want: want})
 }
 
 func (v *validator) text(field string, value *string) string {
 	if value == nil || *value == "" {
-		v.bad(field, "a string that is not empty")
+		v.reject(field, "a string that is not empty")
 		return ""
 	}
 	return *value
@@ -80,7 +102,7 @@
 
 func (v *validator) amount(field string, value *float64) float64 {
 	if value == nil || !(*value >= 0) || math.IsInf(*value, 0) {
-		v.bad(field, "a number of at least 0")
+		v.reject(field, "a number of at least 0")
 		return 0
 	}
 	return *value
@@ -88,39 +110,39 @@
 
 func (v *validator) flag(field string, value *bool) bool {
 	if value == nil {
-		v.bad(field, "true or false")
+		v.reject(field, "true or false")
 		return false
 	}
 	return *value
 }
 
-func (v *validator) tasks(value *int) int {
+func (v *validator) taskCount(value *int) int {
 	if value == nil || *value < 1 || *value > MaxTasks {
-		v.bad("talons", fmt.Sprintf("an integer from 1 to %d", MaxTasks))
+		v.reject("talons", fmt.Sprintf("an integer from 1 to %d", MaxTasks))
 		return 0
 	}
 	return *value
 }
 
-func (v *validator) types(values []*string) (types []string) {
-	for _, t := range values {
-		types = append(types, v.text("perches", t))
+func (v *validator) machineTypes(values []*string) (types []string) {
+	for _, name := range values {
+		types = append(types, v.text("perches", name))
 	}
 	if values != nil && len(values) == 0 {
-		v.bad("perches", "null or a list that is not empty")
+		v.reject("perches", "null or a list that is not empty")
 	}
 	return types
 }
 
-// form checks texts that have a form or are one of a few.
-func (v *validator) form(s *Spec) {
-	if s.ID != "" && !ValidID(s.ID) {
-		v.bad("id", "of the form j-000412")
+// forms checks texts that have a form or are one of a few.
+func (v *validator) forms(spec *Spec) {
+	if spec.ID != "" && !ValidID(spec.ID) {
+		v.reject("id", "of the form j-000412")
 	}
-	if s.Shape != "" && !slices.Contains(shapes, s.Shape) {
-		v.bad("shape", fmt.Sprintf("one of %v", shapes))
+	if spec.Shape != "" && !slices.Contains(shapes, spec.Shape) {
+		v.reject("shape", fmt.Sprintf("one of %v", shapes))
 	}
-	if s.Priority != "" && !slices.Contains(priorities, s.Priority) {
-		v.bad("rank", fmt.Sprintf("one of %v", priorities))
+	if spec.Priority != "" && !slices.Contains(priorities, spec.Priority) {
+		v.reject("rank", fmt.Sprintf("one of %v", priorities))
 	}
 }
--- /dev/null
+++ b/internal/jobs/submission_test.go
@@ -0,0 +1,54 @@
+package jobs
+
+import (
+	"errors"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+const validSubmission = `{"id":"j-000412","flock":"train","crew":"vision","shape":"gang","rank":"urgent",
+	"talons":4,"vcpus":8,"gpus":1,"ramGb":32,"plumage":"img-1","imageGb":12.5,"perches":["g8"],"eyrie":null,
+	"samePlace":true,"scatter":false,"driftwood":true,"flightS":240,"roostS":30,"stashS":4,"duskS":900}`
+
+// Each wire field comes to stand in the field of the specification that it is mapped to.
+func TestParseSpec(t *testing.T) {
+	got, err := ParseSpec([]byte(validSubmission))
+	if err != nil {
+		t.Fatal(err)
+	}
+	deadline := 900.0
+	want := &Spec{
+		ID: "j-000412", Class: "train", Team: "vision", Shape: Gang, Priority: Urgent, Tasks: 4, CPUs: 8, GPUs: 1, RAMGB: 32,
+		Image: "img-1", ImageGB: 12.5, Types: []string{"g8"}, OneZone: true, Spot: true,
+		EstimatedRuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: &deadline,
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+// A user is told of every field that is wrong, by its name on the wire.
+func TestParseSpecNamesInvalidFields(t *testing.T) {
+	for _, test := range []struct{ old, changed, field, text string }{
+		{`"j-000412"`, `"000412"`, "id", "id must be of the form j-000412"},
+		{`"flock":"train",`, ``, "flock", "flock must be a string that is not empty"},
+		{`"gang"`, `"pack"`, "shape", "shape must be one of [batch daemon gang]"},
+		{`"urgent"`, `"soon"`, "rank", "rank must be one of [best_effort standard urgent prod]"},
+		{`"talons":4`, `"talons":100001`, "talons", "talons must be an integer from 1 to 100000"},
+		{`"vcpus":8`, `"vcpus":-1`, "vcpus", "vcpus must be a number of at least 0"},
+		{`"samePlace":true`, `"samePlace":null`, "samePlace", "samePlace must be true or false"},
+		{`["g8"]`, `[]`, "perches", "perches must be null or a list that is not empty"},
+		{`"eyrie":null`, `"eyrie":""`, "eyrie", "eyrie must be a string that is not empty"},
+	} {
+		_, err := ParseSpec([]byte(strings.Replace(validSubmission, test.old, test.changed, 1)))
+		var invalid *InvalidFieldError
+		if !errors.As(err, &invalid) || invalid.Field != test.field || err.Error() != test.text {
+			t.Errorf("%s: %v, want %q", test.changed, err, test.text)
+		}
+	}
+	_, err := ParseSpec([]byte(`{}`))
+	if err == nil || strings.Count(err.Error(), "\n") != 16 {
+		t.Errorf("no field at all: %v, want 17 lines", err)
+	}
+}
--- a/internal/jobs/wire.go
+++ b/internal/jobs/wire.go
@@ -1,7 +1,9 @@
 package jobs
 
-// This file holds the words of the protocol and of stored records, as the fields' tags and the
-// values of states, shapes and priorities, and nothing else.
+import "fmt"
+
+// This file holds the words of the protocol and of stored records, as the fields' tags, the
+// values of states, shapes and priorities and the texts that users are shown, and nothing else.
 
 // States of a job.
 const (
@@ -101,3 +103,17 @@
 	BootS     float64  `json:"startupS"`
 	Zones     []string `json:"eyries"`
 }
+
+// UnknownTeamError tells of a job of a team that the settings do not have. Its text is shown to
+// users.
+type UnknownTeamError struct{ Team string }
+
+func (e UnknownTeamError) Error() string { return fmt.Sprintf("crew %q is not known", e.Team) }
+
+// TeamLimitError tells of a job that can never run within its team's limit. Its text is shown
+// to users.
+type TeamLimitError struct{ Team string }
+
+func (e TeamLimitError) Error() string {
+	return fmt.Sprintf("the job needs more than the limit of crew %q", e.Team)
+}
