--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -13,6 +13,7 @@
 
 	jsonv2 "github.com/go-json-experiment/json"
 
+	"ospreyslip/internal/httpreply"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
@@ -78,14 +79,8 @@
 }
 
 func reply(w http.ResponseWriter, status int, body any) {
-	raw, err := json.Marshal(body)
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	_, _ = w.Write(raw)
+	encoded, err := json.Marshal(body)
+	httpreply.JSON(w, status, encoded, err)
 }
 
 func refuse(w http.ResponseWriter, status int, why string) {
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -5,6 +5,8 @@
 	"net/http"
 
 	"github.com/go-json-experiment/json"
+
+	"ospreyslip/internal/httpreply"
 )
 
 const maxBody = 64 << 10
@@ -40,12 +42,6 @@
 }
 
 func reply(w http.ResponseWriter, status int, body any) {
-	raw, err := json.Marshal(body)
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	_, _ = w.Write(raw)
+	encoded, err := json.Marshal(body)
+	httpreply.JSON(w, status, encoded, err)
 }
