--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -2,27 +2,24 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"io"
-	"log/slog"
-	"math"
 	"net/http"
-	"strconv"
 	"time"
 
 	jsonv2 "github.com/go-json-experiment/json"
 
-	"ospreyslip/internal/httpreply"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/settings"
 )
 
-const maxBody = 64 << 10
+// retriesPerStoreWait is how often a request is tried again in the time that an answer of the
+// key-value store may take.
+const retriesPerStoreWait = 20
 
-// API answers users.
+// API answers users. Its fields have to be set before Register; its functions may be called by
+// several goroutines at a time.
 type API struct {
 	Settings *settings.Settings
 	Derived  settings.Derived
@@ -37,68 +34,53 @@
 	// Room tells whether there is memory for more jobs.
 	Room func() bool
 
-	slots chan struct{}
+	slots chan struct{} // one is taken by each request in progress
 }
 
-// Register adds the users' paths. Every request takes a slot or is refused at
-// once: a queue in front of the state service would only make users ask twice.
+// Register adds the users' paths. Every request takes a slot or is refused at once: a queue in
+// front of the key-value store would only make users ask twice.
 func (a *API) Register(mux *http.ServeMux) {
 	a.slots = make(chan struct{}, a.Derived.UserQueue)
-	mux.HandleFunc("POST /v1/jobs", a.limited(a.submit))
-	mux.HandleFunc("GET /v1/jobs/{id}", a.limited(a.show))
-	mux.HandleFunc("POST /v1/jobs/{id}/withdraw", a.limited(a.withdraw))
-	mux.HandleFunc("GET /up", func(w http.ResponseWriter, _ *http.Request) {
-		if a.Ready() {
-			w.WriteHeader(http.StatusOK)
-		} else {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
-	})
+	mux.HandleFunc("POST /v1/jobs", a.limited(a.submitJob))
+	mux.HandleFunc("GET /v1/jobs/{id}", a.limited(a.showJob))
+	mux.HandleFunc("POST /v1/jobs/{id}/withdraw", a.limited(a.withdrawJob))
+	mux.HandleFunc("GET /up", a.showReadiness)
 }
 
-func (a *API) limited(next func(context.Context, http.ResponseWriter, *http.Request)) http.HandlerFunc {
+// handler answers a request. It needs the writer to bound the request's body only.
+type handler func(context.Context, http.ResponseWriter, *http.Request) *answer
+
+// limited gives a handler a slot and a deadline, and writes its answer.
+func (a *API) limited(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case a.slots <- struct{}{}:
 			defer func() { <-a.slots }()
 		default:
-			a.later(w, "too many requests at this node")
+			a.write(w, unavailable(tooManyRequestsText))
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), a.Derived.UserWait)
 		defer cancel()
-		next(ctx, w, r)
+		if ans := next(ctx, w, r); ans != nil {
+			a.write(w, ans)
+		}
 	}
 }
 
-type view struct {
-	ID      string `json:"id"`
-	State   string `json:"stance"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
-}
-
-func reply(w http.ResponseWriter, status int, body any) {
-	encoded, err := json.Marshal(body)
-	httpreply.JSON(w, status, encoded, err)
-}
-
-func refuse(w http.ResponseWriter, status int, why string) {
-	reply(w, status, map[string]string{"error": why})
-}
-
-// later refuses at once and says when a try is worth while: after the time in
-// which the term or a busy state service may have settled.
-func (a *API) later(w http.ResponseWriter, why string) {
-	w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(a.Derived.TermLease.Seconds()/2)))))
-	refuse(w, http.StatusServiceUnavailable, why)
+func (a *API) showReadiness(w http.ResponseWriter, _ *http.Request) {
+	if a.Ready() {
+		w.WriteHeader(http.StatusOK)
+	} else {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
 }
 
-// read reads a job's record, and its revision. Where the state service has lost it, or
-// says less than this node knows, what is known takes its place.
-func (a *API) read(ctx context.Context, id string) (*jobs.Record, uint64, error) {
-	asked := a.Cache.BeginRequest()
-	p, found, err := a.Store.Get(ctx, jobs.RecordKey(id))
+// readRecord reads a job's record, and its revision; nil if there is none. Where the key-value
+// store has lost it, or says less than this node knows, what is known takes its place.
+func (a *API) readRecord(ctx context.Context, id string) (*jobs.Record, uint64, error) {
+	request := a.Cache.BeginRequest()
+	pair, found, err := a.Store.Get(ctx, jobs.RecordKey(id))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -109,234 +91,64 @@
 		return nil, 0, nil
 	}
 	var rec jobs.Record
-	if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
+	if err := jsonv2.Unmarshal(pair.Value, &rec); err != nil {
 		return nil, 0, err
 	}
-	a.Cache.ApplyAnswer(asked, p) // before anybody is told
+	a.Cache.ApplyAnswer(request, pair) // before anybody is told
 	if known, _ := a.Cache.Known(id); known.Finished() {
 		rec.State = known.State
 	}
-	return &rec, p.Revision, nil
+	return &rec, pair.Revision, nil
+}
+
+// replaceRecord writes a job's record if it still is at a revision; 0 stands for no record. It
+// returns the new revision, and whether the record was written.
+func (a *API) replaceRecord(ctx context.Context, id string, revision uint64, value []byte) (written uint64, ok bool, err error) {
+	key := jobs.RecordKey(id)
+	written, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: key, Revision: revision}}, []kvstore.Write{{Set: key, Value: value}})
+	return written, err == nil && len(failed) == 0, err
 }
 
+// shownState is the state that users are shown: the record does not tell whether tasks run.
 func (a *API) shownState(id string, rec *jobs.Record) string {
-	if !rec.Finished() && a.Counts != nil {
-		if c, ok := a.Counts(id); ok && c.Running > 0 {
+	if !rec.Finished() {
+		if _, running := a.runningCounts(id); running {
 			return jobs.Running
 		}
 	}
 	return rec.State
 }
 
-func (a *API) submit(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
-	var tooLarge *http.MaxBytesError
-	switch {
-	case errors.As(err, &tooLarge):
-		refuse(w, http.StatusBadRequest, "body over 64 KiB")
-		return
-	case err != nil:
-		return // the user is gone
-	}
-	spec, err := jobs.ParseSpec(raw)
-	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
-		return
-	}
-	types := a.Catalog()
-	if types == nil {
-		a.later(w, "machine types are not known yet")
-		return
-	}
-	if why := jobs.CheckRunnable(spec, types, a.Settings); why != nil {
-		// A job accepted under an earlier catalog or team stays accepted.
-		a.ifNew(ctx, w, spec.ID, func() { refuse(w, http.StatusUnprocessableEntity, why.Error()) })
-		return
-	}
-	if !a.Room() {
-		a.ifNew(ctx, w, spec.ID, func() { a.later(w, "memory is short at this node") })
-		return
-	}
-	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.Readiness.ProvenCurrent() {
-		// It may have been accepted, and be over, before this node began.
-		a.ifNew(ctx, w, spec.ID, func() { a.later(w, unsettledText) })
-		return
-	}
-	rec := jobs.Record{State: jobs.Queued, Tasks: spec.Tasks, Spec: spec, AcceptedAtMs: time.Now().UnixMilli()}
-	value, err := json.Marshal(rec)
-	if err == nil && len(value) > a.Derived.ValueBytes {
-		spec.KeepOnlyTypes(types)
-		value, err = json.Marshal(rec)
-	}
-	if err != nil || len(value) > a.Derived.ValueBytes {
-		refuse(w, http.StatusBadRequest, "job too large")
-		return
-	}
-	a.retry(ctx, w, func() (bool, error) {
-		if _, known := a.Cache.Known(spec.ID); !known {
-			asked := a.Cache.BeginRequest()
-			rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: jobs.RecordKey(spec.ID)}},
-				[]kvstore.Write{{Set: jobs.RecordKey(spec.ID), Value: value}})
-			if err != nil {
-				return false, err
-			}
-			if len(failed) == 0 {
-				// Should the state service lose the record, nobody else may know of it.
-				a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: jobs.RecordKey(spec.ID), Value: value, Revision: rev})
-				slog.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
-				reply(w, http.StatusCreated, view{ID: spec.ID, State: jobs.Queued})
-				return true, nil
-			}
-		}
-		return a.submittedAgain(ctx, w, spec)
-	})
-}
-
-// submittedAgain answers the submission of a job that is known already. Where its
-// description was lost, this brings it back.
-func (a *API) submittedAgain(ctx context.Context, w http.ResponseWriter, spec *jobs.Spec) (answered bool, err error) {
-	known, revision, err := a.read(ctx, spec.ID)
-	if err != nil || known == nil {
-		return false, err
+// runningCounts returns a job's counts, and whether this node knows that tasks of it run.
+func (a *API) runningCounts(id string) (counts jobs.Counts, running bool) {
+	if a.Counts == nil {
+		return jobs.Counts{}, false
 	}
-	if a.unsettled(spec.ID, known) {
-		a.later(w, unsettledText)
-		return true, nil
-	}
-	if known.Held != nil && known.Held.Spec == nil {
-		value := known.WithDescription(spec)
-		if len(value) <= a.Derived.ValueBytes {
-			_, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: jobs.RecordKey(spec.ID), Revision: revision}},
-				[]kvstore.Write{{Set: jobs.RecordKey(spec.ID), Value: value}})
-			if err != nil || len(failed) > 0 {
-				return false, err
-			}
-			slog.Info("description of a lost job submitted again", "job", spec.ID, "held", !known.Held.OnlySpecMissing)
-		}
-	}
-	reply(w, http.StatusOK, view{ID: spec.ID, State: a.shownState(spec.ID, known)})
-	return true, nil
+	counts, known := a.Counts(id)
+	return counts, known && counts.Running > 0
 }
 
-// unsettledText is told by a node that has just begun.
-const unsettledText = "this node has just begun and does not know yet whether records are missing"
-
-// unsettled tells whether a job that is unfinished, as far as this node knows, may be over: its
-// record may say less than users were told, or is lost, and was changed just before.
-func (a *API) unsettled(id string, rec *jobs.Record) bool {
+// mayBeFinished tells whether a job that is unfinished, as far as this node knows, may be
+// finished: its record may say less than users were told, or is lost, and was changed just
+// before.
+func (a *API) mayBeFinished(id string, rec *jobs.Record) bool {
 	return !rec.Finished() && (!a.Cache.Readiness.ProvenCurrent() || a.Cache.IsLost(id) && a.Cache.Readiness.LossSuspected())
 }
 
-// ifNew answers a submission of a known job with its state; what is done about a new one
-// is for the caller.
-func (a *API) ifNew(ctx context.Context, w http.ResponseWriter, id string, refuse func()) {
-	rec, _, err := a.read(ctx, id)
-	switch {
-	case err != nil:
-		a.later(w, "state service does not answer")
-	case rec != nil && a.unsettled(id, rec):
-		a.later(w, unsettledText)
-	case rec != nil:
-		reply(w, http.StatusOK, view{ID: id, State: a.shownState(id, rec)})
-	case !a.Cache.NeverAccepted(id):
-		a.later(w, "records may be missing")
-	default:
-		refuse()
-	}
-}
-
-// retry tries again while there is time: a write whose outcome is unknown
-// meets its own record on the next try, so that trying again reads it back.
-func (a *API) retry(ctx context.Context, w http.ResponseWriter, try func() (bool, error)) {
+// retry tries again while there is time: a write whose outcome is unknown meets its own record
+// on the next try, so that trying again reads it back. A try without an answer has failed.
+func (a *API) retry(ctx context.Context, try func() (*answer, error)) *answer {
 	for {
-		answered, err := try()
-		if answered {
-			return
+		ans, err := try()
+		if ans != nil {
+			return ans
 		}
 		if errors.Is(err, kvstore.ErrRefused) || ctx.Err() != nil {
-			a.later(w, "state service does not answer")
-			return
+			return unavailable(storeUnavailableText)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(a.Derived.StateWait / 20):
-		}
-	}
-}
-
-func (a *API) show(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	id := r.PathValue("id")
-	if !jobs.ValidID(id) {
-		refuse(w, http.StatusNotFound, "no such job")
-		return
-	}
-	rec, found, err := a.Cache.Get(ctx, id)
-	switch {
-	case errors.Is(err, jobcache.ErrRecordsMayBeMissing):
-		a.showUncertain(w, id)
-	case err != nil:
-		a.later(w, "state service does not answer")
-	case !found:
-		refuse(w, http.StatusNotFound, "no such job")
-	case a.unsettled(id, &rec):
-		a.later(w, unsettledText)
-	default:
-		var c jobs.Counts
-		if rec.State == jobs.Done {
-			c.Done = rec.Tasks
-		} else if a.Counts != nil && !rec.Finished() {
-			c, _ = a.Counts(id)
-		}
-		reply(w, http.StatusOK, view{ID: id, State: a.shownState(id, &rec), Done: &c.Done, Running: &c.Running})
-	}
-}
-
-// showUncertain answers a poll for a job that is not known, while records may be missing.
-// Of a job without a record the leader may know by its tasks.
-func (a *API) showUncertain(w http.ResponseWriter, id string) {
-	if a.Counts != nil {
-		if c, ok := a.Counts(id); ok && c.Running > 0 {
-			reply(w, http.StatusOK, view{ID: id, State: jobs.Running, Done: &c.Done, Running: &c.Running})
-			return
+		case <-time.After(a.Derived.StateWait / retriesPerStoreWait):
 		}
 	}
-	a.later(w, "records may be missing")
-}
-
-func (a *API) withdraw(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	id := r.PathValue("id")
-	if !jobs.ValidID(id) {
-		refuse(w, http.StatusNotFound, "no such job")
-		return
-	}
-	a.retry(ctx, w, func() (bool, error) {
-		rec, revision, err := a.read(ctx, id)
-		switch {
-		case err != nil:
-			return false, err
-		case rec == nil && !a.Cache.NeverAccepted(id):
-			a.later(w, "records may be missing")
-			return true, nil
-		case rec == nil:
-			refuse(w, http.StatusNotFound, "no such job")
-			return true, nil
-		case rec.Finished():
-			reply(w, http.StatusOK, view{ID: id, State: rec.State})
-			return true, nil
-		case a.unsettled(id, rec):
-			a.later(w, unsettledText)
-			return true, nil
-		}
-		ended := rec.FinalForm(jobs.Cancelled, a.Derived.ValueBytes)
-		asked := a.Cache.BeginRequest()
-		rev, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: jobs.RecordKey(id), Revision: revision}},
-			[]kvstore.Write{{Set: jobs.RecordKey(id), Value: ended}})
-		if err != nil || len(failed) > 0 {
-			return false, err
-		}
-		a.Cache.ApplyAnswer(asked, kvstore.Pair{Key: jobs.RecordKey(id), Value: ended, Revision: rev})
-		slog.Debug("job cancelled", "job", id)
-		reply(w, http.StatusOK, view{ID: id, State: jobs.Cancelled})
-		return true, nil
-	})
 }
--- /dev/null
+++ b/internal/jobs/jobapi/withdraw.go
@@ -0,0 +1,46 @@
+package jobapi
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+)
+
+// withdrawJob cancels a job. One that is finished stays as it is, and is answered with its
+// state.
+func (a *API) withdrawJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *answer {
+	id := r.PathValue("id")
+	if !jobs.ValidID(id) {
+		return noSuchJob()
+	}
+	return a.retry(ctx, func() (*answer, error) { return a.cancel(ctx, id) })
+}
+
+// cancel writes the record of a cancelled job, once. Without an answer it has to be tried again.
+func (a *API) cancel(ctx context.Context, id string) (*answer, error) {
+	rec, revision, err := a.readRecord(ctx, id)
+	switch {
+	case err != nil:
+		return nil, err
+	case rec == nil && !a.Cache.NeverAccepted(id):
+		return unavailable(recordsMissingText), nil
+	case rec == nil:
+		return noSuchJob(), nil
+	case rec.Finished():
+		return found(id, rec.State), nil
+	case a.mayBeFinished(id, rec):
+		return unavailable(notCurrentText), nil
+	}
+	value := rec.FinalForm(jobs.Cancelled, a.Derived.ValueBytes)
+	request := a.Cache.BeginRequest()
+	written, ok, err := a.replaceRecord(ctx, id, revision, value)
+	if !ok {
+		return nil, err
+	}
+	a.Cache.ApplyAnswer(request, kvstore.Pair{Key: jobs.RecordKey(id), Value: value, Revision: written})
+	slog.Debug("job cancelled", "job", id)
+	return found(id, jobs.Cancelled), nil
+}
