--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -91,7 +91,7 @@
 	n := &Node{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
 	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
 	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.budget(false))
-	n.cache = jobcache.New(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
+	n.cache = jobcache.New(n.store, jobcache.Options{ReadGap: d.PollGap, IdleReadInterval: d.Cancel / 4, SuspectFor: d.Cancel, CancellationsKept: d.CancelsKept})
 	n.keeper = election.NewKeeper(set.Node, n.store, election.Timing{
 		Lease: d.TermLease, Renew: d.TermRenew, Safe: d.TermSafe, WatchWait: d.WatchWait, Retry: d.TermRenew,
 	})
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -96,7 +96,7 @@
 	})
 	s = nil
 
-	cache := jobcache.New(client, time.Millisecond, time.Millisecond, time.Minute, 100)
+	cache := jobcache.New(client, jobcache.Options{ReadGap: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
 	measure("all records read by a node", func() {
 		go cache.Run(t.Context())
 		for !cache.Readiness.InitialReadDone() {
--- a/internal/jobs/jobapi/api_test.go
+++ b/internal/jobs/jobapi/api_test.go
@@ -34,7 +34,7 @@
 		world, store := emulator.NewNet(), emulator.NewState()
 		world.Attach("state", "state:1", store)
 		client := kvstore.New("state:1", world.From("node-0"), time.Second, kvstore.Budget{Requests: 1000, Writes: 1000})
-		cache := jobcache.New(client, 100*time.Millisecond, 10*time.Second, 30*time.Second, 8)
+		cache := jobcache.New(client, jobcache.Options{ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8})
 		cache.Readiness.AssumeComplete()
 		ctx, cancel := context.WithCancel(t.Context())
 		var duties sync.WaitGroup
--- a/internal/jobs/jobcache/apply_test.go
+++ b/internal/jobs/jobcache/apply_test.go
@@ -5,7 +5,6 @@
 	"runtime"
 	"strings"
 	"testing"
-	"time"
 
 	"ospreyslip/internal/jobs"
 )
@@ -13,7 +12,7 @@
 // After the cache has read all records, the watch brings changes once more that
 // the list was ahead of. A poll that is answered meanwhile must not see them.
 func TestCacheNeverTurnsBack(t *testing.T) {
-	m := New(nil, time.Second, time.Second, time.Second, 8)
+	m := New(nil, Options{CancellationsKept: 8})
 	m.Apply("job/j-1", []byte(`{"stance":"done","tasks":3}`), 105)   // from the list
 	m.Apply("job/j-1", []byte(`{"stance":"queued","tasks":3}`), 102) // from the watch, on the way to 105
 	if got, _ := m.entries.get("j-1"); got.state != jobs.Done {
@@ -28,7 +27,7 @@
 
 // Who no longer remembers all cancellations since a revision says so.
 func TestCancellationsRemembered(t *testing.T) {
-	m := New(nil, time.Second, time.Second, time.Second, 4)
+	m := New(nil, Options{CancellationsKept: 4})
 	cancel := func(n uint64) { m.Apply(jobs.RecordKey(fmt.Sprintf("j-%d", n)), []byte(`{"stance":"aborted"}`), n) }
 	if _, complete := m.CancellationsAfter(0); complete {
 		t.Error("complete before the records were read")
@@ -64,7 +63,7 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	m := New(nil, time.Second, time.Second, time.Second, 100)
+	m := New(nil, Options{CancellationsKept: 100})
 	before := heap()
 	for n := range many {
 		m.Apply(strings.Clone(jobs.RecordKey(fmt.Sprintf("j-%06d", n))), []byte(`{"stance":"done","tasks":30}`), uint64(n))
--- a/internal/jobs/jobcache/cache.go
+++ b/internal/jobs/jobcache/cache.go
@@ -31,7 +31,7 @@
 	// Readiness tells what may be concluded from what the cache holds.
 	Readiness *Readiness
 
-	suspectFor time.Duration // one piece of evidence makes what is not known uncertain for so long
+	suspectFor time.Duration // see Options
 	newest     detection.Highest
 	reader     *reader
 	auditor    *auditor
@@ -46,17 +46,27 @@
 	announced     announcements
 }
 
-// New makes an empty cache; Run fills it, with gap as the least time between two reads, and
-// reading after each idle time even if nobody polls. It remembers at least the last
-// cancellationsKept cancellations. After each evidence of a loss, it takes what it does not know
-// for uncertain during suspectFor.
-func New(store *kvstore.Client, gap, idle, suspectFor time.Duration, cancellationsKept int) *Cache {
+// Options are the timers and bounds of a cache.
+type Options struct {
+	// ReadGap is the least time between two reads of the key-value store.
+	ReadGap time.Duration
+	// IdleReadInterval is after what time the cache reads even if nobody polls.
+	IdleReadInterval time.Duration
+	// SuspectFor is for how long one piece of evidence of a loss makes what is not known
+	// uncertain.
+	SuspectFor time.Duration
+	// CancellationsKept is how many of the last cancellations are remembered at least.
+	CancellationsKept int
+}
+
+// New makes an empty cache; Run fills it.
+func New(store *kvstore.Client, options Options) *Cache {
 	c := &Cache{
-		suspectFor: suspectFor, entries: newEntryTable(), unfinished: unfinishedRecords{},
-		cancellations: cancellationLog{keep: cancellationsKept}, lost: newLostJobs(), announced: announcements{},
+		suspectFor: options.SuspectFor, entries: newEntryTable(), unfinished: unfinishedRecords{},
+		cancellations: cancellationLog{keep: options.CancellationsKept}, lost: newLostJobs(), announced: announcements{},
 	}
 	c.auditor = &auditor{cache: c, store: store}
-	c.reader = &reader{cache: c, store: store, gap: gap, idle: idle, requests: make(chan chan error)}
+	c.reader = &reader{cache: c, store: store, gap: options.ReadGap, idle: options.IdleReadInterval, requests: make(chan chan error)}
 	c.Readiness = &Readiness{mu: &c.mu, outages: store.Outages, requestRead: c.reader.request}
 	return c
 }
--- a/internal/jobs/jobcache/cache_test.go
+++ b/internal/jobs/jobcache/cache_test.go
@@ -32,7 +32,9 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		// The only node: there is nobody who could know more.
-		m := jobcache.New(client("perch-0"), 100*time.Millisecond, 10*time.Second, 30*time.Second, 8)
+		m := jobcache.New(client("perch-0"), jobcache.Options{
+			ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8,
+		})
 		m.Readiness.AssumeComplete()
 		var duties sync.WaitGroup
 		duties.Go(func() { m.Run(ctx) })
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -44,7 +44,7 @@
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), Valid: func() bool { return true },
 		Promised: func() time.Time { return time.Time{} }, Catalog: func() []jobs.MachineType { return nil },
-		Cache: jobcache.New(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
+		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
 	}, election.Term{Token: 5})
 	l.attempts, l.viewTime = 100, now
 	l.watch = liveness.New(liveness.Config{SilentFor: time.Second, LeaseOver: time.Second, HoldGrace: time.Second, Gap: time.Second})
