--- /dev/null
+++ b/internal/jobs/jobcache/readiness_test.go
@@ -0,0 +1,106 @@
+package jobcache
+
+import (
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// conclusions are what a controller may take for certain.
+type conclusions struct{ neverAccepted, provenCurrent, lossSuspected, confirmed bool }
+
+// What may be concluded follows from what the peers have told, from outages and from evidence.
+func TestReadiness(t *testing.T) {
+	ready := conclusions{neverAccepted: true, provenCurrent: true, confirmed: true}
+	for _, test := range []struct {
+		name   string
+		events func(r *Readiness, outages *uint64)
+		want   conclusions
+	}{
+		{"just begun", func(*Readiness, *uint64) {}, conclusions{confirmed: true}},
+		{"assumed complete", func(r *Readiness, _ *uint64) { r.AssumeComplete() }, ready},
+		{"as many as peers know", func(r *Readiness, _ *uint64) {
+			r.NotePeerCount(3, false)
+			r.comparePeerCountLocked(3, r.peerCount())
+		}, ready},
+		{"fewer than peers know", func(r *Readiness, _ *uint64) {
+			r.NotePeerCount(3, false)
+			r.comparePeerCountLocked(2, r.peerCount())
+		}, conclusions{confirmed: true}},
+		{"peers compare records", func(r *Readiness, _ *uint64) {
+			r.NotePeerCount(3, true)
+			r.comparePeerCountLocked(3, r.peerCount())
+		}, conclusions{confirmed: true}},
+		{"an outage", func(r *Readiness, outages *uint64) {
+			r.AssumeComplete()
+			*outages = 1
+		}, conclusions{provenCurrent: true}},
+		{"an outage, and peers know no more", func(r *Readiness, outages *uint64) {
+			r.AssumeComplete()
+			*outages = 2
+			r.ConfirmByPeers(2)
+			r.ConfirmByPeers(1)
+		}, ready},
+		{"loss suspected", func(r *Readiness, _ *uint64) {
+			r.AssumeComplete()
+			r.SuspectLossUntil(time.Now().Add(time.Minute))
+			r.SuspectLossUntil(time.Now())
+		}, conclusions{provenCurrent: true, lossSuspected: true, confirmed: true}},
+		{"loss suspected before", func(r *Readiness, _ *uint64) {
+			r.AssumeComplete()
+			r.SuspectLossUntil(time.Now().Add(time.Minute))
+			time.Sleep(time.Minute)
+		}, ready},
+		{"begun in a recovery", func(r *Readiness, _ *uint64) {
+			r.AssumeComplete()
+			r.setBegunInRecovery(true)
+		}, conclusions{lossSuspected: true, confirmed: true}},
+		{"compared", func(r *Readiness, outages *uint64) {
+			r.AssumeComplete()
+			r.setBegunInRecovery(true)
+			r.SuspectLossUntil(time.Now().Add(time.Minute))
+			*outages = 1
+			r.MarkCompared()
+		}, ready},
+		{"rolled back", func(r *Readiness, _ *uint64) {
+			r.AssumeComplete()
+			r.SetRolledBack(true)
+		}, conclusions{neverAccepted: true, confirmed: true}},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			var outages uint64
+			r := &Readiness{mu: &sync.RWMutex{}, outages: func() uint64 { return outages }, requestRead: func() {}}
+			test.events(r, &outages)
+			got := conclusions{r.unknownMeansNeverAccepted(), r.ProvenCurrent(), r.LossSuspected(), r.ConfirmedByPeers()}
+			if got != test.want {
+				t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
+			}
+		})
+	}
+}
+
+// A peer that knows more jobs asks for a read, and is reported once.
+func TestMissingByPeerCountIsReportedOnce(t *testing.T) {
+	reads := 0
+	r := &Readiness{mu: &sync.RWMutex{}, outages: func() uint64 { return 0 }, requestRead: func() { reads++ }}
+	r.NotePeerCount(5, false)
+	r.NotePeerCount(4, false) // another peer
+	if peers := r.peerCount(); reads != 2 || peers.jobs != 5 || !r.completenessPending() {
+		t.Errorf("%d reads, peers %+v", reads, peers)
+	}
+	for i, want := range []bool{true, false} {
+		if missing := r.comparePeerCountLocked(4, r.peerCount()); missing != want {
+			t.Errorf("comparison %d: missing %v", i, missing)
+		}
+	}
+	r.NotePeerCount(6, false)
+	if !r.comparePeerCountLocked(4, r.peerCount()) {
+		t.Error("more are missing, and that is not reported")
+	}
+	r.comparePeerCountLocked(6, r.peerCount())
+	reads = 0
+	if r.NotePeerCount(7, false); reads != 0 || r.completenessPending() {
+		t.Error("complete, and a read is asked for")
+	}
+}
--- /dev/null
+++ b/internal/jobs/jobcache/scenario_test.go
@@ -0,0 +1,141 @@
+package jobcache_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreyslip/internal/emulator"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/recovery/detection"
+)
+
+// scenario is a cache on one node, and a client by which another one writes.
+type scenario struct {
+	t     *testing.T
+	store *emulator.State
+	other *kvstore.Client
+	cache *jobcache.Cache
+}
+
+// withCache runs a scenario with a cache that is kept up to date.
+func withCache(t *testing.T, run func(*scenario)) {
+	synctest.Test(t, func(t *testing.T) {
+		world, store := emulator.NewNet(), emulator.NewState()
+		world.Attach("state", "state:1", store)
+		client := func(host string) *kvstore.Client {
+			return kvstore.New("state:1", world.From(host), time.Second, kvstore.Budget{Requests: 1000, Writes: 1000})
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		// The only node: there is nobody who could know more.
+		cache := jobcache.New(client("node-0"), jobcache.Options{
+			ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8,
+		})
+		cache.Readiness.AssumeComplete()
+		var duties sync.WaitGroup
+		duties.Go(func() { cache.Run(ctx) })
+		run(&scenario{t, store, client("node-1"), cache})
+		cancel()
+		duties.Wait()
+		world.Wait()
+	})
+}
+
+// write has the other node write a job's record with a state.
+func (s *scenario) write(id, state string) {
+	s.t.Helper()
+	value, _ := json.Marshal(jobs.Record{State: state, Tasks: 3})
+	key := jobs.RecordKey(id)
+	pair, _, err := s.other.Get(s.t.Context(), key)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	guard, write := kvstore.Guard{Key: key, Revision: pair.Revision}, kvstore.Write{Set: key, Value: value}
+	if _, failed, err := s.other.Commit(s.t.Context(), []kvstore.Guard{guard}, []kvstore.Write{write}); err != nil || len(failed) > 0 {
+		s.t.Fatal(err, failed)
+	}
+}
+
+// poll returns the state that a user would be told, "404" or "503".
+func (s *scenario) poll(id string) string {
+	ctx, cancel := context.WithTimeout(s.t.Context(), 2*time.Second)
+	defer cancel()
+	rec, found, err := s.cache.Get(ctx, id)
+	switch {
+	case err != nil:
+		return "503"
+	case !found:
+		return "404"
+	}
+	return rec.State
+}
+
+// want checks the state that a user would be told.
+func (s *scenario) want(id, state, when string) {
+	s.t.Helper()
+	if got := s.poll(id); got != state {
+		s.t.Errorf("%s: %s is %s, want %s", when, id, got, state)
+	}
+}
+
+// evidence collects what a cache tells of losses.
+type evidence struct {
+	mu    sync.Mutex
+	kinds map[detection.Kind]int
+}
+
+// collectEvidence collects what the cache reports from now on.
+func (s *scenario) collectEvidence() *evidence {
+	e := &evidence{kinds: map[detection.Kind]int{}}
+	s.cache.OnLoss = func(l detection.Loss) {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.kinds[l.Kind]++
+	}
+	return e
+}
+
+func (e *evidence) count(kind detection.Kind) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.kinds[kind]
+}
+
+func (e *evidence) wantNone(t *testing.T, when string) {
+	t.Helper()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.kinds) > 0 {
+		t.Errorf("%s: taken for a loss: %v", when, e.kinds)
+	}
+}
+
+// wantLost checks the lost jobs, each as its id and state.
+func (s *scenario) wantLost(when string, want ...string) {
+	s.t.Helper()
+	page, _ := s.cache.LostPage("", 100)
+	var got []string
+	for _, l := range page {
+		got = append(got, l.ID+" "+l.State)
+	}
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		s.t.Errorf("%s: lost %v, want %v", when, got, want)
+	}
+}
+
+// writeJobOfEachState makes a job of each state, and has the cache learn them.
+func (s *scenario) writeJobOfEachState() {
+	s.t.Helper()
+	for _, id := range []string{"j-1", "j-2", "j-3"} {
+		s.write(id, jobs.Queued)
+	}
+	s.write("j-2", jobs.Done)
+	s.write("j-3", jobs.Cancelled)
+	s.want("j-3", jobs.Cancelled, "to begin with")
+}
