--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -27,9 +27,9 @@
 	Cache    *jobcache.Cache
 	// Catalog returns the machine types, or nil while they are not known.
 	Catalog func() []jobs.MachineType
-	// Counts returns a job's counts for display, where this node knows them.
+	// Counts returns a job's counts for display, where this controller knows them.
 	Counts func(id string) (jobs.Counts, bool)
-	// Ready tells whether users should come to this node.
+	// Ready tells whether users should come to this controller.
 	Ready func() bool
 	// Room tells whether there is memory for more jobs.
 	Room func() bool
@@ -77,7 +77,7 @@
 }
 
 // readRecord reads a job's record, and its revision; nil if there is none. Where the key-value
-// store has lost it, or says less than this node knows, what is known takes its place.
+// store has lost it, or says less than this controller knows, what is known takes its place.
 func (a *API) readRecord(ctx context.Context, id string) (*jobs.Record, uint64, error) {
 	request := a.Cache.BeginRequest()
 	pair, found, err := a.Store.Get(ctx, jobs.RecordKey(id))
@@ -119,7 +119,7 @@
 	return rec.State
 }
 
-// runningCounts returns a job's counts, and whether this node knows that tasks of it run.
+// runningCounts returns a job's counts, and whether this controller knows that tasks of it run.
 func (a *API) runningCounts(id string) (counts jobs.Counts, running bool) {
 	if a.Counts == nil {
 		return jobs.Counts{}, false
@@ -128,7 +128,7 @@
 	return counts, known && counts.Running > 0
 }
 
-// mayBeFinished tells whether a job that is unfinished, as far as this node knows, may be
+// mayBeFinished tells whether a job that is unfinished, as far as this controller knows, may be
 // finished: its record may say less than users were told, or is lost, and was changed just
 // before.
 func (a *API) mayBeFinished(id string, rec *jobs.Record) bool {
--- a/internal/jobs/jobapi/show.go
+++ b/internal/jobs/jobapi/show.go
@@ -34,7 +34,7 @@
 	return &answer{status: http.StatusOK, body: jobView{ID: id, State: state, Done: &counts.Done, Running: &counts.Running}}
 }
 
-// shownCounts are the counts that users are shown; none where this node does not know them.
+// shownCounts are the counts that users are shown; none where this controller does not know them.
 func (a *API) shownCounts(id string, rec *jobs.Record) (counts jobs.Counts) {
 	if rec.State == jobs.Done {
 		counts.Done = rec.Tasks
--- a/internal/jobs/jobapi/submit.go
+++ b/internal/jobs/jobapi/submit.go
@@ -64,7 +64,7 @@
 		return unavailable(memoryShortText)
 	}
 	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.Readiness.ProvenCurrent() {
-		// It may have been accepted, and be finished, before this node began.
+		// It may have been accepted, and be finished, before this controller began.
 		return unavailable(notCurrentText)
 	}
 	return nil
--- a/internal/jobs/jobcache/cache_test.go
+++ b/internal/jobs/jobcache/cache_test.go
@@ -8,8 +8,8 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Once any node has told a user that a job is accepted, done or cancelled, no
-// node may give an older answer, whatever befalls its cache.
+// Once any controller has told a user that a job is accepted, done or cancelled, no
+// controller may give an older answer, whatever befalls its cache.
 func TestCacheIsNeverBehind(t *testing.T) {
 	withCache(t, func(s *scenario) {
 		s.want("j-1", "404", "never submitted")
@@ -35,7 +35,7 @@
 
 		s.store.RefuseFrom("node-0", true)
 		s.write("j-15", jobs.Done)
-		s.want("j-15", "503", "the state service refuses this node alone")
+		s.want("j-15", "503", "the state service refuses this controller alone")
 		s.store.RefuseFrom("node-0", false)
 		s.want("j-15", jobs.Done, "served again")
 
--- a/internal/jobs/jobcache/loss_test.go
+++ b/internal/jobs/jobcache/loss_test.go
@@ -51,7 +51,7 @@
 		s.writeJobOfEachState()
 		s.store.Lose(false, emulator.Only("job/j-2"))
 		s.want("j-2", jobs.Done, "its record is lost")
-		s.want("j-99", "503", "it may have been lost before this node knew of it")
+		s.want("j-99", "503", "it may have been lost before this controller knew of it")
 		s.wantLost("one removed", "j-2 done")
 		if seen.count(detection.RecordRemoved) != 1 {
 			t.Errorf("evidence: %v", seen.kinds)
@@ -217,7 +217,7 @@
 	})
 }
 
-// What the leader tells of records is known, though they are lost before this node has read
+// What the leader tells of records is known, though they are lost before this controller has read
 // them. Its own watch may show older changes first, and that is no loss.
 func TestHeardFromTheLeader(t *testing.T) {
 	withCache(t, func(s *scenario) {
--- a/internal/jobs/jobcache/reader.go
+++ b/internal/jobs/jobcache/reader.go
@@ -215,7 +215,7 @@
 	if !rolledBack {
 		return false
 	}
-	slog.Error("state service put back", "known", loss.Known, "found", loss.Found)
+	slog.Error("state service rolled back", "known", loss.Known, "found", loss.Found)
 	r.startOver(found)
 	r.cache.reportLoss(loss)
 	return true
--- a/internal/jobs/jobcache/recent_changes.go
+++ b/internal/jobs/jobcache/recent_changes.go
@@ -96,7 +96,7 @@
 	}
 	c.mu.Unlock()
 	if rolledBack != nil {
-		slog.Error("state service put back", "record", rolledBack.Key, "known", rolledBack.Known, "found", rolledBack.Found)
+		slog.Error("state service rolled back", "record", rolledBack.Key, "known", rolledBack.Known, "found", rolledBack.Found)
 		r.startOver(0)
 		c.reportLoss(*rolledBack)
 	}
