--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -20,6 +20,8 @@
 	"ospreyslip/internal/autoscaler"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobapi"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader"
 	"ospreyslip/internal/peer"
@@ -44,7 +46,7 @@
 	set     *settings.Settings
 	d       settings.Derived
 	store   *kvstore.Client
-	cache   *jobs.Cache
+	cache   *jobcache.Cache
 	cloud   *autoscaler.Client
 	workers *workers.Client
 	keeper  *election.Elector
@@ -89,7 +91,7 @@
 	n := &Controller{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
 	n.workers = workers.NewClient(pick(2, d.Host.WorkerConns, d.Workers.RequestTimeout), d.Workers.RequestTimeout)
 	n.store = kvstore.New(set.Endpoints.Store, pick(d.Host.StoreConns, 0, d.Store.RequestTimeout), d.Store.RequestTimeout, n.budget(false))
-	n.cache = jobs.NewCache(n.store, d.API.PollReadInterval, d.Workers.CancelDeadline/4, d.Workers.CancelDeadline, d.API.CancellationHistory)
+	n.cache = jobcache.New(n.store, jobcache.Options{ReadGap: d.API.PollReadInterval, IdleReadInterval: d.Workers.CancelDeadline / 4, SuspectFor: d.Workers.CancelDeadline, CancellationsKept: d.API.CancellationHistory})
 	n.keeper = election.NewElector(set.Node, n.store, election.Timing{
 		LeaseDuration: d.Election.LeaseDuration, RenewPeriod: d.Election.RenewInterval, ValidFor: d.Election.LeaseValidity, WatchTimeout: d.Store.WatchTimeout, RetryPeriod: d.Election.RenewInterval,
 	})
@@ -98,7 +100,7 @@
 	n.losses = newLossDesk()
 	n.cache.OnLoss = n.losses.notice
 	n.keeper.ReportLoss = func(l detection.Evidence) {
-		n.cache.SuspectLossUntil(time.Now().Add(d.Workers.CancelDeadline)) // before the term ends, and with it what its leader knows
+		n.cache.Readiness.SuspectLossUntil(time.Now().Add(d.Workers.CancelDeadline)) // before the term ends, and with it what its leader knows
 		n.losses.notice(l)
 	}
 	n.hub.Lost = n.lostPage
@@ -123,7 +125,7 @@
 			n.cache.NoteAnnounced(c.ID, c.State, c.Tasks)
 		}
 		n.leaderIsUnsure(p)
-		n.cache.NotePeerCount(p.Known, p.Uncertain)
+		n.cache.Readiness.NotePeerCount(p.Known, p.Uncertain)
 		n.heard.Store(time.Since(n.born).Nanoseconds())
 		if p.Served {
 			n.served.Store(time.Since(n.born).Nanoseconds())
@@ -183,7 +185,7 @@
 // Handler serves users and workers.
 func (n *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
-	users := &jobs.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
+	users := &jobapi.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
 	users.Register(mux)
 	reports := &workers.Handler{HandleHeartbeat: n.gate.HandleHeartbeat, Leader: func() string {
 		if l := n.keeper.Leader(); l != n.set.Node {
@@ -258,7 +260,7 @@
 
 func (n *Controller) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.SetRolledBack(n.gate.PutBack())
+	n.cache.Readiness.SetRolledBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
 		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
@@ -272,7 +274,7 @@
 // of all it stays, since users would only find nobody, and come back later than the
 // service does.
 func (n *Controller) ready() bool {
-	if !n.cache.ProvenCurrent() && time.Since(n.born) < 2*n.d.Election.LeaseDuration {
+	if !n.cache.Readiness.ProvenCurrent() && time.Since(n.born) < 2*n.d.Election.LeaseDuration {
 		return false // it has just begun, and cannot tell a new job from a lost one yet
 	}
 	if !n.store.Failing() {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -60,7 +60,7 @@
 	if n.gate.Noticed(l) {
 		return
 	}
-	n.cache.SuspectLossUntil(time.Now().Add(n.d.Workers.CancelDeadline))
+	n.cache.Readiness.SuspectLossUntil(time.Now().Add(n.d.Workers.CancelDeadline))
 	leader := n.keeper.Leader()
 	if leader == "" || leader == n.set.Node || time.Since(n.losses.told) < n.d.Election.LeaseDuration {
 		return
@@ -79,7 +79,7 @@
 			n.cache.RequestRollbackCheck()
 		}
 		return peer.LostJobsResponse{
-			Compared: fresh, KnownJobs: n.cache.JobCount(), NewestRevision: n.cache.NewestRevision(), LossNoticed: n.cache.LossSuspected() || n.cache.LostCount() > 0,
+			Compared: fresh, KnownJobs: n.cache.JobCount(), NewestRevision: n.cache.NewestRevision(), LossNoticed: n.cache.Readiness.LossSuspected() || n.cache.LostCount() > 0,
 			ReliesOnNoPromise: n.keeper.ReliesOnNoGrant(),
 		}
 	}
@@ -106,14 +106,14 @@
 // leaderIsUnsure takes in whether the leader is comparing records, or writing lost ones again.
 // Until they are written, this node may not know of a job, or know less than others.
 func (n *Controller) leaderIsUnsure(p peer.Progress) {
-	n.cache.SetRolledBack(p.PutBack)
+	n.cache.Readiness.SetRolledBack(p.PutBack)
 	compared := n.losses.unsure.Swap(p.Uncertain) && !p.Uncertain
 	written := n.losses.writing.Swap(p.Restoring) && !p.Restoring
-	if compared || written || !p.Uncertain && !n.cache.ReadAllBeforeLoss() {
-		n.cache.MarkCompared()
+	if compared || written || !p.Uncertain && !n.cache.Readiness.ReadAllBeforeLoss() {
+		n.cache.Readiness.MarkCompared()
 	}
 	if p.Uncertain || p.Restoring {
-		n.cache.SuspectLossUntil(time.Now().Add(n.d.Workers.CancelDeadline))
+		n.cache.Readiness.SuspectLossUntil(time.Now().Add(n.d.Workers.CancelDeadline))
 	}
 }
 
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -15,6 +15,7 @@
 
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/snapshot"
@@ -95,10 +96,10 @@
 	})
 	s = nil
 
-	cache := jobs.NewCache(client, time.Millisecond, time.Millisecond, time.Minute, 100)
+	cache := jobcache.New(client, jobcache.Options{ReadGap: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
 	measure("all records read by a node", func() {
 		go cache.Run(t.Context())
-		for !cache.InitialReadDone() {
+		for !cache.Readiness.InitialReadDone() {
 			time.Sleep(time.Millisecond)
 		}
 	})
@@ -117,7 +118,7 @@
 	view := recovery.KnowledgeByJob{}
 	measure("unfinished jobs joined and decided", func() {
 		for after, more := "", true; more; {
-			var page []jobs.LostJob
+			var page []jobcache.LostJob
 			page, more = cache.LostPage(after, lostRows)
 			for _, l := range page {
 				after = l.ID
--- /dev/null
+++ b/internal/jobs/machine_type.go
@@ -0,0 +1,58 @@
+package jobs
+
+import (
+	"errors"
+
+	"ospreyslip/internal/settings"
+)
+
+// Fits tells whether a task fits an empty machine of the type.
+func (t *MachineType) Fits(spec *Spec) bool {
+	return spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs && spec.RAMGB <= t.RAMGB
+}
+
+// Reasons why a job can never run. Their texts are shown to users; so are those of
+// UnknownTeamError and TeamLimitError.
+var (
+	ErrFitsNoMachineType = errors.New("a task fits no allowed machine type")
+	ErrNeedsTwoZones     = errors.New("all tasks run at a time, and no zone may have more than half of them")
+)
+
+// CheckRunnable returns why a job can never run, by the catalog of machine types and its team's
+// limits, or nil: an UnknownTeamError, ErrFitsNoMachineType, ErrNeedsTwoZones or a
+// TeamLimitError.
+func CheckRunnable(spec *Spec, types []MachineType, set *settings.Settings) error {
+	team, ok := set.Team(spec.Team)
+	if !ok {
+		return UnknownTeamError{Team: spec.Team}
+	}
+	zones := zonesThatFit(spec, types)
+	if zones == 0 {
+		return ErrFitsNoMachineType
+	}
+	if spec.Shape != Batch && spec.ZoneLimit() < spec.Tasks && (spec.OneZone || zones == 1) {
+		return ErrNeedsTwoZones
+	}
+	atOnce := 1.0 // tasks that run at the same time, at least
+	if spec.Shape != Batch {
+		atOnce = float64(spec.Tasks)
+	}
+	if team.MaxCPUs > 0 && atOnce*spec.CPUs > team.MaxCPUs || team.MaxGPUs > 0 && atOnce*spec.GPUs > team.MaxGPUs {
+		return TeamLimitError{Team: spec.Team}
+	}
+	return nil
+}
+
+// zonesThatFit returns in how many zones there are machine types, not as spot machines, on which
+// a task may run.
+func zonesThatFit(spec *Spec, types []MachineType) int {
+	zones := map[string]bool{}
+	for _, machineType := range types {
+		for _, zone := range machineType.Zones {
+			if machineType.Fits(spec) && spec.Allows(machineType.Name, zone, false) {
+				zones[zone] = true
+			}
+		}
+	}
+	return len(zones)
+}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -1,30 +1,13 @@
-// Package jobs takes users' jobs and keeps their records: any node may accept,
-// show or withdraw a job by linearizable reads and guarded writes.
 package jobs
 
 import (
-	"errors"
-	"fmt"
 	"regexp"
 	"slices"
-
-	"ospreyslip/internal/settings"
-)
-
-// Shapes and priorities of jobs.
-const (
-	Batch   = "batch"
-	Service = "daemon"
-	Gang    = "gang" // its tasks run at the same time or not at all
-
-	Prod       = "prod"
-	Urgent     = "urgent"
-	Standard   = "standard"
-	BestEffort = "best_effort"
 )
 
 var shapes = []string{Batch, Service, Gang}
 
+// priorities are in ascending order.
 var priorities = []string{BestEffort, Standard, Urgent, Prod}
 
 // MaxTasks is the protocol's limit of tasks per job.
@@ -35,32 +18,8 @@
 // ValidID tells whether an id has the form that all jobs' ids have.
 func ValidID(id string) bool { return idForm.MatchString(id) }
 
-// Spec is a job as its user describes it.
-type Spec struct {
-	ID                  string   `json:"id"`
-	Class               string   `json:"flock"`
-	Team                string   `json:"crew"`
-	Shape               string   `json:"shape"`
-	Priority            string   `json:"rank"`
-	Tasks               int      `json:"talons"`
-	CPUs                float64  `json:"vcpus"`
-	GPUs                float64  `json:"gpus"`
-	RAMGB               float64  `json:"ramGb"`
-	Image               string   `json:"plumage"`
-	ImageGB             float64  `json:"imageGb"`
-	Types               []string `json:"perches"`
-	Zone                string   `json:"eyrie"`
-	OneZone             bool     `json:"samePlace"`
-	Spread              bool     `json:"scatter"`
-	Spot                bool     `json:"driftwood"`
-	EstimatedRuntimeS   float64  `json:"flightS"`
-	CheckpointIntervalS float64  `json:"roostS"`
-	CheckpointSaveS     float64  `json:"stashS"`
-	DeadlineS           *float64 `json:"duskS"`
-	rankCached          int
-}
-
-// Rank orders priorities; the higher one goes first.
+// Rank orders priorities; the higher one goes first. It is remembered, so that the first call for
+// a job must not run beside another.
 func (s *Spec) Rank() int {
 	if s.rankCached == 0 {
 		s.rankCached = slices.Index(priorities, s.Priority) + 1
@@ -76,72 +35,24 @@
 	return s.Tasks
 }
 
-// Allows tells whether the job may use such a machine, its other tasks aside.
+// Allows tells whether a task may run on a machine of a type in a zone, wherever the job's other
+// tasks are.
 func (s *Spec) Allows(machineType, zone string, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, machineType)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// onlyTypes leaves out allowed machine types that do not exist, and repetitions:
-// a record has to fit into one value.
-func (s *Spec) onlyTypes(types []MachineType) {
+// KeepOnlyTypes leaves out allowed machine types that are not in the catalog, and repetitions: a
+// record has to fit into one value.
+func (s *Spec) KeepOnlyTypes(catalog []MachineType) {
 	var known []string
-	for _, t := range types {
-		if slices.Contains(s.Types, t.Name) {
-			known = append(known, t.Name)
+	for _, machineType := range catalog {
+		if slices.Contains(s.Types, machineType.Name) {
+			known = append(known, machineType.Name)
 		}
 	}
 	s.Types = known
 }
 
-// RunsToCompletion tells whether the job's tasks run to completion.
+// RunsToCompletion tells whether the job's tasks end by themselves, unlike those of a service.
 func (s *Spec) RunsToCompletion() bool { return s.Shape != Service }
-
-// MachineType is an entry of the cloud's catalog.
-type MachineType struct {
-	Name      string   `json:"label"`
-	CPUs      float64  `json:"vcpus"`
-	GPUs      float64  `json:"gpus"`
-	RAMGB     float64  `json:"ramGb"`
-	CacheGB   float64  `json:"localGb"`
-	FetchGBPS float64  `json:"fetchGbPerS"`
-	Price     float64  `json:"rate"`
-	SpotPrice float64  `json:"lowPrice"`
-	BootS     float64  `json:"startupS"`
-	Zones     []string `json:"eyries"`
-}
-
-// Fits tells whether a task fits an empty machine of the type.
-func (t *MachineType) Fits(s *Spec) bool {
-	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.RAMGB <= t.RAMGB
-}
-
-// CheckRunnable returns why a job can never run, or nil.
-func CheckRunnable(s *Spec, types []MachineType, set *settings.Settings) error {
-	team, ok := set.Team(s.Team)
-	if !ok {
-		return fmt.Errorf("crew %q is not known", s.Team)
-	}
-	zones := map[string]bool{}
-	for _, t := range types {
-		for _, z := range t.Zones {
-			if t.Fits(s) && s.Allows(t.Name, z, false) {
-				zones[z] = true
-			}
-		}
-	}
-	if len(zones) == 0 {
-		return errors.New("a task fits no allowed machine type")
-	}
-	if s.Shape != Batch && s.ZoneLimit() < s.Tasks && (s.OneZone || len(zones) == 1) {
-		return errors.New("all tasks run at a time, and no zone may have more than half of them")
-	}
-	n := 1.0
-	if s.Shape != Batch {
-		n = float64(s.Tasks)
-	}
-	if team.MaxCPUs > 0 && n*s.CPUs > team.MaxCPUs || team.MaxGPUs > 0 && n*s.GPUs > team.MaxGPUs {
-		return fmt.Errorf("the job needs more than the limit of crew %q", s.Team)
-	}
-	return nil
-}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -10,6 +10,7 @@
 	"ospreyslip/internal/autoscaler"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
@@ -38,7 +39,7 @@
 	Broadcast           func(map[string]jobs.Counts, []peer.JobChange)
 	MachineTypes        func() []jobs.MachineType
 	Counts              *Counts
-	Cache               *jobs.Cache // what this node knows of all jobs
+	Cache               *jobcache.Cache // what this node knows of all jobs
 	Peers               PeerKnowledge
 	Node                string
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -19,7 +19,7 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) loadRecords(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.view.asOf, l.fresh = now, !l.Cache.ProvenCurrent()
+	l.view.asOf, l.fresh = now, !l.Cache.Readiness.ProvenCurrent()
 	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -16,6 +16,7 @@
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
@@ -48,7 +49,7 @@
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
 		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
 		Cloud: autoscaler.NewClient("cloud:1", silent, time.Minute, 10),
-		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
+		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
 	l.lastAttempt, l.view.asOf = 100, now
 	l.detector = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -11,6 +11,7 @@
 
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/peer"
@@ -50,13 +51,13 @@
 
 // isPlain tells whether nothing needs to be known of a lost job but that it is over, as this
 // node's cache has it. There may be hundreds of thousands of those.
-func (l *Leader) isPlain(lost jobs.LostJob) bool {
+func (l *Leader) isPlain(lost jobcache.LostJob) bool {
 	return lost.RecordedState == "" && l.isOverHere(lost)
 }
 
 // isOverHere tells whether a lost job is over, as this node's cache has it, and this leader
 // has nothing else to do with it.
-func (l *Leader) isOverHere(lost jobs.LostJob) bool {
+func (l *Leader) isOverHere(lost jobcache.LostJob) bool {
 	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
 	return over && l.state.Jobs[lost.ID] == nil && l.held[lost.ID] == nil
 }
@@ -192,14 +193,14 @@
 
 // settling tells whether this leader still waits for that.
 func (l *Leader) settling(now time.Time) bool {
-	return l.fresh && !l.Cache.ProvenCurrent() && now.Sub(l.term.Since) < mostSettling(l.Derived)
+	return l.fresh && !l.Cache.Readiness.ProvenCurrent() && now.Sub(l.term.Since) < mostSettling(l.Derived)
 }
 
 // endSettling ends the wait: nobody leads who could know more.
 func (l *Leader) endSettling(now time.Time) {
 	if l.fresh && !l.settling(now) {
 		l.fresh = false
-		l.Cache.AssumeComplete()
+		l.Cache.Readiness.AssumeComplete()
 		l.planner.Requested = true
 	}
 }
@@ -234,7 +235,7 @@
 			}
 		}
 	}
-	if l.phase == Whole && (l.Cache.LossSuspected() || l.Cache.LostCount() > 0) {
+	if l.phase == Whole && (l.Cache.Readiness.LossSuspected() || l.Cache.LostCount() > 0) {
 		// Something was noticed while nobody led.
 		l.expectTasks(now)
 		l.suspect(detection.Evidence{Kind: detection.NoticedByPredecessor}, now)
