--- a/cmd/ospreyslip-operator/main_test.go
+++ b/cmd/ospreyslip-operator/main_test.go
@@ -14,7 +14,7 @@
 
 	"ospreyslip/internal/controller"
 	"ospreyslip/internal/emulator"
-	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 )
 
 // operated is a state service, and controllers that answer as they are told.
@@ -34,7 +34,7 @@
 	t.Cleanup(state.Close)
 	follower := func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
-		_ = json.NewEncoder(w).Encode(leader.RecoveryStatus{Following: "perch-1"})
+		_ = json.NewEncoder(w).Encode(recoverer.Status{Following: "perch-1"})
 	}
 	for _, handler := range []http.HandlerFunc{follower, leaderHandler} {
 		srv := httptest.NewServer(handler)
@@ -81,14 +81,14 @@
 
 // A snapshot is taken, verified, shown, kept to so many, and imported page by page.
 func TestSnapshotCommands(t *testing.T) {
-	var imported []leader.Import
+	var imported []recoverer.Import
 	o := newOperated(t, func(w http.ResponseWriter, r *http.Request) {
-		var in leader.Import
+		var in recoverer.Import
 		if err := json.NewDecoder(r.Body).Decode(&in); err != nil || r.URL.Path != "/recovery/import" {
 			t.Errorf("%s: %v", r.URL.Path, err)
 		}
 		imported = append(imported, in)
-		_ = json.NewEncoder(w).Encode(leader.Imported{Same: len(in.Jobs)})
+		_ = json.NewEncoder(w).Encode(recoverer.Imported{Same: len(in.Jobs)})
 	})
 	value := fmt.Sprintf(`{"stance":"done","tasks":2,"x":%q}`, strings.Repeat("x", 1000))
 	for i := range 700 {
@@ -163,9 +163,9 @@
 
 // The leader is found among the controllers; what it refuses is told as it says.
 func TestRecoverCommands(t *testing.T) {
-	status := leader.RecoveryStatus{
-		Phase: leader.Comparing, Lost: 3, Held: 1,
-		HeldJobs: []leader.HeldStatus{{Job: "j-7", Why: "uncertain", Said: []string{"worker m-1: task 0 running"}}},
+	status := recoverer.Status{
+		Phase: recoverer.Comparing, Lost: 3, Held: 1,
+		HeldJobs: []recoverer.HeldStatus{{Job: "j-7", Why: "uncertain", Said: []string{"worker m-1: task 0 running"}}},
 	}
 	o := newOperated(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -187,7 +187,7 @@
 			t.Errorf("no %q in %s, %v", want, printed, err)
 		}
 	}
-	var again leader.RecoveryStatus
+	var again recoverer.Status
 	if printed, err := o.run("recover", "status", "--json"); err != nil || json.Unmarshal([]byte(printed), &again) != nil || again.Held != 1 {
 		t.Errorf("%s, %v", printed, err)
 	}
--- a/cmd/ospreyslip-operator/recover.go
+++ b/cmd/ospreyslip-operator/recover.go
@@ -19,7 +19,7 @@
 
 	"ospreyslip/internal/controller"
 	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/report"
 	"ospreyslip/internal/settings"
@@ -128,7 +128,7 @@
 	status := &cobra.Command{
 		Use: "status", Short: "Show what was noticed, written back and held", Args: cobra.NoArgs,
 		RunE: withLeader(func(cmd *cobra.Command, _ []string, _ *settings.Settings, c *leaderClient) error {
-			var s leader.RecoveryStatus
+			var s recoverer.Status
 			if err := c.do(cmd.Context(), http.MethodGet, "/recovery", nil, &s); err != nil {
 				return err
 			}
@@ -169,7 +169,7 @@
 	return cmd
 }
 
-func showRecovery(out io.Writer, s leader.RecoveryStatus) error {
+func showRecovery(out io.Writer, s recoverer.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "phase\t%s\nlost\t%d jobs, %d records to be written\nheld\t%d jobs\nadopting\t%d jobs\n", s.Phase, s.Lost, s.ToWrite, s.Held, s.Adopting)
 	for _, kind := range slices.Sorted(maps.Keys(s.Evidence)) {
@@ -194,7 +194,7 @@
 	if path == "" {
 		return errors.New("--out FILE is missing")
 	}
-	var s leader.RecoveryStatus
+	var s recoverer.Status
 	if err := c.do(ctx, http.MethodGet, "/recovery", nil, &s); err != nil {
 		return err
 	}
@@ -218,10 +218,10 @@
 	if own := set.ClusterID(); s.Manifest.Cluster != own {
 		return fmt.Errorf("snapshot %s is of deployment %s, this is %s", path, s.Manifest.Cluster, own)
 	}
-	var all leader.Imported
-	page, bytes := leader.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}, 0
+	var all recoverer.Imported
+	page, bytes := recoverer.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}, 0
 	send := func() error {
-		var count leader.Imported
+		var count recoverer.Imported
 		if err := c.do(ctx, http.MethodPost, "/recovery/import", page, &count); err != nil {
 			return err
 		}
@@ -233,7 +233,7 @@
 		if !strings.HasPrefix(r.Key, jobs.RecordPrefix) || !json.Valid(r.Value) {
 			continue
 		}
-		page.Jobs = append(page.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+		page.Jobs = append(page.Jobs, recoverer.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
 		if bytes += len(r.Key) + len(r.Value); bytes < importPage {
 			continue
 		}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -22,6 +22,7 @@
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery/detection"
 	"ospreyslip/internal/settings"
@@ -261,7 +262,7 @@
 	n.cache.PutBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
-		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
+		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == recoverer.Comparing, Restoring: phase == recoverer.Restoring,
 		PutBack: n.gate.PutBack(), Known: n.cache.Jobs(), Changes: changes,
 	})
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -11,6 +11,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
@@ -130,7 +131,7 @@
 	defer cancel()
 	status, err := n.gate.Recovery(ctx)
 	if errors.Is(err, leader.ErrNotLeading) {
-		writeJSON(w, http.StatusMisdirectedRequest, leader.RecoveryStatus{Following: n.keeper.Leader()})
+		writeJSON(w, http.StatusMisdirectedRequest, recoverer.Status{Following: n.keeper.Leader()})
 		return
 	}
 	if err != nil {
@@ -144,7 +145,7 @@
 const mostImport = 1 << 20
 
 func (n *Node) importSnapshot(w http.ResponseWriter, r *http.Request) {
-	var in leader.Import
+	var in recoverer.Import
 	if !readJSON(w, r, &in) {
 		return
 	}
@@ -187,7 +188,7 @@
 	switch {
 	case errors.Is(err, leader.ErrNotLeading):
 		return http.StatusMisdirectedRequest
-	case errors.Is(err, leader.ErrNotHeld):
+	case errors.Is(err, recoverer.ErrNotHeld):
 		return http.StatusNotFound
 	case errors.Is(err, recovery.ErrRefused):
 		return http.StatusConflict
--- a/internal/controller/recovery_seeds_test.go
+++ b/internal/controller/recovery_seeds_test.go
@@ -12,7 +12,7 @@
 
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/settings"
 )
@@ -162,7 +162,7 @@
 	})
 	for range 200 {
 		c.run(time.Second)
-		if s := c.recoveryOf(); s.Phase == leader.Whole && len(s.Evidence) > 0 && day.wholeAfter == 0 {
+		if s := c.recoveryOf(); s.Phase == recoverer.Whole && len(s.Evidence) > 0 && day.wholeAfter == 0 {
 			day.wholeAfter = time.Since(lostAt)
 		}
 	}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -14,7 +14,7 @@
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
-	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/settings"
 	"ospreyslip/internal/snapshot"
@@ -26,7 +26,7 @@
 // nothing was begun or stopped that need not have been.
 
 // recoveryOf returns the leader's word on the recovery.
-func (c *cluster) recoveryOf() leader.RecoveryStatus {
+func (c *cluster) recoveryOf() recoverer.Status {
 	for _, name := range c.names {
 		if c.nodes[name].ended() {
 			continue
@@ -38,14 +38,14 @@
 			return s
 		}
 	}
-	return leader.RecoveryStatus{}
+	return recoverer.Status{}
 }
 
 // withinWhole waits until the leader says that nothing is missing any more.
 func (c *cluster) withinWhole(d time.Duration) {
 	c.t.Helper()
 	c.within(d, "records whole", func() bool {
-		return c.recoveryOf().Phase == leader.Whole && c.world.State.Value(jobs.RecoveryStatusKey) == nil
+		return c.recoveryOf().Phase == recoverer.Whole && c.world.State.Value(jobs.RecoveryStatusKey) == nil
 	})
 	c.run(2 * time.Second) // within a control interval, all nodes have heard of it
 }
@@ -351,11 +351,11 @@
 }
 
 // importSnapshot hands a snapshot to the leader.
-func (c *cluster) importSnapshot(s *snapshot.Snapshot) (leader.Imported, error) {
-	in := leader.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}
+func (c *cluster) importSnapshot(s *snapshot.Snapshot) (recoverer.Imported, error) {
+	in := recoverer.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}
 	for _, r := range s.Records {
 		if strings.HasPrefix(r.Key, jobs.RecordPrefix) {
-			in.Jobs = append(in.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+			in.Jobs = append(in.Jobs, recoverer.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
 		}
 	}
 	return c.nodes[c.leader()].node.gate.Import(c.ctx, in)
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -36,7 +36,7 @@
 	var back []*cluster.Machine
 	for _, m := range l.machines.All {
 		switch {
-		case m.Phase == cluster.Releasing || !m.Health.Dead && l.mayHaveTasks(m):
+		case m.Phase == cluster.Releasing || !m.Health.Dead && l.recovery.MayHaveUnknownTasks(m):
 		case m.Phase == cluster.Booting && l.neverCameUp(m, now):
 			slog.Info("machine never came up", "machine", m.ID, "term", l.token)
 			back = append(back, m)
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -31,14 +31,14 @@
 				least, asked = r, sent
 				var e detection.Loss
 				if e, putBack = newest.See(request, detection.RevisionBack, "", r); putBack {
-					l.post(ctx, func(now time.Time) { l.suspect(e, now) })
+					l.post(ctx, func(now time.Time) { l.recovery.ReportLoss(e, now) })
 					after = 0 // revisions are given out again: nothing can be concluded from those before
 				}
 			}
 		}
 		request = newest.Ask()
 		rev, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.WatchWait)
-		if putBack || l.listAnew.Swap(false) || errors.Is(err, kvstore.ErrCompacted) {
+		if putBack || l.recovery.TakeRelist() || errors.Is(err, kvstore.ErrCompacted) {
 			var pairs []kvstore.Pair
 			if pairs, rev, err = l.Store.List(ctx, jobs.RecordPrefix); err == nil {
 				for _, p := range pairs {
@@ -113,17 +113,17 @@
 		return // the record is older than what users were told: it will be written again
 	}
 	if rec.Held != nil {
-		l.hold(id, &rec, c.Revision)
+		l.recovery.HoldJob(id, &rec, c.Revision)
 	} else {
-		delete(l.held, id)
+		l.recovery.ReleaseJob(id)
 	}
 	switch {
 	case j == nil && l.unseen[id] > c.Revision: // cancelled since
 	case j == nil && !rec.Over() && rec.Spec != nil:
 		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AtMs, now)
 		l.jobs[id] = j
-		if _, seen := l.knowledge[id]; seen || rec.Restored || l.strays[id] != nil {
-			l.adoptTasksOf(j, now)
+		if rec.Restored || l.recovery.MayHaveUnloggedTasks(id) {
+			l.recovery.AdoptTasksOf(j, now)
 		}
 		l.show(j)
 		l.queue(j)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -13,6 +13,7 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/placement"
@@ -37,7 +38,7 @@
 	Catalog  func() []jobs.MachineType
 	Counts   *Counts
 	Cache    *jobs.Cache // what this node knows of all jobs
-	Peers    PeerKnowledge
+	Peers    recoverer.PeerClient
 	Node     string
 }
 
@@ -57,7 +58,7 @@
 	planner
 	dispatcher
 	fleetManager
-	recoverer
+	recovery *recoverer.Recoverer
 
 	tickGroup int // of the ticks in a control interval
 	shownAt   time.Time
@@ -84,7 +85,6 @@
 	tokenRevision uint64
 	raiseToken    bool
 	tokenFloor    uint64 // the next token is above it: a worker, or the log, shows it
-	checkingToken bool
 	raisedAt      time.Time
 	clearHeld     bool                      // an end is not cleared, for want of a higher token
 	doubtful      map[*cluster.Machine]bool // with a doubtSince, and some that had one
@@ -147,9 +147,8 @@
 		writer:       writer{log: assignmentlog.New(logConfig(d.Derived))},
 		planner:      planner{queued: map[*cluster.Job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
 		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
-		recoverer:    newRecoverer(),
 	}
-	l.round = t.Token << roundBits
+	l.recovery = recoverer.New(l.recoveryConfig())
 	l.watch = liveness.New(liveness.Config{
 		SilentFor: d.Derived.SilentFor, LeaseOver: d.Derived.LeaseOver,
 		HoldGrace: d.Derived.HoldGrace, Gap: d.Derived.VerdictGap, ZoneSize: smallZone,
@@ -163,9 +162,6 @@
 	return assignmentlog.Config{ChunkTasks: derived.ChunkTasks, MaxOps: derived.TxnOps, ValueBytes: derived.ValueBytes}
 }
 
-// roundBits is how many rounds of comparison a term has numbers for.
-const roundBits = 16
-
 // attemptBits is how many attempts a token has numbers for: no other term uses them.
 const attemptBits = 24
 
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -12,6 +12,7 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/reconcile"
 )
 
@@ -19,21 +20,22 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.viewTime, l.fresh = now, !l.Cache.Settled()
+	l.viewTime = now
+	l.recovery.BeginTerm()
 	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
 	}
-	if err := l.readRecoveryKeys(ctx, now); err != nil {
+	if err := l.recovery.ReadControlKeys(ctx, now); err != nil {
 		return 0, err
 	}
 	log := l.readLog(segments)
-	l.checkLog(log, now)
+	l.recovery.CheckLog(log, now)
 	named := assignmentlog.JobsNamed(log)
 	ended := map[string]kvstore.Pair{} // of which tasks may be left
-	over, listed, known := 0, 0, l.Cache.Recorded()
+	over, counts := 0, recoverer.RecordCounts{Known: l.Cache.Recorded()}
 	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) {
-		listed++
+		counts.Read++
 		var rec jobs.Record
 		if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
 			slog.Error("job record unreadable", "key", p.Key, "reason", err)
@@ -42,7 +44,7 @@
 		id := jobs.IDOf(p.Key)
 		told, _ := l.Cache.Known(id)
 		if rec.Held != nil {
-			l.hold(id, &rec, p.Revision)
+			l.recovery.HoldJob(id, &rec, p.Revision)
 		}
 		switch {
 		case rec.Over(), told.Over(): // the latter: it is older than what users were told
@@ -51,8 +53,8 @@
 		case rec.Spec != nil:
 			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AtMs, now)
 			l.jobs[id] = j
-			if rec.Restored || l.affectsLog {
-				l.adoptTasksOf(j, now)
+			if rec.Restored || l.recovery.LogIncomplete() {
+				l.recovery.AdoptTasksOf(j, now)
 			}
 			return
 		}
@@ -64,7 +66,7 @@
 	if err != nil {
 		return 0, err
 	}
-	l.checkRecords(log, ended, known, listed, now)
+	l.recovery.CheckRecords(counts, log, func(id string) bool { _, isOver := ended[id]; return isOver }, now)
 	l.restore(log, ended, now)
 	for _, j := range l.jobs {
 		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.End {
@@ -172,7 +174,7 @@
 func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t assignmentlog.TaskRecord, ended map[string]kvstore.Pair, now time.Time) {
 	j := l.jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
-		l.learnFromLog(t)
+		l.recovery.AddLoggedTask(t)
 		return
 	}
 	if j == nil {
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -36,7 +36,7 @@
 		in.Least++
 	}
 	back := map[*placement.Job]*cluster.Job{}
-	l.countHeld(in.Used)
+	l.recovery.AddHeldUsage(in.Used)
 	wall := now.UnixMilli()
 	for j := range l.queued {
 		switch {
@@ -45,7 +45,7 @@
 		case j.IsGang() && len(j.Assignments) > 0:
 			// Looked at again when the last task of its attempt is forgotten. (Begun
 			// earlier, with those whose ends were durable first, it stayed a part.)
-		case now.Before(j.Scheduling.BackoffUntil), l.awaitsWorkers(j, now):
+		case now.Before(j.Scheduling.BackoffUntil), l.recovery.AwaitsWorkers(j, now):
 			l.replan = true
 		default:
 			p := l.planJob(j, now, wall)
--- /dev/null
+++ b/internal/leader/recoverer/operator.go
@@ -0,0 +1,229 @@
+package recoverer
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/recovery"
+	"ospreyslip/internal/recovery/detection"
+)
+
+// ErrNotHeld means that a job is not held, so that there is nothing to be settled.
+var ErrNotHeld = errors.New("the job is not held")
+
+// ErrNotReady means that this node has not read all records yet.
+var ErrNotReady = errors.New("not all records are read yet")
+
+// maxHeldShown is how many held jobs a status shows.
+const maxHeldShown = 1000
+
+// Status is what operators see of a recovery.
+type Status struct {
+	Phase     Phase                    `json:"phase"`
+	Since     time.Time                `json:"since,omitzero"`
+	Evidence  map[detection.Kind]int   `json:"evidence"`
+	Lost      int                      `json:"lost"`    // jobs of which more is known than their records say
+	ToWrite   int                      `json:"toWrite"` // records still to be written
+	Written   map[recovery.Outcome]int `json:"written"`
+	Adopting  int                      `json:"adopting"` // jobs whose tasks are still being heard of
+	Peers     []PeerStatus             `json:"peers,omitempty"`
+	Held      int                      `json:"held"`
+	HeldJobs  []HeldStatus             `json:"heldJobs"` // the first of them
+	Events    []Event                  `json:"events"`
+	NotShown  int                      `json:"notShown,omitempty"` // earlier events
+	Following string                   `json:"leader,omitempty"`   // who to ask, where this node does not lead
+}
+
+// PeerStatus is whether another controller has been heard in the present comparison.
+type PeerStatus struct {
+	Node  string `json:"node"`
+	Heard bool   `json:"heard"`
+	Gone  bool   `json:"gone,omitempty"` // taken for gone
+}
+
+// HeldStatus is a job that is held.
+type HeldStatus struct {
+	Job       string   `json:"job"`
+	Why       string   `json:"why"`
+	Said      []string `json:"said"`
+	Described bool     `json:"described"`
+	Running   []int    `json:"running,omitempty"`
+	TasksDone []int    `json:"tasksDone,omitempty"`
+	SinceMs   int64    `json:"sinceMs"`
+}
+
+// Status returns the state of the recovery.
+func (r *Recoverer) Status() Status {
+	status := Status{
+		Phase: r.phase, Since: r.comparison.since, Evidence: maps.Clone(r.evidence.counts),
+		Lost: r.cfg.Cache.LostJobs(), ToWrite: max(r.cfg.Cache.LostJobs(), len(r.writeBack.queue)),
+		Written: maps.Clone(r.writeBack.written), Adopting: len(r.adoption.jobs),
+		Held: len(r.held.byID), HeldJobs: []HeldStatus{},
+		Events: slices.Clone(r.events.events), NotShown: r.events.dropped,
+	}
+	for name, scan := range r.comparison.peers {
+		status.Peers = append(status.Peers, PeerStatus{name, scan.done, scan.gone})
+	}
+	slices.SortFunc(status.Peers, func(a, b PeerStatus) int { return cmp.Compare(a.Node, b.Node) })
+	ids := slices.Sorted(maps.Keys(r.held.byID))
+	for _, id := range ids[:min(len(ids), maxHeldShown)] {
+		job := r.held.byID[id]
+		status.HeldJobs = append(status.HeldJobs, HeldStatus{
+			Job: id, Why: job.reason, Said: job.known.Said, Described: job.known.Spec != nil,
+			Running: job.known.Running, TasksDone: job.known.TasksDone, SinceMs: job.sinceMs,
+		})
+	}
+	return status
+}
+
+// Settle decides a held job as an operator says, unless that contradicts proof. It calls reply
+// once, maybe from another goroutine: with nil when the job's record is durable, ErrNotHeld, an
+// error that wraps recovery.ErrRefused, or one of the key-value store.
+func (r *Recoverer) Settle(ctx context.Context, id string, as recovery.Settlement, now time.Time, reply func(error)) {
+	job := r.held.byID[id]
+	if job == nil {
+		reply(ErrNotHeld)
+		return
+	}
+	decision, err := recovery.Settle(job.known, as)
+	if err != nil {
+		reply(err)
+		return
+	}
+	record := r.writeBack.composeRecord(id, job.known, decision, now)
+	record.revision = job.revision
+	slog.Info("job settled by an operator", "job", id, "term", r.cfg.token(), "as", string(as), "said", job.known.Words())
+	r.events.add(now, "settled as "+string(as), id)
+	go func() { reply(r.commitSettled(ctx, record)) }()
+}
+
+// commitSettled writes the record of a job that an operator has settled. It does not run on the
+// event loop.
+func (r *Recoverer) commitSettled(ctx context.Context, record lostRecord) error {
+	key := jobs.RecordKey(record.id)
+	guards := []kvstore.Guard{r.commits.termGuard(), {Key: key, Revision: record.revision}}
+	revision, failed, err := r.cfg.Store.Commit(ctx, guards, []kvstore.Write{{Set: key, Value: record.value}})
+	if err != nil {
+		return err
+	}
+	if len(failed) > 0 {
+		return fmt.Errorf("%w: its record has changed meanwhile", recovery.ErrRefused)
+	}
+	r.cfg.Cache.Set(key, record.value, revision)
+	return nil
+}
+
+// SnapshotFact is what a snapshot says of a job.
+type SnapshotFact struct {
+	ID     string          `json:"id"`
+	Record json.RawMessage `json:"record"`
+}
+
+// Import is a part of a snapshot.
+type Import struct {
+	Cluster  string         `json:"cluster"`
+	Revision uint64         `json:"revision"` // of the snapshot
+	Jobs     []SnapshotFact `json:"jobs"`
+}
+
+// Imported counts what a part of a snapshot brought.
+type Imported struct {
+	Same      int `json:"same"`      // the records say as much, or more
+	Missing   int `json:"missing"`   // jobs without a record
+	Ended     int `json:"ended"`     // jobs that are over, and unfinished by their records
+	Described int `json:"described"` // held jobs whose description it has
+	Invalid   int `json:"invalid"`   // could not be read
+	// Contradicting jobs are done by one, cancelled by the other. Nothing is changed.
+	Contradicting int `json:"contradicting"`
+}
+
+// Add sums counts.
+func (i *Imported) Add(o Imported) {
+	i.Same += o.Same
+	i.Missing += o.Missing
+	i.Ended += o.Ended
+	i.Described += o.Described
+	i.Invalid += o.Invalid
+	i.Contradicting += o.Contradicting
+}
+
+// Import takes in a part of a snapshot. It fails with an error that wraps recovery.ErrRefused if
+// the snapshot is of another deployment, and with ErrNotReady before all records are read.
+func (r *Recoverer) Import(in Import, now time.Time) (count Imported, err error) {
+	if own := r.cfg.Settings.ClusterID(); in.Cluster != own {
+		return count, fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)
+	}
+	if !r.cfg.Cache.Listed() {
+		return count, ErrNotReady
+	}
+	for _, fact := range in.Jobs {
+		record := decodeRecord(fact.Record)
+		if record == nil || !jobs.ValidID(fact.ID) {
+			count.Invalid++
+			continue
+		}
+		r.importFact(fact.ID, record, recovery.FromSnapshot(in.Revision), &count, now)
+	}
+	if count.Missing+count.Ended > 0 {
+		r.ReportLoss(detection.Loss{Kind: detection.Imported, Known: in.Revision}, now)
+	}
+	return count, nil
+}
+
+// importFact compares a snapshot's record with what is known. An end in it is still one,
+// however old it is; all else of it proves no more than that the job was accepted.
+func (r *Recoverer) importFact(id string, record *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
+	said := recovery.Says(from, recovery.Knowledge{
+		Done: record.State == jobs.Done, Cancelled: record.State == jobs.Cancelled,
+		Spec: record.Description(), AtMs: record.AtMs, Tasks: record.Tasks,
+	})
+	known, found := r.cfg.Cache.Known(id)
+	switch {
+	case r.held.contains(id):
+		r.importHeld(id, said, count)
+	case !found:
+		count.Missing++
+		r.knowledge.lost.Add(id, said)
+	case record.Over() && known.Over() && known.State != record.State:
+		// What users were told last stays; which of the two is right is for a person to see.
+		count.Contradicting++
+		slog.Error("snapshot contradicts a record", "job", id, "term", r.cfg.token(), "record", known.State, "snapshot", record.State)
+		r.events.add(now, "snapshot contradicts the record", id)
+	case record.Over() && known.State != record.State:
+		count.Ended++
+		r.knowledge.lost.Add(id, said)
+	case r.cfg.Cache.RecordRevision(id) == 0:
+		count.Missing++
+		r.knowledge.lost.Add(id, said)
+		r.knowledge.addCached(id, recovery.FromCache(r.cfg.Node), known.State, known.Tasks, nil)
+	default:
+		count.Same++
+	}
+}
+
+// importHeld joins what a snapshot says to what is known of a held job. If that decides it,
+// or brings its description, its record is written.
+func (r *Recoverer) importHeld(id string, said recovery.Knowledge, count *Imported) {
+	job := r.held.byID[id]
+	hadDescription := job.known.Spec != nil
+	job.known = job.known.Join(said)
+	switch {
+	case recovery.Decide(job.known, true).Final():
+		count.Ended++
+	case !hadDescription && job.known.Spec != nil:
+		count.Described++
+	default:
+		count.Same++
+		return
+	}
+	r.writeBack.enqueue(id)
+}
--- /dev/null
+++ b/internal/leader/recoverer/write_back.go
@@ -0,0 +1,267 @@
+package recoverer
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"time"
+
+	jsonv2 "github.com/go-json-experiment/json"
+
+	"ospreyslip/internal/election"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/transaction"
+	"ospreyslip/internal/recovery"
+)
+
+// recoveryShare is the part of the leader's writes that lost records may take.
+const recoveryShare = 0.25
+
+// leaderWriteShare is the part of all writes that the leader has, as the controller parts them.
+const leaderWriteShare = 0.64
+
+// writeRank orders lost jobs for writing: first those of which a record says less than users
+// were told, as each node would tell it; then what must not run, what waits to run, and what
+// is over by itself. A job that was queued outside of a comparison has the first rank.
+type writeRank int
+
+const (
+	rankRolledBack writeRank = iota
+	rankCancelled
+	rankToRun
+	rankOver
+)
+
+// writeBack writes the records of lost jobs, and those of held jobs that are decided.
+type writeBack struct {
+	cfg       *Config
+	events    *eventLog
+	commits   *committer
+	knowledge *knowledge
+	held      *heldJobs
+
+	queue         []string // jobs whose records are to be written
+	ranks         map[string]writeRank
+	overJobsAfter string // of the jobs that are over, those up to this one have been queued
+	written       map[recovery.Outcome]int
+}
+
+// lostRecord is a record that is being written back.
+type lostRecord struct {
+	id       string
+	decision recovery.Decision
+	value    json.RawMessage
+	revision uint64 // guard: of the record as it stands; 0 if there is none
+}
+
+func (w *writeBack) rankOf(id string, decision recovery.Decision) writeRank {
+	switch {
+	case decision.Final() && w.cfg.Cache.RecordRevision(id) != 0:
+		return rankRolledBack
+	case decision.State == jobs.Cancelled:
+		return rankCancelled
+	case !decision.Final():
+		return rankToRun
+	}
+	return rankOver
+}
+
+// queueLostJobs queues all jobs that a comparison has found.
+func (w *writeBack) queueLostJobs() {
+	w.queue = w.knowledge.lost.IDs()
+	clear(w.ranks)
+	w.overJobsAfter = ""
+	for _, id := range w.queue {
+		w.ranks[id] = w.rankOf(id, recovery.Decide(w.knowledge.lost[id], true))
+	}
+	slices.SortStableFunc(w.queue, func(a, b string) int { return cmp.Compare(w.ranks[a], w.ranks[b]) })
+}
+
+// queueOverJobs queues the next page of jobs that are over and of which nothing else has to be
+// known, and tells whether there may be more.
+func (w *writeBack) queueOverJobs() bool {
+	page, more := w.cfg.Cache.Lost(w.overJobsAfter, lostPageRows)
+	for _, lost := range page {
+		w.overJobsAfter = lost.ID
+		// One whose record says less may have been without any when it was compared.
+		contradicted := lost.Found == jobs.Done || lost.Found == jobs.Cancelled
+		if _, open := w.knowledge.lost[lost.ID]; open || contradicted || !w.knowledge.isOverInCache(lost) {
+			continue
+		}
+		w.knowledge.addCached(lost.ID, recovery.FromCache(w.cfg.Node), lost.State, lost.Tasks, nil)
+		w.ranks[lost.ID] = rankOver
+		w.enqueue(lost.ID)
+	}
+	return more || len(page) > 0
+}
+
+// enqueue queues a job's record to be written, by what will be known of the job then.
+func (w *writeBack) enqueue(id string) { w.queue = append(w.queue, id) }
+
+// nextRank is the rank of what is to be written next.
+func (w *writeBack) nextRank() writeRank {
+	if len(w.queue) == 0 {
+		return rankOver
+	}
+	return w.ranks[w.queue[0]]
+}
+
+// mayStillRestoreTasks tells whether jobs that are to run may still be written back.
+func (w *writeBack) mayStillRestoreTasks() bool {
+	return w.commits.inFlight || w.nextRank() <= rankToRun && len(w.queue) > 0
+}
+
+// composeRecord makes a job's record of what is known of it.
+func (w *writeBack) composeRecord(id string, known recovery.Knowledge, decision recovery.Decision, now time.Time) lostRecord {
+	record := known.Record(decision, now.UnixMilli())
+	if w.cfg.Jobs[id] != nil {
+		record.Restored = false // this leader's log has its tasks
+	}
+	lost := lostRecord{id: id, decision: decision, revision: w.cfg.Cache.RecordRevision(id)}
+	if decision.Final() {
+		lost.value = record.Ended(decision.State, w.cfg.Derived.ValueBytes)
+	} else {
+		lost.value, _ = json.Marshal(record)
+	}
+	return lost
+}
+
+// writeNext writes the next records. Each is guarded by what stands there, and all by the term.
+func (w *writeBack) writeNext(ctx context.Context, now time.Time) {
+	if len(w.queue) == 0 || !w.commits.mayBegin(now) {
+		return
+	}
+	if batch := w.takeBatch(now); len(batch) > 0 {
+		w.commit(ctx, batch, now)
+	}
+}
+
+// takeBatch takes as many records off the queue as a transaction has room for.
+func (w *writeBack) takeBatch(now time.Time) (batch []lostRecord) {
+	bytes := 0
+	for len(w.queue) > 0 && len(batch) < max(1, w.cfg.Derived.TxnOps/2) {
+		id := w.queue[0]
+		known, found := w.knowledge.refreshed(id)
+		if !found || w.knowledge.isInRecord(id, known) {
+			delete(w.knowledge.lost, id)
+			w.queue = w.queue[1:]
+			continue
+		}
+		lost := w.composeRecord(id, known, recovery.Decide(known, true), now)
+		if len(batch) > 0 && bytes+len(lost.value) > transaction.MaxBytes {
+			break
+		}
+		w.queue = w.queue[1:]
+		if len(lost.value) > w.cfg.Derived.ValueBytes {
+			slog.Error("lost record too large to be written", "job", id, "bytes", len(lost.value))
+			continue
+		}
+		bytes += len(lost.value)
+		batch = append(batch, lost)
+	}
+	return batch
+}
+
+// commit writes a batch. The next one waits for as long as the recovery's share of the write
+// rate takes for it.
+func (w *writeBack) commit(ctx context.Context, batch []lostRecord, now time.Time) {
+	w.commits.inFlight = true
+	perSecond := recoveryShare * leaderWriteShare * w.cfg.Settings.Deployment.State.Within().WriteRPS
+	w.commits.notBefore = now.Add(time.Duration(float64(len(batch)) / perSecond * float64(time.Second)))
+	guards := []kvstore.Guard{w.commits.termGuard()}
+	var writes []kvstore.Write
+	for _, lost := range batch {
+		key := jobs.RecordKey(lost.id)
+		guards = append(guards, kvstore.Guard{Key: key, Revision: lost.revision})
+		writes = append(writes, kvstore.Write{Set: key, Value: lost.value})
+	}
+	go func() {
+		revision, failed, err := w.cfg.Store.Commit(ctx, guards, writes)
+		found := w.readRecords(ctx, failed)
+		w.cfg.Post(ctx, func(now time.Time) { w.committed(batch, revision, failed, found, err, now) })
+	}()
+}
+
+// readRecords reads the records whose guards have failed, by job. One that cannot be read stays
+// unknown, and is tried again.
+func (w *writeBack) readRecords(ctx context.Context, keys []string) map[string]kvstore.Pair {
+	found := map[string]kvstore.Pair{}
+	for _, key := range keys {
+		if pair, _, err := w.cfg.Store.Get(ctx, key); err == nil && key != election.HolderKey {
+			found[jobs.IDOf(key)] = pair
+		}
+	}
+	return found
+}
+
+// committed takes in the outcome of a batch. What was not executed, or may not have been, is
+// queued again: if it was, its guard fails, and what is read then decides.
+func (w *writeBack) committed(batch []lostRecord, revision uint64, failed []string, found map[string]kvstore.Pair, err error, now time.Time) {
+	w.commits.inFlight = false
+	if slices.Contains(failed, election.HolderKey) {
+		w.commits.resign()
+		return
+	}
+	if err == nil && len(failed) == 0 {
+		for _, lost := range batch {
+			w.recordWritten(lost, revision, now)
+		}
+		return
+	}
+	if err != nil {
+		slog.Debug("lost records not written", "term", w.cfg.token(), "reason", err)
+		w.commits.retryLater(now)
+	}
+	for _, lost := range slices.Backward(batch) {
+		if pair, read := found[lost.id]; read && w.acceptStanding(lost, pair) {
+			delete(w.knowledge.lost, lost.id)
+			continue
+		}
+		w.queue = slices.Insert(w.queue, 0, lost.id)
+	}
+}
+
+// acceptStanding takes in a record that was not as expected, and tells whether it needs no
+// writing any more: it says as much as what would be written.
+func (w *writeBack) acceptStanding(lost lostRecord, standing kvstore.Pair) bool {
+	if standing.Revision == 0 {
+		w.cfg.Cache.Missing(lost.id)
+		return false
+	}
+	w.cfg.Cache.Set(standing.Key, standing.Value, standing.Revision)
+	var record jobs.Record
+	if jsonv2.Unmarshal(standing.Value, &record) != nil {
+		return false // what cannot be read is written over, by its revision
+	}
+	switch {
+	case record.Over():
+		// Another end than what is known is for an operator to see.
+		return record.State == lost.decision.State || !lost.decision.Final()
+	case record.Held != nil:
+		w.held.hold(lost.id, &record, standing.Revision)
+		return lost.decision.Held
+	}
+	return !lost.decision.Final() // accepted anew, or written back already
+}
+
+// recordWritten takes in that a record is durable.
+func (w *writeBack) recordWritten(lost lostRecord, revision uint64, now time.Time) {
+	id, decision := lost.id, lost.decision
+	w.written[decision.Outcome]++
+	w.cfg.Cache.Set(jobs.RecordKey(id), lost.value, revision)
+	known, _ := w.knowledge.refreshed(id)
+	slog.Info("lost record written", "job", id, "term", w.cfg.token(), "outcome", string(decision.Outcome), "rule", string(decision.Rule), "said", known.Words())
+	w.events.add(now, string(decision.Outcome), id)
+	delete(w.knowledge.lost, id)
+	delete(w.ranks, id)
+	if decision.Held || decision.Outcome == recovery.Contradictory {
+		w.held.byID[id] = &heldJob{revision: revision, reason: string(decision.Rule), sinceMs: now.UnixMilli(), known: known}
+	}
+	if !decision.Final() && !decision.Held {
+		// Its tasks count from now on, not only when the watch shows its record.
+		w.cfg.Leader.JobChanged(kvstore.Change{Set: jobs.RecordKey(id), Value: lost.value, Revision: revision}, now)
+	}
+}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -2,271 +2,187 @@
 
 import (
 	"context"
-	"fmt"
-	"log/slog"
-	"sync/atomic"
+	"errors"
 	"time"
 
-	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
-	"ospreyslip/internal/peer"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
 )
 
-// What the leader does about lost records: see docs/recovery.md. This file holds the
-// phases; recovery_compare.go asks all who may know more, recovery_write.go writes what
-// was found, recovery_adopt.go and recovery_strays.go deal with tasks that the records do
-// not account for, and recovery_token.go with the token.
+// This file connects the recovery of lost records, package recoverer, with the rest of the
+// leader: what the recovery is given, what it calls, and what other goroutines ask of it.
 
-// RecoveryPhase is how far the recovery of lost records is.
-type RecoveryPhase string
+// ErrNotLeading means that this node does not lead, so that another has to be asked.
+var ErrNotLeading = errors.New("this node does not lead")
 
-// The phases.
-const (
-	Whole     RecoveryPhase = "whole"     // nothing is missing, as far as is known
-	Comparing RecoveryPhase = "comparing" // who may know more is being asked
-	Restoring RecoveryPhase = "restoring" // what was found is being written
-)
-
-// recoveryPrefix holds what leaders leave for each other about lost records.
-const recoveryPrefix = "recovery/"
+// recoveryConfig is what the recovery of this leader works with.
+func (l *Leader) recoveryConfig() recoverer.Config {
+	return recoverer.Config{
+		Settings: l.Settings, Derived: l.Derived, Node: l.Node, Term: l.term, AttemptBits: attemptBits,
+		Store: l.Store, Cache: l.Cache, Peers: l.Peers,
+		Valid:  func() bool { return l.Valid() },
+		Post:   l.postUnlessEnded,
+		Leader: recoveryCalls{l},
+		Jobs:   l.jobs, Machines: &l.machines,
+		AssignmentLog: func() *assignmentlog.Log { return l.log },
+	}
+}
 
-// PeerKnowledge is what other controllers know beyond the records.
-type PeerKnowledge interface {
-	Peers() []string
-	AskLost(ctx context.Context, node string, q peer.Question) (peer.LostPage, error)
+// postUnlessEnded hands an outcome to the leader's goroutine, unless the context or that
+// goroutine ends first.
+func (l *Leader) postUnlessEnded(ctx context.Context, outcome func(now time.Time)) {
+	select {
+	case l.events <- outcome:
+	case <-ctx.Done():
+	case <-l.quit:
+	}
 }
 
-// recoverer is what is known of lost records, and what is being done about them.
-type recoverer struct {
-	phase      RecoveryPhase
-	shownPhase atomic.Value // the phase, for other goroutines
-	listAnew   atomic.Bool  // the watch may have missed changes, if revisions were given out again
-	putBack    atomic.Bool  // records may say less than users were told, for other goroutines
-	round      uint64       // of comparison
-	since      time.Time
-	affectsLog bool // tasks may run that the assignment log does not name
-	logDamaged bool // segments may be lost, and are being written again: a next leader must know
-	fresh      bool // this node has just begun: others may know more
-	ignorant   bool // this node knows less than some worker
-	again      bool // more was noticed meanwhile
-	evidence   map[detection.Kind]int
-	history    eventLog
+// recoverRecords does what is due about lost records.
+func (l *Leader) recoverRecords(ctx context.Context, now time.Time) {
+	l.recovery.EndAdoptions(now)
+	if l.tickGroup == 0 {
+		l.recovery.RunUncertainJobs(now)
+	}
+	l.recovery.Advance(ctx, now)
+}
 
-	knowledge recovery.View // of jobs of which more is known than the records say
-	ticket    uint64        // of this node's own comparison
-	ownAfter  string        // its lost jobs have been taken in up to this one
-	ownDone   bool
-	peers     map[string]*peerScan
-	workersBy time.Time // by then every worker that has tasks has reported
+// recoveryCalls is the leader as its recovery sees it.
+type recoveryCalls struct{ l *Leader }
 
-	ranks      map[string]writeRank // of unwritten
-	plainAfter string               // jobs that are over have been queued up to this one
-	unwritten  []string             // jobs to be written back
-	recording  bool                 // a transaction is under way
-	recordAt   time.Time
-	marked     bool      // the status key is there
-	unmark     bool      // and is to be removed
-	logSize    int       // segments, by the key that says how many there are
-	logSizeAt  time.Time // when that key was last written
-	restored   map[recovery.Outcome]int
+var _ recoverer.Leader = recoveryCalls{}
 
-	held       map[string]*heldJob
-	adopting   map[*cluster.Job]bool
-	strays     map[string]*stray
-	strayReads int
+func (c recoveryCalls) Tokens() recoverer.Tokens {
+	return recoverer.Tokens{Current: c.l.token, OfTerm: c.l.term.Token, Floor: c.l.tokenFloor}
 }
 
-func newRecoverer() recoverer {
-	return recoverer{
-		phase: Whole, evidence: map[detection.Kind]int{}, knowledge: recovery.View{}, peers: map[string]*peerScan{},
-		restored: map[recovery.Outcome]int{}, ranks: map[string]writeRank{}, held: map[string]*heldJob{}, adopting: map[*cluster.Job]bool{}, strays: map[string]*stray{},
-	}
-}
+func (c recoveryCalls) RequestTokenRaise() { c.l.raiseToken = true }
 
-// suspect takes in what shows that records are lost.
-func (l *Leader) suspect(e detection.Loss, now time.Time) {
-	if l.evidence[e.Kind]++; l.evidence[e.Kind] == 1 || l.phase == Whole {
-		slog.Error("records may be lost", "term", l.token, "evidence", e.String())
-	}
-	l.history.add(now, "evidence", e.String())
-	switch e.Kind {
-	case detection.RevisionBack, detection.RecordOlder, detection.Earlier, detection.ReportedByPeer: // the last two may be that
-		l.putBack.Store(true)
-	}
-	if e.Kind.AffectsLog() && !l.logDamaged {
-		l.logDamaged = true
-		l.marked = false // the status has to say so
-	}
-	if e.Kind.AffectsLog() && l.phase != Comparing {
-		// What this leader holds is the truth: it is written once more, all of it.
-		l.log.RewriteAll()
-		l.raiseToken = true
-	}
-	switch {
-	case e.Kind == detection.TaskUnknown || e.Kind == detection.TokenBack:
-		l.distrustRecords(now)
-	case l.fresh || e.Kind.AffectsLog() || e.Kind == detection.ReportedByPeer:
-		l.expectAllTasks(now)
-	}
-	if l.phase != Whole {
-		l.again = l.again || l.phase == Restoring
-		return
-	}
-	l.compare(now)
+func (c recoveryCalls) RaiseTokenAbove(floor uint64) {
+	c.l.tokenFloor, c.l.raiseToken = max(c.l.tokenFloor, floor), true
 }
 
-// distrustRecords takes in that a worker knows more than this node: nor can it tell which
-// jobs are new. Until every lease from before this term has ended, it places nothing, and
-// adopts what workers show.
-func (l *Leader) distrustRecords(now time.Time) {
-	if l.ignorant {
-		return
-	}
-	l.ignorant = true
-	// Tokens may have been given out before this one that were this one as well, and with
-	// them the numbers of attempts.
-	if l.term.Token > l.tokenFloor {
-		l.tokenFloor, l.raiseToken = l.token, true
-	}
-	l.expectAllTasks(now)
-}
+func (c recoveryCalls) Resign() { c.l.resign = true }
 
-// expectAllTasks takes in, early in a term, that the records that this leader began with may
-// have lacked some: each job may have tasks that are not known. Later in a term every worker
-// has reported, and what this leader knows is the truth.
-func (l *Leader) expectAllTasks(now time.Time) {
-	until := l.term.Since.Add(l.Derived.LeaseOver)
-	if !now.Before(until) || now.Before(l.workersBy) {
-		return
-	}
-	l.affectsLog, l.workersBy = true, until
-	for _, j := range l.jobs {
-		if !j.IsOver() {
-			j.Adoption.Until = until
-			l.adopting[j] = true
-		}
-	}
+func (c recoveryCalls) NextAttempt() uint64 {
+	c.l.attempts++
+	return c.l.attempts
 }
 
-// enter begins a phase.
-func (l *Leader) enter(phase RecoveryPhase) {
-	l.phase = phase
-	l.shownPhase.Store(phase)
-}
+func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.attempts = max(c.l.attempts, upTo) }
 
-// compare begins a round of comparison.
-func (l *Leader) compare(now time.Time) {
-	l.enter(Comparing)
-	l.since, l.again, l.unmark = now, false, false
-	l.round++
-	l.Cache.Suspect(now.Add(l.Derived.Cancel))
-	l.ticket = l.Cache.Verify()
-	l.listAnew.Store(true)
-	l.ownAfter, l.ownDone = "", false
-	clear(l.peers)
-	l.history.add(now, "comparing", fmt.Sprintf("round %d", l.round))
-}
+func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.cancelled(job, revision) }
 
-// recoverRecords does what is due about lost records.
-func (l *Leader) recoverRecords(ctx context.Context, now time.Time) {
-	l.endAdoptions(now)
-	if l.tickGroup == 0 {
-		l.runUncertain(now)
-	}
-	switch l.phase {
-	case Comparing:
-		l.writeStatus(ctx, now)
-		l.compareOwn()
-		l.comparePeers(ctx, now)
-		if l.compared(now) {
-			l.decideAll(now)
-		}
-	case Restoring:
-		if l.leastRank() > rankPutBack && !l.recording {
-			l.putBack.Store(false)
-		}
-		if len(l.unwritten) == 0 && !l.recording && !l.refill() {
-			l.recovered(now)
-		}
-	case Whole:
-		l.endSettling(now)
-		l.removeStatus(ctx, now)
-		l.writeLogSize(ctx, now)
-	}
-	l.writeBack(ctx, now)
-}
+func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.doneElsewhere(job) }
 
-// compared tells whether all have been heard.
-func (l *Leader) compared(now time.Time) bool {
-	return l.marked && l.ownDone && l.allPeersHeard(now) && !now.Before(l.workersBy)
-}
+func (c recoveryCalls) JobChanged(change kvstore.Change, now time.Time) { c.l.jobChanged(change, now) }
 
-// decideAll ends the comparison: what may be written back is queued.
-func (l *Leader) decideAll(now time.Time) {
-	l.enter(Restoring)
-	l.affectsLog, l.ignorant = false, false
-	for id, k := range l.knowledge {
-		l.Cache.Learn(id, told(k), k.TaskCount())
-	}
-	l.Cache.Compared()
-	l.queueDecided()
-	slog.Info("records compared", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "lost", l.Cache.LostJobs(), "to decide", len(l.knowledge))
-	l.history.add(now, "compared", fmt.Sprintf("%d jobs lost", l.Cache.LostJobs()))
-}
+func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.queue(job) }
 
-// told is the state of a lost job that users may be told: an end that is concluded from its
-// tasks is one only when it is written, as the job may be cancelled until then.
-func told(k recovery.Knowledge) string {
-	switch d := recovery.Decide(k, true); d.Rule {
-	case recovery.RuleDone, recovery.RuleCancelled, recovery.RuleContradiction:
-		return d.State
-	}
-	return jobs.Queued
-}
+func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.stopGang(job, 0) }
+
+func (c recoveryCalls) CountAssignment(a *cluster.Assignment) { c.l.count(a) }
+
+func (c recoveryCalls) RequestPlan() { c.l.replan = true }
 
-// recovered ends the recovery, or begins another round if more was noticed meanwhile.
-func (l *Leader) recovered(now time.Time) {
-	if l.again {
-		l.compare(now)
+// tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
+// term begins with the raised one: reports and numbers below it are of earlier terms.
+func (l *Leader) tokenRaised() {
+	if l.tokenFloor < l.term.Token {
 		return
 	}
-	l.enter(Whole)
-	l.unmark, l.logDamaged = true, false
-	l.putBack.Store(false)
-	clear(l.knowledge)
-	clear(l.strays)
-	slog.Info("records whole", "term", l.token, "took", now.Sub(l.since).Round(time.Millisecond).String(), "held", len(l.held))
-	l.history.add(now, "whole", fmt.Sprintf("%d jobs held", len(l.held)))
+	l.term.Token = l.token
+	l.attempts = max(l.attempts, l.token<<attemptBits)
+	for _, m := range l.machines.All {
+		for _, a := range m.Assignments {
+			if a.Start.InDoubtToken != 0 {
+				a.Start.InDoubtToken = l.token - 1 // an order under any earlier token may still arrive
+			}
+		}
+	}
 }
 
 // RecoveryPhase is how far the recovery of the leader on duty here is; Whole if there is none.
-func (g *Gate) RecoveryPhase() RecoveryPhase {
+func (g *Gate) RecoveryPhase() recoverer.Phase {
 	if l := g.on.Load(); l != nil {
-		if phase, entered := l.shownPhase.Load().(RecoveryPhase); entered {
-			return phase
-		}
+		return l.recovery.Phase()
 	}
-	return Whole
+	return recoverer.Whole
 }
 
 // PutBack tells whether records may say less than users were told, as far as the leader on
 // duty here knows.
 func (g *Gate) PutBack() bool {
 	l := g.on.Load()
-	return l != nil && l.putBack.Load()
+	return l != nil && l.recovery.RolledBack()
 }
 
 // Noticed hands evidence of a loss to the leader on duty, and tells whether there is one.
-func (g *Gate) Noticed(e detection.Loss) bool {
+func (g *Gate) Noticed(loss detection.Loss) bool {
 	l := g.on.Load()
 	if l == nil {
 		return false
 	}
 	select {
-	case l.events <- func(now time.Time) { l.suspect(e, now) }:
+	case l.events <- func(now time.Time) { l.recovery.ReportLoss(loss, now) }:
 	case <-l.quit:
 	}
 	return true
 }
+
+// call has a question answered by the leader's goroutine.
+func call[T any](ctx context.Context, g *Gate, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
+	l := g.on.Load()
+	if l == nil {
+		return out, ErrNotLeading
+	}
+	replies := make(chan T, 1)
+	select {
+	case l.events <- func(now time.Time) { answer(l, now, func(v T) { replies <- v }) }:
+	case <-l.quit:
+		return out, ErrNotLeading
+	case <-ctx.Done():
+		return out, ctx.Err()
+	}
+	select {
+	case out = <-replies:
+		return out, nil
+	case <-l.quit:
+		return out, ErrNotLeading
+	case <-ctx.Done():
+		return out, ctx.Err()
+	}
+}
+
+// Recovery returns the state of the recovery, from the leader on duty here. It fails with
+// ErrNotLeading if there is none.
+func (g *Gate) Recovery(ctx context.Context) (recoverer.Status, error) {
+	return call(ctx, g, func(l *Leader, _ time.Time, reply func(recoverer.Status)) { reply(l.recovery.Status()) })
+}
+
+// Settle decides a held job as an operator says, unless that contradicts proof. It returns when
+// the job's record is durable, and fails with ErrNotLeading or as recoverer.Recoverer.Settle does.
+func (g *Gate) Settle(ctx context.Context, id string, as recovery.Settlement) error {
+	outcome, err := call(ctx, g, func(l *Leader, now time.Time, reply func(error)) {
+		l.recovery.Settle(ctx, id, as, now, reply)
+	})
+	return errors.Join(err, outcome)
+}
+
+// Import takes in a part of a snapshot. It fails with ErrNotLeading or as
+// recoverer.Recoverer.Import does.
+func (g *Gate) Import(ctx context.Context, in recoverer.Import) (recoverer.Imported, error) {
+	type answer struct {
+		recoverer.Imported
+		err error
+	}
+	out, err := call(ctx, g, func(l *Leader, now time.Time, reply func(answer)) {
+		count, err := l.recovery.Import(in, now)
+		reply(answer{count, err})
+	})
+	return out.Imported, errors.Join(err, out.err)
+}
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -31,8 +31,8 @@
 	next.readLog(nil)
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
 	next.jobs[spec.ID] = j
-	next.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
-	if !next.awaitsWorkers(j, now) {
+	next.recovery.ReportLoss(detection.Loss{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
+	if !next.recovery.AwaitsWorkers(j, now) {
 		t.Fatal("tasks would be placed before those that run are known")
 	}
 	began := time.Now()
@@ -53,8 +53,8 @@
 	if len(j.Assignments) != lostFleet || j.Pending.Count != spec.Tasks-lostFleet {
 		t.Errorf("%d of %d tasks adopted, %d wait", len(j.Assignments), lostFleet, j.Pending.Count)
 	}
-	next.endAdoptions(now.Add(next.Derived.LeaseOver))
-	if len(next.adopting) > 0 || j.Spec.Shape != jobs.Batch {
+	next.recovery.EndAdoptions(now.Add(next.Derived.LeaseOver))
+	if next.recovery.Status().Adopting > 0 || j.Spec.Shape != jobs.Batch {
 		t.Error("still waiting after every lease has ended")
 	}
 }
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -13,7 +13,7 @@
 // report answers a worker, or returns nil if this node has no right to.
 func (l *Leader) report(r *workers.Report, now time.Time) *workers.Answer {
 	if r.Token > l.token {
-		l.tokenAhead(r.Token, now)
+		l.recovery.CheckToken(r.Token)
 	}
 	if !l.Valid() || l.viewAge(now) > l.Derived.WatchStale || r.Token > l.token {
 		return nil
@@ -63,7 +63,7 @@
 		m.Health.Dead = false
 		slog.Info("machine reports again", "machine", m.ID, "term", l.token)
 	}
-	l.adopt(m, r, now)
+	l.recovery.AdoptReported(m, r, now)
 	l.observe(m, r, now)
 	m.Worker.HeartbeatAt, m.Commands.OrderFailures = now, 0
 	l.updateCapacity(m, now)
@@ -185,7 +185,7 @@
 		}
 		id, _, _ := workers.SplitTask(t.Task)
 		facts := reconcile.Unassigned{
-			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), MaybeLost: l.accountsFor(m, &t),
+			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), MaybeLost: l.recovery.LeaveAlone(m, &t),
 			OrderToken: m.Commands.StartedByOrder[cluster.RefOf(&t)], ShownToken: m.Worker.Token, Answering: answer,
 		}
 		switch d := facts.Command(); {
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -41,7 +41,7 @@
 	l.lost(m, "not of this fleet")
 	l.machines.Remove(m)
 	l.watch.Forget(m.ID)
-	l.jobs = map[string]*cluster.Job{}
+	clear(l.jobs)
 	l.readLog(nil)
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -18,7 +18,7 @@
 		Ends: j.Spec.Ends(), JobOver: j.IsOver(), JobCancelled: j.End.Cancelled, Stopping: a.Stop.Requested, GraceS: a.Stop.GraceS,
 		GangWhole: a.MayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		Incomplete: a.Restored && a.ObservedState == "" && l.awaitsWorkers(j, now),
+		Incomplete: a.Restored && a.ObservedState == "" && l.recovery.AwaitsWorkers(j, now),
 	}
 }
 
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -211,7 +211,7 @@
 	id := jobs.IDOf(key)
 	if id == key { // not a job's record
 		b.Learn(key, p.Revision)
-		l.checkSegment(key, p)
+		l.recovery.CheckSegment(key, p)
 		return
 	}
 	var rec jobs.Record
@@ -223,7 +223,7 @@
 	if p.Revision == 0 {
 		// Lost: it is written in place of what is not there any more.
 		j.Revision = 0
-		l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: key}, time.Now())
+		l.recovery.ReportLoss(detection.Loss{Kind: detection.RecordMissing, Key: key}, time.Now())
 		return
 	}
 	if jsonv2.Unmarshal(p.Value, &rec) != nil {
--- a/internal/recovery/report/report.go
+++ b/internal/recovery/report/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 
-	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/svgplot"
 )
 
@@ -29,12 +29,12 @@
 type Report struct {
 	Cluster  string
 	Made     time.Time
-	Status   leader.RecoveryStatus
+	Status   recoverer.Status
 	Timeline template.HTML
 }
 
 // Write writes the page.
-func Write(to io.Writer, cluster string, status leader.RecoveryStatus, made time.Time) error {
+func Write(to io.Writer, cluster string, status recoverer.Status, made time.Time) error {
 	timeline, err := drawTimeline(status.Events)
 	if err != nil {
 		return fmt.Errorf("timeline: %w", err)
@@ -50,7 +50,7 @@
 }
 
 // drawTimeline plots how many steps of each kind there had been by each moment.
-func drawTimeline(events []leader.RecoveryEvent) (template.HTML, error) {
+func drawTimeline(events []recoverer.Event) (template.HTML, error) {
 	if len(events) == 0 {
 		return "", nil
 	}
--- a/internal/recovery/report/report_test.go
+++ b/internal/recovery/report/report_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
 )
@@ -17,15 +17,15 @@
 // The page has what operators need, is well-formed, and takes no text for markup.
 func TestReport(t *testing.T) {
 	at := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
-	status := leader.RecoveryStatus{
-		Phase: leader.Whole, Since: at, Held: 1,
+	status := recoverer.Status{
+		Phase: recoverer.Whole, Since: at, Held: 1,
 		Evidence: map[detection.Kind]int{detection.RecordMissing: 3},
 		Written:  map[recovery.Outcome]int{recovery.Recovered: 2, recovery.Uncertain: 1},
-		Peers:    []leader.PeerStatus{{Node: "perch-1", Heard: true}, {Node: "perch-2", Gone: true}},
-		HeldJobs: []leader.HeldStatus{{Job: "j-7", Why: "<script>alert(1)</script>", Said: []string{"worker m-1: running"}, SinceMs: at.UnixMilli()}},
+		Peers:    []recoverer.PeerStatus{{Node: "perch-1", Heard: true}, {Node: "perch-2", Gone: true}},
+		HeldJobs: []recoverer.HeldStatus{{Job: "j-7", Why: "<script>alert(1)</script>", Said: []string{"worker m-1: running"}, SinceMs: at.UnixMilli()}},
 	}
 	for i := range 40 {
-		status.Events = append(status.Events, leader.RecoveryEvent{At: at.Add(time.Duration(i) * time.Second), What: []string{"evidence", "recovered", "uncertain"}[i%3], Of: "j-1"})
+		status.Events = append(status.Events, recoverer.Event{At: at.Add(time.Duration(i) * time.Second), What: []string{"evidence", "recovered", "uncertain"}[i%3], Of: "j-1"})
 	}
 	var page bytes.Buffer
 	if err := Write(&page, "abc", status, at); err != nil {
@@ -53,7 +53,7 @@
 // Before anything has happened there is a page, too.
 func TestEmptyReport(t *testing.T) {
 	var page bytes.Buffer
-	if err := Write(&page, "abc", leader.RecoveryStatus{Phase: leader.Whole}, time.Unix(0, 0)); err != nil {
+	if err := Write(&page, "abc", recoverer.Status{Phase: recoverer.Whole}, time.Unix(0, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(page.String(), "<svg") || !strings.Contains(page.String(), "nothing") {
