--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -107,7 +107,7 @@
 		if !l.Kind.AffectsLog() {
 			l.Kind = detection.ReportedByPeer
 		}
-		n.gate.Noticed(l)
+		n.gate.ReportLoss(l)
 	}
 	if w.Memory == nil {
 		w.Memory = heldBytes
@@ -259,11 +259,11 @@
 
 func (n *Node) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.PutBack(n.gate.PutBack())
+	n.cache.PutBack(n.gate.StoreRolledBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
 		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == recoverer.Comparing, Restoring: phase == recoverer.Restoring,
-		PutBack: n.gate.PutBack(), Known: n.cache.Jobs(), Changes: changes,
+		PutBack: n.gate.StoreRolledBack(), Known: n.cache.Jobs(), Changes: changes,
 	})
 }
 
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -58,7 +58,7 @@
 // tellLoss hands evidence to the leader, here or elsewhere. Another is told once in a
 // while only: it compares all records anyway.
 func (n *Node) tellLoss(l detection.Loss) {
-	if n.gate.Noticed(l) {
+	if n.gate.ReportLoss(l) {
 		return
 	}
 	n.cache.Suspect(time.Now().Add(n.d.Cancel))
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -114,15 +114,15 @@
 	return recoverer.Whole
 }
 
-// PutBack tells whether records may say less than users were told, as far as the leader on
+// StoreRolledBack tells whether records may say less than users were told, as far as the leader on
 // duty here knows.
-func (g *Gate) PutBack() bool {
+func (g *Gate) StoreRolledBack() bool {
 	l := g.on.Load()
 	return l != nil && l.recovery.RolledBack()
 }
 
-// Noticed hands evidence of a loss to the leader on duty, and tells whether there is one.
-func (g *Gate) Noticed(loss detection.Loss) bool {
+// ReportLoss hands evidence of a loss to the leader on duty, and tells whether there is one.
+func (g *Gate) ReportLoss(loss detection.Loss) bool {
 	l := g.on.Load()
 	if l == nil {
 		return false
