--- a/internal/leader/recoverer/comparison.go
+++ b/internal/leader/recoverer/comparison.go
@@ -81,7 +81,7 @@
 		}
 		if !scan.gone && now.Sub(c.since) > c.cfg.Derived.Cancel {
 			scan.gone = true
-			slog.Info("controller not heard, taken for gone", "term", c.cfg.token(), "peer", name)
+			slog.Info("peer does not answer, no longer waited for", "term", c.cfg.token(), "peer", name)
 			c.events.add(now, "peer not heard", name)
 		}
 		if !scan.gone {
@@ -114,7 +114,7 @@
 	}
 	for _, job := range page.Jobs {
 		if !jobs.ValidID(job.ID) {
-			slog.Error("peer names a job that cannot be", "peer", name, "job", job.ID)
+			slog.Error("peer names an invalid job id", "peer", name, "job", job.ID)
 			continue
 		}
 		scan.after = job.ID
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -291,6 +291,6 @@
 	r.shared.rolledBack.Store(false)
 	clear(r.knowledge.lost)
 	clear(r.orphans.byJob)
-	slog.Info("records whole", "term", r.cfg.token(), "took", now.Sub(r.comparison.since).Round(time.Millisecond).String(), "held", len(r.held.byID))
+	slog.Info("recovery of lost records complete", "term", r.cfg.token(), "took", now.Sub(r.comparison.since).Round(time.Millisecond).String(), "held", len(r.held.byID))
 	r.events.add(now, "whole", fmt.Sprintf("%d jobs held", len(r.held.byID)))
 }
--- a/internal/leader/recoverer/token.go
+++ b/internal/leader/recoverer/token.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if !detection.PlausibleToken(shown, tokens.Current) {
-		slog.Error("report with a token that cannot be", "term", tokens.Current, "token", shown)
+		slog.Error("heartbeat with an implausible fencing token", "term", tokens.Current, "token", shown)
 		return
 	}
 	r.tokenCheckInFlight = true
