--- /dev/null
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -0,0 +1,201 @@
+package recoverer
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"ospreyslip/internal/election"
+	"ospreyslip/internal/emulator"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/peer"
+	"ospreyslip/internal/recovery/detection"
+	"ospreyslip/internal/settings"
+	"ospreyslip/internal/workers"
+)
+
+// fakeLeader notes what a recovery calls.
+type fakeLeader struct {
+	tokens   Tokens
+	attempts uint64
+	calls    []string
+}
+
+func (f *fakeLeader) note(call string)         { f.calls = append(f.calls, call) }
+func (f *fakeLeader) Tokens() Tokens           { return f.tokens }
+func (f *fakeLeader) RequestTokenRaise()       { f.note("request token raise") }
+func (f *fakeLeader) Resign()                  { f.note("resign") }
+func (f *fakeLeader) RequestPlan()             { f.note("request plan") }
+func (f *fakeLeader) ReserveAttempts(n uint64) { f.attempts = max(f.attempts, n) }
+
+func (f *fakeLeader) RaiseTokenAbove(floor uint64) {
+	f.tokens.Floor = floor
+	f.note(fmt.Sprint("raise token above ", floor))
+}
+
+func (f *fakeLeader) NextAttempt() uint64 {
+	f.attempts++
+	return f.attempts
+}
+
+func (f *fakeLeader) CancelJob(job *cluster.Job, _ uint64)     { f.note("cancel " + job.ID) }
+func (f *fakeLeader) CompleteElsewhere(job *cluster.Job)       { f.note("complete " + job.ID) }
+func (f *fakeLeader) JobChanged(c kvstore.Change, _ time.Time) { f.note("changed " + jobs.IDOf(c.Set)) }
+func (f *fakeLeader) QueueJob(job *cluster.Job)                { f.note("queue " + job.ID) }
+func (f *fakeLeader) StopGang(job *cluster.Job)                { f.note("stop gang " + job.ID) }
+func (f *fakeLeader) CountAssignment(a *cluster.Assignment)    { f.note("count " + a.TaskName()) }
+
+// called tells whether a call was made.
+func (f *fakeLeader) called(call string) bool { return slices.Contains(f.calls, call) }
+
+// silentPeers is other controllers that never answer.
+type silentPeers []string
+
+func (p silentPeers) Peers() []string { return p }
+
+func (silentPeers) AskLost(ctx context.Context, _ string, _ peer.Question) (peer.LostPage, error) {
+	<-ctx.Done()
+	return peer.LostPage{}, ctx.Err()
+}
+
+// termToken is that of the tests' term.
+const termToken = 5
+
+// scenario is a recovery with a leader that only notes what is called.
+type scenario struct {
+	*Recoverer
+	leader   *fakeLeader
+	machines *cluster.MachineSet
+	log      *assignmentlog.Log
+	now      time.Time // the term begins then
+}
+
+func newScenario(t *testing.T, peers ...string) *scenario {
+	t.Helper()
+	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
+		Workers: settings.Workers{ReportS: 2, LeaseS: 20, CancelS: 40},
+		State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
+	}}
+	machines := cluster.NewMachineSet()
+	store := kvstore.New("state:1", emulator.NewNet().From("node-0"), time.Second, kvstore.Budget{})
+	s := &scenario{leader: &fakeLeader{tokens: Tokens{Current: termToken, OfTerm: termToken}}, machines: &machines, now: now}
+	s.log = assignmentlog.New(assignmentlog.Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10})
+	s.Recoverer = New(Config{
+		Settings: set, Derived: set.Derive(), Node: "node-0", Term: election.Term{Token: termToken, Since: now}, AttemptBits: 24,
+		Store: store, Cache: jobs.NewCache(store, time.Second, time.Second, time.Second, 8),
+		Peers: silentPeers(peers),
+		Valid: func() bool { return true }, Post: func(context.Context, func(time.Time)) {},
+		Leader: s.leader, Jobs: map[string]*cluster.Job{}, Machines: s.machines,
+		AssignmentLog: func() *assignmentlog.Log { return s.log },
+	})
+	return s
+}
+
+func (s *scenario) addMachine(id string) *cluster.Machine {
+	m := cluster.NewMachine(id, s.now)
+	m.Worker.Session = 1
+	s.machines.Add(m)
+	return m
+}
+
+func (s *scenario) addJob(id, shape string, tasks int) *cluster.Job {
+	spec := &jobs.Spec{ID: id, Team: "red", Shape: shape, Priority: jobs.Standard, Tasks: tasks, CPUs: 1}
+	job := cluster.NewJob(id, spec, 1, 0, s.now)
+	s.cfg.Jobs[id] = job
+	return job
+}
+
+func running(job string, index int, attempt uint64) workers.Task {
+	return workers.Task{Task: fmt.Sprintf("%s/%d", job, index), Attempt: attempt, State: workers.Running}
+}
+
+// A loss that may concern the assignment log has all of it written once more, with a higher
+// token; one that may be a rollback says so to other goroutines at once.
+func TestReportLoss(t *testing.T) {
+	tests := []struct {
+		kind                                detection.Kind
+		rolledBack, rewritten, awaitWorkers bool
+	}{
+		{kind: detection.RecordRemoved},
+		{kind: detection.RecordOlder, rolledBack: true},
+		{kind: detection.RevisionBack, rolledBack: true, rewritten: true, awaitWorkers: true},
+		{kind: detection.SegmentMissing, rewritten: true, awaitWorkers: true},
+		{kind: detection.TaskUnknown, awaitWorkers: true},
+		{kind: detection.ReportedByPeer, rolledBack: true, awaitWorkers: true},
+	}
+	for _, test := range tests {
+		t.Run(string(test.kind), func(t *testing.T) {
+			s := newScenario(t)
+			job := s.addJob("j-000001", jobs.Batch, 2)
+			s.ReportLoss(detection.Loss{Kind: test.kind}, s.now)
+			if s.Phase() != Comparing || !s.TakeRelist() || s.TakeRelist() {
+				t.Errorf("phase %s: want a comparison, and one listing", s.Phase())
+			}
+			if s.RolledBack() != test.rolledBack {
+				t.Errorf("rolled back: %v", s.RolledBack())
+			}
+			if s.log.HasWork() != test.rewritten || s.leader.called("request token raise") != test.rewritten {
+				t.Errorf("log rewritten: %v, calls %v", s.log.HasWork(), s.leader.calls)
+			}
+			if s.adoption.jobs[job] != test.awaitWorkers {
+				t.Errorf("tasks awaited: %v", s.adoption.jobs[job])
+			}
+		})
+	}
+}
+
+// What is noticed while records are being written back has everything compared once more.
+func TestAnotherRound(t *testing.T) {
+	s := newScenario(t)
+	s.ReportLoss(detection.Loss{Kind: detection.RecordRemoved}, s.now)
+	first := s.comparison.round
+	s.endRound(s.now)
+	s.ReportLoss(detection.Loss{Kind: detection.RecordRemoved}, s.now)
+	if s.Phase() != Restoring {
+		t.Fatalf("phase %s", s.Phase())
+	}
+	if s.finish(s.now); s.Phase() != Comparing || s.comparison.round != first+1 {
+		t.Errorf("phase %s, round %d after %d", s.Phase(), s.comparison.round, first)
+	}
+	s.endRound(s.now)
+	if s.finish(s.now); s.Phase() != Whole {
+		t.Errorf("phase %s", s.Phase())
+	}
+}
+
+// A log that names attempts of a higher token than this term's was written by a later term: the
+// token is raised above that, and no number given out twice.
+func TestLogOfALaterTerm(t *testing.T) {
+	s := newScenario(t)
+	attempt := uint64(termToken+2)<<s.cfg.AttemptBits + 3
+	log := []assignmentlog.StoredSegment{{
+		Segment: cluster.NewSegment(assignmentlog.Prefix+"0", 1),
+		Record: assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{
+			{Machine: "m-1", Tasks: []assignmentlog.TaskRecord{{Job: "j-000001", Attempt: attempt}}},
+		}},
+	}}
+	s.CheckLog(log, s.now)
+	if !s.leader.called(fmt.Sprint("raise token above ", termToken+2)) || s.leader.attempts != attempt {
+		t.Errorf("calls %v, attempts from %d", s.leader.calls, s.leader.attempts)
+	}
+	if !s.LogIncomplete() || s.Phase() != Comparing {
+		t.Errorf("log incomplete: %v, phase %s", s.LogIncomplete(), s.Phase())
+	}
+}
+
+// The oldest events make way for new ones, and are counted.
+func TestEventsAreBounded(t *testing.T) {
+	var log eventLog
+	for n := range maxEvents + 3 {
+		log.add(time.Unix(int64(n), 0), "evidence", "")
+	}
+	if len(log.events) != maxEvents || log.dropped != 3 || log.events[0].At != time.Unix(3, 0) {
+		t.Errorf("%d events from %v, %d dropped", len(log.events), log.events[0].At, log.dropped)
+	}
+}
--- /dev/null
+++ b/internal/leader/recoverer/write_back_test.go
@@ -0,0 +1,95 @@
+package recoverer
+
+import (
+	"encoding/json"
+	"errors"
+	"slices"
+	"testing"
+
+	"ospreyslip/internal/election"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/recovery"
+)
+
+// know has a cache of another node say something of a lost job.
+func (s *scenario) know(id, state string) {
+	s.knowledge.addCached(id, recovery.FromCache("node-1"), state, 1, &jobs.Record{Spec: batchSpec(id)})
+}
+
+// What must not run is written before what waits to run, and that before what is over by itself.
+func TestWriteBackOrder(t *testing.T) {
+	s := newScenario(t)
+	s.know("j-000001", jobs.Done)
+	s.know("j-000002", jobs.Queued)
+	s.know("j-000003", jobs.Cancelled)
+	s.know("j-000004", jobs.Queued)
+	s.writeBack.queueLostJobs()
+	if want := []string{"j-000003", "j-000002", "j-000004", "j-000001"}; !slices.Equal(s.writeBack.queue, want) {
+		t.Errorf("order %v, want %v", s.writeBack.queue, want)
+	}
+}
+
+// A batch that was not executed, or may not have been, goes back to the head of the queue in its
+// order; a record that says as much by now does not.
+func TestWriteBackFailed(t *testing.T) {
+	tests := []struct {
+		name   string
+		failed []string
+		found  map[string]kvstore.Pair
+		err    error
+		queue  []string
+		resign bool
+	}{
+		{name: "outcome unknown", err: errors.New("timeout"), queue: []string{"j-000001", "j-000002"}},
+		{
+			name: "one is there again", failed: []string{jobs.RecordKey("j-000001")},
+			found: map[string]kvstore.Pair{"j-000001": {Key: jobs.RecordKey("j-000001"), Value: json.RawMessage(`{"stance":"queued","tasks":1,"spec":{}}`), Revision: 9}},
+			queue: []string{"j-000002"},
+		},
+		{name: "term lost", failed: []string{election.HolderKey}, resign: true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			s := newScenario(t)
+			s.know("j-000001", jobs.Queued)
+			s.know("j-000002", jobs.Queued)
+			s.writeBack.queueLostJobs()
+			batch := s.writeBack.takeBatch(s.now)
+			if len(batch) != 2 || len(s.writeBack.queue) != 0 {
+				t.Fatalf("%d in the batch, %v left", len(batch), s.writeBack.queue)
+			}
+			s.commits.inFlight = true
+			s.writeBack.committed(batch, 0, test.failed, test.found, test.err, s.now)
+			if s.commits.inFlight || !slices.Equal(s.writeBack.queue, test.queue) {
+				t.Errorf("in flight: %v, queue %v, want %v", s.commits.inFlight, s.writeBack.queue, test.queue)
+			}
+			if s.leader.called("resign") != test.resign {
+				t.Errorf("calls %v", s.leader.calls)
+			}
+			if waits := s.commits.notBefore.After(s.now); waits != (test.err != nil) {
+				t.Errorf("waits: %v", waits)
+			}
+		})
+	}
+}
+
+// What is written is counted; a job that is to run is shown to the leader at once, and one that
+// is not certain is held.
+func TestRecordWritten(t *testing.T) {
+	s := newScenario(t)
+	s.know("j-000001", jobs.Queued)
+	s.knowledge.lost.Add("j-000002", recovery.Says(recovery.FromLog, recovery.Knowledge{LeastTasks: 1}))
+	s.writeBack.queueLostJobs()
+	s.writeBack.committed(s.writeBack.takeBatch(s.now), 12, nil, nil, nil, s.now)
+	status := s.Status()
+	if status.Written[recovery.Recovered] != 1 || status.Written[recovery.Uncertain] != 1 {
+		t.Errorf("written: %v", status.Written)
+	}
+	if !s.leader.called("changed j-000001") || s.leader.called("changed j-000002") {
+		t.Errorf("calls %v", s.leader.calls)
+	}
+	if len(status.HeldJobs) != 1 || status.HeldJobs[0].Job != "j-000002" {
+		t.Errorf("held: %v", status.HeldJobs)
+	}
+}
