--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
 )
@@ -103,23 +102,7 @@
 	record.revision = job.revision
 	slog.Info("job settled by an operator", "job", id, "term", r.cfg.token(), "as", string(as), "said", job.known.Words())
 	r.events.add(now, "settled as "+string(as), id)
-	go func() { reply(r.commitSettled(ctx, record)) }()
-}
-
-// commitSettled writes the record of a job that an operator has settled. It does not run on the
-// event loop.
-func (r *Recoverer) commitSettled(ctx context.Context, record lostRecord) error {
-	key := jobs.RecordKey(record.id)
-	guards := []kvstore.Guard{r.commits.termGuard(), {Key: key, Revision: record.revision}}
-	revision, failed, err := r.cfg.Store.Commit(ctx, guards, []kvstore.Write{{Set: key, Value: record.value}})
-	if err != nil {
-		return err
-	}
-	if len(failed) > 0 {
-		return fmt.Errorf("%w: its record has changed meanwhile", recovery.ErrRefused)
-	}
-	r.cfg.Cache.Set(key, record.value, revision)
-	return nil
+	go func() { reply(r.writeBack.commitSettled(ctx, record)) }()
 }
 
 // SnapshotFact is what a snapshot says of a job.
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -33,7 +33,7 @@
 	// Peers returns the names of the other controllers.
 	Peers() []string
 	// AskLost asks one of them for a page of its lost jobs.
-	AskLost(ctx context.Context, node string, q peer.Question) (peer.LostPage, error)
+	AskLost(ctx context.Context, node string, question peer.Question) (peer.LostPage, error)
 }
 
 // Config is what a Recoverer works with. All of it is read on the event loop.
@@ -120,8 +120,7 @@
 	held       heldJobs
 	adoption   adoption
 	orphans    orphanedTasks
-
-	tokenCheckInFlight bool
+	tokens     tokenCheck
 }
 
 // sharedState is what other goroutines may read.
@@ -137,6 +136,7 @@
 	r.shared.phase.Store(Whole)
 	r.evidence.counts = map[detection.Kind]int{}
 	r.commits.cfg = r.cfg
+	r.tokens = tokenCheck{cfg: r.cfg, reportLoss: r.ReportLoss}
 	r.orphans = orphanedTasks{
 		cfg: r.cfg, knowledge: &r.knowledge, reportLoss: r.ReportLoss, byJob: map[string]*orphanedJob{},
 	}
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"context"
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"slices"
 	"time"
@@ -265,3 +266,19 @@
 		w.cfg.Leader.JobChanged(kvstore.Change{Set: jobs.RecordKey(id), Value: lost.value, Revision: revision}, now)
 	}
 }
+
+// commitSettled writes the record of a job that an operator has settled. It does not run on the
+// event loop.
+func (w *writeBack) commitSettled(ctx context.Context, record lostRecord) error {
+	key := jobs.RecordKey(record.id)
+	guards := []kvstore.Guard{w.commits.termGuard(), {Key: key, Revision: record.revision}}
+	revision, failed, err := w.cfg.Store.Commit(ctx, guards, []kvstore.Write{{Set: key, Value: record.value}})
+	if err != nil {
+		return err
+	}
+	if len(failed) > 0 {
+		return fmt.Errorf("%w: its record has changed meanwhile", recovery.ErrRefused)
+	}
+	w.cfg.Cache.Set(key, record.value, revision)
+	return nil
+}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -97,10 +97,10 @@
 	}
 	l.term.Token = l.token
 	l.attempts = max(l.attempts, l.token<<attemptBits)
-	for _, m := range l.machines.All {
-		for _, a := range m.Assignments {
-			if a.Start.InDoubtToken != 0 {
-				a.Start.InDoubtToken = l.token - 1 // an order under any earlier token may still arrive
+	for _, machine := range l.machines.All {
+		for _, assignment := range machine.Assignments {
+			if assignment.Start.InDoubtToken != 0 {
+				assignment.Start.InDoubtToken = l.token - 1 // an order under any earlier token may still arrive
 			}
 		}
 	}
@@ -135,15 +135,15 @@
 }
 
 // call has a question answered by the leader's goroutine.
-func call[T any](ctx context.Context, g *Gate, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
-	l := g.on.Load()
-	if l == nil {
+func call[T any](ctx context.Context, gate *Gate, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
+	leader := gate.on.Load()
+	if leader == nil {
 		return out, ErrNotLeading
 	}
 	replies := make(chan T, 1)
 	select {
-	case l.events <- func(now time.Time) { answer(l, now, func(v T) { replies <- v }) }:
-	case <-l.quit:
+	case leader.events <- func(now time.Time) { answer(leader, now, func(v T) { replies <- v }) }:
+	case <-leader.quit:
 		return out, ErrNotLeading
 	case <-ctx.Done():
 		return out, ctx.Err()
@@ -151,7 +151,7 @@
 	select {
 	case out = <-replies:
 		return out, nil
-	case <-l.quit:
+	case <-leader.quit:
 		return out, ErrNotLeading
 	case <-ctx.Done():
 		return out, ctx.Err()
