--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -31,43 +31,72 @@
 	}
 	log := l.readLog(segments)
 	l.recovery.CheckLog(log, now)
-	named := assignmentlog.JobsNamed(log)
-	ended := map[string]kvstore.Pair{} // of which tasks may be left
-	over, counts := 0, recoverer.RecordCounts{Known: l.Cache.Recorded()}
-	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) {
-		counts.Read++
-		var rec jobs.Record
-		if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
-			slog.Error("job record unreadable", "key", p.Key, "reason", err)
-			return
-		}
-		id := jobs.IDOf(p.Key)
-		told, _ := l.Cache.Known(id)
-		if rec.Held != nil {
-			l.recovery.HoldJob(id, &rec, p.Revision)
-		}
-		switch {
-		case rec.Over(), told.Over(): // the latter: it is older than what users were told
-		case rec.Held != nil:
-			return
-		case rec.Spec != nil:
-			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AtMs, now)
-			l.jobs[id] = j
-			if rec.Restored || l.recovery.LogIncomplete() {
-				l.recovery.AdoptTasksOf(j, now)
-			}
-			return
-		}
-		over++
-		if named[id] {
-			ended[id] = p
-		}
-	})
+	records := loadedRecords{
+		namedInLog: assignmentlog.JobsNamed(log), ended: map[string]kvstore.Pair{},
+		counts: recoverer.RecordCounts{Known: l.Cache.Recorded()},
+	}
+	after, err = l.Store.Each(ctx, jobs.RecordPrefix, func(p kvstore.Pair) { l.loadRecord(p, &records, now) })
 	if err != nil {
 		return 0, err
 	}
-	l.recovery.CheckRecords(counts, log, func(id string) bool { _, isOver := ended[id]; return isOver }, now)
-	l.restore(log, ended, now)
+	l.recovery.CheckRecords(records.counts, log, records.hasEnded, now)
+	l.restore(log, records.ended, now)
+	l.resumeJobs(now)
+	l.replan, l.uncovered = true, true
+	l.raisedAt = now
+	l.listSyncAt = now.Add(2 * l.Derived.ListLag)
+	l.seen.Store(after)
+	l.takeover.RecordsRead(time.Now())
+	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", records.over, "machines", len(l.machines.All))
+	return after, nil
+}
+
+// loadedRecords is what a new leader notes of the job records while it reads them.
+type loadedRecords struct {
+	namedInLog map[string]bool
+	ended      map[string]kvstore.Pair // records of jobs that are over, of which tasks may be left
+	over       int                     // jobs that are over
+	counts     recoverer.RecordCounts
+}
+
+func (r *loadedRecords) hasEnded(id string) bool {
+	_, ended := r.ended[id]
+	return ended
+}
+
+// loadRecord takes in one job's record.
+func (l *Leader) loadRecord(p kvstore.Pair, records *loadedRecords, now time.Time) {
+	records.counts.Read++
+	var record jobs.Record
+	if err := jsonv2.Unmarshal(p.Value, &record); err != nil {
+		slog.Error("job record unreadable", "key", p.Key, "reason", err)
+		return
+	}
+	id := jobs.IDOf(p.Key)
+	told, _ := l.Cache.Known(id)
+	if record.Held != nil {
+		l.recovery.HoldJob(id, &record, p.Revision)
+	}
+	switch {
+	case record.Over(), told.Over(): // the latter: it is older than what users were told
+	case record.Held != nil:
+		return
+	case record.Spec != nil:
+		job := cluster.NewJob(id, record.Spec, p.Revision, record.AtMs, now)
+		l.jobs[id] = job
+		if record.Restored || l.recovery.LogIncomplete() {
+			l.recovery.AdoptTasksOf(job, now)
+		}
+		return
+	}
+	records.over++
+	if records.namedInLog[id] {
+		records.ended[id] = p
+	}
+}
+
+// resumeJobs goes on with each job where the records say that its leader has ended.
+func (l *Leader) resumeJobs(now time.Time) {
 	for _, j := range l.jobs {
 		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.End {
 			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
@@ -81,13 +110,6 @@
 		l.arrived(j, age, now)
 		l.remember(j, age, now)
 	}
-	l.replan, l.uncovered = true, true
-	l.raisedAt = now
-	l.listSyncAt = now.Add(2 * l.Derived.ListLag)
-	l.seen.Store(after)
-	l.takeover.RecordsRead(time.Now())
-	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.All))
-	return after, nil
 }
 
 // readLog makes the log of its segments. What each says is for the caller.
@@ -100,50 +122,19 @@
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
 func (l *Leader) restore(segments []assignmentlog.StoredSegment, ended map[string]kvstore.Pair, now time.Time) {
-	where := map[uint64]*cluster.Segment{}
 	defer l.announce()
-	for _, stored := range segments {
-		p := stored.Segment
-		for _, b := range stored.Record.Begun {
-			m := l.restoreMachine(b, now)
-			for _, t := range b.Tasks {
-				if old := where[t.Attempt]; old != nil {
-					delete(old.Begun, t.Attempt) // carried along since
-				}
-				where[t.Attempt] = p
-				l.restoreTask(p, m, b.Session, t, ended, now)
-			}
-		}
-		for _, attempt := range stored.Record.Over {
-			if p := where[attempt]; p != nil {
-				delete(p.Begun, attempt)
-			}
-		}
-		for _, d := range stored.Record.Done {
-			j := l.jobs[d.Job]
-			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.ChunkTasks >= j.Spec.Tasks {
-				continue
-			}
-			if err := j.DecodeChunk(d.Chunk, l.Derived.ChunkTasks, d.Bits); err != nil {
-				slog.Error("completions unreadable", "job", d.Job, "reason", err)
-				continue
-			}
-			ref := cluster.ChunkRef{Job: j, Index: d.Chunk}
-			p.Completions[ref] = true
-			j.Completions.Chunks[d.Chunk] = &cluster.Chunk{Segment: p, Saved: true}
-		}
-	}
-	for _, p := range l.log.Segments() {
-		for _, attempt := range cluster.SortedAttempts(p.Begun) {
-			a := p.Begun[attempt]
+	l.restoreSegments(segments, ended, now)
+	for _, segment := range l.log.Segments() {
+		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+			a := segment.Begun[attempt]
 			l.count(a)
 			a.Machine.Assignments[attempt] = a
 			a.Job.RestoreAssignment(a)
 		}
 	}
-	for _, p := range l.log.Segments() {
-		for _, attempt := range cluster.SortedAttempts(p.Begun) {
-			a := p.Begun[attempt]
+	for _, segment := range l.log.Segments() {
+		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+			a := segment.Begun[attempt]
 			switch d := reconcile.OfRecord(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
 			case reconcile.Complete:
 				l.conclude(a, cluster.Success)
@@ -155,6 +146,46 @@
 	}
 }
 
+// restoreSegments finds out what stands on each segment. Later segments overrule earlier ones.
+func (l *Leader) restoreSegments(segments []assignmentlog.StoredSegment, ended map[string]kvstore.Pair, now time.Time) {
+	where := map[uint64]*cluster.Segment{}
+	for _, stored := range segments {
+		segment := stored.Segment
+		for _, begun := range stored.Record.Begun {
+			machine := l.restoreMachine(begun, now)
+			for _, task := range begun.Tasks {
+				if old := where[task.Attempt]; old != nil {
+					delete(old.Begun, task.Attempt) // carried along since
+				}
+				where[task.Attempt] = segment
+				l.restoreTask(segment, machine, begun.Session, task, ended, now)
+			}
+		}
+		for _, attempt := range stored.Record.Over {
+			if earlier := where[attempt]; earlier != nil {
+				delete(earlier.Begun, attempt)
+			}
+		}
+		for _, done := range stored.Record.Done {
+			l.restoreCompletions(segment, done)
+		}
+	}
+}
+
+// restoreCompletions takes in the completions of one chunk of a job's tasks.
+func (l *Leader) restoreCompletions(segment *cluster.Segment, done assignmentlog.CompletionRecord) {
+	job := l.jobs[done.Job]
+	if job == nil || done.Chunk < 0 || done.Chunk*l.Derived.ChunkTasks >= job.Spec.Tasks {
+		return
+	}
+	if err := job.DecodeChunk(done.Chunk, l.Derived.ChunkTasks, done.Bits); err != nil {
+		slog.Error("completions unreadable", "job", done.Job, "reason", err)
+		return
+	}
+	segment.Completions[cluster.ChunkRef{Job: job, Index: done.Chunk}] = true
+	job.Completions.Chunks[done.Chunk] = &cluster.Chunk{Segment: segment, Saved: true}
+}
+
 func (l *Leader) restoreMachine(b assignmentlog.MachineRecord, now time.Time) *cluster.Machine {
 	m := l.machines.ByID[b.Machine]
 	if m == nil {
