--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -16,60 +16,90 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
+// jobWatch is how far a leader has followed the job records. It belongs to the goroutine that
+// runs follow.
+type jobWatch struct {
+	after         uint64 // all changes up to this revision have been seen
+	revision      uint64 // that the store had at some moment after revisionAsked
+	revisionAsked time.Time
+	newest        detection.Highest
+}
+
+// isProven tells whether all changes up to revisionAsked have been seen. Only what reaches a
+// revision read at some moment is as new as that: a watch may lag, or be empty because the store
+// does not serve this node.
+func (w *jobWatch) isProven() bool { return w.after >= w.revision && !w.revisionAsked.IsZero() }
+
 // follow watches the jobs.
 func (l *Leader) follow(ctx context.Context, after uint64) {
-	var least uint64
-	var asked time.Time
-	var newest detection.Highest
+	watch := &jobWatch{after: after}
 	for ctx.Err() == nil {
-		// Only what reaches a revision read at some moment is as new as that: a
-		// watch may lag, or be empty because the service does not serve this node.
-		putBack := false
-		request := newest.Ask()
-		if sent := time.Now(); least <= after {
-			if r, err := l.Store.Revision(ctx); err == nil {
-				least, asked = r, sent
-				var e detection.Loss
-				if e, putBack = newest.See(request, detection.RevisionBack, "", r); putBack {
-					l.post(ctx, func(now time.Time) { l.recovery.ReportLoss(e, now) })
-					after = 0 // revisions are given out again: nothing can be concluded from those before
-				}
-			}
-		}
-		request = newest.Ask()
-		rev, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.WatchWait)
-		if putBack || l.recovery.TakeRelist() || errors.Is(err, kvstore.ErrCompacted) {
-			var pairs []kvstore.Pair
-			if pairs, rev, err = l.Store.List(ctx, jobs.RecordPrefix); err == nil {
-				for _, p := range pairs {
-					changes = append(changes, kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision})
-				}
-			}
-		}
+		rolledBack := l.readRevision(ctx, watch)
+		request := watch.newest.Ask()
+		revision, changes, err := l.readChanges(ctx, watch.after, rolledBack)
 		if err != nil {
 			slog.Debug("watch failed", "term", l.term.Token, "reason", err)
-			select {
-			case <-ctx.Done():
-			case <-time.After(l.Derived.TermRenew):
-			}
+			l.pause(ctx, l.Derived.TermRenew)
 			continue
 		}
-		after = max(after, rev)
-		newest.Raise(request, rev)
-		seen := after
-		proven := after >= least && !asked.IsZero()
-		sent := asked
-		l.post(ctx, func(now time.Time) {
-			if proven && sent.After(l.viewTime) {
-				l.viewTime = sent
-			}
-			for _, c := range changes {
-				l.jobChanged(c, now)
-			}
-			l.seen.Store(seen)
-			maps.DeleteFunc(l.unseen, func(_ string, at uint64) bool { return at <= seen })
-		})
+		watch.after = max(watch.after, revision)
+		watch.newest.Raise(request, revision)
+		l.postChanges(ctx, watch, changes)
+	}
+}
+
+// readRevision reads the store's revision, once the one that was read last is reached. It tells
+// whether the store was rolled back meanwhile: then revisions are given out again, and nothing
+// can be concluded from those before.
+func (l *Leader) readRevision(ctx context.Context, watch *jobWatch) (rolledBack bool) {
+	if watch.revision > watch.after {
+		return false
+	}
+	request := watch.newest.Ask()
+	sent := time.Now()
+	revision, err := l.Store.Revision(ctx)
+	if err != nil {
+		return false
+	}
+	watch.revision, watch.revisionAsked = revision, sent
+	loss, rolledBack := watch.newest.See(request, detection.RevisionBack, "", revision)
+	if rolledBack {
+		l.post(ctx, func(now time.Time) { l.recovery.ReportLoss(loss, now) })
+		watch.after = 0
 	}
+	return rolledBack
+}
+
+// readChanges waits for changes of job records, or lists all records where changes may have been
+// missed.
+func (l *Leader) readChanges(ctx context.Context, after uint64, rolledBack bool) (uint64, []kvstore.Change, error) {
+	revision, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.WatchWait)
+	if !rolledBack && !l.recovery.TakeRelist() && !errors.Is(err, kvstore.ErrCompacted) {
+		return revision, changes, err
+	}
+	pairs, revision, err := l.Store.List(ctx, jobs.RecordPrefix)
+	if err != nil {
+		return revision, nil, err
+	}
+	for _, p := range pairs {
+		changes = append(changes, kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision})
+	}
+	return revision, changes, nil
+}
+
+// postChanges hands changes to the leader's goroutine.
+func (l *Leader) postChanges(ctx context.Context, watch *jobWatch, changes []kvstore.Change) {
+	seen, proven, asked := watch.after, watch.isProven(), watch.revisionAsked
+	l.post(ctx, func(now time.Time) {
+		if proven && asked.After(l.viewTime) {
+			l.viewTime = asked
+		}
+		for _, c := range changes {
+			l.jobChanged(c, now)
+		}
+		l.seen.Store(seen)
+		maps.DeleteFunc(l.unseen, func(_ string, at uint64) bool { return at <= seen })
+	})
 }
 
 // cancelledUnseen takes in what users were told by a moment, while no change can be
