--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -24,6 +24,7 @@
 	"ospreyslip/internal/jobs/jobcache"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery/detection"
 	"ospreyslip/internal/settings"
@@ -108,7 +109,7 @@
 		if !l.Kind.AffectsLog() {
 			l.Kind = detection.ReportedByPeer
 		}
-		n.gate.Noticed(l)
+		n.gate.ReportLoss(l)
 	}
 	if w.Memory == nil {
 		w.Memory = heldBytes
@@ -260,11 +261,11 @@
 
 func (n *Controller) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.Readiness.SetRolledBack(n.gate.PutBack())
+	n.cache.Readiness.SetRolledBack(n.gate.StoreRolledBack())
 	phase := n.gate.RecoveryPhase()
 	n.hub.Publish(peer.Progress{
-		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
-		PutBack: n.gate.PutBack(), Known: n.cache.JobCount(), Changes: changes,
+		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == recoverer.Comparing, Restoring: phase == recoverer.Restoring,
+		PutBack: n.gate.StoreRolledBack(), Known: n.cache.JobCount(), Changes: changes,
 	})
 }
 
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -16,60 +16,90 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
+// jobWatch is how far a leader has followed the job records. It belongs to the goroutine that
+// runs follow.
+type jobWatch struct {
+	after         uint64 // all changes up to this revision have been seen
+	revision      uint64 // that the store had at some moment after revisionAsked
+	revisionAsked time.Time
+	newest        detection.Watermark
+}
+
+// isProven tells whether all changes up to revisionAsked have been seen. Only what reaches a
+// revision read at some moment is as new as that: a watch may lag, or be empty because the store
+// does not serve this node.
+func (w *jobWatch) isProven() bool { return w.after >= w.revision && !w.revisionAsked.IsZero() }
+
 // followJobRecords watches the jobs.
 func (l *Leader) followJobRecords(ctx context.Context, after uint64) {
-	var least uint64
-	var asked time.Time
-	var newest detection.Watermark
+	watch := &jobWatch{after: after}
 	for ctx.Err() == nil {
-		// Only what reaches a revision read at some moment is as new as that: a
-		// watch may lag, or be empty because the service does not serve this node.
-		putBack := false
-		request := newest.Baseline()
-		if sent := time.Now(); least <= after {
-			if r, err := l.Store.Revision(ctx); err == nil {
-				least, asked = r, sent
-				var e detection.Evidence
-				if e, putBack = newest.Observe(request, detection.RevisionBack, "", r); putBack {
-					l.post(ctx, func(now time.Time) { l.suspect(e, now) })
-					after = 0 // revisions are given out again: nothing can be concluded from those before
-				}
-			}
-		}
-		request = newest.Baseline()
-		rev, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.Store.WatchTimeout)
-		if putBack || l.listAnew.Swap(false) || errors.Is(err, kvstore.ErrCompacted) {
-			var pairs []kvstore.KeyValue
-			if pairs, rev, err = l.Store.List(ctx, jobs.RecordPrefix); err == nil {
-				for _, p := range pairs {
-					changes = append(changes, kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision})
-				}
-			}
-		}
+		rolledBack := l.readRevision(ctx, watch)
+		request := watch.newest.Baseline()
+		revision, changes, err := l.readChanges(ctx, watch.after, rolledBack)
 		if err != nil {
 			slog.Debug("watch failed", "term", l.term.FencingToken, "reason", err)
-			select {
-			case <-ctx.Done():
-			case <-time.After(l.Derived.Election.RenewInterval):
-			}
+			l.sleep(ctx, l.Derived.Election.RenewInterval)
 			continue
 		}
-		after = max(after, rev)
-		newest.Advance(request, rev)
-		seen := after
-		proven := after >= least && !asked.IsZero()
-		sent := asked
-		l.post(ctx, func(now time.Time) {
-			if proven && sent.After(l.view.asOf) {
-				l.view.asOf = sent
-			}
-			for _, c := range changes {
-				l.applyJobChange(c, now)
-			}
-			l.view.seenRevision.Store(seen)
-			maps.DeleteFunc(l.view.cancelledLater, func(_ string, at uint64) bool { return at <= seen })
-		})
+		watch.after = max(watch.after, revision)
+		watch.newest.Advance(request, revision)
+		l.postChanges(ctx, watch, changes)
+	}
+}
+
+// readRevision reads the store's revision, once the one that was read last is reached. It tells
+// whether the store was rolled back meanwhile: then revisions are given out again, and nothing
+// can be concluded from those before.
+func (l *Leader) readRevision(ctx context.Context, watch *jobWatch) (rolledBack bool) {
+	if watch.revision > watch.after {
+		return false
+	}
+	request := watch.newest.Baseline()
+	sent := time.Now()
+	revision, err := l.Store.Revision(ctx)
+	if err != nil {
+		return false
+	}
+	watch.revision, watch.revisionAsked = revision, sent
+	loss, rolledBack := watch.newest.Observe(request, detection.RevisionBack, "", revision)
+	if rolledBack {
+		l.post(ctx, func(now time.Time) { l.recovery.ReportLoss(loss, now) })
+		watch.after = 0
 	}
+	return rolledBack
+}
+
+// readChanges waits for changes of job records, or lists all records where changes may have been
+// missed.
+func (l *Leader) readChanges(ctx context.Context, after uint64, rolledBack bool) (uint64, []kvstore.Change, error) {
+	revision, changes, err := l.Store.Watch(ctx, jobs.RecordPrefix, after, l.Derived.Store.WatchTimeout)
+	if !rolledBack && !l.recovery.TakeRelist() && !errors.Is(err, kvstore.ErrCompacted) {
+		return revision, changes, err
+	}
+	pairs, revision, err := l.Store.List(ctx, jobs.RecordPrefix)
+	if err != nil {
+		return revision, nil, err
+	}
+	for _, p := range pairs {
+		changes = append(changes, kvstore.Change{Set: p.Key, Value: p.Value, Revision: p.Revision})
+	}
+	return revision, changes, nil
+}
+
+// postChanges hands changes to the leader's goroutine.
+func (l *Leader) postChanges(ctx context.Context, watch *jobWatch, changes []kvstore.Change) {
+	seen, proven, asked := watch.after, watch.isProven(), watch.revisionAsked
+	l.post(ctx, func(now time.Time) {
+		if proven && asked.After(l.view.asOf) {
+			l.view.asOf = asked
+		}
+		for _, c := range changes {
+			l.applyJobChange(c, now)
+		}
+		l.view.seenRevision.Store(seen)
+		maps.DeleteFunc(l.view.cancelledLater, func(_ string, at uint64) bool { return at <= seen })
+	})
 }
 
 // cancelFromPeers takes in what users were told by a moment, while no change can be
@@ -113,17 +143,17 @@
 		return // the record is older than what users were told: it will be written again
 	}
 	if rec.Held != nil {
-		l.hold(id, &rec, c.Revision)
+		l.recovery.HoldJob(id, &rec, c.Revision)
 	} else {
-		delete(l.held, id)
+		l.recovery.ReleaseJob(id)
 	}
 	switch {
 	case j == nil && l.view.cancelledLater[id] > c.Revision: // cancelled since
 	case j == nil && !rec.Finished() && rec.Spec != nil:
 		j = cluster.NewJob(id, rec.Spec, c.Revision, rec.AcceptedAtMs, now)
 		l.state.Jobs[id] = j
-		if _, seen := l.knowledge[id]; seen || rec.Restored || l.strays[id] != nil {
-			l.adoptTasksOf(j, now)
+		if rec.Restored || l.recovery.MayHaveUnloggedTasks(id) {
+			l.recovery.AdoptTasksOf(j, now)
 		}
 		l.publishCounts(j)
 		l.planner.Enqueue(j)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -15,6 +15,7 @@
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/leader/runtimes"
 	"ospreyslip/internal/leader/scaler"
 	"ospreyslip/internal/liveness"
@@ -40,7 +41,7 @@
 	MachineTypes        func() []jobs.MachineType
 	Counts              *Counts
 	Cache               *jobcache.Cache // what this node knows of all jobs
-	Peers               PeerKnowledge
+	Peers               recoverer.PeerClient
 	Node                string
 }
 
@@ -66,7 +67,7 @@
 	runTimes   *runtimes.Estimator
 	dispatcher dispatcher
 	scaler     *scaler.Scaler
-	recoverer
+	recovery   *recoverer.Recoverer
 
 	lastAttempt     uint64    // number of the newest assignment
 	nextLeaseExpiry time.Time // no worker's lease ends before
@@ -90,7 +91,6 @@
 	revision             uint64 // of the token's key
 	raisePending         bool
 	raiseAbove           uint64 // the next token is above it, as a worker or the log shows it
-	checkingHolder       bool   // whether the term is still held is being read
 	raisedAt             time.Time
 	acknowledgementsHeld bool                      // an ended task waits for a higher token to be cleared
 	inDoubtMachines      map[*cluster.Machine]bool // a superset of those with Commands.InDoubtSince
@@ -133,11 +133,10 @@
 		failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
 		log:      assignmentlog.New(logConfig(d.Derived)),
 		runTimes: runtimes.NewEstimator(), lastAttempt: t.FencingToken << attemptBits,
-		recoverer: newRecoverer(),
 	}
-	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.catalog.Type, l)
+	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.catalog.Type, planConstraints{l})
 	l.scaler = newScaler(l)
-	l.round = t.FencingToken << roundBits
+	l.recovery = recoverer.New(l.recoveryConfig())
 	l.detector = liveness.New(detectorConfig(d.Derived, l.productionTasks))
 	return l
 }
@@ -172,9 +171,6 @@
 	}
 }
 
-// roundBits is how many rounds of comparison a term has numbers for.
-const roundBits = 16
-
 // attemptBits is how many attempts a token has numbers for: no other term uses them.
 const attemptBits = 24
 
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -12,6 +12,7 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/reconcile"
 )
 
@@ -19,53 +20,83 @@
 // can change them any more; users can, and the watch starts where load began.
 func (l *Leader) loadRecords(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.view.asOf, l.fresh = now, !l.Cache.Readiness.ProvenCurrent()
+	l.view.asOf = now
+	l.recovery.BeginTerm()
 	segments, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
 	}
-	if err := l.readRecoveryKeys(ctx, now); err != nil {
+	if err := l.recovery.ReadControlKeys(ctx, now); err != nil {
 		return 0, err
 	}
 	log := l.readLog(segments)
-	l.checkLog(log, now)
-	named := assignmentlog.JobsNamed(log)
-	ended := map[string]kvstore.KeyValue{} // of which tasks may be left
-	over, listed, known := 0, 0, l.Cache.RecordedCount()
-	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(p kvstore.KeyValue) {
-		listed++
-		var rec jobs.Record
-		if err := jsonv2.Unmarshal(p.Value, &rec); err != nil {
-			slog.Error("job record unreadable", "key", p.Key, "reason", err)
-			return
-		}
-		id := jobs.JobIDFromKey(p.Key)
-		told, _ := l.Cache.Known(id)
-		if rec.Held != nil {
-			l.hold(id, &rec, p.Revision)
-		}
-		switch {
-		case rec.Finished(), told.Finished(): // the latter: it is older than what users were told
-		case rec.Held != nil:
-			return
-		case rec.Spec != nil:
-			j := cluster.NewJob(id, rec.Spec, p.Revision, rec.AcceptedAtMs, now)
-			l.state.Jobs[id] = j
-			if rec.Restored || l.affectsLog {
-				l.adoptTasksOf(j, now)
-			}
-			return
-		}
-		over++
-		if named[id] {
-			ended[id] = p
-		}
-	})
+	l.recovery.CheckLog(log, now)
+	records := loadedRecords{
+		namedInLog: assignmentlog.JobsNamed(log), ended: map[string]kvstore.KeyValue{},
+		counts: recoverer.RecordCounts{Known: l.Cache.RecordedCount()},
+	}
+	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(p kvstore.KeyValue) { l.loadRecord(p, &records, now) })
 	if err != nil {
 		return 0, err
 	}
-	l.checkRecords(log, ended, known, listed, now)
-	l.restoreLog(log, ended, now)
+	l.recovery.CheckRecords(records.counts, log, records.hasEnded, now)
+	l.restoreLog(log, records.ended, now)
+	l.resumeJobs(now)
+	l.planner.Requested, l.planner.GuaranteesStale = true, true
+	l.fencing.raisedAt = now
+	l.scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
+	l.view.seenRevision.Store(after)
+	l.failover.RecordsLoaded(time.Now())
+	slog.Info("records read", "term", l.fencing.token, "jobs", len(l.state.Jobs), "ended", records.over, "machines", len(l.state.Machines.All))
+	return after, nil
+}
+
+// loadedRecords is what a new leader notes of the job records while it reads them.
+type loadedRecords struct {
+	namedInLog map[string]bool
+	ended      map[string]kvstore.KeyValue // records of jobs that are over, of which tasks may be left
+	over       int                         // jobs that are over
+	counts     recoverer.RecordCounts
+}
+
+func (r *loadedRecords) hasEnded(id string) bool {
+	_, ended := r.ended[id]
+	return ended
+}
+
+// loadRecord takes in one job's record.
+func (l *Leader) loadRecord(p kvstore.KeyValue, records *loadedRecords, now time.Time) {
+	records.counts.Read++
+	var record jobs.Record
+	if err := jsonv2.Unmarshal(p.Value, &record); err != nil {
+		slog.Error("job record unreadable", "key", p.Key, "reason", err)
+		return
+	}
+	id := jobs.JobIDFromKey(p.Key)
+	told, _ := l.Cache.Known(id)
+	if record.Held != nil {
+		l.recovery.HoldJob(id, &record, p.Revision)
+	}
+	switch {
+	case record.Finished(), told.Finished(): // the latter: it is older than what users were told
+	case record.Held != nil:
+		return
+	case record.Spec != nil:
+		job := cluster.NewJob(id, record.Spec, p.Revision, record.AcceptedAtMs, now)
+		l.state.Jobs[id] = job
+		if record.Restored || l.recovery.LogIncomplete() {
+			l.recovery.AdoptTasksOf(job, now)
+		}
+		return
+	}
+	records.over++
+	if records.namedInLog[id] {
+		records.ended[id] = p
+	}
+}
+
+// resumeJobs goes on with each job where the records say that its leader has ended.
+func (l *Leader) resumeJobs(now time.Time) {
 	for _, j := range l.state.Jobs {
 		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.Abort {
 			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
@@ -79,13 +110,6 @@
 		l.scaler.JobArrived(j, age, now)
 		l.planner.RestoreAge(j, age, now)
 	}
-	l.planner.Requested, l.planner.GuaranteesStale = true, true
-	l.fencing.raisedAt = now
-	l.scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
-	l.view.seenRevision.Store(after)
-	l.failover.RecordsLoaded(time.Now())
-	slog.Info("records read", "term", l.fencing.token, "jobs", len(l.state.Jobs), "ended", over, "machines", len(l.state.Machines.All))
-	return after, nil
 }
 
 // readLog makes the log of its segments. What each says is for the caller.
@@ -98,50 +122,19 @@
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
 func (l *Leader) restoreLog(segments []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, now time.Time) {
-	where := map[uint64]*cluster.Segment{}
 	defer l.announceTerm()
-	for _, stored := range segments {
-		p := stored.Segment
-		for _, b := range stored.Record.Begun {
-			m := l.restoreMachine(b, now)
-			for _, t := range b.Tasks {
-				if old := where[t.Attempt]; old != nil {
-					delete(old.Begun, t.Attempt) // carried along since
-				}
-				where[t.Attempt] = p
-				l.restoreTask(p, m, b.Session, t, ended, now)
-			}
-		}
-		for _, attempt := range stored.Record.Over {
-			if p := where[attempt]; p != nil {
-				delete(p.Begun, attempt)
-			}
-		}
-		for _, d := range stored.Record.Done {
-			j := l.state.Jobs[d.Job]
-			if j == nil || d.Chunk < 0 || d.Chunk*l.Derived.Store.ChunkTasks >= j.Spec.Tasks {
-				continue
-			}
-			if err := j.DecodeChunk(d.Chunk, l.Derived.Store.ChunkTasks, d.Bits); err != nil {
-				slog.Error("completions unreadable", "job", d.Job, "reason", err)
-				continue
-			}
-			ref := cluster.ChunkRef{Job: j, Index: d.Chunk}
-			p.Completions[ref] = true
-			j.Completions.Chunks[d.Chunk] = &cluster.Chunk{Segment: p, Saved: true}
-		}
-	}
-	for _, p := range l.log.Segments() {
-		for _, attempt := range cluster.SortedAttempts(p.Begun) {
-			a := p.Begun[attempt]
+	l.restoreSegments(segments, ended, now)
+	for _, segment := range l.log.Segments() {
+		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+			a := segment.Begun[attempt]
 			l.planner.Capacity.Count(a)
 			a.Machine.Assignments[attempt] = a
 			a.Job.RestoreAssignment(a)
 		}
 	}
-	for _, p := range l.log.Segments() {
-		for _, attempt := range cluster.SortedAttempts(p.Begun) {
-			a := p.Begun[attempt]
+	for _, segment := range l.log.Segments() {
+		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+			a := segment.Begun[attempt]
 			switch d := reconcile.DecideOnRecords(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
 			case reconcile.Complete:
 				l.endAssignment(a, cluster.Success)
@@ -153,6 +146,46 @@
 	}
 }
 
+// restoreSegments finds out what stands on each segment. Later segments overrule earlier ones.
+func (l *Leader) restoreSegments(segments []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, now time.Time) {
+	where := map[uint64]*cluster.Segment{}
+	for _, stored := range segments {
+		segment := stored.Segment
+		for _, begun := range stored.Record.Begun {
+			machine := l.restoreMachine(begun, now)
+			for _, task := range begun.Tasks {
+				if old := where[task.Attempt]; old != nil {
+					delete(old.Begun, task.Attempt) // carried along since
+				}
+				where[task.Attempt] = segment
+				l.restoreTask(segment, machine, begun.Session, task, ended, now)
+			}
+		}
+		for _, attempt := range stored.Record.Over {
+			if earlier := where[attempt]; earlier != nil {
+				delete(earlier.Begun, attempt)
+			}
+		}
+		for _, done := range stored.Record.Done {
+			l.restoreCompletions(segment, done)
+		}
+	}
+}
+
+// restoreCompletions takes in the completions of one chunk of a job's tasks.
+func (l *Leader) restoreCompletions(segment *cluster.Segment, done assignmentlog.CompletionRecord) {
+	job := l.state.Jobs[done.Job]
+	if job == nil || done.Chunk < 0 || done.Chunk*l.Derived.Store.ChunkTasks >= job.Spec.Tasks {
+		return
+	}
+	if err := job.DecodeChunk(done.Chunk, l.Derived.Store.ChunkTasks, done.Bits); err != nil {
+		slog.Error("completions unreadable", "job", done.Job, "reason", err)
+		return
+	}
+	segment.Completions[cluster.ChunkRef{Job: job, Index: done.Chunk}] = true
+	job.Completions.Chunks[done.Chunk] = &cluster.Chunk{Segment: segment, Saved: true}
+}
+
 func (l *Leader) restoreMachine(b assignmentlog.MachineRecord, now time.Time) *cluster.Machine {
 	m := l.state.Machines.ByID[b.Machine]
 	if m == nil {
@@ -172,7 +205,7 @@
 func (l *Leader) restoreTask(p *cluster.Segment, m *cluster.Machine, session uint64, t assignmentlog.TaskRecord, ended map[string]kvstore.KeyValue, now time.Time) {
 	j := l.state.Jobs[t.Job]
 	if _, recorded := ended[t.Job]; j == nil && !recorded {
-		l.learnFromLog(t)
+		l.recovery.AddLoggedTask(t)
 		return
 	}
 	if j == nil {
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -5,8 +5,27 @@
 	"time"
 
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/placement"
 )
 
+// planConstraints is the leader as its planner sees it.
+type planConstraints struct{ l *Leader }
+
+var _ planner.Constraints = planConstraints{}
+
+func (c planConstraints) MayPreempt(job *cluster.Job, now time.Time) bool {
+	return c.l.mayPreempt(job, now)
+}
+
+func (c planConstraints) MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool {
+	return c.l.recovery.AwaitsWorkers(job, now)
+}
+
+func (c planConstraints) AddHeldUsage(usedByTeam map[string]placement.Resources) {
+	c.l.recovery.AddHeldUsage(usedByTeam)
+}
+
 // plan places pending tasks on the state as it is.
 func (l *Leader) plan(now time.Time) {
 	defer func() { l.planner.Finished(time.Since(now)) }()
--- a/internal/leader/pinned_test.go
+++ b/internal/leader/recoverer/pinned_test.go
@@ -1,4 +1,4 @@
-package leader
+package recoverer
 
 import (
 	"bufio"
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -13,7 +13,7 @@
 // answerHeartbeat answers a worker, or returns nil if this node has no right to.
 func (l *Leader) answerHeartbeat(r *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
 	if r.FencingToken > l.fencing.token {
-		l.tokenAhead(r.FencingToken, now)
+		l.recovery.CheckToken(r.FencingToken)
 	}
 	if !l.IsLeader() || l.wishesAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.fencing.token {
 		return nil
@@ -63,7 +63,7 @@
 		m.Health.Dead = false
 		slog.Info("machine reports again", "machine", m.ID, "term", l.fencing.token)
 	}
-	l.adopt(m, r, now)
+	l.recovery.AdoptReported(m, r, now)
 	l.applyObservation(m, r, now)
 	m.Worker.HeartbeatAt, m.Commands.OrderFailures = now, 0
 	l.updateCapacity(m, now)
@@ -185,7 +185,7 @@
 		}
 		id, _, _ := workers.SplitTask(t.Name)
 		facts := reconcile.OrphanedTask{
-			Ended: t.State == workers.StateEnded, JobCancelled: l.isCancelled(id), RecordsIncomplete: l.accountsFor(m, &t),
+			Ended: t.State == workers.StateEnded, JobCancelled: l.isCancelled(id), RecordsIncomplete: l.recovery.LeaveAlone(m, &t),
 			CommandToken: m.Commands.StartedByOrder[cluster.RefOf(&t)], WorkerToken: m.Worker.Token, InHeartbeatAnswer: answer,
 		}
 		switch d := facts.DecideCommand(); {
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -41,7 +41,9 @@
 
 func (h scalerHost) IsUsable(m *cluster.Machine, now time.Time) bool { return h.l.usable(m, now) }
 
-func (h scalerHost) MayHaveUnknownTasks(m *cluster.Machine) bool { return h.l.mayHaveTasks(m) }
+func (h scalerHost) MayHaveUnknownTasks(m *cluster.Machine) bool {
+	return h.l.recovery.MayHaveUnknownTasks(m)
+}
 
 func (h scalerHost) IsZoneSilent(zone string, now time.Time, while time.Duration) bool {
 	return h.l.detector.ZoneFellSilent(zone, now, while)
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -19,7 +19,7 @@
 		RunsToCompletion: j.Spec.RunsToCompletion(), JobFinished: j.IsOver(), JobCancelled: j.End.Cancelled, Preempted: a.Stop.Requested, GraceS: a.Stop.GraceS,
 		GangReady: a.MayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		RecordsIncomplete: a.Restored && a.ObservedState == "" && l.MayHaveUnknownTasks(j, now),
+		RecordsIncomplete: a.Restored && a.ObservedState == "" && l.recovery.AwaitsWorkers(j, now),
 	}
 }
 
@@ -40,10 +40,10 @@
 	l.planner.Requested = true
 }
 
-// MayPreempt tells whether others may be stopped for a job. In a take-over, machines that
+// mayPreempt tells whether others may be stopped for a job. In a take-over, machines that
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
-func (l *Leader) MayPreempt(j *cluster.Job, now time.Time) bool {
+func (l *Leader) mayPreempt(j *cluster.Job, now time.Time) bool {
 	if !l.failover.AwaitsCapacity(now) {
 		return true // which is so but for the first seconds of a term
 	}
