--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -43,7 +43,7 @@
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), Valid: func() bool { return true },
 		Promised: func() time.Time { return time.Time{} }, Catalog: func() []jobs.MachineType { return nil },
-		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
+		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.Budget{}),
 	}, election.Term{Token: 5})
 	l.attempts, l.viewTime = 100, now
 	l.watch = liveness.New(liveness.Config{SilentFor: time.Second, LeaseOver: time.Second, HoldGrace: time.Second, Gap: time.Second})
@@ -58,11 +58,11 @@
 	return l, m, j, now
 }
 
-func report(session, seq uint64, tasks ...workers.Task) *workers.Report {
-	return &workers.Report{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: session, Seq: seq, Token: 5, Tasks: tasks}
+func report(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
+	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: 5, Tasks: tasks}
 }
 
-func ops(calls []workers.Call) (out []string) {
+func ops(calls []workers.Command) (out []string) {
 	for _, c := range calls {
 		out = append(out, c.Op+" "+c.Task)
 	}
@@ -74,12 +74,12 @@
 // it placed elsewhere while it is still saving.
 func TestOldReportsChangeNothing(t *testing.T) {
 	l, m, j, now := bench()
-	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.report(report(1, 2), now).Calls)); d != "" {
+	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.report(report(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
 	}
-	l.report(report(1, 4, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.report(report(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	l.stop(j.tasks[0], 5)
-	l.report(report(1, 5, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Saving}), now)
+	l.report(report(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
 	l.report(report(1, 3), now)
 	if a := j.tasks[0]; a == nil || a.outcome != open {
 		t.Error("an old report ended a task that is still saving")
@@ -99,8 +99,8 @@
 func TestClearFollowsTheRecord(t *testing.T) {
 	l, m, _, now := bench()
 	l.report(report(1, 2), now)
-	done := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Ended, Cause: workers.CauseDone}
-	if calls := l.report(report(1, 3, done), now).Calls; len(calls) > 0 {
+	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
+	if calls := l.report(report(1, 3, done), now).Commands; len(calls) > 0 {
 		t.Errorf("before the completion is durable: %v", ops(calls))
 	}
 	for _, a := range m.assigned {
@@ -109,7 +109,7 @@
 	if calls := l.calls(m, false); len(calls) > 0 {
 		t.Errorf("by order: %v", ops(calls))
 	}
-	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.report(report(1, 4, done), now).Calls)); d != "" {
+	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.report(report(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -121,15 +121,15 @@
 	l, _, _, now := bench()
 	l.Cache.Set("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
 	l.report(report(1, 2), now)
-	tasks := []workers.Task{
-		{Task: "j-1/0", Attempt: 101, State: workers.Running},
-		{Task: "j-1/1", Attempt: 7, State: workers.Running},
-		{Task: "j-8/0", Attempt: 8, State: workers.Running},
-		{Task: "x-1/0", Attempt: 9, State: workers.Running},
-		{Task: "j-9/3", Attempt: 10, State: workers.Running},
-		{Task: "j-9/4", Attempt: 11, State: workers.Ended, Cause: workers.CauseDone},
-	}
-	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.report(report(1, 3, tasks...), now).Calls)); d != "" {
+	tasks := []workers.TaskStatus{
+		{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
+		{Name: "j-1/1", Attempt: 7, State: workers.StateRunning},
+		{Name: "j-8/0", Attempt: 8, State: workers.StateRunning},
+		{Name: "x-1/0", Attempt: 9, State: workers.StateRunning},
+		{Name: "j-9/3", Attempt: 10, State: workers.StateRunning},
+		{Name: "j-9/4", Attempt: 11, State: workers.StateEnded, Cause: workers.CauseDone},
+	}
+	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.report(report(1, 3, tasks...), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -139,7 +139,7 @@
 func TestNoRightToAnswer(t *testing.T) {
 	l, _, _, now := bench()
 	higher := report(1, 2)
-	higher.Token = 6
+	higher.FencingToken = 6
 	if l.report(higher, now) != nil {
 		t.Error("answered under a lower token than the worker has seen")
 	}
@@ -159,9 +159,9 @@
 	l, m, j, now := bench()
 	l.report(report(1, 2), now)
 	old := report(1, 9)
-	old.Token = 4
+	old.FencingToken = 4
 	until := l.Derived.Detection.SuspectAfter + time.Second
-	if a := l.report(old, now.Add(until)); a == nil || a.Token != 5 || len(a.Calls) != 0 {
+	if a := l.report(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
 		t.Errorf("answered %+v, want the token and no commands", a)
 	}
 	lease := m.leaseUntil
@@ -172,7 +172,7 @@
 		t.Error("an old report counted as news")
 	}
 	other := report(1, 3)
-	other.Machine, other.Token = "m-2", 4
+	other.Machine, other.FencingToken = "m-2", 4
 	if l.report(other, now); l.machines.byID["m-2"] != nil {
 		t.Error("a machine was taken in by an old report of it")
 	}
@@ -188,16 +188,16 @@
 	l.jobs[live.id] = live
 	l.cancelled(j, 9)
 	old := report(1, 9,
-		workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running},
-		workers.Task{Task: "j-1/1", Attempt: 102, State: workers.Ended, Cause: workers.CauseDone},
-		workers.Task{Task: "j-2/0", Attempt: 103, State: workers.Running},
-		workers.Task{Task: "j-3/0", Attempt: 104, State: workers.Running})
-	old.Token = 4
+		workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
+		workers.TaskStatus{Name: "j-1/1", Attempt: 102, State: workers.StateEnded, Cause: workers.CauseDone},
+		workers.TaskStatus{Name: "j-2/0", Attempt: 103, State: workers.StateRunning},
+		workers.TaskStatus{Name: "j-3/0", Attempt: 104, State: workers.StateRunning})
+	old.FencingToken = 4
 	a := l.report(old, now.Add(time.Second))
-	if a == nil || a.Token != 5 || len(a.Calls) != 1 {
+	if a == nil || a.FencingToken != 5 || len(a.Commands) != 1 {
 		t.Fatalf("answered %+v, want one stop", a)
 	}
-	if c := a.Calls[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
+	if c := a.Commands[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
 		t.Errorf("call %+v, want j-1/0 to stop at once", c)
 	}
 	if m.seq == 9 {
@@ -222,7 +222,7 @@
 func TestCopiesOfReports(t *testing.T) {
 	l, m, _, now := bench()
 	l.report(report(1, 2), now)
-	l.report(report(1, 3, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.report(report(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	lease := m.leaseUntil
 	m.dead = true
 	for _, seq := range []uint64{1, 2, 3} {
@@ -234,7 +234,7 @@
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
-	l.observe(m, report(1, 9, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.observe(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if l.report(report(1, 8), now.Add(5*time.Second)) == nil || m.seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
@@ -267,7 +267,7 @@
 			}
 			start := func(ran float64) *assignment {
 				a := l.assign(j, j.take(), m, now)
-				a.seen, a.since = workers.Running, now.Add(-time.Duration(ran*10*float64(time.Second)))
+				a.seen, a.since = workers.StateRunning, now.Add(-time.Duration(ran*10*float64(time.Second)))
 				return a
 			}
 			for _, r := range tc.before {
@@ -295,7 +295,7 @@
 func TestAnswersUnheeded(t *testing.T) {
 	l, m, _, now := bench()
 	for seq := uint64(2); seq < 2+mostUndelivered+1; seq++ {
-		if calls := l.report(report(1, seq), now).Calls; len(calls) != 1 {
+		if calls := l.report(report(1, seq), now).Commands; len(calls) != 1 {
 			t.Fatalf("report %d: %v", seq, ops(calls))
 		}
 	}
@@ -309,8 +309,8 @@
 	if !l.usable(m, now) {
 		t.Error("it answers calls, but is given no work")
 	}
-	l.report(report(1, 21, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
-	l.report(report(1, 22, workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}), now)
+	l.report(report(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.report(report(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if m.undelivered != 0 || !l.usable(m, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
@@ -477,10 +477,10 @@
 			l, m, j, now := bench()
 			j.spec.EstimateS, j.spec.Shape = 30, tc.shape
 			l.report(report(1, 2), now)
-			task := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}
+			task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
 			l.report(report(1, 3, task), now)
 			r := report(1, 4, task)
-			r.NoticeS = &tc.inS
+			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
 			l.viewTime = now
 			l.report(r, now)
@@ -503,7 +503,7 @@
 func TestStartsThatDoNotLast(t *testing.T) {
 	l, _, j, now := bench()
 	l.report(report(1, 2), now)
-	task := workers.Task{Task: "j-1/0", Attempt: 101, State: workers.Running}
+	task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
 	late := now.Add(l.Derived.Leader.StarvationLimit)
 	l.viewTime = late
 	l.report(report(1, 3, task), late)
@@ -539,7 +539,7 @@
 	}
 	a := l.assign(j, 1, m, at(19.1))
 	a.durable, a.sent = true, true
-	l.observe(m, report(2, 2, workers.Task{Task: a.name(), Attempt: a.attempt, State: workers.Running}), at(19.2))
+	l.observe(m, report(2, 2, workers.TaskStatus{Name: a.name(), Attempt: a.attempt, State: workers.StateRunning}), at(19.2))
 	l.expire(at(21)) // by which the old lease is over, by any clock
 	if a.outcome != open {
 		t.Error("lost with the old lease, while the new session runs on")
@@ -564,9 +564,9 @@
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := report(1, seq)
-			r.Machine, r.Token = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
+			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.token
 			if m := l.machines.byID[r.Machine]; m != nil {
-				r.Session = m.session + uint64(rnd.IntN(2))
+				r.AgentEpoch = m.session + uint64(rnd.IntN(2))
 			}
 			l.report(r, now)
 		}
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -96,7 +96,7 @@
 				jobs[a.job] = j
 			}
 			v := &placement.Placed{Job: j, N: a.n, Overdue: a.overdue}
-			if a.seen == workers.Running {
+			if a.seen == workers.StateRunning {
 				v.RanS = now.Sub(a.since).Seconds()
 			}
 			if a.job.isGang() {
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -137,7 +137,7 @@
 		case a.outcome != open || a.stop:
 		case a.restored:
 			return 0 // for as long as an earlier leader's is there
-		case a.seen == workers.Running && now.Sub(a.since) > l.Derived.Leader.CountedRunTime:
+		case a.seen == workers.StateRunning && now.Sub(a.since) > l.Derived.Leader.CountedRunTime:
 			j.served = now
 			return 0
 		case a.overdue:
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -53,9 +53,9 @@
 	evidence   map[detection.Kind]int
 	history    eventLog
 
-	knowledge recovery.View // of jobs of which more is known than the records say
-	ticket    uint64        // of this node's own comparison
-	ownAfter  string        // its lost jobs have been taken in up to this one
+	knowledge recovery.KnowledgeByJob // of jobs of which more is known than the records say
+	ticket    uint64                  // of this node's own comparison
+	ownAfter  string                  // its lost jobs have been taken in up to this one
 	ownDone   bool
 	peers     map[string]*peerScan
 	workersBy time.Time // by then every worker that has tasks has reported
@@ -79,19 +79,19 @@
 
 func newRecoverer() recoverer {
 	return recoverer{
-		phase: Whole, evidence: map[detection.Kind]int{}, knowledge: recovery.View{}, peers: map[string]*peerScan{},
+		phase: Whole, evidence: map[detection.Kind]int{}, knowledge: recovery.KnowledgeByJob{}, peers: map[string]*peerScan{},
 		restored: map[recovery.Outcome]int{}, ranks: map[string]writeRank{}, held: map[string]*heldJob{}, adopting: map[*job]bool{}, strays: map[string]*stray{},
 	}
 }
 
 // suspect takes in what shows that records are lost.
-func (l *Leader) suspect(e detection.Loss, now time.Time) {
+func (l *Leader) suspect(e detection.Evidence, now time.Time) {
 	if l.evidence[e.Kind]++; l.evidence[e.Kind] == 1 || l.phase == Whole {
 		slog.Error("records may be lost", "term", l.token, "evidence", e.String())
 	}
 	l.history.add(now, "evidence", e.String())
 	switch e.Kind {
-	case detection.RevisionBack, detection.RecordOlder, detection.Earlier, detection.ReportedByPeer: // the last two may be that
+	case detection.RevisionBack, detection.RecordOlder, detection.NoticedByPredecessor, detection.ReportedByPeer: // the last two may be that
 		l.putBack.Store(true)
 	}
 	if e.Kind.AffectsLog() && !l.logDamaged {
@@ -258,7 +258,7 @@
 }
 
 // Noticed hands evidence of a loss to the leader on duty, and tells whether there is one.
-func (g *Gate) Noticed(e detection.Loss) bool {
+func (g *Gate) Noticed(e detection.Evidence) bool {
 	l := g.on.Load()
 	if l == nil {
 		return false
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -59,9 +59,9 @@
 // though no assignment accounts for them.
 func (l *Leader) countHeld(used map[string]placement.Amount) {
 	for _, h := range l.held {
-		if h.known.Spec != nil && len(h.known.Running) > 0 {
+		if h.known.Spec != nil && len(h.known.RunningTasks) > 0 {
 			need := placement.Of(h.known.Spec)
-			used[h.known.Spec.Team] = used[h.known.Spec.Team].Plus(need, float64(len(h.known.Running)))
+			used[h.known.Spec.Team] = used[h.known.Spec.Team].Plus(need, float64(len(h.known.RunningTasks)))
 		}
 	}
 }
@@ -69,22 +69,22 @@
 // gangPart is a task of a gang that a worker shows, while the others are not known.
 type gangPart struct {
 	machine *machine
-	task    workers.Task
+	task    workers.TaskStatus
 	session uint64
 }
 
 // adopt takes in the tasks of a report that belong to jobs whose tasks are not all known.
-func (l *Leader) adopt(m *machine, r *workers.Report, now time.Time) {
+func (l *Leader) adopt(m *machine, r *workers.Heartbeat, now time.Time) {
 	if len(l.adopting) == 0 {
 		return
 	}
 	for _, t := range r.Tasks {
-		id, n, ok := workers.SplitTask(t.Task)
+		id, n, ok := workers.SplitTask(t.Name)
 		j := l.jobs[id]
 		if !ok || j == nil || !l.adopting[j] || !j.adopts(n, &t) || m.find(refOf(&t)) != nil {
 			continue
 		}
-		part := gangPart{m, t, r.Session}
+		part := gangPart{m, t, r.AgentEpoch}
 		if !j.isGang() {
 			l.adoptTask(j, n, part, l.attemptOf(&t), 0, now)
 			continue
@@ -101,16 +101,16 @@
 
 // adopts tells whether a task that a worker shows may be one of the job's. One that ended
 // without being done says nothing that matters.
-func (j *job) adopts(n int, t *workers.Task) bool {
+func (j *job) adopts(n int, t *workers.TaskStatus) bool {
 	if j.over() || n >= j.spec.Tasks || j.isDone(n) || j.tasks[n] != nil {
 		return false
 	}
-	return t.State != workers.Ended || t.Cause == workers.CauseDone && j.spec.Shape == jobs.Batch
+	return t.State != workers.StateEnded || t.Cause == workers.CauseDone && j.spec.Shape == jobs.Batch
 }
 
 // attemptOf is the number of an adopted task's attempt: that by which its worker knows
 // it. Numbers given out later are above it.
-func (l *Leader) attemptOf(t *workers.Task) uint64 {
+func (l *Leader) attemptOf(t *workers.TaskStatus) uint64 {
 	l.attempts = max(l.attempts, t.Attempt)
 	return t.Attempt
 }
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -74,16 +74,16 @@
 	if j == nil {
 		return
 	}
-	k := recovery.Knowledge{Done: j.recorded, Cancelled: j.cancelled, Unfinished: !j.over(), Spec: j.spec, AtMs: j.atMs}
+	k := recovery.Knowledge{Done: j.recorded, Cancelled: j.cancelled, Unfinished: !j.over(), Spec: j.spec, AcceptedMs: j.atMs}
 	if j.final && !j.recorded {
 		for n := range j.spec.Tasks { // its end is not written: until then it may be cancelled
-			k.TasksDone = append(k.TasksDone, n)
+			k.CompletedTasks = append(k.CompletedTasks, n)
 		}
 	}
 	if j.endedAs != "" {
 		k = recovery.Knowledge{Done: j.endedAs == jobs.Done, Cancelled: j.endedAs == jobs.Cancelled}
 	}
-	l.knowledge.Add(id, recovery.Says(recovery.FromLeader, k))
+	l.knowledge.Merge(id, recovery.Attribute(recovery.FromLeader, k))
 }
 
 // learn takes in what a controller's cache says of a lost job, and the record of it that
@@ -99,9 +99,9 @@
 		k.Unfinished = true
 	}
 	if rec != nil {
-		k.Spec, k.AtMs = rec.Spec, rec.AtMs
+		k.Spec, k.AcceptedMs = rec.Spec, rec.AtMs
 	}
-	l.knowledge.Add(id, recovery.Says(from, k))
+	l.knowledge.Merge(id, recovery.Attribute(from, k))
 	// Whatever else is not certain yet: what is over stops at once.
 	switch j := l.jobs[id]; {
 	case j == nil || j.over():
@@ -236,7 +236,7 @@
 	if l.phase == Whole && (l.Cache.Suspected() || l.Cache.LostJobs() > 0) {
 		// Something was noticed while nobody led.
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.Earlier}, now)
+		l.suspect(detection.Evidence{Kind: detection.NoticedByPredecessor}, now)
 	}
 	return nil
 }
@@ -250,7 +250,7 @@
 	if was.Log {
 		l.expectTasks(now)
 	}
-	l.suspect(detection.Loss{Kind: detection.Earlier, Known: was.Token}, now)
+	l.suspect(detection.Evidence{Kind: detection.NoticedByPredecessor, Known: was.Token}, now)
 }
 
 // checkRecords compares the records that a new leader has read with what this node knew
@@ -258,12 +258,12 @@
 func (l *Leader) checkRecords(log []segmentRecord, ended map[string]kvstore.Pair, known, listed int, now time.Time) {
 	if listed < known {
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
+		l.suspect(detection.Evidence{Kind: detection.RecordMissing, Known: uint64(known), Found: uint64(listed)}, now)
 	}
 	for id := range jobsNamed(log) {
 		if _, recorded := ended[id]; !recorded && l.jobs[id] == nil && l.held[id] == nil {
 			l.expectTasks(now)
-			l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
+			l.suspect(detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 // any more is made good when the job's record is back: workers show what they have of it.
 func (l *Leader) learnFromLog(t taskRecord) {
 	if l.held[t.Job] == nil {
-		l.knowledge.Add(t.Job, recovery.Says(recovery.FromLog, recovery.Knowledge{LeastTasks: t.N + 1}))
+		l.knowledge.Merge(t.Job, recovery.Attribute(recovery.FromLog, recovery.Knowledge{MinTasks: t.N + 1}))
 	}
 }
 
@@ -298,7 +298,7 @@
 	}
 	if len(log) < l.logSize {
 		l.expectTasks(now)
-		l.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: logPrefix, Known: uint64(l.logSize), Found: uint64(len(log))}, now)
+		l.suspect(detection.Evidence{Kind: detection.SegmentMissing, Key: logPrefix, Known: uint64(l.logSize), Found: uint64(len(log))}, now)
 	}
 	for _, e := range detection.CheckRing(logPrefix, segments) {
 		l.expectTasks(now)
@@ -308,7 +308,7 @@
 	if token := detection.TokenOfAttempt(newest, attemptBits); token > l.token {
 		l.expectTasks(now)
 		l.tokenFloor, l.raiseToken = max(l.tokenFloor, token), true
-		l.suspect(detection.Loss{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.token}, now)
+		l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: l.token}, now)
 	}
 }
 
@@ -322,5 +322,5 @@
 	if p.Revision == 0 {
 		kind = detection.SegmentMissing
 	}
-	l.suspect(detection.Loss{Kind: kind, Key: key, Found: p.Revision}, time.Now())
+	l.suspect(detection.Evidence{Kind: kind, Key: key, Found: p.Revision}, time.Now())
 }
--- a/internal/leader/recovery_operator.go
+++ b/internal/leader/recovery_operator.go
@@ -105,8 +105,8 @@
 	for _, id := range ids[:min(len(ids), mostHeldShown)] {
 		h := l.held[id]
 		s.HeldJobs = append(s.HeldJobs, HeldStatus{
-			Job: id, Why: h.why, Said: h.known.Said, Described: h.known.Spec != nil,
-			Running: h.known.Running, TasksDone: h.known.TasksDone, SinceMs: h.sinceMs,
+			Job: id, Why: h.why, Said: h.known.Statements, Described: h.known.Spec != nil,
+			Running: h.known.RunningTasks, TasksDone: h.known.CompletedTasks, SinceMs: h.sinceMs,
 		})
 	}
 	return s
@@ -131,7 +131,7 @@
 	}
 	r := l.composeRecord(id, h.known, d, now)
 	r.revision = h.revision
-	slog.Info("job settled by an operator", "job", id, "term", l.token, "as", string(as), "said", h.known.Words())
+	slog.Info("job settled by an operator", "job", id, "term", l.token, "as", string(as), "said", h.known.Provenance())
 	l.history.add(now, "settled as "+string(as), id)
 	guards := []kvstore.Guard{{Key: election.HolderKey, Revision: l.term.Revision}, {Key: jobs.RecordKey(id), Revision: r.revision}}
 	go func() {
@@ -213,7 +213,7 @@
 		l.importFact(f.ID, rec, recovery.FromSnapshot(in.Revision), &count, now)
 	}
 	if count.Missing+count.Ended > 0 {
-		l.suspect(detection.Loss{Kind: detection.Imported, Known: in.Revision}, now)
+		l.suspect(detection.Evidence{Kind: detection.Imported, Known: in.Revision}, now)
 	}
 	return count
 }
@@ -223,15 +223,15 @@
 func (l *Leader) importFact(id string, rec *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
 	k := recovery.Knowledge{
 		Done: rec.State == jobs.Done, Cancelled: rec.State == jobs.Cancelled,
-		Spec: rec.Description(), AtMs: rec.AtMs, Tasks: rec.Tasks,
+		Spec: rec.Description(), AcceptedMs: rec.AtMs, Tasks: rec.Tasks,
 	}
 	known, found := l.Cache.Known(id)
 	switch {
 	case l.held[id] != nil:
-		l.importHeld(id, recovery.Says(from, k), count)
+		l.importHeld(id, recovery.Attribute(from, k), count)
 	case !found:
 		count.Missing++
-		l.knowledge.Add(id, recovery.Says(from, k))
+		l.knowledge.Merge(id, recovery.Attribute(from, k))
 	case rec.Over() && known.Over() && known.State != rec.State:
 		// What users were told last stays; which of the two is right is for a person to see.
 		count.Contradicting++
@@ -239,10 +239,10 @@
 		l.history.add(now, "snapshot contradicts the record", id)
 	case rec.Over() && known.State != rec.State:
 		count.Ended++
-		l.knowledge.Add(id, recovery.Says(from, k))
+		l.knowledge.Merge(id, recovery.Attribute(from, k))
 	case l.Cache.RecordRevision(id) == 0:
 		count.Missing++
-		l.knowledge.Add(id, recovery.Says(from, k))
+		l.knowledge.Merge(id, recovery.Attribute(from, k))
 		l.learn(id, recovery.FromCache(l.Node), known.State, known.Tasks, nil)
 	default:
 		count.Same++
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -26,19 +26,19 @@
 	next.readLog(nil)
 	j := newJob(spec.ID, &spec, 1, 0, now)
 	next.jobs[spec.ID] = j
-	next.suspect(detection.Loss{Kind: detection.SegmentMissing, Key: logPrefix}, now)
+	next.suspect(detection.Evidence{Kind: detection.SegmentMissing, Key: logPrefix}, now)
 	if !next.awaitsWorkers(j, now) {
 		t.Fatal("tasks would be placed before those that run are known")
 	}
 	began := time.Now()
 	for _, r := range reports {
-		r.Token = 6
+		r.FencingToken = 6
 		r.Seq++
 		answer := next.report(r, now)
 		if answer == nil {
 			t.Fatalf("%s is not answered", r.Machine)
 		}
-		for _, c := range answer.Calls {
+		for _, c := range answer.Commands {
 			if c.Op != workers.OpClear {
 				t.Fatalf("%s is told: %s %s", r.Machine, c.Op, c.Task)
 			}
--- a/internal/leader/recovery_strays.go
+++ b/internal/leader/recovery_strays.go
@@ -25,8 +25,8 @@
 
 // accountsFor tells whether a task that no assignment accounts for must be left alone,
 // since its job, or its assignment, may have been lost.
-func (l *Leader) accountsFor(m *machine, t *workers.Task) bool {
-	id, n, ok := workers.SplitTask(t.Task)
+func (l *Leader) accountsFor(m *machine, t *workers.TaskStatus) bool {
+	id, n, ok := workers.SplitTask(t.Name)
 	if !ok || !jobs.ValidID(id) {
 		return false // no task of ours
 	}
@@ -56,7 +56,7 @@
 		return true // it may have tasks of held jobs, which the log does not name
 	}
 	for _, t := range m.reportedTasks {
-		if id, _, ok := workers.SplitTask(t.Task); ok && (l.held[id] != nil || l.strays[id] != nil) {
+		if id, _, ok := workers.SplitTask(t.Name); ok && (l.held[id] != nil || l.strays[id] != nil) {
 			return true
 		}
 	}
@@ -65,14 +65,14 @@
 
 // isLost finds out about a job that this leader does not know: its record is read. Until
 // that is known, and if there is none, the task is left alone.
-func (l *Leader) isLost(id string, m *machine, n int, t *workers.Task) bool {
+func (l *Leader) isLost(id string, m *machine, n int, t *workers.TaskStatus) bool {
 	s := l.strays[id]
 	if s == nil {
 		s = &stray{}
 		l.strays[id] = s
 	}
 	if s.missing {
-		l.knowledge.Add(id, wordOfWorker(m, n, t))
+		l.knowledge.Merge(id, wordOfWorker(m, n, t))
 	}
 	if now := time.Now(); !s.reading && !s.missing && !now.Before(s.next) && l.strayReads < mostStrayReads {
 		s.reading, s.next = true, now.Add(l.Derived.Leader.ControlInterval)
@@ -83,15 +83,15 @@
 }
 
 // wordOfWorker is what a worker's task proves.
-func wordOfWorker(m *machine, n int, t *workers.Task) recovery.Knowledge {
-	k := recovery.Knowledge{LeastTasks: n + 1}
+func wordOfWorker(m *machine, n int, t *workers.TaskStatus) recovery.Knowledge {
+	k := recovery.Knowledge{MinTasks: n + 1}
 	switch {
-	case t.State != workers.Ended:
-		k.Running = []int{n}
+	case t.State != workers.StateEnded:
+		k.RunningTasks = []int{n}
 	case t.Cause == workers.CauseDone:
-		k.TasksDone = []int{n}
+		k.CompletedTasks = []int{n}
 	}
-	return recovery.Says(recovery.FromWorker(m.id), k)
+	return recovery.Attribute(recovery.FromWorker(m.id), k)
 }
 
 func (l *Leader) readStray(id string, s *stray, word recovery.Knowledge) {
@@ -108,8 +108,8 @@
 		case !s.missing:
 			s.missing = true
 			l.Cache.Missing(id)
-			l.knowledge.Add(id, word)
-			l.suspect(detection.Loss{Kind: detection.TaskUnknown, Key: id}, now)
+			l.knowledge.Merge(id, word)
+			l.suspect(detection.Evidence{Kind: detection.TaskUnknown, Key: id}, now)
 		}
 	}
 	select {
@@ -140,16 +140,16 @@
 		return
 	}
 	h := &heldJob{revision: revision, why: rec.Held.Reason, sinceMs: rec.Held.HeldMs}
-	k := recovery.Knowledge{Spec: rec.Held.Spec, AtMs: rec.Held.AtMs, Unfinished: rec.Held.Complete}
+	k := recovery.Knowledge{Spec: rec.Held.Spec, AcceptedMs: rec.Held.AtMs, Unfinished: rec.Held.Complete}
 	if rec.Held.Spec != nil {
 		k.Tasks = rec.Tasks
 	} else {
-		k.LeastTasks = rec.Tasks
+		k.MinTasks = rec.Tasks
 	}
 	if rec.Held.Contradicts {
 		k.Done, k.Cancelled = true, true
 	}
-	h.known = recovery.Says(recovery.FromService, k)
+	h.known = recovery.Attribute(recovery.FromService, k)
 	if old != nil {
 		h.known = h.known.Join(old.known)
 	}
@@ -160,11 +160,11 @@
 
 // heldSeen takes in a worker's task of a held job. If that proves what was open, the
 // job's record is written.
-func (l *Leader) heldSeen(id string, m *machine, n int, t *workers.Task) {
+func (l *Leader) heldSeen(id string, m *machine, n int, t *workers.TaskStatus) {
 	h := l.held[id]
 	before := h.known
 	h.known = before.Join(wordOfWorker(m, n, t))
-	if len(h.known.TasksDone) == len(before.TasksDone) {
+	if len(h.known.CompletedTasks) == len(before.CompletedTasks) {
 		return
 	}
 	if d := recovery.Decide(h.known, true); !d.Held {
--- a/internal/leader/recovery_token.go
+++ b/internal/leader/recovery_token.go
@@ -48,7 +48,7 @@
 		return
 	}
 	l.tokenFloor, l.raiseToken = shown, true
-	l.suspect(detection.Loss{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.token}, now)
+	l.suspect(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: l.token}, now)
 }
 
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
--- a/internal/leader/recovery_write.go
+++ b/internal/leader/recovery_write.go
@@ -243,7 +243,7 @@
 	l.restored[r.decision.Outcome]++
 	l.Cache.Set(jobs.RecordKey(r.id), r.value, rev)
 	k, _ := l.knowledgeOf(r.id)
-	slog.Info("lost record written", "job", r.id, "term", l.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Words())
+	slog.Info("lost record written", "job", r.id, "term", l.token, "outcome", string(r.decision.Outcome), "rule", string(r.decision.Rule), "said", k.Provenance())
 	l.history.add(now, string(r.decision.Outcome), r.id)
 	delete(l.knowledge, r.id)
 	delete(l.ranks, r.id)
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -10,11 +10,11 @@
 )
 
 // report answers a worker, or returns nil if this node has no right to.
-func (l *Leader) report(r *workers.Report, now time.Time) *workers.Answer {
-	if r.Token > l.token {
-		l.tokenAhead(r.Token, now)
+func (l *Leader) report(r *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
+	if r.FencingToken > l.token {
+		l.tokenAhead(r.FencingToken, now)
 	}
-	if !l.Valid() || l.viewAge(now) > l.Derived.Store.MaxStaleness || r.Token > l.token {
+	if !l.Valid() || l.viewAge(now) > l.Derived.Store.MaxStaleness || r.FencingToken > l.token {
 		return nil
 	}
 	m := l.machines.byID[r.Machine]
@@ -32,18 +32,18 @@
 		if l.mayStartCancelled(m, now) {
 			return nil
 		}
-		if r.Session < m.session || c == m.lastReport || c.Before(m.lastReport) {
+		if r.AgentEpoch < m.session || c == m.lastReport || c.Before(m.lastReport) {
 			return nil // from before a lease that has run out, or a late copy
 		}
 		// Whoever gets an answer has its lease renewed by it.
 		m.leaseUntil, m.lastReport = now.Add(l.Derived.Workers.LeaseExpiry), c
 	}
 	l.takeover.Answered(now)
-	if r.Token < l.term.Token {
+	if r.FencingToken < l.term.Token {
 		// Sent before the worker heard of this term, or a copy of such a report
 		// that was under way for any length of time. It proves nothing; the
 		// answer brings the token, and with it a report that does.
-		return &workers.Answer{Token: l.term.Token, Calls: l.stopsOfCancelled(r)}
+		return &workers.HeartbeatResponse{FencingToken: l.term.Token, Commands: l.stopsOfCancelled(r)}
 	}
 	l.takeover.Heard(r.Machine)
 	if m == nil {
@@ -68,19 +68,19 @@
 	l.updateCapacity(m, now)
 	calls := l.calls(m, true)
 	m.lastCalls = calls
-	return &workers.Answer{Token: l.tokenFor(m), Calls: calls}
+	return &workers.HeartbeatResponse{FencingToken: l.tokenFor(m), Commands: calls}
 }
 
 // stopsOfCancelled returns stops for the tasks in a report whose jobs are cancelled. Any
 // answer renews the worker's lease: were it without them, and this leader to end before
 // the next report, they would run for a whole lease more, and one leader after the other
 // could give them that. To stop them is right however old the report is.
-func (l *Leader) stopsOfCancelled(r *workers.Report) []workers.Call {
-	calls := []workers.Call{}
+func (l *Leader) stopsOfCancelled(r *workers.Heartbeat) []workers.Command {
+	calls := []workers.Command{}
 	for _, t := range r.Tasks {
-		id, _, ok := workers.SplitTask(t.Task)
+		id, _, ok := workers.SplitTask(t.Name)
 		if d := reconcile.OfEarlierReport(&t, ok && l.isCancelled(id)); d.Action == reconcile.Stop {
-			calls = append(calls, l.tell(stopCall(t.Task, t.Attempt, 0), d))
+			calls = append(calls, l.tell(stopCall(t.Name, t.Attempt, 0), d))
 		}
 	}
 	return calls
@@ -117,7 +117,7 @@
 // checkDelivery finds machines whose reports arrive while our answers do not: what an
 // answer asked for has not happened by the next report. Such a machine would
 // look healthy for ever, and task after task would be given to it in vain.
-func (l *Leader) checkDelivery(m *machine, r *workers.Report, now time.Time) {
+func (l *Leader) checkDelivery(m *machine, r *workers.Heartbeat, now time.Time) {
 	heard := len(m.lastCalls) == 0
 	for _, c := range m.lastCalls {
 		t := taskIn(r, ref{c.Task, c.Attempt})
@@ -127,14 +127,14 @@
 			heard = heard || t != nil
 		case c.Op == workers.OpClear:
 			heard = heard || t == nil
-		case a != nil && a.job.isGang() && t != nil && t.State == workers.Running:
+		case a != nil && a.job.isGang() && t != nil && t.State == workers.StateRunning:
 			heard = true // it runs on, in its report, until all have saved
 		default:
-			heard = heard || t == nil || t.State != workers.Running && t.State != workers.Fetching && t.State != workers.Gathering
+			heard = heard || t == nil || t.State != workers.StateRunning && t.State != workers.StateFetching && t.State != workers.StateGathering
 		}
 	}
 	switch {
-	case r.Session > m.session || len(m.lastCalls) == 0: // nothing to be learnt
+	case r.AgentEpoch > m.session || len(m.lastCalls) == 0: // nothing to be learnt
 	case heard:
 		m.undelivered = 0
 		l.watch.Reachable(m.id)
@@ -153,8 +153,8 @@
 // flight, so that no run in an earlier answer can follow it. An attempt that was
 // begun by an order is cleared when the worker has seen a higher token: it then
 // refuses a late copy of that order, which would start the task once more.
-func (l *Leader) calls(m *machine, answer bool) []workers.Call {
-	calls := []workers.Call{}
+func (l *Leader) calls(m *machine, answer bool) []workers.Command {
+	calls := []workers.Command{}
 	if m.phase == returning {
 		return calls
 	}
@@ -168,7 +168,7 @@
 			calls = append(calls, l.tell(stopCall(a.name(), a.onWire(), d.GraceS), d))
 		case reconcile.Begin:
 			a.sent, a.ordered = true, !answer
-			calls = append(calls, l.tell(workers.Call{Op: workers.OpRun, Task: a.name(), Attempt: a.onWire()}, d))
+			calls = append(calls, l.tell(workers.Command{Op: workers.OpRun, Task: a.name(), Attempt: a.onWire()}, d))
 		default: // it goes on, or has to wait
 		}
 	}
@@ -176,22 +176,22 @@
 }
 
 // unassignedCalls adds what the worker should do with tasks that are not assigned to it.
-func (l *Leader) unassignedCalls(m *machine, calls []workers.Call, answer bool) []workers.Call {
+func (l *Leader) unassignedCalls(m *machine, calls []workers.Command, answer bool) []workers.Command {
 	var held heldEnds
 	for _, t := range m.reportedTasks {
 		if m.find(refOf(&t)) != nil {
 			continue // its end is not durable yet
 		}
-		id, _, _ := workers.SplitTask(t.Task)
+		id, _, _ := workers.SplitTask(t.Name)
 		facts := reconcile.Unassigned{
-			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), MaybeLost: l.accountsFor(m, &t),
+			Ended: t.State == workers.StateEnded, JobCancelled: l.isCancelled(id), MaybeLost: l.accountsFor(m, &t),
 			OrderToken: m.ordered[refOf(&t)], ShownToken: m.token, Answering: answer,
 		}
 		switch d := facts.Command(); {
 		case d.Action == reconcile.Stop:
-			calls = append(calls, l.tell(stopCall(t.Task, t.Attempt, 0), d))
+			calls = append(calls, l.tell(stopCall(t.Name, t.Attempt, 0), d))
 		case d.Action == reconcile.Clear:
-			calls = append(calls, l.tell(workers.Call{Op: workers.OpClear, Task: t.Task, Attempt: t.Attempt}, d))
+			calls = append(calls, l.tell(workers.Command{Op: workers.OpClear, Task: t.Name, Attempt: t.Attempt}, d))
 		case d.Reason == reconcile.TokenNotShown:
 			held.add(&t, facts.OrderToken, l.mayRunAgain(&t))
 		}
@@ -201,6 +201,6 @@
 	return calls
 }
 
-func stopCall(task string, attempt uint64, grace float64) workers.Call {
-	return workers.Call{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &grace}
+func stopCall(task string, attempt uint64, grace float64) workers.Command {
+	return workers.Command{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &grace}
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -30,7 +30,7 @@
 
 // fleetOf is a leader with a fleet in which every machine runs one task that
 // fills it, and what each worker reports.
-func fleetOf(tb testing.TB, size int) (*Leader, []*workers.Report, time.Time) {
+func fleetOf(tb testing.TB, size int) (*Leader, []*workers.Heartbeat, time.Time) {
 	quiet(tb)
 	l, m, _, now := bench()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
@@ -43,13 +43,13 @@
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimateS: 30, Spot: true, Image: "img"}
 	j := newJob(spec.ID, spec, 1, 0, now)
 	l.jobs[j.id] = j
-	var reports []*workers.Report
+	var reports []*workers.Heartbeat
 	for i := range size {
-		r := &workers.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), Session: 1, Seq: 1, Token: 5}
+		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
 		l.report(r, now)
 		a := l.assign(j, j.take(), l.machines.byID[r.Machine], now)
 		a.durable, a.sent = true, true
-		r.Tasks = []workers.Task{{Task: a.name(), Attempt: a.attempt, State: workers.Running}}
+		r.Tasks = []workers.TaskStatus{{Name: a.name(), Attempt: a.attempt, State: workers.StateRunning}}
 		r.Seq++
 		l.report(r, now)
 		reports = append(reports, r)
@@ -58,9 +58,9 @@
 }
 
 // again is a worker's next report, with nothing new in it.
-func again(l *Leader, r *workers.Report, now time.Time) {
+func again(l *Leader, r *workers.Heartbeat, now time.Time) {
 	r.Seq++
-	if a := l.report(r, now); a == nil || len(a.Calls) != 0 {
+	if a := l.report(r, now); a == nil || len(a.Commands) != 0 {
 		panic("a report without news was not simply answered")
 	}
 }
@@ -93,7 +93,7 @@
 // BenchmarkPlan places one job's tasks that find no room, and one that does.
 func BenchmarkPlan(b *testing.B) {
 	l, reports, now := fleetOf(b, largest)
-	idle := &workers.Report{Machine: "m-900000", Type: "c4", Zone: "a", Session: 1, Seq: 1, Token: 5}
+	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 	l.report(idle, now)
 	l.queue(l.jobs["j-7"])
 	_ = reports
--- a/internal/leader/slow.go
+++ b/internal/leader/slow.go
@@ -69,7 +69,7 @@
 func (l *Leader) slowOdds(m *machine, now time.Time) float64 {
 	odds := m.slowness
 	for _, a := range m.assigned {
-		if a.outcome != open || a.seen != workers.Running || a.job.spec.Shape != jobs.Batch {
+		if a.outcome != open || a.seen != workers.StateRunning || a.job.spec.Shape != jobs.Batch {
 			continue
 		}
 		// What an earlier leader began has run for longer than we have seen.
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -22,7 +22,7 @@
 }
 
 // tell counts a command to a worker.
-func (l *Leader) tell(c workers.Call, d reconcile.Decision) workers.Call {
+func (l *Leader) tell(c workers.Command, d reconcile.Decision) workers.Command {
 	l.takeover.Told(c.Op, d.Reason)
 	return c
 }
--- a/internal/leader/takeover_test.go
+++ b/internal/leader/takeover_test.go
@@ -76,12 +76,12 @@
 	next := successor(l, written(l), now, l.jobs["j-7"].spec)
 	next.takeover.RecordsRead(now)
 	for i, r := range reports[:3] {
-		r.Token = 6
+		r.FencingToken = 6
 		r.Seq += 10
 		if i == 2 { // its lease ran out meanwhile
-			r.Session, r.Tasks = r.Session+1, nil
+			r.AgentEpoch, r.Tasks = r.AgentEpoch+1, nil
 		}
-		if answer := next.report(r, now.Add(time.Second)); answer == nil || len(answer.Calls) > 0 {
+		if answer := next.report(r, now.Add(time.Second)); answer == nil || len(answer.Commands) > 0 {
 			t.Errorf("%s is told %+v", r.Machine, answer)
 		}
 	}
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -98,10 +98,10 @@
 
 // see notes the state in which a task was seen.
 func (l *Leader) see(a *assignment, state string) {
-	if a.seen == workers.Running {
+	if a.seen == workers.StateRunning {
 		a.job.running--
 	}
-	if state == workers.Running {
+	if state == workers.StateRunning {
 		a.job.running++
 	}
 	a.seen = state
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -113,7 +113,7 @@
 		l.callsInFlight++
 		addr := m.addr // a report may change it meanwhile
 		go func() {
-			r, err := l.Workers.Inspect(ctx, addr)
+			r, err := l.Workers.Probe(ctx, addr)
 			l.post(ctx, func(now time.Time) { l.inspected(m, r, err, now) })
 		}()
 	}
@@ -151,9 +151,9 @@
 // viewAge is how old the picture of users' wishes may be.
 func (l *Leader) viewAge(now time.Time) time.Duration { return now.Sub(l.viewTime) }
 
-func (l *Leader) inspected(m *machine, r *workers.Report, err error, now time.Time) {
+func (l *Leader) inspected(m *machine, r *workers.Heartbeat, err error, now time.Time) {
 	l.callsInFlight--
-	if workers.NoSocket(err) {
+	if workers.OutOfSockets(err) {
 		l.watch.CallLost(m.id, now) // it never left this process
 		return
 	}
@@ -179,7 +179,7 @@
 	for _, a := range m.assigned {
 		// A gang that runs may well run on. One that gathers would hold its room until
 		// the workers give up waiting.
-		if a.outcome == open && a.job.isGang() && a.seen != workers.Running {
+		if a.outcome == open && a.job.isGang() && a.seen != workers.StateRunning {
 			l.stopGang(a.job, 0)
 		}
 	}
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -28,7 +28,7 @@
 	newest uint64 // token of the newest such order
 }
 
-func (h *heldEnds) add(t *workers.Task, ordered uint64, mayRunAgain bool) {
+func (h *heldEnds) add(t *workers.TaskStatus, ordered uint64, mayRunAgain bool) {
 	h.count++
 	h.newest = max(h.newest, ordered)
 	h.urgent = h.urgent || mayRunAgain && t.Cause != workers.CauseDone
@@ -38,8 +38,8 @@
 func (h *heldEnds) wantToken() bool { return h.urgent || h.count >= mostHeldEnds }
 
 // mayRunAgain tells whether an ended task's job is still to be worked on.
-func (l *Leader) mayRunAgain(t *workers.Task) bool {
-	id, _, ok := workers.SplitTask(t.Task)
+func (l *Leader) mayRunAgain(t *workers.TaskStatus) bool {
+	id, _, ok := workers.SplitTask(t.Name)
 	j := l.jobs[id]
 	return ok && j != nil && !j.over()
 }
--- a/internal/leader/token_test.go
+++ b/internal/leader/token_test.go
@@ -12,9 +12,9 @@
 // task that is to begin again, or an order in doubt. With it, what waited is cleared.
 func TestTokenByNeed(t *testing.T) {
 	l, reports, now := fleetOf(t, 4)
-	endedByOrder := func(r *workers.Report, tasks int, cause string) {
+	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
-			task := workers.Task{Task: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.Ended, Cause: cause}
+			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
 			l.machines.byID[r.Machine].ordered[refOf(&task)] = l.token
 			r.Tasks = append(r.Tasks, task)
 		}
@@ -24,17 +24,17 @@
 	endedByOrder(many, mostHeldEnds, workers.CauseDone)
 	endedByOrder(again, 1, workers.CauseStopped)
 	l.machines.byID[doubt.Machine].doubtSince = now
-	answer := func(r *workers.Report) *workers.Answer {
+	answer := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
 		r.Seq++
 		a := l.report(r, now)
 		if a == nil {
 			t.Fatalf("%s is not answered", r.Machine)
 		}
-		r.Token = a.Token
+		r.FencingToken = a.FencingToken
 		return a
 	}
-	cleared := func(a *workers.Answer) (n int) {
-		for _, c := range a.Calls {
+	cleared := func(a *workers.HeartbeatResponse) (n int) {
+		for _, c := range a.Commands {
 			if c.Op == workers.OpClear {
 				n++
 			}
@@ -42,7 +42,7 @@
 		return n
 	}
 	for _, r := range reports {
-		if a := answer(r); a.Token != 5 || cleared(a) > 0 {
+		if a := answer(r); a.FencingToken != 5 || cleared(a) > 0 {
 			t.Errorf("%s, before there is a higher token: %+v", r.Machine, a)
 		}
 	}
@@ -51,15 +51,15 @@
 	}
 	l.token = 6
 	for _, want := range []struct {
-		r     *workers.Report
+		r     *workers.Heartbeat
 		token uint64
 		clear int
 	}{{few, 5, 0}, {many, 6, mostHeldEnds}, {again, 6, 1}, {doubt, 6, 0}} {
-		if a := answer(want.r); a.Token != want.token || cleared(a) > 0 {
-			t.Errorf("%s: token %d, %d cleared at once; want %d, none", want.r.Machine, a.Token, cleared(a), want.token)
+		if a := answer(want.r); a.FencingToken != want.token || cleared(a) > 0 {
+			t.Errorf("%s: token %d, %d cleared at once; want %d, none", want.r.Machine, a.FencingToken, cleared(a), want.token)
 		}
 		if a := answer(want.r); cleared(a) != want.clear {
-			t.Errorf("%s: %d cleared under token %d, want %d", want.r.Machine, cleared(a), want.r.Token, want.clear)
+			t.Errorf("%s: %d cleared under token %d, want %d", want.r.Machine, cleared(a), want.r.FencingToken, want.clear)
 		}
 	}
 	// An order carries the token that its machine knows, and never one from before.
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -236,7 +236,7 @@
 	if p.Revision == 0 {
 		// Lost: it is written in place of what is not there any more.
 		j.revision = 0
-		l.suspect(detection.Loss{Kind: detection.RecordMissing, Key: key}, time.Now())
+		l.suspect(detection.Evidence{Kind: detection.RecordMissing, Key: key}, time.Now())
 		return
 	}
 	if jsonv2.Unmarshal(p.Value, &rec) != nil {
--- a/internal/peer/lost.go
+++ b/internal/peer/lost.go
@@ -100,7 +100,7 @@
 
 // NotifyLoss tells another controller what shows that records are lost. Should that not
 // arrive, the next evidence may.
-func (h *Hub) NotifyLoss(node string, l detection.Loss) {
+func (h *Hub) NotifyLoss(node string, l detection.Evidence) {
 	if link := h.links[node]; link != nil {
 		select {
 		case link.out <- encodeLossNotice(h.self, l):
@@ -200,7 +200,7 @@
 	return page, nil
 }
 
-func encodeLossNotice(from string, l detection.Loss) []byte {
+func encodeLossNotice(from string, l detection.Evidence) []byte {
 	b := flatbuffers.NewBuilder(128)
 	kind, key := b.CreateString(string(l.Kind)), b.CreateString(l.Key)
 	wire.LossNoticeStart(b)
@@ -209,8 +209,8 @@
 	return finish(b, from, wire.BodyLossNotice, wire.LossNoticeEnd(b))
 }
 
-func decodeLossNotice(body flatbuffers.Table) *detection.Loss {
+func decodeLossNotice(body flatbuffers.Table) *detection.Evidence {
 	var n wire.LossNotice
 	n.Init(body.Bytes, body.Pos)
-	return &detection.Loss{Kind: detection.Kind(n.Kind()), Key: string(n.Key())}
+	return &detection.Evidence{Kind: detection.Kind(n.Kind()), Key: string(n.Key())}
 }
--- a/internal/peer/lost_test.go
+++ b/internal/peer/lost_test.go
@@ -27,7 +27,7 @@
 		want message
 	}{
 		"question": {encodeLostAsk("perch-0", lostAsk{9, Question{41, "j-1"}}), message{from: "perch-0", lostAsk: &lostAsk{9, Question{41, "j-1"}}}},
-		"notice":   {encodeLossNotice("perch-1", detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", loss: &detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}}},
+		"notice":   {encodeLossNotice("perch-1", detection.Evidence{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", loss: &detection.Evidence{Kind: detection.RecordMissing, Key: "job/j-1"}}},
 		"page":     {encodeLostPage("perch-1", page), message{from: "perch-1", lostPage: &page}},
 	} {
 		body := c.raw[4:]
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -20,7 +20,7 @@
 	promise  *promise
 	lostAsk  *lostAsk
 	lostPage *lostPage
-	loss     *detection.Loss
+	loss     *detection.Evidence
 }
 
 // Progress is what a leader publishes.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -43,7 +43,7 @@
 	Lost func(Question) LostPage
 
 	// Noticed takes in what another controller says of lost records.
-	Noticed func(from string, l detection.Loss)
+	Noticed func(from string, l detection.Evidence)
 
 	mu      sync.Mutex
 	number  uint64
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -83,8 +83,8 @@
 // Picture is what a worker's newest message says of an attempt.
 type Picture struct {
 	Session uint64
-	Token   uint64        // the highest that the worker has seen
-	Task    *workers.Task // nil if the worker does not list it
+	Token   uint64              // the highest that the worker has seen
+	Task    *workers.TaskStatus // nil if the worker does not list it
 }
 
 // Observe decides what a picture proves of an attempt. Only what no command on its way can
@@ -97,7 +97,7 @@
 		return Decision{Action: Wait, Reason: NotHeard}
 	case p.Task == nil:
 		return absent(a, p.Token)
-	case p.Task.State != workers.Ended:
+	case p.Task.State != workers.StateEnded:
 		return Decision{Action: Adopt, Reason: Reported}
 	case p.Task.Cause == workers.CauseDone && a.Ends:
 		return Decision{Action: Complete, Reason: Reason(p.Task.Cause)}
@@ -128,7 +128,7 @@
 		return Decision{Action: Wait, Reason: NotWritten}
 	case a.JobOver && there:
 		return Decision{Action: Stop, Reason: a.whyOver()}
-	case a.Stopping && there && a.Seen == workers.Saving:
+	case a.Stopping && there && a.Seen == workers.StateSaving:
 		return Decision{Action: Wait, Reason: Saving}
 	case a.Stopping && there:
 		return Decision{Action: Stop, Reason: MakeRoom, GraceS: a.GraceS}
@@ -184,8 +184,8 @@
 
 // OfEarlierReport decides about a task in a report from before the term. It proves nothing,
 // but its answer renews the lease: what is cancelled stops all the same.
-func OfEarlierReport(t *workers.Task, cancelled bool) Decision {
-	if cancelled && t.State != workers.Ended {
+func OfEarlierReport(t *workers.TaskStatus, cancelled bool) Decision {
+	if cancelled && t.State != workers.StateEnded {
 		return Decision{Action: Stop, Reason: JobCancelled}
 	}
 	return Decision{Action: Wait, Reason: NotHeard}
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -18,7 +18,9 @@
 	return a
 }
 
-func task(state, cause string) *workers.Task { return &workers.Task{State: state, Cause: cause} }
+func task(state, cause string) *workers.TaskStatus {
+	return &workers.TaskStatus{State: state, Cause: cause}
+}
 
 func TestObserve(t *testing.T) {
 	doubt := stored(func(a *Attempt) { a.DoubtToken = 7 })
@@ -28,10 +30,10 @@
 		picture Picture
 		want    Decision
 	}{
-		{"it runs as stored", stored(nil), Picture{3, 7, task(workers.Running, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"it ended while nobody led", stored(nil), Picture{3, 7, task(workers.Ended, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
-		{"a service never completes", stored(func(a *Attempt) { a.Ends = false }), Picture{3, 7, task(workers.Ended, workers.CauseDone)}, Decision{Action: Restart, Reason: "done"}},
-		{"it failed", stored(nil), Picture{3, 7, task(workers.Ended, workers.CauseError)}, Decision{Action: Restart, Reason: "error"}},
+		{"it runs as stored", stored(nil), Picture{3, 7, task(workers.StateRunning, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"it ended while nobody led", stored(nil), Picture{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
+		{"a service never completes", stored(func(a *Attempt) { a.Ends = false }), Picture{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Restart, Reason: "done"}},
+		{"it failed", stored(nil), Picture{3, 7, task(workers.StateEnded, workers.CauseError)}, Decision{Action: Restart, Reason: "error"}},
 		{"the lease ran out", stored(nil), Picture{4, 7, nil}, Decision{Action: Restart, Reason: SessionOver}},
 		{"a copy from an earlier session", stored(nil), Picture{2, 7, nil}, Decision{Action: Wait, Reason: NotHeard}},
 		{"never begun", stored(nil), Picture{3, 7, nil}, Decision{Action: Begin, Reason: Absent}},
@@ -39,7 +41,7 @@
 		{"an order is on its way", stored(func(a *Attempt) { a.Ordered = true }), Picture{3, 9, nil}, Decision{Action: InDoubt, Reason: OrderOpen}},
 		{"an order may come late", doubt, Picture{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotShown}},
 		{"it would be refused", doubt, Picture{3, 8, nil}, Decision{Action: Begin, Reason: Absent}},
-		{"it came", doubt, Picture{3, 7, task(workers.Fetching, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"it came", doubt, Picture{3, 7, task(workers.StateFetching, "")}, Decision{Action: Adopt, Reason: Reported}},
 		{"its beginning is not written", stored(func(a *Attempt) { a.Durable = false }), Picture{3, 7, nil}, Decision{Action: Wait, Reason: NotWritten}},
 	} {
 		if got := Observe(c.attempt, c.picture); got != c.want {
@@ -54,14 +56,14 @@
 		want   Decision
 	}{
 		"just assigned":         {nil, Decision{Action: Begin, Reason: New}},
-		"runs":                  {func(a *Attempt) { a.Seen = workers.Running }, Decision{Action: Adopt, Reason: Reported}},
+		"runs":                  {func(a *Attempt) { a.Seen = workers.StateRunning }, Decision{Action: Adopt, Reason: Reported}},
 		"sent":                  {func(a *Attempt) { a.Sent = true }, Decision{Action: Wait, Reason: OrderOpen}},
 		"in doubt":              {func(a *Attempt) { a.DoubtToken = 7 }, Decision{Action: InDoubt, Reason: TokenNotShown}},
-		"cancelled":             {func(a *Attempt) { a.Seen, a.JobOver, a.JobCancelled = workers.Running, true, true }, Decision{Action: Stop, Reason: JobCancelled}},
-		"done elsewhere":        {func(a *Attempt) { a.Seen, a.JobOver = workers.Running, true }, Decision{Action: Stop, Reason: JobOver}},
+		"cancelled":             {func(a *Attempt) { a.Seen, a.JobOver, a.JobCancelled = workers.StateRunning, true, true }, Decision{Action: Stop, Reason: JobCancelled}},
+		"done elsewhere":        {func(a *Attempt) { a.Seen, a.JobOver = workers.StateRunning, true }, Decision{Action: Stop, Reason: JobOver}},
 		"cancelled, never sent": {func(a *Attempt) { a.JobOver, a.JobCancelled = true, true }, Decision{Action: Wait, Reason: NotWanted}},
-		"makes room":            {func(a *Attempt) { a.Seen, a.Stopping, a.GraceS = workers.Running, true, 4 }, Decision{Action: Stop, Reason: MakeRoom, GraceS: 4}},
-		"saves":                 {func(a *Attempt) { a.Seen, a.Stopping = workers.Saving, true }, Decision{Action: Wait, Reason: Saving}},
+		"makes room":            {func(a *Attempt) { a.Seen, a.Stopping, a.GraceS = workers.StateRunning, true, 4 }, Decision{Action: Stop, Reason: MakeRoom, GraceS: 4}},
+		"saves":                 {func(a *Attempt) { a.Seen, a.Stopping = workers.StateSaving, true }, Decision{Action: Wait, Reason: Saving}},
 		"half of a gang":        {func(a *Attempt) { a.GangWhole = false }, Decision{Action: Wait, Reason: GangIncomplete}},
 		"log has a hole":        {func(a *Attempt) { a.Incomplete = true }, Decision{Action: Wait, Reason: LossSuspected}},
 		"not written":           {func(a *Attempt) { a.Durable = false }, Decision{Action: Wait, Reason: NotWritten}},
@@ -95,10 +97,10 @@
 // report only the end of the lease does.
 func TestWithoutAWordOfThisTerm(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	if d := OfEarlierReport(task(workers.Running, ""), true); d.Action != Stop {
+	if d := OfEarlierReport(task(workers.StateRunning, ""), true); d.Action != Stop {
 		t.Errorf("cancelled: %v", d)
 	}
-	if d := OfEarlierReport(task(workers.Ended, workers.CauseDone), false); d.Action != Wait {
+	if d := OfEarlierReport(task(workers.StateEnded, workers.CauseDone), false); d.Action != Wait {
 		t.Errorf("done by an old report: %v", d)
 	}
 	if d := Unheard(now.Add(time.Second), now); d.Action != Wait || d.Until != now.Add(time.Second) {
@@ -125,7 +127,7 @@
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
 			Session: 3, Durable: flag("durable"), Ordered: flag("ordered"), Sent: flag("sent"), Ends: flag("ends"),
-			DoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), Seen: rapid.SampledFrom([]string{"", workers.Running, workers.Saving}).Draw(t, "seen"),
+			DoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), Seen: rapid.SampledFrom([]string{"", workers.StateRunning, workers.StateSaving}).Draw(t, "seen"),
 			JobOver: flag("over"), Stopping: flag("stopping"), GangWhole: flag("whole"), Incomplete: flag("incomplete"),
 		}
 		shown := rapid.Uint64Range(1, 9).Draw(t, "shown")
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -12,10 +12,10 @@
 
 // The outcomes.
 const (
-	Recovered     Outcome = "recovered"
-	InPart        Outcome = "recovered in part" // its description is missing
-	Uncertain     Outcome = "uncertain"
-	Contradictory Outcome = "contradictory"
+	Recovered       Outcome = "recovered"
+	RecoveredInPart Outcome = "recovered in part" // its description is missing
+	Uncertain       Outcome = "uncertain"
+	Contradictory   Outcome = "contradictory"
 )
 
 // Rule is why.
@@ -40,8 +40,8 @@
 	Rule    Rule
 	State   string // the record's: jobs.Done, jobs.Cancelled, or jobs.Queued
 	Held    bool   // it is not run
-	// Complete tells of a held job that nothing but its description is missing.
-	Complete bool
+	// DescriptionMissing tells of a held job that nothing but its description is missing.
+	DescriptionMissing bool
 }
 
 // Final tells whether the job is over.
@@ -58,31 +58,31 @@
 		return Decision{Outcome: Recovered, Rule: RuleDone, State: jobs.Done}
 	case k.Cancelled:
 		return Decision{Outcome: Recovered, Rule: RuleCancelled, State: jobs.Cancelled}
-	case k.allDone():
+	case k.allTasksDone():
 		return Decision{Outcome: Recovered, Rule: RuleAllTasksDone, State: jobs.Done}
 	case k.Unfinished && !allHeard:
 		return Decision{Outcome: Uncertain, Rule: RuleNotHeard, State: jobs.Queued, Held: true}
 	case k.Unfinished && k.Spec != nil:
 		return Decision{Outcome: Recovered, Rule: RuleUnfinished, State: jobs.Queued}
 	case k.Unfinished:
-		return Decision{Outcome: InPart, Rule: RuleNoDescription, State: jobs.Queued, Held: true, Complete: true}
-	case len(k.Running)+len(k.TasksDone) > 0:
+		return Decision{Outcome: RecoveredInPart, Rule: RuleNoDescription, State: jobs.Queued, Held: true, DescriptionMissing: true}
+	case len(k.RunningTasks)+len(k.CompletedTasks) > 0:
 		return Decision{Outcome: Uncertain, Rule: RuleOnWorker, State: jobs.Queued, Held: true}
 	}
 	return Decision{Outcome: Uncertain, Rule: RuleOldSource, State: jobs.Queued, Held: true}
 }
 
 // TaskCount is how many tasks the job has, or has at least; 0 if nothing is known.
-func (k Knowledge) TaskCount() int { return max(k.Tasks, k.LeastTasks) }
+func (k Knowledge) TaskCount() int { return max(k.Tasks, k.MinTasks) }
 
 // Record returns the job's record by a decision.
 func (k Knowledge) Record(d Decision, nowMs int64) jobs.Record {
 	rec := jobs.Record{State: d.State, Tasks: max(1, k.TaskCount())}
 	switch {
 	case d.Held:
-		rec.Held = &jobs.Held{Reason: string(d.Rule), Spec: k.Spec, AtMs: k.AtMs, HeldMs: nowMs, Complete: d.Complete}
+		rec.Held = &jobs.Held{Reason: string(d.Rule), Spec: k.Spec, AtMs: k.AcceptedMs, HeldMs: nowMs, Complete: d.DescriptionMissing}
 	case d.State == jobs.Queued:
-		rec.Spec, rec.AtMs, rec.Restored = k.Spec, k.AtMs, true
+		rec.Spec, rec.AtMs, rec.Restored = k.Spec, k.AcceptedMs, true
 	case d.State == jobs.Cancelled:
 		rec.Spec = k.Spec // its tasks count until they are gone
 	}
@@ -117,17 +117,17 @@
 		if k.Cancelled && !k.Done {
 			return refuse("it is known to be cancelled")
 		}
-		if len(without(k.Running, k.TasksDone)) > 0 {
-			return refuse(fmt.Sprintf("tasks %v are running", k.Running))
+		if len(without(k.RunningTasks, k.CompletedTasks)) > 0 {
+			return refuse(fmt.Sprintf("tasks %v are running", k.RunningTasks))
 		}
 		d.State = jobs.Done
 	case SettleCancelled:
-		if k.Done && !k.Cancelled || k.allDone() {
+		if k.Done && !k.Cancelled || k.allTasksDone() {
 			return refuse("it is known to be done")
 		}
 		d.State = jobs.Cancelled
 	case SettleRun:
-		if k.Done || k.Cancelled || k.allDone() {
+		if k.Done || k.Cancelled || k.allTasksDone() {
 			return refuse("it is known to be over")
 		}
 		if k.Spec == nil {
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -43,32 +43,32 @@
 
 // Knowledge is what is known of one job. Its zero value knows nothing.
 type Knowledge struct {
-	Accepted   bool
-	Unfinished bool // as of the loss: neither done nor cancelled then
-	Done       bool
-	Cancelled  bool
-	Tasks      int        // 0 if not known
-	LeastTasks int        // at least so many, by a task's number
-	Spec       *jobs.Spec // nil if not known
-	AtMs       int64      // time of day of its acceptance, 0 if not known
-	TasksDone  []int      // in order
-	Running    []int      // tasks last seen running, in order
-	Said       []string   // each source's word, in order
+	Accepted       bool
+	Unfinished     bool // as of the loss: neither done nor cancelled then
+	Done           bool
+	Cancelled      bool
+	Tasks          int        // 0 if not known
+	MinTasks       int        // at least so many, by a task's number
+	Spec           *jobs.Spec // nil if not known
+	AcceptedMs     int64      // time of day of its acceptance, 0 if not known
+	CompletedTasks []int      // in order
+	RunningTasks   []int      // tasks last seen running, in order
+	Statements     []string   // each source's word, in order
 }
 
-// Says returns knowledge with the source's word on it.
-func Says(from Source, k Knowledge) Knowledge {
+// Attribute returns knowledge with the source's word on it.
+func Attribute(from Source, k Knowledge) Knowledge {
 	k.Accepted = true // whoever knows a job knows that it was accepted
 	if k.Spec != nil && k.Tasks == 0 {
 		k.Tasks = k.Spec.Tasks
 	}
-	k.TasksDone = sortedSet(k.TasksDone)
-	k.Running = sortedSet(k.Running)
-	k.Said = []string{fmt.Sprintf("%s: %s", from, k.word())}
+	k.CompletedTasks = sortedSet(k.CompletedTasks)
+	k.RunningTasks = sortedSet(k.RunningTasks)
+	k.Statements = []string{fmt.Sprintf("%s: %s", from, k.statement())}
 	return k
 }
 
-func (k Knowledge) word() string {
+func (k Knowledge) statement() string {
 	switch {
 	case k.Done && k.Cancelled:
 		return "done and cancelled"
@@ -76,12 +76,12 @@
 		return "done"
 	case k.Cancelled:
 		return "cancelled"
-	case len(k.Running) == 1 && len(k.TasksDone) == 0:
-		return fmt.Sprintf("task %d running", k.Running[0])
-	case len(k.Running) == 0 && len(k.TasksDone) == 1:
-		return fmt.Sprintf("task %d done", k.TasksDone[0])
-	case len(k.Running)+len(k.TasksDone) > 0:
-		return fmt.Sprintf("tasks running %v, done %v", k.Running, k.TasksDone)
+	case len(k.RunningTasks) == 1 && len(k.CompletedTasks) == 0:
+		return fmt.Sprintf("task %d running", k.RunningTasks[0])
+	case len(k.RunningTasks) == 0 && len(k.CompletedTasks) == 1:
+		return fmt.Sprintf("task %d done", k.CompletedTasks[0])
+	case len(k.RunningTasks)+len(k.CompletedTasks) > 0:
+		return fmt.Sprintf("tasks running %v, done %v", k.RunningTasks, k.CompletedTasks)
 	case k.Unfinished:
 		return "unfinished"
 	}
@@ -91,23 +91,23 @@
 // Join returns all that either knows.
 func (k Knowledge) Join(o Knowledge) Knowledge {
 	return Knowledge{
-		Accepted:   k.Accepted || o.Accepted,
-		Unfinished: k.Unfinished || o.Unfinished,
-		Done:       k.Done || o.Done,
-		Cancelled:  k.Cancelled || o.Cancelled,
-		Tasks:      max(k.Tasks, o.Tasks),
-		LeastTasks: max(k.LeastTasks, o.LeastTasks),
-		Spec:       oneSpec(k.Spec, o.Spec),
-		AtMs:       max(k.AtMs, o.AtMs),
-		TasksDone:  union(k.TasksDone, o.TasksDone),
-		Running:    union(k.Running, o.Running),
-		Said:       union(k.Said, o.Said),
+		Accepted:       k.Accepted || o.Accepted,
+		Unfinished:     k.Unfinished || o.Unfinished,
+		Done:           k.Done || o.Done,
+		Cancelled:      k.Cancelled || o.Cancelled,
+		Tasks:          max(k.Tasks, o.Tasks),
+		MinTasks:       max(k.MinTasks, o.MinTasks),
+		Spec:           joinSpecs(k.Spec, o.Spec),
+		AcceptedMs:     max(k.AcceptedMs, o.AcceptedMs),
+		CompletedTasks: union(k.CompletedTasks, o.CompletedTasks),
+		RunningTasks:   union(k.RunningTasks, o.RunningTasks),
+		Statements:     union(k.Statements, o.Statements),
 	}
 }
 
-// oneSpec chooses one of two descriptions, the same in whatever order they come.
+// joinSpecs chooses one of two descriptions, the same in whatever order they come.
 // Mostly they are equal: a description never changes.
-func oneSpec(a, b *jobs.Spec) *jobs.Spec {
+func joinSpecs(a, b *jobs.Spec) *jobs.Spec {
 	switch {
 	case a == nil:
 		return b
@@ -138,26 +138,26 @@
 	return slices.Compact(all)
 }
 
-// allDone tells whether every task of a job of which the number of tasks is known is done.
-func (k Knowledge) allDone() bool {
-	return k.Tasks > 0 && len(k.TasksDone) >= k.Tasks && (k.Spec == nil || k.Spec.Ends())
+// allTasksDone tells whether every task of a job of which the number of tasks is known is done.
+func (k Knowledge) allTasksDone() bool {
+	return k.Tasks > 0 && len(k.CompletedTasks) >= k.Tasks && (k.Spec == nil || k.Spec.Ends())
 }
 
-// View is what is known of several jobs, by id.
-type View map[string]Knowledge
+// KnowledgeByJob is what is known of several jobs, by id.
+type KnowledgeByJob map[string]Knowledge
 
-// Add takes in what a source says of a job.
-func (v View) Add(id string, k Knowledge) { v[id] = v[id].Join(k) }
+// Merge takes in what a source says of a job.
+func (v KnowledgeByJob) Merge(id string, k Knowledge) { v[id] = v[id].Join(k) }
 
-// Join takes in another view.
-func (v View) Join(o View) {
+// MergeAll takes in another view.
+func (v KnowledgeByJob) MergeAll(o KnowledgeByJob) {
 	for id, k := range o {
-		v.Add(id, k)
+		v.Merge(id, k)
 	}
 }
 
 // IDs returns the jobs in order.
-func (v View) IDs() []string { return slices.Sorted(maps.Keys(v)) }
+func (v KnowledgeByJob) IDs() []string { return slices.Sorted(maps.Keys(v)) }
 
-// Words puts what the sources said on one line.
-func (k Knowledge) Words() string { return strings.Join(k.Said, "; ") }
+// Provenance puts what the sources said on one line.
+func (k Knowledge) Provenance() string { return strings.Join(k.Statements, "; ") }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -43,12 +43,12 @@
 		for n := range tr.tasks {
 			switch done := slices.Contains(tr.tasksDone, n); {
 			case done && rapid.Bool().Draw(t, "listed"):
-				k.TasksDone = append(k.TasksDone, n)
+				k.CompletedTasks = append(k.CompletedTasks, n)
 			case !done && tr.state != jobs.Done && rapid.Bool().Draw(t, "runs"):
-				k.Running = append(k.Running, n)
+				k.RunningTasks = append(k.RunningTasks, n)
 			}
 		}
-		k.LeastTasks = 1
+		k.MinTasks = 1
 	default:
 		k.Tasks = tr.tasks
 		if rapid.Bool().Draw(t, "described") {
@@ -63,7 +63,7 @@
 			k.Unfinished = from != FromSnapshot(7) && tr.state == jobs.Queued
 		}
 	}
-	return Says(from, k)
+	return Attribute(from, k)
 }
 
 // The order in which sources are heard, and how often, changes nothing.
@@ -81,7 +81,7 @@
 		same("idempotent", a.Join(b).Join(b), a.Join(b))
 		same("neutral", Knowledge{}.Join(a), a)
 		// What was known is not forgotten: final knowledge stays.
-		if j := a.Join(b); a.Done && !j.Done || a.Cancelled && !j.Cancelled || a.Accepted && !j.Accepted || len(j.TasksDone) < len(a.TasksDone) {
+		if j := a.Join(b); a.Done && !j.Done || a.Cancelled && !j.Cancelled || a.Accepted && !j.Accepted || len(j.CompletedTasks) < len(a.CompletedTasks) {
 			t.Fatalf("forgotten: %+v of %+v", j, a)
 		}
 	})
@@ -100,13 +100,13 @@
 		d := Decide(k, heard)
 		switch {
 		case d.Outcome == Contradictory:
-			t.Fatalf("honest sources contradict each other: %s", k.Words())
+			t.Fatalf("honest sources contradict each other: %s", k.Provenance())
 		case d.Final() && d.State != tr.state:
-			t.Fatalf("%s is taken for %s by %q: %s", tr.state, d.State, d.Rule, k.Words())
+			t.Fatalf("%s is taken for %s by %q: %s", tr.state, d.State, d.Rule, k.Provenance())
 		case !d.Held && d.State == jobs.Queued && tr.state != jobs.Queued:
-			t.Fatalf("%s would run again by %q: %s", tr.state, d.Rule, k.Words())
+			t.Fatalf("%s would run again by %q: %s", tr.state, d.Rule, k.Provenance())
 		case !d.Held && d.State == jobs.Queued && (k.Spec == nil || !heard):
-			t.Fatalf("run without a description, or before all were heard: %s", k.Words())
+			t.Fatalf("run without a description, or before all were heard: %s", k.Provenance())
 		}
 		rec := k.Record(d, 1)
 		if rec.Tasks < 1 || d.Held && rec.Held == nil || d.Held && rec.Spec != nil {
@@ -119,9 +119,9 @@
 func TestDecide(t *testing.T) {
 	spec := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Batch}
 	service := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Service}
-	snapshot := func(k Knowledge) Knowledge { return Says(FromSnapshot(7), k) }
-	cache := func(k Knowledge) Knowledge { return Says(FromCache("perch-1"), k) }
-	worker := func(k Knowledge) Knowledge { return Says(FromWorker("m-1"), k) }
+	snapshot := func(k Knowledge) Knowledge { return Attribute(FromSnapshot(7), k) }
+	cache := func(k Knowledge) Knowledge { return Attribute(FromCache("perch-1"), k) }
+	worker := func(k Knowledge) Knowledge { return Attribute(FromWorker("m-1"), k) }
 	cases := []struct {
 		name  string
 		words []Knowledge
@@ -133,19 +133,19 @@
 		{"a snapshot older than a cancellation", []Knowledge{snapshot(Knowledge{Spec: spec}), cache(Knowledge{Cancelled: true, Tasks: 2})}, RuleCancelled, jobs.Cancelled, false},
 		{"a snapshot alone, unfinished in it", []Knowledge{snapshot(Knowledge{Spec: spec})}, RuleOldSource, jobs.Queued, true},
 		{"a snapshot alone, done in it", []Knowledge{snapshot(Knowledge{Done: true, Tasks: 2})}, RuleDone, jobs.Done, false},
-		{"a worker with a job that nobody knows", []Knowledge{worker(Knowledge{Running: []int{3}, LeastTasks: 4})}, RuleOnWorker, jobs.Queued, true},
-		{"a worker with all that a snapshot knows of", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{TasksDone: []int{0, 1}})}, RuleAllTasksDone, jobs.Done, false},
-		{"a worker with one of two", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{TasksDone: []int{1}})}, RuleOnWorker, jobs.Queued, true},
-		{"tasks of a service never make it done", []Knowledge{snapshot(Knowledge{Spec: service}), worker(Knowledge{TasksDone: []int{0, 1}})}, RuleOnWorker, jobs.Queued, true},
+		{"a worker with a job that nobody knows", []Knowledge{worker(Knowledge{RunningTasks: []int{3}, MinTasks: 4})}, RuleOnWorker, jobs.Queued, true},
+		{"a worker with all that a snapshot knows of", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{CompletedTasks: []int{0, 1}})}, RuleAllTasksDone, jobs.Done, false},
+		{"a worker with one of two", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{CompletedTasks: []int{1}})}, RuleOnWorker, jobs.Queued, true},
+		{"tasks of a service never make it done", []Knowledge{snapshot(Knowledge{Spec: service}), worker(Knowledge{CompletedTasks: []int{0, 1}})}, RuleOnWorker, jobs.Queued, true},
 		{"unfinished by a cache, described by a snapshot", []Knowledge{snapshot(Knowledge{Spec: spec}), cache(Knowledge{Unfinished: true, Tasks: 2})}, RuleUnfinished, jobs.Queued, false},
 		{"unfinished by a cache alone", []Knowledge{cache(Knowledge{Unfinished: true, Tasks: 2})}, RuleNoDescription, jobs.Queued, true},
-		{"done and cancelled", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Says(FromLeader, Knowledge{Done: true, Tasks: 2})}, RuleContradiction, jobs.Cancelled, false},
-		{"cancelled on one node, unfinished on another", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Says(FromLeader, Knowledge{Unfinished: true, Spec: spec})}, RuleCancelled, jobs.Cancelled, false},
+		{"done and cancelled", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Attribute(FromLeader, Knowledge{Done: true, Tasks: 2})}, RuleContradiction, jobs.Cancelled, false},
+		{"cancelled on one node, unfinished on another", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Attribute(FromLeader, Knowledge{Unfinished: true, Spec: spec})}, RuleCancelled, jobs.Cancelled, false},
 	}
 	for _, c := range cases {
-		v := View{}
+		v := KnowledgeByJob{}
 		for _, w := range c.words {
-			v.Add("j-1", w)
+			v.Merge("j-1", w)
 		}
 		if d := Decide(v["j-1"], true); d.Rule != c.want || d.State != c.state || d.Held != c.held {
 			t.Errorf("%s: %+v, want %q", c.name, d, c.want)
@@ -156,8 +156,8 @@
 // An operator may decide what is open, and nothing against proof.
 func TestSettle(t *testing.T) {
 	spec := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Batch}
-	uncertain := Says(FromSnapshot(7), Knowledge{Spec: spec})
-	running := uncertain.Join(Says(FromWorker("m-1"), Knowledge{Running: []int{0}}))
+	uncertain := Attribute(FromSnapshot(7), Knowledge{Spec: spec})
+	running := uncertain.Join(Attribute(FromWorker("m-1"), Knowledge{RunningTasks: []int{0}}))
 	both := Knowledge{Done: true, Cancelled: true, Spec: spec}
 	cases := []struct {
 		name string
@@ -175,7 +175,7 @@
 		{"done and cancelled", both, SettleDone, true},
 		{"done and cancelled", both, SettleCancelled, true},
 		{"done and cancelled", both, SettleRun, false},
-		{"no description", Says(FromWorker("m-1"), Knowledge{Running: []int{0}}), SettleRun, false},
+		{"no description", Attribute(FromWorker("m-1"), Knowledge{RunningTasks: []int{0}}), SettleRun, false},
 		{"cancelled", Knowledge{Cancelled: true}, SettleDone, false},
 		{"done", Knowledge{Done: true}, SettleCancelled, false},
 	}
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -27,9 +27,9 @@
 	return fmt.Sprintf("%s-%s-%d%s", m.Cluster, time.UnixMilli(m.TakenMs).UTC().Format(nameTime), m.Revision, suffix)
 }
 
-// Write writes a snapshot into a folder and returns its path. The file has its name only
+// WriteFile writes a snapshot into a folder and returns its path. The file has its name only
 // when all of it is on the disk.
-func Write(dir string, s *Snapshot) (path string, err error) {
+func WriteFile(dir string, s *Snapshot) (path string, err error) {
 	f, err := os.CreateTemp(dir, temporary+"*")
 	if err != nil {
 		return "", err
@@ -74,8 +74,8 @@
 	return w.Close()
 }
 
-// Read reads a file and checks it.
-func Read(path string) (*Snapshot, error) {
+// ReadFile reads a file and checks it.
+func ReadFile(path string) (*Snapshot, error) {
 	s, err := read(path)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot %s: %w", path, err)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -34,8 +34,8 @@
 	ErrDamaged = errors.New("damaged")
 	// ErrNewerFormat means that a file was written by a later version.
 	ErrNewerFormat = errors.New("format is newer than this version reads")
-	// ErrLags means that the changes up to a revision were not to be had.
-	ErrLags = errors.New("changes lag")
+	// ErrChangesLag means that the changes up to a revision were not to be had.
+	ErrChangesLag = errors.New("changes lag")
 )
 
 // Record is one key.
@@ -131,7 +131,7 @@
 			}
 		}
 	}
-	return nil, 0, ErrLags
+	return nil, 0, ErrChangesLag
 }
 
 // apply brings a copy up to a change. Pages that were read later may have it already.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -21,12 +21,12 @@
 )
 
 // withStore runs a scenario against a stand-in state service.
-func withStore(t *testing.T, scenario func(ctx context.Context, store *emulator.State, client *kvstore.Client)) {
+func withStore(t *testing.T, scenario func(ctx context.Context, store *emulator.KVStore, client *kvstore.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNet(), emulator.NewState()
+		world, store := emulator.NewNetwork(), emulator.NewKVStore()
 		world.Attach("state", "state:1", store)
-		scenario(t.Context(), store, kvstore.New("state:1", world.From("tool"), time.Second, kvstore.Budget{Requests: 1000, Writes: 1000}))
+		scenario(t.Context(), store, kvstore.New("state:1", world.Transport("tool"), time.Second, kvstore.Budget{Requests: 1000, Writes: 1000}))
 		world.Wait()
 	})
 }
@@ -61,12 +61,12 @@
 // recorded after each change.
 func TestCopyIsOfOneRevision(t *testing.T) {
 	for seed := range uint64(8) {
-		withStore(t, func(ctx context.Context, store *emulator.State, client *kvstore.Client) {
+		withStore(t, func(ctx context.Context, store *emulator.KVStore, client *kvstore.Client) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			truth := map[uint64]emulator.Backup{}
+			truth := map[uint64]emulator.StoreBackup{}
 			write := func() {
 				if key := fmt.Sprintf("job/j-%04d", r.IntN(3000)); r.IntN(9) == 0 {
-					store.Lose(false, emulator.Only(key))
+					store.LoseKeys(false, emulator.WithKey(key))
 				} else {
 					store.Put(key, record(jobs.Queued, r.IntN(9)))
 				}
@@ -77,11 +77,11 @@
 			}
 			write()
 			if seed%4 == 3 {
-				store.Lag(3)
+				store.SetWatchLag(3)
 			}
 			s, err := Take(ctx, writingSource{client, write}, "c", time.Now())
 			if seed%4 == 3 {
-				if !errors.Is(err, ErrLags) {
+				if !errors.Is(err, ErrChangesLag) {
 					t.Errorf("seed %d: changes lag for ever: %v", seed, err)
 				}
 				return
@@ -107,11 +107,11 @@
 // If the changes since the listing are not kept, the copy begins anew; if the service does
 // not answer, it fails.
 func TestCopyBeginsAnew(t *testing.T) {
-	withStore(t, func(ctx context.Context, store *emulator.State, client *kvstore.Client) {
+	withStore(t, func(ctx context.Context, store *emulator.KVStore, client *kvstore.Client) {
 		for i := range 20 {
 			store.Put(fmt.Sprintf("job/j-%d", i), record(jobs.Queued, 1))
 		}
-		store.Keep(2)
+		store.SetHistoryLength(2)
 		busy := 0
 		source := writingSource{client, func() {
 			if busy++; busy < 6 { // by then one listing has gone through
@@ -124,7 +124,7 @@
 		if err != nil || s.Manifest.Records != 20 || busy < 4 {
 			t.Errorf("%d looks, %v", busy, err)
 		}
-		store.Down(true)
+		store.SetOutage(true)
 		if _, err := Take(ctx, client, "c", time.Now()); err == nil {
 			t.Error("a copy was made in an outage")
 		}
@@ -145,11 +145,11 @@
 func TestWriteAndRead(t *testing.T) {
 	dir := t.TempDir()
 	s := example(10_000)
-	path, err := Write(dir, s)
+	path, err := WriteFile(dir, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Read(path)
+	got, err := ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,11 +162,11 @@
 	if entries, _ := os.ReadDir(dir); len(entries) != 1 {
 		t.Errorf("left over: %v", entries)
 	}
-	empty, err := Write(dir, compose(nil, 0, "abc", time.UnixMilli(1)))
+	empty, err := WriteFile(dir, compose(nil, 0, "abc", time.UnixMilli(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Read(empty); err != nil || len(got.Records) != 0 {
+	if got, err := ReadFile(empty); err != nil || len(got.Records) != 0 {
 		t.Errorf("of nothing: %v, %v", got, err)
 	}
 }
@@ -175,7 +175,7 @@
 // wherever the fault is.
 func TestFilesThatAreRefused(t *testing.T) {
 	dir := t.TempDir()
-	path, err := Write(dir, example(200))
+	path, err := WriteFile(dir, example(200))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 		if err := os.WriteFile(bad, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		switch _, err := Read(bad); {
+		switch _, err := ReadFile(bad); {
 		case err == nil:
 			t.Errorf("%s: taken", what)
 		case want != nil && !errors.Is(err, want):
@@ -212,7 +212,7 @@
 		if err := os.WriteFile(bad, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Read(bad); err == nil {
+		if got, err := ReadFile(bad); err == nil {
 			// A byte that says nothing of what is copied, such as the name of the writer.
 			if d := cmp.Diff(example(200), got); d != "" {
 				t.Errorf("byte %d altered, and taken: %s", at, d)
@@ -221,21 +221,21 @@
 	}
 	later := example(5)
 	later.Manifest.Format = Format + 1
-	if path, err = Write(dir, later); err != nil {
+	if path, err = WriteFile(dir, later); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(path); !errors.Is(err, ErrNewerFormat) {
+	if _, err := ReadFile(path); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("from a later version: %v", err)
 	}
 	lying := example(5)
 	lying.Manifest.Token = 5
-	if path, err = Write(dir, lying); err != nil {
+	if path, err = WriteFile(dir, lying); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(path); !errors.Is(err, ErrDamaged) {
+	if _, err := ReadFile(path); !errors.Is(err, ErrDamaged) {
 		t.Errorf("another token in the manifest: %v", err)
 	}
-	if _, err := Read(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
+	if _, err := ReadFile(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no file: %v", err)
 	}
 }
@@ -245,11 +245,11 @@
 	dir := t.TempDir()
 	for i := range 5 {
 		s := compose(nil, uint64(i), "abc", time.UnixMilli(int64(i)*60_000))
-		if _, err := Write(dir, s); err != nil {
+		if _, err := WriteFile(dir, s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := Write(dir, compose(nil, 1, "other", time.UnixMilli(1))); err != nil {
+	if _, err := WriteFile(dir, compose(nil, 1, "other", time.UnixMilli(1))); err != nil {
 		t.Fatal(err)
 	}
 	left := filepath.Join(dir, temporary+"1")
--- a/internal/workers/calls.go
+++ b/internal/workers/calls.go
@@ -17,9 +17,9 @@
 // report is one line.
 const maxReport = 64 << 10
 
-// NoSocket tells whether a call failed since this process has no socket left: that says
+// OutOfSockets tells whether a call failed since this process has no socket left: that says
 // nothing of the worker.
-func NoSocket(err error) bool {
+func OutOfSockets(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
@@ -34,9 +34,9 @@
 	return &Client{wait: wait, http: &http.Client{Transport: rt}}
 }
 
-// Order sends commands. ok tells whether they were executed; the report is the
+// SendCommands sends commands. ok tells whether they were executed; the report is the
 // worker's own after that. With an error the outcome is unknown.
-func (c *Client) Order(ctx context.Context, addr string, o Order) (r *Report, ok bool, err error) {
+func (c *Client) SendCommands(ctx context.Context, addr string, o CommandRequest) (r *Heartbeat, ok bool, err error) {
 	raw, err := json.Marshal(o)
 	if err != nil {
 		return nil, false, err
@@ -44,8 +44,8 @@
 	return c.call(ctx, http.MethodPost, "http://"+addr+"/orders", raw)
 }
 
-// Inspect asks for a worker's report.
-func (c *Client) Inspect(ctx context.Context, addr string) (*Report, error) {
+// Probe asks for a worker's report.
+func (c *Client) Probe(ctx context.Context, addr string) (*Heartbeat, error) {
 	r, ok, err := c.call(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 	if err == nil && !ok {
 		err = fmt.Errorf("inspect refused")
@@ -53,7 +53,7 @@
 	return r, err
 }
 
-func (c *Client) call(ctx context.Context, method, url string, body []byte) (*Report, bool, error) {
+func (c *Client) call(ctx context.Context, method, url string, body []byte) (*Heartbeat, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -71,7 +71,7 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return nil, false, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	var r Report
+	var r Heartbeat
 	if err := json.UnmarshalRead(io.LimitReader(resp.Body, 16*maxReport), &r); err != nil {
 		return nil, false, err
 	}
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -11,8 +11,8 @@
 
 // Handler takes in workers' reports.
 type Handler struct {
-	// Answer returns nil where this node has no right to answer.
-	Answer func(context.Context, *Report) *Answer
+	// HandleHeartbeat returns nil where this node has no right to answer.
+	HandleHeartbeat func(context.Context, *Heartbeat) *HeartbeatResponse
 	// Leader names the node to report to, if it is known and another one.
 	Leader func() string
 }
@@ -23,17 +23,17 @@
 }
 
 func (h *Handler) report(w http.ResponseWriter, r *http.Request) {
-	var in Report
+	var in Heartbeat
 	if err := json.UnmarshalRead(http.MaxBytesReader(w, r.Body, maxBody), &in); err != nil || in.Machine == "" {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if a := h.Answer(r.Context(), &in); a != nil {
+	if a := h.HandleHeartbeat(r.Context(), &in); a != nil {
 		reply(w, http.StatusOK, a)
 		return
 	}
 	if leader := h.Leader(); leader != "" {
-		reply(w, http.StatusMisdirectedRequest, Redirect{ReportTo: leader})
+		reply(w, http.StatusMisdirectedRequest, Redirect{Leader: leader})
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -23,12 +23,12 @@
 
 // What a worker sends is read whole, and what it gets is exactly the protocol's.
 func TestReportOnTheWire(t *testing.T) {
-	var got *Report
+	var got *Heartbeat
 	grace := 0.0
 	h := &Handler{
-		Answer: func(_ context.Context, r *Report) *Answer {
+		HandleHeartbeat: func(_ context.Context, r *Heartbeat) *HeartbeatResponse {
 			got = r
-			return &Answer{Token: 41, Calls: []Call{
+			return &HeartbeatResponse{FencingToken: 41, Commands: []Command{
 				{Op: OpRun, Task: "j-000412/4", Attempt: 2}, {Op: OpStop, Task: "j-000377/1", Attempt: 1, GraceS: &grace},
 			}}
 		},
@@ -39,10 +39,10 @@
 	if rec.Code != http.StatusOK || rec.Body.String() != want {
 		t.Errorf("%d %s, want %s", rec.Code, rec.Body, want)
 	}
-	if got.Machine != "m-000231" || got.NoticeS != nil || len(got.Tasks) != 4 || got.Tasks[3] != (Task{"j-000398/0", 1, Ended, CauseStopped, true}) {
+	if got.Machine != "m-000231" || got.SpotNoticeS != nil || len(got.Tasks) != 4 || got.Tasks[3] != (TaskStatus{"j-000398/0", 1, StateEnded, CauseStopped, true}) {
 		t.Errorf("read as %+v", got)
 	}
-	h.Answer = func(context.Context, *Report) *Answer { return nil }
+	h.HandleHeartbeat = func(context.Context, *Heartbeat) *HeartbeatResponse { return nil }
 	if rec := serve(h, fourTasks); rec.Code != http.StatusServiceUnavailable {
 		t.Errorf("nobody leads: %d", rec.Code)
 	}
@@ -63,7 +63,9 @@
 // each name, the list of tasks, and the answer. Thousands come in ten seconds, and with
 // the first version of encoding/json there were 17 more.
 func TestAllocationsPerReport(t *testing.T) {
-	h := &Handler{Answer: func(context.Context, *Report) *Answer { return &Answer{Token: 41, Calls: []Call{}} }}
+	h := &Handler{HandleHeartbeat: func(context.Context, *Heartbeat) *HeartbeatResponse {
+		return &HeartbeatResponse{FencingToken: 41, Commands: []Command{}}
+	}}
 	mux := http.NewServeMux()
 	h.Register(mux)
 	const runs = 200
--- a/internal/workers/message.go
+++ b/internal/workers/message.go
@@ -16,11 +16,11 @@
 
 // The states of a task on its machine.
 const (
-	Fetching  = "fetching"
-	Gathering = "gathering" // a gang's, which waits for the others
-	Running   = "running"
-	Saving    = "saving"
-	Ended     = "ended"
+	StateFetching  = "fetching"
+	StateGathering = "gathering" // a gang's, which waits for the others
+	StateRunning   = "running"
+	StateSaving    = "saving"
+	StateEnded     = "ended"
 )
 
 // Why a task has ended.
@@ -35,53 +35,53 @@
 	CauseIncomplete = "incomplete" // the gang was not complete in time
 )
 
-// Report is a worker's picture of its machine.
-type Report struct {
-	Machine string   `json:"host"`
-	Addr    string   `json:"addr"`
-	Type    string   `json:"perchKind"`
-	Zone    string   `json:"eyrie"`
-	Spot    bool     `json:"driftwood"`
-	Session uint64   `json:"soar"`
-	Seq     uint64   `json:"beat"`
-	Token   uint64   `json:"crest"`
-	NoticeS *float64 `json:"warningS"`
-	Tasks   []Task   `json:"talons"`
+// Heartbeat is a worker's picture of its machine.
+type Heartbeat struct {
+	Machine      string       `json:"host"`
+	Addr         string       `json:"addr"`
+	Type         string       `json:"perchKind"`
+	Zone         string       `json:"eyrie"`
+	Spot         bool         `json:"driftwood"`
+	AgentEpoch   uint64       `json:"soar"`
+	Seq          uint64       `json:"beat"`
+	FencingToken uint64       `json:"crest"`
+	SpotNoticeS  *float64     `json:"warningS"`
+	Tasks        []TaskStatus `json:"talons"`
 }
 
-// Task is one task in a report.
-type Task struct {
-	Task    string `json:"talon"`
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	Name    string `json:"talon"`
 	Attempt uint64 `json:"dive"`
 	State   string `json:"stance"`
 	Cause   string `json:"cause,omitzero"`
 	Saved   bool   `json:"stored,omitzero"`
 }
 
-// Call is one command to a worker.
-type Call struct {
+// Command is one command to a worker.
+type Command struct {
 	Op      string   `json:"call"`
 	Task    string   `json:"talon"`
 	Attempt uint64   `json:"dive"`
 	GraceS  *float64 `json:"glideS,omitzero"`
 }
 
-// Answer is the response to a report.
-type Answer struct {
-	Token uint64 `json:"crest"`
-	Calls []Call `json:"calls"`
+// HeartbeatResponse is the response to a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"crest"`
+	Commands     []Command `json:"calls"`
 }
 
-// Order is sent straight to a worker.
-type Order struct {
-	Token   uint64 `json:"crest"`
-	Session uint64 `json:"soar"`
-	Calls   []Call `json:"calls"`
+// CommandRequest is sent straight to a worker.
+type CommandRequest struct {
+	FencingToken uint64    `json:"crest"`
+	AgentEpoch   uint64    `json:"soar"`
+	Commands     []Command `json:"calls"`
 }
 
 // Redirect names the node that takes reports.
 type Redirect struct {
-	ReportTo string `json:"nest,omitzero"`
+	Leader string `json:"nest,omitzero"`
 }
 
 // TaskName joins a job and the number of its task.
