--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -7,39 +7,45 @@
 	"github.com/go-json-experiment/json"
 )
 
-const maxBody = 64 << 10
+// maxHeartbeatBytes is the protocol's limit for a request body.
+const maxHeartbeatBytes = 64 << 10
 
-// Handler takes in workers' reports.
+// Handler takes in workers' heartbeats over HTTP. Its functions are called by the server's
+// goroutines, several at a time.
 type Handler struct {
 	// HandleHeartbeat returns nil where this node has no right to answer.
 	HandleHeartbeat func(context.Context, *Heartbeat) *HeartbeatResponse
-	// Leader names the node to report to, if it is known and another one.
+	// Leader names the node to send heartbeats to, if it is known and another one; else it
+	// returns "".
 	Leader func() string
 }
 
 // Register adds the workers' path.
 func (h *Handler) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/report", h.report)
+	mux.HandleFunc("POST /v1/report", h.serveHeartbeat)
 }
 
-func (h *Handler) report(w http.ResponseWriter, r *http.Request) {
-	var in Heartbeat
-	if err := json.UnmarshalRead(http.MaxBytesReader(w, r.Body, maxBody), &in); err != nil || in.Machine == "" {
+// serveHeartbeat answers 200 with commands, 421 with the leader's name, 503 where no leader
+// is known, or 400.
+func (h *Handler) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
+	var heartbeat Heartbeat
+	body := http.MaxBytesReader(w, r.Body, maxHeartbeatBytes)
+	if err := json.UnmarshalRead(body, &heartbeat); err != nil || heartbeat.Machine == "" {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if a := h.HandleHeartbeat(r.Context(), &in); a != nil {
-		reply(w, http.StatusOK, a)
+	if response := h.HandleHeartbeat(r.Context(), &heartbeat); response != nil {
+		writeJSON(w, http.StatusOK, response)
 		return
 	}
 	if leader := h.Leader(); leader != "" {
-		reply(w, http.StatusMisdirectedRequest, Redirect{Leader: leader})
+		writeJSON(w, http.StatusMisdirectedRequest, Redirect{Leader: leader})
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("another leads: %d %s", rec.Code, rec.Body)
 	}
 	for name, body := range map[string]string{
-		"no machine": `{"soar":1}`, "half of it": fourTasks[:300], "nothing": "", "not an object": "[1]", "a large one": `{"host":"` + strings.Repeat("m", maxBody) + `"}`,
+		"no machine": `{"soar":1}`, "half of it": fourTasks[:300], "nothing": "", "not an object": "[1]", "a large one": `{"host":"` + strings.Repeat("m", maxHeartbeatBytes) + `"}`,
 	} {
 		if rec := serve(h, body); rec.Code != http.StatusBadRequest {
 			t.Errorf("%s: %d", name, rec.Code)
