--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -1,13 +1,9 @@
 package recovery
 
-import (
-	"errors"
-	"fmt"
+import "ospreyslip/internal/jobs"
 
-	"ospreyslip/internal/jobs"
-)
-
-// Outcome is what becomes of a lost job.
+// Outcome is what becomes of a lost job. Its values are shown to operators and counted in
+// metrics.
 type Outcome string
 
 // The outcomes.
@@ -18,7 +14,8 @@
 	Contradictory   Outcome = "contradictory"
 )
 
-// Rule is why.
+// Rule is the rule by which a decision was made. Its values are shown to operators and
+// stored with held jobs.
 type Rule string
 
 // The rules, in the order in which they are tried.
@@ -38,17 +35,20 @@
 type Decision struct {
 	Outcome Outcome
 	Rule    Rule
-	State   string // the record's: jobs.Done, jobs.Cancelled, or jobs.Queued
-	Held    bool   // it is not run
-	// DescriptionMissing tells of a held job that nothing but its description is missing.
+	State   string // of the record to be written: jobs.Done, jobs.Cancelled, or jobs.Queued
+	Held    bool   // the job is not run until an operator settles it, or more is known
+	// DescriptionMissing is set for a held job that is known to be unfinished: it can run
+	// as soon as somebody hands in its description.
 	DescriptionMissing bool
 }
 
 // Final tells whether the job is over.
 func (d Decision) Final() bool { return !d.Held && d.State != jobs.Queued }
 
-// Decide judges what is known of a job. AllHeard tells whether every controller that may
-// know more has answered, or is taken for gone.
+// Decide judges what is known of a job: the first rule that applies decides, and proof of an
+// end comes before everything else. allHeard tells whether every controller that may know
+// more has answered, or is taken for gone; until then a job that seems unfinished is not run,
+// as another controller may know of its end.
 func Decide(k Knowledge, allHeard bool) Decision {
 	switch {
 	case k.Done && k.Cancelled:
@@ -72,10 +72,12 @@
 	return Decision{Outcome: Uncertain, Rule: RuleOldSource, State: jobs.Queued, Held: true}
 }
 
-// TaskCount is how many tasks the job has, or has at least; 0 if nothing is known.
+// TaskCount is how many tasks the job has, or the least number that it can have; 0 if
+// neither is known.
 func (k Knowledge) TaskCount() int { return max(k.Tasks, k.MinTasks) }
 
-// Record returns the job's record by a decision.
+// Record returns the record to be written for the job by a decision. nowMs is the time of day
+// in milliseconds.
 func (k Knowledge) Record(d Decision, nowMs int64) jobs.Record {
 	rec := jobs.Record{State: d.State, Tasks: max(1, k.TaskCount())}
 	switch {
@@ -91,64 +93,3 @@
 	}
 	return rec
 }
-
-// Settlement is what an operator decides about a held job.
-type Settlement string
-
-// The settlements.
-const (
-	SettleDone      Settlement = "done"
-	SettleCancelled Settlement = "cancelled"
-	SettleRun       Settlement = "run"
-)
-
-// ErrRefused is why a settlement is refused.
-var ErrRefused = errors.New("refused")
-
-// Settle returns the decision that a settlement stands for, unless it contradicts proof.
-// Of a contradictory job either end may be chosen, and nothing else.
-func Settle(k Knowledge, as Settlement) (Decision, error) {
-	refuse := func(why string) (Decision, error) {
-		return Decision{}, fmt.Errorf("%w: %s", ErrRefused, why)
-	}
-	d := Decision{Outcome: Recovered, Rule: Rule("settled as " + string(as))}
-	switch as {
-	case SettleDone:
-		if k.Cancelled && !k.Done {
-			return refuse("it is known to be cancelled")
-		}
-		if len(without(k.RunningTasks, k.CompletedTasks)) > 0 {
-			return refuse(fmt.Sprintf("tasks %v are running", k.RunningTasks))
-		}
-		d.State = jobs.Done
-	case SettleCancelled:
-		if k.Done && !k.Cancelled || k.allTasksDone() {
-			return refuse("it is known to be done")
-		}
-		d.State = jobs.Cancelled
-	case SettleRun:
-		if k.Done || k.Cancelled || k.allTasksDone() {
-			return refuse("it is known to be over")
-		}
-		if k.Spec == nil {
-			return refuse("nobody has its description: it comes with the next repeated submission, or a snapshot")
-		}
-		d.State = jobs.Queued
-	default:
-		return refuse(fmt.Sprintf("a job is settled as done, cancelled or run, not %q", as))
-	}
-	return d, nil
-}
-
-func without(all, out []int) (left []int) {
-	gone := map[int]bool{}
-	for _, n := range out {
-		gone[n] = true
-	}
-	for _, n := range all {
-		if !gone[n] {
-			left = append(left, n)
-		}
-	}
-	return left
-}
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -1,10 +1,3 @@
-// Package recovery joins what the state service, controllers, workers and snapshots know
-// of jobs whose records are lost, and decides what may be written back. It does no I/O
-// and reads no clock.
-//
-// Knowledge only grows: a job that is over by any source stays over. The join of two
-// pieces of knowledge is commutative, associative and idempotent, so that it matters
-// neither in which order sources are heard nor how often.
 package recovery
 
 import (
@@ -17,48 +10,26 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Source names who said something.
-type Source string
-
-// The sources. Those of several controllers, workers or snapshots carry a name.
-const (
-	FromService Source = "state service"
-	FromLeader  Source = "leader"
-	FromLog     Source = "assignment log"
-)
-
-// FromCache is a controller's cache of all jobs.
-func FromCache(node string) Source { return Source("cache of " + node) }
-
-// FromWorker is the worker of a machine.
-func FromWorker(machine string) Source { return Source("worker " + machine) }
-
-// FromSnapshot is a snapshot as of a revision.
-func FromSnapshot(revision uint64) Source {
-	return Source(fmt.Sprintf("snapshot at revision %d", revision))
-}
-
-// FromOperator is a person's decision.
-const FromOperator Source = "operator"
-
-// Knowledge is what is known of one job. Its zero value knows nothing.
+// Knowledge is what is known of one job. Its zero value knows nothing. Its slices are never
+// changed in place, so that values may share them.
 type Knowledge struct {
 	Accepted       bool
-	Unfinished     bool // as of the loss: neither done nor cancelled then
+	Unfinished     bool // as of the loss, it was neither done nor cancelled
 	Done           bool
 	Cancelled      bool
-	Tasks          int        // 0 if not known
-	MinTasks       int        // at least so many, by a task's number
+	Tasks          int        // number of tasks, 0 if not known
+	MinTasks       int        // the least number of tasks, by the number of one that was seen
 	Spec           *jobs.Spec // nil if not known
 	AcceptedMs     int64      // time of day of its acceptance, 0 if not known
 	CompletedTasks []int      // in order
 	RunningTasks   []int      // tasks last seen running, in order
-	Statements     []string   // each source's word, in order
+	Statements     []string   // what each source said of it, in order
 }
 
-// Attribute returns knowledge with the source's word on it.
+// Attribute returns what a source knows of a job, with the source's statement on it. Whoever
+// knows a job knows that it was accepted.
 func Attribute(from Source, k Knowledge) Knowledge {
-	k.Accepted = true // whoever knows a job knows that it was accepted
+	k.Accepted = true
 	if k.Spec != nil && k.Tasks == 0 {
 		k.Tasks = k.Spec.Tasks
 	}
@@ -68,6 +39,7 @@
 	return k
 }
 
+// statement puts what is known into words, for operators.
 func (k Knowledge) statement() string {
 	switch {
 	case k.Done && k.Cancelled:
@@ -88,25 +60,25 @@
 	return "accepted"
 }
 
-// Join returns all that either knows.
-func (k Knowledge) Join(o Knowledge) Knowledge {
+// Join returns all that either knows: the least upper bound of the two.
+func (k Knowledge) Join(other Knowledge) Knowledge {
 	return Knowledge{
-		Accepted:       k.Accepted || o.Accepted,
-		Unfinished:     k.Unfinished || o.Unfinished,
-		Done:           k.Done || o.Done,
-		Cancelled:      k.Cancelled || o.Cancelled,
-		Tasks:          max(k.Tasks, o.Tasks),
-		MinTasks:       max(k.MinTasks, o.MinTasks),
-		Spec:           joinSpecs(k.Spec, o.Spec),
-		AcceptedMs:     max(k.AcceptedMs, o.AcceptedMs),
-		CompletedTasks: union(k.CompletedTasks, o.CompletedTasks),
-		RunningTasks:   union(k.RunningTasks, o.RunningTasks),
-		Statements:     union(k.Statements, o.Statements),
+		Accepted:       k.Accepted || other.Accepted,
+		Unfinished:     k.Unfinished || other.Unfinished,
+		Done:           k.Done || other.Done,
+		Cancelled:      k.Cancelled || other.Cancelled,
+		Tasks:          max(k.Tasks, other.Tasks),
+		MinTasks:       max(k.MinTasks, other.MinTasks),
+		Spec:           joinSpecs(k.Spec, other.Spec),
+		AcceptedMs:     max(k.AcceptedMs, other.AcceptedMs),
+		CompletedTasks: union(k.CompletedTasks, other.CompletedTasks),
+		RunningTasks:   union(k.RunningTasks, other.RunningTasks),
+		Statements:     union(k.Statements, other.Statements),
 	}
 }
 
-// joinSpecs chooses one of two descriptions, the same in whatever order they come.
-// Mostly they are equal: a description never changes.
+// joinSpecs chooses one of two descriptions, the same in whatever order they come, as a join
+// must. Mostly they are equal: a description never changes.
 func joinSpecs(a, b *jobs.Spec) *jobs.Spec {
 	switch {
 	case a == nil:
@@ -143,21 +115,14 @@
 	return k.Tasks > 0 && len(k.CompletedTasks) >= k.Tasks && (k.Spec == nil || k.Spec.Ends())
 }
 
-// KnowledgeByJob is what is known of several jobs, by id.
+// KnowledgeByJob is what is known of several jobs, by job id.
 type KnowledgeByJob map[string]Knowledge
 
-// Merge takes in what a source says of a job.
-func (v KnowledgeByJob) Merge(id string, k Knowledge) { v[id] = v[id].Join(k) }
-
-// MergeAll takes in another view.
-func (v KnowledgeByJob) MergeAll(o KnowledgeByJob) {
-	for id, k := range o {
-		v.Merge(id, k)
-	}
-}
+// Merge joins what a source knows of a job into the map.
+func (all KnowledgeByJob) Merge(id string, k Knowledge) { all[id] = all[id].Join(k) }
 
-// IDs returns the jobs in order.
-func (v KnowledgeByJob) IDs() []string { return slices.Sorted(maps.Keys(v)) }
+// IDs returns the ids of all jobs in order.
+func (all KnowledgeByJob) IDs() []string { return slices.Sorted(maps.Keys(all)) }
 
-// Provenance puts what the sources said on one line.
+// Provenance puts the statements of all sources on one line, for the log.
 func (k Knowledge) Provenance() string { return strings.Join(k.Statements, "; ") }
