--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -7,15 +7,16 @@
 	"os"
 )
 
-// ToStderr logs to standard error from a level on: error, info or debug; empty is info.
+// ToStderr makes the default logger write to standard error from a level on: error, info or
+// debug; empty is info. It is to be called once, before anything is logged.
 func ToStderr(level string) error {
 	levels := map[string]slog.Level{
 		"": slog.LevelInfo, "error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug,
 	}
-	l, ok := levels[level]
+	threshold, ok := levels[level]
 	if !ok {
 		return fmt.Errorf("LOG_LEVEL must be error, info or debug, is %q", level)
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: threshold})))
 	return nil
 }
--- a/internal/recovery/report/report.go
+++ b/internal/recovery/report/report.go
@@ -23,26 +23,26 @@
 //go:embed report.html
 var page string
 
-var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"since": sinceMs}).Parse(page))
+var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"time": formatMs}).Parse(page))
 
-// Report is what the page shows.
-type Report struct {
+// Page is what the template is filled with.
+type Page struct {
 	Cluster  string
 	Made     time.Time
 	Status   leader.RecoveryStatus
 	Timeline template.HTML
 }
 
-// Write writes the page.
-func Write(to io.Writer, cluster string, status leader.RecoveryStatus, made time.Time) error {
+// Write writes the page about the recovery of one deployment, as of madeAt.
+func Write(out io.Writer, cluster string, status leader.RecoveryStatus, madeAt time.Time) error {
 	timeline, err := drawTimeline(status.Events)
 	if err != nil {
 		return fmt.Errorf("timeline: %w", err)
 	}
-	return pageTemplate.Execute(to, Report{Cluster: cluster, Made: made, Status: status, Timeline: timeline})
+	return pageTemplate.Execute(out, Page{Cluster: cluster, Made: madeAt, Status: status, Timeline: timeline})
 }
 
-func sinceMs(ms int64) string {
+func formatMs(ms int64) string {
 	if ms == 0 {
 		return ""
 	}
@@ -56,40 +56,40 @@
 	}
 	first := events[0].At
 	lines := map[string]plotter.XYs{}
-	for _, e := range events {
-		at := e.At.Sub(first).Seconds()
-		line := lines[e.What]
-		lines[e.What] = append(line, plotter.XY{X: at, Y: float64(len(line) + 1)})
+	for _, event := range events {
+		second := event.At.Sub(first).Seconds()
+		line := lines[event.What]
+		lines[event.What] = append(line, plotter.XY{X: second, Y: float64(len(line) + 1)})
 	}
-	p := plot.New()
-	p.X.Label.Text = "seconds since " + first.UTC().Format(time.DateTime)
-	p.Y.Label.Text = "steps"
-	p.Legend.Top, p.Legend.Left = true, true
-	p.Add(plotter.NewGrid())
+	timeline := plot.New()
+	timeline.X.Label.Text = "seconds since " + first.UTC().Format(time.DateTime)
+	timeline.Y.Label.Text = "steps"
+	timeline.Legend.Top, timeline.Legend.Left = true, true
+	timeline.Add(plotter.NewGrid())
 	end := events[len(events)-1].At.Sub(first).Seconds()
 	for i, what := range slices.Sorted(maps.Keys(lines)) {
-		if err := addLine(p, what, lines[what], end, plotutil.Color(i), i); err != nil {
+		if err := addSteps(timeline, what, lines[what], end, plotutil.Color(i), i); err != nil {
 			return "", err
 		}
 	}
-	return svgplot.Draw(p)
+	return svgplot.Draw(timeline)
 }
 
-// addLine adds steps of one kind: a line that rises with each, and a mark at each.
-func addLine(p *plot.Plot, what string, points plotter.XYs, end float64, c color.Color, shape int) error {
+// addSteps adds steps of one kind: a line that rises with each, and a mark at each.
+func addSteps(timeline *plot.Plot, what string, points plotter.XYs, end float64, lineColor color.Color, shape int) error {
 	last := points[len(points)-1]
 	line, err := plotter.NewLine(append(slices.Clone(points), plotter.XY{X: end, Y: last.Y}))
 	if err != nil {
 		return err
 	}
 	line.StepStyle = plotter.PostStep
-	line.Color = c
+	line.Color = lineColor
 	marks, err := plotter.NewScatter(points)
 	if err != nil {
 		return err
 	}
-	marks.Color, marks.Shape = c, plotutil.Shape(shape)
-	p.Add(line, marks)
-	p.Legend.Add(what, line, marks)
+	marks.Color, marks.Shape = lineColor, plotutil.Shape(shape)
+	timeline.Add(line, marks)
+	timeline.Legend.Add(what, line, marks)
 	return nil
 }
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	manifestKey = "ospreyslip.snapshot" // in the file's metadata
-	suffix      = ".parquet"
-	temporary   = ".partial-"
-	nameTime    = "20060102T150405.000Z"
-	rowsAtOnce  = 4096
+	manifestKey    = "ospreyslip.snapshot" // in the file's metadata
+	suffix         = ".parquet"
+	tempPrefix     = ".partial-"
+	nameTimeLayout = "20060102T150405.000Z"
+	rowsPerRead    = 4096
 )
 
 // Name is the name of a snapshot's file. Names of a deployment sort by their time.
 func (m Manifest) Name() string {
-	return fmt.Sprintf("%s-%s-%d%s", m.Cluster, time.UnixMilli(m.TakenMs).UTC().Format(nameTime), m.Revision, suffix)
+	return fmt.Sprintf("%s-%s-%d%s", m.Cluster, time.UnixMilli(m.TakenMs).UTC().Format(nameTimeLayout), m.Revision, suffix)
 }
 
 // WriteFile writes a snapshot into a folder and returns its path. The file has its name only
 // when all of it is on the disk.
-func WriteFile(dir string, s *Snapshot) (path string, err error) {
-	f, err := os.CreateTemp(dir, temporary+"*")
+func WriteFile(dir string, snapshot *Snapshot) (path string, err error) {
+	file, err := os.CreateTemp(dir, tempPrefix+"*")
 	if err != nil {
 		return "", err
 	}
 	defer func() {
 		if err != nil {
-			f.Close()
-			os.Remove(f.Name())
+			file.Close()
+			os.Remove(file.Name())
 		}
 	}()
-	if err := encode(f, s); err != nil {
+	if err := encode(file, snapshot); err != nil {
 		return "", err
 	}
-	if err := errors.Join(f.Sync(), f.Close()); err != nil {
+	if err := errors.Join(file.Sync(), file.Close()); err != nil {
 		return "", err
 	}
-	path = filepath.Join(dir, s.Manifest.Name())
-	if err := os.Rename(f.Name(), path); err != nil {
+	path = filepath.Join(dir, snapshot.Manifest.Name())
+	if err := os.Rename(file.Name(), path); err != nil {
 		return "", err
 	}
 	return path, syncDir(dir)
@@ -62,57 +62,57 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-func encode(to io.Writer, s *Snapshot) error {
-	manifest, err := json.Marshal(s.Manifest)
+func encode(out io.Writer, snapshot *Snapshot) error {
+	manifest, err := json.Marshal(snapshot.Manifest)
 	if err != nil {
 		return err
 	}
-	w := parquet.NewGenericWriter[Record](to, parquet.KeyValueMetadata(manifestKey, string(manifest)))
-	if _, err := w.Write(s.Records); err != nil {
+	writer := parquet.NewGenericWriter[Record](out, parquet.KeyValueMetadata(manifestKey, string(manifest)))
+	if _, err := writer.Write(snapshot.Records); err != nil {
 		return err
 	}
-	return w.Close()
+	return writer.Close()
 }
 
 // ReadFile reads a file and checks it.
 func ReadFile(path string) (*Snapshot, error) {
-	s, err := read(path)
+	s, err := readChecked(path)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot %s: %w", path, err)
 	}
 	return s, nil
 }
 
-func read(path string) (*Snapshot, error) {
-	f, err := os.Open(path)
+func readChecked(path string) (*Snapshot, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	info, err := f.Stat()
+	defer file.Close()
+	info, err := file.Stat()
 	if err != nil {
 		return nil, err
 	}
-	file, err := open(f, info.Size())
+	parquetFile, err := openParquet(file, info.Size())
 	if err != nil {
 		return nil, err
 	}
-	s, err := manifestOf(file)
+	snapshot, err := readManifest(parquetFile)
 	if err != nil {
 		return nil, err
 	}
-	if s.Records, err = records(file, s.Manifest.Records); err != nil {
+	if snapshot.Records, err = readRecords(parquetFile, snapshot.Manifest.Records); err != nil {
 		return nil, err
 	}
-	if got := checksum(s.Manifest, s.Records); got != s.Manifest.Checksum {
+	if got := checksum(snapshot.Manifest, snapshot.Records); got != snapshot.Manifest.Checksum {
 		return nil, fmt.Errorf("%w: its checksum is not that of its records", ErrDamaged)
 	}
-	return s, nil
+	return snapshot, nil
 }
 
-// open opens a Parquet file. What its bytes make the library do must not end the process.
-func open(f io.ReaderAt, size int64) (file *parquet.File, err error) {
-	defer recovered(&err)
+// openParquet opens a Parquet file. What its bytes make the library do must not end the process.
+func openParquet(f io.ReaderAt, size int64) (file *parquet.File, err error) {
+	defer recoverPanic(&err)
 	file, err = parquet.OpenFile(f, size)
 	if err != nil {
 		return nil, fmt.Errorf("%w, or cut off: %w", ErrNotSnapshot, err)
@@ -120,40 +120,40 @@
 	return file, nil
 }
 
-func recovered(err *error) {
+func recoverPanic(err *error) {
 	if r := recover(); r != nil {
 		*err = fmt.Errorf("%w: %v", ErrDamaged, r)
 	}
 }
 
-func manifestOf(file *parquet.File) (*Snapshot, error) {
+func readManifest(file *parquet.File) (*Snapshot, error) {
 	raw, ok := file.Lookup(manifestKey)
 	if !ok {
 		return nil, fmt.Errorf("%w: it has no manifest", ErrNotSnapshot)
 	}
-	var s Snapshot
-	if err := json.Unmarshal([]byte(raw), &s.Manifest); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal([]byte(raw), &snapshot.Manifest); err != nil {
 		return nil, fmt.Errorf("%w: manifest: %w", ErrDamaged, err)
 	}
-	if s.Manifest.Format > Format {
-		return nil, fmt.Errorf("%w: %d, this one reads up to %d", ErrNewerFormat, s.Manifest.Format, Format)
+	if snapshot.Manifest.Format > Format {
+		return nil, fmt.Errorf("%w: %d, this one reads up to %d", ErrNewerFormat, snapshot.Manifest.Format, Format)
 	}
-	return &s, nil
+	return &snapshot, nil
 }
 
-// records reads all rows; there must be as many as the manifest says.
-func records(file *parquet.File, count int) (all []Record, err error) {
-	defer recovered(&err)
+// readRecords reads all rows; there must be as many as the manifest says.
+func readRecords(file *parquet.File, count int) (all []Record, err error) {
+	defer recoverPanic(&err)
 	if file.NumRows() != int64(count) {
 		return nil, fmt.Errorf("%w: %d records, its manifest says %d", ErrDamaged, file.NumRows(), count)
 	}
-	r := parquet.NewGenericReader[Record](file)
-	defer r.Close()
+	reader := parquet.NewGenericReader[Record](file)
+	defer reader.Close()
 	for len(all) < count {
-		page := make([]Record, min(rowsAtOnce, count-len(all)))
-		n, err := r.Read(page)
-		all = append(all, page[:n]...)
-		if err != nil && !errors.Is(err, io.EOF) || n == 0 {
+		page := make([]Record, min(rowsPerRead, count-len(all)))
+		rows, err := reader.Read(page)
+		all = append(all, page[:rows]...)
+		if err != nil && !errors.Is(err, io.EOF) || rows == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
 	}
@@ -168,11 +168,11 @@
 		return nil, err
 	}
 	var snapshots []string
-	for _, e := range entries {
-		switch name := e.Name(); {
+	for _, entry := range entries {
+		switch name := entry.Name(); {
 		case strings.HasPrefix(name, cluster+"-") && strings.HasSuffix(name, suffix):
 			snapshots = append(snapshots, name)
-		case strings.HasPrefix(name, temporary) && old(e):
+		case strings.HasPrefix(name, tempPrefix) && isStale(entry):
 			removed = append(removed, name)
 		}
 	}
@@ -189,7 +189,7 @@
 // staleAfter is the age of an unfinished file that no run is at work on any more.
 const staleAfter = time.Hour
 
-func old(e os.DirEntry) bool {
+func isStale(e os.DirEntry) bool {
 	info, err := e.Info()
 	return err == nil && time.Since(info.ModTime()) > staleAfter
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -38,13 +38,13 @@
 
 // writingSource has others write between the pages of a listing and between watches.
 type writingSource struct {
-	Source
+	Store
 	write func()
 }
 
 func (w writingSource) EachPaced(ctx context.Context, prefix string, pause time.Duration, take func(kvstore.Pair)) (uint64, error) {
 	n := 0
-	return w.Source.EachPaced(ctx, prefix, pause, func(p kvstore.Pair) {
+	return w.Store.EachPaced(ctx, prefix, pause, func(p kvstore.Pair) {
 		if n++; n%7 == 0 {
 			w.write()
 		}
@@ -54,7 +54,7 @@
 
 func (w writingSource) Revision(ctx context.Context) (uint64, error) {
 	w.write()
-	return w.Source.Revision(ctx)
+	return w.Store.Revision(ctx)
 }
 
 // Whatever others write meanwhile, a copy is what was there at one revision: the truth as
@@ -252,7 +252,7 @@
 	if _, err := WriteFile(dir, compose(nil, 1, "other", time.UnixMilli(1))); err != nil {
 		t.Fatal(err)
 	}
-	left := filepath.Join(dir, temporary+"1")
+	left := filepath.Join(dir, tempPrefix+"1")
 	if err := os.WriteFile(left, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/snapshot/take.go
@@ -0,0 +1,111 @@
+package snapshot
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"ospreyslip/internal/kvstore"
+)
+
+// Store is what Take needs of the state service; kvstore.Client has it.
+type Store interface {
+	EachPaced(ctx context.Context, prefix string, pause time.Duration, take func(kvstore.Pair)) (uint64, error)
+	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (uint64, []kvstore.Change, error)
+	Revision(ctx context.Context) (uint64, error)
+}
+
+const (
+	maxCopies  = 5  // copies begun, as changes were no longer kept or the service was put back
+	maxWatches = 50 // watches in one copy, until it is as of one revision
+	watchRetry = 100 * time.Millisecond
+)
+
+// Take copies all records. It lists them, and then follows the changes until every key is
+// as of the same revision. If that cannot be done, as the changes in between are no longer
+// kept or the service was put back, it begins anew, a few times. now is the time of day that
+// the manifest gives.
+func Take(ctx context.Context, from Store, cluster string, now time.Time) (*Snapshot, error) {
+	var failed error
+	for range maxCopies {
+		pairs, revision, err := takeOnce(ctx, from)
+		if err == nil {
+			return compose(pairs, revision, cluster, now), nil
+		}
+		failed = err
+		if !errors.Is(err, kvstore.ErrCompacted) && !errors.Is(err, errRevisionBack) {
+			break
+		}
+	}
+	return nil, fmt.Errorf("records not copied: %w", failed)
+}
+
+// errRevisionBack means that revisions went back while records were copied.
+var errRevisionBack = errors.New("state service was put back")
+
+// takeOnce returns all pairs by key, and the revision as of which they are.
+func takeOnce(ctx context.Context, from Store) (map[string]kvstore.Pair, uint64, error) {
+	pairs := map[string]kvstore.Pair{}
+	listed, err := from.EachPaced(ctx, "", 0, func(pair kvstore.Pair) { pairs[pair.Key] = pair })
+	if err != nil {
+		return nil, 0, err
+	}
+	// No page was read later than this revision.
+	least, err := from.Revision(ctx)
+	if err != nil {
+		return nil, 0, err
+	}
+	if least < listed {
+		return nil, 0, errRevisionBack
+	}
+	revision, err := follow(ctx, from, pairs, listed, least)
+	return pairs, revision, err
+}
+
+// follow applies the changes after one revision to pairs, at least up to another, and returns
+// the revision that it came to.
+func follow(ctx context.Context, from Store, pairs map[string]kvstore.Pair, after, least uint64) (uint64, error) {
+	for range maxWatches {
+		if after >= least {
+			return after, nil
+		}
+		revision, changes, err := from.Watch(ctx, "", after, 0)
+		if err != nil {
+			return 0, err
+		}
+		for _, change := range changes {
+			applyChange(pairs, change)
+		}
+		after = max(after, revision)
+		if after < least {
+			if err := sleep(ctx, watchRetry); err != nil {
+				return 0, err
+			}
+		}
+	}
+	return 0, ErrChangesLag
+}
+
+// applyChange brings a copy up to a change. Pages that were read later may have it already.
+func applyChange(pairs map[string]kvstore.Pair, change kvstore.Change) {
+	if change.Remove != "" {
+		if pairs[change.Remove].Revision < change.Revision {
+			delete(pairs, change.Remove)
+		}
+		return
+	}
+	if pairs[change.Set].Revision < change.Revision {
+		pairs[change.Set] = kvstore.Pair{Key: change.Set, Value: change.Value, Revision: change.Revision}
+	}
+}
+
+// sleep waits, or returns the context's error.
+func sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(d):
+		return nil
+	}
+}
--- a/internal/svgplot/svgplot.go
+++ b/internal/svgplot/svgplot.go
@@ -18,7 +18,8 @@
 	height = 9 * vg.Centimeter
 )
 
-// Draw draws a plot. The library escapes the texts in it.
+// Draw returns a plot as an SVG element, in the size of all plots on pages. The library escapes
+// the texts in it.
 func Draw(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(width, height)
 	p.Draw(draw.New(canvas))
