--- /dev/null
+++ b/cmd/ospreyslip-operator/leader_client.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"ospreyslip/internal/settings"
+)
+
+// requestTimeout is how long one request to a controller may take.
+const requestTimeout = 10 * time.Second
+
+// maxRefusalBytes bounds what is read of a refusal's reason.
+const maxRefusalBytes = 1 << 16
+
+// leaderClient sends requests to the leader, whichever controller that is.
+type leaderClient struct {
+	addrs []string
+	http  http.Client
+}
+
+func newLeaderClient(set *settings.Settings) *leaderClient {
+	client := &leaderClient{addrs: []string{set.ClusterListen}, http: http.Client{Timeout: requestTimeout}}
+	for _, peer := range set.Peers {
+		client.addrs = append(client.addrs, peer.Addr)
+	}
+	return client
+}
+
+// errNotLeading means that a controller does not lead.
+var errNotLeading = errors.New("does not lead")
+
+// do sends a request to one controller after the other until the leader answers, and decodes
+// its answer into out. A nil in is an empty body. A refusal by the leader is a *refusalError.
+func (c *leaderClient) do(ctx context.Context, method, path string, in, out any) error {
+	var body []byte
+	if in != nil {
+		var err error
+		if body, err = json.Marshal(in); err != nil {
+			return err
+		}
+	}
+	var failed []error
+	for _, addr := range c.addrs {
+		err := c.send(ctx, method, addr, path, body, out)
+		var refused *refusalError
+		if err == nil || errors.As(err, &refused) {
+			return err
+		}
+		failed = append(failed, fmt.Errorf("%s: %w", addr, err))
+	}
+	return fmt.Errorf("no leader answers: %w", joinLine(failed))
+}
+
+// joinLine joins errors on one line.
+func joinLine(errs []error) error {
+	texts := make([]string, len(errs))
+	for i, err := range errs {
+		texts[i] = err.Error()
+	}
+	return errors.New(strings.Join(texts, "; "))
+}
+
+// refusalError is the leader's answer that it will not do what it was asked.
+type refusalError struct{ reason string }
+
+func (e *refusalError) Error() string { return e.reason }
+
+// send sends a request to one controller.
+func (c *leaderClient) send(ctx context.Context, method, addr, path string, body []byte, out any) error {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	switch resp.StatusCode {
+	case http.StatusOK:
+		return json.NewDecoder(resp.Body).Decode(out)
+	case http.StatusMisdirectedRequest:
+		return errNotLeading
+	}
+	var refusal struct {
+		Reason string `json:"error"`
+	}
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxRefusalBytes)).Decode(&refusal)
+	if resp.StatusCode == http.StatusServiceUnavailable || refusal.Reason == "" {
+		return fmt.Errorf("status %d %s", resp.StatusCode, refusal.Reason)
+	}
+	return &refusalError{refusal.Reason}
+}
--- a/cmd/ospreyslip/main.go
+++ b/cmd/ospreyslip/main.go
@@ -54,7 +54,14 @@
 	}
 	cmd.PersistentFlags().StringVar(&config, "config", "", "settings file (TOML)")
 	cmd.PersistentFlags().StringVar(&operator, "operator", os.Getenv("OSPREYSLIP_OPERATOR"), "operators' settings (JSON); default: $OSPREYSLIP_OPERATOR")
-	cmd.AddCommand(&cobra.Command{
+	cmd.AddCommand(checkCommand(load), statusCommand(load),
+		operatorCommand("snapshot", "Copy all records of the state service into a file"),
+		operatorCommand("recover", "Show and steer the recovery of records that the state service has lost"))
+	return cmd
+}
+
+func checkCommand(load func() (*settings.Settings, error)) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and print what is derived from them",
 		Args:  cobra.NoArgs,
@@ -68,8 +75,5 @@
 			}
 			return set.Budget().Print(cmd.OutOrStdout())
 		},
-	})
-	cmd.AddCommand(statusCommand(load), operatorCommand("snapshot", "Copy all records of the state service into a file"),
-		operatorCommand("recover", "Show and steer the recovery of records that the state service has lost"))
-	return cmd
+	}
 }
--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -12,67 +12,102 @@
 	"github.com/spf13/cobra"
 
 	"ospreyslip/internal/controller"
+	"ospreyslip/internal/leader"
 	"ospreyslip/internal/settings"
 )
 
+// statusTimeout is how long one controller's answer may take.
+const statusTimeout = 5 * time.Second
+
 func statusCommand(load func() (*settings.Settings, error)) *cobra.Command {
-	var raw bool
+	var asJSON bool
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "status",
 		Short: "Show what a running node, and the leader, see",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			asked := []string{addr}
-			if addr == "" {
-				set, err := load()
-				if err != nil {
-					return err
-				}
-				asked = []string{set.ClusterListen}
-				for _, p := range set.Peers {
-					asked = append(asked, p.Addr)
-				}
-			}
-			// The leader knows most; another node only knows who that is.
-			var best []byte
-			var view controller.Status
-			var failed error
-			for _, a := range asked {
-				body, err := fetch(cmd.Context(), "http://"+a+"/status")
-				var s controller.Status
-				if err == nil {
-					err = json.Unmarshal(body, &s)
-				}
-				if err != nil {
-					failed = err
-					fmt.Fprintf(cmd.ErrOrStderr(), "ospreyslip: %s: %v\n", a, err)
-					continue
-				}
-				if best == nil || s.View != nil {
-					best, view = body, s
-				}
-				if s.View != nil {
-					break
-				}
+			addrs, err := statusAddrs(addr, load)
+			if err != nil {
+				return err
 			}
-			if best == nil {
-				return fmt.Errorf("no node answers: %w", failed)
+			best, err := bestStatus(cmd.Context(), cmd.ErrOrStderr(), addrs)
+			if err != nil {
+				return err
 			}
-			if raw {
-				_, err := cmd.OutOrStdout().Write(best)
+			if asJSON {
+				_, err := cmd.OutOrStdout().Write(best.body)
 				return err
 			}
-			return show(cmd.OutOrStdout(), view)
+			return showStatus(cmd.OutOrStdout(), best.status)
 		},
 	}
-	cmd.Flags().BoolVar(&raw, "json", false, "print JSON")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	cmd.Flags().StringVar(&addr, "addr", "", "a node's cluster address; default: this node's and its peers'")
 	return cmd
 }
 
+// statusAddrs returns the cluster addresses to ask: the one given, or all of the settings'.
+func statusAddrs(given string, load func() (*settings.Settings, error)) ([]string, error) {
+	if given != "" {
+		return []string{given}, nil
+	}
+	set, err := load()
+	if err != nil {
+		return nil, err
+	}
+	addrs := []string{set.ClusterListen}
+	for _, peer := range set.Peers {
+		addrs = append(addrs, peer.Addr)
+	}
+	return addrs, nil
+}
+
+// nodeStatus is a controller's answer, as it came and decoded.
+type nodeStatus struct {
+	body   []byte
+	status controller.Status
+}
+
+// bestStatus asks controllers until the leader answers, which knows most; another one only
+// knows who leads. Those that don't answer are named on warnings.
+func bestStatus(ctx context.Context, warnings io.Writer, addrs []string) (best nodeStatus, err error) {
+	var failed error
+	for _, addr := range addrs {
+		answer, err := fetchStatus(ctx, addr)
+		if err != nil {
+			failed = err
+			fmt.Fprintf(warnings, "ospreyslip: %s: %v\n", addr, err)
+			continue
+		}
+		if answer.status.View != nil {
+			return answer, nil
+		}
+		if best.body == nil {
+			best = answer
+		}
+	}
+	if best.body == nil {
+		return nodeStatus{}, fmt.Errorf("no node answers: %w", failed)
+	}
+	return best, nil
+}
+
+// fetchStatus asks one controller.
+func fetchStatus(ctx context.Context, addr string) (nodeStatus, error) {
+	body, err := fetch(ctx, "http://"+addr+"/status")
+	if err != nil {
+		return nodeStatus{}, err
+	}
+	answer := nodeStatus{body: body}
+	if err := json.Unmarshal(body, &answer.status); err != nil {
+		return nodeStatus{}, err
+	}
+	return answer, nil
+}
+
 func fetch(ctx context.Context, url string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -89,31 +124,39 @@
 	return io.ReadAll(resp.Body)
 }
 
-func show(out io.Writer, s controller.Status) error {
+// showStatus prints a controller's status, with the leader's view where it is the leader's.
+func showStatus(out io.Writer, status controller.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "node\t%s (%s)\nleader\t%s\n", s.Node, s.Zone, orNone(s.Leader))
-	if v := s.View; v != nil {
-		fmt.Fprintf(w, "term\t%d, token %d\n", v.Term, v.Token)
-		fmt.Fprintf(w, "verdicts\theld %v, every zone dead %v\n", v.Held, v.Disrupted)
-		t := v.Takeover
-		fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n", t.Phase, t.Expected, t.Heard, t.Late, t.Never)
-		fmt.Fprintf(w, "picture\t%.1f s old, %d records to write\n", v.PictureS, v.WriteQueue)
-		fmt.Fprintf(w, "\nCLASS\tJOBS\tWAITING\tPLACED\tDONE\n")
-		for _, c := range v.Classes {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", c.Class, c.Jobs, c.Waiting, c.Placed, c.Done)
-		}
-		fmt.Fprintf(w, "\nTEAM\tCPUS\tGPUS\n")
-		for _, t := range v.Teams {
-			fmt.Fprintf(w, "%s\t%g\t%g\n", t.Team, t.CPUs, t.GPUs)
-		}
-		fmt.Fprintf(w, "\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tSESSION\tTASKS\tCPUS\tIN DOUBT\n")
-		for _, m := range v.Machines {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\t%g\t%v\n", m.ID, m.Type, m.Zone, m.Spot, m.State, m.Session, m.Tasks, m.CPUs, m.Doubt)
-		}
+	fmt.Fprintf(w, "node\t%s (%s)\nleader\t%s\n", status.Node, status.Zone, orNone(status.Leader))
+	if status.View != nil {
+		showView(w, status.View)
 	}
 	return w.Flush()
 }
 
+// showView prints what the leader sees: itself, then jobs by class, teams and machines.
+func showView(w io.Writer, view *leader.Status) {
+	fmt.Fprintf(w, "term\t%d, token %d\n", view.Term, view.Token)
+	fmt.Fprintf(w, "verdicts\theld %v, every zone dead %v\n", view.Held, view.Disrupted)
+	takeover := view.Takeover
+	fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n",
+		takeover.Phase, takeover.Expected, takeover.Heard, takeover.Late, takeover.Never)
+	fmt.Fprintf(w, "picture\t%.1f s old, %d records to write\n", view.PictureS, view.WriteQueue)
+	fmt.Fprintf(w, "\nCLASS\tJOBS\tWAITING\tPLACED\tDONE\n")
+	for _, class := range view.Classes {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", class.Class, class.Jobs, class.Waiting, class.Placed, class.Done)
+	}
+	fmt.Fprintf(w, "\nTEAM\tCPUS\tGPUS\n")
+	for _, team := range view.Teams {
+		fmt.Fprintf(w, "%s\t%g\t%g\n", team.Team, team.CPUs, team.GPUs)
+	}
+	fmt.Fprintf(w, "\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tSESSION\tTASKS\tCPUS\tIN DOUBT\n")
+	for _, machine := range view.Machines {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\t%g\t%v\n",
+			machine.ID, machine.Type, machine.Zone, machine.Spot, machine.State, machine.Session, machine.Tasks, machine.CPUs, machine.Doubt)
+	}
+}
+
 func orNone(s string) string {
 	if s == "" {
 		return "none known"
