--- /dev/null
+++ b/internal/emulator/cloud.go
@@ -0,0 +1,151 @@
+package emulator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/workers"
+)
+
+// SetCapacity limits how many machines can be rented at a time.
+func (w *World) SetCapacity(n int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cloud.capacity = n
+}
+
+// SetCloudOutage starts or ends an outage of the cloud's interface.
+func (w *World) SetCloudOutage(on bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cloud.outage = on
+}
+
+// ServeHTTP is the cloud's interface.
+func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	w.mu.Lock()
+	outage := w.cloud.outage
+	w.mu.Unlock()
+	if outage {
+		writeJSON(rw, http.StatusServiceUnavailable, errorResponse{"trouble"})
+		return
+	}
+	switch {
+	case r.URL.Path == "/catalog":
+		writeJSON(rw, http.StatusOK, catalogResponse{w.Types})
+	case r.URL.Path == "/rentals" && r.Method == http.MethodPost:
+		w.serveRental(rw, r)
+	case r.URL.Path == "/rentals/release":
+		w.serveRelease(rw, r)
+	default:
+		w.serveMachineList(rw)
+	}
+}
+
+func (w *World) serveRental(rw http.ResponseWriter, r *http.Request) {
+	var request rentalRequest
+	_ = json.NewDecoder(r.Body).Decode(&request)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if names, ok := w.cloud.rentals[request.Name]; ok {
+		writeJSON(rw, http.StatusOK, machineNames{names})
+		return
+	}
+	count := min(request.Count, w.cloud.capacity-len(w.cloud.machines))
+	if count <= 0 {
+		writeJSON(rw, http.StatusServiceUnavailable, errorResponse{"no capacity"})
+		return
+	}
+	var names []string
+	for range count {
+		for _, machineType := range w.Types {
+			if machineType.Name == request.Type {
+				names = append(names, w.addMachine(machineType, request.Zone, request.Spot))
+			}
+		}
+	}
+	w.cloud.rentals[request.Name] = names
+	writeJSON(rw, http.StatusOK, machineNames{names})
+}
+
+func (w *World) serveRelease(rw http.ResponseWriter, r *http.Request) {
+	var request machineNames
+	_ = json.NewDecoder(r.Body).Decode(&request)
+	for _, id := range request.Machines {
+		w.mu.Lock()
+		released := w.cloud.machines[id]
+		w.mu.Unlock()
+		if released == nil {
+			continue
+		}
+		released.worker.powerOff() // takes the world's lock
+		w.mu.Lock()
+		released.up = false
+		delete(w.cloud.machines, id)
+		w.mu.Unlock()
+	}
+	writeJSON(rw, http.StatusOK, nil)
+}
+
+func (w *World) serveMachineList(rw http.ResponseWriter) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	entries := []machineEntry{}
+	for _, id := range slices.Sorted(maps.Keys(w.cloud.machines)) {
+		listed := w.cloud.machines[id]
+		if time.Since(listed.rentedAt) < w.ListLag {
+			continue
+		}
+		state := "booting"
+		if listed.up {
+			state = "running"
+		}
+		entries = append(entries, machineEntry{
+			ID: id, Addr: listed.worker.status.Addr, Type: listed.machineType.Name, Zone: listed.zone, Spot: listed.spot,
+			State: state, AgeS: time.Since(listed.rentedAt).Seconds(),
+		})
+	}
+	writeJSON(rw, http.StatusOK, machinePage{Machines: entries})
+}
+
+// addMachine rents out one machine, which boots, and returns its name. The lock is held.
+func (w *World) addMachine(machineType jobs.MachineType, zone string, spot bool) string {
+	id := fmt.Sprintf("m-%06d", w.cloud.nextMachine)
+	addr := defaultAddr(w.cloud.nextMachine)
+	if w.AddrOf != nil {
+		addr = w.AddrOf(w.cloud.nextMachine)
+	}
+	w.cloud.nextMachine++
+	ctx, cancel := context.WithCancel(w.ctx)
+	worker := &Worker{
+		world: w, config: w.Workers, machineType: machineType, cancel: cancel, images: map[string]bool{}, changed: make(chan struct{}, 1),
+		status: workers.Heartbeat{Machine: id, Addr: addr, Type: machineType.Name, Zone: zone, Spot: spot, AgentEpoch: 1},
+	}
+	added := &machine{worker: worker, machineType: machineType, zone: zone, spot: spot, rentedAt: time.Now()}
+	w.cloud.machines[id] = added
+	w.running.Go(func() {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(w.BootTime):
+		}
+		w.mu.Lock()
+		added.up = true
+		w.mu.Unlock()
+		worker.mu.Lock()
+		worker.answeredAt = time.Now()
+		worker.mu.Unlock()
+		w.Network.Attach(id, addr, worker)
+		worker.run(ctx)
+	})
+	return id
+}
+
+// defaultAddr is the address of the n-th machine in the emulated network.
+func defaultAddr(n int) string { return fmt.Sprintf("10.1.%d.%d:9000", n/200, n%200+1) }
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -8,38 +8,40 @@
 
 // gang is one attempt of a gang, wherever its tasks are.
 type gang struct {
-	size    int
-	joined  map[string]*Worker // tasks that have their image
-	started time.Time          // when all had it
-	broken  time.Time          // when one was lost after that
-	stopped time.Time          // when the first was told to stop, with time to save
-	told    map[string]bool
-	done    bool
-	saved   bool
-}
-
-func (w *World) gang(t workers.TaskStatus) *gang {
-	id, _, _ := workers.SplitTask(t.Name)
-	key := gangKey{id, t.Attempt}
-	g := w.gangs[key]
-	if g == nil {
-		g = &gang{size: w.specs[id].Tasks, joined: map[string]*Worker{}, told: map[string]bool{}}
-		w.gangs[key] = g
-	}
-	return g
+	size            int
+	joined          map[string]*Worker // tasks that have their image
+	startedAt       time.Time          // when all had it
+	brokenAt        time.Time          // when one was lost after that
+	stopRequestedAt time.Time          // when the first was told to stop, with time to save
+	toldToStop      map[string]bool
+	done            bool
+	saved           bool
 }
 
+// gangKey names one attempt of a job's gang.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
+// gangOf returns the attempt that a task is of. The lock is held.
+func (w *World) gangOf(member workers.TaskStatus) *gang {
+	id, _, _ := workers.SplitTask(member.Name)
+	key := gangKey{id, member.Attempt}
+	attempt := w.tasks.gangs[key]
+	if attempt == nil {
+		attempt = &gang{size: w.tasks.specs[id].Tasks, joined: map[string]*Worker{}, toldToStop: map[string]bool{}}
+		w.tasks.gangs[key] = attempt
+	}
+	return attempt
+}
+
 // GangStarts returns how many attempts of a job's gang have started.
 func (w *World) GangStarts(id string) (started int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for k, g := range w.gangs {
-		if k.job == id && !g.started.IsZero() {
+	for key, attempt := range w.tasks.gangs {
+		if key.job == id && !attempt.startedAt.IsZero() {
 			started++
 		}
 	}
@@ -47,74 +49,83 @@
 }
 
 // gangStep brings a task of a gang up to now. It returns its state and, if it has
-// ended, why.
-func (w *World) gangStep(wk *Worker, t *running) (state, cause string, saved bool) {
+// ended, why, and whether its progress was saved.
+func (w *World) gangStep(worker *Worker, member *task) (state, cause string, saved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	id, _, _ := workers.SplitTask(t.TaskStatus.Name)
-	job, g, now := w.specs[id], w.gang(t.TaskStatus), time.Now()
-	if t.State == workers.StateGathering {
-		if g.joined[t.TaskStatus.Name] == nil {
-			g.joined[t.TaskStatus.Name] = wk
-			if len(g.joined) == g.size && g.started.IsZero() {
-				g.started = now
-			}
-		}
-		switch {
-		case !g.started.IsZero():
-			return workers.StateRunning, "", false
-		case now.Sub(t.since) > w.Workers.GangWait:
-			delete(g.joined, t.TaskStatus.Name)
-			return workers.StateEnded, workers.CauseIncomplete, false
-		}
-		return t.State, "", false
+	attempt, now := w.gangOf(member.TaskStatus), time.Now()
+	if member.State == workers.StateGathering {
+		state, cause = w.gather(attempt, worker, member, now)
+		return state, cause, false
 	}
-	run := time.Duration(job.EstimateS * float64(time.Second))
-	over := g.started.Add(run - w.progress[id])
+	id, _, _ := workers.SplitTask(member.Name)
+	job := w.tasks.specs[id]
+	runTime := time.Duration(job.EstimateS*float64(time.Second)) - w.tasks.gangProgress[id]
+	stopRequested := !attempt.stopRequestedAt.IsZero()
+	sinceStop := now.Sub(attempt.stopRequestedAt)
+	allTold := len(attempt.toldToStop) == attempt.size
 	switch {
-	case g.done || g.broken.IsZero() && g.stopped.IsZero() && !now.Before(over):
-		g.done = true
+	case attempt.done || attempt.brokenAt.IsZero() && !stopRequested && !now.Before(attempt.startedAt.Add(runTime)):
+		attempt.done = true
 		for n := range job.Tasks {
-			w.done[workers.TaskName(id, n)] = true
+			w.tasks.done[workers.TaskName(id, n)] = true
 		}
 		return workers.StateEnded, workers.CauseDone, false
-	case g.saved:
+	case attempt.saved:
 		return workers.StateEnded, workers.CauseStopped, true
-	case !g.broken.IsZero():
+	case !attempt.brokenAt.IsZero():
 		return workers.StateEnded, workers.CauseMatesGone, false
-	case !g.stopped.IsZero() && len(g.told) == g.size && now.Sub(g.stopped).Seconds() >= job.SaveS:
-		g.saved = true
-		w.progress[id] += g.stopped.Sub(g.started)
+	case stopRequested && allTold && sinceStop.Seconds() >= job.SaveS:
+		attempt.saved = true
+		w.tasks.gangProgress[id] += attempt.stopRequestedAt.Sub(attempt.startedAt)
 		return workers.StateEnded, workers.CauseStopped, true
-	case !g.stopped.IsZero() && len(g.told) < g.size && now.Sub(g.stopped) > w.Workers.GangStopWindow:
-		g.broken = now
+	case stopRequested && !allTold && sinceStop > w.Workers.GangStopWindow:
+		attempt.brokenAt = now
 		return workers.StateEnded, workers.CauseMatesGone, false
 	}
-	return t.State, "", false
+	return member.State, "", false
+}
+
+// gather lets a task that has its image wait for the others of its gang. The lock is held.
+func (w *World) gather(attempt *gang, worker *Worker, member *task, now time.Time) (state, cause string) {
+	if attempt.joined[member.Name] == nil {
+		attempt.joined[member.Name] = worker
+		if len(attempt.joined) == attempt.size && attempt.startedAt.IsZero() {
+			attempt.startedAt = now
+		}
+	}
+	switch {
+	case !attempt.startedAt.IsZero():
+		return workers.StateRunning, ""
+	case now.Sub(member.stateSince) > w.Workers.GangWait:
+		delete(attempt.joined, member.Name)
+		return workers.StateEnded, workers.CauseIncomplete
+	}
+	return member.State, ""
 }
 
 // gangStop tells a task of a running gang to stop. It returns false if it exits at
 // once.
-func (w *World) gangStop(t *running, grace float64) bool {
+func (w *World) gangStop(member *task, grace float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	id, _, _ := workers.SplitTask(t.TaskStatus.Name)
-	if job := w.specs[id]; t.State != workers.StateRunning || job.CheckpntS == 0 || grace < job.SaveS {
+	id, _, _ := workers.SplitTask(member.Name)
+	if job := w.tasks.specs[id]; member.State != workers.StateRunning || job.CheckpntS == 0 || grace < job.SaveS {
 		return false
 	}
-	g := w.gang(t.TaskStatus)
-	if g.stopped.IsZero() {
-		g.stopped = time.Now()
+	attempt := w.gangOf(member.TaskStatus)
+	if attempt.stopRequestedAt.IsZero() {
+		attempt.stopRequestedAt = time.Now()
 	}
-	g.told[t.TaskStatus.Name] = true
+	attempt.toldToStop[member.Name] = true
 	return true
 }
 
-// gangLeft takes in that a task of a gang is gone.
-func (w *World) gangLeft(t workers.TaskStatus) {
-	g := w.gang(t)
-	delete(g.joined, t.Name)
-	if !g.started.IsZero() && !g.done && !g.saved && g.broken.IsZero() {
-		g.broken = time.Now()
+// gangLeft takes in that a task of a gang is gone. The lock is held.
+func (w *World) gangLeft(left workers.TaskStatus) {
+	attempt := w.gangOf(left)
+	delete(attempt.joined, left.Name)
+	if !attempt.startedAt.IsZero() && !attempt.done && !attempt.saved && attempt.brokenAt.IsZero() {
+		attempt.brokenAt = time.Now()
 	}
 }
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/loopback.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// sockets puts hosts on this machine's loopback, for controllers that are processes of
+// loopbackHosts puts hosts on this machine's loopback, for controllers that are processes of
 // their own. Faults have no effect on them.
-type sockets struct {
+type loopbackHosts struct {
 	transport *http.Transport
 	servers   map[string]*http.Server // by address
 }
 
 // NewLoopbackNetwork makes a network whose hosts listen on loopback addresses.
 func NewLoopbackNetwork() *Network {
-	n := NewNetwork()
-	n.sockets = &sockets{transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}, servers: map[string]*http.Server{}}
-	return n
+	network := NewNetwork()
+	network.loopback = &loopbackHosts{transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}, servers: map[string]*http.Server{}}
+	return network
 }
 
 // attach listens on an address, or ends what listens there.
-func (s *sockets) attach(addr string, h http.Handler) {
+func (s *loopbackHosts) attach(addr string, h http.Handler) {
 	if old := s.servers[addr]; old != nil {
 		old.Close()
 		delete(s.servers, addr)
--- /dev/null
+++ b/internal/emulator/store_http.go
@@ -0,0 +1,108 @@
+package emulator
+
+import (
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// The methods of this file that serve a request run with the lock held, but for ServeHTTP.
+
+// ServeHTTP implements the service's protocol.
+func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	s.requests[r.URL.Path]++
+	s.mu.Unlock()
+	if r.URL.Path == "/watch" {
+		s.serveWatch(w, r)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.outage || s.refusedHosts[r.RemoteAddr] {
+		writeJSON(w, http.StatusServiceUnavailable, nil)
+		return
+	}
+	if s.overloaded {
+		writeJSON(w, http.StatusTooManyRequests, nil)
+		return
+	}
+	switch path := r.URL.Path; {
+	case path == "/keys":
+		s.serveList(w, r)
+	case strings.HasPrefix(path, "/keys/"):
+		s.serveKey(w, strings.TrimPrefix(path, "/keys/"))
+	case path == "/commit":
+		s.serveCommit(w, r)
+	case path == "/grants":
+		s.serveGrant(w, r)
+	case strings.HasPrefix(path, "/grants/"):
+		s.serveLease(w, r, strings.TrimPrefix(path, "/grants/"))
+	default:
+		writeJSON(w, http.StatusBadRequest, nil)
+	}
+}
+
+func (s *KVStore) serveKey(w http.ResponseWriter, key string) {
+	e, ok := s.keys[key]
+	if !ok {
+		writeJSON(w, http.StatusNotFound, revisionResponse{s.revision})
+		return
+	}
+	writeJSON(w, http.StatusOK, pairResponse{Key: key, Value: e.value, Revision: e.revision})
+}
+
+func (s *KVStore) serveList(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	limit, _ := strconv.Atoi(query.Get("most"))
+	keys := s.keysWithPrefix(query.Get("prefix"))
+	from, found := slices.BinarySearch(keys, query.Get("after"))
+	if found {
+		from++
+	}
+	page := pairPage{Pairs: []pairResponse{}, Revision: s.revision}
+	for _, key := range keys[from:] {
+		if len(page.Pairs) == limit {
+			page.HasNext = true
+			break
+		}
+		page.Pairs = append(page.Pairs, pairResponse{Key: key, Value: s.keys[key].value, Revision: s.keys[key].revision})
+	}
+	writeJSON(w, http.StatusOK, page)
+}
+
+func (s *KVStore) serveGrant(w http.ResponseWriter, r *http.Request) {
+	var request leaseRequest
+	_ = json.NewDecoder(r.Body).Decode(&request)
+	s.lastLease++
+	id, life := s.lastLease, time.Duration(request.LifeMs)*time.Millisecond
+	s.leases[id] = &lease{life, time.AfterFunc(life, func() { s.expireLease(id) })}
+	writeJSON(w, http.StatusOK, leaseResponse{id})
+}
+
+// serveLease renews or ends the lease that rest of a path names.
+func (s *KVStore) serveLease(w http.ResponseWriter, r *http.Request, rest string) {
+	number, renews := strings.CutSuffix(rest, "/renew")
+	id, _ := strconv.ParseUint(number, 10, 64)
+	held := s.leases[id]
+	switch {
+	case held == nil:
+		writeJSON(w, http.StatusNotFound, nil)
+		return
+	case renews:
+		held.timer.Reset(held.life)
+	case r.Method == http.MethodDelete:
+		s.endLease(id)
+	}
+	writeJSON(w, http.StatusOK, nil)
+}
+
+// writeJSON answers with a message; its goroutine is a handler's.
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	raw, _ := json.Marshal(body)
+	w.WriteHeader(status)
+	_, _ = w.Write(raw)
+}
--- /dev/null
+++ b/internal/emulator/streams.go
@@ -0,0 +1,89 @@
+package emulator
+
+import (
+	"context"
+	"net"
+	"sync"
+	"syscall"
+)
+
+// Stream is the path under which fault rules see messages between nodes.
+const Stream = "stream"
+
+// listener takes the stream connections of a host.
+type listener struct {
+	network *Network
+	addr    string
+	conns   chan net.Conn
+	done    chan struct{}
+	once    sync.Once
+}
+
+// Listen opens an address for streams.
+func (n *Network) Listen(host, addr string) net.Listener {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	opened := &listener{network: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+	n.names[addr] = host
+	n.streams[addr] = opened
+	return opened
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.done:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		close(l.done)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.streams[l.addr] == l {
+			delete(l.network.streams, l.addr)
+		}
+	})
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// Dial opens a stream from a host. Each write is one message to the fault rule:
+// what is not delivered is dropped, as a cut would hold it for ever.
+func (n *Network) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
+	n.mu.Lock()
+	target, to := n.streams[addr], n.names[addr]
+	n.mu.Unlock()
+	if target == nil || n.faultOf(from, to, Stream) != Deliver {
+		return nil, dialError(syscall.ECONNREFUSED)
+	}
+	here, there := net.Pipe()
+	select {
+	case target.conns <- &stream{Conn: there, network: n, from: to, to: from}:
+		return &stream{Conn: here, network: n, from: from, to: to}, nil
+	case <-target.done:
+	case <-ctx.Done():
+	}
+	return nil, dialError(syscall.ECONNREFUSED)
+}
+
+// stream is one end of a connection. Each write is one message to the fault rules.
+type stream struct {
+	net.Conn
+	network  *Network
+	from, to string
+}
+
+func (s *stream) Write(p []byte) (int, error) {
+	if s.network.faultOf(s.from, s.to, Stream) != Deliver {
+		return len(p), nil
+	}
+	return s.Conn.Write(p)
+}
+
+// dialError is what a transport returns if a connection is not made.
+func dialError(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: err} }
--- /dev/null
+++ b/internal/emulator/tasks.go
@@ -0,0 +1,186 @@
+package emulator
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/workers"
+)
+
+// Why a task leaves its machine without the worker's doing; the other causes are the
+// workers' own.
+const (
+	EndOfLease   = "lease"
+	EndOfMachine = "machine gone"
+)
+
+// TaskStarts returns how many tasks have started.
+func (w *World) TaskStarts() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.tasks.starts
+}
+
+// TaskEnds returns how many tasks have left their machines, by cause.
+func (w *World) TaskEnds() map[string]int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return maps.Clone(w.tasks.ends)
+}
+
+// MachinesOf returns the machines that a task is on, in order.
+func (w *World) MachinesOf(task string) []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Sorted(maps.Keys(w.tasks.machinesOf[task]))
+}
+
+// RunningTasks returns all tasks that are on machines, in order.
+func (w *World) RunningTasks() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	running := []string{}
+	for task, on := range w.tasks.machinesOf {
+		if len(on) > 0 {
+			running = append(running, task)
+		}
+	}
+	slices.Sort(running)
+	return running
+}
+
+// Summary says on one line what is where, for failing tests.
+func (w *World) Summary() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var parts []string
+	for task, on := range w.tasks.machinesOf {
+		if len(on) > 0 {
+			parts = append(parts, fmt.Sprintf("%s on %v", task, on))
+		}
+	}
+	slices.Sort(parts)
+	return strings.Join(parts, "; ")
+}
+
+// AllTasksDone tells whether every task of a job has completed on some machine.
+func (w *World) AllTasksDone(id string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.allTasksDone(id)
+}
+
+func (w *World) allTasksDone(id string) bool {
+	spec := w.tasks.specs[id]
+	if spec == nil {
+		return false
+	}
+	for n := range spec.Tasks {
+		if !w.tasks.done[workers.TaskName(id, n)] {
+			return false
+		}
+	}
+	return true
+}
+
+func (w *World) isTaskDone(id string, n int) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.tasks.done[workers.TaskName(id, n)]
+}
+
+// taskStarted judges the start of a task by the rules.
+func (w *World) taskStarted(worker *Worker, started workers.TaskStatus) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.tasks.starts++
+	machine := worker.status.Machine
+	id, _, _ := workers.SplitTask(started.Name)
+	on := w.tasks.machinesOf[started.Name]
+	if len(on) > 0 {
+		w.violate("ran_twice: %s on %s, while on %v", started.Name, machine, on)
+	}
+	if on == nil {
+		on = map[string]bool{}
+		w.tasks.machinesOf[started.Name] = on
+	}
+	on[machine] = true
+	w.tracef("%s attempt %d starts on %s in %s", started.Name, started.Attempt, machine, worker.status.Zone)
+	if at, ok := w.tasks.cancelled[id]; ok && time.Since(at) > w.CancelDeadline {
+		w.violate("ran_cancelled: %s starts", started.Name)
+	}
+	w.judgePlace(worker, started.Name, id)
+}
+
+// judgePlace judges a started task by its team's limit and by where its job may run.
+// The lock is held.
+func (w *World) judgePlace(worker *Worker, task, id string) {
+	job := w.tasks.specs[id]
+	tasksByZone, cpusOfTeam := map[string]int{}, 0.0
+	for other, on := range w.tasks.machinesOf {
+		otherJob, _, _ := workers.SplitTask(other)
+		for machine := range on {
+			if otherJob == id {
+				tasksByZone[w.cloud.machines[machine].zone]++
+			}
+			if w.tasks.specs[otherJob].Team == job.Team {
+				cpusOfTeam += w.tasks.specs[otherJob].CPUs
+			}
+		}
+	}
+	for _, team := range w.Teams {
+		if team.Name == job.Team && team.MaxCPUs > 0 && cpusOfTeam > team.MaxCPUs+1e-6 {
+			w.violate("quota: %s uses %v for %s", team.Name, cpusOfTeam, task)
+		}
+	}
+	where := &worker.status
+	if !job.Allows(where.Type, where.Zone, where.Spot) || job.OneZone && len(tasksByZone) > 1 || tasksByZone[where.Zone] > job.ZoneLimit() {
+		w.violate("wrong_place: %s on %s", task, where.Machine)
+	}
+}
+
+// taskLeft takes in that a task is on a machine no more, and why.
+func (w *World) taskLeft(worker *Worker, left workers.TaskStatus, cause string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.tasks.machinesOf[left.Name], worker.status.Machine)
+	w.tasks.ends[cause]++
+	w.tracef("%s attempt %d is off %s: %s", left.Name, left.Attempt, worker.status.Machine, cause)
+	id, _, _ := workers.SplitTask(left.Name)
+	if spec := w.tasks.specs[id]; spec != nil && spec.Shape == jobs.Gang && cause != workers.CauseDone {
+		w.gangLeft(left)
+	}
+	if cause == workers.CauseDone && !w.tasks.done[left.Name] {
+		w.tasks.done[left.Name] = true
+		if w.JobEnded != nil && w.allTasksDone(id) {
+			go w.JobEnded(id)
+		}
+	}
+}
+
+// noteCancelled notes that a user was told that a job is cancelled. When its time is
+// over, no task of it may be anywhere.
+func (w *World) noteCancelled(id string) {
+	if _, ok := w.tasks.cancelled[id]; ok {
+		return
+	}
+	w.tasks.cancelled[id] = time.Now()
+	w.running.Go(func() {
+		select {
+		case <-w.ctx.Done():
+			return
+		case <-time.After(w.CancelDeadline + time.Millisecond):
+		}
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		for task, on := range w.tasks.machinesOf {
+			if job, _, _ := workers.SplitTask(task); job == id && len(on) > 0 {
+				w.violate("ran_cancelled: %s on %v", task, on)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/emulator/transport.go
@@ -0,0 +1,112 @@
+package emulator
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"syscall"
+	"time"
+)
+
+// hostTransport is the network as one host sees it.
+type hostTransport struct {
+	network *Network
+	host    string
+}
+
+// RoundTrip implements http.RoundTripper.
+func (t *hostTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	body, err := readBody(req)
+	if err != nil {
+		return nil, err
+	}
+	addr, path := req.URL.Host, req.URL.Path
+	handler, to := t.network.handlerAt(addr)
+	fault := t.network.faultOf(t.host, to, path)
+	lateness := t.network.latenessOf(t.host, to, path)
+	ctx := req.Context()
+	switch {
+	case fault == DropRequest:
+		<-ctx.Done()
+		return nil, ctx.Err()
+	case handler == nil || fault == RefuseConnection:
+		return nil, dialError(syscall.ECONNREFUSED)
+	}
+	if fault == DeliverTwice {
+		t.deliverAgain(addr, t.received(req, body), lateness)
+	}
+	delay := time.Duration(0)
+	if fault == DeliverLate || fault == DeliverSlowly {
+		delay = lateness
+	}
+	answer := t.deliver(handler, t.received(req, body), delay)
+	if fault == DropResponse || fault == DeliverLate {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}
+	select {
+	case resp := <-answer:
+		if resp.StatusCode == 0 {
+			return nil, errNoAnswer
+		}
+		return resp, nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+var errNoAnswer = errors.New("no answer")
+
+func readBody(req *http.Request) ([]byte, error) {
+	if req.Body == nil {
+		return nil, nil
+	}
+	body, err := io.ReadAll(req.Body)
+	if err != nil {
+		return nil, err
+	}
+	req.Body.Close()
+	return body, nil
+}
+
+// received returns a request as the other side gets it, which goes on with it when the
+// sender gives up.
+func (t *hostTransport) received(req *http.Request, body []byte) *http.Request {
+	in := req.Clone(context.WithoutCancel(req.Context()))
+	in.RequestURI = req.URL.RequestURI()
+	in.Body = io.NopCloser(bytes.NewReader(body))
+	in.RemoteAddr = t.host
+	return in
+}
+
+// deliver has a request executed after a delay, and returns where the answer comes.
+func (t *hostTransport) deliver(handler http.Handler, req *http.Request, delay time.Duration) <-chan *http.Response {
+	answer := make(chan *http.Response, 1)
+	t.network.deliveries.Go(func() {
+		if delay > 0 {
+			time.Sleep(delay)
+		}
+		time.Sleep(transit)
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, req)
+		time.Sleep(transit)
+		answer <- recorder.Result()
+	})
+	return answer
+}
+
+// transit is how long a message is on its way in each direction.
+const transit = time.Millisecond
+
+// deliverAgain has a copy of a request executed later, by whoever is at the address by then.
+func (t *hostTransport) deliverAgain(addr string, again *http.Request, lateness time.Duration) {
+	t.network.deliveries.Go(func() {
+		time.Sleep(lateness)
+		if handler, _ := t.network.handlerAt(addr); handler != nil {
+			handler.ServeHTTP(httptest.NewRecorder(), again)
+		}
+	})
+}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"sync"
@@ -14,300 +13,206 @@
 	"ospreyslip/internal/workers"
 )
 
+// Of the workers' protocol.
+const (
+	responseTimeout = 4 * time.Second // for one heartbeat
+	retryPause      = time.Second     // before the next node is tried
+)
+
 // WorkerConfig is what all workers have in common.
 type WorkerConfig struct {
-	HeartbeatInterval, Lease, FetchTime time.Duration
-	GangWait, GangStopWindow            time.Duration
-	Nodes                               []string          // names, in the order in which they are tried
-	Addrs                               map[string]string // where they listen
-}
+	HeartbeatInterval time.Duration
+	Lease             time.Duration // of the tasks, from the sending of the last answered heartbeat
+	FetchTime         time.Duration // of an image
+	GangWait          time.Duration // a gang that is not complete by then ends
+	GangStopWindow    time.Duration // within it all tasks of a gang must be told to stop
 
-type running struct {
-	workers.TaskStatus
-	since time.Time
-	saves time.Time
+	Nodes []string          // the controllers' names, in the order in which they are tried
+	Addrs map[string]string // where they listen, by name
 }
 
-// Worker plays one machine.
+// Worker plays one machine. Its methods may be called by several goroutines. A worker calls
+// its world with its own lock held, never the other way round.
 type Worker struct {
-	world *World
-	pace  WorkerConfig
-	rep   workers.Heartbeat // but for its tasks
-	kind  jobs.MachineType
+	world       *World
+	config      WorkerConfig
+	machineType jobs.MachineType
+	cancel      context.CancelFunc // ends run
+	changed     chan struct{}      // of one: something is worth a heartbeat before its time
 
-	mu       sync.Mutex
-	tasks    []*running
-	images   map[string]bool
-	answered time.Time // when the last report that got an answer was sent
-	hung     bool
-	slowness float64 // tasks take so many times as long
-	dead     bool
-	cancel   context.CancelFunc
-	nudge    chan struct{}
+	mu         sync.Mutex
+	status     workers.Heartbeat // without tasks
+	tasks      []*task
+	images     map[string]bool // that were fetched
+	answeredAt time.Time       // when the last heartbeat that got an answer was sent
+	hung       bool
+	dead       bool
+	slowness   float64 // tasks take so many times as long
 }
 
-// keepLease ends the tasks with the lease, also while a report waits in vain for
-// its answer.
-func (w *Worker) keepLease(ctx context.Context) {
+// run sends heartbeats until the context ends.
+func (w *Worker) run(ctx context.Context) {
+	w.world.running.Go(func() { w.keepLease(ctx) })
+	client := &http.Client{Transport: w.world.Network.Transport(w.status.Machine), Timeout: responseTimeout}
+	node := 0
 	for ctx.Err() == nil {
-		w.mu.Lock()
-		if !w.dead && !w.hung {
-			w.expire()
+		next := w.sendHeartbeat(client, node)
+		pause := w.config.HeartbeatInterval
+		if next != node {
+			node, pause = next, retryPause
 		}
-		left := time.Until(w.answered.Add(w.pace.Lease)) + time.Millisecond
-		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(left, time.Millisecond)):
+		case <-time.After(pause):
+		case <-w.changed:
+			time.Sleep(w.config.HeartbeatInterval / 3)
 		}
 	}
 }
 
-func (w *Worker) run(ctx context.Context) {
-	w.world.alive.Go(func() { w.keepLease(ctx) })
-	client := &http.Client{Transport: w.world.Network.Transport(w.rep.Machine), Timeout: 4 * time.Second}
-	at := 0
+// keepLease ends the tasks with the lease, also while a heartbeat waits in vain
+// for its answer.
+func (w *Worker) keepLease(ctx context.Context) {
 	for ctx.Err() == nil {
-		next := w.reportOnce(client, at)
-		pause := w.pace.HeartbeatInterval
-		if next != at {
-			at, pause = next, time.Second
+		w.mu.Lock()
+		if !w.dead && !w.hung {
+			w.expireLease()
 		}
+		left := time.Until(w.answeredAt.Add(w.config.Lease)) + time.Millisecond
+		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
-		case <-w.nudge:
-			time.Sleep(w.pace.HeartbeatInterval / 3)
+		case <-time.After(max(left, time.Millisecond)):
 		}
 	}
 }
 
-// reportOnce returns the node to report to next.
-func (w *Worker) reportOnce(client *http.Client, at int) int {
+// sendHeartbeat sends a heartbeat to a node and executes the commands in its answer. It
+// returns the node to send the next one to; both are indices of the configured nodes.
+func (w *Worker) sendHeartbeat(client *http.Client, node int) int {
 	w.mu.Lock()
 	if w.hung || w.dead {
 		w.mu.Unlock()
-		return at
+		return node
 	}
-	w.step()
-	rep := w.report()
+	w.advance()
+	heartbeat := w.nextHeartbeat()
 	w.mu.Unlock()
-	sent, other := time.Now(), (at+1)%len(w.pace.Nodes)
-	raw, _ := json.Marshal(rep)
-	resp, err := client.Post("http://"+w.pace.Addrs[w.pace.Nodes[at]]+"/v1/report", "application/json", bytes.NewReader(raw))
+	sent, otherNode := time.Now(), (node+1)%len(w.config.Nodes)
+	raw, _ := json.Marshal(heartbeat)
+	url := "http://" + w.config.Addrs[w.config.Nodes[node]] + "/v1/report"
+	resp, err := client.Post(url, "application/json", bytes.NewReader(raw))
 	if err != nil {
-		return other
+		return otherNode
 	}
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
 	switch resp.StatusCode {
 	case http.StatusOK:
+		var response workers.HeartbeatResponse
+		if json.Unmarshal(body, &response) == nil {
+			w.accept(response, heartbeat.AgentEpoch, sent)
+		}
+		return node
 	case http.StatusMisdirectedRequest:
-		var to workers.Redirect
-		_ = json.Unmarshal(body, &to)
-		for i, n := range w.pace.Nodes {
-			if n == to.Leader && i != at {
+		var redirect workers.Redirect
+		_ = json.Unmarshal(body, &redirect)
+		for i, name := range w.config.Nodes {
+			if name == redirect.Leader && i != node {
 				return i
 			}
 		}
-		return other
-	default:
-		return other
-	}
-	var answer workers.HeartbeatResponse
-	if json.Unmarshal(body, &answer) != nil {
-		return at
 	}
+	return otherNode
+}
+
+// accept renews the lease and executes the commands, unless the answer is to a heartbeat of an
+// earlier epoch, or its fencing token is not current.
+func (w *Worker) accept(response workers.HeartbeatResponse, epoch uint64, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.step()
-	if w.dead || w.hung || w.rep.AgentEpoch != rep.AgentEpoch || answer.FencingToken < w.rep.FencingToken || answer.FencingToken == 0 {
-		return at
+	w.advance()
+	if w.dead || w.hung || w.status.AgentEpoch != epoch {
+		return
+	}
+	if response.FencingToken < w.status.FencingToken || response.FencingToken == 0 {
+		return
 	}
-	w.see(answer.FencingToken)
+	w.raiseToken(response.FencingToken)
 	if w.world.HeartbeatAnswered != nil {
-		w.world.HeartbeatAnswered(time.Now(), sent.Sub(w.answered))
+		w.world.HeartbeatAnswered(time.Now(), sent.Sub(w.answeredAt))
 	}
-	w.answered = sent
-	w.execute(answer.Commands)
-	return at
+	w.answeredAt = sent
+	w.executeCommands(response.Commands)
 }
 
-func (w *Worker) see(token uint64) {
-	if token > w.rep.FencingToken {
-		w.rep.FencingToken = token
-		w.poke()
+func (w *Worker) raiseToken(token uint64) {
+	if token > w.status.FencingToken {
+		w.status.FencingToken = token
+		w.signalChange()
 	}
 }
 
-func (w *Worker) poke() {
+// signalChange has the next heartbeat sent soon.
+func (w *Worker) signalChange() {
 	select {
-	case w.nudge <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-// report raises the counter, as every report and every answer does.
-func (w *Worker) report() workers.Heartbeat {
-	w.rep.Seq++
-	r := w.rep
-	r.Tasks = []workers.TaskStatus{}
-	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
-	}
-	return r
-}
-
-// step brings the tasks up to now, and ends them with the lease.
-func (w *Worker) step() {
-	w.expire()
-	now := time.Now()
+// nextHeartbeat raises the sequence number, as every heartbeat and every answer does.
+func (w *Worker) nextHeartbeat() workers.Heartbeat {
+	w.status.Seq++
+	heartbeat := w.status
+	heartbeat.Tasks = []workers.TaskStatus{}
 	for _, t := range w.tasks {
-		id, n, _ := workers.SplitTask(t.TaskStatus.Name)
-		job := w.world.job(id)
-		if t.State == workers.StateFetching && (w.images[job.Image] || now.Sub(t.since) >= w.pace.FetchTime) {
-			w.images[job.Image] = true
-			t.State, t.since = workers.StateRunning, now
-			if job.Shape == jobs.Gang {
-				t.State = workers.StateGathering
-			}
-			w.world.started(w, t.TaskStatus)
-			w.poke()
-		}
-		if job != nil && job.Shape == jobs.Gang && (t.State == workers.StateGathering || t.State == workers.StateRunning) {
-			was := t.State
-			state, cause, saved := w.world.gangStep(w, t)
-			if state == workers.StateEnded {
-				t.Saved = saved
-				w.end(t, cause)
-			} else if t.State = state; state != was {
-				w.poke()
-			}
-		}
-		if t.State == workers.StateRunning && job.Shape == jobs.Batch && (w.world.wasDone(id, n) || now.Sub(t.since).Seconds() >= job.EstimateS*max(1, w.slowness)) {
-			w.end(t, workers.CauseDone)
-		}
-		if t.State == workers.StateSaving && !now.Before(t.saves) {
-			t.Saved = true
-			w.end(t, workers.CauseStopped)
-		}
+		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
 	}
+	return heartbeat
 }
 
-// expire ends the tasks with the lease.
-func (w *Worker) expire() {
+// expireLease ends the tasks once the lease is over, and begins the next epoch.
+func (w *Worker) expireLease() {
 	now := time.Now()
-	if now.Sub(w.answered) <= w.pace.Lease {
+	if now.Sub(w.answeredAt) <= w.config.Lease {
 		return
 	}
 	for _, t := range w.tasks {
-		w.world.left(w, t.TaskStatus, EndOfLease)
-	}
-	w.tasks, w.answered = nil, now
-	w.rep.AgentEpoch++
-	w.poke()
-}
-
-func (w *Worker) end(t *running, cause string) {
-	if t.State == workers.StateGathering || t.State == workers.StateRunning || t.State == workers.StateSaving {
-		w.world.left(w, t.TaskStatus, cause)
-	}
-	t.State, t.Cause = workers.StateEnded, cause
-	w.poke()
-}
-
-func (w *Worker) execute(calls []workers.Command) {
-	for _, c := range calls {
-		var t *running
-		for _, have := range w.tasks {
-			if have.TaskStatus.Name == c.Task && have.Attempt == c.Attempt {
-				t = have
-			}
-		}
-		switch c.Op {
-		case workers.OpRun:
-			if t == nil {
-				w.start(c)
-			}
-		case workers.OpStop:
-			if t != nil && t.State != workers.StateEnded {
-				id, _, _ := workers.SplitTask(c.Task)
-				job := w.world.job(id)
-				if job.Shape == jobs.Gang && c.GraceS != nil && w.world.gangStop(t, *c.GraceS) {
-					continue
-				}
-				if t.State == workers.StateRunning && job.CheckpntS > 0 && c.GraceS != nil && *c.GraceS >= job.SaveS {
-					t.State = workers.StateSaving
-					t.saves = time.Now().Add(time.Duration(job.SaveS * float64(time.Second)))
-					continue
-				}
-				w.end(t, workers.CauseStopped)
-			}
-		case workers.OpClear:
-			for i, have := range w.tasks {
-				if have == t && t.State == workers.StateEnded {
-					w.tasks = append(w.tasks[:i], w.tasks[i+1:]...)
-					break
-				}
-			}
-		}
-	}
-}
-
-func (w *Worker) start(c workers.Command) {
-	id, n, ok := workers.SplitTask(c.Task)
-	job := w.world.job(id)
-	t := &running{TaskStatus: workers.TaskStatus{Name: c.Task, Attempt: c.Attempt, State: workers.StateFetching}, since: time.Now()}
-	w.tasks = append(w.tasks, t)
-	cpus := 0.0
-	for _, have := range w.tasks {
-		if have.State != workers.StateEnded {
-			hid, _, _ := workers.SplitTask(have.TaskStatus.Name)
-			if j := w.world.job(hid); j != nil {
-				cpus += j.CPUs
-			}
-			if have != t && have.TaskStatus.Name == c.Task {
-				t.State, t.Cause = workers.StateEnded, workers.CauseBusy
-				return
-			}
-		}
-	}
-	switch {
-	case !ok || job == nil || n >= job.Tasks:
-		t.State, t.Cause = workers.StateEnded, workers.CauseUnknown
-	case cpus > w.kind.CPUs:
-		t.State, t.Cause = workers.StateEnded, workers.CauseNoRoom
+		w.world.taskLeft(w, t.TaskStatus, EndOfLease)
 	}
-	w.poke()
+	w.tasks, w.answeredAt = nil, now
+	w.status.AgentEpoch++
+	w.signalChange()
 }
 
-// ServeHTTP takes orders and inspections.
+// ServeHTTP takes commands and probes.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for w.hung && !w.dead {
 		w.mu.Unlock()
-		time.Sleep(w.pace.HeartbeatInterval)
+		time.Sleep(w.config.HeartbeatInterval)
 		w.mu.Lock()
 	}
 	if w.dead {
-		rw.WriteHeader(0 + http.StatusBadGateway)
+		rw.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	w.step()
+	w.advance()
 	status := http.StatusOK
 	if r.URL.Path == "/orders" {
-		var o workers.CommandRequest
-		_ = json.NewDecoder(r.Body).Decode(&o)
-		if o.FencingToken < w.rep.FencingToken || o.AgentEpoch != w.rep.AgentEpoch {
+		var request workers.CommandRequest
+		_ = json.NewDecoder(r.Body).Decode(&request)
+		if request.FencingToken < w.status.FencingToken || request.AgentEpoch != w.status.AgentEpoch {
 			status = http.StatusConflict
 		} else {
-			w.see(o.FencingToken)
-			w.execute(o.Commands)
-			w.step()
+			w.raiseToken(request.FencingToken)
+			w.executeCommands(request.Commands)
+			w.advance()
 		}
 	}
-	send(rw, status, w.report())
+	writeJSON(rw, status, w.nextHeartbeat())
 }
 
 // SetSlowness makes tasks take so many times as long.
@@ -323,31 +228,29 @@
 	defer w.mu.Unlock()
 	w.hung = on
 	if !on {
-		w.step()
+		w.advance()
 		return
 	}
-	time.AfterFunc(time.Until(w.answered.Add(w.pace.Lease+time.Millisecond)), func() {
+	time.AfterFunc(time.Until(w.answeredAt.Add(w.config.Lease+time.Millisecond)), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.hung {
-			w.expire()
+			w.expireLease()
 		}
 	})
 }
 
-// kill takes the machine's power.
-func (w *Worker) kill() {
+// powerOff ends the machine and everything on it.
+func (w *Worker) powerOff() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead {
 		return
 	}
 	for _, t := range w.tasks {
-		w.world.left(w, t.TaskStatus, EndOfMachine)
+		w.world.taskLeft(w, t.TaskStatus, EndOfMachine)
 	}
 	w.dead, w.tasks = true, nil
 	w.cancel()
-	w.world.Network.Attach(w.rep.Machine, w.rep.Addr, nil)
+	w.world.Network.Attach(w.status.Machine, w.status.Addr, nil)
 }
-
-func addrOf(i int) string { return fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200+1) }
