--- a/internal/snapshot/file_test.go
+++ b/internal/snapshot/file_test.go
@@ -100,8 +100,8 @@
 		}
 		if got, err := ReadFile(bad); err == nil {
 			// A byte that says nothing of what is copied, such as the name of the writer.
-			if damaged := cmp.Diff(example(200), got); damaged != "" {
-				t.Errorf("byte %d altered, and taken: %s", offset, damaged)
+			if diff := cmp.Diff(example(200), got); diff != "" {
+				t.Errorf("byte %d altered, and taken: %s", offset, diff)
 			}
 		}
 	}
