--- a/cmd/ospreyslip/main.go
+++ b/cmd/ospreyslip/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -30,7 +31,7 @@
 	var config, operator string
 	load := func() (*settings.Settings, error) {
 		if config == "" {
-			return nil, fmt.Errorf("--config FILE is missing")
+			return nil, errors.New("--config FILE is missing")
 		}
 		return settings.Load(config, operator)
 	}
