--- a/cmd/ospreyslip/main.go
+++ b/cmd/ospreyslip/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -30,7 +31,7 @@
 	var config, operator string
 	load := func() (*settings.Settings, error) {
 		if config == "" {
-			return nil, fmt.Errorf("--config FILE is missing")
+			return nil, errors.New("--config FILE is missing")
 		}
 		return settings.Load(config, operator)
 	}
@@ -54,7 +55,14 @@
 	}
 	cmd.PersistentFlags().StringVar(&config, "config", "", "settings file (TOML)")
 	cmd.PersistentFlags().StringVar(&operator, "operator", os.Getenv("OSPREYSLIP_OPERATOR"), "operators' settings (JSON); default: $OSPREYSLIP_OPERATOR")
-	cmd.AddCommand(&cobra.Command{
+	cmd.AddCommand(checkCommand(load), statusCommand(load),
+		operatorCommand("snapshot", "Copy all records of the state service into a file"),
+		operatorCommand("recover", "Show and steer the recovery of records that the state service has lost"))
+	return cmd
+}
+
+func checkCommand(load func() (*settings.Settings, error)) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and print what is derived from them",
 		Args:  cobra.NoArgs,
@@ -68,8 +76,5 @@
 			}
 			return set.Budget().Print(cmd.OutOrStdout())
 		},
-	})
-	cmd.AddCommand(statusCommand(load), operatorCommand("snapshot", "Copy all records of the state service into a file"),
-		operatorCommand("recover", "Show and steer the recovery of records that the state service has lost"))
-	return cmd
+	}
 }
--- /dev/null
+++ b/internal/recovery/settle.go
@@ -0,0 +1,70 @@
+package recovery
+
+import (
+	"errors"
+	"fmt"
+
+	"ospreyslip/internal/jobs"
+)
+
+// Settlement is what an operator decides about a held job.
+type Settlement string
+
+// The settlements.
+const (
+	SettleDone      Settlement = "done"
+	SettleCancelled Settlement = "cancelled"
+	SettleRun       Settlement = "run"
+)
+
+// ErrRefused means that a settlement contradicts proof, or lacks what it needs.
+var ErrRefused = errors.New("refused")
+
+// Settle returns the decision that a settlement stands for, or an error that wraps ErrRefused
+// and says why. Of a contradictory job either end may be chosen, and nothing else.
+func Settle(known Knowledge, settlement Settlement) (Decision, error) {
+	refuse := func(why string) (Decision, error) {
+		return Decision{}, fmt.Errorf("%w: %s", ErrRefused, why)
+	}
+	decision := Decision{Outcome: Recovered, Rule: Rule("settled as " + string(settlement))}
+	switch settlement {
+	case SettleDone:
+		if known.Cancelled && !known.Done {
+			return refuse("it is known to be cancelled")
+		}
+		if len(without(known.RunningTasks, known.CompletedTasks)) > 0 {
+			return refuse(fmt.Sprintf("tasks %v are running", known.RunningTasks))
+		}
+		decision.State = jobs.Done
+	case SettleCancelled:
+		if known.Done && !known.Cancelled || known.allTasksDone() {
+			return refuse("it is known to be done")
+		}
+		decision.State = jobs.Cancelled
+	case SettleRun:
+		if known.Done || known.Cancelled || known.allTasksDone() {
+			return refuse("it is known to be over")
+		}
+		if known.Spec == nil {
+			return refuse("nobody has its description: it comes with the next repeated submission, or a snapshot")
+		}
+		decision.State = jobs.Queued
+	default:
+		return refuse(fmt.Sprintf("a job is settled as done, cancelled or run, not %q", settlement))
+	}
+	return decision, nil
+}
+
+// without returns the numbers that are not among those excluded.
+func without(all, excluded []int) (left []int) {
+	isExcluded := map[int]bool{}
+	for _, n := range excluded {
+		isExcluded[n] = true
+	}
+	for _, n := range all {
+		if !isExcluded[n] {
+			left = append(left, n)
+		}
+	}
+	return left
+}
--- /dev/null
+++ b/internal/snapshot/file_test.go
@@ -0,0 +1,159 @@
+package snapshot
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+)
+
+func example(records int) *Snapshot {
+	pairs := map[string]kvstore.KeyValue{"term/token": {Key: "term/token", Value: json.RawMessage("41"), Revision: 7}}
+	for i := range records {
+		key := fmt.Sprintf("job/j-%06d", i)
+		pairs[key] = kvstore.KeyValue{Key: key, Value: record([]string{jobs.Queued, jobs.Done, jobs.Cancelled}[i%3], i%50+1), Revision: uint64(i + 8)}
+	}
+	pairs["job/j-x"] = kvstore.KeyValue{Key: "job/j-x", Value: json.RawMessage(`{"stance":7}`), Revision: 3}
+	return compose(pairs, 9000, "abc", time.UnixMilli(1_800_000_000_000))
+}
+
+// A file reads back as it was written, and says what it is of.
+func TestWriteAndRead(t *testing.T) {
+	dir := t.TempDir()
+	written := example(10_000)
+	path, err := WriteFile(dir, written)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(written, got); diff != "" {
+		t.Error(diff)
+	}
+	if manifest := got.Manifest; manifest.Token != 41 || manifest.Jobs[jobs.Done] != 3333 || manifest.Jobs[unreadable] != 1 || manifest.Records != 10_002 {
+		t.Errorf("%+v", manifest)
+	}
+	if entries, _ := os.ReadDir(dir); len(entries) != 1 {
+		t.Errorf("left over: %v", entries)
+	}
+	empty, err := WriteFile(dir, compose(nil, 0, "abc", time.UnixMilli(1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := ReadFile(empty); err != nil || len(got.Records) != 0 {
+		t.Errorf("of nothing: %v, %v", got, err)
+	}
+}
+
+// A file that was cut off, altered, is something else or from a later version is refused,
+// wherever the fault is.
+func TestFilesThatAreRefused(t *testing.T) {
+	dir := t.TempDir()
+	path, err := WriteFile(dir, example(200))
+	if err != nil {
+		t.Fatal(err)
+	}
+	whole, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	refused := func(what string, raw []byte, want error) {
+		t.Helper()
+		bad := filepath.Join(dir, "bad")
+		if err := os.WriteFile(bad, raw, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		switch _, err := ReadFile(bad); {
+		case err == nil:
+			t.Errorf("%s: taken", what)
+		case want != nil && !errors.Is(err, want):
+			t.Errorf("%s: %v, want %v", what, err, want)
+		case strings.Contains(err.Error(), "\n"):
+			t.Errorf("%s: more than a line: %v", what, err)
+		}
+	}
+	refused("empty", nil, ErrNotSnapshot)
+	refused("a text", []byte(strings.Repeat("no snapshot ", 100)), ErrNotSnapshot)
+	for _, cut := range []int{1, 7, len(whole) / 2, len(whole) - 4} {
+		refused(fmt.Sprintf("cut off by %d bytes", cut), whole[:len(whole)-cut], ErrNotSnapshot)
+	}
+	r := rand.New(rand.NewPCG(1, 1))
+	for range 300 {
+		raw := append([]byte(nil), whole...)
+		offset := r.IntN(len(raw))
+		raw[offset] ^= byte(1 + r.IntN(255))
+		bad := filepath.Join(dir, "bad")
+		if err := os.WriteFile(bad, raw, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if got, err := ReadFile(bad); err == nil {
+			// A byte that says nothing of what is copied, such as the name of the writer.
+			if diff := cmp.Diff(example(200), got); diff != "" {
+				t.Errorf("byte %d altered, and taken: %s", offset, diff)
+			}
+		}
+	}
+	later := example(5)
+	later.Manifest.Format = Format + 1
+	if path, err = WriteFile(dir, later); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ReadFile(path); !errors.Is(err, ErrNewerFormat) {
+		t.Errorf("from a later version: %v", err)
+	}
+	lying := example(5)
+	lying.Manifest.Token = 5
+	if path, err = WriteFile(dir, lying); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ReadFile(path); !errors.Is(err, ErrDamaged) {
+		t.Errorf("another token in the manifest: %v", err)
+	}
+	if _, err := ReadFile(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no file: %v", err)
+	}
+}
+
+// Only the oldest of this deployment go, and what earlier runs have left.
+func TestPrune(t *testing.T) {
+	dir := t.TempDir()
+	for i := range 5 {
+		taken := compose(nil, uint64(i), "abc", time.UnixMilli(int64(i)*60_000))
+		if _, err := WriteFile(dir, taken); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := WriteFile(dir, compose(nil, 1, "other", time.UnixMilli(1))); err != nil {
+		t.Fatal(err)
+	}
+	left := filepath.Join(dir, tempPrefix+"1")
+	if err := os.WriteFile(left, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Chtimes(left, time.Unix(1, 0), time.Unix(1, 0)); err != nil {
+		t.Fatal(err)
+	}
+	removed, err := Prune(dir, "abc", 2)
+	if err != nil || len(removed) != 4 {
+		t.Errorf("removed %v, %v", removed, err)
+	}
+	entries, _ := os.ReadDir(dir)
+	if len(entries) != 3 || !strings.HasPrefix(entries[0].Name(), "abc-19700101T000300") {
+		t.Errorf("left %v", entries)
+	}
+	if removed, err := Prune(dir, "abc", 2); err != nil || len(removed) > 0 {
+		t.Errorf("once more: %v, %v", removed, err)
+	}
+}
