--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -96,7 +96,7 @@
 		fmt.Fprintf(w, "term\t%d, token %d\n", v.Term, v.Token)
 		fmt.Fprintf(w, "verdicts\theld %v, every zone dead %v\n", v.Held, v.Disrupted)
 		t := v.Takeover
-		fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n", t.Phase, t.Expected, t.Heard, t.Late, t.Never)
+		fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n", t.Phase, t.Expected, t.Reported, t.Overdue, t.NeverReported)
 		fmt.Fprintf(w, "picture\t%.1f s old, %d records to write\n", v.PictureS, v.WriteQueue)
 		fmt.Fprintf(w, "\nCLASS\tJOBS\tWAITING\tPLACED\tDONE\n")
 		for _, c := range v.Classes {
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -19,9 +19,9 @@
 
 // The cloud's limits for one request, from the protocol.
 const (
-	MaxRent    = 50
-	MaxRelease = 100
-	maxPage    = 500
+	MaxMachinesPerRequest = 50
+	MaxMachinesPerRelease = 100
+	maxPage               = 500
 )
 
 // ErrNoCapacity means that none of these machines is to be had now.
@@ -29,13 +29,13 @@
 
 // States of a machine in the cloud's list.
 const (
-	Booting = "booting"
-	Running = "running"
-	Failed  = "failed"
+	StateBooting = "booting"
+	StateRunning = "running"
+	StateFailed  = "failed"
 )
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// ListedMachine is a machine in the cloud's list.
+type ListedMachine struct {
 	ID    string  `json:"id"`
 	Addr  string  `json:"addr"`
 	Type  string  `json:"perchKind"`
@@ -45,21 +45,21 @@
 	AgeS  float64 `json:"ageS"`
 }
 
-// Kind is what can be rented.
-type Kind struct {
+// MachinePool is what can be rented.
+type MachinePool struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Rental asks for machines. Its name is never used for another.
-type Rental struct {
+// ProvisionRequest asks for machines. Its name is never used for another.
+type ProvisionRequest struct {
 	Name string
-	Kind
+	MachinePool
 	Count int
 }
 
-// Cloud is a client of the cloud.
-type Cloud struct {
+// Client is a client of the cloud.
+type Client struct {
 	base  string
 	http  *http.Client
 	wait  time.Duration
@@ -70,9 +70,9 @@
 // backShare is the part of the requests that is kept for giving machines back.
 const backShare = 0.25
 
-// NewCloud makes a client that sends at most rps requests a second.
-func NewCloud(addr string, rt http.RoundTripper, wait time.Duration, rps float64) *Cloud {
-	return &Cloud{
+// NewClient makes a client that sends at most rps requests a second.
+func NewClient(addr string, rt http.RoundTripper, wait time.Duration, rps float64) *Client {
+	return &Client{
 		base:  "http://" + addr,
 		wait:  wait,
 		limit: rate.NewLimiter(rate.Limit(rps*(1-backShare)), max(1, int(rps*(1-backShare)))),
@@ -81,11 +81,11 @@
 	}
 }
 
-func (c *Cloud) do(ctx context.Context, method, path string, in, out any) error {
+func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	return c.within(ctx, c.limit, method, path, in, out)
 }
 
-func (c *Cloud) within(ctx context.Context, limit *rate.Limiter, method, path string, in, out any) error {
+func (c *Client) within(ctx context.Context, limit *rate.Limiter, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
 	if err := limit.Wait(ctx); err != nil {
@@ -129,7 +129,7 @@
 }
 
 // Catalog returns the machine types with their current prices.
-func (c *Cloud) Catalog(ctx context.Context) ([]jobs.MachineType, error) {
+func (c *Client) Catalog(ctx context.Context) ([]jobs.MachineType, error) {
 	var out struct {
 		Types []jobs.MachineType `json:"perches"`
 	}
@@ -142,9 +142,9 @@
 	return out.Types, nil
 }
 
-// Rent rents machines and returns their names. After any error but
+// Provision rents machines and returns their names. After any error but
 // ErrNoCapacity the same rental must be sent again: it may have been carried out.
-func (c *Cloud) Rent(ctx context.Context, r Rental) ([]string, error) {
+func (c *Client) Provision(ctx context.Context, r ProvisionRequest) ([]string, error) {
 	in := struct {
 		Name  string `json:"charter"`
 		Type  string `json:"perchKind"`
@@ -161,19 +161,19 @@
 
 // Release gives machines back. Without an error they, and all that ran on
 // them, are gone.
-func (c *Cloud) Release(ctx context.Context, ids []string) error {
+func (c *Client) Release(ctx context.Context, ids []string) error {
 	return c.within(ctx, c.back, http.MethodPost, "/rentals/release", map[string][]string{"hosts": ids}, nil)
 }
 
-// List returns the cloud's machines as they were some time ago, and how many
+// ListMachines returns the cloud's machines as they were some time ago, and how many
 // requests that took.
-func (c *Cloud) List(ctx context.Context) (all []Listed, pages int, err error) {
+func (c *Client) ListMachines(ctx context.Context) (all []ListedMachine, pages int, err error) {
 	after := ""
 	for {
 		pages++
 		var page struct {
-			Machines []Listed `json:"hosts"`
-			More     bool     `json:"hasNext"`
+			Machines []ListedMachine `json:"hosts"`
+			More     bool            `json:"hasNext"`
 		}
 		path := fmt.Sprintf("/rentals?after=%s&most=%d", url.QueryEscape(after), maxPage)
 		if err := c.do(ctx, http.MethodGet, path, nil, &page); err != nil {
--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -9,37 +9,37 @@
 	"ospreyslip/internal/placement"
 )
 
-// Room is a machine as the forecast sees it: what is free from a moment on, and
+// MachineForecast is a machine as the forecast sees it: what is free from a moment on, and
 // what running tasks will leave. Moments are seconds from now.
-type Room struct {
-	Kind
-	From   float64
-	Free   placement.Amount
-	Leaves []Leave
+type MachineForecast struct {
+	MachinePool
+	AvailableFromS float64
+	Free           placement.Resources
+	Releases       []Release
 }
 
-// Leave is what a running task is expected to leave, and when.
-type Leave struct {
-	At   float64
-	Need placement.Amount
+// Release is what a running task is expected to leave, and when.
+type Release struct {
+	AtS       float64
+	Resources placement.Resources
 }
 
-// Waiting is a batch job's tasks without a machine.
-type Waiting struct {
-	Spec  *jobs.Spec
-	Count int
-	RunS  float64 // how long one of them runs
-	DueS  float64 // when the last of them should be over
+// PendingTasks is a batch job's tasks without a machine.
+type PendingTasks struct {
+	Spec      *jobs.Spec
+	Count     int
+	RunS      float64 // how long one of them runs
+	DeadlineS float64 // when the last of them should be over
 }
 
-// Late plays the queue forward on the machines there are, in its order, and
+// ForecastLateTasks plays the queue forward on the machines there are, in its order, and
 // returns for each entry how many tasks would be over too late. Renting for
 // these, not for all that wait, is what keeps machines from idling after a
 // burst that they would have worked off anyway.
-func Late(rooms []Room, queue []Waiting) []int {
+func ForecastLateTasks(rooms []MachineForecast, queue []PendingTasks) []int {
 	for i := range rooms {
-		slices.SortFunc(rooms[i].Leaves, func(a, b Leave) int {
-			if a.At < b.At {
+		slices.SortFunc(rooms[i].Releases, func(a, b Release) int {
+			if a.AtS < b.AtS {
 				return -1
 			}
 			return 1
@@ -47,19 +47,19 @@
 	}
 	late := make([]int, len(queue))
 	for i, w := range queue {
-		need := placement.Of(w.Spec)
+		need := placement.TaskRequest(w.Spec)
 		var next openings
 		for r := range rooms {
 			if !w.Spec.Allows(rooms[r].Type, rooms[r].Zone, rooms[r].Spot) {
 				continue
 			}
-			if at := rooms[r].earliest(need); at+w.RunS <= w.DueS {
+			if at := rooms[r].earliest(need); at+w.RunS <= w.DeadlineS {
 				next.heap = append(next.heap, opening{at, r})
 			}
 		}
 		heap.Init(&next)
 		for n := range w.Count {
-			if len(next.heap) == 0 || next.heap[0].at+w.RunS > w.DueS {
+			if len(next.heap) == 0 || next.heap[0].at+w.RunS > w.DeadlineS {
 				// So would all that follow: later tasks find no earlier room.
 				late[i] = w.Count - n
 				break
@@ -95,13 +95,13 @@
 }
 
 // earliest is when a machine has room.
-func (r *Room) earliest(need placement.Amount) float64 {
-	free, at := r.Free, r.From
+func (r *MachineForecast) earliest(need placement.Resources) float64 {
+	free, at := r.Free, r.AvailableFromS
 	if free.Fits(need) {
 		return at
 	}
-	for _, l := range r.Leaves {
-		free, at = free.Plus(l.Need, 1), max(at, l.At)
+	for _, l := range r.Releases {
+		free, at = free.AddTimes(l.Resources, 1), max(at, l.AtS)
 		if free.Fits(need) {
 			return at
 		}
@@ -111,19 +111,19 @@
 
 // take puts a task on the machine. What the machine had free before counts no
 // more, which makes the forecast a little too cautious.
-func (r *Room) take(need placement.Amount, at, runS float64) {
-	for len(r.Leaves) > 0 && !r.Free.Fits(need) {
-		r.Free = r.Free.Plus(r.Leaves[0].Need, 1)
-		r.Leaves = r.Leaves[1:]
+func (r *MachineForecast) take(need placement.Resources, at, runS float64) {
+	for len(r.Releases) > 0 && !r.Free.Fits(need) {
+		r.Free = r.Free.AddTimes(r.Releases[0].Resources, 1)
+		r.Releases = r.Releases[1:]
 	}
-	r.From = at
-	r.Free = r.Free.Plus(need, -1)
-	end := Leave{at + runS, need}
-	i, _ := slices.BinarySearchFunc(r.Leaves, end, func(a, b Leave) int {
-		if a.At < b.At {
+	r.AvailableFromS = at
+	r.Free = r.Free.AddTimes(need, -1)
+	end := Release{at + runS, need}
+	i, _ := slices.BinarySearchFunc(r.Releases, end, func(a, b Release) int {
+		if a.AtS < b.AtS {
 			return -1
 		}
 		return 1
 	})
-	r.Leaves = slices.Insert(r.Leaves, i, end)
+	r.Releases = slices.Insert(r.Releases, i, end)
 }
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -13,42 +13,42 @@
 	{Name: "large", CPUs: 16, RAMGB: 64, Price: 0.7, SpotPrice: 0.3, Zones: []string{"a"}},
 }
 
-func need(count int, change func(*jobs.Spec)) Need {
+func need(count int, change func(*jobs.Spec)) Demand {
 	s := &jobs.Spec{ID: "j-1", Tasks: count, CPUs: 2, RAMGB: 4, Spot: true}
 	if change != nil {
 		change(s)
 	}
-	return Need{Spec: s, Count: count}
+	return Demand{Spec: s, Count: count}
 }
 
 func TestPlan(t *testing.T) {
-	never := func(Kind) bool { return false }
+	never := func(MachinePool) bool { return false }
 	for _, tc := range []struct {
 		name    string
-		needs   []Need
-		coming  map[Kind]int
-		refused func(Kind) bool
-		want    map[Kind]int
+		needs   []Demand
+		coming  map[MachinePool]int
+		refused func(MachinePool) bool
+		want    map[MachinePool]int
 	}{
-		{"one task: the machine that costs least as a whole", []Need{need(1, nil)}, nil, never,
-			map[Kind]int{{"small", "a", true}: 1}},
-		{"many tasks: the machine that costs least a task", []Need{need(8, nil)}, nil, never,
-			map[Kind]int{{"large", "a", true}: 1}},
-		{"no spot machine for work that may not use one", []Need{need(1, func(s *jobs.Spec) { s.Spot = false })}, nil, never,
-			map[Kind]int{{"small", "a", false}: 1}},
-		{"what is coming is used first", []Need{need(3, nil)},
-			map[Kind]int{{"small", "b", true}: 1}, never,
-			map[Kind]int{{"small", "a", true}: 1}},
-		{"what was refused is left alone", []Need{need(1, nil)}, nil,
-			func(k Kind) bool { return k.Spot && k.Zone == "a" },
-			map[Kind]int{{"small", "b", true}: 1}},
-		{"replicas in two zones", []Need{need(2, func(s *jobs.Spec) { s.Spread, s.Spot = true, false })}, nil, never,
-			map[Kind]int{{"small", "a", false}: 1, {"small", "b", false}: 1}},
-		{"nothing allows it", []Need{need(1, func(s *jobs.Spec) { s.Types = []string{"huge"} })}, nil, never,
-			map[Kind]int{}},
+		{"one task: the machine that costs least as a whole", []Demand{need(1, nil)}, nil, never,
+			map[MachinePool]int{{"small", "a", true}: 1}},
+		{"many tasks: the machine that costs least a task", []Demand{need(8, nil)}, nil, never,
+			map[MachinePool]int{{"large", "a", true}: 1}},
+		{"no spot machine for work that may not use one", []Demand{need(1, func(s *jobs.Spec) { s.Spot = false })}, nil, never,
+			map[MachinePool]int{{"small", "a", false}: 1}},
+		{"what is coming is used first", []Demand{need(3, nil)},
+			map[MachinePool]int{{"small", "b", true}: 1}, never,
+			map[MachinePool]int{{"small", "a", true}: 1}},
+		{"what was refused is left alone", []Demand{need(1, nil)}, nil,
+			func(k MachinePool) bool { return k.Spot && k.Zone == "a" },
+			map[MachinePool]int{{"small", "b", true}: 1}},
+		{"replicas in two zones", []Demand{need(2, func(s *jobs.Spec) { s.Spread, s.Spot = true, false })}, nil, never,
+			map[MachinePool]int{{"small", "a", false}: 1, {"small", "b", false}: 1}},
+		{"nothing allows it", []Demand{need(1, func(s *jobs.Spec) { s.Types = []string{"huge"} })}, nil, never,
+			map[MachinePool]int{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := Plan(tc.needs, tc.coming, Market{Types: market, Refused: tc.refused})
+			got := PlanScaleOut(tc.needs, tc.coming, Market{Types: market, OutOfCapacity: tc.refused})
 			if d := cmp.Diff(tc.want, got); d != "" {
 				t.Errorf("(-want +got):\n%s", d)
 			}
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -71,7 +71,7 @@
 					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.Running()), tasks)
 				}
 				p := c.takeover()
-				if p.Phase != reconcile.Settled || p.Heard != p.Expected || p.Expected != len(c.world.Machines()) {
+				if p.Phase != reconcile.FailoverDone || p.Reported != p.Expected || p.Expected != len(c.world.Machines()) {
 					t.Errorf("take-over %+v with %d machines", p, len(c.world.Machines()))
 				}
 			})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -129,10 +129,10 @@
 // collectTakeover shows how far the leader's take-over is.
 func collectTakeover(gauge func(*prometheus.Desc, float64, ...string), p reconcile.Progress) {
 	gauge(takeoverDesc, 1, string(p.Phase))
-	for state, count := range map[string]int{"expected": p.Expected, "heard": p.Heard, "late": p.Late, "never": p.Never} {
+	for state, count := range map[string]int{"expected": p.Expected, "heard": p.Reported, "late": p.Overdue, "never": p.NeverReported} {
 		gauge(accountedDesc, float64(count), state)
 	}
-	for moment, after := range map[string]float64{"records_read": p.ReadS, "first_answer": p.AnswerS, "first_order": p.OrderS, "settled": p.SettledS} {
+	for moment, after := range map[string]float64{"records_read": p.RecordsLoadedS, "first_answer": p.FirstAnswerS, "first_order": p.FirstCommandS, "settled": p.DoneS} {
 		if after > 0 {
 			gauge(reachedDesc, after, moment)
 		}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -3,45 +3,45 @@
 // is known of the attempt's tasks, and carries out what it says.
 package gang
 
-// Facts is what is known of one attempt.
-type Facts struct {
+// Attempt is what is known of one attempt.
+type Attempt struct {
 	Size     int  // tasks of the gang
-	Here     int  // that are, or may be, on their machines
-	Written  int  // whose beginnings are durable
+	Placed   int  // that are, or may be, on their machines
+	Durable  int  // whose beginnings are durable
 	Stopping bool // all have been told to stop, or are to be
 }
 
-// Verdict is what to do with an attempt.
-type Verdict int
+// Decision is what to do with an attempt.
+type Decision int
 
 // The verdicts.
 const (
-	Hold Verdict = iota // no task may start yet
-	Go                  // every task may start, or go on
-	End                 // it is not whole: the tasks that are left have to stop
-	Wait                // for those that are left to be off their machines
-	Anew                // nothing is left of it: the next attempt may begin
+	AwaitRecords Decision = iota // no task may start yet
+	Run                          // every task may start, or go on
+	Abort                        // it is not whole: the tasks that are left have to stop
+	AwaitStop                    // for those that are left to be off their machines
+	Retry                        // nothing is left of it: the next attempt may begin
 )
 
 // Decide judges an attempt. One that has lost a task is over: what ran has fallen
 // back to its last checkpoint, and what had not begun to run holds room in vain. The
 // next begins when the last task is surely off its machine.
-func Decide(f Facts) Verdict {
+func Decide(f Attempt) Decision {
 	switch {
-	case f.Here == 0:
-		return Anew
+	case f.Placed == 0:
+		return Retry
 	case f.Stopping:
-		return Wait
-	case f.Here < f.Size:
-		return End
-	case f.Written < f.Size:
-		return Hold
+		return AwaitStop
+	case f.Placed < f.Size:
+		return Abort
+	case f.Durable < f.Size:
+		return AwaitRecords
 	}
-	return Go
+	return Run
 }
 
-// Saves tells whether a gang that has so many seconds left should be stopped so that
+// ShouldCheckpoint tells whether a gang that has so many seconds left should be stopped so that
 // its progress is saved: all its tasks have to be told in time and to save.
-func Saves(checkpointS, saveS, peerS, leftS float64) bool {
+func ShouldCheckpoint(checkpointS, saveS, peerS, leftS float64) bool {
 	return checkpointS > 0 && saveS+peerS/2 < leftS
 }
--- a/internal/leader/announce.go
+++ b/internal/leader/announce.go
@@ -34,11 +34,11 @@
 }
 
 // openNeeds returns what the tasks of unfinished jobs take, each amount once.
-func (l *Leader) openNeeds() map[placement.Amount]bool {
-	needs := map[placement.Amount]bool{}
+func (l *Leader) openNeeds() map[placement.Resources]bool {
+	needs := map[placement.Resources]bool{}
 	for _, j := range l.jobs {
 		if !j.over() {
-			needs[placement.Of(j.spec)] = true
+			needs[placement.TaskRequest(j.spec)] = true
 		}
 	}
 	return needs
@@ -46,12 +46,12 @@
 
 // mayTake tells whether a machine has room for one more task, as far as the records
 // tell. One of unknown type may have.
-func (l *Leader) mayTake(m *machine, needs map[placement.Amount]bool) bool {
+func (l *Leader) mayTake(m *machine, needs map[placement.Resources]bool) bool {
 	t := l.machineType(m.typ)
 	if t == nil {
 		return true
 	}
-	free := placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.room, -1)
+	free := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.AddTimes(m.room, -1)
 	for need := range needs {
 		if free.Fits(need) {
 			return true
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -59,7 +59,7 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.lost(m, "not of this test")
-	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*job{}, newMachineSet(), map[string]placement.Amount{}, assignmentLog{}, nil
+	l.jobs, l.machines, l.used, l.log, l.finished = map[string]*job{}, newMachineSet(), map[string]placement.Resources{}, assignmentLog{}, nil
 	l.watch = liveness.New(liveness.Config{})
 	l.token, l.attempts = token, token<<24
 	l.Derived.ValueBytes, l.Derived.TxnOps = s.value, s.ops
--- a/internal/leader/call_test.go
+++ b/internal/leader/call_test.go
@@ -29,15 +29,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, _, now := bench()
-			l.watch.Heard("m-2", "b", liveness.Counter{Session: 1, Seq: 1}, now)
+			l.watch.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 1}, now)
 			now = now.Add(3 * time.Second) // m-1 is silent
-			l.watch.Heard("m-2", "b", liveness.Counter{Session: 1, Seq: 2}, now)
+			l.watch.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 2}, now)
 			if calls, _ := l.watch.Tick(now, 9); len(calls) != 1 || calls[0] != m.id {
 				t.Fatalf("calls: %v", calls)
 			}
 			l.inspected(m, nil, tc.err, now)
 			now = now.Add(500 * time.Millisecond)
-			l.watch.Heard("m-2", "b", liveness.Counter{Session: 1, Seq: 3}, now)
+			l.watch.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 3}, now)
 			calls, verdicts := l.watch.Tick(now, 9)
 			if dead := len(verdicts) > 0; dead != tc.dead || (len(calls) == 1) == tc.dead {
 				t.Errorf("calls again: %v, verdicts: %v", calls, verdicts)
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -81,10 +81,10 @@
 	if len(needs) == 0 {
 		return
 	}
-	have := map[autoscaler.Kind]int{}
-	coming := map[autoscaler.Kind]int{}
+	have := map[autoscaler.MachinePool]int{}
+	coming := map[autoscaler.MachinePool]int{}
 	for _, m := range l.machines.all {
-		k := autoscaler.Kind{Type: m.typ, Zone: m.zone, Spot: m.spot}
+		k := autoscaler.MachinePool{Type: m.typ, Zone: m.zone, Spot: m.spot}
 		if m.phase != returning {
 			have[k]++
 		}
@@ -96,19 +96,19 @@
 		have[k] += n
 		coming[k] += n // on its way, though not in the books yet
 	}
-	plan := autoscaler.Plan(needs, coming, autoscaler.Market{
-		Types: l.Catalog(),
-		Have:  have,
-		Refused: func(k autoscaler.Kind) bool {
+	plan := autoscaler.PlanScaleOut(needs, coming, autoscaler.Market{
+		Types:         l.Catalog(),
+		MachineCounts: have,
+		OutOfCapacity: func(k autoscaler.MachinePool) bool {
 			// What boots in a zone that is cut off is paid for and cannot be used.
-			return now.Before(l.refused[k].until) || l.watch.ZoneSilent(k.Zone, now, 2*l.Derived.Cancel)
+			return now.Before(l.refused[k].until) || l.watch.ZoneFellSilent(k.Zone, now, 2*l.Derived.Cancel)
 		},
 	})
-	for _, k := range autoscaler.Sorted(plan) {
-		for n := plan[k]; n > 0 && l.rentalsInFlight < l.Derived.RentalsInFlight; n -= autoscaler.MaxRent {
+	for _, k := range autoscaler.LargestFirst(plan) {
+		for n := plan[k]; n > 0 && l.rentalsInFlight < l.Derived.RentalsInFlight; n -= autoscaler.MaxMachinesPerRequest {
 			l.rentalsMade++
 			l.rentalsInFlight++
-			r := autoscaler.Rental{Name: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalsMade), Kind: k, Count: min(n, autoscaler.MaxRent)}
+			r := autoscaler.ProvisionRequest{Name: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalsMade), MachinePool: k, Count: min(n, autoscaler.MaxMachinesPerRequest)}
 			l.renting[k] += r.Count
 			go l.requestRental(ctx, r)
 		}
@@ -127,12 +127,12 @@
 
 // requestRental rents until the outcome is known: after anything but an answer the
 // same request, which the cloud carries out once only, goes out again.
-func (l *Leader) requestRental(ctx context.Context, r autoscaler.Rental) {
+func (l *Leader) requestRental(ctx context.Context, r autoscaler.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !l.Valid() {
 			return nil, backoff.Permanent(errTermOver)
 		}
-		ids, err := l.Cloud.Rent(ctx, r)
+		ids, err := l.Cloud.Provision(ctx, r)
 		if errors.Is(err, autoscaler.ErrNoCapacity) {
 			return nil, backoff.Permanent(err)
 		}
@@ -140,14 +140,14 @@
 	}, backoff.WithBackOff(l.backOff()), backoff.WithMaxElapsedTime(0))
 	l.post(ctx, func(now time.Time) {
 		l.rentalsInFlight--
-		l.renting[r.Kind] -= r.Count
+		l.renting[r.MachinePool] -= r.Count
 		if err != nil || len(ids) < r.Count {
-			ref := l.refused[r.Kind]
+			ref := l.refused[r.MachinePool]
 			ref.wait = min(max(2*ref.wait, 2*l.Derived.ControlInterval), 8*l.Derived.ListLag)
 			ref.until = now.Add(ref.wait)
-			l.refused[r.Kind] = ref
+			l.refused[r.MachinePool] = ref
 		} else {
-			delete(l.refused, r.Kind)
+			delete(l.refused, r.MachinePool)
 		}
 		level := slog.LevelInfo
 		if len(ids) == 0 {
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -20,8 +20,8 @@
 func (j *job) isGang() bool { return j.spec.Shape == jobs.Gang }
 
 // verdict is what becomes of the gang's present attempt.
-func (j *job) verdict() gang.Verdict {
-	return gang.Decide(gang.Facts{Size: j.spec.Tasks, Here: j.gang.here, Written: j.gang.written, Stopping: j.gang.stopping})
+func (j *job) verdict() gang.Decision {
+	return gang.Decide(gang.Attempt{Size: j.spec.Tasks, Placed: j.gang.here, Durable: j.gang.written, Stopping: j.gang.stopping})
 }
 
 // joined takes in a task of a gang.
@@ -36,12 +36,12 @@
 // mayRun tells whether a task may be sent to its machine: a task of a gang only
 // together with all others. Were a leader to end after half of them, the rest would
 // hold room until they gave up.
-func (a *assignment) mayRun() bool { return !a.job.isGang() || a.job.verdict() == gang.Go }
+func (a *assignment) mayRun() bool { return !a.job.isGang() || a.job.verdict() == gang.Run }
 
 // gangWritten notes that the beginning of a task of a gang is durable. The last one
 // lets all of them go.
 func (l *Leader) gangWritten(j *job) {
-	if j.gang.written++; j.verdict() == gang.Go {
+	if j.gang.written++; j.verdict() == gang.Run {
 		for _, a := range j.tasks {
 			l.notify(a.m)
 		}
@@ -51,7 +51,7 @@
 // parted takes in that a task of a gang is off its machine. If it is not done, the
 // others have to stop.
 func (l *Leader) parted(j *job) {
-	if j.gang.here--; !j.over() && j.verdict() == gang.End {
+	if j.gang.here--; !j.over() && j.verdict() == gang.Abort {
 		slog.Debug("gang not whole", "job", j.id, "attempt", j.gang.number, "term", l.token, "left", j.gang.here)
 		l.stopGang(j, 0)
 	}
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -138,7 +138,7 @@
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now, j.task(0, workers.Gathering, ""), j.task(1, workers.Gathering, ""))
 	l.returning = true // a request to the cloud is on its way: ours waits for it
-	l.judged(t.Context(), l.machines.byID["m-2"], liveness.CallFailed, now)
+	l.judged(t.Context(), l.machines.byID["m-2"], liveness.ProbeFailed, now)
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, j.task(0, workers.Gathering, ""), j.task(1, workers.Gathering, ""))); d != "" {
 		t.Error(d)
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -24,7 +24,7 @@
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Store    *kvstore.Client
-	Cloud    *autoscaler.Cloud
+	Cloud    *autoscaler.Client
 	Workers  *workers.Client
 	Valid    func() bool // holds the term at this moment
 	// Promised is when the promises were asked for that keep the term in an outage;
@@ -43,7 +43,7 @@
 type Leader struct {
 	Deps
 	term     election.Term
-	takeover *reconcile.Takeover
+	takeover *reconcile.Failover
 
 	reports chan reportIn
 	events  chan func(now time.Time) // outcomes of I/O, applied by the one goroutine
@@ -68,12 +68,12 @@
 type view struct {
 	jobs     map[string]*job
 	machines machineSet
-	watch    *liveness.Watch
-	used     map[string]placement.Amount // by team
-	viewTime time.Time                   // all that users were told by then is in the jobs
-	seen     atomic.Uint64               // as are all changes up to this revision
-	unseen   map[string]uint64           // jobs known to be cancelled at a later revision
-	expireAt time.Time                   // no worker's lease ends before
+	watch    *liveness.Detector
+	used     map[string]placement.Resources // by team
+	viewTime time.Time                      // all that users were told by then is in the jobs
+	seen     atomic.Uint64                  // as are all changes up to this revision
+	unseen   map[string]uint64              // jobs known to be cancelled at a later revision
+	expireAt time.Time                      // no worker's lease ends before
 }
 
 // tokens is the fencing token, as raised within the term to end doubts.
@@ -127,8 +127,8 @@
 	rentalsInFlight int
 	returns         []string // machines to be given back
 	returning       bool     // a request is on its way
-	renting         map[autoscaler.Kind]int
-	refused         map[autoscaler.Kind]refusal
+	renting         map[autoscaler.MachinePool]int
+	refused         map[autoscaler.MachinePool]refusal
 	listSyncAt      time.Time
 	arrivalRate     float64 // batch work that arrives, in CPUs
 	arrivalRateAt   time.Time
@@ -138,19 +138,19 @@
 // newLeader makes a leader that knows of nothing yet.
 func newLeader(d Deps, t election.Term) *Leader {
 	l := &Leader{
-		Deps: d, term: t, takeover: reconcile.NewTakeover(t.Since, d.Derived.Overdue),
+		Deps: d, term: t, takeover: reconcile.NewFailover(t.Since, d.Derived.Overdue),
 		reports: make(chan reportIn, 16), events: make(chan func(time.Time), 64), quit: make(chan struct{}),
-		view:         view{jobs: map[string]*job{}, machines: newMachineSet(), used: map[string]placement.Amount{}, unseen: map[string]uint64{}},
+		view:         view{jobs: map[string]*job{}, machines: newMachineSet(), used: map[string]placement.Resources{}, unseen: map[string]uint64{}},
 		tokens:       tokens{token: t.Token, tokenRevision: t.TokenRevision, doubtful: map[*machine]bool{}},
 		planner:      planner{queued: map[*job]bool{}, runTimes: map[string]*runTimes{}, attempts: t.Token << attemptBits},
-		fleetManager: fleetManager{renting: map[autoscaler.Kind]int{}, refused: map[autoscaler.Kind]refusal{}, returned: map[string]time.Time{}},
+		fleetManager: fleetManager{renting: map[autoscaler.MachinePool]int{}, refused: map[autoscaler.MachinePool]refusal{}, returned: map[string]time.Time{}},
 		recoverer:    newRecoverer(),
 	}
 	l.round = t.Token << roundBits
 	l.watch = liveness.New(liveness.Config{
-		SilentFor: d.Derived.SilentFor, LeaseOver: d.Derived.LeaseOver,
-		HoldGrace: d.Derived.HoldGrace, Gap: d.Derived.VerdictGap, ZoneSize: smallZone,
-		Overdue: d.Derived.Overdue, GroupSilent: d.Derived.ZoneSilent, Weight: l.services,
+		SuspectAfter: d.Derived.SilentFor, LeaseExpiry: d.Derived.LeaseOver,
+		HoldTimeout: d.Derived.HoldGrace, VerdictInterval: d.Derived.VerdictGap, MachinesPerVerdict: smallZone,
+		HeartbeatOverdue: d.Derived.Overdue, GroupSuspectAfter: d.Derived.ZoneSilent, Importance: l.services,
 	})
 	return l
 }
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -15,7 +15,7 @@
 func (l *Leader) listing(ctx context.Context) {
 	for ctx.Err() == nil {
 		asked := time.Now()
-		all, segments, err := l.Cloud.List(ctx)
+		all, segments, err := l.Cloud.ListMachines(ctx)
 		if err != nil {
 			slog.Debug("machines not listed", "term", l.term.Token, "reason", err)
 		} else {
@@ -29,7 +29,7 @@
 // machine missing from it proves nothing, nor does one that is still there. But
 // one that was in an earlier list, and has not reported since this one was asked
 // for, is mostly gone: it is called.
-func (l *Leader) listed(ctx context.Context, all []autoscaler.Listed, asked, now time.Time) {
+func (l *Leader) listed(ctx context.Context, all []autoscaler.ListedMachine, asked, now time.Time) {
 	var failed []*machine
 	for _, e := range all {
 		m := l.machines.byID[e.ID]
@@ -47,10 +47,10 @@
 			m.addr = e.Addr
 		}
 		m.listed = asked
-		if e.State == autoscaler.Running && m.runningSince.IsZero() {
+		if e.State == autoscaler.StateRunning && m.runningSince.IsZero() {
 			m.runningSince = now
 		}
-		if e.State == autoscaler.Failed && m.phase != returning {
+		if e.State == autoscaler.StateFailed && m.phase != returning {
 			slog.Info("machine failed", "machine", m.id, "term", l.token, "reason", "cloud says so")
 			failed = append(failed, m)
 		}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -65,7 +65,7 @@
 	l.checkRecords(log, ended, known, listed, now)
 	l.restore(log, ended, now)
 	for _, j := range l.jobs {
-		if j.isGang() && !j.over() && j.verdict() == gang.End {
+		if j.isGang() && !j.over() && j.verdict() == gang.Abort {
 			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
 		}
 		if !j.over() && j.spec.Shape == jobs.Batch && j.doneCount == j.spec.Tasks {
@@ -81,7 +81,7 @@
 	l.raisedAt = now
 	l.listSyncAt = now.Add(2 * l.Derived.ListLag)
 	l.seen.Store(after)
-	l.takeover.RecordsRead(time.Now())
+	l.takeover.RecordsLoaded(time.Now())
 	slog.Info("records read", "term", l.token, "jobs", len(l.jobs), "ended", over, "machines", len(l.machines.all))
 	return after, nil
 }
@@ -148,10 +148,10 @@
 	for _, p := range l.log.segments {
 		for _, attempt := range sorted(p.begun) {
 			a := p.begun[attempt]
-			switch d := reconcile.OfRecord(l.attemptFacts(a, now), a.job.isDone(a.n), a.m.session, a.m.leaseUntil); d.Action {
+			switch d := reconcile.DecideOnRecords(l.attemptFacts(a, now), a.job.isDone(a.n), a.m.session, a.m.leaseUntil); d.Action {
 			case reconcile.Complete:
 				l.conclude(a, success)
-			case reconcile.Restart:
+			case reconcile.Reschedule:
 				l.conclude(a, retry)
 			default: // its machine is heard first
 			}
@@ -187,7 +187,7 @@
 		m.phase, m.leaseUntil = up, now.Add(l.Derived.LeaseOver)
 		l.machines.add(m)
 		l.watch.Restore(m.id, b.Zone, now)
-		l.takeover.Expect(m.id)
+		l.takeover.ExpectMachine(m.id)
 	}
 	m.addr, m.typ, m.zone, m.spot = b.Addr, b.Type, b.Zone, b.Spot
 	m.session = max(m.session, b.Session)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -26,15 +26,15 @@
 	phase               phase
 	session             uint64
 	seq                 uint64
-	lastReport          liveness.Counter // newest report, answers to calls aside
-	token               uint64           // highest the worker has shown
-	wantsToken          bool             // a higher one, if there is one: see tokenFor
+	lastReport          liveness.HeartbeatSeq // newest report, answers to calls aside
+	token               uint64                // highest the worker has shown
+	wantsToken          bool                  // a higher one, if there is one: see tokenFor
 	reportedTasks       []workers.Task
 	reported            time.Time // when its last report came
 	leaseUntil          time.Time // by then a worker unheard has ended its tasks
 	assigned            map[uint64]*assignment
-	room                placement.Amount   // taken by assignments
-	offer               *placement.Machine // as placement sees it
+	room                placement.Resources // taken by assignments
+	offer               *placement.Machine  // as placement sees it
 	avoid               map[string]time.Time
 	images              []image // that it has, the one used last at the end
 	dead                bool    // the verdict is out
@@ -89,6 +89,6 @@
 	return &machine{
 		id: id, known: now, idleSince: now, group: int(sum.Sum32() % ticksPerInterval),
 		assigned: map[uint64]*assignment{}, avoid: map[string]time.Time{}, failures: map[string]bool{}, ordered: map[ref]uint64{},
-		offer: &placement.Machine{ID: id, Images: map[string]bool{}, Fetching: map[string]float64{}, Avoid: map[string]bool{}},
+		offer: &placement.Machine{ID: id, Images: map[string]bool{}, Fetching: map[string]float64{}, AvoidJobs: map[string]bool{}},
 	}
 }
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -20,19 +20,19 @@
 
 // needs is the work that machines should be rented for: services at once, and
 // batch tasks that would be over too late on the machines there are.
-func (l *Leader) needs(now time.Time) []autoscaler.Need {
-	var queue []autoscaler.Waiting
+func (l *Leader) needs(now time.Time) []autoscaler.Demand {
+	var queue []autoscaler.PendingTasks
 	for _, d := range l.unmet {
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
-			queue = append(queue, autoscaler.Waiting{Spec: s, Count: d.Count, RunS: l.runS(s), DueS: l.Settings.Operator.DueShare * l.timeLeft(d.Job)})
+			queue = append(queue, autoscaler.PendingTasks{Spec: s, Count: d.Count, RunS: l.runS(s), DeadlineS: l.Settings.Operator.DueShare * l.timeLeft(d.Job)})
 		}
 	}
 	var late []int
 	short := 0.0
 	if len(queue) > 0 { // services are rented for at once
-		late, short = autoscaler.Late(l.rooms(now), queue), l.shortfall(now)
+		late, short = autoscaler.ForecastLateTasks(l.rooms(now), queue), l.shortfall(now)
 	}
-	var needs []autoscaler.Need
+	var needs []autoscaler.Demand
 	for _, d := range l.unmet {
 		n := d.Count
 		if s := d.Job.Spec; s.Shape == jobs.Batch {
@@ -48,7 +48,7 @@
 			}
 		}
 		if n > 0 {
-			needs = append(needs, autoscaler.Need{Spec: d.Job.Spec, Zones: d.Job.Zones, Count: n})
+			needs = append(needs, autoscaler.Demand{Spec: d.Job.Spec, TasksByZone: d.Job.TasksByZone, Count: n})
 		}
 	}
 	return needs
@@ -105,22 +105,22 @@
 }
 
 // rooms is what the forecast plays on.
-func (l *Leader) rooms(now time.Time) []autoscaler.Room {
-	var rooms []autoscaler.Room
+func (l *Leader) rooms(now time.Time) []autoscaler.MachineForecast {
+	var rooms []autoscaler.MachineForecast
 	for _, m := range l.machines.all {
 		t := l.machineType(m.typ)
 		if t == nil {
 			continue
 		}
 		boot := l.bootTime(m.typ)
-		r := autoscaler.Room{
-			Kind: autoscaler.Kind{Type: m.typ, Zone: m.zone, Spot: m.spot},
-			Free: placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.Plus(m.room, -1),
+		r := autoscaler.MachineForecast{
+			MachinePool: autoscaler.MachinePool{Type: m.typ, Zone: m.zone, Spot: m.spot},
+			Free:        placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}.AddTimes(m.room, -1),
 		}
 		switch {
 		case l.usable(m, now):
 		case m.phase == booting && now.Sub(m.known) < times(boot, l.Settings.Operator.SlowBoots):
-			r.From = max(boot-now.Sub(m.known), boot/8).Seconds()
+			r.AvailableFromS = max(boot-now.Sub(m.known), boot/8).Seconds()
 		default:
 			continue
 		}
@@ -132,11 +132,11 @@
 			if a.stop || a.job.over() {
 				left = a.grace
 			}
-			r.Leaves = append(r.Leaves, autoscaler.Leave{At: max(left, overrun*l.runS(a.job.spec)), Need: placement.Of(a.job.spec)})
+			r.Releases = append(r.Releases, autoscaler.Release{AtS: max(left, overrun*l.runS(a.job.spec)), Resources: placement.TaskRequest(a.job.spec)})
 		}
 		rooms = append(rooms, r)
 	}
-	slices.SortFunc(rooms, func(a, b autoscaler.Room) int { return cmp.Compare(a.From, b.From) })
+	slices.SortFunc(rooms, func(a, b autoscaler.MachineForecast) int { return cmp.Compare(a.AvailableFromS, b.AvailableFromS) })
 	return rooms
 }
 
@@ -151,8 +151,8 @@
 // timeLeft is how many seconds a batch job has left. Without an aim to meet it
 // should not wait for ever either.
 func (l *Leader) timeLeft(j *placement.Job) float64 {
-	if j.DueS < placement.NoDeadline {
-		return j.DueS
+	if j.DeadlineS < placement.NoDeadline {
+		return j.DeadlineS
 	}
 	return patience * (l.runS(j.Spec) + l.shortestBoot().Seconds())
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -38,27 +38,27 @@
 		if a.outcome != open {
 			continue
 		}
-		p := reconcile.Picture{Session: r.Session, Token: r.Token}
+		p := reconcile.Observation{Session: r.Session, Token: r.Token}
 		if a.session == r.Session {
 			p.Task = taskIn(r, a.ref())
 		}
-		l.pictured(a, p, reconcile.Observe(l.attemptFacts(a, now), p), now)
+		l.pictured(a, p, reconcile.DecideOnHeartbeat(l.attemptFacts(a, now), p), now)
 	}
 	return true
 }
 
 // pictured carries out what a picture means for an assignment.
-func (l *Leader) pictured(a *assignment, p reconcile.Picture, d reconcile.Decision, now time.Time) {
+func (l *Leader) pictured(a *assignment, p reconcile.Observation, d reconcile.Decision, now time.Time) {
 	if p.Task != nil {
 		l.present(a, p.Task, now)
 	}
 	switch d.Action {
 	case reconcile.Complete:
 		l.completed(a, now)
-	case reconcile.Begin:
+	case reconcile.Start:
 		a.doubt, a.sent = 0, false
 		l.see(a, "")
-	case reconcile.Restart:
+	case reconcile.Reschedule:
 		if p.Task != nil {
 			l.blame(a, p.Task, now)
 		} else {
@@ -138,7 +138,7 @@
 
 // avoidFor keeps a job off a machine for a while.
 func (m *machine) avoidFor(job string, until time.Time) {
-	m.avoid[job], m.offer.Avoid[job] = until, true
+	m.avoid[job], m.offer.AvoidJobs[job] = until, true
 }
 
 // endAvoidance ends what is over by now.
@@ -146,7 +146,7 @@
 	for job, until := range m.avoid {
 		if now.After(until) {
 			delete(m.avoid, job)
-			delete(m.offer.Avoid, job)
+			delete(m.offer.AvoidJobs, job)
 			ended = true
 		}
 	}
@@ -167,7 +167,7 @@
 			continue
 		}
 		switch s := a.job.spec; {
-		case a.job.isGang() && gang.Saves(s.CheckpntS, s.SaveS, l.Derived.GangPeer.Seconds(), inS),
+		case a.job.isGang() && gang.ShouldCheckpoint(s.CheckpntS, s.SaveS, l.Derived.GangPeer.Seconds(), inS),
 			!a.job.isGang() && s.CheckpntS > 0 && s.SaveS < inS:
 			l.stopWithGang(a, s.SaveS)
 		case l.hopeless(a, inS, now):
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/workers"
 )
 
-func counter(r *workers.Report) liveness.Counter {
-	return liveness.Counter{Session: r.Session, Seq: r.Seq}
+func counter(r *workers.Report) liveness.HeartbeatSeq {
+	return liveness.HeartbeatSeq{Session: r.Session, Seq: r.Seq}
 }
 
 // notify notes that a worker has something to be told at once.
@@ -64,9 +64,9 @@
 			continue
 		}
 		l.ordersInFlight++
-		l.takeover.Ordered(now)
+		l.takeover.CommandSent(now)
 		m.orderBusy = true
-		l.watch.Called(m.id)
+		l.watch.CommandSent(m.id)
 		order := workers.Order{Token: token, Session: m.session, Calls: calls}
 		for _, c := range calls {
 			if c.Op == workers.OpRun {
@@ -118,8 +118,8 @@
 		return
 	}
 	m.undelivered, m.orderFails = 0, 0
-	l.watch.Reachable(m.id)
-	l.watch.Answered(m.id, counter(r))
+	l.watch.MarkReachable(m.id)
+	l.watch.CommandAnswered(m.id, counter(r))
 	l.observe(m, r, now)
 	for _, a := range m.assigned {
 		if a.job.over() && a.outcome == open {
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -46,7 +46,7 @@
 		Cache: jobs.NewCache(nil, time.Second, time.Second, time.Second, 8), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNet().From("perch-0"), time.Second, kvstore.Budget{}),
 	}, election.Term{Token: 5})
 	l.attempts, l.viewTime = 100, now
-	l.watch = liveness.New(liveness.Config{SilentFor: time.Second, LeaseOver: time.Second, HoldGrace: time.Second, Gap: time.Second})
+	l.watch = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := newJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	l.jobs["j-1"] = j
 	l.report(report(1, 1), now)
@@ -168,7 +168,7 @@
 	if l.report(old, now.Add(until+time.Second)) != nil || m.leaseUntil != lease {
 		t.Error("a copy of it renewed the lease once more")
 	}
-	if m.seq == 9 || j.tasks[0] == nil || l.watch.Placeable("m-1", now.Add(until)) {
+	if m.seq == 9 || j.tasks[0] == nil || l.watch.Schedulable("m-1", now.Add(until)) {
 		t.Error("an old report counted as news")
 	}
 	other := report(1, 3)
@@ -283,8 +283,8 @@
 				start(9)
 			}
 			l.findSlow(now)
-			if m.offer.Slow != tc.slow {
-				t.Errorf("slow: %v, odds %.1f", m.offer.Slow, l.slowOdds(m, now))
+			if m.offer.Straggler != tc.slow {
+				t.Errorf("slow: %v, odds %.1f", m.offer.Straggler, l.slowOdds(m, now))
 			}
 		})
 	}
@@ -325,7 +325,7 @@
 		r.Machine = id
 		l.report(r, now)
 	}
-	l.listed(t.Context(), []autoscaler.Listed{{ID: "m-1", State: autoscaler.Running}, {ID: "m-2", State: autoscaler.Running}}, now.Add(time.Millisecond), now)
+	l.listed(t.Context(), []autoscaler.ListedMachine{{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := report(1, 2)
 	r.Machine = "m-2"
@@ -388,7 +388,7 @@
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
 		l.Catalog = func() []jobs.MachineType { return types }
 		asked := 0
-		l.Cloud = autoscaler.NewCloud("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
+		l.Cloud = autoscaler.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
@@ -405,7 +405,7 @@
 		}
 		// What had begun before is not sent any more either.
 		l.release(ctx, now, m)
-		l.requestRental(ctx, autoscaler.Rental{Name: "r-5-1", Count: 1})
+		l.requestRental(ctx, autoscaler.ProvisionRequest{Name: "r-5-1", Count: 1})
 		synctest.Wait()
 		if asked > 0 {
 			t.Errorf("%d requests to the cloud", asked)
--- a/internal/leader/place.go
+++ b/internal/leader/place.go
@@ -27,15 +27,15 @@
 	if l.uncovered {
 		l.cover(now)
 	}
-	in := placement.Input{Teams: l.Settings.Deployment.Teams, Used: map[string]placement.Amount{}, Index: &l.capacity}
+	in := placement.Input{Teams: l.Settings.Deployment.Teams, UsedByTeam: map[string]placement.Resources{}, Index: &l.capacity}
 	for team, a := range l.used {
-		in.Used[team] = a
+		in.UsedByTeam[team] = a
 	}
-	for in.Least < len(l.tasksByRank)-1 && l.tasksByRank[in.Least] == 0 {
-		in.Least++
+	for in.LowestRank < len(l.tasksByRank)-1 && l.tasksByRank[in.LowestRank] == 0 {
+		in.LowestRank++
 	}
 	back := map[*placement.Job]*job{}
-	l.countHeld(in.Used)
+	l.countHeld(in.UsedByTeam)
 	wall := now.UnixMilli()
 	for j := range l.queued {
 		switch {
@@ -53,24 +53,24 @@
 		}
 	}
 	slices.SortFunc(in.Jobs, func(a, b *placement.Job) int {
-		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		return cmp.Or(cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
-	placed := map[*placement.Placed]*assignment{}
+	placed := map[*placement.RunningTask]*assignment{}
 	asVictim := map[*job]*placement.Job{}
-	in.Fill = func(p *placement.Machine) { l.fillOffer(p, asVictim, placed, now) }
+	in.LoadTasks = func(p *placement.Machine) { l.fillOffer(p, asVictim, placed, now) }
 	out := placement.Plan(in)
-	for _, s := range out.Stop {
+	for _, s := range out.Preemptions {
 		a, grace := placed[s.Task], 0.0
-		if !s.AtOnce {
+		if !s.WithoutGrace {
 			grace = a.job.spec.SaveS
 		}
 		l.stopWithGang(a, grace)
 	}
-	for _, as := range out.Assign {
+	for _, as := range out.Assignments {
 		j := back[as.Job]
-		l.assign(j, j.take(), l.machines.byID[as.Machine.ID], now).overdue = as.Overdue
+		l.assign(j, j.take(), l.machines.byID[as.Machine.ID], now).overdue = as.Starved
 	}
-	for _, j := range out.Clearing {
+	for _, j := range out.Preempting {
 		back[j].clearing = now
 	}
 	l.unmet = out.Unmet
@@ -78,35 +78,35 @@
 
 // usable tells whether work may go to a machine.
 func (l *Leader) usable(m *machine, now time.Time) bool {
-	return m.phase == up && !m.dead && !m.draining && m.session != 0 && m.token <= l.token && l.watch.Placeable(m.id, now)
+	return m.phase == up && !m.dead && !m.draining && m.session != 0 && m.token <= l.token && l.watch.Schedulable(m.id, now)
 }
 
 // fillOffer shows placement what could be stopped on a machine.
-func (l *Leader) fillOffer(p *placement.Machine, jobs map[*job]*placement.Job, placed map[*placement.Placed]*assignment, now time.Time) {
-	p.Freeing, p.Tasks = placement.Amount{}, p.Tasks[:0]
+func (l *Leader) fillOffer(p *placement.Machine, jobs map[*job]*placement.Job, placed map[*placement.RunningTask]*assignment, now time.Time) {
+	p.Releasing, p.Tasks = placement.Resources{}, p.Tasks[:0]
 	for _, a := range l.machines.byID[p.ID].assigned {
 		switch {
 		case a.outcome != open:
 		case a.stop || a.job.over():
-			p.Freeing = p.Freeing.Plus(placement.Of(a.job.spec), 1)
+			p.Releasing = p.Releasing.AddTimes(placement.TaskRequest(a.job.spec), 1)
 		case a.durable:
 			j := jobs[a.job]
 			if j == nil {
 				j = &placement.Job{Spec: a.job.spec, Guaranteed: a.job.covered}
 				jobs[a.job] = j
 			}
-			v := &placement.Placed{Job: j, N: a.n, Overdue: a.overdue}
+			v := &placement.RunningTask{Job: j, Index: a.n, Starved: a.overdue}
 			if a.seen == workers.Running {
-				v.RanS = now.Sub(a.since).Seconds()
+				v.LostRunS = now.Sub(a.since).Seconds()
 			}
 			if a.job.isGang() {
-				v.Falls = a.job.spec.Tasks
+				v.GangTasks = a.job.spec.Tasks
 			}
 			placed[v] = a
 			p.Tasks = append(p.Tasks, v)
 		}
 	}
-	slices.SortFunc(p.Tasks, func(a, b *placement.Placed) int {
+	slices.SortFunc(p.Tasks, func(a, b *placement.RunningTask) int {
 		return cmp.Compare(placed[a].attempt, placed[b].attempt)
 	})
 }
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -19,7 +19,7 @@
 		return placement.NoDeadline
 	}
 	age, runs := float64(wall-j.atMs)/1000, l.runS(j.spec)
-	due, aims := float64(placement.Late), false
+	due, aims := float64(placement.DeadlineMissed), false
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Class != j.spec.Class {
 			continue
@@ -67,13 +67,13 @@
 	back := map[*placement.Job]*job{}
 	for _, j := range l.jobs {
 		if !j.over() {
-			p := &placement.Job{Spec: j.spec, Order: j.order}
+			p := &placement.Job{Spec: j.spec, AcceptanceOrder: j.order}
 			back[p] = j
 			all = append(all, p)
 		}
 	}
-	slices.SortFunc(all, func(a, b *placement.Job) int { return cmp.Compare(a.Order, b.Order) })
-	placement.Guarantees(l.Settings.Deployment.Teams, all)
+	slices.SortFunc(all, func(a, b *placement.Job) int { return cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder) })
+	placement.MarkGuaranteed(l.Settings.Deployment.Teams, all)
 	for p, j := range back {
 		if p.Guaranteed && !j.covered {
 			j.coveredAt = now
@@ -94,33 +94,33 @@
 // planJob is a job as placement sees it.
 func (l *Leader) planJob(j *job, now time.Time, wall int64) *placement.Job {
 	p := &placement.Job{
-		Spec: j.spec, Order: j.order, DueS: l.dueS(j, wall), Waiting: j.waiting, Guaranteed: j.covered,
-		LeftS: float64(j.spec.Tasks-j.doneCount) * l.runS(j.spec) * j.spec.CPUs, Zones: make(map[string]int, len(j.zones)),
+		Spec: j.spec, AcceptanceOrder: j.order, DeadlineS: l.dueS(j, wall), Pending: j.waiting, Guaranteed: j.covered,
+		RemainingCPUS: float64(j.spec.Tasks-j.doneCount) * l.runS(j.spec) * j.spec.CPUs, TasksByZone: make(map[string]int, len(j.zones)),
 	}
 	for z, n := range j.zones {
-		p.Zones[z] = n
+		p.TasksByZone[z] = n
 	}
 	for _, o := range l.Settings.Deployment.Objectives {
 		if o.Kind == "guarantee" && j.spec.Shape == jobs.Batch {
-			p.Patient = now.Sub(j.coveredAt).Seconds() < patientShare*o.WithinS
+			p.ReclaimDeferred = now.Sub(j.coveredAt).Seconds() < patientShare*o.WithinS
 		}
 		if o.Kind == "wait" && o.Class == j.spec.Class {
 			// Until the order is out and the report back. What has run before
 			// is wanted back as soon as it was wanted at first.
-			p.StartS = o.WithinS - l.Derived.ControlInterval.Seconds()/4
+			p.StartWithinS = o.WithinS - l.Derived.ControlInterval.Seconds()/4
 			if len(j.again) == 0 {
-				p.StartS -= float64(wall-j.atMs) / 1000
+				p.StartWithinS -= float64(wall-j.atMs) / 1000
 			}
 		}
 	}
-	if j.spec.Shape == jobs.Batch && j.spec.CheckpntS == 0 && p.DueS < placement.NoDeadline {
-		p.Fragile = p.DueS < 2*l.runS(j.spec)
+	if j.spec.Shape == jobs.Batch && j.spec.CheckpntS == 0 && p.DeadlineS < placement.NoDeadline {
+		p.NoTimeToRestart = p.DeadlineS < 2*l.runS(j.spec)
 	}
-	p.AwaitsRoom = !l.mayPreempt(j, now)
-	p.Keep = j.isGang() && now.Sub(j.whole).Seconds() < keepShare*l.runS(j.spec)
-	p.Clearing = now.Sub(j.clearing) < l.Derived.Lasting
-	if p.Overdue = l.overdue(j, now); p.Overdue > 0 && j.isGang() {
-		p.Overdue = j.waiting
+	p.PreemptionDeferred = !l.mayPreempt(j, now)
+	p.ReserveRoom = j.isGang() && now.Sub(j.whole).Seconds() < keepShare*l.runS(j.spec)
+	p.Preempting = now.Sub(j.clearing) < l.Derived.Lasting
+	if p.StarvedTasks = l.overdue(j, now); p.StarvedTasks > 0 && j.isGang() {
+		p.StarvedTasks = j.waiting
 	}
 	return p
 }
--- a/internal/leader/recovery_adopt.go
+++ b/internal/leader/recovery_adopt.go
@@ -57,11 +57,11 @@
 
 // countHeld adds what tasks of held jobs take, as far as these are described: they run on,
 // though no assignment accounts for them.
-func (l *Leader) countHeld(used map[string]placement.Amount) {
+func (l *Leader) countHeld(used map[string]placement.Resources) {
 	for _, h := range l.held {
 		if h.known.Spec != nil && len(h.known.Running) > 0 {
-			need := placement.Of(h.known.Spec)
-			used[h.known.Spec.Team] = used[h.known.Spec.Team].Plus(need, float64(len(h.known.Running)))
+			need := placement.TaskRequest(h.known.Spec)
+			used[h.known.Spec.Team] = used[h.known.Spec.Team].AddTimes(need, float64(len(h.known.Running)))
 		}
 	}
 }
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -38,14 +38,14 @@
 		// Whoever gets an answer has its lease renewed by it.
 		m.leaseUntil, m.lastReport = now.Add(l.Derived.LeaseOver), c
 	}
-	l.takeover.Answered(now)
+	l.takeover.HeartbeatAnswered(now)
 	if r.Token < l.term.Token {
 		// Sent before the worker heard of this term, or a copy of such a report
 		// that was under way for any length of time. It proves nothing; the
 		// answer brings the token, and with it a report that does.
 		return &workers.Answer{Token: l.term.Token, Calls: l.stopsOfCancelled(r)}
 	}
-	l.takeover.Heard(r.Machine)
+	l.takeover.MachineReported(r.Machine)
 	if m == nil {
 		m = newMachine(r.Machine, now)
 		m.typ, m.zone, m.spot, m.addr = r.Type, r.Zone, r.Spot, r.Addr
@@ -57,8 +57,8 @@
 		l.booted(m, now)
 	}
 	l.checkDelivery(m, r, now)
-	l.watch.Heard(m.id, r.Zone, c, now)
-	if m.dead && !l.watch.Judged(m.id) {
+	l.watch.Heartbeat(m.id, r.Zone, c, now)
+	if m.dead && !l.watch.IsDead(m.id) {
 		m.dead = false
 		slog.Info("machine reports again", "machine", m.id, "term", l.token)
 	}
@@ -79,7 +79,7 @@
 	calls := []workers.Call{}
 	for _, t := range r.Tasks {
 		id, _, ok := workers.SplitTask(t.Task)
-		if d := reconcile.OfEarlierReport(&t, ok && l.isCancelled(id)); d.Action == reconcile.Stop {
+		if d := reconcile.DecideOnStaleHeartbeat(&t, ok && l.isCancelled(id)); d.Action == reconcile.Stop {
 			calls = append(calls, l.tell(stopCall(t.Task, t.Attempt, 0), d))
 		}
 	}
@@ -137,12 +137,12 @@
 	case r.Session > m.session || len(m.lastCalls) == 0: // nothing to be learnt
 	case heard:
 		m.undelivered = 0
-		l.watch.Reachable(m.id)
+		l.watch.MarkReachable(m.id)
 	default:
 		m.undelivered++
 		if m.undelivered == mostUndelivered {
 			slog.Info("machine does not hear", "machine", m.id, "term", l.token)
-			l.watch.Unreachable(m.id)
+			l.watch.MarkUnreachable(m.id)
 			l.replan = true
 		}
 	}
@@ -163,10 +163,10 @@
 		if a.outcome != open || a.session != m.session {
 			continue
 		}
-		switch d := reconcile.Command(l.attemptFacts(a, now)); d.Action {
+		switch d := reconcile.DecideCommand(l.attemptFacts(a, now)); d.Action {
 		case reconcile.Stop:
 			calls = append(calls, l.tell(stopCall(a.name(), a.onWire(), d.GraceS), d))
-		case reconcile.Begin:
+		case reconcile.Start:
 			a.sent, a.ordered = true, !answer
 			calls = append(calls, l.tell(workers.Call{Op: workers.OpRun, Task: a.name(), Attempt: a.onWire()}, d))
 		default: // it goes on, or has to wait
@@ -183,17 +183,17 @@
 			continue // its end is not durable yet
 		}
 		id, _, _ := workers.SplitTask(t.Task)
-		facts := reconcile.Unassigned{
-			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), MaybeLost: l.accountsFor(m, &t),
-			OrderToken: m.ordered[refOf(&t)], ShownToken: m.token, Answering: answer,
+		facts := reconcile.OrphanedTask{
+			Ended: t.State == workers.Ended, JobCancelled: l.isCancelled(id), RecordsIncomplete: l.accountsFor(m, &t),
+			CommandToken: m.ordered[refOf(&t)], WorkerToken: m.token, InHeartbeatAnswer: answer,
 		}
-		switch d := facts.Command(); {
+		switch d := facts.DecideCommand(); {
 		case d.Action == reconcile.Stop:
 			calls = append(calls, l.tell(stopCall(t.Task, t.Attempt, 0), d))
-		case d.Action == reconcile.Clear:
+		case d.Action == reconcile.Acknowledge:
 			calls = append(calls, l.tell(workers.Call{Op: workers.OpClear, Task: t.Task, Attempt: t.Attempt}, d))
-		case d.Reason == reconcile.TokenNotShown:
-			held.add(&t, facts.OrderToken, l.mayRunAgain(&t))
+		case d.Reason == reconcile.TokenNotSuperseded:
+			held.add(&t, facts.CommandToken, l.mayRunAgain(&t))
 		}
 	}
 	m.wantsToken = held.wantToken()
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -27,7 +27,7 @@
 	if len(l.returns) == 0 || l.returning {
 		return
 	}
-	ids := slices.Clone(l.returns[:min(len(l.returns), autoscaler.MaxRelease)])
+	ids := slices.Clone(l.returns[:min(len(l.returns), autoscaler.MaxMachinesPerRelease)])
 	l.returns = slices.Delete(l.returns, 0, len(ids))
 	l.returning = true
 	slog.Info("machines going back", "machines", ids, "term", l.token)
@@ -61,7 +61,7 @@
 		l.lost(m, "machine given back")
 		l.watch.Forget(id)
 		l.machines.remove(m)
-		l.takeover.Gone(id)
+		l.takeover.MachineGone(id)
 		// Reports, too, may arrive long after their machine is gone.
 		l.returned[id] = now.Add(4 * l.Derived.Cancel)
 	}
--- a/internal/leader/slow.go
+++ b/internal/leader/slow.go
@@ -40,13 +40,13 @@
 		if m.phase != up || len(m.assigned) == 0 {
 			continue
 		}
-		if !m.offer.Slow {
+		if !m.offer.Straggler {
 			odds := l.slowOdds(m, now)
 			if odds < math.Log(slowOdds) {
 				continue
 			}
 			slog.Info("machine slow", "machine", m.id, "term", l.token, "odds", math.Exp(odds))
-			m.offer.Slow = true
+			m.offer.Straggler = true
 		}
 		services := false
 		for _, a := range m.assigned {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -80,7 +80,7 @@
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
 		Term: l.term.Token, Token: l.token, PictureS: l.viewAge(now).Seconds(),
-		Held: l.watch.Held(now), Disrupted: l.watch.Disrupted(),
+		Held: l.watch.VerdictsOnHold(now), Disrupted: l.watch.FullDisruption(),
 		WriteQueue: len(l.finished) + len(l.log.begins) + len(l.log.ends) + len(l.log.chunks),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
 		Takeover: l.takeover.Progress(now),
@@ -129,7 +129,7 @@
 		return "dead"
 	case m.draining:
 		return "draining"
-	case !l.watch.Placeable(m.id, now):
+	case !l.watch.Schedulable(m.id, now):
 		return "silent"
 	case len(m.assigned) == 0:
 		return "idle"
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -13,28 +13,28 @@
 func (l *Leader) attemptFacts(a *assignment, now time.Time) reconcile.Attempt {
 	j := a.job
 	return reconcile.Attempt{
-		Session: a.session, Durable: a.durable, Ordered: a.ordered, Sent: a.sent, DoubtToken: a.doubt, Seen: a.seen,
-		Ends: j.spec.Ends(), JobOver: j.over(), JobCancelled: j.cancelled, Stopping: a.stop, GraceS: a.grace,
-		GangWhole: a.mayRun(),
+		Session: a.session, Durable: a.durable, CommandPending: a.ordered, Sent: a.sent, InDoubtToken: a.doubt, ObservedState: a.seen,
+		RunsToCompletion: j.spec.Ends(), JobFinished: j.over(), JobCancelled: j.cancelled, Preempted: a.stop, GraceS: a.grace,
+		GangReady: a.mayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		Incomplete: a.restored && a.seen == "" && l.awaitsWorkers(j, now),
+		RecordsIncomplete: a.restored && a.seen == "" && l.awaitsWorkers(j, now),
 	}
 }
 
 // tell counts a command to a worker.
 func (l *Leader) tell(c workers.Call, d reconcile.Decision) workers.Call {
-	l.takeover.Told(c.Op, d.Reason)
+	l.takeover.CountCommand(c.Op, d.Reason)
 	return c
 }
 
 // settleTakeover notes when every machine that the records name is accounted for.
 func (l *Leader) settleTakeover(now time.Time) {
-	if !l.takeover.Settle(now) {
+	if !l.takeover.TryFinish(now) {
 		return
 	}
 	p := l.takeover.Progress(now)
-	slog.Info("take-over settled", "term", l.token, "afterS", p.SettledS, "machines", p.Expected, "heard", p.Heard,
-		"never", p.Never, "answerS", p.AnswerS, "orderS", p.OrderS, "commands", p.Commands)
+	slog.Info("take-over settled", "term", l.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
+		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
 	l.replan = true
 }
 
@@ -42,7 +42,7 @@
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
 func (l *Leader) mayPreempt(j *job, now time.Time) bool {
-	if !l.takeover.ExpectsRoom(now) {
+	if !l.takeover.AwaitsCapacity(now) {
 		return true // which is so but for the first seconds of a term
 	}
 	return l.takeover.MayPreempt(now, j.served, l.preemptionBound(j))
--- a/internal/leader/takeover_test.go
+++ b/internal/leader/takeover_test.go
@@ -18,9 +18,9 @@
 	l.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "web", WithinS: 2}, {Kind: "guarantee", WithinS: 6},
 	}
-	l.takeover = reconcile.NewTakeover(now, l.Derived.Overdue)
-	l.takeover.Expect("m-2")
-	l.takeover.RecordsRead(now)
+	l.takeover = reconcile.NewFailover(now, l.Derived.Overdue)
+	l.takeover.ExpectMachine("m-2")
+	l.takeover.RecordsLoaded(now)
 	waiting := func(class, priority string, covered bool) *job {
 		j := newJob("j-9", &jobs.Spec{ID: "j-9", Class: class, Team: "red", Shape: jobs.Batch, Priority: priority, Tasks: 1, CPUs: 1}, 1, 0, now)
 		j.covered = covered
@@ -47,7 +47,7 @@
 		t.Error("operators want others to be stopped at once")
 	}
 	l.Settings.Operator.TakeoverPatience = 1
-	l.takeover.Heard("m-2")
+	l.takeover.MachineReported("m-2")
 	if !l.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
 		t.Error("all machines have reported: there is no other room")
 	}
@@ -57,14 +57,14 @@
 func TestNothingIsStoppedForWhatAwaitsRoom(t *testing.T) {
 	for _, awaits := range []bool{false, true} {
 		var index placement.CapacityIndex
-		m := &placement.Machine{ID: "m-1", Zone: "a", Type: "c4", Total: placement.Amount{CPUs: 4, RAMGB: 8}, Images: map[string]bool{}, Fetching: map[string]float64{}, Avoid: map[string]bool{}}
+		m := &placement.Machine{ID: "m-1", Zone: "a", Type: "c4", Total: placement.Resources{CPUs: 4, RAMGB: 8}, Images: map[string]bool{}, Fetching: map[string]float64{}, AvoidJobs: map[string]bool{}}
 		low := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Priority: jobs.BestEffort, Tasks: 1, CPUs: 4, RAMGB: 1}
-		m.Tasks = []*placement.Placed{{Job: &placement.Job{Spec: low}}}
-		index.Put(m)
+		m.Tasks = []*placement.RunningTask{{Job: &placement.Job{Spec: low}}}
+		index.Insert(m)
 		high := &jobs.Spec{ID: "j-2", Shape: jobs.Batch, Priority: jobs.Urgent, Tasks: 1, CPUs: 4, RAMGB: 1}
-		out := placement.Plan(placement.Input{Used: map[string]placement.Amount{}, Index: &index, Jobs: []*placement.Job{{Spec: high, Zones: map[string]int{}, Waiting: 1, AwaitsRoom: awaits, DueS: placement.NoDeadline}}})
-		if stopped := len(out.Stop) > 0; stopped == awaits || len(out.Unmet) > 0 != awaits {
-			t.Errorf("awaits room %v: stopped %v, unmet %v", awaits, out.Stop, out.Unmet)
+		out := placement.Plan(placement.Input{UsedByTeam: map[string]placement.Resources{}, Index: &index, Jobs: []*placement.Job{{Spec: high, TasksByZone: map[string]int{}, Pending: 1, PreemptionDeferred: awaits, DeadlineS: placement.NoDeadline}}})
+		if stopped := len(out.Preemptions) > 0; stopped == awaits || len(out.Unmet) > 0 != awaits {
+			t.Errorf("awaits room %v: stopped %v, unmet %v", awaits, out.Preemptions, out.Unmet)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 func TestTakeoverIsFollowed(t *testing.T) {
 	l, reports, now := fleetOf(t, 4)
 	next := successor(l, written(l), now, l.jobs["j-7"].spec)
-	next.takeover.RecordsRead(now)
+	next.takeover.RecordsLoaded(now)
 	for i, r := range reports[:3] {
 		r.Token = 6
 		r.Seq += 10
@@ -86,14 +86,14 @@
 		}
 	}
 	next.settleTakeover(now.Add(time.Second))
-	if p := next.takeover.Progress(now.Add(time.Second)); p.Phase != reconcile.Hearing || p.Expected != 4 || p.Heard != 3 {
+	if p := next.takeover.Progress(now.Add(time.Second)); p.Phase != reconcile.AwaitingHeartbeats || p.Expected != 4 || p.Reported != 3 {
 		t.Errorf("one is missing: %+v", p)
 	}
 	over := now.Add(2 * next.Derived.LeaseOver)
 	next.expire(over)
 	next.settleTakeover(over)
 	p := next.takeover.Progress(over)
-	if p.Phase != reconcile.Settled || p.Heard != 3 || p.Never != 1 || len(p.Commands) > 0 {
+	if p.Phase != reconcile.FailoverDone || p.Reported != 3 || p.NeverReported != 1 || len(p.Commands) > 0 {
 		t.Errorf("its lease is over: %+v", p)
 	}
 	gone := 0
--- a/internal/leader/tasks.go
+++ b/internal/leader/tasks.go
@@ -11,18 +11,18 @@
 
 // count makes an assignment weigh in room, quota and zones.
 func (l *Leader) count(a *assignment) {
-	need := placement.Of(a.job.spec)
+	need := placement.TaskRequest(a.job.spec)
 	a.inRoom = true
-	l.setRoom(a.m, a.m.room.Plus(need, 1))
-	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Plus(need, 1)
+	l.setRoom(a.m, a.m.room.AddTimes(need, 1))
+	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].AddTimes(need, 1)
 	l.tasksByRank[a.job.spec.Rank()]++
 	a.job.zones[a.m.zone]++
 }
 
 // setRoom notes what assignments take of a machine.
-func (l *Leader) setRoom(m *machine, room placement.Amount) {
+func (l *Leader) setRoom(m *machine, room placement.Resources) {
 	m.room = room
-	l.capacity.Set(m.offer, m.offer.Total.Plus(room, -1))
+	l.capacity.SetFree(m.offer, m.offer.Total.AddTimes(room, -1))
 }
 
 // updateCapacity offers a machine to placement while it takes work.
@@ -31,17 +31,17 @@
 		l.capacity.Remove(m.offer)
 		return
 	}
-	if o := m.offer; o.Total == (placement.Amount{}) || o.Type != m.typ || o.Zone != m.zone || o.Spot != m.spot {
+	if o := m.offer; o.Total == (placement.Resources{}) || o.Type != m.typ || o.Zone != m.zone || o.Spot != m.spot {
 		t := l.machineType(m.typ)
 		if t == nil {
 			return
 		}
 		l.capacity.Remove(o)
 		o.Type, o.Zone, o.Spot = m.typ, m.zone, m.spot
-		o.Total, o.FetchGBPS = placement.Amount{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}, t.FetchGBPS
-		o.Free = o.Total.Plus(m.room, -1)
+		o.Total, o.FetchGBPS = placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}, t.FetchGBPS
+		o.Free = o.Total.AddTimes(m.room, -1)
 	}
-	if l.capacity.Put(m.offer) {
+	if l.capacity.Insert(m.offer) {
 		l.replan = true
 	}
 }
@@ -61,13 +61,13 @@
 	if a.outcome != open {
 		return
 	}
-	j, m, need := a.job, a.m, placement.Of(a.job.spec)
+	j, m, need := a.job, a.m, placement.TaskRequest(a.job.spec)
 	l.see(a, "")
 	a.outcome = o
 	if a.inRoom {
 		a.inRoom = false
-		l.setRoom(m, m.room.Plus(need, -1))
-		l.used[j.spec.Team] = l.used[j.spec.Team].Plus(need, -1)
+		l.setRoom(m, m.room.AddTimes(need, -1))
+		l.used[j.spec.Team] = l.used[j.spec.Team].AddTimes(need, -1)
 		l.tasksByRank[j.spec.Rank()]--
 		j.zones[m.zone]--
 	}
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -49,13 +49,13 @@
 		if m.phase == booting {
 			continue
 		}
-		d := reconcile.Unheard(m.leaseUntil, now)
+		d := reconcile.DecideWithoutHeartbeat(m.leaseUntil, now)
 		if d.Action == reconcile.Wait {
 			l.expireAt = earlier(l.expireAt, d.Until)
 			continue
 		}
 		l.lost(m, string(d.Reason))
-		l.takeover.Gone(m.id)
+		l.takeover.MachineGone(m.id)
 		// Whatever still comes from the old session is out of date.
 		if m.session != 0 {
 			m.session, m.seq, m.reportedTasks = m.session+1, 0, nil
@@ -124,7 +124,7 @@
 	l.recoverRecords(ctx, now)
 	// What is known to be lost is durable first: the next leader would wait a whole lease
 	// for it once more.
-	if l.watch.Disrupted() && l.mayResign && !l.writing && !l.log.waiting() {
+	if l.watch.FullDisruption() && l.mayResign && !l.writing && !l.log.waiting() {
 		slog.Info("resigning", "term", l.token, "reason", "no machine of any zone reports here")
 		l.resign = true
 	}
@@ -154,16 +154,16 @@
 func (l *Leader) inspected(m *machine, r *workers.Report, err error, now time.Time) {
 	l.callsInFlight--
 	if workers.NoSocket(err) {
-		l.watch.CallLost(m.id, now) // it never left this process
+		l.watch.ProbeNotSent(m.id, now) // it never left this process
 		return
 	}
 	if err != nil {
-		l.watch.CallDone(m.id, false, liveness.Counter{}, now)
+		l.watch.ProbeDone(m.id, false, liveness.HeartbeatSeq{}, now)
 		return
 	}
 	m.undelivered = 0
 	// The answer is a newer picture of the tasks, though it renews no lease.
-	l.watch.CallDone(m.id, true, counter(r), now)
+	l.watch.ProbeDone(m.id, true, counter(r), now)
 	l.observe(m, r, now)
 }
 
@@ -186,7 +186,7 @@
 	l.log.deaths = append(l.log.deaths, m.id)
 	l.updateCapacity(m, now)
 	l.replan = true
-	if reason == liveness.CallFailed {
+	if reason == liveness.ProbeFailed {
 		l.release(ctx, now, m)
 	}
 }
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -10,24 +10,24 @@
 
 // Config holds the periods, all derived from the settings.
 type Config struct {
-	SilentFor time.Duration // unheard for so long, a machine looks dead
-	LeaseOver time.Duration // by then a worker has ended its tasks by itself
-	HoldGrace time.Duration // how long one floor holds all verdicts
-	Gap       time.Duration // between two verdicts in a zone of up to ZoneSize machines; larger ones have more in it
-	ZoneSize  int
+	SuspectAfter       time.Duration // unheard for so long, a machine looks dead
+	LeaseExpiry        time.Duration // by then a worker has ended its tasks by itself
+	HoldTimeout        time.Duration // how long one floor holds all verdicts
+	VerdictInterval    time.Duration // between two verdicts in a zone of up to ZoneSize machines; larger ones have more in it
+	MachinesPerVerdict int
 	// A machine whose report is overdue, or of whose zone nobody is heard, is
 	// called before it has been silent for as long as SilentFor.
-	Overdue, GroupSilent time.Duration
-	// Weight tells how much depends on a machine: the more, the earlier its turn to
+	HeartbeatOverdue, GroupSuspectAfter time.Duration
+	// Importance tells how much depends on a machine: the more, the earlier its turn to
 	// be called and judged. Nil takes all for equal.
-	Weight func(id string) int
+	Importance func(id string) int
 }
 
-// Counter orders the messages of one worker.
-type Counter struct{ Session, Seq uint64 }
+// HeartbeatSeq orders the messages of one worker.
+type HeartbeatSeq struct{ Session, Seq uint64 }
 
 // Before tells whether c is older than d.
-func (c Counter) Before(d Counter) bool {
+func (c HeartbeatSeq) Before(d HeartbeatSeq) bool {
 	return c.Session < d.Session || c.Session == d.Session && c.Seq < d.Seq
 }
 
@@ -36,9 +36,9 @@
 
 // The reasons of verdicts.
 const (
-	CallFailed Reason = "call failed"
-	NoNewer    Reason = "no report missed"
-	ReportsLag Reason = "reports stay away"
+	ProbeFailed       Reason = "call failed"
+	NoHeartbeatMissed Reason = "no report missed"
+	HeartbeatsLost    Reason = "reports stay away"
 )
 
 // Verdict is a confirmed death.
@@ -51,32 +51,32 @@
 	id          string
 	at          int // index into Watch.all
 	zone        *zone
-	heard       time.Time // when its last report came
-	known       Counter   // of the newest message seen
-	calls       uint64    // calls sent since then: each raises the counter once
-	synced      bool      // has reported to this leader
+	heard       time.Time    // when its last report came
+	known       HeartbeatSeq // of the newest message seen
+	calls       uint64       // calls sent since then: each raises the counter once
+	synced      bool         // has reported to this leader
 	calling     bool
-	callAfter   time.Time // one answer is enough for a while
-	confirmed   Reason    // set: dead, the verdict awaits its turn
-	since       time.Time // when it was confirmed
-	judged      bool      // the verdict is out
-	floor       Counter   // set: the report that ends the hold
-	holdUntil   time.Time // a floor holds no longer than this
-	lagging     bool      // a hold ran out on it; it may not cause another
-	suspect     bool      // there are signs that it is gone: it is called before it falls silent
-	unreachable bool      // its reports arrive, but it does not hear us
+	callAfter   time.Time    // one answer is enough for a while
+	confirmed   Reason       // set: dead, the verdict awaits its turn
+	since       time.Time    // when it was confirmed
+	judged      bool         // the verdict is out
+	floor       HeartbeatSeq // set: the report that ends the hold
+	holdUntil   time.Time    // a floor holds no longer than this
+	lagging     bool         // a hold ran out on it; it may not cause another
+	suspect     bool         // there are signs that it is gone: it is called before it falls silent
+	unreachable bool         // its reports arrive, but it does not hear us
 }
 
 // zone is what the machines of one zone have in common.
 type zone struct {
-	machines    int       // in the picture
-	heard       time.Time // the last report of any machine that was in it
-	silentSince time.Time // set while nobody of it is heard
-	pacer       *Pacer    // of its verdicts; nil before the first
+	machines    int             // in the picture
+	heard       time.Time       // the last report of any machine that was in it
+	silentSince time.Time       // set while nobody of it is heard
+	pacer       *verdictLimiter // of its verdicts; nil before the first
 }
 
-// Watch keeps the picture of all machines. One goroutine owns it.
-type Watch struct {
+// Detector keeps the picture of all machines. One goroutine owns it.
+type Detector struct {
 	cfg       Config
 	machines  map[string]*machine
 	all       []*machine // the same: each tick goes through them
@@ -86,11 +86,11 @@
 }
 
 // New makes an empty picture.
-func New(cfg Config) *Watch {
-	return &Watch{cfg: cfg, machines: map[string]*machine{}, zones: map[string]*zone{}}
+func New(cfg Config) *Detector {
+	return &Detector{cfg: cfg, machines: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
-func (w *Watch) zone(name string) *zone {
+func (w *Detector) zone(name string) *zone {
 	z := w.zones[name]
 	if z == nil {
 		z = &zone{}
@@ -99,7 +99,7 @@
 	return z
 }
 
-func (w *Watch) add(id, zone string) *machine {
+func (w *Detector) add(id, zone string) *machine {
 	m := &machine{id: id, at: len(w.all), zone: w.zone(zone)}
 	m.zone.machines++
 	w.machines[id] = m
@@ -107,7 +107,7 @@
 	return m
 }
 
-func (w *Watch) move(m *machine, z *zone) {
+func (w *Detector) move(m *machine, z *zone) {
 	m.zone.machines--
 	m.zone = z
 	z.machines++
@@ -115,14 +115,14 @@
 
 // Restore adds a machine that an earlier leader knew. It is unsynced: until it
 // reports, or until its lease must have run out, nothing is judged.
-func (w *Watch) Restore(id, zone string, now time.Time) {
+func (w *Detector) Restore(id, zone string, now time.Time) {
 	if _, ok := w.machines[id]; !ok {
 		w.add(id, zone).heard = now
 	}
 }
 
 // Forget drops a machine that is gone.
-func (w *Watch) Forget(id string) {
+func (w *Detector) Forget(id string) {
 	m := w.machines[id]
 	if m == nil {
 		return
@@ -134,17 +134,17 @@
 	w.all = w.all[:len(w.all)-1]
 }
 
-// Heard takes in a report. Old copies that were held up on the way change
+// Heartbeat takes in a report. Old copies that were held up on the way change
 // nothing: they do not show that the machine is alive now.
-func (w *Watch) Heard(id, zone string, c Counter, now time.Time) {
+func (w *Detector) Heartbeat(id, zone string, c HeartbeatSeq, now time.Time) {
 	m := w.machines[id]
 	if m == nil {
 		m = w.add(id, zone)
 	} else if m.synced && !m.known.Before(c) {
 		return
 	}
-	if m.floor != (Counter{}) && !c.Before(m.floor) {
-		m.floor = Counter{}
+	if m.floor != (HeartbeatSeq{}) && !c.Before(m.floor) {
+		m.floor = HeartbeatSeq{}
 	}
 	if z := w.zone(zone); z != m.zone {
 		w.move(m, z)
@@ -161,17 +161,17 @@
 	}
 }
 
-// Answered takes in a worker's answer to an order: a newer picture, but no
+// CommandAnswered takes in a worker's answer to an order: a newer picture, but no
 // report, so that the machine is not heard by it.
-func (w *Watch) Answered(id string, c Counter) {
+func (w *Detector) CommandAnswered(id string, c HeartbeatSeq) {
 	if m := w.machines[id]; m != nil && m.known.Before(c) {
 		m.known, m.calls = c, 0
 	}
 }
 
-// Called notes that an order was sent: if it arrives, it raises the counter,
+// CommandSent notes that an order was sent: if it arrives, it raises the counter,
 // whether or not its answer does.
-func (w *Watch) Called(id string) {
+func (w *Detector) CommandSent(id string) {
 	if m := w.machines[id]; m != nil {
 		m.calls++
 	}
@@ -179,29 +179,29 @@
 
 // Suspect takes in a sign that a machine is gone, such as that the cloud lists it
 // no more. It is called at once; only a call that fails confirms anything.
-func (w *Watch) Suspect(id string) {
+func (w *Detector) Suspect(id string) {
 	if m := w.machines[id]; m != nil && m.synced {
 		m.suspect = true
 	}
 }
 
-// Unreachable takes in that a machine's reports arrive but our answers do not. It does
+// MarkUnreachable takes in that a machine's reports arrive but our answers do not. It does
 // not look healthy by its reports any more, until something reaches it again.
-func (w *Watch) Unreachable(id string) {
+func (w *Detector) MarkUnreachable(id string) {
 	if m := w.machines[id]; m != nil {
 		m.unreachable = true
 	}
 }
 
-// Reachable takes in that something has reached a machine.
-func (w *Watch) Reachable(id string) {
+// MarkReachable takes in that something has reached a machine.
+func (w *Detector) MarkReachable(id string) {
 	if m := w.machines[id]; m != nil && m.unreachable {
 		m.unreachable, m.judged, m.confirmed = false, false, ""
 	}
 }
 
-// Judged tells whether a machine's death has been decided.
-func (w *Watch) Judged(id string) bool {
+// IsDead tells whether a machine's death has been decided.
+func (w *Detector) IsDead(id string) bool {
 	m := w.machines[id]
 	return m != nil && m.judged
 }
--- a/internal/liveness/pacer.go
+++ b/internal/liveness/pacer.go
@@ -6,9 +6,9 @@
 	"golang.org/x/time/rate"
 )
 
-// Pacer lets through a number of verdicts per gap, never more at once than come
+// verdictLimiter lets through a number of verdicts per gap, never more at once than come
 // due in a part of it.
-type Pacer struct{ limiter *rate.Limiter }
+type verdictLimiter struct{ limiter *rate.Limiter }
 
 // burstShare is the part of a gap's verdicts that may come at once: decisions
 // are made a few times in a gap, and a large zone has many in each.
@@ -21,15 +21,17 @@
 	return rate.NewLimiter(rate.Limit(float64(each)/gap.Seconds()), max(1, int(burstShare*float64(each))))
 }
 
-// NewPacer makes a pacer that is ready for its first verdicts.
-func NewPacer(each int, gap time.Duration) *Pacer { return &Pacer{limiter(each, gap)} }
+// newVerdictLimiter makes a pacer that is ready for its first verdicts.
+func newVerdictLimiter(each int, gap time.Duration) *verdictLimiter {
+	return &verdictLimiter{limiter(each, gap)}
+}
 
-// Allow takes the turn for one verdict, if there is one.
-func (p *Pacer) Allow(now time.Time) bool { return p.limiter.AllowN(now, 1) }
+// allow takes the turn for one verdict, if there is one.
+func (p *verdictLimiter) allow(now time.Time) bool { return p.limiter.AllowN(now, 1) }
 
-// Swap changes the pace; no gap stops all verdicts. A pacer that was saturated
+// setRate changes the pace; no gap stops all verdicts. A pacer that was saturated
 // hands over no turns: full ones would let a burst through at each change.
-func (p *Pacer) Swap(each int, gap time.Duration, now time.Time) {
+func (p *verdictLimiter) setRate(each int, gap time.Duration, now time.Time) {
 	next := limiter(each, gap)
 	if p.limiter.Limit() == next.Limit() {
 		return
--- a/internal/liveness/silence.go
+++ b/internal/liveness/silence.go
@@ -4,36 +4,36 @@
 	"time"
 )
 
-// Placeable tells whether work may go to a machine: it has reported to this
+// Schedulable tells whether work may go to a machine: it has reported to this
 // leader and is neither silent, dead nor lagging.
-func (w *Watch) Placeable(id string, now time.Time) bool {
+func (w *Detector) Schedulable(id string, now time.Time) bool {
 	m := w.machines[id]
 	return m != nil && m.synced && !m.judged && !m.lagging && m.confirmed == "" && !w.looksDead(m, now)
 }
 
-// Held tells whether a floor holds all verdicts.
-func (w *Watch) Held(now time.Time) bool {
+// VerdictsOnHold tells whether a floor holds all verdicts.
+func (w *Detector) VerdictsOnHold(now time.Time) bool {
 	for _, m := range w.all {
-		if m.floor != (Counter{}) && now.Before(m.holdUntil) {
+		if m.floor != (HeartbeatSeq{}) && now.Before(m.holdUntil) {
 			return true
 		}
 	}
 	return false
 }
 
-// Disrupted tells whether every zone looks dead.
-func (w *Watch) Disrupted() bool { return w.disrupted }
+// FullDisruption tells whether every zone looks dead.
+func (w *Detector) FullDisruption() bool { return w.disrupted }
 
-func (w *Watch) silent(m *machine, now time.Time) bool {
-	limit := w.cfg.SilentFor
+func (w *Detector) silent(m *machine, now time.Time) bool {
+	limit := w.cfg.SuspectAfter
 	if !m.synced {
-		limit = w.cfg.LeaseOver
+		limit = w.cfg.LeaseExpiry
 	}
 	return now.Sub(m.heard) > limit
 }
 
 // looksDead tells whether a machine is to be called.
-func (w *Watch) looksDead(m *machine, now time.Time) bool {
+func (w *Detector) looksDead(m *machine, now time.Time) bool {
 	return m.suspect || m.unreachable || w.silent(m, now)
 }
 
@@ -43,19 +43,19 @@
 
 // silentGroup tells whether so many machines have been unheard for so long that what
 // lies between them and us, or all of them, must be gone.
-func (w *Watch) silentGroup(machines int, heard, now time.Time) bool {
-	return w.cfg.GroupSilent > 0 && machines >= leastGroup && !heard.IsZero() && now.Sub(heard) > w.cfg.GroupSilent
+func (w *Detector) silentGroup(machines int, heard, now time.Time) bool {
+	return w.cfg.GroupSuspectAfter > 0 && machines >= leastGroup && !heard.IsZero() && now.Sub(heard) > w.cfg.GroupSuspectAfter
 }
 
-// ZoneSilent tells whether a zone fell silent within the last while and nobody in it
+// ZoneFellSilent tells whether a zone fell silent within the last while and nobody in it
 // has been heard since, even if all its machines were given back.
-func (w *Watch) ZoneSilent(zone string, now time.Time, while time.Duration) bool {
+func (w *Detector) ZoneFellSilent(zone string, now time.Time, while time.Duration) bool {
 	z := w.zones[zone]
 	return z != nil && !z.silentSince.IsZero() && now.Sub(z.silentSince) < while
 }
 
 // missed tells whether a report that should have come did not. That alone says
 // little; the machine is called.
-func (w *Watch) missed(m *machine, now time.Time) bool {
-	return m.synced && (w.cfg.Overdue > 0 && now.Sub(m.heard) > w.cfg.Overdue || w.silentGroup(m.zone.machines, m.zone.heard, now))
+func (w *Detector) missed(m *machine, now time.Time) bool {
+	return m.synced && (w.cfg.HeartbeatOverdue > 0 && now.Sub(m.heard) > w.cfg.HeartbeatOverdue || w.silentGroup(m.zone.machines, m.zone.heard, now))
 }
--- a/internal/liveness/tick.go
+++ b/internal/liveness/tick.go
@@ -8,7 +8,7 @@
 
 // Tick returns the machines to call now, as many as may be, and the verdicts to
 // carry out.
-func (w *Watch) Tick(now time.Time, most int) (calls []string, verdicts []Verdict) {
+func (w *Detector) Tick(now time.Time, most int) (calls []string, verdicts []Verdict) {
 	if !w.disrupted && (w.allSilent(now) || w.silentGroup(len(w.all), w.lastHeard, now)) {
 		w.disrupted = true
 		w.setPace(1, 0, now)
@@ -25,7 +25,7 @@
 		if !m.judged && !m.calling && w.looksDead(m, now) {
 			ids = append(ids, m.id)
 		}
-		if m.floor == (Counter{}) {
+		if m.floor == (HeartbeatSeq{}) {
 			continue
 		}
 		if now.Before(m.holdUntil) {
@@ -34,7 +34,7 @@
 		}
 		// The grace is over and the report never came: this machine's lag says
 		// nothing about the others, and it may not hold them up again.
-		m.floor, m.lagging = Counter{}, true
+		m.floor, m.lagging = HeartbeatSeq{}, true
 	}
 	w.order(ids)
 	for _, id := range ids {
@@ -51,7 +51,7 @@
 		// A leader that has just lost its connection finds machine after machine
 		// silent before it finds all of them so. A report that comes after the
 		// confirmation shows that it still hears anything at all.
-		if held || w.disrupted || !w.lastHeard.After(m.since) || !w.pacer(m.zone, now).Allow(now) {
+		if held || w.disrupted || !w.lastHeard.After(m.since) || !w.pacer(m.zone, now).allow(now) {
 			continue
 		}
 		m.judged = true
@@ -61,11 +61,11 @@
 }
 
 // order puts the machines on which most depends first.
-func (w *Watch) order(ids []string) {
+func (w *Detector) order(ids []string) {
 	weights := make(map[string]int, len(ids))
 	for _, id := range ids {
-		if w.cfg.Weight != nil {
-			weights[id] = w.cfg.Weight(id)
+		if w.cfg.Importance != nil {
+			weights[id] = w.cfg.Importance(id)
 		}
 	}
 	slices.SortFunc(ids, func(a, b string) int {
@@ -73,17 +73,17 @@
 	})
 }
 
-// CallLost takes in that a call failed for the caller's own want of something: it says
+// ProbeNotSent takes in that a call failed for the caller's own want of something: it says
 // nothing of the machine. It is made again a little later.
-func (w *Watch) CallLost(id string, now time.Time) {
+func (w *Detector) ProbeNotSent(id string, now time.Time) {
 	if m := w.machines[id]; m != nil && m.calling {
 		m.calling = false
-		m.callAfter = now.Add(w.cfg.HoldGrace / 4)
+		m.callAfter = now.Add(w.cfg.HoldTimeout / 4)
 	}
 }
 
-// CallDone takes in the outcome of a call that Tick asked for.
-func (w *Watch) CallDone(id string, ok bool, c Counter, now time.Time) {
+// ProbeDone takes in the outcome of a call that Tick asked for.
+func (w *Detector) ProbeDone(id string, ok bool, c HeartbeatSeq, now time.Time) {
 	m := w.machines[id]
 	if m == nil || !m.calling {
 		return
@@ -93,23 +93,23 @@
 		return // it reported meanwhile
 	}
 	if !ok {
-		m.floor = Counter{}
-		m.confirmed, m.since = CallFailed, now
+		m.floor = HeartbeatSeq{}
+		m.confirmed, m.since = ProbeFailed, now
 		return
 	}
 	m.suspect = false
-	w.Reachable(id)
+	w.MarkReachable(id)
 	if !w.silent(m, now) {
 		if m.known.Before(c) {
 			m.known, m.calls = c, 0
 		}
-		m.callAfter = now.Add(w.cfg.HoldGrace / 2)
+		m.callAfter = now.Add(w.cfg.HoldTimeout / 2)
 		return // alive, whatever the signs were
 	}
 	// Each call of ours that arrived raised the counter by one, this one too.
 	// What is beyond them are reports that we have missed: our picture lags,
 	// and it may lag for every machine.
-	expected := Counter{m.known.Session, m.known.Seq + m.calls}
+	expected := HeartbeatSeq{m.known.Session, m.known.Seq + m.calls}
 	ahead := m.synced && expected.Before(c)
 	// The answer is a newer picture, so that our next calls are counted from
 	// it. The floor is the last report before it, set once for a hold: were it
@@ -119,40 +119,40 @@
 	}
 	switch {
 	case ahead && !m.lagging:
-		if m.floor == (Counter{}) {
+		if m.floor == (HeartbeatSeq{}) {
 			m.floor = c
-			m.holdUntil = now.Add(w.cfg.HoldGrace)
+			m.holdUntil = now.Add(w.cfg.HoldTimeout)
 		}
-		m.callAfter = now.Add(w.cfg.HoldGrace / 2)
+		m.callAfter = now.Add(w.cfg.HoldTimeout / 2)
 	case m.lagging:
-		m.confirmed, m.since = ReportsLag, now
+		m.confirmed, m.since = HeartbeatsLost, now
 	default:
-		m.confirmed, m.since = NoNewer, now
+		m.confirmed, m.since = NoHeartbeatMissed, now
 	}
 }
 
 // pacer returns a zone's pacer. The share of a zone that may be given up in a
 // given time is much the same, however large it is.
-func (w *Watch) pacer(z *zone, now time.Time) *Pacer {
-	each := max(1, z.machines/max(1, w.cfg.ZoneSize))
+func (w *Detector) pacer(z *zone, now time.Time) *verdictLimiter {
+	each := max(1, z.machines/max(1, w.cfg.MachinesPerVerdict))
 	if z.pacer == nil {
-		z.pacer = NewPacer(each, w.cfg.Gap)
+		z.pacer = newVerdictLimiter(each, w.cfg.VerdictInterval)
 	}
-	z.pacer.Swap(each, w.cfg.Gap, now)
+	z.pacer.setRate(each, w.cfg.VerdictInterval, now)
 	return z.pacer
 }
 
 // setPace changes the pace of all zones that have had a verdict.
-func (w *Watch) setPace(each int, gap time.Duration, now time.Time) {
+func (w *Detector) setPace(each int, gap time.Duration, now time.Time) {
 	for _, z := range w.zones {
 		if z.pacer != nil {
-			z.pacer.Swap(each, gap, now)
+			z.pacer.setRate(each, gap, now)
 		}
 	}
 }
 
 // allSilent tells whether every machine of every zone looks dead.
-func (w *Watch) allSilent(now time.Time) bool {
+func (w *Detector) allSilent(now time.Time) bool {
 	if len(w.all) == 0 {
 		return false
 	}
@@ -166,7 +166,7 @@
 
 // leaveDisruption starts afresh: what was silent for lack of any connection
 // must not look dead at once.
-func (w *Watch) leaveDisruption(now time.Time) {
+func (w *Detector) leaveDisruption(now time.Time) {
 	w.disrupted = false
 	for _, z := range w.zones {
 		if !z.heard.IsZero() { // nothing was ever heard of the others
@@ -176,5 +176,5 @@
 	for _, m := range w.all {
 		m.heard, m.confirmed, m.suspect = now, "", false
 	}
-	w.setPace(1, w.cfg.Gap, now) // and to the pace of its size with the next verdict
+	w.setPace(1, w.cfg.VerdictInterval, now) // and to the pace of its size with the next verdict
 }
--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -27,7 +27,7 @@
 //	4    call m-1 1/6
 //	5    tick = call m-1; dead m-2 call failed; held; disrupted
 var traceConfig = Config{
-	SilentFor: 3 * time.Second, LeaseOver: 10 * time.Second, HoldGrace: 4 * time.Second, Gap: time.Second, ZoneSize: 4,
+	SuspectAfter: 3 * time.Second, LeaseExpiry: 10 * time.Second, HoldTimeout: 4 * time.Second, VerdictInterval: time.Second, MachinesPerVerdict: 4,
 }
 
 func TestTraces(t *testing.T) {
@@ -48,10 +48,10 @@
 	defer in.Close()
 	cfg := traceConfig
 	if raw, err := os.ReadFile(file); err != nil || strings.Contains(string(raw), "(dark)") {
-		cfg.GroupSilent = 2 * time.Second // elsewhere zones are too small for it to matter
+		cfg.GroupSuspectAfter = 2 * time.Second // elsewhere zones are too small for it to matter
 	}
 	weights := map[string]int{}
-	cfg.Weight = func(id string) int { return weights[id] }
+	cfg.Importance = func(id string) int { return weights[id] }
 	w := New(cfg)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	lines := bufio.NewScanner(in)
@@ -69,26 +69,26 @@
 		now := start.Add(time.Duration(at * float64(time.Second)))
 		switch f[1] {
 		case "heard":
-			w.Heard(f[2], f[3], parse(t, f[4]), now)
+			w.Heartbeat(f[2], f[3], parse(t, f[4]), now)
 		case "restore":
 			w.Restore(f[2], f[3], now)
 		case "order":
-			w.Called(f[2])
+			w.CommandSent(f[2])
 		case "answered":
-			w.Answered(f[2], parse(t, f[3]))
+			w.CommandAnswered(f[2], parse(t, f[3]))
 		case "suspect":
 			w.Suspect(f[2])
 		case "deaf":
-			w.Unreachable(f[2])
+			w.MarkUnreachable(f[2])
 		case "weighs":
 			weights[f[2]], _ = strconv.Atoi(f[3])
 		case "forget":
 			w.Forget(f[2])
 		case "call":
 			if f[3] == "failed" {
-				w.CallDone(f[2], false, Counter{}, now)
+				w.ProbeDone(f[2], false, HeartbeatSeq{}, now)
 			} else {
-				w.CallDone(f[2], true, parse(t, f[3]), now)
+				w.ProbeDone(f[2], true, parse(t, f[3]), now)
 			}
 		case "tick":
 			var got []string
@@ -99,14 +99,14 @@
 			for _, v := range verdicts {
 				got = append(got, fmt.Sprintf("dead %s %s", v.Machine, v.Reason))
 			}
-			if w.Held(now) {
+			if w.VerdictsOnHold(now) {
 				got = append(got, "held")
 			}
-			if w.Disrupted() {
+			if w.FullDisruption() {
 				got = append(got, "disrupted")
 			}
 			for _, zone := range []string{"a", "b"} {
-				if w.ZoneSilent(zone, now, 100*time.Second) {
+				if w.ZoneFellSilent(zone, now, 100*time.Second) {
 					got = append(got, "zone "+zone+" is dark")
 				}
 			}
@@ -119,8 +119,8 @@
 	}
 }
 
-func parse(t *testing.T, s string) Counter {
-	var c Counter
+func parse(t *testing.T, s string) HeartbeatSeq {
+	var c HeartbeatSeq
 	if _, err := fmt.Sscanf(s, "%d/%d", &c.Session, &c.Seq); err != nil {
 		t.Fatal(err)
 	}
@@ -130,21 +130,21 @@
 // A pacer that is swapped while saturated must not let a burst through.
 func TestPacerSwap(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	p := NewPacer(1, time.Second)
-	if !p.Allow(now) || p.Allow(now) {
+	p := newVerdictLimiter(1, time.Second)
+	if !p.allow(now) || p.allow(now) {
 		t.Fatal("a new pacer gives one turn")
 	}
-	p.Swap(1, 2*time.Second, now)
-	if p.Allow(now) {
+	p.setRate(1, 2*time.Second, now)
+	if p.allow(now) {
 		t.Error("saturated before, so the new one starts empty")
 	}
 	now = now.Add(2 * time.Second)
-	p.Swap(1, time.Second, now)
-	if !p.Allow(now) || p.Allow(now) {
+	p.setRate(1, time.Second, now)
+	if !p.allow(now) || p.allow(now) {
 		t.Error("not saturated before, so the new one gives its turn, once")
 	}
-	p.Swap(1, 0, now)
-	if p.Allow(now.Add(time.Hour)) {
+	p.setRate(1, 0, now)
+	if p.allow(now.Add(time.Hour)) {
 		t.Error("stopped")
 	}
 }
@@ -153,17 +153,17 @@
 func TestPaceFollowsTheZone(t *testing.T) {
 	for _, size := range []int{10, 100, 700} {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		w := New(Config{SilentFor: 3 * time.Second, LeaseOver: 10 * time.Second, HoldGrace: 4 * time.Second, Gap: time.Second, ZoneSize: 10})
+		w := New(Config{SuspectAfter: 3 * time.Second, LeaseExpiry: 10 * time.Second, HoldTimeout: 4 * time.Second, VerdictInterval: time.Second, MachinesPerVerdict: 10})
 		for i := range size {
-			w.Heard(fmt.Sprint("m-", i), "a", Counter{1, 1}, now)
+			w.Heartbeat(fmt.Sprint("m-", i), "a", HeartbeatSeq{1, 1}, now)
 		}
 		judged, most := 0, 0
 		for step := range 60 {
 			at := now.Add(4*time.Second + time.Duration(step)*100*time.Millisecond)
-			w.Heard("m-b", "b", Counter{1, uint64(step + 1)}, at)
+			w.Heartbeat("m-b", "b", HeartbeatSeq{1, uint64(step + 1)}, at)
 			calls, verdicts := w.Tick(at, 2*size)
 			for _, c := range calls {
-				w.CallDone(c, false, Counter{}, at)
+				w.ProbeDone(c, false, HeartbeatSeq{}, at)
 			}
 			judged += len(verdicts)
 			most = max(most, len(verdicts))
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -8,27 +8,27 @@
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
-	Slow           bool // not for batch tasks
-	Total, Free    Amount
+	Straggler      bool // not for batch tasks
+	Total, Free    Resources
 	FetchGBPS      float64
 	Images         map[string]bool    // that it has
 	Fetching       map[string]float64 // that it is getting, and their size in GB
-	Avoid          map[string]bool    // jobs that should not come back
+	AvoidJobs      map[string]bool    // jobs that should not come back
 
 	// Filled only where room has to be made.
-	Freeing Amount // of tasks told to stop
-	Tasks   []*Placed
+	Releasing Resources // of tasks told to stop
+	Tasks     []*RunningTask
 
 	on *kindIndex
 }
 
-// Placed is a task on a machine that could be stopped.
-type Placed struct {
-	Job     *Job
-	N       int
-	RanS    float64 // what stopping it would lose
-	Falls   int     // tasks of its gang, which stop with it
-	Overdue bool    // placed because its job had got nothing for too long
+// RunningTask is a task on a machine that could be stopped.
+type RunningTask struct {
+	Job       *Job
+	Index     int
+	LostRunS  float64 // what stopping it would lose
+	GangTasks int     // tasks of its gang, which stop with it
+	Starved   bool    // placed because its job had got nothing for too long
 }
 
 // CapacityIndex holds the machines that take work, ordered by their free resources: the
@@ -58,8 +58,8 @@
 	return a.ID < b.ID
 }
 
-// Put adds a machine and returns true, or does nothing if it is there.
-func (s *CapacityIndex) Put(m *Machine) bool {
+// Insert adds a machine and returns true, or does nothing if it is there.
+func (s *CapacityIndex) Insert(m *Machine) bool {
 	if m.on != nil {
 		return false
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// Set changes what is free on a machine, whether or not it is in the index.
-func (s *CapacityIndex) Set(m *Machine, free Amount) {
+// SetFree changes what is free on a machine, whether or not it is in the index.
+func (s *CapacityIndex) SetFree(m *Machine, free Resources) {
 	if m.on == nil {
 		m.Free = free
 		return
@@ -97,7 +97,7 @@
 
 // from goes through the machines that may have room, the fullest first, while
 // next says so.
-func (k *kindIndex) from(need Amount, next func(*Machine) bool) {
+func (k *kindIndex) from(need Resources, next func(*Machine) bool) {
 	least := need.CPUs - slack
 	if roomiest, ok := k.machines.Max(); !ok || roomiest.Free.CPUs < least {
 		return // mostly all are full
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -11,9 +11,9 @@
 // so asked, and returns how many are left.
 func (in *Input) fill(t queueEntry, out *Output, cached bool) (want int) {
 	j := t.Job
-	want = j.Waiting
+	want = j.Pending
 	if t.overdue {
-		want = min(want, j.Overdue)
+		want = min(want, j.StarvedTasks)
 	}
 	for want > 0 {
 		if in.roomInLimit(j, 1) == 0 {
@@ -25,18 +25,18 @@
 		}
 		// A service whose image would come too late starts sooner where the image
 		// is, even if something has to leave for that.
-		if f := m.fetch(j.Spec) * slowFetch; j.Spec.Shape == jobs.Service && f > 0 && f > j.StartS && j.StartS > 0 &&
+		if f := m.fetch(j.Spec) * slowFetch; j.Spec.Shape == jobs.Service && f > 0 && f > j.StartWithinS && j.StartWithinS > 0 &&
 			in.makeRoom(j, 1, out, func(m *Machine) bool { return m.Images[j.Spec.Image] }) > 0 {
 			want--
-			j.Waiting--
+			j.Pending--
 			continue
 		}
 		in.put(j, m)
-		out.Assign = append(out.Assign, Assignment{j, m, t.overdue})
+		out.Assignments = append(out.Assignments, Assignment{j, m, t.overdue})
 		want--
-		j.Waiting--
+		j.Pending--
 		if t.overdue {
-			j.Overdue--
+			j.StarvedTasks--
 		}
 	}
 	return want
@@ -47,30 +47,30 @@
 	for range n {
 		m := in.Index.roomiest(func(m *Machine) bool {
 			_, taken := in.touched[m]
-			return !taken && m.Total.Fits(Of(j.Spec)) && m.open(j)
+			return !taken && m.Total.Fits(TaskRequest(j.Spec)) && m.open(j)
 		})
 		if m == nil {
 			return
 		}
-		in.setFree(m, Amount{})
+		in.setFree(m, Resources{})
 	}
 }
 
 // setFree changes what is free on a machine for the time of this plan.
-func (in *Input) setFree(m *Machine, free Amount) {
+func (in *Input) setFree(m *Machine, free Resources) {
 	if _, ok := in.touched[m]; !ok {
 		in.touched[m] = m.Free
 	}
 	if was := m.Free; in.trial {
-		in.undo = append(in.undo, func() { in.Index.Set(m, was) })
+		in.undo = append(in.undo, func() { in.Index.SetFree(m, was) })
 	}
-	in.Index.Set(m, free)
+	in.Index.SetFree(m, free)
 }
 
 // roomInLimit is how many more of n tasks the team's limit allows.
 func (in *Input) roomInLimit(j *Job, n int) int {
 	t := teamOf(in.Teams, j.Spec.Team)
-	used, need := in.Used[t.Name], Of(j.Spec)
+	used, need := in.UsedByTeam[t.Name], TaskRequest(j.Spec)
 	bound := func(limit, used, each float64) {
 		if limit > 0 && each > 0 {
 			n = min(n, max(0, int((limit-used+slack)/each)))
@@ -81,9 +81,9 @@
 	return n
 }
 
-// ZoneOpen tells whether a job with tasks in some zones may have one more in
+// TopologyAllows tells whether a job with tasks in some zones may have one more in
 // this one.
-func ZoneOpen(s *jobs.Spec, zones map[string]int, zone string) bool {
+func TopologyAllows(s *jobs.Spec, zones map[string]int, zone string) bool {
 	if s.OneZone {
 		for z, n := range zones {
 			if n > 0 && z != zone {
@@ -96,7 +96,7 @@
 
 // open tells whether a machine of an allowed kind is one for the job, room aside.
 func (m *Machine) open(j *Job) bool {
-	return !m.Avoid[j.Spec.ID] && (!m.Slow || j.Spec.Shape == jobs.Service)
+	return !m.AvoidJobs[j.Spec.ID] && (!m.Straggler || j.Spec.Shape == jobs.Service)
 }
 
 // choose returns the fullest machine that fits. A service starts sooner where
@@ -105,13 +105,13 @@
 // time to begin twice goes to a machine that is not taken back, if one has room. If
 // so asked, it returns nil unless such a machine has the image.
 func (in *Input) choose(j *Job, cached bool) *Machine {
-	need := Of(j.Spec)
+	need := TaskRequest(j.Spec)
 	soon := j.Spec.Shape != jobs.Batch // its start is what counts
 	var best *Machine
 	var bestKey [3]float64
 	least := math.Inf(1) // that any machine would have left
 	for _, s := range in.Index.kinds {
-		if !in.allows(j, s) || !ZoneOpen(j.Spec, j.Zones, s.zone) {
+		if !in.allows(j, s) || !TopologyAllows(j.Spec, j.TasksByZone, s.zone) {
 			continue
 		}
 		s.from(need, func(m *Machine) bool {
@@ -127,7 +127,7 @@
 			switch {
 			case soon:
 				key = [3]float64{fetch, left, 0}
-			case j.Fragile && m.Spot:
+			case j.NoTimeToRestart && m.Spot:
 				key[0] = 1
 			}
 			if best == nil || slices.Compare(key[:], bestKey[:]) < 0 {
@@ -159,8 +159,8 @@
 }
 
 // leftover is the share of a machine that stays free.
-func leftover(m *Machine, need Amount) float64 {
-	rest := m.Free.Plus(need, -1)
+func leftover(m *Machine, need Resources) float64 {
+	rest := m.Free.AddTimes(need, -1)
 	share := 0.0
 	if m.Total.CPUs > 0 {
 		share += rest.CPUs / m.Total.CPUs
@@ -175,18 +175,18 @@
 }
 
 func (in *Input) put(j *Job, m *Machine) {
-	in.setFree(m, m.Free.Plus(Of(j.Spec), -1))
+	in.setFree(m, m.Free.AddTimes(TaskRequest(j.Spec), -1))
 	in.counted(j, m)
 }
 
 // counted notes a task of a job on a machine.
 func (in *Input) counted(j *Job, m *Machine) {
-	j.Zones[m.Zone]++
-	in.Used[j.Spec.Team] = in.Used[j.Spec.Team].Plus(Of(j.Spec), 1)
+	j.TasksByZone[m.Zone]++
+	in.UsedByTeam[j.Spec.Team] = in.UsedByTeam[j.Spec.Team].AddTimes(TaskRequest(j.Spec), 1)
 	if in.trial {
 		in.undo = append(in.undo, func() {
-			j.Zones[m.Zone]--
-			in.Used[j.Spec.Team] = in.Used[j.Spec.Team].Plus(Of(j.Spec), -1)
+			j.TasksByZone[m.Zone]--
+			in.UsedByTeam[j.Spec.Team] = in.UsedByTeam[j.Spec.Team].AddTimes(TaskRequest(j.Spec), -1)
 		})
 	}
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -40,14 +40,14 @@
 // too long.
 func (in *Input) takeGang(t queueEntry, out *Output) {
 	j := t.Job
-	if j.held || j.Waiting == 0 || t.overdue && j.Overdue == 0 || in.roomInLimit(j, j.Waiting) < j.Waiting {
+	if j.held || j.Pending == 0 || t.overdue && j.StarvedTasks == 0 || in.roomInLimit(j, j.Pending) < j.Pending {
 		return
 	}
 	in.trial = true
 	defer func() { in.trial, in.only, in.undo = false, "", nil }()
 	zones := in.ways(j.Spec)
 	best, soonest := in.bestFor(j, zones)
-	if best >= 0 && j.StartS > 0 && soonest*slowFetch > j.StartS {
+	if best >= 0 && j.StartWithinS > 0 && soonest*slowFetch > j.StartWithinS {
 		// Its image would come too late: it starts sooner where that is, even if
 		// something has to leave.
 		in.cached = true
@@ -64,21 +64,21 @@
 	if in.clearFor(j, zones, out) {
 		return
 	}
-	if t.overdue || j.Keep {
+	if t.overdue || j.ReserveRoom {
 		in.keepFor(j, zones)
 		if t.overdue {
 			return
 		}
 		j.held = true
 	}
-	out.Unmet = append(out.Unmet, Demand{j, j.Waiting})
+	out.Unmet = append(out.Unmet, Demand{j, j.Pending})
 }
 
 // fits puts as many of a gang's tasks on machines as have room, in one zone if so
 // named, and tells when the last of them will have its image.
 func (in *Input) fits(j *Job, zone string) (on []*Machine, fetch float64) {
 	in.only = zone
-	for len(on) < j.Waiting {
+	for len(on) < j.Pending {
 		m := in.choose(j, false)
 		if m == nil {
 			break
@@ -97,7 +97,7 @@
 	for i, zone := range zones {
 		on, fetch := in.fits(j, zone)
 		in.rollBack()
-		if len(on) == j.Waiting && (best < 0 || fetch < soonest) {
+		if len(on) == j.Pending && (best < 0 || fetch < soonest) {
 			best, soonest = i, fetch
 		}
 		if best >= 0 && soonest == 0 {
@@ -112,9 +112,9 @@
 	j := t.Job
 	on, _ := in.fits(j, zone)
 	for _, m := range on {
-		out.Assign = append(out.Assign, Assignment{j, m, t.overdue})
+		out.Assignments = append(out.Assignments, Assignment{j, m, t.overdue})
 	}
-	j.Waiting, j.Overdue = 0, 0
+	j.Pending, j.StarvedTasks = 0, 0
 }
 
 // clearFor stops lower work for the tasks that find no room, if that makes room for
@@ -127,8 +127,8 @@
 	for i, zone := range zones {
 		var trial Output
 		on, _ := in.fits(j, zone)
-		if len(on)+in.makeRoom(j, j.Waiting-len(on), &trial, nil) == j.Waiting && (best < 0 || len(trial.Stop) < cheapest) {
-			best, cheapest = i, len(trial.Stop)
+		if len(on)+in.makeRoom(j, j.Pending-len(on), &trial, nil) == j.Pending && (best < 0 || len(trial.Preemptions) < cheapest) {
+			best, cheapest = i, len(trial.Preemptions)
 		}
 		in.rollBack()
 	}
@@ -136,45 +136,45 @@
 		return false
 	}
 	on, _ := in.fits(j, zones[best])
-	in.makeRoom(j, j.Waiting-len(on), out, nil)
+	in.makeRoom(j, j.Pending-len(on), out, nil)
 	j.held = true
-	out.Clearing = append(out.Clearing, j)
+	out.Preempting = append(out.Preempting, j)
 	return true
 }
 
 // look finds out what is on a machine, once in a plan.
 func (in *Input) look(m *Machine) {
-	if in.Fill != nil && !in.filled[m] {
+	if in.LoadTasks != nil && !in.filled[m] {
 		in.filled[m] = true
-		in.Fill(m)
+		in.LoadTasks(m)
 	}
 }
 
 // willFit tells whether a gang fits into a zone once what ends by itself has ended.
 func (in *Input) willFit(j *Job, zone string) bool {
 	in.only = zone
-	need, n := Of(j.Spec), 0
+	need, n := TaskRequest(j.Spec), 0
 	for _, s := range in.Index.kinds {
 		if !in.allows(j, s) {
 			continue
 		}
 		s.all(func(m *Machine) {
-			if n >= j.Waiting || !m.open(j) {
+			if n >= j.Pending || !m.open(j) {
 				return
 			}
 			in.look(m)
-			room := m.Free.Plus(m.Freeing, 1)
+			room := m.Free.AddTimes(m.Releasing, 1)
 			for _, p := range m.Tasks {
 				if p.Job.Spec.Ends() {
-					room = room.Plus(Of(p.Job.Spec), 1)
+					room = room.AddTimes(TaskRequest(p.Job.Spec), 1)
 				}
 			}
-			for ; n < j.Waiting && room.Fits(need); n++ {
-				room = room.Plus(need, -1)
+			for ; n < j.Pending && room.Fits(need); n++ {
+				room = room.AddTimes(need, -1)
 			}
 		})
 	}
-	return n >= j.Waiting
+	return n >= j.Pending
 }
 
 // keepFor keeps room from others where most of a gang fits, if all of it ever will
@@ -192,18 +192,18 @@
 		return
 	}
 	on, _ := in.fits(j, zones[best])
-	left := j.Waiting - len(on)
+	left := j.Pending - len(on)
 	for left > 0 {
 		m := in.Index.roomiest(func(m *Machine) bool {
 			_, taken := in.touched[m]
-			return !taken && m.Total.Fits(Of(j.Spec)) && m.open(j) && (in.only == "" || m.Zone == in.only)
+			return !taken && m.Total.Fits(TaskRequest(j.Spec)) && m.open(j) && (in.only == "" || m.Zone == in.only)
 		})
 		if m == nil {
 			return
 		}
-		in.setFree(m, Amount{})
-		for room := m.Total; left > 0 && room.Fits(Of(j.Spec)); left-- {
-			room = room.Plus(Of(j.Spec), -1)
+		in.setFree(m, Resources{})
+		for room := m.Total; left > 0 && room.Fits(TaskRequest(j.Spec)); left-- {
+			room = room.AddTimes(TaskRequest(j.Spec), -1)
 		}
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -11,42 +11,42 @@
 
 // Job is an unfinished job with tasks to place.
 type Job struct {
-	Spec       *jobs.Spec
-	Order      uint64         // order of acceptance
-	DueS       float64        // seconds left to its deadline; without one, a large number
-	LeftS      float64        // what its unfinished tasks will take, in CPU seconds
-	Waiting    int            // tasks to place
-	Overdue    int            // of these, how many go first because it got nothing for too long
-	Zones      map[string]int // tasks that are, or may be, in a zone
-	Guaranteed bool           // within its team's guarantee
-	StartS     float64        // seconds left to its aim to start; 0 without one
-	Patient    bool           // others need not yet stop for its guarantee
-	Fragile    bool           // a task that loses its machine will be late
-	AwaitsRoom bool           // machines about to report may have room: nothing is stopped for it
+	Spec               *jobs.Spec
+	AcceptanceOrder    uint64         // order of acceptance
+	DeadlineS          float64        // seconds left to its deadline; without one, a large number
+	RemainingCPUS      float64        // what its unfinished tasks will take, in CPU seconds
+	Pending            int            // tasks to place
+	StarvedTasks       int            // of these, how many go first because it got nothing for too long
+	TasksByZone        map[string]int // tasks that are, or may be, in a zone
+	Guaranteed         bool           // within its team's guarantee
+	StartWithinS       float64        // seconds left to its aim to start; 0 without one
+	ReclaimDeferred    bool           // others need not yet stop for its guarantee
+	NoTimeToRestart    bool           // a task that loses its machine will be late
+	PreemptionDeferred bool           // machines about to report may have room: nothing is stopped for it
 
-	// Clearing is set for a gang for which room is being made: it goes ahead of all but
+	// Preempting is set for a gang for which room is being made: it goes ahead of all but
 	// production. (Else what goes before it takes that room, task by task, and is
 	// stopped for it again and again.)
-	Clearing bool
-	// Keep is set for a gang that has not waited for long: it goes ahead of its equals,
+	Preempting bool
+	// ReserveRoom is set for a gang that has not waited for long: it goes ahead of its equals,
 	// and what falls free where most of it fits is kept until there is enough.
-	Keep bool
+	ReserveRoom bool
 
 	held bool // room is being made for it, or kept
 }
 
 // Input is the whole picture. Plan uses up all but the index.
 type Input struct {
-	Teams []settings.Team
-	Used  map[string]Amount // by team: all tasks that are, or may be, on a machine
-	Index *CapacityIndex
-	Jobs  []*Job
-	Least int // the lowest rank of any task that is on a machine
-	// Fill sets a machine's tasks and what is being freed on it. It is asked for
+	Teams      []settings.Team
+	UsedByTeam map[string]Resources // by team: all tasks that are, or may be, on a machine
+	Index      *CapacityIndex
+	Jobs       []*Job
+	LowestRank int // the lowest rank of any task that is on a machine
+	// LoadTasks sets a machine's tasks and what is being freed on it. It is asked for
 	// only where room has to be made; nil leaves them as they are.
-	Fill func(*Machine)
+	LoadTasks func(*Machine)
 
-	touched map[*Machine]Amount // what was free before the plan
+	touched map[*Machine]Resources // what was free before the plan
 	filled  map[*Machine]bool
 	only    string   // zone to look at, if not empty
 	cached  bool     // look only at machines that have the job's image
@@ -59,14 +59,14 @@
 type Assignment struct {
 	Job     *Job
 	Machine *Machine
-	Overdue bool // it went ahead because the job had got nothing for too long
+	Starved bool // it went ahead because the job had got nothing for too long
 }
 
-// Stop takes a task off its machine to make room.
-type Stop struct {
-	Machine *Machine
-	Task    *Placed
-	AtOnce  bool // without time to save: a service waits for the room
+// Preemption takes a task off its machine to make room.
+type Preemption struct {
+	Machine      *Machine
+	Task         *RunningTask
+	WithoutGrace bool // without time to save: a service waits for the room
 }
 
 // Demand is what found no room, in order of importance.
@@ -77,20 +77,20 @@
 
 // Output is what to do.
 type Output struct {
-	Assign   []Assignment
-	Stop     []Stop
-	Clearing []*Job // gangs for which room is being made
-	Unmet    []Demand
+	Assignments []Assignment
+	Preemptions []Preemption
+	Preempting  []*Job // gangs for which room is being made
+	Unmet       []Demand
 }
 
 // Plan places what it can. It leaves the index as it found it.
 func Plan(in Input) Output {
 	var out Output
-	in.touched, in.filled = map[*Machine]Amount{}, map[*Machine]bool{}
+	in.touched, in.filled = map[*Machine]Resources{}, map[*Machine]bool{}
 	queue := make([]queueEntry, 0, len(in.Jobs))
 	for _, j := range in.Jobs {
 		queue = append(queue, queueEntry{j, false})
-		if j.Overdue > 0 {
+		if j.StarvedTasks > 0 {
 			queue = append(queue, queueEntry{j, true})
 		}
 	}
@@ -113,7 +113,7 @@
 		queue = queue[n:]
 	}
 	for m, free := range in.touched {
-		in.Index.Set(m, free)
+		in.Index.SetFree(m, free)
 	}
 	return out
 }
@@ -127,7 +127,7 @@
 	}
 	made := in.makeRoom(j, left, out, nil)
 	left -= made
-	j.Waiting -= made
+	j.Pending -= made
 	if t.overdue {
 		// What is too large for the room that others leave now and then would
 		// wait for ever: a machine is kept from them until it has that room.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,7 +17,7 @@
 	zone := strings.TrimPrefix(id, "s")[:1]
 	return &Machine{
 		ID: id, Type: "c4", Zone: zone, Spot: strings.HasPrefix(id, "s"),
-		Total: Amount{4, 0, 16}, Free: Amount{free, 0, 16}, FetchGBPS: 1, Images: map[string]bool{}, Avoid: map[string]bool{},
+		Total: Resources{4, 0, 16}, Free: Resources{free, 0, 16}, FetchGBPS: 1, Images: map[string]bool{}, AvoidJobs: map[string]bool{},
 	}
 }
 
@@ -26,14 +26,14 @@
 	if change != nil {
 		change(s)
 	}
-	return &Job{Spec: s, DueS: 1e9, Zones: map[string]int{}, Waiting: tasks}
+	return &Job{Spec: s, DeadlineS: 1e9, TasksByZone: map[string]int{}, Pending: tasks}
 }
 
 func running(m *Machine, j *Job, n int, ran float64) {
-	m.Tasks = append(m.Tasks, &Placed{Job: j, N: n, RanS: ran})
-	m.Free = m.Free.Plus(Of(j.Spec), -1)
-	j.Zones[m.Zone]++
-	j.Waiting--
+	m.Tasks = append(m.Tasks, &RunningTask{Job: j, Index: n, LostRunS: ran})
+	m.Free = m.Free.AddTimes(TaskRequest(j.Spec), -1)
+	j.TasksByZone[m.Zone]++
+	j.Pending--
 }
 
 // picture is an input whose machines are not in an index yet.
@@ -75,7 +75,7 @@
 			running(has, low, 0, 5)
 			in.Machines = []*Machine{box("a1", 4), has}
 			late, early := job("j-1", 1, 2, prod), job("j-3", 1, 2, prod)
-			late.StartS, early.StartS = 1, 5
+			late.StartWithinS, early.StartWithinS = 1, 5
 			in.Jobs = []*Job{late, early}
 		}, "end j-2/0@a2 j-3/0>a1"},
 		{"a gang, in the zone that has room for all of it", func(in *picture) {
@@ -101,7 +101,7 @@
 			in.Jobs = []*Job{job("j-1", 3, 1, func(s *jobs.Spec) { s.Shape, s.Spread = jobs.Gang, true })}
 		}, "j-1/0>b1 j-1/1>b1 j-1/2>a1"},
 		{"its team's limit holds for all of it", func(in *picture) {
-			in.Used["red"] = Amount{CPUs: 5}
+			in.UsedByTeam["red"] = Resources{CPUs: 5}
 			in.Machines = []*Machine{box("a1", 4), box("a2", 4)}
 			in.Jobs = []*Job{job("j-1", 2, 2, gang)}
 		}, ""},
@@ -121,7 +121,7 @@
 		{"while room is made for it, it goes ahead", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 4)}
 			g, covered := job("j-1", 2, 2, gang), job("j-2", 1, 4, nil)
-			g.Clearing, covered.Guaranteed = true, true
+			g.Preempting, covered.Guaranteed = true, true
 			in.Jobs = []*Job{covered, g}
 		}, "j-1/0>a1 j-1/1>a1 unmet j-2 1"},
 		{"if its image would come too late, in the place of lower priority", func(in *picture) {
@@ -130,7 +130,7 @@
 			running(has, job("j-9", 1, 4, low), 0, 5)
 			in.Machines = []*Machine{box("a1", 4), has}
 			g := job("j-1", 2, 2, gang)
-			g.StartS = 1
+			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "end j-9/0@b1"},
 		{"but not in the place of a gang", func(in *picture) {
@@ -139,14 +139,14 @@
 			running(has, job("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
 			in.Machines = []*Machine{box("a1", 4), has}
 			g := job("j-1", 2, 2, gang)
-			g.StartS = 1
+			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "j-1/0>a1 j-1/1>a1"},
 		{"others stop before a gang does", func(in *picture) {
 			m, n := box("a1", 4), box("a2", 4)
 			g := job("j-8", 4, 4, func(s *jobs.Spec) { gang(s); low(s) })
 			running(m, g, 0, 1)
-			m.Tasks[0].Falls = 4
+			m.Tasks[0].GangTasks = 4
 			running(n, job("j-9", 1, 4, low), 0, 60)
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{job("j-1", 1, 4, prod)}
@@ -155,21 +155,21 @@
 			in.Machines = []*Machine{box("a1", 4), box("a2", 0)}
 			running(in.Machines[0], job("j-9", 1, 2, nil), 0, 5)
 			g := job("j-1", 2, 2, gang)
-			g.Keep = true
+			g.ReserveRoom = true
 			in.Jobs = []*Job{job("j-2", 1, 2, nil), g}
 		}, "unmet j-1 2 unmet j-2 1"},
 		{"a gang that has waited for too long keeps room from others", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 4), box("a2", 0)}
 			running(in.Machines[0], job("j-9", 1, 2, nil), 0, 5)
 			g := job("j-1", 2, 2, gang)
-			g.Overdue = 2
+			g.StarvedTasks = 2
 			in.Jobs = []*Job{g, job("j-2", 1, 2, nil)}
 		}, "unmet j-1 2 unmet j-2 1"},
 		{"but not for what its zone will never hold", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 4), box("a2", 0)}
 			running(in.Machines[0], job("j-9", 1, 2, prod), 0, 5)
 			g := job("j-1", 2, 2, gang)
-			g.Overdue = 2
+			g.StarvedTasks = 2
 			in.Jobs = []*Job{g, job("j-2", 1, 2, nil)}
 		}, "j-2/0>a1 unmet j-1 2"},
 		{"spread: half in one zone, rounded up", func(in *picture) {
@@ -179,8 +179,8 @@
 		{"spread: what may still be in a zone counts", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 4)}
 			j := job("j-1", 2, 1, func(s *jobs.Spec) { s.Spread = true })
-			j.Zones["a"] = 1
-			j.Waiting = 1
+			j.TasksByZone["a"] = 1
+			j.Pending = 1
 			in.Jobs = []*Job{j}
 		}, "unmet j-1 1"},
 		{"one zone for all tasks", func(in *picture) {
@@ -197,7 +197,7 @@
 		{"no time to begin twice: on spot only where nothing else has room", func(in *picture) {
 			in.Machines = []*Machine{box("sa1", 2), box("b1", 4)}
 			j := job("j-1", 3, 2, nil)
-			j.Fragile = true
+			j.NoTimeToRestart = true
 			in.Jobs = []*Job{j}
 		}, "j-1/0>b1 j-1/1>b1 j-1/2>sa1"},
 		{"of two that wait alike, the one whose image a machine has", func(in *picture) {
@@ -217,24 +217,24 @@
 		}, "j-1/0>a1 unmet j-2 1"},
 		{"the team's limit stops placing and asking", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 4), box("a2", 4), box("a3", 4)}
-			in.Used["red"] = Amount{CPUs: 6}
+			in.UsedByTeam["red"] = Resources{CPUs: 6}
 			in.Jobs = []*Job{job("j-1", 5, 1, nil)}
 		}, "j-1/0>a1 j-1/1>a1"},
 		{"production before age, the guarantee before priority", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 1), box("a2", 1)}
 			old := job("j-1", 1, 1, func(s *jobs.Spec) { s.Priority = jobs.Urgent })
 			covered := job("j-2", 1, 1, nil)
-			covered.Guaranteed, covered.Order = true, 5
+			covered.Guaranteed, covered.AcceptanceOrder = true, 5
 			live := job("j-3", 1, 1, prod)
-			live.Order = 9
+			live.AcceptanceOrder = 9
 			in.Jobs = []*Job{old, covered, live}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
 		{"in an overload the small job first, and the lost cause last", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 1), box("a2", 1)}
 			lost, large, small := job("j-1", 1, 1, nil), job("j-2", 1, 1, nil), job("j-3", 1, 1, nil)
-			lost.DueS, lost.LeftS = Late, 1
-			large.DueS, large.LeftS = 50, 900
-			small.DueS, small.LeftS = 60, 30
+			lost.DeadlineS, lost.RemainingCPUS = DeadlineMissed, 1
+			large.DeadlineS, large.RemainingCPUS = 50, 900
+			small.DeadlineS, small.RemainingCPUS = 60, 30
 			in.Jobs = []*Job{lost, large, small}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
 		{"higher priority stops lower, that which has run least", func(in *picture) {
@@ -249,7 +249,7 @@
 		{"but not what had waited too long, unless for production", func(in *picture) {
 			m := box("a1", 4)
 			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
-			m.Tasks[0].Overdue = true
+			m.Tasks[0].Starved = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{job("j-2", 1, 4, nil), job("j-3", 1, 2, prod)}
 		}, "end j-1/0@a1 unmet j-2 1"},
@@ -268,7 +268,7 @@
 		{"a guarantee takes back what another team has borrowed", func(in *picture) {
 			m := box("a1", 4)
 			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
-			in.Used["blue"] = Amount{CPUs: 8}
+			in.UsedByTeam["blue"] = Resources{CPUs: 8}
 			j := job("j-2", 1, 2, nil)
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
@@ -276,15 +276,15 @@
 		{"but not while room may come by itself in time", func(in *picture) {
 			m := box("a1", 4)
 			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
-			in.Used["blue"] = Amount{CPUs: 8}
+			in.UsedByTeam["blue"] = Resources{CPUs: 8}
 			j := job("j-2", 1, 2, nil)
-			j.Guaranteed, j.Patient = true, true
+			j.Guaranteed, j.ReclaimDeferred = true, true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
 		{"but no production service", func(in *picture) {
 			m := box("a1", 4)
 			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority, s.Shape = "blue", jobs.Prod, jobs.Service }), 0, 1)
-			in.Used["blue"] = Amount{CPUs: 8}
+			in.UsedByTeam["blue"] = Resources{CPUs: 8}
 			j := job("j-2", 1, 2, nil)
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
@@ -292,33 +292,33 @@
 		{"but not what is the other's own", func(in *picture) {
 			m := box("a1", 4)
 			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team = "blue" }), 0, 1)
-			in.Used["blue"] = Amount{CPUs: 4}
+			in.UsedByTeam["blue"] = Resources{CPUs: 4}
 			j := job("j-2", 1, 2, nil)
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
 		{"room that is being made is waited for, and kept from others", func(in *picture) {
 			m := box("a1", 1)
-			m.Freeing = Amount{CPUs: 3, RAMGB: 3}
+			m.Releasing = Resources{CPUs: 3, RAMGB: 3}
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{job("j-2", 1, 4, prod), job("j-3", 1, 1, nil)}
 		}, "unmet j-3 1"},
 		{"a slow machine is for services only", func(in *picture) {
 			m := box("a1", 4)
-			m.Slow = true
+			m.Straggler = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{job("j-1", 1, 1, nil), job("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
 		{"a machine that a job should avoid", func(in *picture) {
 			m := box("a1", 4)
-			m.Avoid["j-1"] = true
+			m.AvoidJobs["j-1"] = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{job("j-1", 1, 1, nil)}
 		}, "unmet j-1 1"},
 		{"what got nothing for too long goes before what a guarantee covers, for a few tasks", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 1), box("a2", 1), box("a3", 1)}
 			poor := job("j-1", 4, 1, func(s *jobs.Spec) { s.Priority = jobs.BestEffort })
-			poor.Overdue, poor.Order = 1, 9
+			poor.StarvedTasks, poor.AcceptanceOrder = 1, 9
 			covered := job("j-2", 3, 1, nil)
 			covered.Guaranteed = true
 			in.Jobs = []*Job{covered, poor}
@@ -326,33 +326,33 @@
 		{"but production goes before it", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 1)}
 			poor := job("j-1", 1, 1, nil)
-			poor.Overdue = 1
+			poor.StarvedTasks = 1
 			in.Jobs = []*Job{poor, job("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
 		{"a large task that waited too long gets a machine kept for it", func(in *picture) {
 			in.Machines = []*Machine{box("a1", 1), box("a2", 2)}
 			large := job("j-1", 1, 4, nil)
-			large.Overdue = 1
+			large.StarvedTasks = 1
 			in.Jobs = []*Job{job("j-2", 4, 1, nil), large}
 		}, "j-2/0>a1 unmet j-2 3 unmet j-1 1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			in := picture{Input: Input{Teams: teams, Used: map[string]Amount{}, Index: &CapacityIndex{}, Least: 1}}
+			in := picture{Input: Input{Teams: teams, UsedByTeam: map[string]Resources{}, Index: &CapacityIndex{}, LowestRank: 1}}
 			tc.setup(&in)
 			for _, m := range in.Machines {
-				in.Index.Put(m)
+				in.Index.Insert(m)
 			}
 			out := Plan(in.Input)
 			next := map[*Job]int{}
 			var got []string
-			for _, s := range out.Stop {
+			for _, s := range out.Preemptions {
 				how := "stop"
-				if s.AtOnce {
+				if s.WithoutGrace {
 					how = "end"
 				}
-				got = append(got, fmt.Sprintf("%s %s/%d@%s", how, s.Task.Job.Spec.ID, s.Task.N, s.Machine.ID))
+				got = append(got, fmt.Sprintf("%s %s/%d@%s", how, s.Task.Job.Spec.ID, s.Task.Index, s.Machine.ID))
 			}
-			for _, a := range out.Assign {
+			for _, a := range out.Assignments {
 				got = append(got, fmt.Sprintf("%s/%d>%s", a.Job.Spec.ID, next[a.Job], a.Machine.ID))
 				next[a.Job]++
 			}
@@ -370,8 +370,8 @@
 func TestPlanLeavesTheShelves(t *testing.T) {
 	m := box("a1", 4)
 	index := &CapacityIndex{}
-	index.Put(m)
-	Plan(Input{Used: map[string]Amount{}, Index: index, Jobs: []*Job{job("j-1", 3, 1, nil)}})
+	index.Insert(m)
+	Plan(Input{UsedByTeam: map[string]Resources{}, Index: index, Jobs: []*Job{job("j-1", 3, 1, nil)}})
 	if m.Free.CPUs != 4 {
 		t.Errorf("%v CPUs are free after a plan, not 4", m.Free.CPUs)
 	}
@@ -384,12 +384,12 @@
 		index := &CapacityIndex{}
 		for i := range machines {
 			m := box(fmt.Sprintf("a%d", i), 0.5)
-			m.Avoid = nil
-			index.Put(m)
+			m.AvoidJobs = nil
+			index.Insert(m)
 		}
-		index.Put(box("b1", 4))
+		index.Insert(box("b1", 4))
 		for _, k := range index.kinds {
-			k.from(Amount{CPUs: 1}, func(*Machine) bool { n++; return true })
+			k.from(Resources{CPUs: 1}, func(*Machine) bool { n++; return true })
 		}
 		return n
 	}
@@ -402,7 +402,7 @@
 func TestGuarantees(t *testing.T) {
 	teams := []settings.Team{{Name: "red", CPUs: 4}, {Name: "blue"}}
 	all := []*Job{job("j-1", 2, 1, nil), job("j-2", 3, 1, nil), job("j-3", 2, 1, nil), job("j-4", 1, 1, func(s *jobs.Spec) { s.Team = "blue" })}
-	Guarantees(teams, all)
+	MarkGuaranteed(teams, all)
 	got := []bool{}
 	for _, j := range all {
 		got = append(got, j.Guaranteed)
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -10,9 +10,9 @@
 )
 
 // mayStop tells whether a task may be stopped to make room for j.
-func mayStop(in *Input, j *Job, p *Placed) bool {
+func mayStop(in *Input, j *Job, p *RunningTask) bool {
 	v := p.Job
-	if p.Overdue && j.Spec.Priority != jobs.Prod {
+	if p.Starved && j.Spec.Priority != jobs.Prod {
 		return false // it waited for too long to lose its place at once
 	}
 	if v.Spec.Rank() < j.Spec.Rank() {
@@ -30,11 +30,11 @@
 // mayReclaim tells whether a job takes what its team is guaranteed from others. Tasks
 // end all the time, and what is guaranteed goes first where they do: a claim that
 // can wait for that costs nobody the work of a task.
-func (in *Input) mayReclaim(j *Job) bool { return j.Guaranteed && !j.Patient }
+func (in *Input) mayReclaim(j *Job) bool { return j.Guaranteed && !j.ReclaimDeferred }
 
 // beyond tells whether a team uses more than it is guaranteed.
 func (in *Input) beyond(team string) bool {
-	t, used := teamOf(in.Teams, team), in.Used[team]
+	t, used := teamOf(in.Teams, team), in.UsedByTeam[team]
 	return used.CPUs > t.CPUs+slack || used.GPUs > t.GPUs+slack
 }
 
@@ -50,7 +50,7 @@
 	}
 	// To start a little sooner is no reason to stop a gang.
 	in.spare = in.cached || will != nil
-	need := Of(j.Spec)
+	need := TaskRequest(j.Spec)
 	var candidates preemptions
 	for _, s := range in.Index.kinds {
 		if !in.allows(j, s) {
@@ -69,23 +69,23 @@
 	heap.Init(&candidates)
 	for made < n && len(candidates) > 0 {
 		w := candidates[0]
-		if !w.on.open(j) || !ZoneOpen(j.Spec, j.Zones, w.on.Zone) {
+		if !w.on.open(j) || !TopologyAllows(j.Spec, j.TasksByZone, w.on.Zone) {
 			heap.Pop(&candidates)
 			continue
 		}
 		m := w.on
-		if tasks, freeing := m.Tasks, m.Freeing; in.trial {
+		if tasks, freeing := m.Tasks, m.Releasing; in.trial {
 			m.Tasks = slices.Clone(tasks)
-			in.undo = append(in.undo, func() { m.Tasks, m.Freeing = tasks, freeing })
+			in.undo = append(in.undo, func() { m.Tasks, m.Releasing = tasks, freeing })
 		}
 		for _, v := range w.stop {
-			out.Stop = append(out.Stop, Stop{m, v, j.Spec.Shape != jobs.Batch})
-			m.Tasks = slices.DeleteFunc(m.Tasks, func(p *Placed) bool { return p == v })
-			m.Freeing = m.Freeing.Plus(Of(v.Job.Spec), 1)
+			out.Preemptions = append(out.Preemptions, Preemption{m, v, j.Spec.Shape != jobs.Batch})
+			m.Tasks = slices.DeleteFunc(m.Tasks, func(p *RunningTask) bool { return p == v })
+			m.Releasing = m.Releasing.AddTimes(TaskRequest(v.Job.Spec), 1)
 		}
 		// Taken out of what is free now and, for the rest, of what will be.
-		m.Freeing = m.Free.Plus(m.Freeing, 1).Plus(need, -1)
-		in.setFree(m, Amount{})
+		m.Releasing = m.Free.AddTimes(m.Releasing, 1).AddTimes(need, -1)
+		in.setFree(m, Resources{})
 		in.counted(j, m)
 		made++
 		if next, ok := in.victims(j, m, need); ok {
@@ -101,10 +101,10 @@
 // mayMakeRoom tells whether a search for victims can find any: it goes through
 // all machines, and mostly there is nothing of lower priority.
 func (in *Input) mayMakeRoom(j *Job) bool {
-	if j.AwaitsRoom {
+	if j.PreemptionDeferred {
 		return false
 	}
-	return in.Least < j.Spec.Rank() || in.mayReclaim(j) && slices.ContainsFunc(in.Teams, func(t settings.Team) bool {
+	return in.LowestRank < j.Spec.Rank() || in.mayReclaim(j) && slices.ContainsFunc(in.Teams, func(t settings.Team) bool {
 		return t.Name != j.Spec.Team && in.beyond(t.Name)
 	})
 }
@@ -112,7 +112,7 @@
 // preemption is what a machine would lose to take one more task.
 type preemption struct {
 	on   *Machine
-	stop []*Placed
+	stop []*RunningTask
 	cost float64
 }
 
@@ -137,35 +137,35 @@
 
 // cost is what stopping a task loses. A gang loses what all of its tasks have run
 // for, and has to find room for all of them at a time again.
-func (p *Placed) cost() float64 {
+func (p *RunningTask) cost() float64 {
 	s := p.Job.Spec
 	if s.Shape == jobs.Gang {
-		return float64(p.Falls) * (1 + (p.RanS+s.EstimateS)*s.CPUs)
+		return float64(p.GangTasks) * (1 + (p.LostRunS+s.EstimateS)*s.CPUs)
 	}
-	return 1 + p.RanS*s.CPUs
+	return 1 + p.LostRunS*s.CPUs
 }
 
 // victims returns the cheapest tasks to stop on a machine.
-func (in *Input) victims(j *Job, m *Machine, need Amount) (w preemption, ok bool) {
+func (in *Input) victims(j *Job, m *Machine, need Resources) (w preemption, ok bool) {
 	if !m.open(j) {
 		return w, false
 	}
 	w.on = m
-	room := m.Free.Plus(m.Freeing, 1)
+	room := m.Free.AddTimes(m.Releasing, 1)
 	if room.Fits(need) {
 		return w, true
 	}
-	var order []*Placed
+	var order []*RunningTask
 	for _, v := range m.Tasks {
 		if mayStop(in, j, v) && (!in.spare || v.Job.Spec.Shape != jobs.Gang) {
 			order = append(order, v)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *Placed) int {
+	slices.SortStableFunc(order, func(a, b *RunningTask) int {
 		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.cost(), b.cost()))
 	})
 	for _, v := range order {
-		room = room.Plus(Of(v.Job.Spec), 1)
+		room = room.AddTimes(TaskRequest(v.Job.Spec), 1)
 		w.stop = append(w.stop, v)
 		w.cost += v.cost()
 		if room.Fits(need) {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -9,8 +9,8 @@
 // Jobs without a deadline sort behind those with one, and jobs that have none
 // left to meet behind all: what they take would make others late, too.
 const (
-	NoDeadline = 1e9
-	Late       = 2e9
+	NoDeadline     = 1e9
+	DeadlineMissed = 2e9
 )
 
 // before orders the queue: production first, then what has got nothing for too
@@ -20,14 +20,14 @@
 func before(a, b queueEntry) int {
 	return cmp.Or(
 		first(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
-		first(a.Clearing, b.Clearing),
+		first(a.Preempting, b.Preempting),
 		first(a.overdue, b.overdue),
 		first(a.Guaranteed, b.Guaranteed),
 		cmp.Compare(b.Spec.Rank(), a.Spec.Rank()),
-		first(a.Keep, b.Keep),
+		first(a.ReserveRoom, b.ReserveRoom),
 		cmp.Compare(stage(a.Job), stage(b.Job)),
-		cmp.Compare(a.DueS*a.LeftS, b.DueS*b.LeftS),
-		cmp.Compare(a.Order, b.Order),
+		cmp.Compare(a.DeadlineS*a.RemainingCPUS, b.DeadlineS*b.RemainingCPUS),
+		cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder),
 	)
 }
 
@@ -52,9 +52,9 @@
 // that can meet none.
 func stage(j *Job) int {
 	switch {
-	case j.DueS < NoDeadline:
+	case j.DeadlineS < NoDeadline:
 		return 0
-	case j.DueS < Late:
+	case j.DeadlineS < DeadlineMissed:
 		return 1
 	}
 	return 2
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -4,15 +4,15 @@
 	"ospreyslip/internal/settings"
 )
 
-// Guarantees marks the jobs that fit into their team's guarantee together with
+// MarkGuaranteed marks the jobs that fit into their team's guarantee together with
 // the team's earlier jobs. The jobs must be in order of acceptance.
-func Guarantees(teams []settings.Team, all []*Job) {
-	sum := map[string]Amount{}
+func MarkGuaranteed(teams []settings.Team, all []*Job) {
+	sum := map[string]Resources{}
 	for _, j := range all {
 		t := teamOf(teams, j.Spec.Team)
-		total := sum[t.Name].Plus(Of(j.Spec), float64(j.Spec.Tasks))
+		total := sum[t.Name].AddTimes(TaskRequest(j.Spec), float64(j.Spec.Tasks))
 		sum[t.Name] = total
-		j.Guaranteed = t.CPUs+t.GPUs > 0 && Amount{t.CPUs, t.GPUs, total.RAMGB}.Fits(total)
+		j.Guaranteed = t.CPUs+t.GPUs > 0 && Resources{t.CPUs, t.GPUs, total.RAMGB}.Fits(total)
 	}
 }
 
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -11,7 +11,7 @@
 
 // stored is an attempt in session 3 whose beginning is written, of a job that goes on.
 func stored(change func(*Attempt)) Attempt {
-	a := Attempt{Session: 3, Durable: true, Ends: true, GangWhole: true}
+	a := Attempt{Session: 3, Durable: true, RunsToCompletion: true, GangReady: true}
 	if change != nil {
 		change(&a)
 	}
@@ -21,28 +21,28 @@
 func task(state, cause string) *workers.Task { return &workers.Task{State: state, Cause: cause} }
 
 func TestObserve(t *testing.T) {
-	doubt := stored(func(a *Attempt) { a.DoubtToken = 7 })
+	doubt := stored(func(a *Attempt) { a.InDoubtToken = 7 })
 	for _, c := range []struct {
 		what    string
 		attempt Attempt
-		picture Picture
+		picture Observation
 		want    Decision
 	}{
-		{"it runs as stored", stored(nil), Picture{3, 7, task(workers.Running, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"it ended while nobody led", stored(nil), Picture{3, 7, task(workers.Ended, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
-		{"a service never completes", stored(func(a *Attempt) { a.Ends = false }), Picture{3, 7, task(workers.Ended, workers.CauseDone)}, Decision{Action: Restart, Reason: "done"}},
-		{"it failed", stored(nil), Picture{3, 7, task(workers.Ended, workers.CauseError)}, Decision{Action: Restart, Reason: "error"}},
-		{"the lease ran out", stored(nil), Picture{4, 7, nil}, Decision{Action: Restart, Reason: SessionOver}},
-		{"a copy from an earlier session", stored(nil), Picture{2, 7, nil}, Decision{Action: Wait, Reason: NotHeard}},
-		{"never begun", stored(nil), Picture{3, 7, nil}, Decision{Action: Begin, Reason: Absent}},
-		{"never begun, and cancelled", stored(func(a *Attempt) { a.JobOver = true }), Picture{3, 7, nil}, Decision{Action: Restart, Reason: NotWanted}},
-		{"an order is on its way", stored(func(a *Attempt) { a.Ordered = true }), Picture{3, 9, nil}, Decision{Action: InDoubt, Reason: OrderOpen}},
-		{"an order may come late", doubt, Picture{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotShown}},
-		{"it would be refused", doubt, Picture{3, 8, nil}, Decision{Action: Begin, Reason: Absent}},
-		{"it came", doubt, Picture{3, 7, task(workers.Fetching, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"its beginning is not written", stored(func(a *Attempt) { a.Durable = false }), Picture{3, 7, nil}, Decision{Action: Wait, Reason: NotWritten}},
+		{"it runs as stored", stored(nil), Observation{3, 7, task(workers.Running, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"it ended while nobody led", stored(nil), Observation{3, 7, task(workers.Ended, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
+		{"a service never completes", stored(func(a *Attempt) { a.RunsToCompletion = false }), Observation{3, 7, task(workers.Ended, workers.CauseDone)}, Decision{Action: Reschedule, Reason: "done"}},
+		{"it failed", stored(nil), Observation{3, 7, task(workers.Ended, workers.CauseError)}, Decision{Action: Reschedule, Reason: "error"}},
+		{"the lease ran out", stored(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: SessionEnded}},
+		{"a copy from an earlier session", stored(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
+		{"never begun", stored(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
+		{"never begun, and cancelled", stored(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
+		{"an order is on its way", stored(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
+		{"an order may come late", doubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
+		{"it would be refused", doubt, Observation{3, 8, nil}, Decision{Action: Start, Reason: Absent}},
+		{"it came", doubt, Observation{3, 7, task(workers.Fetching, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"its beginning is not written", stored(func(a *Attempt) { a.Durable = false }), Observation{3, 7, nil}, Decision{Action: Wait, Reason: StartNotDurable}},
 	} {
-		if got := Observe(c.attempt, c.picture); got != c.want {
+		if got := DecideOnHeartbeat(c.attempt, c.picture); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", c.what, got.Action, got.Reason, c.want.Action, c.want.Reason)
 		}
 	}
@@ -53,20 +53,20 @@
 		change func(*Attempt)
 		want   Decision
 	}{
-		"just assigned":         {nil, Decision{Action: Begin, Reason: New}},
-		"runs":                  {func(a *Attempt) { a.Seen = workers.Running }, Decision{Action: Adopt, Reason: Reported}},
-		"sent":                  {func(a *Attempt) { a.Sent = true }, Decision{Action: Wait, Reason: OrderOpen}},
-		"in doubt":              {func(a *Attempt) { a.DoubtToken = 7 }, Decision{Action: InDoubt, Reason: TokenNotShown}},
-		"cancelled":             {func(a *Attempt) { a.Seen, a.JobOver, a.JobCancelled = workers.Running, true, true }, Decision{Action: Stop, Reason: JobCancelled}},
-		"done elsewhere":        {func(a *Attempt) { a.Seen, a.JobOver = workers.Running, true }, Decision{Action: Stop, Reason: JobOver}},
-		"cancelled, never sent": {func(a *Attempt) { a.JobOver, a.JobCancelled = true, true }, Decision{Action: Wait, Reason: NotWanted}},
-		"makes room":            {func(a *Attempt) { a.Seen, a.Stopping, a.GraceS = workers.Running, true, 4 }, Decision{Action: Stop, Reason: MakeRoom, GraceS: 4}},
-		"saves":                 {func(a *Attempt) { a.Seen, a.Stopping = workers.Saving, true }, Decision{Action: Wait, Reason: Saving}},
-		"half of a gang":        {func(a *Attempt) { a.GangWhole = false }, Decision{Action: Wait, Reason: GangIncomplete}},
-		"log has a hole":        {func(a *Attempt) { a.Incomplete = true }, Decision{Action: Wait, Reason: LossSuspected}},
-		"not written":           {func(a *Attempt) { a.Durable = false }, Decision{Action: Wait, Reason: NotWritten}},
+		"just assigned":         {nil, Decision{Action: Start, Reason: Assigned}},
+		"runs":                  {func(a *Attempt) { a.ObservedState = workers.Running }, Decision{Action: Adopt, Reason: Reported}},
+		"sent":                  {func(a *Attempt) { a.Sent = true }, Decision{Action: Wait, Reason: CommandUnanswered}},
+		"in doubt":              {func(a *Attempt) { a.InDoubtToken = 7 }, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
+		"cancelled":             {func(a *Attempt) { a.ObservedState, a.JobFinished, a.JobCancelled = workers.Running, true, true }, Decision{Action: Stop, Reason: JobCancelled}},
+		"done elsewhere":        {func(a *Attempt) { a.ObservedState, a.JobFinished = workers.Running, true }, Decision{Action: Stop, Reason: JobFinished}},
+		"cancelled, never sent": {func(a *Attempt) { a.JobFinished, a.JobCancelled = true, true }, Decision{Action: Wait, Reason: NotWanted}},
+		"makes room":            {func(a *Attempt) { a.ObservedState, a.Preempted, a.GraceS = workers.Running, true, 4 }, Decision{Action: Stop, Reason: Preempted, GraceS: 4}},
+		"saves":                 {func(a *Attempt) { a.ObservedState, a.Preempted = workers.Saving, true }, Decision{Action: Wait, Reason: Checkpointing}},
+		"half of a gang":        {func(a *Attempt) { a.GangReady = false }, Decision{Action: Wait, Reason: GangIncomplete}},
+		"log has a hole":        {func(a *Attempt) { a.RecordsIncomplete = true }, Decision{Action: Wait, Reason: RecordsIncomplete}},
+		"not written":           {func(a *Attempt) { a.Durable = false }, Decision{Action: Wait, Reason: StartNotDurable}},
 	} {
-		if got := Command(stored(c.change)); got != c.want {
+		if got := DecideCommand(stored(c.change)); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", what, got.Action, got.Reason, c.want.Action, c.want.Reason)
 		}
 	}
@@ -74,18 +74,18 @@
 
 func TestUnassigned(t *testing.T) {
 	for what, c := range map[string]struct {
-		task Unassigned
+		task OrphanedTask
 		want Decision
 	}{
-		"a stray":                  {Unassigned{ShownToken: 7, Answering: true}, Decision{Action: Stop, Reason: Stray}},
-		"of a cancelled job":       {Unassigned{ShownToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
-		"of a lost job":            {Unassigned{ShownToken: 7, MaybeLost: true}, Decision{Action: InDoubt, Reason: LossSuspected}},
-		"ended":                    {Unassigned{ShownToken: 7, Ended: true, Answering: true}, Decision{Action: Clear, Reason: EndTakenIn}},
-		"ended, by an order":       {Unassigned{ShownToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndTakenIn}},
-		"its order may come again": {Unassigned{ShownToken: 7, OrderToken: 7, Ended: true, Answering: true}, Decision{Action: Wait, Reason: TokenNotShown}},
-		"its order is refused":     {Unassigned{ShownToken: 8, OrderToken: 7, Ended: true, Answering: true}, Decision{Action: Clear, Reason: EndTakenIn}},
+		"a stray":                  {OrphanedTask{WorkerToken: 7, InHeartbeatAnswer: true}, Decision{Action: Stop, Reason: Orphaned}},
+		"of a cancelled job":       {OrphanedTask{WorkerToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
+		"of a lost job":            {OrphanedTask{WorkerToken: 7, RecordsIncomplete: true}, Decision{Action: InDoubt, Reason: RecordsIncomplete}},
+		"ended":                    {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"ended, by an order":       {OrphanedTask{WorkerToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndRecorded}},
+		"its order may come again": {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
+		"its order is refused":     {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
 	} {
-		if got := c.task.Command(); got != c.want {
+		if got := c.task.DecideCommand(); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", what, got.Action, got.Reason, c.want.Action, c.want.Reason)
 		}
 	}
@@ -95,25 +95,25 @@
 // report only the end of the lease does.
 func TestWithoutAWordOfThisTerm(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	if d := OfEarlierReport(task(workers.Running, ""), true); d.Action != Stop {
+	if d := DecideOnStaleHeartbeat(task(workers.Running, ""), true); d.Action != Stop {
 		t.Errorf("cancelled: %v", d)
 	}
-	if d := OfEarlierReport(task(workers.Ended, workers.CauseDone), false); d.Action != Wait {
+	if d := DecideOnStaleHeartbeat(task(workers.Ended, workers.CauseDone), false); d.Action != Wait {
 		t.Errorf("done by an old report: %v", d)
 	}
-	if d := Unheard(now.Add(time.Second), now); d.Action != Wait || d.Until != now.Add(time.Second) {
+	if d := DecideWithoutHeartbeat(now.Add(time.Second), now); d.Action != Wait || d.Until != now.Add(time.Second) {
 		t.Errorf("within the lease: %v", d)
 	}
-	if d := Unheard(now, now); d.Action != Restart || d.Reason != LeaseOver {
+	if d := DecideWithoutHeartbeat(now, now); d.Action != Reschedule || d.Reason != LeaseExpired {
 		t.Errorf("after it: %v", d)
 	}
-	if d := OfRecord(stored(nil), true, 3, now); d.Action != Complete {
+	if d := DecideOnRecords(stored(nil), true, 3, now); d.Action != Complete {
 		t.Errorf("recorded as done: %v", d)
 	}
-	if d := OfRecord(stored(nil), false, 4, now); d.Action != Restart {
+	if d := DecideOnRecords(stored(nil), false, 4, now); d.Action != Reschedule {
 		t.Errorf("a later session is recorded: %v", d)
 	}
-	if d := OfRecord(stored(nil), false, 3, now); d.Action != Wait || d.Until != now {
+	if d := DecideOnRecords(stored(nil), false, 3, now); d.Action != Wait || d.Until != now {
 		t.Errorf("by the record alone: %v", d)
 	}
 }
@@ -124,21 +124,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
-			Session: 3, Durable: flag("durable"), Ordered: flag("ordered"), Sent: flag("sent"), Ends: flag("ends"),
-			DoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), Seen: rapid.SampledFrom([]string{"", workers.Running, workers.Saving}).Draw(t, "seen"),
-			JobOver: flag("over"), Stopping: flag("stopping"), GangWhole: flag("whole"), Incomplete: flag("incomplete"),
+			Session: 3, Durable: flag("durable"), CommandPending: flag("ordered"), Sent: flag("sent"), RunsToCompletion: flag("ends"),
+			InDoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), ObservedState: rapid.SampledFrom([]string{"", workers.Running, workers.Saving}).Draw(t, "seen"),
+			JobFinished: flag("over"), Preempted: flag("stopping"), GangReady: flag("whole"), RecordsIncomplete: flag("incomplete"),
 		}
 		shown := rapid.Uint64Range(1, 9).Draw(t, "shown")
-		onItsWay := a.Ordered || a.DoubtToken != 0 && shown <= a.DoubtToken
-		d := Observe(a, Picture{Session: 3, Token: shown})
-		if (d.Action == Restart || d.Action == Begin) && (onItsWay || !a.Durable) {
+		onItsWay := a.CommandPending || a.InDoubtToken != 0 && shown <= a.InDoubtToken
+		d := DecideOnHeartbeat(a, Observation{Session: 3, Token: shown})
+		if (d.Action == Reschedule || d.Action == Start) && (onItsWay || !a.Durable) {
 			t.Fatalf("%+v with token %d: %v (%s)", a, shown, d.Action, d.Reason)
 		}
-		c := Command(a)
-		if c.Action == Begin && (a.Seen != "" || a.Sent || a.Ordered || a.DoubtToken != 0 || a.JobOver || a.Stopping || !a.GangWhole || a.Incomplete || !a.Durable) {
+		c := DecideCommand(a)
+		if c.Action == Start && (a.ObservedState != "" || a.Sent || a.CommandPending || a.InDoubtToken != 0 || a.JobFinished || a.Preempted || !a.GangReady || a.RecordsIncomplete || !a.Durable) {
 			t.Fatalf("%+v begins", a)
 		}
-		if c.Action == Stop && !a.JobOver && !a.Stopping {
+		if c.Action == Stop && !a.JobFinished && !a.Preempted {
 			t.Fatalf("%+v stops", a)
 		}
 	})
@@ -149,20 +149,20 @@
 func TestTakeover(t *testing.T) {
 	began := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	to := NewTakeover(began, 6*time.Second)
+	to := NewFailover(began, 6*time.Second)
 	for _, m := range []string{"m-1", "m-2", "m-3", "m-1"} {
-		to.Expect(m)
+		to.ExpectMachine(m)
 	}
-	if to.Phase() != Reading || to.Settle(at(1)) {
+	if to.Phase() != LoadingRecords || to.TryFinish(at(1)) {
 		t.Error("settled before the records were read")
 	}
-	to.RecordsRead(at(1))
-	to.Heard("m-1")
-	to.Heard("m-1")
-	to.Answered(at(1.5))
-	to.Answered(at(2))
-	to.Told(workers.OpRun, New)
-	if to.Phase() != Hearing || to.MayPreempt(at(2), at(1.9), time.Second) {
+	to.RecordsLoaded(at(1))
+	to.MachineReported("m-1")
+	to.MachineReported("m-1")
+	to.HeartbeatAnswered(at(1.5))
+	to.HeartbeatAnswered(at(2))
+	to.CountCommand(workers.OpRun, Assigned)
+	if to.Phase() != AwaitingHeartbeats || to.MayPreempt(at(2), at(1.9), time.Second) {
 		t.Error("m-2 and m-3 may have room")
 	}
 	if !to.MayPreempt(at(2), at(0), time.Second) || to.MayPreempt(at(1.9), at(0), time.Second) {
@@ -171,25 +171,25 @@
 	if !to.MayPreempt(at(7), at(6.9), time.Minute) {
 		t.Error("m-2 and m-3 are late: their room is not waited for")
 	}
-	if p := to.Progress(at(7)); p.Late != 2 || p.Heard != 1 || p.Expected != 3 {
+	if p := to.Progress(at(7)); p.Overdue != 2 || p.Reported != 1 || p.Expected != 3 {
 		t.Errorf("%+v", p)
 	}
-	to.Heard("m-2")
-	to.Gone("m-3")
-	to.Gone("m-2")
-	if !to.Settle(at(9)) || to.Settle(at(10)) {
+	to.MachineReported("m-2")
+	to.MachineGone("m-3")
+	to.MachineGone("m-2")
+	if !to.TryFinish(at(9)) || to.TryFinish(at(10)) {
 		t.Error("settled once, when all are accounted for")
 	}
-	to.Told(workers.OpRun, New)
+	to.CountCommand(workers.OpRun, Assigned)
 	p := to.Progress(at(10))
-	if p.Phase != Settled || p.Heard != 2 || p.Never != 1 || p.SettledS != 9 || p.AnswerS != 1.5 || p.OrderS != 0 {
+	if p.Phase != FailoverDone || p.Reported != 2 || p.NeverReported != 1 || p.DoneS != 9 || p.FirstAnswerS != 1.5 || p.FirstCommandS != 0 {
 		t.Errorf("%+v", p)
 	}
 	if len(p.Commands) != 1 || p.Commands[0].String() != "run (assigned): 1" {
 		t.Errorf("commands %v", p.Commands)
 	}
-	to.Expect("m-9")
-	if to.Phase() != Settled || !to.MayPreempt(at(10), at(10), time.Hour) {
+	to.ExpectMachine("m-9")
+	if to.Phase() != FailoverDone || !to.MayPreempt(at(10), at(10), time.Hour) {
 		t.Error("a settled take-over expects nothing")
 	}
 }
