--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -36,9 +36,9 @@
 // returns for each entry how many tasks would be over too late. Renting for
 // these, not for all that wait, is what keeps machines from idling after a
 // burst that they would have worked off anyway.
-func ForecastLateTasks(rooms []MachineForecast, queue []PendingTasks) []int {
-	for i := range rooms {
-		slices.SortFunc(rooms[i].Releases, func(a, b Release) int {
+func ForecastLateTasks(machines []MachineForecast, queue []PendingTasks) []int {
+	for i := range machines {
+		slices.SortFunc(machines[i].Releases, func(a, b Release) int {
 			if a.AtS < b.AtS {
 				return -1
 			}
@@ -46,79 +46,79 @@
 		})
 	}
 	late := make([]int, len(queue))
-	for i, w := range queue {
-		need := placement.TaskRequest(w.Spec)
-		var next openings
-		for r := range rooms {
-			if !w.Spec.Allows(rooms[r].Type, rooms[r].Zone, rooms[r].Spot) {
+	for i, pending := range queue {
+		request := placement.TaskRequest(pending.Spec)
+		var earliest availabilityHeap
+		for machine := range machines {
+			if !pending.Spec.Allows(machines[machine].Type, machines[machine].Zone, machines[machine].Spot) {
 				continue
 			}
-			if at := rooms[r].earliest(need); at+w.RunS <= w.DeadlineS {
-				next.heap = append(next.heap, opening{at, r})
+			if atS := machines[machine].earliestFit(request); atS+pending.RunS <= pending.DeadlineS {
+				earliest.entries = append(earliest.entries, availability{atS, machine})
 			}
 		}
-		heap.Init(&next)
-		for n := range w.Count {
-			if len(next.heap) == 0 || next.heap[0].at+w.RunS > w.DeadlineS {
+		heap.Init(&earliest)
+		for n := range pending.Count {
+			if len(earliest.entries) == 0 || earliest.entries[0].atS+pending.RunS > pending.DeadlineS {
 				// So would all that follow: later tasks find no earlier room.
-				late[i] = w.Count - n
+				late[i] = pending.Count - n
 				break
 			}
-			r := &rooms[next.heap[0].room]
-			r.take(need, next.heap[0].at, w.RunS)
-			next.heap[0].at = r.earliest(need)
-			heap.Fix(&next, 0)
+			machine := &machines[earliest.entries[0].machine]
+			machine.placeTask(request, earliest.entries[0].atS, pending.RunS)
+			earliest.entries[0].atS = machine.earliestFit(request)
+			heap.Fix(&earliest, 0)
 		}
 	}
 	return late
 }
 
-// opening is when a machine has room for one more task.
-type opening struct {
-	at   float64
-	room int
+// availability is when a machine has room for one more task.
+type availability struct {
+	atS     float64
+	machine int
 }
 
-// openings is a heap, the earliest first.
-type openings struct{ heap []opening }
+// availabilityHeap is a heap, the earliest first.
+type availabilityHeap struct{ entries []availability }
 
-func (o *openings) Len() int { return len(o.heap) }
-func (o *openings) Less(a, b int) bool {
-	return o.heap[a].at < o.heap[b].at || o.heap[a].at == o.heap[b].at && o.heap[a].room < o.heap[b].room
+func (o *availabilityHeap) Len() int { return len(o.entries) }
+func (o *availabilityHeap) Less(a, b int) bool {
+	return o.entries[a].atS < o.entries[b].atS || o.entries[a].atS == o.entries[b].atS && o.entries[a].machine < o.entries[b].machine
 }
-func (o *openings) Swap(a, b int) { o.heap[a], o.heap[b] = o.heap[b], o.heap[a] }
-func (o *openings) Push(x any)    { o.heap = append(o.heap, x.(opening)) }
-func (o *openings) Pop() any {
-	last := o.heap[len(o.heap)-1]
-	o.heap = o.heap[:len(o.heap)-1]
+func (o *availabilityHeap) Swap(a, b int) { o.entries[a], o.entries[b] = o.entries[b], o.entries[a] }
+func (o *availabilityHeap) Push(x any)    { o.entries = append(o.entries, x.(availability)) }
+func (o *availabilityHeap) Pop() any {
+	last := o.entries[len(o.entries)-1]
+	o.entries = o.entries[:len(o.entries)-1]
 	return last
 }
 
-// earliest is when a machine has room.
-func (r *MachineForecast) earliest(need placement.Resources) float64 {
-	free, at := r.Free, r.AvailableFromS
-	if free.Fits(need) {
-		return at
+// earliestFit is when a machine has room.
+func (r *MachineForecast) earliestFit(request placement.Resources) float64 {
+	free, atS := r.Free, r.AvailableFromS
+	if free.Fits(request) {
+		return atS
 	}
-	for _, l := range r.Releases {
-		free, at = free.AddTimes(l.Resources, 1), max(at, l.AtS)
-		if free.Fits(need) {
-			return at
+	for _, release := range r.Releases {
+		free, atS = free.AddTimes(release.Resources, 1), max(atS, release.AtS)
+		if free.Fits(request) {
+			return atS
 		}
 	}
 	return math.Inf(1)
 }
 
-// take puts a task on the machine. What the machine had free before counts no
+// placeTask puts a task on the machine. What the machine had free before counts no
 // more, which makes the forecast a little too cautious.
-func (r *MachineForecast) take(need placement.Resources, at, runS float64) {
-	for len(r.Releases) > 0 && !r.Free.Fits(need) {
+func (r *MachineForecast) placeTask(request placement.Resources, startS, runS float64) {
+	for len(r.Releases) > 0 && !r.Free.Fits(request) {
 		r.Free = r.Free.AddTimes(r.Releases[0].Resources, 1)
 		r.Releases = r.Releases[1:]
 	}
-	r.AvailableFromS = at
-	r.Free = r.Free.AddTimes(need, -1)
-	end := Release{at + runS, need}
+	r.AvailableFromS = startS
+	r.Free = r.Free.AddTimes(request, -1)
+	end := Release{startS + runS, request}
 	i, _ := slices.BinarySearchFunc(r.Releases, end, func(a, b Release) int {
 		if a.AtS < b.AtS {
 			return -1
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -22,78 +22,78 @@
 	OutOfCapacity func(k MachinePool) bool // no capacity a short while ago
 }
 
-// room is what is free on machines that will take work once they are up. Most of
+// capacity is what is free on machines that will take work once they are up. Most of
 // them are alike, so that they are counted, not listed.
-type room struct {
+type capacity struct {
 	MachinePool
 	free placement.Resources
 }
 
 // PlanScaleOut returns what to rent: each need goes to the machines that are coming
 // first and, for the rest, to the kind that costs least for each of its tasks.
-func PlanScaleOut(needs []Demand, coming map[MachinePool]int, mk Market) map[MachinePool]int {
-	rooms := map[room]int{}
-	for k, n := range coming {
-		if t := typeOf(k, mk.Types); t != nil && n > 0 {
-			rooms[room{k, amount(*t)}] += n
+func PlanScaleOut(demands []Demand, booting map[MachinePool]int, market Market) map[MachinePool]int {
+	available := map[capacity]int{}
+	for k, n := range booting {
+		if t := findType(k, market.Types); t != nil && n > 0 {
+			available[capacity{k, machineResources(*t)}] += n
 		}
 	}
-	rent := map[MachinePool]int{}
-	for _, n := range needs {
+	scaleOut := map[MachinePool]int{}
+	for _, n := range demands {
 		zones := map[string]int{}
 		for z, c := range n.TasksByZone {
 			zones[z] = c
 		}
 		for left := n.Count; left > 0; left-- {
-			r, ok := pick(n.Spec, zones, rooms)
+			r, ok := fullestFit(n.Spec, zones, available)
 			if !ok {
-				t, k, ok := cheapest(n.Spec, zones, left, rent, mk)
+				t, k, ok := cheapestPool(n.Spec, zones, left, scaleOut, market)
 				if !ok {
 					break
 				}
-				rent[k]++
-				r = room{k, amount(t)}
-				rooms[r]++
+				scaleOut[k]++
+				r = capacity{k, machineResources(t)}
+				available[r]++
 			}
-			if rooms[r]--; rooms[r] == 0 {
-				delete(rooms, r)
+			if available[r]--; available[r] == 0 {
+				delete(available, r)
 			}
-			rooms[room{r.MachinePool, r.free.AddTimes(placement.TaskRequest(n.Spec), -1)}]++
+			available[capacity{r.MachinePool, r.free.AddTimes(placement.TaskRequest(n.Spec), -1)}]++
 			zones[r.Zone]++
 		}
 	}
-	return rent
+	return scaleOut
 }
 
-func amount(t jobs.MachineType) placement.Resources {
-	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAMGB: t.RAMGB}
+func machineResources(machineType jobs.MachineType) placement.Resources {
+	return placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
 }
 
-func typeOf(k MachinePool, types []jobs.MachineType) *jobs.MachineType {
+func findType(pool MachinePool, types []jobs.MachineType) *jobs.MachineType {
 	for i := range types {
-		if types[i].Name == k.Type {
+		if types[i].Name == pool.Type {
 			return &types[i]
 		}
 	}
 	return nil
 }
 
-// pick returns the fullest room for a task.
-func pick(s *jobs.Spec, zones map[string]int, rooms map[room]int) (best room, found bool) {
-	for r := range rooms {
-		if !s.Allows(r.Type, r.Zone, r.Spot) || !r.free.Fits(placement.TaskRequest(s)) || !placement.TopologyAllows(s, zones, r.Zone) {
+// fullestFit returns the fullest room for a task.
+func fullestFit(spec *jobs.Spec, tasksByZone map[string]int, available map[capacity]int) (best capacity, found bool) {
+	for candidate := range available {
+		if !spec.Allows(candidate.Type, candidate.Zone, candidate.Spot) || !candidate.free.Fits(placement.TaskRequest(spec)) || !placement.TopologyAllows(spec, tasksByZone, candidate.Zone) {
 			continue
 		}
 		if !found || cmp.Or(
-			cmp.Compare(r.free.CPUs, best.free.CPUs), cmp.Compare(r.free.RAMGB, best.free.RAMGB),
-			cmp.Compare(r.Type, best.Type), cmp.Compare(r.Zone, best.Zone), first(r.Spot, best.Spot)) < 0 {
-			best, found = r, true
+			cmp.Compare(candidate.free.CPUs, best.free.CPUs), cmp.Compare(candidate.free.RAMGB, best.free.RAMGB),
+			cmp.Compare(candidate.Type, best.Type), cmp.Compare(candidate.Zone, best.Zone), falseFirst(candidate.Spot, best.Spot)) < 0 {
+			best, found = candidate, true
 		}
 	}
 	return best, found
 }
 
-func cheapest(s *jobs.Spec, zones map[string]int, left int, rent map[MachinePool]int, mk Market) (jobs.MachineType, MachinePool, bool) {
+func cheapestPool(s *jobs.Spec, zones map[string]int, left int, rent map[MachinePool]int, mk Market) (jobs.MachineType, MachinePool, bool) {
 	type option struct {
 		t     jobs.MachineType
 		k     MachinePool
@@ -118,8 +118,8 @@
 				}
 				// The cloud's calls are scarce: what one request can bring is not
 				// spread over several. The next request goes to another zone.
-				o := option{t, k, price / float64(min(left, fit(t, s))), rent[k]%MaxMachinesPerRequest != 0, mk.MachineCounts[k] + rent[k]}
-				if best == nil || cmp.Or(cmp.Compare(o.price, best.price), first(o.begun, best.begun), cmp.Compare(o.have, best.have)) < 0 {
+				o := option{t, k, price / float64(min(left, tasksPerMachine(t, s))), rent[k]%MaxMachinesPerRequest != 0, mk.MachineCounts[k] + rent[k]}
+				if best == nil || cmp.Or(cmp.Compare(o.price, best.price), falseFirst(o.begun, best.begun), cmp.Compare(o.have, best.have)) < 0 {
 					best = &o
 				}
 			}
@@ -131,14 +131,14 @@
 	return best.t, best.k, true
 }
 
-// fit is how many of a job's tasks an empty machine takes.
-func fit(t jobs.MachineType, s *jobs.Spec) int {
-	room, n := amount(t), 0
-	for room.Fits(placement.TaskRequest(s)) && n < jobs.MaxTasks {
-		room = room.AddTimes(placement.TaskRequest(s), -1)
-		n++
+// tasksPerMachine is how many of a job's tasks an empty machine takes.
+func tasksPerMachine(machineType jobs.MachineType, spec *jobs.Spec) int {
+	free, count := machineResources(machineType), 0
+	for free.Fits(placement.TaskRequest(spec)) && count < jobs.MaxTasks {
+		free = free.AddTimes(placement.TaskRequest(spec), -1)
+		count++
 	}
-	return max(n, 1)
+	return max(count, 1)
 }
 
 // LargestFirst returns the kinds in a fixed order, those of which most are wanted first.
@@ -148,12 +148,12 @@
 		kinds = append(kinds, k)
 	}
 	slices.SortFunc(kinds, func(a, b MachinePool) int {
-		return cmp.Or(cmp.Compare(rent[b], rent[a]), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), first(a.Spot, b.Spot))
+		return cmp.Or(cmp.Compare(rent[b], rent[a]), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), falseFirst(a.Spot, b.Spot))
 	})
 	return kinds
 }
 
-func first(a, b bool) int {
+func falseFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -27,8 +27,8 @@
 type HeartbeatSeq struct{ Session, Seq uint64 }
 
 // Before tells whether c is older than d.
-func (c HeartbeatSeq) Before(d HeartbeatSeq) bool {
-	return c.Session < d.Session || c.Session == d.Session && c.Seq < d.Seq
+func (c HeartbeatSeq) Before(other HeartbeatSeq) bool {
+	return c.Session < other.Session || c.Session == other.Session && c.Seq < other.Seq
 }
 
 // Reason says why a machine was judged dead.
@@ -48,160 +48,160 @@
 }
 
 type machine struct {
-	id          string
-	at          int // index into Watch.all
-	zone        *zone
-	heard       time.Time    // when its last report came
-	known       HeartbeatSeq // of the newest message seen
-	calls       uint64       // calls sent since then: each raises the counter once
-	synced      bool         // has reported to this leader
-	calling     bool
-	callAfter   time.Time    // one answer is enough for a while
-	confirmed   Reason       // set: dead, the verdict awaits its turn
-	since       time.Time    // when it was confirmed
-	judged      bool         // the verdict is out
-	floor       HeartbeatSeq // set: the report that ends the hold
-	holdUntil   time.Time    // a floor holds no longer than this
-	lagging     bool         // a hold ran out on it; it may not cause another
-	suspect     bool         // there are signs that it is gone: it is called before it falls silent
-	unreachable bool         // its reports arrive, but it does not hear us
+	id             string
+	index          int // index into Watch.all
+	zone           *zone
+	lastHeartbeat  time.Time    // when its last report came
+	newestSeq      HeartbeatSeq // of the newest message seen
+	commandsSince  uint64       // calls sent since then: each raises the counter once
+	synced         bool         // has reported to this leader
+	probing        bool
+	probeNotBefore time.Time    // one answer is enough for a while
+	deathReason    Reason       // set: dead, the verdict awaits its turn
+	confirmedAt    time.Time    // when it was confirmed
+	dead           bool         // the verdict is out
+	watermark      HeartbeatSeq // set: the report that ends the hold
+	holdExpires    time.Time    // a floor holds no longer than this
+	lagging        bool         // a hold ran out on it; it may not cause another
+	suspected      bool         // there are signs that it is gone: it is called before it falls silent
+	unreachable    bool         // its reports arrive, but it does not hear us
 }
 
 // zone is what the machines of one zone have in common.
 type zone struct {
-	machines    int             // in the picture
-	heard       time.Time       // the last report of any machine that was in it
-	silentSince time.Time       // set while nobody of it is heard
-	pacer       *verdictLimiter // of its verdicts; nil before the first
+	machineCount  int             // in the picture
+	lastHeartbeat time.Time       // the last report of any machine that was in it
+	silentSince   time.Time       // set while nobody of it is heard
+	limiter       *verdictLimiter // of its verdicts; nil before the first
 }
 
 // Detector keeps the picture of all machines. One goroutine owns it.
 type Detector struct {
-	cfg       Config
-	machines  map[string]*machine
-	all       []*machine // the same: each tick goes through them
-	zones     map[string]*zone
-	disrupted bool
-	lastHeard time.Time // the last report of any machine
+	cfg            Config
+	byID           map[string]*machine
+	machines       []*machine // the same: each tick goes through them
+	zones          map[string]*zone
+	fullDisruption bool
+	lastHeartbeat  time.Time // the last report of any machine
 }
 
 // New makes an empty picture.
 func New(cfg Config) *Detector {
-	return &Detector{cfg: cfg, machines: map[string]*machine{}, zones: map[string]*zone{}}
+	return &Detector{cfg: cfg, byID: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
-func (w *Detector) zone(name string) *zone {
-	z := w.zones[name]
-	if z == nil {
-		z = &zone{}
-		w.zones[name] = z
+func (w *Detector) zoneNamed(name string) *zone {
+	found := w.zones[name]
+	if found == nil {
+		found = &zone{}
+		w.zones[name] = found
 	}
-	return z
+	return found
 }
 
 func (w *Detector) add(id, zone string) *machine {
-	m := &machine{id: id, at: len(w.all), zone: w.zone(zone)}
-	m.zone.machines++
-	w.machines[id] = m
-	w.all = append(w.all, m)
+	m := &machine{id: id, index: len(w.machines), zone: w.zoneNamed(zone)}
+	m.zone.machineCount++
+	w.byID[id] = m
+	w.machines = append(w.machines, m)
 	return m
 }
 
-func (w *Detector) move(m *machine, z *zone) {
-	m.zone.machines--
+func (w *Detector) moveToZone(m *machine, z *zone) {
+	m.zone.machineCount--
 	m.zone = z
-	z.machines++
+	z.machineCount++
 }
 
 // Restore adds a machine that an earlier leader knew. It is unsynced: until it
 // reports, or until its lease must have run out, nothing is judged.
 func (w *Detector) Restore(id, zone string, now time.Time) {
-	if _, ok := w.machines[id]; !ok {
-		w.add(id, zone).heard = now
+	if _, ok := w.byID[id]; !ok {
+		w.add(id, zone).lastHeartbeat = now
 	}
 }
 
 // Forget drops a machine that is gone.
 func (w *Detector) Forget(id string) {
-	m := w.machines[id]
+	m := w.byID[id]
 	if m == nil {
 		return
 	}
-	m.zone.machines--
-	delete(w.machines, id)
-	last := w.all[len(w.all)-1]
-	w.all[m.at], last.at = last, m.at
-	w.all = w.all[:len(w.all)-1]
+	m.zone.machineCount--
+	delete(w.byID, id)
+	last := w.machines[len(w.machines)-1]
+	w.machines[m.index], last.index = last, m.index
+	w.machines = w.machines[:len(w.machines)-1]
 }
 
 // Heartbeat takes in a report. Old copies that were held up on the way change
 // nothing: they do not show that the machine is alive now.
-func (w *Detector) Heartbeat(id, zone string, c HeartbeatSeq, now time.Time) {
-	m := w.machines[id]
-	if m == nil {
-		m = w.add(id, zone)
-	} else if m.synced && !m.known.Before(c) {
+func (w *Detector) Heartbeat(id, zone string, seq HeartbeatSeq, now time.Time) {
+	reporter := w.byID[id]
+	if reporter == nil {
+		reporter = w.add(id, zone)
+	} else if reporter.synced && !reporter.newestSeq.Before(seq) {
 		return
 	}
-	if m.floor != (HeartbeatSeq{}) && !c.Before(m.floor) {
-		m.floor = HeartbeatSeq{}
+	if reporter.watermark != (HeartbeatSeq{}) && !seq.Before(reporter.watermark) {
+		reporter.watermark = HeartbeatSeq{}
 	}
-	if z := w.zone(zone); z != m.zone {
-		w.move(m, z)
+	if current := w.zoneNamed(zone); current != reporter.zone {
+		w.moveToZone(reporter, current)
 	}
-	m.heard, m.known, m.calls = now, c, 0
-	w.lastHeard = now
-	m.zone.heard, m.zone.silentSince = now, time.Time{}
-	m.synced, m.lagging, m.suspect = true, false, false
-	if !m.unreachable {
-		m.judged, m.confirmed = false, ""
+	reporter.lastHeartbeat, reporter.newestSeq, reporter.commandsSince = now, seq, 0
+	w.lastHeartbeat = now
+	reporter.zone.lastHeartbeat, reporter.zone.silentSince = now, time.Time{}
+	reporter.synced, reporter.lagging, reporter.suspected = true, false, false
+	if !reporter.unreachable {
+		reporter.dead, reporter.deathReason = false, ""
 	}
-	if w.disrupted {
-		w.leaveDisruption(now)
+	if w.fullDisruption {
+		w.endDisruption(now)
 	}
 }
 
 // CommandAnswered takes in a worker's answer to an order: a newer picture, but no
 // report, so that the machine is not heard by it.
-func (w *Detector) CommandAnswered(id string, c HeartbeatSeq) {
-	if m := w.machines[id]; m != nil && m.known.Before(c) {
-		m.known, m.calls = c, 0
+func (w *Detector) CommandAnswered(id string, seq HeartbeatSeq) {
+	if m := w.byID[id]; m != nil && m.newestSeq.Before(seq) {
+		m.newestSeq, m.commandsSince = seq, 0
 	}
 }
 
 // CommandSent notes that an order was sent: if it arrives, it raises the counter,
 // whether or not its answer does.
 func (w *Detector) CommandSent(id string) {
-	if m := w.machines[id]; m != nil {
-		m.calls++
+	if m := w.byID[id]; m != nil {
+		m.commandsSince++
 	}
 }
 
 // Suspect takes in a sign that a machine is gone, such as that the cloud lists it
 // no more. It is called at once; only a call that fails confirms anything.
 func (w *Detector) Suspect(id string) {
-	if m := w.machines[id]; m != nil && m.synced {
-		m.suspect = true
+	if m := w.byID[id]; m != nil && m.synced {
+		m.suspected = true
 	}
 }
 
 // MarkUnreachable takes in that a machine's reports arrive but our answers do not. It does
 // not look healthy by its reports any more, until something reaches it again.
 func (w *Detector) MarkUnreachable(id string) {
-	if m := w.machines[id]; m != nil {
+	if m := w.byID[id]; m != nil {
 		m.unreachable = true
 	}
 }
 
 // MarkReachable takes in that something has reached a machine.
 func (w *Detector) MarkReachable(id string) {
-	if m := w.machines[id]; m != nil && m.unreachable {
-		m.unreachable, m.judged, m.confirmed = false, false, ""
+	if m := w.byID[id]; m != nil && m.unreachable {
+		m.unreachable, m.dead, m.deathReason = false, false, ""
 	}
 }
 
 // IsDead tells whether a machine's death has been decided.
 func (w *Detector) IsDead(id string) bool {
-	m := w.machines[id]
-	return m != nil && m.judged
+	m := w.byID[id]
+	return m != nil && m.dead
 }
--- a/internal/liveness/pacer.go
+++ b/internal/liveness/pacer.go
@@ -14,16 +14,16 @@
 // are made a few times in a gap, and a large zone has many in each.
 const burstShare = 1.0 / 3
 
-func limiter(each int, gap time.Duration) *rate.Limiter {
-	if gap <= 0 {
+func newRateLimiter(verdicts int, interval time.Duration) *rate.Limiter {
+	if interval <= 0 {
 		return rate.NewLimiter(0, 1)
 	}
-	return rate.NewLimiter(rate.Limit(float64(each)/gap.Seconds()), max(1, int(burstShare*float64(each))))
+	return rate.NewLimiter(rate.Limit(float64(verdicts)/interval.Seconds()), max(1, int(burstShare*float64(verdicts))))
 }
 
 // newVerdictLimiter makes a pacer that is ready for its first verdicts.
-func newVerdictLimiter(each int, gap time.Duration) *verdictLimiter {
-	return &verdictLimiter{limiter(each, gap)}
+func newVerdictLimiter(verdicts int, interval time.Duration) *verdictLimiter {
+	return &verdictLimiter{newRateLimiter(verdicts, interval)}
 }
 
 // allow takes the turn for one verdict, if there is one.
@@ -31,13 +31,13 @@
 
 // setRate changes the pace; no gap stops all verdicts. A pacer that was saturated
 // hands over no turns: full ones would let a burst through at each change.
-func (p *verdictLimiter) setRate(each int, gap time.Duration, now time.Time) {
-	next := limiter(each, gap)
+func (p *verdictLimiter) setRate(verdicts int, interval time.Duration, now time.Time) {
+	next := newRateLimiter(verdicts, interval)
 	if p.limiter.Limit() == next.Limit() {
 		return
 	}
 	saturated := !p.limiter.AllowN(now, 1)
-	if saturated || gap <= 0 {
+	if saturated || interval <= 0 {
 		next.AllowN(now, next.Burst())
 	}
 	p.limiter = next
--- a/internal/placement/amount.go
+++ b/internal/placement/amount.go
@@ -8,17 +8,17 @@
 type Resources struct{ CPUs, GPUs, RAMGB float64 }
 
 // TaskRequest returns what one task of a job takes.
-func TaskRequest(s *jobs.Spec) Resources { return Resources{s.CPUs, s.GPUs, s.RAMGB} }
+func TaskRequest(spec *jobs.Spec) Resources { return Resources{spec.CPUs, spec.GPUs, spec.RAMGB} }
 
 // AddTimes adds n times b.
-func (a Resources) AddTimes(b Resources, n float64) Resources {
-	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.RAMGB + n*b.RAMGB}
+func (a Resources) AddTimes(other Resources, factor float64) Resources {
+	return Resources{a.CPUs + factor*other.CPUs, a.GPUs + factor*other.GPUs, a.RAMGB + factor*other.RAMGB}
 }
 
-// slack absorbs what sums of decimal numbers are off by.
-const slack = 1e-6
+// roundingTolerance absorbs what sums of decimal numbers are off by.
+const roundingTolerance = 1e-6
 
 // Fits tells whether b fits into a.
-func (a Resources) Fits(b Resources) bool {
-	return b.CPUs <= a.CPUs+slack && b.GPUs <= a.GPUs+slack && b.RAMGB <= a.RAMGB+slack
+func (a Resources) Fits(request Resources) bool {
+	return request.CPUs <= a.CPUs+roundingTolerance && request.GPUs <= a.GPUs+roundingTolerance && request.RAMGB <= a.RAMGB+roundingTolerance
 }
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -19,7 +19,7 @@
 	Releasing Resources // of tasks told to stop
 	Tasks     []*RunningTask
 
-	on *kindIndex
+	pool *pool
 }
 
 // RunningTask is a task on a machine that could be stopped.
@@ -33,20 +33,20 @@
 
 // CapacityIndex holds the machines that take work, ordered by their free resources: the
 // cost of finding a machine does not grow with the fleet.
-type CapacityIndex struct{ kinds []*kindIndex }
+type CapacityIndex struct{ pools []*pool }
 
-// kindIndex holds the machines of one type, zone and pricing model, the fullest first.
-type kindIndex struct {
-	typ, zone string
-	spot      bool
-	machines  *btree.BTreeG[*Machine]
-	pivot     Machine // where a search begins
+// pool holds the machines of one type, zone and pricing model, the fullest first.
+type pool struct {
+	machineType, zone string
+	spot              bool
+	machines          *btree.BTreeG[*Machine]
+	searchKey         Machine // where a search begins
 }
 
-// degree of the trees: a node fills a few cache lines.
-const degree = 16
+// btreeDegree of the trees: a node fills a few cache lines.
+const btreeDegree = 16
 
-func fuller(a, b *Machine) bool {
+func lessFree(a, b *Machine) bool {
 	switch {
 	case a.Free.CPUs != b.Free.CPUs:
 		return a.Free.CPUs < b.Free.CPUs
@@ -59,67 +59,67 @@
 }
 
 // Insert adds a machine and returns true, or does nothing if it is there.
-func (s *CapacityIndex) Insert(m *Machine) bool {
-	if m.on != nil {
+func (s *CapacityIndex) Insert(machine *Machine) bool {
+	if machine.pool != nil {
 		return false
 	}
-	for _, k := range s.kinds {
-		if k.typ == m.Type && k.zone == m.Zone && k.spot == m.Spot {
-			m.on = k
+	for _, candidate := range s.pools {
+		if candidate.machineType == machine.Type && candidate.zone == machine.Zone && candidate.spot == machine.Spot {
+			machine.pool = candidate
 		}
 	}
-	if m.on == nil {
-		m.on = &kindIndex{typ: m.Type, zone: m.Zone, spot: m.Spot, machines: btree.NewG(degree, fuller)}
-		s.kinds = append(s.kinds, m.on)
+	if machine.pool == nil {
+		machine.pool = &pool{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot, machines: btree.NewG(btreeDegree, lessFree)}
+		s.pools = append(s.pools, machine.pool)
 	}
-	m.on.machines.ReplaceOrInsert(m)
+	machine.pool.machines.ReplaceOrInsert(machine)
 	return true
 }
 
 // Remove drops a machine from the index.
-func (s *CapacityIndex) Remove(m *Machine) {
-	if m.on != nil {
-		m.on.machines.Delete(m)
-		m.on = nil
+func (s *CapacityIndex) Remove(machine *Machine) {
+	if machine.pool != nil {
+		machine.pool.machines.Delete(machine)
+		machine.pool = nil
 	}
 }
 
 // SetFree changes what is free on a machine, whether or not it is in the index.
-func (s *CapacityIndex) SetFree(m *Machine, free Resources) {
-	if m.on == nil {
-		m.Free = free
+func (s *CapacityIndex) SetFree(machine *Machine, free Resources) {
+	if machine.pool == nil {
+		machine.Free = free
 		return
 	}
-	m.on.machines.Delete(m)
-	m.Free = free
-	m.on.machines.ReplaceOrInsert(m)
+	machine.pool.machines.Delete(machine)
+	machine.Free = free
+	machine.pool.machines.ReplaceOrInsert(machine)
 }
 
-// from goes through the machines that may have room, the fullest first, while
+// eachWithCPUs goes through the machines that may have room, the fullest first, while
 // next says so.
-func (k *kindIndex) from(need Resources, next func(*Machine) bool) {
-	least := need.CPUs - slack
-	if roomiest, ok := k.machines.Max(); !ok || roomiest.Free.CPUs < least {
+func (k *pool) eachWithCPUs(request Resources, next func(*Machine) bool) {
+	leastCPUs := request.CPUs - roundingTolerance
+	if roomiest, ok := k.machines.Max(); !ok || roomiest.Free.CPUs < leastCPUs {
 		return // mostly all are full
 	}
-	k.pivot.Free.CPUs = least
-	k.machines.AscendGreaterOrEqual(&k.pivot, next)
+	k.searchKey.Free.CPUs = leastCPUs
+	k.machines.AscendGreaterOrEqual(&k.searchKey, next)
 }
 
-// all goes through all machines, the fullest first.
-func (k *kindIndex) all(each func(*Machine)) {
-	k.machines.Ascend(func(m *Machine) bool { each(m); return true })
+// each goes through all machines, the fullest first.
+func (k *pool) each(visit func(*Machine)) {
+	k.machines.Ascend(func(m *Machine) bool { visit(m); return true })
 }
 
-// roomiest returns the machine with most room of those that will do.
-func (s *CapacityIndex) roomiest(will func(*Machine) bool) (best *Machine) {
-	for _, k := range s.kinds {
-		k.machines.Descend(func(m *Machine) bool {
-			if !will(m) {
+// emptiest returns the machine with most room of those that will do.
+func (s *CapacityIndex) emptiest(accept func(*Machine) bool) (best *Machine) {
+	for _, pool := range s.pools {
+		pool.machines.Descend(func(machine *Machine) bool {
+			if !accept(machine) {
 				return true
 			}
-			if best == nil || best.Free.CPUs < m.Free.CPUs {
-				best = m
+			if best == nil || best.Free.CPUs < machine.Free.CPUs {
+				best = machine
 			}
 			return false
 		})
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -32,7 +32,7 @@
 	// and what falls free where most of it fits is kept until there is enough.
 	ReserveRoom bool
 
-	held bool // room is being made for it, or kept
+	roomReserved bool // room is being made for it, or kept
 }
 
 // Input is the whole picture. Plan uses up all but the index.
@@ -46,13 +46,13 @@
 	// only where room has to be made; nil leaves them as they are.
 	LoadTasks func(*Machine)
 
-	touched map[*Machine]Resources // what was free before the plan
-	filled  map[*Machine]bool
-	only    string   // zone to look at, if not empty
-	cached  bool     // look only at machines that have the job's image
-	spare   bool     // stop no gang
-	undo    []func() // what a trial has changed
-	trial   bool
+	originalFree  map[*Machine]Resources // what was free before the plan
+	tasksLoaded   map[*Machine]bool
+	onlyZone      string   // zone to look at, if not empty
+	onlyWithImage bool     // look only at machines that have the job's image
+	spareGangs    bool     // stop no gang
+	undo          []func() // what a trial has changed
+	trial         bool
 }
 
 // Assignment puts a job's next task on a machine.
@@ -86,55 +86,55 @@
 // Plan places what it can. It leaves the index as it found it.
 func Plan(in Input) Output {
 	var out Output
-	in.touched, in.filled = map[*Machine]Resources{}, map[*Machine]bool{}
+	in.originalFree, in.tasksLoaded = map[*Machine]Resources{}, map[*Machine]bool{}
 	queue := make([]queueEntry, 0, len(in.Jobs))
-	for _, j := range in.Jobs {
-		queue = append(queue, queueEntry{j, false})
-		if j.StarvedTasks > 0 {
-			queue = append(queue, queueEntry{j, true})
+	for _, job := range in.Jobs {
+		queue = append(queue, queueEntry{job, false})
+		if job.StarvedTasks > 0 {
+			queue = append(queue, queueEntry{job, true})
 		}
 	}
-	slices.SortStableFunc(queue, before)
+	slices.SortStableFunc(queue, compareEntries)
 	for len(queue) > 0 {
 		if queue[0].Spec.Shape == jobs.Gang {
-			in.takeGang(queue[0], &out)
+			in.scheduleGang(queue[0], &out)
 			queue = queue[1:]
 			continue
 		}
-		n := neighbours(queue)
-		if n > 1 {
-			for _, t := range queue[:n] {
-				in.fill(t, &out, true)
+		count := interchangeable(queue)
+		if count > 1 {
+			for _, entry := range queue[:count] {
+				in.placeTasks(entry, &out, true)
 			}
 		}
-		for _, t := range queue[:n] {
-			in.take(t, &out)
+		for _, entry := range queue[:count] {
+			in.scheduleJob(entry, &out)
 		}
-		queue = queue[n:]
+		queue = queue[count:]
 	}
-	for m, free := range in.touched {
-		in.Index.SetFree(m, free)
+	for machine, free := range in.originalFree {
+		in.Index.SetFree(machine, free)
 	}
 	return out
 }
 
-// take gives a job its turn.
-func (in *Input) take(t queueEntry, out *Output) {
-	j, want := t.Job, in.fill(t, out, false)
-	left := in.roomInLimit(j, want)
+// scheduleJob gives a job its turn.
+func (in *Input) scheduleJob(entry queueEntry, out *Output) {
+	job, unplaced := entry.Job, in.placeTasks(entry, out, false)
+	left := in.tasksWithinQuota(job, unplaced)
 	if left <= 0 {
 		return
 	}
-	made := in.makeRoom(j, left, out, nil)
-	left -= made
-	j.Pending -= made
-	if t.overdue {
+	preempted := in.preemptFor(job, left, out, nil)
+	left -= preempted
+	job.Pending -= preempted
+	if entry.starved {
 		// What is too large for the room that others leave now and then would
 		// wait for ever: a machine is kept from them until it has that room.
-		in.reserve(j, left)
+		in.reserveEmptiest(job, left)
 		return
 	}
 	if left > 0 {
-		out.Unmet = append(out.Unmet, Demand{j, left})
+		out.Unmet = append(out.Unmet, Demand{job, left})
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -388,8 +388,8 @@
 			index.Insert(m)
 		}
 		index.Insert(box("b1", 4))
-		for _, k := range index.kinds {
-			k.from(Resources{CPUs: 1}, func(*Machine) bool { n++; return true })
+		for _, k := range index.pools {
+			k.eachWithCPUs(Resources{CPUs: 1}, func(*Machine) bool { n++; return true })
 		}
 		return n
 	}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -9,86 +9,86 @@
 	"ospreyslip/internal/settings"
 )
 
-// mayStop tells whether a task may be stopped to make room for j.
-func mayStop(in *Input, j *Job, p *RunningTask) bool {
-	v := p.Job
-	if p.Starved && j.Spec.Priority != jobs.Prod {
+// mayPreempt tells whether a task may be stopped to make room for j.
+func mayPreempt(in *Input, job *Job, victim *RunningTask) bool {
+	v := victim.Job
+	if victim.Starved && job.Spec.Priority != jobs.Prod {
 		return false // it waited for too long to lose its place at once
 	}
-	if v.Spec.Rank() < j.Spec.Rank() {
+	if v.Spec.Rank() < job.Spec.Rank() {
 		return true
 	}
 	// A team gets its guarantee from what another runs beyond its own, but not at
 	// the cost of a production service: its users notice at once, and a batch
 	// job can wait for the next task to end.
-	if v.Spec.Priority == jobs.Prod && j.Spec.Priority != jobs.Prod {
+	if v.Spec.Priority == jobs.Prod && job.Spec.Priority != jobs.Prod {
 		return false
 	}
-	return in.mayReclaim(j) && !v.Guaranteed && v.Spec.Team != j.Spec.Team && in.beyond(v.Spec.Team)
+	return in.mayReclaim(job) && !v.Guaranteed && v.Spec.Team != job.Spec.Team && in.exceedsGuarantee(v.Spec.Team)
 }
 
 // mayReclaim tells whether a job takes what its team is guaranteed from others. Tasks
 // end all the time, and what is guaranteed goes first where they do: a claim that
 // can wait for that costs nobody the work of a task.
-func (in *Input) mayReclaim(j *Job) bool { return j.Guaranteed && !j.ReclaimDeferred }
+func (in *Input) mayReclaim(job *Job) bool { return job.Guaranteed && !job.ReclaimDeferred }
 
-// beyond tells whether a team uses more than it is guaranteed.
-func (in *Input) beyond(team string) bool {
-	t, used := teamOf(in.Teams, team), in.UsedByTeam[team]
-	return used.CPUs > t.CPUs+slack || used.GPUs > t.GPUs+slack
+// exceedsGuarantee tells whether a team uses more than it is guaranteed.
+func (in *Input) exceedsGuarantee(team string) bool {
+	guarantee, used := findTeam(in.Teams, team), in.UsedByTeam[team]
+	return used.CPUs > guarantee.CPUs+roundingTolerance || used.GPUs > guarantee.GPUs+roundingTolerance
 }
 
-// slowFetch is how much longer than usual a fetch may take, from the protocol.
-const slowFetch = 4.0 / 3
+// slowFetchFactor is how much longer than usual a fetch may take, from the protocol.
+const slowFetchFactor = 4.0 / 3
 
-// makeRoom stops tasks for up to n tasks of a job, on machines that will do; nil
+// preemptFor stops tasks for up to n tasks of a job, on machines that will do; nil
 // means all. Room that is being made is set aside, so that the next plan does not
 // stop more for the same need.
-func (in *Input) makeRoom(j *Job, n int, out *Output, will func(*Machine) bool) (made int) {
-	if !in.mayMakeRoom(j) {
+func (in *Input) preemptFor(job *Job, count int, out *Output, accept func(*Machine) bool) (made int) {
+	if !in.preemptionPossible(job) {
 		return 0
 	}
 	// To start a little sooner is no reason to stop a gang.
-	in.spare = in.cached || will != nil
-	need := TaskRequest(j.Spec)
-	var candidates preemptions
-	for _, s := range in.Index.kinds {
-		if !in.allows(j, s) {
+	in.spareGangs = in.onlyWithImage || accept != nil
+	request := TaskRequest(job.Spec)
+	var candidates preemptionHeap
+	for _, pool := range in.Index.pools {
+		if !in.allowsPool(job, pool) {
 			continue
 		}
-		s.all(func(m *Machine) {
-			if will != nil && !will(m) || in.cached && !m.Images[j.Spec.Image] {
+		pool.each(func(m *Machine) {
+			if accept != nil && !accept(m) || in.onlyWithImage && !m.Images[job.Spec.Image] {
 				return
 			}
-			in.look(m)
-			if w, ok := in.victims(j, m, need); ok {
-				candidates = append(candidates, w)
+			in.loadTasks(m)
+			if option, ok := in.cheapestVictims(job, m, request); ok {
+				candidates = append(candidates, option)
 			}
 		})
 	}
 	heap.Init(&candidates)
-	for made < n && len(candidates) > 0 {
-		w := candidates[0]
-		if !w.on.open(j) || !TopologyAllows(j.Spec, j.TasksByZone, w.on.Zone) {
+	for made < count && len(candidates) > 0 {
+		option := candidates[0]
+		if !option.machine.accepts(job) || !TopologyAllows(job.Spec, job.TasksByZone, option.machine.Zone) {
 			heap.Pop(&candidates)
 			continue
 		}
-		m := w.on
+		m := option.machine
 		if tasks, freeing := m.Tasks, m.Releasing; in.trial {
 			m.Tasks = slices.Clone(tasks)
 			in.undo = append(in.undo, func() { m.Tasks, m.Releasing = tasks, freeing })
 		}
-		for _, v := range w.stop {
-			out.Preemptions = append(out.Preemptions, Preemption{m, v, j.Spec.Shape != jobs.Batch})
-			m.Tasks = slices.DeleteFunc(m.Tasks, func(p *RunningTask) bool { return p == v })
-			m.Releasing = m.Releasing.AddTimes(TaskRequest(v.Job.Spec), 1)
+		for _, victim := range option.victims {
+			out.Preemptions = append(out.Preemptions, Preemption{m, victim, job.Spec.Shape != jobs.Batch})
+			m.Tasks = slices.DeleteFunc(m.Tasks, func(task *RunningTask) bool { return task == victim })
+			m.Releasing = m.Releasing.AddTimes(TaskRequest(victim.Job.Spec), 1)
 		}
 		// Taken out of what is free now and, for the rest, of what will be.
-		m.Releasing = m.Free.AddTimes(m.Releasing, 1).AddTimes(need, -1)
+		m.Releasing = m.Free.AddTimes(m.Releasing, 1).AddTimes(request, -1)
 		in.setFree(m, Resources{})
-		in.counted(j, m)
+		in.countTask(job, m)
 		made++
-		if next, ok := in.victims(j, m, need); ok {
+		if next, ok := in.cheapestVictims(job, m, request); ok {
 			candidates[0] = next
 			heap.Fix(&candidates, 0)
 		} else {
@@ -98,79 +98,79 @@
 	return made
 }
 
-// mayMakeRoom tells whether a search for victims can find any: it goes through
+// preemptionPossible tells whether a search for victims can find any: it goes through
 // all machines, and mostly there is nothing of lower priority.
-func (in *Input) mayMakeRoom(j *Job) bool {
-	if j.PreemptionDeferred {
+func (in *Input) preemptionPossible(job *Job) bool {
+	if job.PreemptionDeferred {
 		return false
 	}
-	return in.LowestRank < j.Spec.Rank() || in.mayReclaim(j) && slices.ContainsFunc(in.Teams, func(t settings.Team) bool {
-		return t.Name != j.Spec.Team && in.beyond(t.Name)
+	return in.LowestRank < job.Spec.Rank() || in.mayReclaim(job) && slices.ContainsFunc(in.Teams, func(team settings.Team) bool {
+		return team.Name != job.Spec.Team && in.exceedsGuarantee(team.Name)
 	})
 }
 
-// preemption is what a machine would lose to take one more task.
-type preemption struct {
-	on   *Machine
-	stop []*RunningTask
-	cost float64
+// preemptionOption is what a machine would lose to take one more task.
+type preemptionOption struct {
+	machine *Machine
+	victims []*RunningTask
+	cost    float64
 }
 
-// preemptions is a heap, the cheapest first.
-type preemptions []preemption
+// preemptionHeap is a heap, the cheapest first.
+type preemptionHeap []preemptionOption
 
-func (s preemptions) Len() int { return len(s) }
+func (s preemptionHeap) Len() int { return len(s) }
 
-func (s preemptions) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(s[a].cost, s[b].cost), cmp.Compare(s[a].on.ID, s[b].on.ID)) < 0
+func (s preemptionHeap) Less(a, b int) bool {
+	return cmp.Or(cmp.Compare(s[a].cost, s[b].cost), cmp.Compare(s[a].machine.ID, s[b].machine.ID)) < 0
 }
 
-func (s preemptions) Swap(a, b int) { s[a], s[b] = s[b], s[a] }
+func (s preemptionHeap) Swap(a, b int) { s[a], s[b] = s[b], s[a] }
 
-func (s *preemptions) Push(x any) { *s = append(*s, x.(preemption)) }
+func (s *preemptionHeap) Push(x any) { *s = append(*s, x.(preemptionOption)) }
 
-func (s *preemptions) Pop() any {
+func (s *preemptionHeap) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
 }
 
-// cost is what stopping a task loses. A gang loses what all of its tasks have run
+// preemptionCost is what stopping a task loses. A gang loses what all of its tasks have run
 // for, and has to find room for all of them at a time again.
-func (p *RunningTask) cost() float64 {
-	s := p.Job.Spec
-	if s.Shape == jobs.Gang {
-		return float64(p.GangTasks) * (1 + (p.LostRunS+s.EstimateS)*s.CPUs)
+func (p *RunningTask) preemptionCost() float64 {
+	spec := p.Job.Spec
+	if spec.Shape == jobs.Gang {
+		return float64(p.GangTasks) * (1 + (p.LostRunS+spec.EstimateS)*spec.CPUs)
 	}
-	return 1 + p.LostRunS*s.CPUs
+	return 1 + p.LostRunS*spec.CPUs
 }
 
-// victims returns the cheapest tasks to stop on a machine.
-func (in *Input) victims(j *Job, m *Machine, need Resources) (w preemption, ok bool) {
-	if !m.open(j) {
-		return w, false
+// cheapestVictims returns the cheapest tasks to stop on a machine.
+func (in *Input) cheapestVictims(job *Job, m *Machine, request Resources) (option preemptionOption, ok bool) {
+	if !m.accepts(job) {
+		return option, false
 	}
-	w.on = m
+	option.machine = m
 	room := m.Free.AddTimes(m.Releasing, 1)
-	if room.Fits(need) {
-		return w, true
+	if room.Fits(request) {
+		return option, true
 	}
-	var order []*RunningTask
-	for _, v := range m.Tasks {
-		if mayStop(in, j, v) && (!in.spare || v.Job.Spec.Shape != jobs.Gang) {
-			order = append(order, v)
+	var victims []*RunningTask
+	for _, task := range m.Tasks {
+		if mayPreempt(in, job, task) && (!in.spareGangs || task.Job.Spec.Shape != jobs.Gang) {
+			victims = append(victims, task)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *RunningTask) int {
-		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.cost(), b.cost()))
+	slices.SortStableFunc(victims, func(a, b *RunningTask) int {
+		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.preemptionCost(), b.preemptionCost()))
 	})
-	for _, v := range order {
-		room = room.AddTimes(TaskRequest(v.Job.Spec), 1)
-		w.stop = append(w.stop, v)
-		w.cost += v.cost()
-		if room.Fits(need) {
-			return w, true
+	for _, task := range victims {
+		room = room.AddTimes(TaskRequest(task.Job.Spec), 1)
+		option.victims = append(option.victims, task)
+		option.cost += task.preemptionCost()
+		if room.Fits(request) {
+			return option, true
 		}
 	}
-	return w, false
+	return option, false
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -13,25 +13,25 @@
 	DeadlineMissed = 2e9
 )
 
-// before orders the queue: production first, then what has got nothing for too
+// compareEntries orders the queue: production first, then what has got nothing for too
 // long, then what a guarantee covers, then by priority. Among equals it weighs
 // what is due soon against what takes little: by deadline alone, one large job
 // in an overload makes many small ones late.
-func before(a, b queueEntry) int {
+func compareEntries(a, b queueEntry) int {
 	return cmp.Or(
-		first(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
-		first(a.Preempting, b.Preempting),
-		first(a.overdue, b.overdue),
-		first(a.Guaranteed, b.Guaranteed),
+		trueFirst(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
+		trueFirst(a.Preempting, b.Preempting),
+		trueFirst(a.starved, b.starved),
+		trueFirst(a.Guaranteed, b.Guaranteed),
 		cmp.Compare(b.Spec.Rank(), a.Spec.Rank()),
-		first(a.ReserveRoom, b.ReserveRoom),
-		cmp.Compare(stage(a.Job), stage(b.Job)),
+		trueFirst(a.ReserveRoom, b.ReserveRoom),
+		cmp.Compare(deadlineStage(a.Job), deadlineStage(b.Job)),
 		cmp.Compare(a.DeadlineS*a.RemainingCPUS, b.DeadlineS*b.RemainingCPUS),
 		cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder),
 	)
 }
 
-func first(a, b bool) int {
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -45,39 +45,39 @@
 // a few of its tasks, and its own for the rest.
 type queueEntry struct {
 	*Job
-	overdue bool
+	starved bool
 }
 
-// stage tells jobs with a deadline to meet from those without, and from those
+// deadlineStage tells jobs with a deadline to meet from those without, and from those
 // that can meet none.
-func stage(j *Job) int {
+func deadlineStage(job *Job) int {
 	switch {
-	case j.DeadlineS < NoDeadline:
+	case job.DeadlineS < NoDeadline:
 		return 0
-	case j.DeadlineS < DeadlineMissed:
+	case job.DeadlineS < DeadlineMissed:
 		return 1
 	}
 	return 2
 }
 
-// mostNeighbours is how many jobs next to each other in the queue share machines by
+// maxInterchangeable is how many jobs next to each other in the queue share machines by
 // the images that these have.
-const mostNeighbours = 8
+const maxInterchangeable = 8
 
-// neighbours is how many jobs at the head of the queue differ only in how soon they
+// interchangeable is how many jobs at the head of the queue differ only in how soon they
 // are due. Where machines are scarce, each that falls free goes to the one of them
 // whose image it has: among jobs that all wait, fetches are what can be saved.
-func neighbours(queue []queueEntry) int {
-	a, n := queue[0], 1
-	if a.Spec.Shape != jobs.Batch {
-		return n
+func interchangeable(queue []queueEntry) int {
+	head, count := queue[0], 1
+	if head.Spec.Shape != jobs.Batch {
+		return count
 	}
-	for n < min(len(queue), mostNeighbours) {
-		b := queue[n]
-		if b.Spec.Shape != a.Spec.Shape || b.Spec.Rank() != a.Spec.Rank() || b.overdue != a.overdue || b.Guaranteed != a.Guaranteed || stage(b.Job) != stage(a.Job) {
+	for count < min(len(queue), maxInterchangeable) {
+		next := queue[count]
+		if next.Spec.Shape != head.Spec.Shape || next.Spec.Rank() != head.Spec.Rank() || next.starved != head.starved || next.Guaranteed != head.Guaranteed || deadlineStage(next.Job) != deadlineStage(head.Job) {
 			break
 		}
-		n++
+		count++
 	}
-	return n
+	return count
 }
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -6,20 +6,20 @@
 
 // MarkGuaranteed marks the jobs that fit into their team's guarantee together with
 // the team's earlier jobs. The jobs must be in order of acceptance.
-func MarkGuaranteed(teams []settings.Team, all []*Job) {
-	sum := map[string]Resources{}
-	for _, j := range all {
-		t := teamOf(teams, j.Spec.Team)
-		total := sum[t.Name].AddTimes(TaskRequest(j.Spec), float64(j.Spec.Tasks))
-		sum[t.Name] = total
-		j.Guaranteed = t.CPUs+t.GPUs > 0 && Resources{t.CPUs, t.GPUs, total.RAMGB}.Fits(total)
+func MarkGuaranteed(teams []settings.Team, jobsByAge []*Job) {
+	requested := map[string]Resources{}
+	for _, job := range jobsByAge {
+		team := findTeam(teams, job.Spec.Team)
+		total := requested[team.Name].AddTimes(TaskRequest(job.Spec), float64(job.Spec.Tasks))
+		requested[team.Name] = total
+		job.Guaranteed = team.CPUs+team.GPUs > 0 && Resources{team.CPUs, team.GPUs, total.RAMGB}.Fits(total)
 	}
 }
 
-func teamOf(teams []settings.Team, name string) settings.Team {
-	for _, t := range teams {
-		if t.Name == name {
-			return t
+func findTeam(teams []settings.Team, name string) settings.Team {
+	for _, team := range teams {
+		if team.Name == name {
+			return team
 		}
 	}
 	return settings.Team{Name: name}
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -89,66 +89,66 @@
 
 // DecideOnHeartbeat decides what a picture proves of an attempt. Only what no command on its way can
 // change is concluded from a task's absence.
-func DecideOnHeartbeat(a Attempt, p Observation) Decision {
+func DecideOnHeartbeat(attempt Attempt, observed Observation) Decision {
 	switch {
-	case p.Session > a.Session:
+	case observed.Session > attempt.Session:
 		return Decision{Action: Reschedule, Reason: SessionEnded}
-	case p.Session < a.Session:
+	case observed.Session < attempt.Session:
 		return Decision{Action: Wait, Reason: NoHeartbeat}
-	case p.Task == nil:
-		return absent(a, p.Token)
-	case p.Task.State != workers.Ended:
+	case observed.Task == nil:
+		return decideOnAbsence(attempt, observed.Token)
+	case observed.Task.State != workers.Ended:
 		return Decision{Action: Adopt, Reason: Reported}
-	case p.Task.Cause == workers.CauseDone && a.RunsToCompletion:
-		return Decision{Action: Complete, Reason: Reason(p.Task.Cause)}
+	case observed.Task.Cause == workers.CauseDone && attempt.RunsToCompletion:
+		return Decision{Action: Complete, Reason: Reason(observed.Task.Cause)}
 	}
-	return Decision{Action: Reschedule, Reason: Reason(p.Task.Cause)}
+	return Decision{Action: Reschedule, Reason: Reason(observed.Task.Cause)}
 }
 
-// absent judges an attempt that the newest picture does not show.
-func absent(a Attempt, shown uint64) Decision {
+// decideOnAbsence judges an attempt that the newest picture does not show.
+func decideOnAbsence(attempt Attempt, workerToken uint64) Decision {
 	switch {
-	case !a.Durable:
+	case !attempt.Durable:
 		return Decision{Action: Wait, Reason: StartNotDurable}
-	case a.CommandPending:
+	case attempt.CommandPending:
 		return Decision{Action: InDoubt, Reason: CommandUnanswered}
-	case a.InDoubtToken != 0 && shown <= a.InDoubtToken:
+	case attempt.InDoubtToken != 0 && workerToken <= attempt.InDoubtToken:
 		return Decision{Action: InDoubt, Reason: TokenNotSuperseded}
-	case a.JobFinished || a.Preempted:
+	case attempt.JobFinished || attempt.Preempted:
 		return Decision{Action: Reschedule, Reason: NotWanted}
 	}
 	return Decision{Action: Start, Reason: Absent}
 }
 
 // DecideCommand decides what a worker is to be told of an attempt.
-func DecideCommand(a Attempt) Decision {
-	there := a.ObservedState != ""
+func DecideCommand(attempt Attempt) Decision {
+	present := attempt.ObservedState != ""
 	switch {
-	case !a.Durable:
+	case !attempt.Durable:
 		return Decision{Action: Wait, Reason: StartNotDurable}
-	case a.JobFinished && there:
-		return Decision{Action: Stop, Reason: a.whyOver()}
-	case a.Preempted && there && a.ObservedState == workers.Saving:
+	case attempt.JobFinished && present:
+		return Decision{Action: Stop, Reason: attempt.finishReason()}
+	case attempt.Preempted && present && attempt.ObservedState == workers.Saving:
 		return Decision{Action: Wait, Reason: Checkpointing}
-	case a.Preempted && there:
-		return Decision{Action: Stop, Reason: Preempted, GraceS: a.GraceS}
-	case there:
+	case attempt.Preempted && present:
+		return Decision{Action: Stop, Reason: Preempted, GraceS: attempt.GraceS}
+	case present:
 		return Decision{Action: Adopt, Reason: Reported}
-	case a.JobFinished || a.Preempted:
+	case attempt.JobFinished || attempt.Preempted:
 		return Decision{Action: Wait, Reason: NotWanted}
-	case a.RecordsIncomplete:
+	case attempt.RecordsIncomplete:
 		return Decision{Action: Wait, Reason: RecordsIncomplete}
-	case a.InDoubtToken != 0:
+	case attempt.InDoubtToken != 0:
 		return Decision{Action: InDoubt, Reason: TokenNotSuperseded}
-	case a.Sent || a.CommandPending:
+	case attempt.Sent || attempt.CommandPending:
 		return Decision{Action: Wait, Reason: CommandUnanswered}
-	case !a.GangReady:
+	case !attempt.GangReady:
 		return Decision{Action: Wait, Reason: GangIncomplete}
 	}
 	return Decision{Action: Start, Reason: Assigned}
 }
 
-func (a Attempt) whyOver() Reason {
+func (a Attempt) finishReason() Reason {
 	if a.JobCancelled {
 		return JobCancelled
 	}
@@ -184,8 +184,8 @@
 
 // DecideOnStaleHeartbeat decides about a task in a report from before the term. It proves nothing,
 // but its answer renews the lease: what is cancelled stops all the same.
-func DecideOnStaleHeartbeat(t *workers.Task, cancelled bool) Decision {
-	if cancelled && t.State != workers.Ended {
+func DecideOnStaleHeartbeat(task *workers.Task, cancelled bool) Decision {
+	if cancelled && task.State != workers.Ended {
 		return Decision{Action: Stop, Reason: JobCancelled}
 	}
 	return Decision{Action: Wait, Reason: NoHeartbeat}
@@ -202,11 +202,11 @@
 
 // DecideOnRecords decides about an attempt that a new leader has found in the records, by these
 // alone: its task may be recorded as done, or a later session of its worker.
-func DecideOnRecords(a Attempt, taskDone bool, newestSession uint64, leaseUntil time.Time) Decision {
+func DecideOnRecords(attempt Attempt, taskDone bool, newestSession uint64, leaseUntil time.Time) Decision {
 	switch {
 	case taskDone:
 		return Decision{Action: Complete, Reason: Reason(workers.CauseDone)}
-	case a.Session < newestSession:
+	case attempt.Session < newestSession:
 		return Decision{Action: Reschedule, Reason: SessionEnded}
 	}
 	return Decision{Action: Wait, Reason: NoHeartbeat, Until: leaseUntil}
--- a/internal/reconcile/takeover.go
+++ b/internal/reconcile/takeover.go
@@ -26,8 +26,8 @@
 
 func (c CommandCount) String() string { return fmt.Sprintf("%s (%s): %d", c.Op, c.Reason, c.Count) }
 
-// commandKind is what commands are counted by.
-type commandKind struct {
+// commandKey is what commands are counted by.
+type commandKey struct {
 	op     string
 	reason Reason
 }
@@ -51,86 +51,86 @@
 // Failover follows a new leader until it knows what became of every machine that the
 // records name.
 type Failover struct {
-	began     time.Time
-	lateAfter time.Duration // since the records were read
-	read      time.Time
-	answered  time.Time
-	ordered   time.Time
-	settled   time.Time
-	open      map[string]bool // machines that are expected still
-	heard     int
-	never     int
-	commands  map[commandKind]int
+	startedAt      time.Time
+	overdueAfter   time.Duration // since the records were read
+	loadedAt       time.Time
+	firstAnswerAt  time.Time
+	firstCommandAt time.Time
+	doneAt         time.Time
+	awaited        map[string]bool // machines that are expected still
+	reported       int
+	neverReported  int
+	commandCounts  map[commandKey]int
 }
 
 // NewFailover begins with the term. A machine that is well reports within lateAfter.
 func NewFailover(began time.Time, lateAfter time.Duration) *Failover {
-	return &Failover{began: began, lateAfter: lateAfter, open: map[string]bool{}, commands: map[commandKind]int{}}
+	return &Failover{startedAt: began, overdueAfter: lateAfter, awaited: map[string]bool{}, commandCounts: map[commandKey]int{}}
 }
 
 // ExpectMachine adds a machine that may have tasks, or room.
 func (t *Failover) ExpectMachine(machine string) {
-	if !t.settled.IsZero() || t.open[machine] {
+	if !t.doneAt.IsZero() || t.awaited[machine] {
 		return
 	}
-	t.open[machine] = true
+	t.awaited[machine] = true
 }
 
 // RecordsLoaded ends the first phase.
-func (t *Failover) RecordsLoaded(now time.Time) { t.read = now }
+func (t *Failover) RecordsLoaded(now time.Time) { t.loadedAt = now }
 
 // MachineReported takes in that a machine has reported under this term's token.
 func (t *Failover) MachineReported(machine string) {
-	if t.open[machine] {
-		delete(t.open, machine)
-		t.heard++
+	if t.awaited[machine] {
+		delete(t.awaited, machine)
+		t.reported++
 	}
 }
 
 // MachineGone takes in that nothing can be on a machine any more, though it has not reported.
 func (t *Failover) MachineGone(machine string) {
-	if t.open[machine] {
-		delete(t.open, machine)
-		t.never++
+	if t.awaited[machine] {
+		delete(t.awaited, machine)
+		t.neverReported++
 	}
 }
 
 // HeartbeatAnswered takes in that a report was answered.
 func (t *Failover) HeartbeatAnswered(now time.Time) {
-	if t.answered.IsZero() {
-		t.answered = now
+	if t.firstAnswerAt.IsZero() {
+		t.firstAnswerAt = now
 	}
 }
 
 // CommandSent takes in that an order went out.
 func (t *Failover) CommandSent(now time.Time) {
-	if t.ordered.IsZero() {
-		t.ordered = now
+	if t.firstCommandAt.IsZero() {
+		t.firstCommandAt = now
 	}
 }
 
 // CountCommand counts a command to a worker.
 func (t *Failover) CountCommand(op string, why Reason) {
-	if t.settled.IsZero() {
-		t.commands[commandKind{op, why}]++
+	if t.doneAt.IsZero() {
+		t.commandCounts[commandKey{op, why}]++
 	}
 }
 
 // TryFinish ends the take-over when nothing is expected any more. It returns true once.
 func (t *Failover) TryFinish(now time.Time) bool {
-	if t.read.IsZero() || !t.settled.IsZero() || len(t.open) > 0 {
+	if t.loadedAt.IsZero() || !t.doneAt.IsZero() || len(t.awaited) > 0 {
 		return false
 	}
-	t.settled = now
+	t.doneAt = now
 	return true
 }
 
 // Phase returns how far it is.
 func (t *Failover) Phase() Phase {
 	switch {
-	case t.read.IsZero():
+	case t.loadedAt.IsZero():
 		return LoadingRecords
-	case t.settled.IsZero():
+	case t.doneAt.IsZero():
 		return AwaitingHeartbeats
 	}
 	return FailoverDone
@@ -139,34 +139,34 @@
 // AwaitsCapacity tells whether machines that are well may yet report, and with them room that
 // nothing needs to be stopped for. Those that are late do not count.
 func (t *Failover) AwaitsCapacity(now time.Time) bool {
-	return t.Phase() == AwaitingHeartbeats && len(t.open) > 0 && now.Sub(t.read) < t.lateAfter
+	return t.Phase() == AwaitingHeartbeats && len(t.awaited) > 0 && now.Sub(t.loadedAt) < t.overdueAfter
 }
 
 // MayPreempt tells whether work that has waited since a moment may have others stopped for
 // it: until machines that are expected have reported, or are late, only what has waited for
 // as long as its bound.
-func (t *Failover) MayPreempt(now, waitsSince time.Time, bound time.Duration) bool {
-	if waitsSince.Before(t.read) {
-		waitsSince = t.read
+func (t *Failover) MayPreempt(now, waitingSince time.Time, bound time.Duration) bool {
+	if waitingSince.Before(t.loadedAt) {
+		waitingSince = t.loadedAt
 	}
-	return !t.AwaitsCapacity(now) || now.Sub(waitsSince) >= bound
+	return !t.AwaitsCapacity(now) || now.Sub(waitingSince) >= bound
 }
 
 // Progress returns what is known by a moment.
 func (t *Failover) Progress(now time.Time) Progress {
-	p := Progress{
-		Phase: t.Phase(), Expected: t.heard + t.never + len(t.open), Reported: t.heard, NeverReported: t.never, Commands: t.tallies(),
-		RecordsLoadedS: t.since(t.read), FirstAnswerS: t.since(t.answered), FirstCommandS: t.since(t.ordered), DoneS: t.since(t.settled),
+	progress := Progress{
+		Phase: t.Phase(), Expected: t.reported + t.neverReported + len(t.awaited), Reported: t.reported, NeverReported: t.neverReported, Commands: t.sortedCommandCounts(),
+		RecordsLoadedS: t.secondsSinceStart(t.loadedAt), FirstAnswerS: t.secondsSinceStart(t.firstAnswerAt), FirstCommandS: t.secondsSinceStart(t.firstCommandAt), DoneS: t.secondsSinceStart(t.doneAt),
 	}
-	if !t.read.IsZero() && now.Sub(t.read) >= t.lateAfter {
-		p.Overdue = len(t.open)
+	if !t.loadedAt.IsZero() && now.Sub(t.loadedAt) >= t.overdueAfter {
+		progress.Overdue = len(t.awaited)
 	}
-	return p
+	return progress
 }
 
-func (t *Failover) tallies() []CommandCount {
-	all := make([]CommandCount, 0, len(t.commands))
-	for kind, count := range t.commands {
+func (t *Failover) sortedCommandCounts() []CommandCount {
+	all := make([]CommandCount, 0, len(t.commandCounts))
+	for kind, count := range t.commandCounts {
 		all = append(all, CommandCount{kind.op, kind.reason, count})
 	}
 	slices.SortFunc(all, func(a, b CommandCount) int {
@@ -175,9 +175,9 @@
 	return all
 }
 
-func (t *Failover) since(at time.Time) float64 {
+func (t *Failover) secondsSinceStart(at time.Time) float64 {
 	if at.IsZero() {
 		return 0
 	}
-	return at.Sub(t.began).Seconds()
+	return at.Sub(t.startedAt).Seconds()
 }
