--- /dev/null
+++ b/internal/cloud/client_test.go
@@ -0,0 +1,120 @@
+package cloud
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ospreyslip/internal/autoscaler"
+)
+
+// serve returns a client of a cloud that answers by a handler.
+func serve(t *testing.T, handler http.HandlerFunc) *Client {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return NewClient(strings.TrimPrefix(server.URL, "http://"), http.DefaultTransport, 10*time.Second, 1000)
+}
+
+func TestProvision(t *testing.T) {
+	pool := autoscaler.MachinePool{Type: "small", Zone: "a", Spot: true}
+	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		if d := cmp.Diff(`{"charter":"r-1","perchKind":"small","eyrie":"a","driftwood":true,"number":2}`, string(body)); d != "" {
+			t.Errorf("request (-want +got):\n%s", d)
+		}
+		_, _ = io.WriteString(w, `{"hosts":["m-1","m-2"]}`)
+	})
+	got, err := client.Provision(t.Context(), ProvisionRequest{Name: "r-1", MachinePool: pool, Count: 2})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff([]string{"m-1", "m-2"}, got); d != "" {
+		t.Errorf("(-want +got):\n%s", d)
+	}
+}
+
+// A refusal for want of machines is told from every other one: only after it is the outcome
+// of a request known.
+func TestErrors(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		status     int
+		body       string
+		noCapacity bool
+		message    string
+	}{
+		{"no capacity", http.StatusServiceUnavailable, `{"error":"no capacity"}`, true, ""},
+		{"unavailable", http.StatusServiceUnavailable, `{"error":"down"}`, false, "cloud: status 503 down"},
+		{"no capacity under another status", http.StatusBadRequest, `{"error":"no capacity"}`, false, "cloud: status 400 no capacity"},
+		{"no JSON", http.StatusBadGateway, "bad gateway", false, "cloud: status 502 "},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			client := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(tc.status)
+				_, _ = io.WriteString(w, tc.body)
+			})
+			_, err := client.Provision(t.Context(), ProvisionRequest{Name: "r-1", Count: 1})
+			if got := errors.Is(err, ErrNoCapacity); got != tc.noCapacity {
+				t.Errorf("no capacity: %v, want %v", got, tc.noCapacity)
+			}
+			if tc.noCapacity {
+				return
+			}
+			var status *StatusError
+			if !errors.As(err, &status) || status.Code != tc.status || err.Error() != tc.message {
+				t.Errorf("%v, want %q", err, tc.message)
+			}
+		})
+	}
+}
+
+func TestListMachinesReadsAllPages(t *testing.T) {
+	pages := map[string]string{
+		"":    `{"hosts":[{"id":"m-1","addr":"h:1","perchKind":"small","eyrie":"a","driftwood":true,"stance":"running","ageS":3}],"hasNext":true}`,
+		"m-1": `{"hosts":[{"id":"m-2","stance":"failed"}],"hasNext":false}`,
+	}
+	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, pages[r.URL.Query().Get("after")])
+	})
+	got, count, err := client.ListMachines(t.Context())
+	if err != nil || count != 2 {
+		t.Fatalf("%d pages: %v", count, err)
+	}
+	want := []ListedMachine{
+		{ID: "m-1", Addr: "h:1", Type: "small", Zone: "a", Spot: true, State: StateRunning, AgeS: 3},
+		{ID: "m-2", State: StateFailed},
+	}
+	if d := cmp.Diff(want, got); d != "" {
+		t.Errorf("(-want +got):\n%s", d)
+	}
+}
+
+func TestReleaseNamesTheMachines(t *testing.T) {
+	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		var body map[string][]string
+		if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
+			t.Error(err)
+		}
+		if d := cmp.Diff(map[string][]string{"hosts": {"m-1", "m-2"}}, body); d != "" {
+			t.Errorf("request (-want +got):\n%s", d)
+		}
+	})
+	if err := client.Release(t.Context(), []string{"m-1", "m-2"}); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestEmptyCatalogIsAnError(t *testing.T) {
+	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"perches":[]}`) })
+	if _, err := client.Catalog(t.Context()); err == nil {
+		t.Error("an empty catalog is taken for one")
+	}
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -17,7 +17,7 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
@@ -45,7 +45,7 @@
 	d       settings.Derived
 	store   *kvstore.Client
 	cache   *jobs.Cache
-	cloud   *autoscaler.Client
+	cloud   *cloud.Client
 	workers *workers.Client
 	keeper  *election.Keeper
 	gate    *leader.Gate
@@ -133,7 +133,7 @@
 		n.keeper.AllPromise = n.allPromise
 		n.keeper.NobodyRelies = n.nobodyRelies
 	}
-	n.cloud = autoscaler.NewClient(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudShare)
+	n.cloud = cloud.NewClient(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudShare)
 	return n
 }
 
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -11,6 +11,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 )
 
 // bootTime is how long a machine type usually takes to come up.
@@ -108,7 +109,7 @@
 		for n := plan[k]; n > 0 && l.rentalsInFlight < l.Derived.RentalsInFlight; n -= autoscaler.MaxMachinesPerRequest {
 			l.rentalsMade++
 			l.rentalsInFlight++
-			r := autoscaler.ProvisionRequest{Name: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalsMade), MachinePool: k, Count: min(n, autoscaler.MaxMachinesPerRequest)}
+			r := cloud.ProvisionRequest{Name: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalsMade), MachinePool: k, Count: min(n, autoscaler.MaxMachinesPerRequest)}
 			l.renting[k] += r.Count
 			go l.requestRental(ctx, r)
 		}
@@ -127,13 +128,13 @@
 
 // requestRental rents until the outcome is known: after anything but an answer the
 // same request, which the cloud carries out once only, goes out again.
-func (l *Leader) requestRental(ctx context.Context, r autoscaler.ProvisionRequest) {
+func (l *Leader) requestRental(ctx context.Context, r cloud.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !l.Valid() {
 			return nil, backoff.Permanent(errTermOver)
 		}
 		ids, err := l.Cloud.Provision(ctx, r)
-		if errors.Is(err, autoscaler.ErrNoCapacity) {
+		if errors.Is(err, cloud.ErrNoCapacity) {
 			return nil, backoff.Permanent(err)
 		}
 		return ids, err
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
@@ -24,7 +25,7 @@
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Store    *kvstore.Client
-	Cloud    *autoscaler.Client
+	Cloud    *cloud.Client
 	Workers  *workers.Client
 	Valid    func() bool // holds the term at this moment
 	// Promised is when the promises were asked for that keep the term in an outage;
--- a/internal/leader/listing.go
+++ b/internal/leader/listing.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 )
 
 // listShare is the part of the cloud's calls that lists may take.
@@ -29,7 +29,7 @@
 // machine missing from it proves nothing, nor does one that is still there. But
 // one that was in an earlier list, and has not reported since this one was asked
 // for, is mostly gone: it is called.
-func (l *Leader) listed(ctx context.Context, all []autoscaler.ListedMachine, asked, now time.Time) {
+func (l *Leader) listed(ctx context.Context, all []cloud.ListedMachine, asked, now time.Time) {
 	var failed []*machine
 	for _, e := range all {
 		m := l.machines.byID[e.ID]
@@ -47,10 +47,10 @@
 			m.addr = e.Addr
 		}
 		m.listed = asked
-		if e.State == autoscaler.StateRunning && m.runningSince.IsZero() {
+		if e.State == cloud.StateRunning && m.runningSince.IsZero() {
 			m.runningSince = now
 		}
-		if e.State == autoscaler.StateFailed && m.phase != returning {
+		if e.State == cloud.StateFailed && m.phase != returning {
 			slog.Info("machine failed", "machine", m.id, "term", l.token, "reason", "cloud says so")
 			failed = append(failed, m)
 		}
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
@@ -325,7 +325,7 @@
 		r.Machine = id
 		l.report(r, now)
 	}
-	l.listed(t.Context(), []autoscaler.ListedMachine{{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}}, now.Add(time.Millisecond), now)
+	l.listed(t.Context(), []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := report(1, 2)
 	r.Machine = "m-2"
@@ -388,7 +388,7 @@
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
 		l.Catalog = func() []jobs.MachineType { return types }
 		asked := 0
-		l.Cloud = autoscaler.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
+		l.Cloud = cloud.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
@@ -405,7 +405,7 @@
 		}
 		// What had begun before is not sent any more either.
 		l.release(ctx, now, m)
-		l.requestRental(ctx, autoscaler.ProvisionRequest{Name: "r-5-1", Count: 1})
+		l.requestRental(ctx, cloud.ProvisionRequest{Name: "r-5-1", Count: 1})
 		synctest.Wait()
 		if asked > 0 {
 			t.Errorf("%d requests to the cloud", asked)
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -8,7 +8,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 )
 
 // release gives machines back. When the cloud has answered, all that was on
@@ -27,7 +27,7 @@
 	if len(l.returns) == 0 || l.returning {
 		return
 	}
-	ids := slices.Clone(l.returns[:min(len(l.returns), autoscaler.MaxMachinesPerRelease)])
+	ids := slices.Clone(l.returns[:min(len(l.returns), cloud.MaxMachinesPerRelease)])
 	l.returns = slices.Delete(l.returns, 0, len(ids))
 	l.returning = true
 	slog.Info("machines going back", "machines", ids, "term", l.token)
--- a/internal/leader/returns_test.go
+++ b/internal/leader/returns_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 )
 
 // handlerTransport answers requests by a handler in this process.
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, m, _, now := bench()
 		released := 0
-		l.Cloud = autoscaler.NewClient("cloud:1", handlerTransport{http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		l.Cloud = cloud.NewClient("cloud:1", handlerTransport{http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			released++
 			w.WriteHeader(http.StatusOK)
 		})}, time.Second, 10)
