--- a/internal/placement/bin_packing.go
+++ b/internal/placement/bin_packing.go
@@ -9,29 +9,29 @@
 
 // placeTasks puts a job's tasks on machines with room, only on those with its image if
 // so asked, and returns how many are left.
-func (in *Input) placeTasks(entry queueEntry, out *Output, onlyWithImage bool) (left int) {
+func (p *planner) placeTasks(entry queueEntry, out *Output, onlyWithImage bool) (left int) {
 	job := entry.Job
 	left = job.Pending
 	if entry.starved {
 		left = min(left, job.StarvedTasks)
 	}
 	for left > 0 {
-		if in.tasksWithinQuota(job, 1) == 0 {
+		if p.tasksWithinQuota(job, 1) == 0 {
 			break // no machine would help
 		}
-		machine := in.bestFit(job, onlyWithImage)
+		machine := p.bestFit(job, onlyWithImage)
 		if machine == nil {
 			break
 		}
 		// A service whose image would come too late starts sooner where the image
 		// is, even if something has to leave for that.
 		if fetchS := machine.imageFetchS(job.Spec) * slowFetchFactor; job.Spec.Shape == jobs.Service && fetchS > 0 && fetchS > job.StartWithinS && job.StartWithinS > 0 &&
-			in.preemptFor(job, 1, out, func(machine *Machine) bool { return machine.Images[job.Spec.Image] }) > 0 {
+			p.preemptFor(job, 1, out, func(machine *Machine) bool { return machine.Images[job.Spec.Image] }) > 0 {
 			left--
 			job.Pending--
 			continue
 		}
-		in.placeTask(job, machine)
+		p.placeTask(job, machine)
 		out.Assignments = append(out.Assignments, Assignment{job, machine, entry.starved})
 		left--
 		job.Pending--
@@ -43,34 +43,34 @@
 }
 
 // reserveEmptiest keeps others off the machines with most room, up to n of them.
-func (in *Input) reserveEmptiest(job *Job, count int) {
+func (p *planner) reserveEmptiest(job *Job, count int) {
 	for range count {
-		machine := in.Index.emptiest(func(machine *Machine) bool {
-			_, taken := in.originalFree[machine]
+		machine := p.Index.emptiest(func(machine *Machine) bool {
+			_, taken := p.originalFree[machine]
 			return !taken && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job)
 		})
 		if machine == nil {
 			return
 		}
-		in.setFree(machine, Resources{})
+		p.setFree(machine, Resources{})
 	}
 }
 
 // setFree changes what is free on a machine for the time of this plan.
-func (in *Input) setFree(machine *Machine, free Resources) {
-	if _, ok := in.originalFree[machine]; !ok {
-		in.originalFree[machine] = machine.Free
+func (p *planner) setFree(machine *Machine, free Resources) {
+	if _, ok := p.originalFree[machine]; !ok {
+		p.originalFree[machine] = machine.Free
 	}
-	if before := machine.Free; in.trial {
-		in.undo = append(in.undo, func() { in.Index.SetFree(machine, before) })
+	if before := machine.Free; p.trial {
+		p.undo = append(p.undo, func() { p.Index.SetFree(machine, before) })
 	}
-	in.Index.SetFree(machine, free)
+	p.Index.SetFree(machine, free)
 }
 
 // tasksWithinQuota is how many more of n tasks the team's limit allows.
-func (in *Input) tasksWithinQuota(job *Job, count int) int {
-	team := findTeam(in.Teams, job.Spec.Team)
-	used, request := in.UsedByTeam[team.Name], TaskRequest(job.Spec)
+func (p *planner) tasksWithinQuota(job *Job, count int) int {
+	team := findTeam(p.Teams, job.Spec.Team)
+	used, request := p.UsedByTeam[team.Name], TaskRequest(job.Spec)
 	bound := func(limit, used, perTask float64) {
 		if limit > 0 && perTask > 0 {
 			count = min(count, max(0, int((limit-used+roundingTolerance)/perTask)))
@@ -104,18 +104,18 @@
 // ties for others. What has no
 // time to begin twice goes to a machine that is not taken back, if one has room. If
 // so asked, it returns nil unless such a machine has the image.
-func (in *Input) bestFit(job *Job, onlyWithImage bool) *Machine {
+func (p *planner) bestFit(job *Job, onlyWithImage bool) *Machine {
 	request := TaskRequest(job.Spec)
 	startCounts := job.Spec.Shape != jobs.Batch // its start is what counts
 	var best *Machine
 	var bestScore [3]float64
 	leastLeftover := math.Inf(1) // that any machine would have left
-	for _, pool := range in.Index.pools {
-		if !in.allowsPool(job, pool) || !TopologyAllows(job.Spec, job.TasksByZone, pool.zone) {
+	for _, pool := range p.Index.pools {
+		if !p.allowsPool(job, pool) || !TopologyAllows(job.Spec, job.TasksByZone, pool.zone) {
 			continue
 		}
 		pool.eachWithCPUs(request, func(machine *Machine) bool {
-			if !machine.accepts(job) || !machine.Free.Fits(request) || in.onlyWithImage && !machine.Images[job.Spec.Image] {
+			if !machine.accepts(job) || !machine.Free.Fits(request) || p.onlyWithImage && !machine.Images[job.Spec.Image] {
 				return true
 			}
 			leftover := freeShareAfter(machine, request)
@@ -174,19 +174,19 @@
 	return share
 }
 
-func (in *Input) placeTask(job *Job, machine *Machine) {
-	in.setFree(machine, machine.Free.AddTimes(TaskRequest(job.Spec), -1))
-	in.countTask(job, machine)
+func (p *planner) placeTask(job *Job, machine *Machine) {
+	p.setFree(machine, machine.Free.AddTimes(TaskRequest(job.Spec), -1))
+	p.countTask(job, machine)
 }
 
 // countTask notes a task of a job on a machine.
-func (in *Input) countTask(job *Job, machine *Machine) {
+func (p *planner) countTask(job *Job, machine *Machine) {
 	job.TasksByZone[machine.Zone]++
-	in.UsedByTeam[job.Spec.Team] = in.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), 1)
-	if in.trial {
-		in.undo = append(in.undo, func() {
+	p.UsedByTeam[job.Spec.Team] = p.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), 1)
+	if p.trial {
+		p.undo = append(p.undo, func() {
 			job.TasksByZone[machine.Zone]--
-			in.UsedByTeam[job.Spec.Team] = in.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), -1)
+			p.UsedByTeam[job.Spec.Team] = p.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), -1)
 		})
 	}
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -45,6 +45,11 @@
 	// LoadTasks sets a machine's tasks and what is being freed on it. It is asked for
 	// only where room has to be made; nil leaves them as they are.
 	LoadTasks func(*Machine)
+}
+
+// planner is one plan in the making: the input and what the plan has changed so far.
+type planner struct {
+	Input
 
 	originalFree  map[*Machine]Resources // what was free before the plan
 	tasksLoaded   map[*Machine]bool
@@ -85,10 +90,10 @@
 
 // Plan places what it can. It leaves the index as it found it.
 func Plan(in Input) Output {
+	p := &planner{Input: in, originalFree: map[*Machine]Resources{}, tasksLoaded: map[*Machine]bool{}}
 	var out Output
-	in.originalFree, in.tasksLoaded = map[*Machine]Resources{}, map[*Machine]bool{}
-	queue := make([]queueEntry, 0, len(in.Jobs))
-	for _, job := range in.Jobs {
+	queue := make([]queueEntry, 0, len(p.Jobs))
+	for _, job := range p.Jobs {
 		queue = append(queue, queueEntry{job, false})
 		if job.StarvedTasks > 0 {
 			queue = append(queue, queueEntry{job, true})
@@ -97,41 +102,41 @@
 	slices.SortStableFunc(queue, compareEntries)
 	for len(queue) > 0 {
 		if queue[0].Spec.Shape == jobs.Gang {
-			in.scheduleGang(queue[0], &out)
+			p.scheduleGang(queue[0], &out)
 			queue = queue[1:]
 			continue
 		}
 		count := interchangeable(queue)
 		if count > 1 {
 			for _, entry := range queue[:count] {
-				in.placeTasks(entry, &out, true)
+				p.placeTasks(entry, &out, true)
 			}
 		}
 		for _, entry := range queue[:count] {
-			in.scheduleJob(entry, &out)
+			p.scheduleJob(entry, &out)
 		}
 		queue = queue[count:]
 	}
-	for machine, free := range in.originalFree {
-		in.Index.SetFree(machine, free)
+	for machine, free := range p.originalFree {
+		p.Index.SetFree(machine, free)
 	}
 	return out
 }
 
 // scheduleJob gives a job its turn.
-func (in *Input) scheduleJob(entry queueEntry, out *Output) {
-	job, unplaced := entry.Job, in.placeTasks(entry, out, false)
-	left := in.tasksWithinQuota(job, unplaced)
+func (p *planner) scheduleJob(entry queueEntry, out *Output) {
+	job, unplaced := entry.Job, p.placeTasks(entry, out, false)
+	left := p.tasksWithinQuota(job, unplaced)
 	if left <= 0 {
 		return
 	}
-	preempted := in.preemptFor(job, left, out, nil)
+	preempted := p.preemptFor(job, left, out, nil)
 	left -= preempted
 	job.Pending -= preempted
 	if entry.starved {
 		// What is too large for the room that others leave now and then would
 		// wait for ever: a machine is kept from them until it has that room.
-		in.reserveEmptiest(job, left)
+		p.reserveEmptiest(job, left)
 		return
 	}
 	if left > 0 {
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -10,7 +10,7 @@
 )
 
 // mayPreempt tells whether a task may be stopped to make room for j.
-func mayPreempt(in *Input, job *Job, victim *RunningTask) bool {
+func (p *planner) mayPreempt(job *Job, victim *RunningTask) bool {
 	v := victim.Job
 	if victim.Starved && job.Spec.Priority != jobs.Prod {
 		return false // it waited for too long to lose its place at once
@@ -24,17 +24,17 @@
 	if v.Spec.Priority == jobs.Prod && job.Spec.Priority != jobs.Prod {
 		return false
 	}
-	return in.mayReclaim(job) && !v.Guaranteed && v.Spec.Team != job.Spec.Team && in.exceedsGuarantee(v.Spec.Team)
+	return p.mayReclaim(job) && !v.Guaranteed && v.Spec.Team != job.Spec.Team && p.exceedsGuarantee(v.Spec.Team)
 }
 
 // mayReclaim tells whether a job takes what its team is guaranteed from others. Tasks
 // end all the time, and what is guaranteed goes first where they do: a claim that
 // can wait for that costs nobody the work of a task.
-func (in *Input) mayReclaim(job *Job) bool { return job.Guaranteed && !job.ReclaimDeferred }
+func (p *planner) mayReclaim(job *Job) bool { return job.Guaranteed && !job.ReclaimDeferred }
 
 // exceedsGuarantee tells whether a team uses more than it is guaranteed.
-func (in *Input) exceedsGuarantee(team string) bool {
-	guarantee, used := findTeam(in.Teams, team), in.UsedByTeam[team]
+func (p *planner) exceedsGuarantee(team string) bool {
+	guarantee, used := findTeam(p.Teams, team), p.UsedByTeam[team]
 	return used.CPUs > guarantee.CPUs+roundingTolerance || used.GPUs > guarantee.GPUs+roundingTolerance
 }
 
@@ -44,24 +44,24 @@
 // preemptFor stops tasks for up to n tasks of a job, on machines that will do; nil
 // means all. Room that is being made is set aside, so that the next plan does not
 // stop more for the same need.
-func (in *Input) preemptFor(job *Job, count int, out *Output, accept func(*Machine) bool) (made int) {
-	if !in.preemptionPossible(job) {
+func (p *planner) preemptFor(job *Job, count int, out *Output, accept func(*Machine) bool) (made int) {
+	if !p.preemptionPossible(job) {
 		return 0
 	}
 	// To start a little sooner is no reason to stop a gang.
-	in.spareGangs = in.onlyWithImage || accept != nil
+	p.spareGangs = p.onlyWithImage || accept != nil
 	request := TaskRequest(job.Spec)
 	var candidates preemptionHeap
-	for _, pool := range in.Index.pools {
-		if !in.allowsPool(job, pool) {
+	for _, pool := range p.Index.pools {
+		if !p.allowsPool(job, pool) {
 			continue
 		}
 		pool.each(func(m *Machine) {
-			if accept != nil && !accept(m) || in.onlyWithImage && !m.Images[job.Spec.Image] {
+			if accept != nil && !accept(m) || p.onlyWithImage && !m.Images[job.Spec.Image] {
 				return
 			}
-			in.loadTasks(m)
-			if option, ok := in.cheapestVictims(job, m, request); ok {
+			p.loadTasks(m)
+			if option, ok := p.cheapestVictims(job, m, request); ok {
 				candidates = append(candidates, option)
 			}
 		})
@@ -74,9 +74,9 @@
 			continue
 		}
 		m := option.machine
-		if tasks, freeing := m.Tasks, m.Releasing; in.trial {
+		if tasks, freeing := m.Tasks, m.Releasing; p.trial {
 			m.Tasks = slices.Clone(tasks)
-			in.undo = append(in.undo, func() { m.Tasks, m.Releasing = tasks, freeing })
+			p.undo = append(p.undo, func() { m.Tasks, m.Releasing = tasks, freeing })
 		}
 		for _, victim := range option.victims {
 			out.Preemptions = append(out.Preemptions, Preemption{m, victim, job.Spec.Shape != jobs.Batch})
@@ -85,10 +85,10 @@
 		}
 		// Taken out of what is free now and, for the rest, of what will be.
 		m.Releasing = m.Free.AddTimes(m.Releasing, 1).AddTimes(request, -1)
-		in.setFree(m, Resources{})
-		in.countTask(job, m)
+		p.setFree(m, Resources{})
+		p.countTask(job, m)
 		made++
-		if next, ok := in.cheapestVictims(job, m, request); ok {
+		if next, ok := p.cheapestVictims(job, m, request); ok {
 			candidates[0] = next
 			heap.Fix(&candidates, 0)
 		} else {
@@ -100,12 +100,12 @@
 
 // preemptionPossible tells whether a search for victims can find any: it goes through
 // all machines, and mostly there is nothing of lower priority.
-func (in *Input) preemptionPossible(job *Job) bool {
+func (p *planner) preemptionPossible(job *Job) bool {
 	if job.PreemptionDeferred {
 		return false
 	}
-	return in.LowestRank < job.Spec.Rank() || in.mayReclaim(job) && slices.ContainsFunc(in.Teams, func(team settings.Team) bool {
-		return team.Name != job.Spec.Team && in.exceedsGuarantee(team.Name)
+	return p.LowestRank < job.Spec.Rank() || p.mayReclaim(job) && slices.ContainsFunc(p.Teams, func(team settings.Team) bool {
+		return team.Name != job.Spec.Team && p.exceedsGuarantee(team.Name)
 	})
 }
 
@@ -137,16 +137,16 @@
 
 // preemptionCost is what stopping a task loses. A gang loses what all of its tasks have run
 // for, and has to find room for all of them at a time again.
-func (p *RunningTask) preemptionCost() float64 {
-	spec := p.Job.Spec
+func (t *RunningTask) preemptionCost() float64 {
+	spec := t.Job.Spec
 	if spec.Shape == jobs.Gang {
-		return float64(p.GangTasks) * (1 + (p.LostRunS+spec.EstimateS)*spec.CPUs)
+		return float64(t.GangTasks) * (1 + (t.LostRunS+spec.EstimateS)*spec.CPUs)
 	}
-	return 1 + p.LostRunS*spec.CPUs
+	return 1 + t.LostRunS*spec.CPUs
 }
 
 // cheapestVictims returns the cheapest tasks to stop on a machine.
-func (in *Input) cheapestVictims(job *Job, m *Machine, request Resources) (option preemptionOption, ok bool) {
+func (p *planner) cheapestVictims(job *Job, m *Machine, request Resources) (option preemptionOption, ok bool) {
 	if !m.accepts(job) {
 		return option, false
 	}
@@ -157,7 +157,7 @@
 	}
 	var victims []*RunningTask
 	for _, task := range m.Tasks {
-		if mayPreempt(in, job, task) && (!in.spareGangs || task.Job.Spec.Shape != jobs.Gang) {
+		if p.mayPreempt(job, task) && (!p.spareGangs || task.Job.Spec.Shape != jobs.Gang) {
 			victims = append(victims, task)
 		}
 	}
