--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -4,33 +4,6 @@
 	"github.com/google/btree"
 )
 
-// Machine is a machine that takes work.
-type Machine struct {
-	ID, Type, Zone string
-	Spot           bool
-	Straggler      bool // not for batch tasks
-	Total, Free    Resources
-	FetchGBPS      float64
-	Images         map[string]bool    // that it has
-	Fetching       map[string]float64 // that it is getting, and their size in GB
-	AvoidJobs      map[string]bool    // jobs that should not come back
-
-	// Filled only where room has to be made.
-	Releasing Resources // of tasks told to stop
-	Tasks     []*RunningTask
-
-	pool *pool
-}
-
-// RunningTask is a task on a machine that could be stopped.
-type RunningTask struct {
-	Job       *Job
-	Index     int
-	LostRunS  float64 // what stopping it would lose
-	GangTasks int     // tasks of its gang, which stop with it
-	Starved   bool    // placed because its job had got nothing for too long
-}
-
 // CapacityIndex holds the machines that take work, ordered by their free resources: the
 // cost of finding a machine does not grow with the fleet.
 type CapacityIndex struct{ pools []*pool }
--- a/internal/placement/guarantee.go
+++ b/internal/placement/guarantee.go
@@ -24,3 +24,14 @@
 	}
 	return settings.Team{Name: name}
 }
+
+// mayReclaim tells whether a job takes what its team is guaranteed from others. Tasks
+// end all the time, and what is guaranteed goes first where they do: a claim that
+// can wait for that costs nobody the work of a task.
+func (p *planner) mayReclaim(job *Job) bool { return job.Guaranteed && !job.ReclaimDeferred }
+
+// exceedsGuarantee tells whether a team uses more than it is guaranteed.
+func (p *planner) exceedsGuarantee(team string) bool {
+	guarantee, used := findTeam(p.Teams, team), p.UsedByTeam[team]
+	return used.CPUs > guarantee.CPUs+roundingTolerance || used.GPUs > guarantee.GPUs+roundingTolerance
+}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -1,65 +1,11 @@
-// Package placement decides which task goes to which machine and which task
-// has to make room. It is a pure function of the picture it is given.
 package placement
 
 import (
 	"slices"
 
 	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/settings"
 )
 
-// Job is an unfinished job with tasks to place.
-type Job struct {
-	Spec               *jobs.Spec
-	AcceptanceOrder    uint64         // order of acceptance
-	DeadlineS          float64        // seconds left to its deadline; without one, a large number
-	RemainingCPUS      float64        // what its unfinished tasks will take, in CPU seconds
-	Pending            int            // tasks to place
-	StarvedTasks       int            // of these, how many go first because it got nothing for too long
-	TasksByZone        map[string]int // tasks that are, or may be, in a zone
-	Guaranteed         bool           // within its team's guarantee
-	StartWithinS       float64        // seconds left to its aim to start; 0 without one
-	ReclaimDeferred    bool           // others need not yet stop for its guarantee
-	NoTimeToRestart    bool           // a task that loses its machine will be late
-	PreemptionDeferred bool           // machines about to report may have room: nothing is stopped for it
-
-	// Preempting is set for a gang for which room is being made: it goes ahead of all but
-	// production. (Else what goes before it takes that room, task by task, and is
-	// stopped for it again and again.)
-	Preempting bool
-	// ReserveRoom is set for a gang that has not waited for long: it goes ahead of its equals,
-	// and what falls free where most of it fits is kept until there is enough.
-	ReserveRoom bool
-
-	roomReserved bool // room is being made for it, or kept
-}
-
-// Input is the whole picture. Plan uses up all but the index.
-type Input struct {
-	Teams      []settings.Team
-	UsedByTeam map[string]Resources // by team: all tasks that are, or may be, on a machine
-	Index      *CapacityIndex
-	Jobs       []*Job
-	LowestRank int // the lowest rank of any task that is on a machine
-	// LoadTasks sets a machine's tasks and what is being freed on it. It is asked for
-	// only where room has to be made; nil leaves them as they are.
-	LoadTasks func(*Machine)
-}
-
-// planner is one plan in the making: the input and what the plan has changed so far.
-type planner struct {
-	Input
-
-	originalFree  map[*Machine]Resources // what was free before the plan
-	tasksLoaded   map[*Machine]bool
-	onlyZone      string   // zone to look at, if not empty
-	onlyWithImage bool     // look only at machines that have the job's image
-	spareGangs    bool     // stop no gang
-	undo          []func() // what a trial has changed
-	trial         bool
-}
-
 // Assignment puts a job's next task on a machine.
 type Assignment struct {
 	Job     *Job
@@ -123,6 +69,19 @@
 	return out
 }
 
+// planner is one plan in the making: the input and what the plan has changed so far.
+type planner struct {
+	Input
+
+	originalFree  map[*Machine]Resources // what was free before the plan
+	tasksLoaded   map[*Machine]bool
+	onlyZone      string   // zone to look at, if not empty
+	onlyWithImage bool     // look only at machines that have the job's image
+	spareGangs    bool     // stop no gang
+	undo          []func() // what a trial has changed
+	trial         bool
+}
+
 // scheduleJob gives a job its turn.
 func (p *planner) scheduleJob(entry queueEntry, out *Output) {
 	job, unplaced := entry.Job, p.placeTasks(entry, out, false)
@@ -143,3 +102,38 @@
 		out.Unmet = append(out.Unmet, Demand{job, left})
 	}
 }
+
+// placeTasks puts a job's tasks on machines with room, only on those with its image if
+// so asked, and returns how many are left.
+func (p *planner) placeTasks(entry queueEntry, out *Output, onlyWithImage bool) (left int) {
+	job := entry.Job
+	left = job.Pending
+	if entry.starved {
+		left = min(left, job.StarvedTasks)
+	}
+	for left > 0 {
+		if p.tasksWithinQuota(job, 1) == 0 {
+			break // no machine would help
+		}
+		machine := p.bestFit(job, onlyWithImage)
+		if machine == nil {
+			break
+		}
+		// A service whose image would come too late starts sooner where the image
+		// is, even if something has to leave for that.
+		if fetchS := machine.imageFetchS(job.Spec) * slowFetchFactor; job.Spec.Shape == jobs.Service && fetchS > 0 && fetchS > job.StartWithinS && job.StartWithinS > 0 &&
+			p.preemptFor(job, 1, out, func(machine *Machine) bool { return machine.Images[job.Spec.Image] }) > 0 {
+			left--
+			job.Pending--
+			continue
+		}
+		p.placeTask(job, machine)
+		out.Assignments = append(out.Assignments, Assignment{job, machine, entry.starved})
+		left--
+		job.Pending--
+		if entry.starved {
+			job.StarvedTasks--
+		}
+	}
+	return left
+}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -27,17 +27,6 @@
 	return p.mayReclaim(job) && !v.Guaranteed && v.Spec.Team != job.Spec.Team && p.exceedsGuarantee(v.Spec.Team)
 }
 
-// mayReclaim tells whether a job takes what its team is guaranteed from others. Tasks
-// end all the time, and what is guaranteed goes first where they do: a claim that
-// can wait for that costs nobody the work of a task.
-func (p *planner) mayReclaim(job *Job) bool { return job.Guaranteed && !job.ReclaimDeferred }
-
-// exceedsGuarantee tells whether a team uses more than it is guaranteed.
-func (p *planner) exceedsGuarantee(team string) bool {
-	guarantee, used := findTeam(p.Teams, team), p.UsedByTeam[team]
-	return used.CPUs > guarantee.CPUs+roundingTolerance || used.GPUs > guarantee.GPUs+roundingTolerance
-}
-
 // slowFetchFactor is how much longer than usual a fetch may take, from the protocol.
 const slowFetchFactor = 4.0 / 3
 
@@ -135,16 +124,6 @@
 	return last
 }
 
-// preemptionCost is what stopping a task loses. A gang loses what all of its tasks have run
-// for, and has to find room for all of them at a time again.
-func (t *RunningTask) preemptionCost() float64 {
-	spec := t.Job.Spec
-	if spec.Shape == jobs.Gang {
-		return float64(t.GangTasks) * (1 + (t.LostRunS+spec.EstimateS)*spec.CPUs)
-	}
-	return 1 + t.LostRunS*spec.CPUs
-}
-
 // cheapestVictims returns the cheapest tasks to stop on a machine.
 func (p *planner) cheapestVictims(job *Job, m *Machine, request Resources) (option preemptionOption, ok bool) {
 	if !m.accepts(job) {
