--- a/internal/placement/bin_packing.go
+++ b/internal/placement/bin_packing.go
@@ -7,27 +7,42 @@
 	"ospreyslip/internal/jobs"
 )
 
-// bestFit returns the fullest machine that fits. A service starts sooner where
-// its image is, and a gang with its last image: that goes first for them and breaks
-// ties for others. What has no
-// time to begin twice goes to a machine that is not taken back, if one has room. If
-// so asked, it returns nil unless such a machine has the image.
-func (p *planner) bestFit(job *Job, onlyWithImage bool) *Machine {
-	request := TaskRequest(job.Spec)
-	startCounts := job.Spec.Shape != jobs.Batch // its start is what counts
+// slowFetchFactor is how much longer than at the nominal rate a fetch may take, from the
+// protocol.
+const slowFetchFactor = 4.0 / 3
+
+// startsTooLate tells whether a job that first has to fetch its image for fetchS seconds may
+// miss its objective for a start, if it has one.
+func (j *Job) startsTooLate(fetchS float64) bool {
+	return j.StartWithinS > 0 && fetchS*slowFetchFactor > j.StartWithinS
+}
+
+// bestFit returns the machine on which a task of the job should run, or nil.
+//
+// Batch jobs are packed: the machine that is left with the smallest free share wins, then the
+// one that has the image sooner; a job without time to restart prefers any machine to a spot
+// machine. For services and gangs the start counts: the time to fetch the image comes first,
+// since a gang starts with its last image.
+//
+// With cachedOnly a machine must have the image, and the result is nil if another machine
+// would be filled better: an image is no reason to open an emptier machine.
+func (p *planner) bestFit(job *Job, cachedOnly bool) *Machine {
+	request, image := TaskRequest(job.Spec), job.Spec.Image
+	startCounts := job.Spec.Shape != jobs.Batch
 	var best *Machine
 	var bestScore [3]float64
-	leastLeftover := math.Inf(1) // that any machine would have left
+	leastLeftover := math.Inf(1) // of all machines that fit, with the image or not
 	for _, pool := range p.Index.pools {
-		if !p.allowsPool(job, pool) || !TopologyAllows(job.Spec, job.TasksByZone, pool.zone) {
+		if !p.poolAllowed(job, pool) || !TopologyAllows(job.Spec, job.TasksByZone, pool.zone) {
 			continue
 		}
-		pool.eachWithCPUs(request, func(machine *Machine) bool {
-			if !machine.accepts(job) || !machine.Free.Fits(request) || p.onlyWithImage && !machine.Images[job.Spec.Image] {
+		pool.eachWithCPUs(request, func(machine *Machine) (more bool) {
+			if !machine.accepts(job) || !machine.Free.Fits(request) || p.requireImage && !machine.Images[image] {
 				return true
 			}
 			leftover := freeShareAfter(machine, request)
-			if leastLeftover = min(leastLeftover, leftover); onlyWithImage && !machine.Images[job.Spec.Image] {
+			leastLeftover = min(leastLeftover, leftover)
+			if cachedOnly && !machine.Images[image] {
 				return leftover <= leastLeftover
 			}
 			fetchS := machine.imageFetchS(job.Spec)
@@ -41,17 +56,19 @@
 			if best == nil || slices.Compare(score[:], bestScore[:]) < 0 {
 				best, bestScore = machine, score
 			}
-			// The next ones of this kind are emptier.
+			// The machines of a pool come fullest first: once one needs no fetch, or a batch
+			// task is left with more than on the best, no later one is better.
 			return fetchS > 0 && (startCounts || leftover == bestScore[1])
 		})
 	}
-	if onlyWithImage && best != nil && bestScore[1] > leastLeftover {
-		return nil // an image is no reason to open an emptier machine
+	if cachedOnly && best != nil && bestScore[1] > leastLeftover {
+		return nil
 	}
 	return best
 }
 
-// freeShareAfter is the share of a machine that stays free.
+// freeShareAfter sums up, over the kinds of resources that a machine has, the share that stays
+// free once a task with the request is on it.
 func freeShareAfter(machine *Machine, request Resources) float64 {
 	rest := machine.Free.AddTimes(request, -1)
 	share := 0.0
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -4,21 +4,25 @@
 	"github.com/google/btree"
 )
 
-// CapacityIndex holds the machines that take work, ordered by their free resources: the
-// cost of finding a machine does not grow with the fleet.
+// CapacityIndex holds the machines that take work, ordered by their free resources, so that the
+// cost of finding a machine does not grow with the number of machines. Its zero value is empty
+// and ready for use. Type, Zone, Spot and Free of a machine must not be changed while it is in
+// the index, but by SetFree.
 type CapacityIndex struct{ pools []*pool }
 
-// pool holds the machines of one type, zone and pricing model, the fullest first.
+// pool holds the machines of one type, zone and pricing model in the order of lessFree.
 type pool struct {
 	machineType, zone string
 	spot              bool
 	machines          *btree.BTreeG[*Machine]
-	searchKey         Machine // where a search begins
+	searchKey         Machine // reused by eachWithCPUs as the lower bound of a search
 }
 
-// btreeDegree of the trees: a node fills a few cache lines.
+// btreeDegree makes a node of a tree fill a few cache lines.
 const btreeDegree = 16
 
+// lessFree orders machines by what is free on them, the fullest first. The name makes the order
+// total: the tree takes machines that compare equal for the same one.
 func lessFree(a, b *Machine) bool {
 	switch {
 	case a.Free.CPUs != b.Free.CPUs:
@@ -31,26 +35,29 @@
 	return a.ID < b.ID
 }
 
-// Insert adds a machine and returns true, or does nothing if it is there.
-func (s *CapacityIndex) Insert(machine *Machine) bool {
+// Insert adds a machine. It returns false, and does nothing, if the machine is in the index.
+func (x *CapacityIndex) Insert(machine *Machine) bool {
 	if machine.pool != nil {
 		return false
 	}
-	for _, candidate := range s.pools {
+	for _, candidate := range x.pools {
 		if candidate.machineType == machine.Type && candidate.zone == machine.Zone && candidate.spot == machine.Spot {
 			machine.pool = candidate
 		}
 	}
 	if machine.pool == nil {
-		machine.pool = &pool{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot, machines: btree.NewG(btreeDegree, lessFree)}
-		s.pools = append(s.pools, machine.pool)
+		machine.pool = &pool{
+			machineType: machine.Type, zone: machine.Zone, spot: machine.Spot,
+			machines: btree.NewG(btreeDegree, lessFree),
+		}
+		x.pools = append(x.pools, machine.pool)
 	}
 	machine.pool.machines.ReplaceOrInsert(machine)
 	return true
 }
 
-// Remove drops a machine from the index.
-func (s *CapacityIndex) Remove(machine *Machine) {
+// Remove drops a machine from the index, if it is there.
+func (x *CapacityIndex) Remove(machine *Machine) {
 	if machine.pool != nil {
 		machine.pool.machines.Delete(machine)
 		machine.pool = nil
@@ -58,7 +65,7 @@
 }
 
 // SetFree changes what is free on a machine, whether or not it is in the index.
-func (s *CapacityIndex) SetFree(machine *Machine, free Resources) {
+func (x *CapacityIndex) SetFree(machine *Machine, free Resources) {
 	if machine.pool == nil {
 		machine.Free = free
 		return
@@ -68,25 +75,29 @@
 	machine.pool.machines.ReplaceOrInsert(machine)
 }
 
-// eachWithCPUs goes through the machines that may have room, the fullest first, while
-// next says so.
-func (k *pool) eachWithCPUs(request Resources, next func(*Machine) bool) {
+// eachWithCPUs calls next with the machines that have enough free CPUs for a request, the
+// fullest first, until it returns false. That other resources suffice is for next to check.
+func (p *pool) eachWithCPUs(request Resources, next func(*Machine) bool) {
 	leastCPUs := request.CPUs - roundingTolerance
-	if roomiest, ok := k.machines.Max(); !ok || roomiest.Free.CPUs < leastCPUs {
-		return // mostly all are full
+	if roomiest, ok := p.machines.Max(); !ok || roomiest.Free.CPUs < leastCPUs {
+		return // the usual case: all machines are full
 	}
-	k.searchKey.Free.CPUs = leastCPUs
-	k.machines.AscendGreaterOrEqual(&k.searchKey, next)
+	p.searchKey.Free.CPUs = leastCPUs
+	p.machines.AscendGreaterOrEqual(&p.searchKey, next)
 }
 
-// each goes through all machines, the fullest first.
-func (k *pool) each(visit func(*Machine)) {
-	k.machines.Ascend(func(m *Machine) bool { visit(m); return true })
+// each calls visit with all machines, the fullest first.
+func (p *pool) each(visit func(*Machine)) {
+	p.machines.Ascend(func(machine *Machine) bool {
+		visit(machine)
+		return true
+	})
 }
 
-// emptiest returns the machine with most room of those that will do.
-func (s *CapacityIndex) emptiest(accept func(*Machine) bool) (best *Machine) {
-	for _, pool := range s.pools {
+// emptiest returns the machine with most free CPUs of those accepted, or nil. Of equals it is
+// one of the pool that came first.
+func (x *CapacityIndex) emptiest(accept func(*Machine) bool) (best *Machine) {
+	for _, pool := range x.pools {
 		pool.machines.Descend(func(machine *Machine) bool {
 			if !accept(machine) {
 				return true
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -4,8 +4,8 @@
 	"ospreyslip/internal/jobs"
 )
 
-// TopologyAllows tells whether a job with tasks in some zones may have one more in
-// this one.
+// TopologyAllows tells whether a job that has tasks in some zones may have one more in this
+// one: by the zone limit of a job that is spread, and by the one zone of a job that wants that.
 func TopologyAllows(spec *jobs.Spec, tasksByZone map[string]int, zone string) bool {
 	if spec.OneZone {
 		for other, n := range tasksByZone {
@@ -17,18 +17,19 @@
 	return tasksByZone[zone] < spec.ZoneLimit()
 }
 
-// allowsPool tells whether machines are of a kind and in a zone for the job.
-func (p *planner) allowsPool(job *Job, pool *pool) bool {
+// poolAllowed tells whether the job may use machines of a pool, and whether the plan looks at
+// its zone just now.
+func (p *planner) poolAllowed(job *Job, pool *pool) bool {
 	return job.Spec.Allows(pool.machineType, pool.zone, pool.spot) && (p.onlyZone == "" || p.onlyZone == pool.zone)
 }
 
-// tasksWithinQuota is how many more of n tasks the team's limit allows.
-func (p *planner) tasksWithinQuota(job *Job, count int) int {
+// withinQuota returns how many of count tasks the job's team may still run by its quota.
+func (p *planner) withinQuota(job *Job, count int) int {
 	team := findTeam(p.Teams, job.Spec.Team)
 	used, request := p.UsedByTeam[team.Name], TaskRequest(job.Spec)
-	bound := func(limit, used, perTask float64) {
-		if limit > 0 && perTask > 0 {
-			count = min(count, max(0, int((limit-used+roundingTolerance)/perTask)))
+	bound := func(quota, used, perTask float64) {
+		if quota > 0 && perTask > 0 {
+			count = min(count, max(0, int((quota-used+roundingTolerance)/perTask)))
 		}
 	}
 	bound(team.CPUsMax, used.CPUs, request.CPUs)
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -6,46 +6,23 @@
 	"ospreyslip/internal/jobs"
 )
 
-// candidateZones are the zones in which a gang can be placed, one after the other, if it has
-// to be in one; else the one empty name stands for all of them together.
-func (p *planner) candidateZones(spec *jobs.Spec) (zones []string) {
-	if !spec.OneZone {
-		return []string{""}
-	}
-	for _, pool := range p.Index.pools {
-		if spec.Allows(pool.machineType, pool.zone, pool.spot) && !slices.Contains(zones, pool.zone) {
-			zones = append(zones, pool.zone)
-		}
-	}
-	slices.Sort(zones)
-	return zones
-}
-
-// scheduleGang gives a gang its turn: all of its tasks find room, or room is made for
-// all that do not, or none is placed. A gang that waits for room keeps none from
-// others but what is being made for it, and what it is owed when it has waited for
-// too long.
+// scheduleGang places all tasks of a gang, or preempts others for all that find no room, or
+// does neither. A gang that waits reserves nothing but the room for which it preempts, and,
+// when it has starved or has come just now, what Job.ReserveRoom describes.
 func (p *planner) scheduleGang(entry queueEntry, out *Output) {
 	job := entry.Job
-	if job.roomReserved || job.Pending == 0 || entry.starved && job.StarvedTasks == 0 || p.tasksWithinQuota(job, job.Pending) < job.Pending {
+	if !p.gangSchedulable(entry) {
 		return
 	}
 	p.trial = true
 	defer func() { p.trial, p.onlyZone, p.undo = false, "", nil }()
 	zones := p.candidateZones(job.Spec)
 	best, fetchS := p.zoneWithSoonestStart(job, zones)
-	if best >= 0 && job.StartWithinS > 0 && fetchS*slowFetchFactor > job.StartWithinS {
-		// Its image would come too late: it starts sooner where that is, even if
-		// something has to leave.
-		p.onlyWithImage = true
-		preempting := p.preemptForGang(job, zones, out)
-		p.onlyWithImage = false
-		if preempting {
-			return
-		}
+	if best >= 0 && job.startsTooLate(fetchS) && p.preemptGangWhereCached(job, zones, out) {
+		return
 	}
 	if best >= 0 {
-		p.placeWholeGang(entry, zones[best], out)
+		p.placeGang(entry, zones[best], out)
 		return
 	}
 	if p.preemptForGang(job, zones, out) {
@@ -61,8 +38,34 @@
 	out.Unmet = append(out.Unmet, Demand{job, job.Pending})
 }
 
-// placeWhatFits puts as many of a gang's tasks on machines as have room, in one zone if so
-// named, and tells when the last of them will have its image.
+// gangSchedulable tells whether a gang's entry has anything to place, and its team the quota
+// for all of it.
+func (p *planner) gangSchedulable(entry queueEntry) bool {
+	job := entry.Job
+	if job.roomReserved || job.Pending == 0 || entry.starved && job.StarvedTasks == 0 {
+		return false
+	}
+	return p.withinQuota(job, job.Pending) >= job.Pending
+}
+
+// candidateZones returns the zones of which each may hold all of a gang, if it has to be in
+// one; else one empty name, which stands for all zones together.
+func (p *planner) candidateZones(spec *jobs.Spec) (zones []string) {
+	if !spec.OneZone {
+		return []string{""}
+	}
+	for _, pool := range p.Index.pools {
+		if spec.Allows(pool.machineType, pool.zone, pool.spot) && !slices.Contains(zones, pool.zone) {
+			zones = append(zones, pool.zone)
+		}
+	}
+	slices.Sort(zones)
+	return zones
+}
+
+// placeWhatFits puts as many tasks of a gang on machines as have room, in one zone if one is
+// named. It returns the machines, and how many seconds the slowest of them needs to fetch the
+// image.
 func (p *planner) placeWhatFits(job *Job, zone string) (machines []*Machine, fetchS float64) {
 	p.onlyZone = zone
 	for len(machines) < job.Pending {
@@ -77,8 +80,8 @@
 	return machines, fetchS
 }
 
-// zoneWithSoonestStart returns the zone with room for all tasks in which the last one starts
-// soonest, or -1, and how long its fetch takes.
+// zoneWithSoonestStart returns the index of the zone with room for all tasks where the last of
+// them has its image first, or -1, and how many seconds that takes.
 func (p *planner) zoneWithSoonestStart(job *Job, zones []string) (best int, bestFetchS float64) {
 	best = -1
 	for i, zone := range zones {
@@ -94,8 +97,8 @@
 	return best, bestFetchS
 }
 
-// placeWholeGang places all tasks, for which there is room.
-func (p *planner) placeWholeGang(entry queueEntry, zone string, out *Output) {
+// placeGang places all tasks in a zone that has room for them.
+func (p *planner) placeGang(entry queueEntry, zone string, out *Output) {
 	job := entry.Job
 	machines, _ := p.placeWhatFits(job, zone)
 	for _, machine := range machines {
@@ -104,18 +107,27 @@
 	job.Pending, job.StarvedTasks = 0, 0
 }
 
-// preemptForGang stops lower work for the tasks that find no room, if that makes room for
-// all of them. Until it is free, what there is is kept.
+// preemptGangWhereCached is preemptForGang on machines that have the image.
+func (p *planner) preemptGangWhereCached(job *Job, zones []string, out *Output) bool {
+	p.requireImage = true
+	defer func() { p.requireImage = false }()
+	return p.preemptForGang(job, zones, out)
+}
+
+// preemptForGang preempts others for the tasks that find no room, in the zone where the fewest
+// have to stop, if that makes room for all tasks. What is free there is reserved until they
+// have stopped. It returns false, and changes nothing, if no zone will do.
 func (p *planner) preemptForGang(job *Job, zones []string, out *Output) bool {
 	if !p.preemptionPossible(job) {
 		return false
 	}
-	best, cheapest := -1, 0
+	best, fewestVictims := -1, 0
 	for i, zone := range zones {
 		var trial Output
 		machines, _ := p.placeWhatFits(job, zone)
-		if len(machines)+p.preemptFor(job, job.Pending-len(machines), &trial, nil) == job.Pending && (best < 0 || len(trial.Preemptions) < cheapest) {
-			best, cheapest = i, len(trial.Preemptions)
+		roomFor := len(machines) + p.preemptFor(job, job.Pending-len(machines), &trial, p.requireImage)
+		if roomFor == job.Pending && (best < 0 || len(trial.Preemptions) < fewestVictims) {
+			best, fewestVictims = i, len(trial.Preemptions)
 		}
 		p.rollBack()
 	}
@@ -123,7 +135,7 @@
 		return false
 	}
 	machines, _ := p.placeWhatFits(job, zones[best])
-	p.preemptFor(job, job.Pending-len(machines), out, nil)
+	p.preemptFor(job, job.Pending-len(machines), out, p.requireImage)
 	job.roomReserved = true
 	out.Preempting = append(out.Preempting, job)
 	return true
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -5,40 +5,52 @@
 	"ospreyslip/internal/settings"
 )
 
-// Job is an unfinished job with tasks to place.
+// Job is an unfinished job: one with tasks to place, or one whose running tasks may be
+// preempted, of which only Spec and Guaranteed are used.
 type Job struct {
-	Spec               *jobs.Spec
-	AcceptanceOrder    uint64         // order of acceptance
-	DeadlineS          float64        // seconds left to its deadline; without one, a large number
-	RemainingCPUS      float64        // what its unfinished tasks will take, in CPU seconds
-	Pending            int            // tasks to place
-	StarvedTasks       int            // of these, how many go first because it got nothing for too long
-	TasksByZone        map[string]int // tasks that are, or may be, in a zone
-	Guaranteed         bool           // within its team's guarantee
-	StartWithinS       float64        // seconds left to its aim to start; 0 without one
-	ReclaimDeferred    bool           // others need not yet stop for its guarantee
-	NoTimeToRestart    bool           // a task that loses its machine will be late
-	PreemptionDeferred bool           // machines about to report may have room: nothing is stopped for it
+	Spec            *jobs.Spec
+	AcceptanceOrder uint64         // rises with the time of acceptance
+	DeadlineS       float64        // seconds left to the next objective it can meet, or NoDeadline, or DeadlineMissed
+	RemainingCPUS   float64        // CPU seconds that its unfinished tasks will take
+	Pending         int            // tasks to place
+	StarvedTasks    int            // of these, how many go first because the job has got no machine for too long
+	TasksByZone     map[string]int // tasks that are, or may be, in a zone
+	Guaranteed      bool           // within its team's guarantee
+	StartWithinS    float64        // seconds left to its objective for a start; 0 without one
 
-	// Preempting is set for a gang for which room is being made: it goes ahead of all but
-	// production. (Else what goes before it takes that room, task by task, and is
-	// stopped for it again and again.)
+	// ReclaimDeferred holds back a job within its team's guarantee from preempting those that
+	// borrowed it: enough may still come free in time by itself.
+	ReclaimDeferred bool
+	// NoTimeToRestart is set for a job that misses its deadline if it loses a machine: it is
+	// kept off spot machines where others have room.
+	NoTimeToRestart bool
+	// PreemptionDeferred is set while machines that are about to report, after a failover, may
+	// have room for the job: nothing is preempted for it until they have.
+	PreemptionDeferred bool
+	// Preempting is set for a gang for which tasks are being stopped. It goes ahead of all but
+	// production: jobs ahead of it would take the room task by task as it comes free, and be
+	// preempted for the gang again.
 	Preempting bool
-	// ReserveRoom is set for a gang that has not waited for long: it goes ahead of its equals,
-	// and what falls free where most of it fits is kept until there is enough.
+	// ReserveRoom is set for a gang that has not waited for long. It goes ahead of its equals,
+	// and what comes free in the zone where most of it fits is reserved until there is enough.
 	ReserveRoom bool
 
-	roomReserved bool // room is being made for it, or kept
+	// roomReserved is set by the plan once machines are reserved for a gang, be it for victims
+	// on their way out or for a while: its second entry in the queue must not do it again.
+	roomReserved bool
 }
 
-// Input is the whole picture. Plan uses up all but the index.
+// Input is what a plan is made from. Plan uses up all of it but the index: the maps and the
+// jobs are changed.
 type Input struct {
 	Teams      []settings.Team
-	UsedByTeam map[string]Resources // by team: all tasks that are, or may be, on a machine
+	UsedByTeam map[string]Resources // of all tasks that are, or may be, on a machine
 	Index      *CapacityIndex
 	Jobs       []*Job
-	LowestRank int // the lowest rank of any task that is on a machine
-	// LoadTasks sets a machine's tasks and what is being freed on it. It is asked for
-	// only where room has to be made; nil leaves them as they are.
+	// LowestRank is the lowest rank of any task that is on a machine. A job of no higher rank
+	// need not look for victims.
+	LowestRank int
+	// LoadTasks sets Tasks and Releasing of a machine. It is called only where a preemption is
+	// looked for, once a machine and plan; nil leaves the two as they are.
 	LoadTasks func(*Machine)
 }
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -7,37 +7,37 @@
 // Machine is a machine that takes work.
 type Machine struct {
 	ID, Type, Zone string
-	Spot           bool
-	Straggler      bool // not for batch tasks
+	Spot           bool // a spot (preemptible) instance
+	Straggler      bool // slower than its type: for services only
 	Total, Free    Resources
-	FetchGBPS      float64
-	Images         map[string]bool    // that it has
-	Fetching       map[string]float64 // that it is getting, and their size in GB
-	AvoidJobs      map[string]bool    // jobs that should not come back
+	FetchGBPS      float64            // rate at which it fetches images, in GB a second
+	Images         map[string]bool    // images that it has
+	Fetching       map[string]float64 // images that it is fetching, with their size in GB
+	AvoidJobs      map[string]bool    // ids of jobs whose tasks should not come back to it
 
-	// Filled only where room has to be made.
-	Releasing Resources // of tasks told to stop
+	// Set by Input.LoadTasks, only on machines that are looked at for victims.
+	Releasing Resources // held by tasks that have been told to stop
 	Tasks     []*RunningTask
 
-	pool *pool
+	pool *pool // the part of the index that holds it; nil if none does
 }
 
-// RunningTask is a task on a machine that could be stopped.
+// RunningTask is a task on a machine that may be preempted.
 type RunningTask struct {
 	Job       *Job
-	Index     int
-	LostRunS  float64 // what stopping it would lose
-	GangTasks int     // tasks of its gang, which stop with it
-	Starved   bool    // placed because its job had got nothing for too long
+	Index     int     // of the task in its job
+	LostRunS  float64 // seconds of run time that stopping it loses
+	GangTasks int     // tasks of its gang, all of which stop with it; 0 for other jobs
+	Starved   bool    // it was placed ahead of the queue because its job had starved
 }
 
-// accepts tells whether a machine of an allowed kind is one for the job, room aside.
+// accepts tells whether a machine takes tasks of the job at all, its free room aside.
 func (m *Machine) accepts(job *Job) bool {
 	return !m.AvoidJobs[job.Spec.ID] && (!m.Straggler || job.Spec.Shape == jobs.Service)
 }
 
-// imageFetchS is how long a machine needs to get a job's image, in seconds. Images that
-// are fetched at the same time share its rate.
+// imageFetchS is how many seconds a machine needs to fetch an image. Images that are fetched
+// at the same time share its rate.
 func (m *Machine) imageFetchS(spec *jobs.Spec) float64 {
 	if m.Images[spec.Image] {
 		return 0
@@ -51,8 +51,9 @@
 	return gb / max(m.FetchGBPS, roundingTolerance)
 }
 
-// preemptionCost is what stopping a task loses. A gang loses what all of its tasks have run
-// for, and has to find room for all of them at a time again.
+// preemptionCost is what stopping a task loses, in CPU seconds and one for each task, so that
+// of equals the fewest stop. A gang loses what all of its tasks have run for, and it has to
+// find room for all of them at a time again, which counts as much as a run.
 func (t *RunningTask) preemptionCost() float64 {
 	spec := t.Job.Spec
 	if spec.Shape == jobs.Gang {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -10,34 +10,35 @@
 type Assignment struct {
 	Job     *Job
 	Machine *Machine
-	Starved bool // it went ahead because the job had got nothing for too long
+	Starved bool // it went ahead of the queue because the job had starved
 }
 
-// Preemption takes a task off its machine to make room.
+// Preemption stops a task on its machine to make room for another.
 type Preemption struct {
 	Machine      *Machine
 	Task         *RunningTask
-	WithoutGrace bool // without time to save: a service waits for the room
+	WithoutGrace bool // no time for a checkpoint: what the room is for should start at once
 }
 
-// Demand is what found no room, in order of importance.
+// Demand is the number of a job's tasks that found no room, though their team's quota allows
+// them.
 type Demand struct {
 	Job   *Job
 	Count int
 }
 
-// Output is what to do.
+// Output is a plan: what the caller is to carry out.
 type Output struct {
-	Assignments []Assignment
+	Assignments []Assignment // of each job in the order of its tasks
 	Preemptions []Preemption
-	Preempting  []*Job // gangs for which room is being made
-	Unmet       []Demand
+	Preempting  []*Job   // gangs for which victims have been found
+	Unmet       []Demand // in the order of the queue
 }
 
-// Plan places what it can. It leaves the index as it found it.
+// Plan decides which tasks to place and which to preempt. It leaves the index as it found it;
+// the other parts of the input are changed. Equal inputs give equal plans.
 func Plan(in Input) Output {
 	p := &planner{Input: in, originalFree: map[*Machine]Resources{}, tasksLoaded: map[*Machine]bool{}}
-	var out Output
 	queue := make([]queueEntry, 0, len(p.Jobs))
 	for _, job := range p.Jobs {
 		queue = append(queue, queueEntry{job, false})
@@ -46,55 +47,49 @@
 		}
 	}
 	slices.SortStableFunc(queue, compareEntries)
+	var out Output
+	p.scheduleAll(queue, &out)
+	for machine, free := range p.originalFree {
+		p.Index.SetFree(machine, free)
+	}
+	return out
+}
+
+// scheduleAll schedules the entries of a queue in its order. Jobs that are interchangeable
+// first share the machines that have their images.
+func (p *planner) scheduleAll(queue []queueEntry, out *Output) {
 	for len(queue) > 0 {
 		if queue[0].Spec.Shape == jobs.Gang {
-			p.scheduleGang(queue[0], &out)
+			p.scheduleGang(queue[0], out)
 			queue = queue[1:]
 			continue
 		}
 		count := interchangeable(queue)
 		if count > 1 {
 			for _, entry := range queue[:count] {
-				p.placeTasks(entry, &out, true)
+				p.placeTasks(entry, out, true)
 			}
 		}
 		for _, entry := range queue[:count] {
-			p.scheduleJob(entry, &out)
+			p.scheduleJob(entry, out)
 		}
 		queue = queue[count:]
 	}
-	for machine, free := range p.originalFree {
-		p.Index.SetFree(machine, free)
-	}
-	return out
-}
-
-// planner is one plan in the making: the input and what the plan has changed so far.
-type planner struct {
-	Input
-
-	originalFree  map[*Machine]Resources // what was free before the plan
-	tasksLoaded   map[*Machine]bool
-	onlyZone      string   // zone to look at, if not empty
-	onlyWithImage bool     // look only at machines that have the job's image
-	spareGangs    bool     // stop no gang
-	undo          []func() // what a trial has changed
-	trial         bool
 }
 
-// scheduleJob gives a job its turn.
+// scheduleJob places a job's tasks where there is room and preempts others for the rest.
 func (p *planner) scheduleJob(entry queueEntry, out *Output) {
 	job, unplaced := entry.Job, p.placeTasks(entry, out, false)
-	left := p.tasksWithinQuota(job, unplaced)
+	left := p.withinQuota(job, unplaced)
 	if left <= 0 {
 		return
 	}
-	preempted := p.preemptFor(job, left, out, nil)
-	left -= preempted
-	job.Pending -= preempted
+	roomFor := p.preemptFor(job, left, out, false)
+	left -= roomFor
+	job.Pending -= roomFor
 	if entry.starved {
-		// What is too large for the room that others leave now and then would
-		// wait for ever: a machine is kept from them until it has that room.
+		// A task that is larger than the room that others leave now and then would starve
+		// for ever: a machine drains for it.
 		p.reserveEmptiest(job, left)
 		return
 	}
@@ -103,26 +98,24 @@
 	}
 }
 
-// placeTasks puts a job's tasks on machines with room, only on those with its image if
-// so asked, and returns how many are left.
-func (p *planner) placeTasks(entry queueEntry, out *Output, onlyWithImage bool) (left int) {
+// placeTasks puts tasks of a job on machines with room and returns how many are left of those
+// that the entry stands for. With cachedOnly it uses only machines that have the job's image,
+// and these only while none without it would be filled better.
+func (p *planner) placeTasks(entry queueEntry, out *Output, cachedOnly bool) (left int) {
 	job := entry.Job
 	left = job.Pending
 	if entry.starved {
 		left = min(left, job.StarvedTasks)
 	}
 	for left > 0 {
-		if p.tasksWithinQuota(job, 1) == 0 {
+		if p.withinQuota(job, 1) == 0 {
 			break // no machine would help
 		}
-		machine := p.bestFit(job, onlyWithImage)
+		machine := p.bestFit(job, cachedOnly)
 		if machine == nil {
 			break
 		}
-		// A service whose image would come too late starts sooner where the image
-		// is, even if something has to leave for that.
-		if fetchS := machine.imageFetchS(job.Spec) * slowFetchFactor; job.Spec.Shape == jobs.Service && fetchS > 0 && fetchS > job.StartWithinS && job.StartWithinS > 0 &&
-			p.preemptFor(job, 1, out, func(machine *Machine) bool { return machine.Images[job.Spec.Image] }) > 0 {
+		if p.preemptWhereCached(job, machine, out) {
 			left--
 			job.Pending--
 			continue
@@ -137,3 +130,10 @@
 	}
 	return left
 }
+
+// preemptWhereCached makes room for a service on a machine that has its image, if fetching the
+// image to the free machine would take too long. It returns false if that machine will do, or
+// if there are no victims.
+func (p *planner) preemptWhereCached(job *Job, free *Machine, out *Output) bool {
+	return job.Spec.Shape == jobs.Service && job.startsTooLate(free.imageFetchS(job.Spec)) && p.preemptFor(job, 1, out, true) > 0
+}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -9,147 +9,178 @@
 	"ospreyslip/internal/settings"
 )
 
-// mayPreempt tells whether a task may be stopped to make room for j.
-func (p *planner) mayPreempt(job *Job, victim *RunningTask) bool {
-	v := victim.Job
-	if victim.Starved && job.Spec.Priority != jobs.Prod {
+// mayPreempt tells whether a running task may be stopped to make room for a job.
+func (p *planner) mayPreempt(job *Job, task *RunningTask) bool {
+	victim := task.Job
+	if task.Starved && job.Spec.Priority != jobs.Prod {
 		return false // it waited for too long to lose its place at once
 	}
-	if v.Spec.Rank() < job.Spec.Rank() {
+	if victim.Spec.Rank() < job.Spec.Rank() {
 		return true
 	}
 	// A team gets its guarantee from what another runs beyond its own, but not at
 	// the cost of a production service: its users notice at once, and a batch
 	// job can wait for the next task to end.
-	if v.Spec.Priority == jobs.Prod && job.Spec.Priority != jobs.Prod {
+	if victim.Spec.Priority == jobs.Prod && job.Spec.Priority != jobs.Prod {
 		return false
 	}
-	return p.mayReclaim(job) && !v.Guaranteed && v.Spec.Team != job.Spec.Team && p.exceedsGuarantee(v.Spec.Team)
+	return p.mayReclaim(job) && !victim.Guaranteed && victim.Spec.Team != job.Spec.Team && p.exceedsGuarantee(victim.Spec.Team)
 }
 
-// slowFetchFactor is how much longer than usual a fetch may take, from the protocol.
-const slowFetchFactor = 4.0 / 3
+// preemptionPossible tells whether a job may have victims anywhere. The search for them goes
+// through all machines, and mostly nothing that runs is of lower rank.
+func (p *planner) preemptionPossible(job *Job) bool {
+	if job.PreemptionDeferred {
+		return false
+	}
+	return p.LowestRank < job.Spec.Rank() || p.mayReclaim(job) && slices.ContainsFunc(p.Teams, func(team settings.Team) bool {
+		return team.Name != job.Spec.Team && p.exceedsGuarantee(team.Name)
+	})
+}
 
-// preemptFor stops tasks for up to n tasks of a job, on machines that will do; nil
-// means all. Room that is being made is set aside, so that the next plan does not
-// stop more for the same need.
-func (p *planner) preemptFor(job *Job, count int, out *Output, accept func(*Machine) bool) (made int) {
+// victimSearch is what victims are searched for.
+type victimSearch struct {
+	job     *Job
+	request Resources // of one task
+	// withImage restricts the search to machines that have the job's image. It is meant to
+	// start the job sooner, for which no gang is stopped.
+	withImage bool
+}
+
+// preemptFor preempts others for up to count tasks of a job, the cheapest victims first, and
+// returns for how many tasks that makes room. The room is reserved in this plan; later plans
+// find it in Releasing and stop nothing more for the same tasks.
+func (p *planner) preemptFor(job *Job, count int, out *Output, withImage bool) (made int) {
 	if !p.preemptionPossible(job) {
 		return 0
 	}
-	// To start a little sooner is no reason to stop a gang.
-	p.spareGangs = p.onlyWithImage || accept != nil
-	request := TaskRequest(job.Spec)
-	var candidates preemptionHeap
+	search := victimSearch{job, TaskRequest(job.Spec), withImage}
+	options := p.preemptionOptions(search)
+	for made < count && options.Len() > 0 {
+		option := options.cheapest()
+		machine := option.machine
+		if !machine.accepts(job) || !TopologyAllows(job.Spec, job.TasksByZone, machine.Zone) {
+			heap.Pop(options)
+			continue
+		}
+		p.preempt(search, option, out)
+		made++
+		if next, ok := p.cheapestVictims(search, machine); ok {
+			options.replaceCheapest(next)
+		} else {
+			heap.Pop(options)
+		}
+	}
+	return made
+}
+
+// preemptionOptions returns a heap of the machines on which one more task would have room
+// without some of those that run there.
+func (p *planner) preemptionOptions(search victimSearch) *preemptionHeap {
+	var options preemptionHeap
 	for _, pool := range p.Index.pools {
-		if !p.allowsPool(job, pool) {
+		if !p.poolAllowed(search.job, pool) {
 			continue
 		}
-		pool.each(func(m *Machine) {
-			if accept != nil && !accept(m) || p.onlyWithImage && !m.Images[job.Spec.Image] {
+		pool.each(func(machine *Machine) {
+			if search.withImage && !machine.Images[search.job.Spec.Image] {
 				return
 			}
-			p.loadTasks(m)
-			if option, ok := p.cheapestVictims(job, m, request); ok {
-				candidates = append(candidates, option)
+			p.loadTasks(machine)
+			if option, ok := p.cheapestVictims(search, machine); ok {
+				options = append(options, option)
 			}
 		})
 	}
-	heap.Init(&candidates)
-	for made < count && len(candidates) > 0 {
-		option := candidates[0]
-		if !option.machine.accepts(job) || !TopologyAllows(job.Spec, job.TasksByZone, option.machine.Zone) {
-			heap.Pop(&candidates)
-			continue
-		}
-		m := option.machine
-		if tasks, freeing := m.Tasks, m.Releasing; p.trial {
-			m.Tasks = slices.Clone(tasks)
-			p.undo = append(p.undo, func() { m.Tasks, m.Releasing = tasks, freeing })
-		}
-		for _, victim := range option.victims {
-			out.Preemptions = append(out.Preemptions, Preemption{m, victim, job.Spec.Shape != jobs.Batch})
-			m.Tasks = slices.DeleteFunc(m.Tasks, func(task *RunningTask) bool { return task == victim })
-			m.Releasing = m.Releasing.AddTimes(TaskRequest(victim.Job.Spec), 1)
+	heap.Init(&options)
+	return &options
+}
+
+// cheapestVictims returns the tasks that cost least to stop on a machine, lowest rank first, so
+// that one more task fits. There are none to stop where it will fit into what is already being
+// released. It returns false if the task would not fit even without all that may be preempted.
+func (p *planner) cheapestVictims(search victimSearch, machine *Machine) (option preemptionOption, ok bool) {
+	if !machine.accepts(search.job) {
+		return option, false
+	}
+	option.machine = machine
+	room := machine.Free.AddTimes(machine.Releasing, 1)
+	if room.Fits(search.request) {
+		return option, true
+	}
+	var candidates []*RunningTask
+	for _, task := range machine.Tasks {
+		if p.mayPreempt(search.job, task) && (!search.withImage || task.Job.Spec.Shape != jobs.Gang) {
+			candidates = append(candidates, task)
 		}
-		// Taken out of what is free now and, for the rest, of what will be.
-		m.Releasing = m.Free.AddTimes(m.Releasing, 1).AddTimes(request, -1)
-		p.setFree(m, Resources{})
-		p.countTask(job, m)
-		made++
-		if next, ok := p.cheapestVictims(job, m, request); ok {
-			candidates[0] = next
-			heap.Fix(&candidates, 0)
-		} else {
-			heap.Pop(&candidates)
+	}
+	slices.SortStableFunc(candidates, func(a, b *RunningTask) int {
+		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.preemptionCost(), b.preemptionCost()))
+	})
+	for _, task := range candidates {
+		room = room.AddTimes(TaskRequest(task.Job.Spec), 1)
+		option.victims = append(option.victims, task)
+		option.cost += task.preemptionCost()
+		if room.Fits(search.request) {
+			return option, true
 		}
 	}
-	return made
+	return option, false
 }
 
-// preemptionPossible tells whether a search for victims can find any: it goes through
-// all machines, and mostly there is nothing of lower priority.
-func (p *planner) preemptionPossible(job *Job) bool {
-	if job.PreemptionDeferred {
-		return false
+// preempt stops an option's victims, and reserves the machine for the task for which they
+// stop.
+func (p *planner) preempt(search victimSearch, option preemptionOption, out *Output) {
+	machine := option.machine
+	if tasks, releasing := machine.Tasks, machine.Releasing; p.trial {
+		machine.Tasks = slices.Clone(tasks)
+		p.undo = append(p.undo, func() { machine.Tasks, machine.Releasing = tasks, releasing })
 	}
-	return p.LowestRank < job.Spec.Rank() || p.mayReclaim(job) && slices.ContainsFunc(p.Teams, func(team settings.Team) bool {
-		return team.Name != job.Spec.Team && p.exceedsGuarantee(team.Name)
-	})
+	withoutGrace := search.job.Spec.Shape != jobs.Batch
+	for _, victim := range option.victims {
+		out.Preemptions = append(out.Preemptions, Preemption{machine, victim, withoutGrace})
+		machine.Tasks = slices.DeleteFunc(machine.Tasks, func(task *RunningTask) bool { return task == victim })
+		machine.Releasing = machine.Releasing.AddTimes(TaskRequest(victim.Job.Spec), 1)
+	}
+	// The task's request comes out of what is free, and for the rest out of what will be
+	// released. Nothing else is placed on the machine in this plan: with what is free gone,
+	// the task would have to wait for more to end.
+	machine.Releasing = machine.Free.AddTimes(machine.Releasing, 1).AddTimes(search.request, -1)
+	p.setFree(machine, Resources{})
+	p.countTask(search.job, machine)
 }
 
-// preemptionOption is what a machine would lose to take one more task.
+// preemptionOption is what one more task on a machine would cost there.
 type preemptionOption struct {
 	machine *Machine
 	victims []*RunningTask
-	cost    float64
+	cost    float64 // sum of the victims' preemptionCost
 }
 
-// preemptionHeap is a heap, the cheapest first.
+// preemptionHeap is a [heap.Interface], the cheapest option first.
 type preemptionHeap []preemptionOption
 
-func (s preemptionHeap) Len() int { return len(s) }
+func (h preemptionHeap) Len() int { return len(h) }
 
-func (s preemptionHeap) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(s[a].cost, s[b].cost), cmp.Compare(s[a].machine.ID, s[b].machine.ID)) < 0
+func (h preemptionHeap) Less(a, b int) bool {
+	return cmp.Or(cmp.Compare(h[a].cost, h[b].cost), cmp.Compare(h[a].machine.ID, h[b].machine.ID)) < 0
 }
 
-func (s preemptionHeap) Swap(a, b int) { s[a], s[b] = s[b], s[a] }
+func (h preemptionHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (s *preemptionHeap) Push(x any) { *s = append(*s, x.(preemptionOption)) }
+func (h preemptionHeap) cheapest() preemptionOption { return h[0] }
 
-func (s *preemptionHeap) Pop() any {
-	last := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
-	return last
+func (h *preemptionHeap) replaceCheapest(option preemptionOption) {
+	(*h)[0] = option
+	heap.Fix(h, 0)
 }
 
-// cheapestVictims returns the cheapest tasks to stop on a machine.
-func (p *planner) cheapestVictims(job *Job, m *Machine, request Resources) (option preemptionOption, ok bool) {
-	if !m.accepts(job) {
-		return option, false
-	}
-	option.machine = m
-	room := m.Free.AddTimes(m.Releasing, 1)
-	if room.Fits(request) {
-		return option, true
-	}
-	var victims []*RunningTask
-	for _, task := range m.Tasks {
-		if p.mayPreempt(job, task) && (!p.spareGangs || task.Job.Spec.Shape != jobs.Gang) {
-			victims = append(victims, task)
-		}
-	}
-	slices.SortStableFunc(victims, func(a, b *RunningTask) int {
-		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.preemptionCost(), b.preemptionCost()))
-	})
-	for _, task := range victims {
-		room = room.AddTimes(TaskRequest(task.Job.Spec), 1)
-		option.victims = append(option.victims, task)
-		option.cost += task.preemptionCost()
-		if room.Fits(request) {
-			return option, true
-		}
-	}
-	return option, false
+// Push implements [heap.Interface].
+func (h *preemptionHeap) Push(x any) { *h = append(*h, x.(preemptionOption)) }
+
+// Pop implements [heap.Interface].
+func (h *preemptionHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -6,17 +6,24 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Jobs without a deadline sort behind those with one, and jobs that have none
-// left to meet behind all: what they take would make others late, too.
+// Values of Job.DeadlineS for a job without a deadline to meet. Jobs that can meet none any
+// more come last of their rank: what they take would make others late, too.
 const (
-	NoDeadline     = 1e9
-	DeadlineMissed = 2e9
+	NoDeadline     = 1e9 // the job has none
+	DeadlineMissed = 2e9 // all of its deadlines are missed
 )
 
-// compareEntries orders the queue: production first, then what has got nothing for too
-// long, then what a guarantee covers, then by priority. Among equals it weighs
-// what is due soon against what takes little: by deadline alone, one large job
-// in an overload makes many small ones late.
+// queueEntry is a job's place in the queue. A starved job has two entries: one ahead of others
+// for StarvedTasks of its tasks, and its own for the rest.
+type queueEntry struct {
+	*Job
+	starved bool
+}
+
+// compareEntries orders the queue: production first, then gangs for which others are being
+// stopped, then starved tasks, then what a guarantee covers, then by priority. Among equals
+// the smallest product of the time to the deadline and the remaining work goes first: by
+// deadline alone, one large job in an overload makes many small ones late.
 func compareEntries(a, b queueEntry) int {
 	return cmp.Or(
 		trueFirst(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
@@ -31,6 +38,7 @@
 	)
 }
 
+// trueFirst is a comparison that sorts true before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -41,15 +49,8 @@
 	return 1
 }
 
-// queueEntry is a job's place in the queue. One that is overdue has two: one ahead for
-// a few of its tasks, and its own for the rest.
-type queueEntry struct {
-	*Job
-	starved bool
-}
-
-// deadlineStage tells jobs with a deadline to meet from those without, and from those
-// that can meet none.
+// deadlineStage sorts jobs with a deadline to meet before those without, and these before
+// those that can meet none.
 func deadlineStage(job *Job) int {
 	switch {
 	case job.DeadlineS < NoDeadline:
@@ -60,24 +61,28 @@
 	return 2
 }
 
-// maxInterchangeable is how many jobs next to each other in the queue share machines by
-// the images that these have.
+// maxInterchangeable bounds how many jobs share machines by images, and with it how far a job
+// may fall behind one that is due later.
 const maxInterchangeable = 8
 
-// interchangeable is how many jobs at the head of the queue differ only in how soon they
-// are due. Where machines are scarce, each that falls free goes to the one of them
-// whose image it has: among jobs that all wait, fetches are what can be saved.
+// interchangeable returns how many jobs at the head of the queue differ only in how soon they
+// are due. Where machines are scarce, each that comes free goes to the one of them whose image
+// it has: as all of them wait, fetches are what can be saved.
 func interchangeable(queue []queueEntry) int {
 	head, count := queue[0], 1
 	if head.Spec.Shape != jobs.Batch {
 		return count
 	}
-	for count < min(len(queue), maxInterchangeable) {
-		next := queue[count]
-		if next.Spec.Shape != head.Spec.Shape || next.Spec.Rank() != head.Spec.Rank() || next.starved != head.starved || next.Guaranteed != head.Guaranteed || deadlineStage(next.Job) != deadlineStage(head.Job) {
-			break
-		}
+	for count < min(len(queue), maxInterchangeable) && differOnlyInDeadline(head, queue[count]) {
 		count++
 	}
 	return count
 }
+
+func differOnlyInDeadline(a, b queueEntry) bool {
+	return a.Spec.Shape == b.Spec.Shape &&
+		a.Spec.Rank() == b.Spec.Rank() &&
+		a.starved == b.starved &&
+		a.Guaranteed == b.Guaranteed &&
+		deadlineStage(a.Job) == deadlineStage(b.Job)
+}
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -1,12 +1,11 @@
 package placement
 
-// reserveEmptiest keeps others off the machines with most room, up to n of them.
+// reserveEmptiest reserves up to count machines for a starved job: those with most room that
+// the plan has not touched. Others get nothing on them, so that they drain until a task of
+// the job fits.
 func (p *planner) reserveEmptiest(job *Job, count int) {
 	for range count {
-		machine := p.Index.emptiest(func(machine *Machine) bool {
-			_, taken := p.originalFree[machine]
-			return !taken && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job)
-		})
+		machine := p.emptiestUntouched(job)
 		if machine == nil {
 			return
 		}
@@ -14,8 +13,19 @@
 	}
 }
 
-// reserveForGang keeps room from others where most of a gang fits, if all of it ever will
-// there: else it would wait for machines that are not rented yet, and others with it.
+// emptiestUntouched returns the machine with most room of those that the plan has not changed
+// yet and that would take a task of the job if they were empty; nil if there is none.
+func (p *planner) emptiestUntouched(job *Job) *Machine {
+	return p.Index.emptiest(func(machine *Machine) bool {
+		_, touched := p.originalFree[machine]
+		return !touched && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job) &&
+			(p.onlyZone == "" || machine.Zone == p.onlyZone)
+	})
+}
+
+// reserveForGang reserves room where most of a gang fits, if all of it will fit there once
+// running tasks have ended. Otherwise the gang would wait for machines that are not
+// provisioned yet, and others would wait with it for nothing.
 func (p *planner) reserveForGang(job *Job, zones []string) {
 	best, most := -1, -1
 	for i, zone := range zones {
@@ -29,28 +39,27 @@
 		return
 	}
 	machines, _ := p.placeWhatFits(job, zones[best])
+	request := TaskRequest(job.Spec)
 	left := job.Pending - len(machines)
 	for left > 0 {
-		machine := p.Index.emptiest(func(machine *Machine) bool {
-			_, taken := p.originalFree[machine]
-			return !taken && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job) && (p.onlyZone == "" || machine.Zone == p.onlyZone)
-		})
+		machine := p.emptiestUntouched(job)
 		if machine == nil {
 			return
 		}
 		p.setFree(machine, Resources{})
-		for room := machine.Total; left > 0 && room.Fits(TaskRequest(job.Spec)); left-- {
-			room = room.AddTimes(TaskRequest(job.Spec), -1)
+		for room := machine.Total; left > 0 && room.Fits(request); left-- {
+			room = room.AddTimes(request, -1)
 		}
 	}
 }
 
-// willFitEventually tells whether a gang fits into a zone once what ends by itself has ended.
+// willFitEventually tells whether a gang fits into a zone, or anywhere if none is named, once
+// the tasks that end by themselves have ended.
 func (p *planner) willFitEventually(job *Job, zone string) bool {
 	p.onlyZone = zone
 	request, count := TaskRequest(job.Spec), 0
 	for _, pool := range p.Index.pools {
-		if !p.allowsPool(job, pool) {
+		if !p.poolAllowed(job, pool) {
 			continue
 		}
 		pool.each(func(machine *Machine) {
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -4,21 +4,23 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Resources is what a task takes and a machine has.
+// Resources is what a task requests, or what a machine has.
 type Resources struct{ CPUs, GPUs, RAMGB float64 }
 
-// TaskRequest returns what one task of a job takes.
+// TaskRequest returns the resources that one task of a job requests.
 func TaskRequest(spec *jobs.Spec) Resources { return Resources{spec.CPUs, spec.GPUs, spec.RAMGB} }
 
-// AddTimes adds n times b.
+// AddTimes returns a + factor·other; a factor of -1 subtracts.
 func (a Resources) AddTimes(other Resources, factor float64) Resources {
 	return Resources{a.CPUs + factor*other.CPUs, a.GPUs + factor*other.GPUs, a.RAMGB + factor*other.RAMGB}
 }
 
-// roundingTolerance absorbs what sums of decimal numbers are off by.
+// roundingTolerance absorbs the rounding errors of sums of decimal fractions.
 const roundingTolerance = 1e-6
 
-// Fits tells whether b fits into a.
+// Fits tells whether a request fits into a.
 func (a Resources) Fits(request Resources) bool {
-	return request.CPUs <= a.CPUs+roundingTolerance && request.GPUs <= a.GPUs+roundingTolerance && request.RAMGB <= a.RAMGB+roundingTolerance
+	return request.CPUs <= a.CPUs+roundingTolerance &&
+		request.GPUs <= a.GPUs+roundingTolerance &&
+		request.RAMGB <= a.RAMGB+roundingTolerance
 }
