--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -11,9 +11,9 @@
 	"ospreyslip/internal/settings"
 )
 
-// box is a machine of 4 CPUs in zone and kind as its name says: "a1", "b2",
-// and "s" in front for spot.
-func box(id string, free float64) *Machine {
+// newMachine is a machine of 4 CPUs whose name says its zone, and its pricing model: "a1",
+// "b2", and "s" in front for spot.
+func newMachine(id string, free float64) *Machine {
 	zone := strings.TrimPrefix(id, "s")[:1]
 	return &Machine{
 		ID: id, Type: "c4", Zone: zone, Spot: strings.HasPrefix(id, "s"),
@@ -21,7 +21,8 @@
 	}
 }
 
-func job(id string, tasks int, cpus float64, change func(*jobs.Spec)) *Job {
+// newJob is a batch job of team red with an image of 1 GB.
+func newJob(id string, tasks int, cpus float64, change func(*jobs.Spec)) *Job {
 	s := &jobs.Spec{ID: id, Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks, CPUs: cpus, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true}
 	if change != nil {
 		change(s)
@@ -29,6 +30,7 @@
 	return &Job{Spec: s, DeadlineS: 1e9, TasksByZone: map[string]int{}, Pending: tasks}
 }
 
+// running puts task n of a job on a machine.
 func running(m *Machine, j *Job, n int, ran float64) {
 	m.Tasks = append(m.Tasks, &RunningTask{Job: j, Index: n, LostRunS: ran})
 	m.Free = m.Free.AddTimes(TaskRequest(j.Spec), -1)
@@ -36,8 +38,8 @@
 	j.Pending--
 }
 
-// picture is an input whose machines are not in an index yet.
-type picture struct {
+// scenario is an input whose machines are not in an index yet.
+type scenario struct {
 	Input
 	Machines []*Machine
 }
@@ -49,295 +51,295 @@
 	low := func(s *jobs.Spec) { s.Priority = jobs.BestEffort }
 	for _, tc := range []struct {
 		name  string
-		setup func(in *picture)
+		setup func(in *scenario)
 		want  string
 	}{
-		{"the fullest machine that fits", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("a2", 2), box("a3", 1)}
-			in.Jobs = []*Job{job("j-1", 1, 2, nil)}
+		{"the fullest machine that fits", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 2), newMachine("a3", 1)}
+			in.Jobs = []*Job{newJob("j-1", 1, 2, nil)}
 		}, "j-1/0>a2"},
-		{"a service goes where its image is", func(in *picture) {
-			m := box("a1", 4)
+		{"a service goes where its image is", func(in *scenario) {
+			m := newMachine("a1", 4)
 			m.Images["img"] = true
-			in.Machines = []*Machine{m, box("a2", 2)}
-			in.Jobs = []*Job{job("j-1", 1, 2, prod)}
+			in.Machines = []*Machine{m, newMachine("a2", 2)}
+			in.Jobs = []*Job{newJob("j-1", 1, 2, prod)}
 		}, "j-1/0>a1"},
-		{"or where it comes fastest", func(in *picture) {
-			slow := box("a1", 2)
+		{"or where it comes fastest", func(in *scenario) {
+			slow := newMachine("a1", 2)
 			slow.FetchGBPS = 0.5
-			in.Machines = []*Machine{slow, box("a2", 4)}
-			in.Jobs = []*Job{job("j-1", 1, 2, prod)}
+			in.Machines = []*Machine{slow, newMachine("a2", 4)}
+			in.Jobs = []*Job{newJob("j-1", 1, 2, prod)}
 		}, "j-1/0>a2"},
-		{"or, if it would come too late, in the place of lower priority", func(in *picture) {
-			has := box("a2", 4)
+		{"or, if it would come too late, in the place of lower priority", func(in *scenario) {
+			has := newMachine("a2", 4)
 			has.Images["img"] = true
-			low := job("j-2", 1, 4, nil)
+			low := newJob("j-2", 1, 4, nil)
 			running(has, low, 0, 5)
-			in.Machines = []*Machine{box("a1", 4), has}
-			late, early := job("j-1", 1, 2, prod), job("j-3", 1, 2, prod)
+			in.Machines = []*Machine{newMachine("a1", 4), has}
+			late, early := newJob("j-1", 1, 2, prod), newJob("j-3", 1, 2, prod)
 			late.StartWithinS, early.StartWithinS = 1, 5
 			in.Jobs = []*Job{late, early}
 		}, "end j-2/0@a2 j-3/0>a1"},
-		{"a gang, in the zone that has room for all of it", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("b1", 4), box("b2", 2)}
-			in.Jobs = []*Job{job("j-1", 3, 2, gang)}
+		{"a gang, in the zone that has room for all of it", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 4), newMachine("b2", 2)}
+			in.Jobs = []*Job{newJob("j-1", 3, 2, gang)}
 		}, "j-1/0>b2 j-1/1>b1 j-1/2>b1"},
-		{"none of it, where there is room for a part; others get that", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("b1", 4)}
-			in.Jobs = []*Job{job("j-1", 3, 2, gang), job("j-2", 1, 4, nil)}
+		{"none of it, where there is room for a part; others get that", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 4)}
+			in.Jobs = []*Job{newJob("j-1", 3, 2, gang), newJob("j-2", 1, 4, nil)}
 		}, "j-2/0>a1 unmet j-1 3"},
-		{"two gangs, room for one", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("a2", 2)}
-			in.Jobs = []*Job{job("j-1", 4, 2, gang), job("j-2", 2, 2, gang)}
+		{"two gangs, room for one", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 2)}
+			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 2, 2, gang)}
 		}, "j-2/0>a2 j-2/1>a1 unmet j-1 4"},
-		{"a gang starts with its last image", func(in *picture) {
-			has := box("b1", 4)
+		{"a gang starts with its last image", func(in *scenario) {
+			has := newMachine("b1", 4)
 			has.Images["img"] = true
-			in.Machines = []*Machine{box("a1", 4), has}
-			in.Jobs = []*Job{job("j-1", 2, 2, gang)}
+			in.Machines = []*Machine{newMachine("a1", 4), has}
+			in.Jobs = []*Job{newJob("j-1", 2, 2, gang)}
 		}, "j-1/0>b1 j-1/1>b1"},
-		{"apart: at most half of a gang in one zone", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("b1", 2)}
-			in.Jobs = []*Job{job("j-1", 3, 1, func(s *jobs.Spec) { s.Shape, s.Spread = jobs.Gang, true })}
+		{"apart: at most half of a gang in one zone", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 2)}
+			in.Jobs = []*Job{newJob("j-1", 3, 1, func(s *jobs.Spec) { s.Shape, s.Spread = jobs.Gang, true })}
 		}, "j-1/0>b1 j-1/1>b1 j-1/2>a1"},
-		{"its team's limit holds for all of it", func(in *picture) {
+		{"its team's limit holds for all of it", func(in *scenario) {
 			in.UsedByTeam["red"] = Resources{CPUs: 5}
-			in.Machines = []*Machine{box("a1", 4), box("a2", 4)}
-			in.Jobs = []*Job{job("j-1", 2, 2, gang)}
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 4)}
+			in.Jobs = []*Job{newJob("j-1", 2, 2, gang)}
 		}, ""},
-		{"room is made for all of a gang, and what is free kept for it", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-9", 1, 4, low), 0, 5)
-			in.Machines = []*Machine{m, box("a2", 4)}
-			in.Jobs = []*Job{job("j-1", 4, 2, gang), job("j-2", 1, 4, func(s *jobs.Spec) { s.Team = "blue" })}
+		{"room is made for all of a gang, and what is free kept for it", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-9", 1, 4, low), 0, 5)
+			in.Machines = []*Machine{m, newMachine("a2", 4)}
+			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 1, 4, func(s *jobs.Spec) { s.Team = "blue" })}
 		}, "end j-9/0@a1 unmet j-2 1"},
-		{"or none is, where it would not do", func(in *picture) {
-			m, n := box("a1", 4), box("b1", 4)
-			running(m, job("j-8", 1, 4, low), 0, 5)
-			running(n, job("j-9", 1, 4, low), 0, 5)
+		{"or none is, where it would not do", func(in *scenario) {
+			m, n := newMachine("a1", 4), newMachine("b1", 4)
+			running(m, newJob("j-8", 1, 4, low), 0, 5)
+			running(n, newJob("j-9", 1, 4, low), 0, 5)
 			in.Machines = []*Machine{m, n}
-			in.Jobs = []*Job{job("j-1", 3, 2, gang)}
+			in.Jobs = []*Job{newJob("j-1", 3, 2, gang)}
 		}, "unmet j-1 3"},
-		{"while room is made for it, it goes ahead", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4)}
-			g, covered := job("j-1", 2, 2, gang), job("j-2", 1, 4, nil)
+		{"while room is made for it, it goes ahead", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4)}
+			g, covered := newJob("j-1", 2, 2, gang), newJob("j-2", 1, 4, nil)
 			g.Preempting, covered.Guaranteed = true, true
 			in.Jobs = []*Job{covered, g}
 		}, "j-1/0>a1 j-1/1>a1 unmet j-2 1"},
-		{"if its image would come too late, in the place of lower priority", func(in *picture) {
-			has := box("b1", 4)
+		{"if its image would come too late, in the place of lower priority", func(in *scenario) {
+			has := newMachine("b1", 4)
 			has.Images["img"] = true
-			running(has, job("j-9", 1, 4, low), 0, 5)
-			in.Machines = []*Machine{box("a1", 4), has}
-			g := job("j-1", 2, 2, gang)
+			running(has, newJob("j-9", 1, 4, low), 0, 5)
+			in.Machines = []*Machine{newMachine("a1", 4), has}
+			g := newJob("j-1", 2, 2, gang)
 			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "end j-9/0@b1"},
-		{"but not in the place of a gang", func(in *picture) {
-			has := box("b1", 4)
+		{"but not in the place of a gang", func(in *scenario) {
+			has := newMachine("b1", 4)
 			has.Images["img"] = true
-			running(has, job("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
-			in.Machines = []*Machine{box("a1", 4), has}
-			g := job("j-1", 2, 2, gang)
+			running(has, newJob("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
+			in.Machines = []*Machine{newMachine("a1", 4), has}
+			g := newJob("j-1", 2, 2, gang)
 			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "j-1/0>a1 j-1/1>a1"},
-		{"others stop before a gang does", func(in *picture) {
-			m, n := box("a1", 4), box("a2", 4)
-			g := job("j-8", 4, 4, func(s *jobs.Spec) { gang(s); low(s) })
+		{"others stop before a gang does", func(in *scenario) {
+			m, n := newMachine("a1", 4), newMachine("a2", 4)
+			g := newJob("j-8", 4, 4, func(s *jobs.Spec) { gang(s); low(s) })
 			running(m, g, 0, 1)
 			m.Tasks[0].GangTasks = 4
-			running(n, job("j-9", 1, 4, low), 0, 60)
+			running(n, newJob("j-9", 1, 4, low), 0, 60)
 			in.Machines = []*Machine{m, n}
-			in.Jobs = []*Job{job("j-1", 1, 4, prod)}
+			in.Jobs = []*Job{newJob("j-1", 1, 4, prod)}
 		}, "end j-9/0@a2"},
-		{"a gang that has just come, too, and machines are rented for it", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("a2", 0)}
-			running(in.Machines[0], job("j-9", 1, 2, nil), 0, 5)
-			g := job("j-1", 2, 2, gang)
+		{"a gang that has just come, too, and machines are rented for it", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
+			running(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
+			g := newJob("j-1", 2, 2, gang)
 			g.ReserveRoom = true
-			in.Jobs = []*Job{job("j-2", 1, 2, nil), g}
+			in.Jobs = []*Job{newJob("j-2", 1, 2, nil), g}
 		}, "unmet j-1 2 unmet j-2 1"},
-		{"a gang that has waited for too long keeps room from others", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("a2", 0)}
-			running(in.Machines[0], job("j-9", 1, 2, nil), 0, 5)
-			g := job("j-1", 2, 2, gang)
+		{"a gang that has waited for too long keeps room from others", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
+			running(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
+			g := newJob("j-1", 2, 2, gang)
 			g.StarvedTasks = 2
-			in.Jobs = []*Job{g, job("j-2", 1, 2, nil)}
+			in.Jobs = []*Job{g, newJob("j-2", 1, 2, nil)}
 		}, "unmet j-1 2 unmet j-2 1"},
-		{"but not for what its zone will never hold", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("a2", 0)}
-			running(in.Machines[0], job("j-9", 1, 2, prod), 0, 5)
-			g := job("j-1", 2, 2, gang)
+		{"but not for what its zone will never hold", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
+			running(in.Machines[0], newJob("j-9", 1, 2, prod), 0, 5)
+			g := newJob("j-1", 2, 2, gang)
 			g.StarvedTasks = 2
-			in.Jobs = []*Job{g, job("j-2", 1, 2, nil)}
+			in.Jobs = []*Job{g, newJob("j-2", 1, 2, nil)}
 		}, "j-2/0>a1 unmet j-1 2"},
-		{"spread: half in one zone, rounded up", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("b1", 4)}
-			in.Jobs = []*Job{job("j-1", 5, 1, func(s *jobs.Spec) { s.Spread = true })}
+		{"spread: half in one zone, rounded up", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 4)}
+			in.Jobs = []*Job{newJob("j-1", 5, 1, func(s *jobs.Spec) { s.Spread = true })}
 		}, "j-1/0>a1 j-1/1>a1 j-1/2>a1 j-1/3>b1 j-1/4>b1"},
-		{"spread: what may still be in a zone counts", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4)}
-			j := job("j-1", 2, 1, func(s *jobs.Spec) { s.Spread = true })
+		{"spread: what may still be in a zone counts", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4)}
+			j := newJob("j-1", 2, 1, func(s *jobs.Spec) { s.Spread = true })
 			j.TasksByZone["a"] = 1
 			j.Pending = 1
 			in.Jobs = []*Job{j}
 		}, "unmet j-1 1"},
-		{"one zone for all tasks", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 2), box("b1", 4)}
-			in.Jobs = []*Job{job("j-1", 4, 1, func(s *jobs.Spec) { s.OneZone = true })}
+		{"one zone for all tasks", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 2), newMachine("b1", 4)}
+			in.Jobs = []*Job{newJob("j-1", 4, 1, func(s *jobs.Spec) { s.OneZone = true })}
 		}, "j-1/0>a1 j-1/1>a1 unmet j-1 2"},
-		{"types, zone and spot as allowed", func(in *picture) {
-			in.Machines = []*Machine{box("sa1", 4), box("b1", 4), box("a1", 4)}
+		{"types, zone and spot as allowed", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("sa1", 4), newMachine("b1", 4), newMachine("a1", 4)}
 			in.Jobs = []*Job{
-				job("j-1", 1, 1, func(s *jobs.Spec) { s.Spot, s.Zone = false, "a" }),
-				job("j-2", 1, 1, func(s *jobs.Spec) { s.Types = []string{"g8"} }),
+				newJob("j-1", 1, 1, func(s *jobs.Spec) { s.Spot, s.Zone = false, "a" }),
+				newJob("j-2", 1, 1, func(s *jobs.Spec) { s.Types = []string{"g8"} }),
 			}
 		}, "j-1/0>a1 unmet j-2 1"},
-		{"no time to begin twice: on spot only where nothing else has room", func(in *picture) {
-			in.Machines = []*Machine{box("sa1", 2), box("b1", 4)}
-			j := job("j-1", 3, 2, nil)
+		{"no time to begin twice: on spot only where nothing else has room", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("sa1", 2), newMachine("b1", 4)}
+			j := newJob("j-1", 3, 2, nil)
 			j.NoTimeToRestart = true
 			in.Jobs = []*Job{j}
 		}, "j-1/0>b1 j-1/1>b1 j-1/2>sa1"},
-		{"of two that wait alike, the one whose image a machine has", func(in *picture) {
-			m := box("a1", 4)
+		{"of two that wait alike, the one whose image a machine has", func(in *scenario) {
+			m := newMachine("a1", 4)
 			m.Images["b"] = true
 			in.Machines = []*Machine{m}
 			image := func(name string) func(*jobs.Spec) { return func(s *jobs.Spec) { s.Image = name } }
-			in.Jobs = []*Job{job("j-1", 1, 4, image("a")), job("j-2", 1, 4, image("b"))}
+			in.Jobs = []*Job{newJob("j-1", 1, 4, image("a")), newJob("j-2", 1, 4, image("b"))}
 		}, "j-2/0>a1 unmet j-1 1"},
-		{"but never before what is more important", func(in *picture) {
-			m := box("a1", 4)
+		{"but never before what is more important", func(in *scenario) {
+			m := newMachine("a1", 4)
 			m.Images["b"] = true
 			in.Machines = []*Machine{m}
-			first, second := job("j-1", 1, 4, func(s *jobs.Spec) { s.Image = "a" }), job("j-2", 1, 4, func(s *jobs.Spec) { s.Image = "b" })
+			first, second := newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Image = "a" }), newJob("j-2", 1, 4, func(s *jobs.Spec) { s.Image = "b" })
 			first.Guaranteed = true
 			in.Jobs = []*Job{second, first}
 		}, "j-1/0>a1 unmet j-2 1"},
-		{"the team's limit stops placing and asking", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 4), box("a2", 4), box("a3", 4)}
+		{"the team's limit stops placing and asking", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 4), newMachine("a3", 4)}
 			in.UsedByTeam["red"] = Resources{CPUs: 6}
-			in.Jobs = []*Job{job("j-1", 5, 1, nil)}
+			in.Jobs = []*Job{newJob("j-1", 5, 1, nil)}
 		}, "j-1/0>a1 j-1/1>a1"},
-		{"production before age, the guarantee before priority", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 1), box("a2", 1)}
-			old := job("j-1", 1, 1, func(s *jobs.Spec) { s.Priority = jobs.Urgent })
-			covered := job("j-2", 1, 1, nil)
+		{"production before age, the guarantee before priority", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
+			old := newJob("j-1", 1, 1, func(s *jobs.Spec) { s.Priority = jobs.Urgent })
+			covered := newJob("j-2", 1, 1, nil)
 			covered.Guaranteed, covered.AcceptanceOrder = true, 5
-			live := job("j-3", 1, 1, prod)
+			live := newJob("j-3", 1, 1, prod)
 			live.AcceptanceOrder = 9
 			in.Jobs = []*Job{old, covered, live}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
-		{"in an overload the small job first, and the lost cause last", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 1), box("a2", 1)}
-			lost, large, small := job("j-1", 1, 1, nil), job("j-2", 1, 1, nil), job("j-3", 1, 1, nil)
+		{"in an overload the small job first, and the lost cause last", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
+			lost, large, small := newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, nil), newJob("j-3", 1, 1, nil)
 			lost.DeadlineS, lost.RemainingCPUS = DeadlineMissed, 1
 			large.DeadlineS, large.RemainingCPUS = 50, 900
 			small.DeadlineS, small.RemainingCPUS = 60, 30
 			in.Jobs = []*Job{lost, large, small}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
-		{"higher priority stops lower, that which has run least", func(in *picture) {
-			m := box("a1", 4)
-			low := job("j-1", 4, 1, nil)
+		{"higher priority stops lower, that which has run least", func(in *scenario) {
+			m := newMachine("a1", 4)
+			low := newJob("j-1", 4, 1, nil)
 			for n := range 4 {
 				running(m, low, n, float64(10*(n+1)))
 			}
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-2", 1, 2, prod)}
+			in.Jobs = []*Job{newJob("j-2", 1, 2, prod)}
 		}, "end j-1/0@a1 end j-1/1@a1"},
-		{"but not what had waited too long, unless for production", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
+		{"but not what had waited too long, unless for production", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
 			m.Tasks[0].Starved = true
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-2", 1, 4, nil), job("j-3", 1, 2, prod)}
+			in.Jobs = []*Job{newJob("j-2", 1, 4, nil), newJob("j-3", 1, 2, prod)}
 		}, "end j-1/0@a1 unmet j-2 1"},
-		{"for other work it may save first", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
+		{"for other work it may save first", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-2", 1, 4, nil)}
+			in.Jobs = []*Job{newJob("j-2", 1, 4, nil)}
 		}, "stop j-1/0@a1"},
-		{"equal priority of the same team is left alone", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, nil), 0, 1)
+		{"equal priority of the same team is left alone", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, nil), 0, 1)
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-2", 1, 2, nil)}
+			in.Jobs = []*Job{newJob("j-2", 1, 2, nil)}
 		}, "unmet j-2 1"},
-		{"a guarantee takes back what another team has borrowed", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
+		{"a guarantee takes back what another team has borrowed", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
-			j := job("j-2", 1, 2, nil)
+			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "stop j-1/0@a1"},
-		{"but not while room may come by itself in time", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
+		{"but not while room may come by itself in time", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
-			j := job("j-2", 1, 2, nil)
+			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed, j.ReclaimDeferred = true, true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
-		{"but no production service", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority, s.Shape = "blue", jobs.Prod, jobs.Service }), 0, 1)
+		{"but no production service", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority, s.Shape = "blue", jobs.Prod, jobs.Service }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
-			j := job("j-2", 1, 2, nil)
+			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
-		{"but not what is the other's own", func(in *picture) {
-			m := box("a1", 4)
-			running(m, job("j-1", 1, 4, func(s *jobs.Spec) { s.Team = "blue" }), 0, 1)
+		{"but not what is the other's own", func(in *scenario) {
+			m := newMachine("a1", 4)
+			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team = "blue" }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 4}
-			j := job("j-2", 1, 2, nil)
+			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
-		{"room that is being made is waited for, and kept from others", func(in *picture) {
-			m := box("a1", 1)
+		{"room that is being made is waited for, and kept from others", func(in *scenario) {
+			m := newMachine("a1", 1)
 			m.Releasing = Resources{CPUs: 3, RAMGB: 3}
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-2", 1, 4, prod), job("j-3", 1, 1, nil)}
+			in.Jobs = []*Job{newJob("j-2", 1, 4, prod), newJob("j-3", 1, 1, nil)}
 		}, "unmet j-3 1"},
-		{"a slow machine is for services only", func(in *picture) {
-			m := box("a1", 4)
+		{"a slow machine is for services only", func(in *scenario) {
+			m := newMachine("a1", 4)
 			m.Straggler = true
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-1", 1, 1, nil), job("j-2", 1, 1, prod)}
+			in.Jobs = []*Job{newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
-		{"a machine that a job should avoid", func(in *picture) {
-			m := box("a1", 4)
+		{"a machine that a job should avoid", func(in *scenario) {
+			m := newMachine("a1", 4)
 			m.AvoidJobs["j-1"] = true
 			in.Machines = []*Machine{m}
-			in.Jobs = []*Job{job("j-1", 1, 1, nil)}
+			in.Jobs = []*Job{newJob("j-1", 1, 1, nil)}
 		}, "unmet j-1 1"},
-		{"what got nothing for too long goes before what a guarantee covers, for a few tasks", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 1), box("a2", 1), box("a3", 1)}
-			poor := job("j-1", 4, 1, func(s *jobs.Spec) { s.Priority = jobs.BestEffort })
+		{"what got nothing for too long goes before what a guarantee covers, for a few tasks", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1), newMachine("a3", 1)}
+			poor := newJob("j-1", 4, 1, func(s *jobs.Spec) { s.Priority = jobs.BestEffort })
 			poor.StarvedTasks, poor.AcceptanceOrder = 1, 9
-			covered := job("j-2", 3, 1, nil)
+			covered := newJob("j-2", 3, 1, nil)
 			covered.Guaranteed = true
 			in.Jobs = []*Job{covered, poor}
 		}, "j-1/0>a1 j-2/0>a2 j-2/1>a3 unmet j-2 1 unmet j-1 3"},
-		{"but production goes before it", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 1)}
-			poor := job("j-1", 1, 1, nil)
+		{"but production goes before it", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 1)}
+			poor := newJob("j-1", 1, 1, nil)
 			poor.StarvedTasks = 1
-			in.Jobs = []*Job{poor, job("j-2", 1, 1, prod)}
+			in.Jobs = []*Job{poor, newJob("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
-		{"a large task that waited too long gets a machine kept for it", func(in *picture) {
-			in.Machines = []*Machine{box("a1", 1), box("a2", 2)}
-			large := job("j-1", 1, 4, nil)
+		{"a large task that waited too long gets a machine kept for it", func(in *scenario) {
+			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 2)}
+			large := newJob("j-1", 1, 4, nil)
 			large.StarvedTasks = 1
-			in.Jobs = []*Job{job("j-2", 4, 1, nil), large}
+			in.Jobs = []*Job{newJob("j-2", 4, 1, nil), large}
 		}, "j-2/0>a1 unmet j-2 3 unmet j-1 1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			in := picture{Input: Input{Teams: teams, UsedByTeam: map[string]Resources{}, Index: &CapacityIndex{}, LowestRank: 1}}
+			in := scenario{Input: Input{Teams: teams, UsedByTeam: map[string]Resources{}, Index: &CapacityIndex{}, LowestRank: 1}}
 			tc.setup(&in)
 			for _, m := range in.Machines {
 				in.Index.Insert(m)
@@ -367,11 +369,11 @@
 }
 
 // A plan is a proposal: it leaves the index as it was.
-func TestPlanLeavesTheShelves(t *testing.T) {
-	m := box("a1", 4)
+func TestPlanLeavesTheIndex(t *testing.T) {
+	m := newMachine("a1", 4)
 	index := &CapacityIndex{}
 	index.Insert(m)
-	Plan(Input{UsedByTeam: map[string]Resources{}, Index: index, Jobs: []*Job{job("j-1", 3, 1, nil)}})
+	Plan(Input{UsedByTeam: map[string]Resources{}, Index: index, Jobs: []*Job{newJob("j-1", 3, 1, nil)}})
 	if m.Free.CPUs != 4 {
 		t.Errorf("%v CPUs are free after a plan, not 4", m.Free.CPUs)
 	}
@@ -379,15 +381,15 @@
 
 // What a task costs to place must not grow with the fleet: most machines are
 // full, and they must not be looked at. Counted, not timed.
-func TestChoosingLooksAtFewMachines(t *testing.T) {
+func TestBestFitLooksAtFewMachines(t *testing.T) {
 	looked := func(machines int) (n int) {
 		index := &CapacityIndex{}
 		for i := range machines {
-			m := box(fmt.Sprintf("a%d", i), 0.5)
+			m := newMachine(fmt.Sprintf("a%d", i), 0.5)
 			m.AvoidJobs = nil
 			index.Insert(m)
 		}
-		index.Insert(box("b1", 4))
+		index.Insert(newMachine("b1", 4))
 		for _, k := range index.pools {
 			k.eachWithCPUs(Resources{CPUs: 1}, func(*Machine) bool { n++; return true })
 		}
@@ -399,9 +401,9 @@
 }
 
 // A job is within the guarantee together with the team's earlier jobs.
-func TestGuarantees(t *testing.T) {
+func TestMarkGuaranteed(t *testing.T) {
 	teams := []settings.Team{{Name: "red", CPUs: 4}, {Name: "blue"}}
-	all := []*Job{job("j-1", 2, 1, nil), job("j-2", 3, 1, nil), job("j-3", 2, 1, nil), job("j-4", 1, 1, func(s *jobs.Spec) { s.Team = "blue" })}
+	all := []*Job{newJob("j-1", 2, 1, nil), newJob("j-2", 3, 1, nil), newJob("j-3", 2, 1, nil), newJob("j-4", 1, 1, func(s *jobs.Spec) { s.Team = "blue" })}
 	MarkGuaranteed(teams, all)
 	got := []bool{}
 	for _, j := range all {
