--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -1,80 +1,9 @@
-// Package liveness decides which machines are dead. It follows the article
-// that docs/design.md names: a machine that looks dead is called first, a
-// counter ahead of the picture holds all verdicts, and verdicts stop while
-// every zone looks dead. It does no I/O and reads no clock.
 package liveness
 
 import (
 	"time"
 )
 
-// Config holds the periods, all derived from the settings.
-type Config struct {
-	SuspectAfter       time.Duration // unheard for so long, a machine looks dead
-	LeaseExpiry        time.Duration // by then a worker has ended its tasks by itself
-	HoldTimeout        time.Duration // how long one floor holds all verdicts
-	VerdictInterval    time.Duration // between two verdicts in a zone of up to ZoneSize machines; larger ones have more in it
-	MachinesPerVerdict int
-	// A machine whose report is overdue, or of whose zone nobody is heard, is
-	// called before it has been silent for as long as SilentFor.
-	HeartbeatOverdue, GroupSuspectAfter time.Duration
-	// Importance tells how much depends on a machine: the more, the earlier its turn to
-	// be called and judged. Nil takes all for equal.
-	Importance func(id string) int
-}
-
-// HeartbeatSeq orders the messages of one worker.
-type HeartbeatSeq struct{ Session, Seq uint64 }
-
-// Before tells whether c is older than d.
-func (c HeartbeatSeq) Before(other HeartbeatSeq) bool {
-	return c.Session < other.Session || c.Session == other.Session && c.Seq < other.Seq
-}
-
-// Reason says why a machine was judged dead.
-type Reason string
-
-// The reasons of verdicts.
-const (
-	ProbeFailed       Reason = "call failed"
-	NoHeartbeatMissed Reason = "no report missed"
-	HeartbeatsLost    Reason = "reports stay away"
-)
-
-// Verdict is a confirmed death.
-type Verdict struct {
-	Machine string
-	Reason  Reason
-}
-
-type machine struct {
-	id             string
-	index          int // index into Watch.all
-	zone           *zone
-	lastHeartbeat  time.Time    // when its last report came
-	newestSeq      HeartbeatSeq // of the newest message seen
-	commandsSince  uint64       // calls sent since then: each raises the counter once
-	synced         bool         // has reported to this leader
-	probing        bool
-	probeNotBefore time.Time    // one answer is enough for a while
-	deathReason    Reason       // set: dead, the verdict awaits its turn
-	confirmedAt    time.Time    // when it was confirmed
-	dead           bool         // the verdict is out
-	watermark      HeartbeatSeq // set: the report that ends the hold
-	holdExpires    time.Time    // a floor holds no longer than this
-	lagging        bool         // a hold ran out on it; it may not cause another
-	suspected      bool         // there are signs that it is gone: it is called before it falls silent
-	unreachable    bool         // its reports arrive, but it does not hear us
-}
-
-// zone is what the machines of one zone have in common.
-type zone struct {
-	machineCount  int             // in the picture
-	lastHeartbeat time.Time       // the last report of any machine that was in it
-	silentSince   time.Time       // set while nobody of it is heard
-	limiter       *verdictLimiter // of its verdicts; nil before the first
-}
-
 // Detector keeps the picture of all machines. One goroutine owns it.
 type Detector struct {
 	cfg            Config
--- a/internal/liveness/silence.go
+++ b/internal/liveness/silence.go
@@ -21,9 +21,6 @@
 	return false
 }
 
-// FullDisruption tells whether every zone looks dead.
-func (w *Detector) FullDisruption() bool { return w.fullDisruption }
-
 func (w *Detector) isSilent(m *machine, now time.Time) bool {
 	limit := w.cfg.SuspectAfter
 	if !m.synced {
--- a/internal/liveness/verdict_limiter.go
+++ b/internal/liveness/verdict_limiter.go
@@ -42,3 +42,14 @@
 	}
 	p.limiter = next
 }
+
+// limiterOf returns a zone's pacer. The share of a zone that may be given up in a
+// given time is much the same, however large it is.
+func (w *Detector) limiterOf(z *zone, now time.Time) *verdictLimiter {
+	verdicts := max(1, z.machineCount/max(1, w.cfg.MachinesPerVerdict))
+	if z.limiter == nil {
+		z.limiter = newVerdictLimiter(verdicts, w.cfg.VerdictInterval)
+	}
+	z.limiter.setRate(verdicts, w.cfg.VerdictInterval, now)
+	return z.limiter
+}
