--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -4,133 +4,146 @@
 	"time"
 )
 
-// Detector keeps the picture of all machines. One goroutine owns it.
+// Detector knows all machines that take work, and decides which are dead. One goroutine owns
+// it. Its caller reports heartbeats, commands and the outcomes of probes, and calls Tick every
+// few hundred milliseconds. Methods given the id of an unknown machine do nothing.
 type Detector struct {
 	cfg            Config
 	byID           map[string]*machine
-	machines       []*machine // the same: each tick goes through them
+	machines       []*machine // the same machines: a tick goes through all of them
 	zones          map[string]*zone
 	fullDisruption bool
-	lastHeartbeat  time.Time // the last report of any machine
+	lastHeartbeat  time.Time // of any machine
 }
 
-// New makes an empty picture.
+// New makes a detector that knows no machine.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg, byID: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
-func (w *Detector) zoneNamed(name string) *zone {
-	found := w.zones[name]
-	if found == nil {
-		found = &zone{}
-		w.zones[name] = found
-	}
-	return found
-}
-
-func (w *Detector) add(id, zone string) *machine {
-	m := &machine{id: id, index: len(w.machines), zone: w.zoneNamed(zone)}
-	m.zone.machineCount++
-	w.byID[id] = m
-	w.machines = append(w.machines, m)
-	return m
-}
-
-func (w *Detector) moveToZone(m *machine, z *zone) {
-	m.zone.machineCount--
-	m.zone = z
-	z.machineCount++
-}
-
-// Restore adds a machine that an earlier leader knew. It is unsynced: until it
-// reports, or until its lease must have run out, nothing is judged.
-func (w *Detector) Restore(id, zone string, now time.Time) {
-	if _, ok := w.byID[id]; !ok {
-		w.add(id, zone).lastHeartbeat = now
+// Restore adds a machine that an earlier leader knew. It has not reported to this leader: it
+// becomes suspect only when its worker's lease must have expired.
+func (d *Detector) Restore(id, zone string, now time.Time) {
+	if _, ok := d.byID[id]; !ok {
+		d.add(id, zone).lastHeartbeat = now
 	}
 }
 
 // Forget drops a machine that is gone.
-func (w *Detector) Forget(id string) {
-	m := w.byID[id]
+func (d *Detector) Forget(id string) {
+	m := d.byID[id]
 	if m == nil {
 		return
 	}
 	m.zone.machineCount--
-	delete(w.byID, id)
-	last := w.machines[len(w.machines)-1]
-	w.machines[m.index], last.index = last, m.index
-	w.machines = w.machines[:len(w.machines)-1]
+	delete(d.byID, id)
+	last := d.machines[len(d.machines)-1]
+	d.machines[m.index], last.index = last, m.index
+	d.machines = d.machines[:len(d.machines)-1]
 }
 
-// Heartbeat takes in a report. Old copies that were held up on the way change
-// nothing: they do not show that the machine is alive now.
-func (w *Detector) Heartbeat(id, zone string, seq HeartbeatSeq, now time.Time) {
-	reporter := w.byID[id]
-	if reporter == nil {
-		reporter = w.add(id, zone)
-	} else if reporter.synced && !reporter.newestSeq.Before(seq) {
+// Heartbeat takes in a heartbeat, of a machine that may be new or in another zone than before.
+// A copy that was held up on the way changes nothing: it does not show that the machine is
+// alive now.
+func (d *Detector) Heartbeat(id, zone string, seq HeartbeatSeq, now time.Time) {
+	m := d.byID[id]
+	if m == nil {
+		m = d.add(id, zone)
+	} else if m.synced && !m.newestSeq.Before(seq) {
 		return
 	}
-	if reporter.watermark != (HeartbeatSeq{}) && !seq.Before(reporter.watermark) {
-		reporter.watermark = HeartbeatSeq{}
+	if m.hasWatermark() && !seq.Before(m.watermark) {
+		m.watermark = HeartbeatSeq{}
 	}
-	if current := w.zoneNamed(zone); current != reporter.zone {
-		w.moveToZone(reporter, current)
+	if current := d.zoneNamed(zone); current != m.zone {
+		moveToZone(m, current)
 	}
-	reporter.lastHeartbeat, reporter.newestSeq, reporter.commandsSince = now, seq, 0
-	w.lastHeartbeat = now
-	reporter.zone.lastHeartbeat, reporter.zone.silentSince = now, time.Time{}
-	reporter.synced, reporter.lagging, reporter.suspected = true, false, false
-	if !reporter.unreachable {
-		reporter.dead, reporter.deathReason = false, ""
+	m.lastHeartbeat, m.newestSeq, m.commandsSince = now, seq, 0
+	d.lastHeartbeat = now
+	m.zone.lastHeartbeat, m.zone.silentSince = now, time.Time{}
+	m.synced, m.lagging, m.suspected = true, false, false
+	if !m.unreachable {
+		m.revoke()
 	}
-	if w.fullDisruption {
-		w.endDisruption(now)
+	if d.fullDisruption {
+		d.endDisruption(now)
 	}
 }
 
-// CommandAnswered takes in a worker's answer to an order: a newer picture, but no
-// report, so that the machine is not heard by it.
-func (w *Detector) CommandAnswered(id string, seq HeartbeatSeq) {
-	if m := w.byID[id]; m != nil && m.newestSeq.Before(seq) {
-		m.newestSeq, m.commandsSince = seq, 0
+// CommandSent notes that a command was sent: if it arrives, it raises the worker's counter,
+// whether or not the answer arrives here.
+func (d *Detector) CommandSent(id string) {
+	if m := d.byID[id]; m != nil {
+		m.commandsSince++
 	}
 }
 
-// CommandSent notes that an order was sent: if it arrives, it raises the counter,
-// whether or not its answer does.
-func (w *Detector) CommandSent(id string) {
-	if m := w.byID[id]; m != nil {
-		m.commandsSince++
+// CommandAnswered takes in the counter in a worker's answer to a command. An answer is no
+// heartbeat: a worker that answers but sends none that arrive becomes suspect all the same.
+func (d *Detector) CommandAnswered(id string, seq HeartbeatSeq) {
+	if m := d.byID[id]; m != nil {
+		m.advance(seq)
 	}
 }
 
-// Suspect takes in a sign that a machine is gone, such as that the cloud lists it
-// no more. It is called at once; only a call that fails confirms anything.
-func (w *Detector) Suspect(id string) {
-	if m := w.byID[id]; m != nil && m.synced {
+// Suspect takes in a sign that a machine is gone, such as that the cloud no longer lists it. It
+// is probed at the next tick; only the probe can confirm its death.
+func (d *Detector) Suspect(id string) {
+	if m := d.byID[id]; m != nil && m.synced {
 		m.suspected = true
 	}
 }
 
-// MarkUnreachable takes in that a machine's reports arrive but our answers do not. It does
-// not look healthy by its reports any more, until something reaches it again.
-func (w *Detector) MarkUnreachable(id string) {
-	if m := w.byID[id]; m != nil {
+// MarkUnreachable takes in that a machine's heartbeats arrive, but that our answers do not
+// reach it. Heartbeats do not make it alive any more, until MarkReachable.
+func (d *Detector) MarkUnreachable(id string) {
+	if m := d.byID[id]; m != nil {
 		m.unreachable = true
 	}
 }
 
-// MarkReachable takes in that something has reached a machine.
-func (w *Detector) MarkReachable(id string) {
-	if m := w.byID[id]; m != nil && m.unreachable {
-		m.unreachable, m.dead, m.deathReason = false, false, ""
+// MarkReachable takes in that an answer or a command has reached a machine.
+func (d *Detector) MarkReachable(id string) {
+	if m := d.byID[id]; m != nil && m.unreachable {
+		m.unreachable = false
+		m.revoke()
 	}
 }
 
-// IsDead tells whether a machine's death has been decided.
-func (w *Detector) IsDead(id string) bool {
-	m := w.byID[id]
+// IsDead tells whether the verdict on a machine was given, and not revoked by a heartbeat.
+func (d *Detector) IsDead(id string) bool {
+	m := d.byID[id]
 	return m != nil && m.dead
 }
+
+// Schedulable tells whether tasks may be placed on a machine: it has reported to this leader
+// and is neither suspect, dead nor lagging.
+func (d *Detector) Schedulable(id string, now time.Time) bool {
+	m := d.byID[id]
+	return m != nil && m.synced && !m.dead && !m.lagging && m.deathReason == "" && !d.isSuspect(m, now)
+}
+
+func (d *Detector) add(id, zone string) *machine {
+	m := &machine{id: id, index: len(d.machines), zone: d.zoneNamed(zone)}
+	m.zone.machineCount++
+	d.byID[id] = m
+	d.machines = append(d.machines, m)
+	return m
+}
+
+// zoneNamed returns a zone, which it adds if need be. Zones are never dropped: that one fell
+// silent is remembered when its last machine is gone.
+func (d *Detector) zoneNamed(name string) *zone {
+	found := d.zones[name]
+	if found == nil {
+		found = &zone{}
+		d.zones[name] = found
+	}
+	return found
+}
+
+func moveToZone(m *machine, z *zone) {
+	m.zone.machineCount--
+	m.zone = z
+	z.machineCount++
+}
--- a/internal/liveness/disruption.go
+++ b/internal/liveness/disruption.go
@@ -4,40 +4,51 @@
 	"time"
 )
 
-// FullDisruption tells whether every zone looks dead.
-func (w *Detector) FullDisruption() bool { return w.fullDisruption }
+// FullDisruption tells whether every zone is silent, so that there are no verdicts.
+func (d *Detector) FullDisruption() bool { return d.fullDisruption }
 
-// areAllSilent tells whether every machine of every zone looks dead.
-func (w *Detector) areAllSilent(now time.Time) bool {
-	if len(w.machines) == 0 {
-		return false
+// detectDisruption notes when all zones, or single ones, have fallen silent.
+func (d *Detector) detectDisruption(now time.Time) {
+	if !d.fullDisruption && (d.areAllSilent(now) || d.isGroupSilent(len(d.machines), d.lastHeartbeat, now)) {
+		d.fullDisruption = true
+		d.setVerdictRates(1, 0, now)
 	}
-	for _, m := range w.machines {
-		if !w.isSilent(m, now) {
+	for _, z := range d.zones {
+		if z.silentSince.IsZero() && d.isGroupSilent(z.machineCount, z.lastHeartbeat, now) {
+			z.silentSince = now
+		}
+	}
+}
+
+// areAllSilent tells whether there are machines, and all of them are silent.
+func (d *Detector) areAllSilent(now time.Time) bool {
+	for _, m := range d.machines {
+		if !d.isSilent(m, now) {
 			return false
 		}
 	}
-	return true
+	return len(d.machines) > 0
 }
 
-// endDisruption starts afresh: what was silent for lack of any connection
-// must not look dead at once.
-func (w *Detector) endDisruption(now time.Time) {
-	w.fullDisruption = false
-	for _, z := range w.zones {
-		if !z.lastHeartbeat.IsZero() { // nothing was ever heard of the others
+// endDisruption gives all machines a fresh start: what was silent for lack of any connection
+// must not be suspect at once.
+func (d *Detector) endDisruption(now time.Time) {
+	d.fullDisruption = false
+	for _, z := range d.zones {
+		if !z.lastHeartbeat.IsZero() { // a zone that never sent one cannot fall silent
 			z.lastHeartbeat = now
 		}
 	}
-	for _, member := range w.machines {
-		member.lastHeartbeat, member.deathReason, member.suspected = now, "", false
+	for _, m := range d.machines {
+		m.lastHeartbeat, m.deathReason, m.suspected = now, "", false
 	}
-	w.setRateOfAllZones(1, w.cfg.VerdictInterval, now) // and to the pace of its size with the next verdict
+	// limiterOf sets the rate by the zone's size at its next verdict.
+	d.setVerdictRates(1, d.cfg.VerdictInterval, now)
 }
 
-// setRateOfAllZones changes the pace of all zones that have had a verdict.
-func (w *Detector) setRateOfAllZones(verdicts int, interval time.Duration, now time.Time) {
-	for _, z := range w.zones {
+// setVerdictRates changes the rate limit of all zones that have had a verdict.
+func (d *Detector) setVerdictRates(verdicts int, interval time.Duration, now time.Time) {
+	for _, z := range d.zones {
 		if z.limiter != nil {
 			z.limiter.setRate(verdicts, interval, now)
 		}
--- a/internal/liveness/heartbeat_seq.go
+++ b/internal/liveness/heartbeat_seq.go
@@ -1,9 +1,10 @@
 package liveness
 
-// HeartbeatSeq orders the messages of one worker.
+// HeartbeatSeq orders the messages of one worker: by its sessions, and within a session by a
+// counter that each heartbeat and each command raises by one.
 type HeartbeatSeq struct{ Session, Seq uint64 }
 
-// Before tells whether c is older than d.
-func (c HeartbeatSeq) Before(other HeartbeatSeq) bool {
-	return c.Session < other.Session || c.Session == other.Session && c.Seq < other.Seq
+// Before tells whether s is older than other.
+func (s HeartbeatSeq) Before(other HeartbeatSeq) bool {
+	return s.Session < other.Session || s.Session == other.Session && s.Seq < other.Seq
 }
--- a/internal/liveness/probe.go
+++ b/internal/liveness/probe.go
@@ -4,60 +4,61 @@
 	"time"
 )
 
-// ProbeNotSent takes in that a call failed for the caller's own want of something: it says
-// nothing of the machine. It is made again a little later.
-func (w *Detector) ProbeNotSent(id string, now time.Time) {
-	if m := w.byID[id]; m != nil && m.probing {
+// ProbeNotSent takes in that a probe failed for want of something at the caller: it says
+// nothing of the machine, and is made again a little later.
+func (d *Detector) ProbeNotSent(id string, now time.Time) {
+	if m := d.byID[id]; m != nil && m.probing {
 		m.probing = false
-		m.probeNotBefore = now.Add(w.cfg.HoldTimeout / 4)
+		m.probeNotBefore = now.Add(d.cfg.HoldTimeout / 4)
 	}
 }
 
-// ProbeDone takes in the outcome of a call that Tick asked for.
-func (w *Detector) ProbeDone(id string, answered bool, seq HeartbeatSeq, now time.Time) {
-	target := w.byID[id]
-	if target == nil || !target.probing {
+// ProbeDone takes in the outcome of a probe that Tick asked for, and the counter in its answer,
+// if there was one.
+func (d *Detector) ProbeDone(id string, answered bool, seq HeartbeatSeq, now time.Time) {
+	m := d.byID[id]
+	if m == nil || !m.probing {
 		return
 	}
-	target.probing = false
-	if !w.needsProbe(target, now) {
-		return // it reported meanwhile
+	m.probing = false
+	if !d.isSuspect(m, now) {
+		return // a heartbeat came meanwhile
 	}
 	if !answered {
-		target.watermark = HeartbeatSeq{}
-		target.deathReason, target.confirmedAt = ProbeFailed, now
+		m.watermark = HeartbeatSeq{} // no heartbeat will come that it could wait for
+		m.confirmDeath(ProbeFailed, now)
 		return
 	}
-	target.suspected = false
-	w.MarkReachable(id)
-	if !w.isSilent(target, now) {
-		if target.newestSeq.Before(seq) {
-			target.newestSeq, target.commandsSince = seq, 0
-		}
-		target.probeNotBefore = now.Add(w.cfg.HoldTimeout / 2)
-		return // alive, whatever the signs were
-	}
-	// Each call of ours that arrived raised the counter by one, this one too.
-	// What is beyond them are reports that we have missed: our picture lags,
-	// and it may lag for every machine.
-	expected := HeartbeatSeq{target.newestSeq.Session, target.newestSeq.Seq + target.commandsSince}
-	ahead := target.synced && expected.Before(seq)
-	// The answer is a newer picture, so that our next calls are counted from
-	// it. The floor is the last report before it, set once for a hold: were it
-	// raised by our own calls, the hold would feed itself.
-	if target.newestSeq.Before(seq) {
-		target.newestSeq, target.commandsSince = seq, 0
+	m.suspected = false
+	d.MarkReachable(id)
+	if !d.isSilent(m, now) {
+		m.advance(seq)
+		m.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
+		return // alive, whatever the sign against it was
 	}
+	d.judgeSilentWorker(m, seq, now)
+}
+
+// judgeSilentWorker decides about a worker that answers with a counter, but whose heartbeats
+// do not arrive.
+func (d *Detector) judgeSilentWorker(m *machine, seq HeartbeatSeq, now time.Time) {
+	// Each of our commands that arrived has raised the counter by one, this probe too. What
+	// is beyond them are heartbeats that we have missed.
+	expected := HeartbeatSeq{m.newestSeq.Session, m.newestSeq.Seq + m.commandsSince}
+	heartbeatsMissed := m.synced && expected.Before(seq)
+	m.advance(seq)
 	switch {
-	case ahead && !target.lagging:
-		if target.watermark == (HeartbeatSeq{}) {
-			target.watermark = seq
-			target.holdExpires = now.Add(w.cfg.HoldTimeout)
+	case heartbeatsMissed && !m.lagging:
+		// The watermark is set once for a hold: raised by the answer to each probe, which the
+		// probe itself has raised, the hold would never end.
+		if !m.hasWatermark() {
+			m.watermark = seq
+			m.holdExpires = now.Add(d.cfg.HoldTimeout)
 		}
-		target.probeNotBefore = now.Add(w.cfg.HoldTimeout / 2)
-	case target.lagging:
-		target.deathReason, target.confirmedAt = HeartbeatsLost, now
+		m.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
+	case m.lagging:
+		m.confirmDeath(HeartbeatsLost, now)
 	default:
-		target.deathReason, target.confirmedAt = NoHeartbeatMissed, now
+		m.confirmDeath(NoHeartbeatMissed, now)
 	}
 }
--- a/internal/liveness/silence.go
+++ b/internal/liveness/silence.go
@@ -4,55 +4,45 @@
 	"time"
 )
 
-// Schedulable tells whether work may go to a machine: it has reported to this
-// leader and is neither silent, dead nor lagging.
-func (w *Detector) Schedulable(id string, now time.Time) bool {
-	m := w.byID[id]
-	return m != nil && m.synced && !m.dead && !m.lagging && m.deathReason == "" && !w.needsProbe(m, now)
+// isSuspect tells whether a machine is to be probed, and stays to be judged.
+func (d *Detector) isSuspect(m *machine, now time.Time) bool {
+	return m.suspected || m.unreachable || d.isSilent(m, now)
 }
 
-// VerdictsOnHold tells whether a floor holds all verdicts.
-func (w *Detector) VerdictsOnHold(now time.Time) bool {
-	for _, m := range w.machines {
-		if m.watermark != (HeartbeatSeq{}) && now.Before(m.holdExpires) {
-			return true
-		}
-	}
-	return false
-}
-
-func (w *Detector) isSilent(m *machine, now time.Time) bool {
-	limit := w.cfg.SuspectAfter
+// isSilent tells whether a machine's heartbeats have been missing for so long that it may be
+// judged dead.
+func (d *Detector) isSilent(m *machine, now time.Time) bool {
+	limit := d.cfg.SuspectAfter
 	if !m.synced {
-		limit = w.cfg.LeaseExpiry
+		limit = d.cfg.LeaseExpiry
 	}
 	return now.Sub(m.lastHeartbeat) > limit
 }
 
-// needsProbe tells whether a machine is to be called.
-func (w *Detector) needsProbe(m *machine, now time.Time) bool {
-	return m.suspected || m.unreachable || w.isSilent(m, now)
+// missedHeartbeat tells whether a heartbeat that should have come did not, or none from the
+// whole zone. That is reason enough for a probe, and for nothing else.
+func (d *Detector) missedHeartbeat(m *machine, now time.Time) bool {
+	if !m.synced {
+		return false
+	}
+	overdue := d.cfg.HeartbeatOverdue > 0 && now.Sub(m.lastHeartbeat) > d.cfg.HeartbeatOverdue
+	return overdue || d.isGroupSilent(m.zone.machineCount, m.zone.lastHeartbeat, now)
 }
 
-// minGroupSize is how many machines a zone needs for its silence to say more than
-// that of each: the periods of a few may fall together.
+// minGroupSize is how many machines a group needs for its silence to say more than that of
+// each: those of a few may happen to fall together.
 const minGroupSize = 4
 
-// isGroupSilent tells whether so many machines have been unheard for so long that what
-// lies between them and us, or all of them, must be gone.
-func (w *Detector) isGroupSilent(size int, lastHeartbeat, now time.Time) bool {
-	return w.cfg.GroupSuspectAfter > 0 && size >= minGroupSize && !lastHeartbeat.IsZero() && now.Sub(lastHeartbeat) > w.cfg.GroupSuspectAfter
-}
-
-// ZoneFellSilent tells whether a zone fell silent within the last while and nobody in it
-// has been heard since, even if all its machines were given back.
-func (w *Detector) ZoneFellSilent(zone string, now time.Time, within time.Duration) bool {
-	group := w.zones[zone]
-	return group != nil && !group.silentSince.IsZero() && now.Sub(group.silentSince) < within
+// isGroupSilent tells whether a group of machines has been silent for so long that a common
+// cause is likely: all of them are gone, or what connects them to this leader is.
+func (d *Detector) isGroupSilent(size int, lastHeartbeat, now time.Time) bool {
+	return d.cfg.GroupSuspectAfter > 0 && size >= minGroupSize && !lastHeartbeat.IsZero() &&
+		now.Sub(lastHeartbeat) > d.cfg.GroupSuspectAfter
 }
 
-// missedHeartbeat tells whether a report that should have come did not. That alone says
-// little; the machine is called.
-func (w *Detector) missedHeartbeat(m *machine, now time.Time) bool {
-	return m.synced && (w.cfg.HeartbeatOverdue > 0 && now.Sub(m.lastHeartbeat) > w.cfg.HeartbeatOverdue || w.isGroupSilent(m.zone.machineCount, m.zone.lastHeartbeat, now))
+// ZoneFellSilent tells whether a zone fell silent as a whole within the given time, with no
+// heartbeat from it since, even if all its machines have been released meanwhile.
+func (d *Detector) ZoneFellSilent(zone string, now time.Time, within time.Duration) bool {
+	z := d.zones[zone]
+	return z != nil && !z.silentSince.IsZero() && now.Sub(z.silentSince) < within
 }
--- a/internal/liveness/tick.go
+++ b/internal/liveness/tick.go
@@ -9,82 +9,103 @@
 // Reason says why a machine was judged dead.
 type Reason string
 
-// The reasons of verdicts.
+// The reasons of verdicts. Operators know them by these texts.
 const (
-	ProbeFailed       Reason = "call failed"
+	// ProbeFailed: the worker did not answer.
+	ProbeFailed Reason = "call failed"
+	// NoHeartbeatMissed: the worker answers, but its counter shows that it has sent no
+	// heartbeat since the last that arrived.
 	NoHeartbeatMissed Reason = "no report missed"
-	HeartbeatsLost    Reason = "reports stay away"
+	// HeartbeatsLost: the worker answers and sends heartbeats, which have not arrived within a
+	// hold.
+	HeartbeatsLost Reason = "reports stay away"
 )
 
-// Verdict is a confirmed death.
+// Verdict is a machine's confirmed death.
 type Verdict struct {
 	Machine string
 	Reason  Reason
 }
 
-// Tick returns the machines to call now, as many as may be, and the verdicts to
-// carry out.
-func (w *Detector) Tick(now time.Time, maxProbes int) (probes []string, verdicts []Verdict) {
-	if !w.fullDisruption && (w.areAllSilent(now) || w.isGroupSilent(len(w.machines), w.lastHeartbeat, now)) {
-		w.fullDisruption = true
-		w.setRateOfAllZones(1, 0, now)
-	}
-	for _, group := range w.zones {
-		if group.silentSince.IsZero() && w.isGroupSilent(group.machineCount, group.lastHeartbeat, now) {
-			group.silentSince = now
+// Tick returns the machines to probe now, maxProbes at most, and the verdicts to carry out,
+// those first on which most depends. Each probe must be followed by a call of ProbeDone or
+// ProbeNotSent.
+func (d *Detector) Tick(now time.Time, maxProbes int) (probes []string, verdicts []Verdict) {
+	d.detectDisruption(now)
+	onHold := d.expireHolds(now)
+	suspects := d.suspects(now)
+	d.sortByImportance(suspects)
+	for _, id := range suspects {
+		m := d.byID[id]
+		switch {
+		case m.deathReason != "":
+			if !onHold && d.takeVerdictTurn(m, now) {
+				m.dead = true
+				verdicts = append(verdicts, Verdict{id, m.deathReason})
+			}
+		case len(probes) < maxProbes && !now.Before(m.probeNotBefore):
+			m.probing = true
+			m.commandsSince++
+			probes = append(probes, id)
 		}
 	}
-	held := false
-	var ids []string
-	for _, member := range w.machines {
-		member.suspected = member.suspected || w.missedHeartbeat(member, now)
-		if !member.dead && !member.probing && w.needsProbe(member, now) {
-			ids = append(ids, member.id)
-		}
-		if member.watermark == (HeartbeatSeq{}) {
-			continue
-		}
-		if now.Before(member.holdExpires) {
-			held = true
-			continue
+	return probes, verdicts
+}
+
+// expireHolds ends the holds that have lasted for long enough, and tells whether another one
+// is left.
+func (d *Detector) expireHolds(now time.Time) (onHold bool) {
+	for _, m := range d.machines {
+		switch {
+		case !m.hasWatermark():
+		case now.Before(m.holdExpires):
+			onHold = true
+		default:
+			// The heartbeat has had time enough: that it lags says nothing about other
+			// machines.
+			m.watermark, m.lagging = HeartbeatSeq{}, true
 		}
-		// The grace is over and the report never came: this machine's lag says
-		// nothing about the others, and it may not hold them up again.
-		member.watermark, member.lagging = HeartbeatSeq{}, true
 	}
-	w.sortByImportance(ids)
-	for _, id := range ids {
-		member := w.byID[id]
-		if member.deathReason == "" {
-			if now.Before(member.probeNotBefore) || len(probes) >= maxProbes {
-				continue
-			}
-			member.probing = true
-			member.commandsSince++
-			probes = append(probes, id)
-			continue
-		}
-		// A leader that has just lost its connection finds machine after machine
-		// silent before it finds all of them so. A report that comes after the
-		// confirmation shows that it still hears anything at all.
-		if held || w.fullDisruption || !w.lastHeartbeat.After(member.confirmedAt) || !w.limiterOf(member.zone, now).allow(now) {
-			continue
+	return onHold
+}
+
+// VerdictsOnHold tells whether a watermark holds all verdicts.
+func (d *Detector) VerdictsOnHold(now time.Time) bool {
+	return slices.ContainsFunc(d.machines, func(m *machine) bool {
+		return m.hasWatermark() && now.Before(m.holdExpires)
+	})
+}
+
+// suspects returns the machines that are to be probed or judged.
+func (d *Detector) suspects(now time.Time) (ids []string) {
+	for _, m := range d.machines {
+		m.suspected = m.suspected || d.missedHeartbeat(m, now)
+		if !m.dead && !m.probing && d.isSuspect(m, now) {
+			ids = append(ids, m.id)
 		}
-		member.dead = true
-		verdicts = append(verdicts, Verdict{id, member.deathReason})
 	}
-	return probes, verdicts
+	return ids
 }
 
-// sortByImportance puts the machines on which most depends first.
-func (w *Detector) sortByImportance(ids []string) {
-	weights := make(map[string]int, len(ids))
+// sortByImportance puts the machines on which most depends first, equal ones by their ids.
+func (d *Detector) sortByImportance(ids []string) {
+	importance := make(map[string]int, len(ids))
 	for _, id := range ids {
-		if w.cfg.Importance != nil {
-			weights[id] = w.cfg.Importance(id)
+		if d.cfg.Importance != nil {
+			importance[id] = d.cfg.Importance(id)
 		}
 	}
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(weights[b], weights[a]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(importance[b], importance[a]), cmp.Compare(a, b))
 	})
 }
+
+// takeVerdictTurn tells whether a verdict on a machine may be given now, and uses up a turn of
+// its zone's rate limit if so.
+//
+// A leader that has just lost its connection finds machine after machine silent before it finds
+// all of them silent. So a heartbeat of any machine has to follow the confirmation, as a proof
+// that this leader still receives some.
+func (d *Detector) takeVerdictTurn(m *machine, now time.Time) bool {
+	return !d.fullDisruption && d.lastHeartbeat.After(m.confirmedAt) && d.limiterOf(m.zone, now).allow(now)
+}
--- a/internal/liveness/verdict_limiter.go
+++ b/internal/liveness/verdict_limiter.go
@@ -6,50 +6,53 @@
 	"golang.org/x/time/rate"
 )
 
-// verdictLimiter lets through a number of verdicts per gap, never more at once than come
-// due in a part of it.
+// verdictLimiter is the rate limiter of a zone's verdicts: so many in an interval, and never
+// more at once than come due in a part of it.
 type verdictLimiter struct{ limiter *rate.Limiter }
 
-// burstShare is the part of a gap's verdicts that may come at once: decisions
-// are made a few times in a gap, and a large zone has many in each.
+// burstShare is the part of an interval's verdicts that may come at once: ticks come a few
+// times in an interval, and in a large zone many verdicts are due at each.
 const burstShare = 1.0 / 3
 
+// newVerdictLimiter makes a limiter that is ready for its first verdicts. No interval means no
+// verdicts but one.
+func newVerdictLimiter(verdicts int, interval time.Duration) *verdictLimiter {
+	return &verdictLimiter{newRateLimiter(verdicts, interval)}
+}
+
 func newRateLimiter(verdicts int, interval time.Duration) *rate.Limiter {
 	if interval <= 0 {
 		return rate.NewLimiter(0, 1)
 	}
-	return rate.NewLimiter(rate.Limit(float64(verdicts)/interval.Seconds()), max(1, int(burstShare*float64(verdicts))))
-}
-
-// newVerdictLimiter makes a pacer that is ready for its first verdicts.
-func newVerdictLimiter(verdicts int, interval time.Duration) *verdictLimiter {
-	return &verdictLimiter{newRateLimiter(verdicts, interval)}
+	burst := max(1, int(burstShare*float64(verdicts)))
+	return rate.NewLimiter(rate.Limit(float64(verdicts)/interval.Seconds()), burst)
 }
 
-// allow takes the turn for one verdict, if there is one.
-func (p *verdictLimiter) allow(now time.Time) bool { return p.limiter.AllowN(now, 1) }
+// allow tells whether one verdict may be given, and uses up its turn if so.
+func (l *verdictLimiter) allow(now time.Time) bool { return l.limiter.AllowN(now, 1) }
 
-// setRate changes the pace; no gap stops all verdicts. A pacer that was saturated
-// hands over no turns: full ones would let a burst through at each change.
-func (p *verdictLimiter) setRate(verdicts int, interval time.Duration, now time.Time) {
+// setRate changes the rate; no interval stops all verdicts. A limiter that has no turn left
+// begins the new rate without any: a full burst at each change of the rate would add up to
+// more than either rate allows.
+func (l *verdictLimiter) setRate(verdicts int, interval time.Duration, now time.Time) {
 	next := newRateLimiter(verdicts, interval)
-	if p.limiter.Limit() == next.Limit() {
+	if l.limiter.Limit() == next.Limit() {
 		return
 	}
-	saturated := !p.limiter.AllowN(now, 1)
-	if saturated || interval <= 0 {
+	exhausted := !l.limiter.AllowN(now, 1)
+	if exhausted || interval <= 0 {
 		next.AllowN(now, next.Burst())
 	}
-	p.limiter = next
+	l.limiter = next
 }
 
-// limiterOf returns a zone's pacer. The share of a zone that may be given up in a
-// given time is much the same, however large it is.
-func (w *Detector) limiterOf(z *zone, now time.Time) *verdictLimiter {
-	verdicts := max(1, z.machineCount/max(1, w.cfg.MachinesPerVerdict))
+// limiterOf returns a zone's limiter, set to the zone's present size: much the same share of a
+// zone may be judged dead in a given time, however large it is.
+func (d *Detector) limiterOf(z *zone, now time.Time) *verdictLimiter {
+	verdicts := max(1, z.machineCount/max(1, d.cfg.MachinesPerVerdict))
 	if z.limiter == nil {
-		z.limiter = newVerdictLimiter(verdicts, w.cfg.VerdictInterval)
+		z.limiter = newVerdictLimiter(verdicts, d.cfg.VerdictInterval)
 	}
-	z.limiter.setRate(verdicts, w.cfg.VerdictInterval, now)
+	z.limiter.setRate(verdicts, d.cfg.VerdictInterval, now)
 	return z.limiter
 }
