--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -1,7 +1,6 @@
 package liveness
 
 import (
-	"bufio"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,21 +12,24 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each trace is a short story in testdata: what happens, and behind each tick
-// what must come of it. Times are in seconds; the periods are those below.
+// Each trace in testdata tells what happens to machines and, behind each tick, what must come of
+// it. Times are in seconds; the timers are those below. (groups) in its comments switches on the
+// suspicion of whole zones.
 //
-//	0    heard m-1 a 1/5       a report, zone a, session 1, counter 5
-//	2    restore m-1 a         known from an earlier leader
-//	3    order m-1             an order was sent, its answer is lost
-//	3    answered m-1 1/7      an order's answer
-//	4    suspect m-1           there are signs that it is gone
-//	4    deaf m-1              it does not hear our answers
-//	4    weighs m-1 2          so much depends on it
-//	4    call m-1 failed       outcome of a call
-//	4    call m-1 1/6
-//	5    tick = call m-1; dead m-2 call failed; held; disrupted
+//	0    heartbeat m-1 a 1/5     zone a, session 1, counter 5
+//	2    restore m-1 a           known from an earlier leader
+//	3    command m-1             a command was sent, its answer is lost
+//	3    answered m-1 1/7        the counter in a command's answer
+//	4    suspect m-1             there is a sign that it is gone
+//	4    unreachable m-1         our answers do not reach it
+//	4    importance m-1 2        so much depends on it
+//	4    forget m-1              it was released
+//	4    probe m-1 failed        outcome of a probe
+//	4    probe m-1 1/6
+//	5    tick = probe m-1; dead m-2 call failed; on hold; full disruption; zone a is silent
 var traceConfig = Config{
-	SuspectAfter: 3 * time.Second, LeaseExpiry: 10 * time.Second, HoldTimeout: 4 * time.Second, VerdictInterval: time.Second, MachinesPerVerdict: 4,
+	SuspectAfter: 3 * time.Second, LeaseExpiry: 10 * time.Second, HoldTimeout: 4 * time.Second,
+	VerdictInterval: time.Second, MachinesPerVerdict: 4,
 }
 
 func TestTraces(t *testing.T) {
@@ -35,94 +37,117 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no traces: %v", err)
 	}
-	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".trace"), func(t *testing.T) { play(t, f) })
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { play(t, file) })
 	}
 }
 
 func play(t *testing.T, file string) {
-	in, err := os.Open(file)
+	t.Helper()
+	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
 	cfg := traceConfig
-	if raw, err := os.ReadFile(file); err != nil || strings.Contains(string(raw), "(dark)") {
-		cfg.GroupSuspectAfter = 2 * time.Second // elsewhere zones are too small for it to matter
+	if strings.Contains(string(raw), "(groups)") {
+		cfg.GroupSuspectAfter = 2 * time.Second
 	}
-	weights := map[string]int{}
-	cfg.Importance = func(id string) int { return weights[id] }
-	w := New(cfg)
+	importance := map[string]int{}
+	cfg.Importance = func(id string) int { return importance[id] }
+	player := tracePlayer{New(cfg), importance}
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	lines := bufio.NewScanner(in)
-	for n := 1; lines.Scan(); n++ {
-		line, _, _ := strings.Cut(lines.Text(), "#")
+	for i, line := range strings.Split(string(raw), "\n") {
+		line, _, _ = strings.Cut(line, "#")
 		event, want, _ := strings.Cut(line, "=")
-		f := strings.Fields(event)
-		if len(f) == 0 {
+		fields := strings.Fields(event)
+		if len(fields) == 0 {
 			continue
 		}
-		at, err := strconv.ParseFloat(f[0], 64)
+		where := fmt.Sprintf("%s:%d", file, i+1)
+		atS, err := strconv.ParseFloat(fields[0], 64)
 		if err != nil {
-			t.Fatalf("%s:%d: %v", file, n, err)
+			t.Fatalf("%s: %v", where, err)
 		}
-		now := start.Add(time.Duration(at * float64(time.Second)))
-		switch f[1] {
-		case "heard":
-			w.Heartbeat(f[2], f[3], parse(t, f[4]), now)
-		case "restore":
-			w.Restore(f[2], f[3], now)
-		case "order":
-			w.CommandSent(f[2])
-		case "answered":
-			w.CommandAnswered(f[2], parse(t, f[3]))
-		case "suspect":
-			w.Suspect(f[2])
-		case "deaf":
-			w.MarkUnreachable(f[2])
-		case "weighs":
-			weights[f[2]], _ = strconv.Atoi(f[3])
-		case "forget":
-			w.Forget(f[2])
-		case "call":
-			if f[3] == "failed" {
-				w.ProbeDone(f[2], false, HeartbeatSeq{}, now)
-			} else {
-				w.ProbeDone(f[2], true, parse(t, f[3]), now)
-			}
-		case "tick":
-			var got []string
-			calls, verdicts := w.Tick(now, 100)
-			for _, c := range calls {
-				got = append(got, "call "+c)
-			}
-			for _, v := range verdicts {
-				got = append(got, fmt.Sprintf("dead %s %s", v.Machine, v.Reason))
-			}
-			if w.VerdictsOnHold(now) {
-				got = append(got, "held")
-			}
-			if w.FullDisruption() {
-				got = append(got, "disrupted")
-			}
-			for _, zone := range []string{"a", "b"} {
-				if w.ZoneFellSilent(zone, now, 100*time.Second) {
-					got = append(got, "zone "+zone+" is dark")
-				}
-			}
-			if d := cmp.Diff(strings.TrimSpace(want), strings.Join(got, "; ")); d != "" {
-				t.Errorf("%s:%d (-want +got):\n%s", file, n, d)
-			}
-		default:
-			t.Fatalf("%s:%d: unknown event %q", file, n, f[1])
+		now := start.Add(time.Duration(atS * float64(time.Second)))
+		if fields[1] != "tick" {
+			player.event(t, where, fields[1], fields[2:], now)
+		} else if d := cmp.Diff(strings.TrimSpace(want), player.tick(now)); d != "" {
+			t.Errorf("%s (-want +got):\n%s", where, d)
 		}
 	}
 }
 
-func parse(t *testing.T, s string) HeartbeatSeq {
-	var c HeartbeatSeq
-	if _, err := fmt.Sscanf(s, "%d/%d", &c.Session, &c.Seq); err != nil {
-		t.Fatal(err)
+// tracePlayer plays the events of a trace to a detector.
+type tracePlayer struct {
+	detector   *Detector
+	importance map[string]int
+}
+
+// event plays any event but a tick.
+func (p *tracePlayer) event(t *testing.T, where, event string, args []string, now time.Time) {
+	t.Helper()
+	id := args[0]
+	switch event {
+	case "heartbeat":
+		p.detector.Heartbeat(id, args[1], parseSeq(t, where, args[2]), now)
+	case "restore":
+		p.detector.Restore(id, args[1], now)
+	case "command":
+		p.detector.CommandSent(id)
+	case "answered":
+		p.detector.CommandAnswered(id, parseSeq(t, where, args[1]))
+	case "suspect":
+		p.detector.Suspect(id)
+	case "unreachable":
+		p.detector.MarkUnreachable(id)
+	case "importance":
+		value, err := strconv.Atoi(args[1])
+		if err != nil {
+			t.Fatalf("%s: %v", where, err)
+		}
+		p.importance[id] = value
+	case "forget":
+		p.detector.Forget(id)
+	case "probe":
+		if args[1] == "failed" {
+			p.detector.ProbeDone(id, false, HeartbeatSeq{}, now)
+		} else {
+			p.detector.ProbeDone(id, true, parseSeq(t, where, args[1]), now)
+		}
+	default:
+		t.Fatalf("%s: unknown event %q", where, event)
+	}
+}
+
+// tick plays a tick and returns what came of it, as traces say it.
+func (p *tracePlayer) tick(now time.Time) string {
+	var got []string
+	probes, verdicts := p.detector.Tick(now, 100)
+	for _, id := range probes {
+		got = append(got, "probe "+id)
+	}
+	for _, v := range verdicts {
+		got = append(got, fmt.Sprintf("dead %s %s", v.Machine, v.Reason))
+	}
+	if p.detector.VerdictsOnHold(now) {
+		got = append(got, "on hold")
+	}
+	if p.detector.FullDisruption() {
+		got = append(got, "full disruption")
+	}
+	for _, zone := range []string{"a", "b"} {
+		if p.detector.ZoneFellSilent(zone, now, 100*time.Second) {
+			got = append(got, "zone "+zone+" is silent")
+		}
+	}
+	return strings.Join(got, "; ")
+}
+
+func parseSeq(t *testing.T, where, s string) HeartbeatSeq {
+	t.Helper()
+	var seq HeartbeatSeq
+	if _, err := fmt.Sscanf(s, "%d/%d", &seq.Session, &seq.Seq); err != nil {
+		t.Fatalf("%s: %v", where, err)
 	}
-	return c
+	return seq
 }
--- a/internal/liveness/verdict_limiter_test.go
+++ b/internal/liveness/verdict_limiter_test.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// A pacer that is swapped while saturated must not let a burst through.
-func TestPacerSwap(t *testing.T) {
+// A limiter whose rate is changed while it is exhausted must not let a burst through.
+func TestSetRateAddsNoBurst(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	p := newVerdictLimiter(1, time.Second)
-	if !p.allow(now) || p.allow(now) {
-		t.Fatal("a new pacer gives one turn")
+	limiter := newVerdictLimiter(1, time.Second)
+	if !limiter.allow(now) || limiter.allow(now) {
+		t.Fatal("a new limiter gives one turn")
 	}
-	p.setRate(1, 2*time.Second, now)
-	if p.allow(now) {
-		t.Error("saturated before, so the new one starts empty")
+	limiter.setRate(1, 2*time.Second, now)
+	if limiter.allow(now) {
+		t.Error("exhausted before, so the new one starts empty")
 	}
 	now = now.Add(2 * time.Second)
-	p.setRate(1, time.Second, now)
-	if !p.allow(now) || p.allow(now) {
-		t.Error("not saturated before, so the new one gives its turn, once")
+	limiter.setRate(1, time.Second, now)
+	if !limiter.allow(now) || limiter.allow(now) {
+		t.Error("not exhausted before, so the new one gives its turn, once")
 	}
-	p.setRate(1, 0, now)
-	if p.allow(now.Add(time.Hour)) {
+	limiter.setRate(1, 0, now)
+	if limiter.allow(now.Add(time.Hour)) {
 		t.Error("stopped")
 	}
 }
 
 // A large zone is given up no faster, as a share of it, than a small one.
-func TestPaceFollowsTheZone(t *testing.T) {
+func TestVerdictRateFollowsZoneSize(t *testing.T) {
 	for _, size := range []int{10, 100, 700} {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		w := New(Config{SuspectAfter: 3 * time.Second, LeaseExpiry: 10 * time.Second, HoldTimeout: 4 * time.Second, VerdictInterval: time.Second, MachinesPerVerdict: 10})
+		detector := New(Config{SuspectAfter: 3 * time.Second, LeaseExpiry: 10 * time.Second, HoldTimeout: 4 * time.Second, VerdictInterval: time.Second, MachinesPerVerdict: 10})
 		for i := range size {
-			w.Heartbeat(fmt.Sprint("m-", i), "a", HeartbeatSeq{1, 1}, now)
+			detector.Heartbeat(fmt.Sprint("m-", i), "a", HeartbeatSeq{1, 1}, now)
 		}
 		judged, most := 0, 0
 		for step := range 60 {
 			at := now.Add(4*time.Second + time.Duration(step)*100*time.Millisecond)
-			w.Heartbeat("m-b", "b", HeartbeatSeq{1, uint64(step + 1)}, at)
-			calls, verdicts := w.Tick(at, 2*size)
-			for _, c := range calls {
-				w.ProbeDone(c, false, HeartbeatSeq{}, at)
+			detector.Heartbeat("m-b", "b", HeartbeatSeq{1, uint64(step + 1)}, at)
+			probes, verdicts := detector.Tick(at, 2*size)
+			for _, id := range probes {
+				detector.ProbeDone(id, false, HeartbeatSeq{}, at)
 			}
 			judged += len(verdicts)
 			most = max(most, len(verdicts))
