--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -6,8 +6,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// DecideOnHeartbeat decides what a picture proves of an attempt. Only what no command on its way can
-// change is concluded from a task's absence.
+// DecideOnHeartbeat decides what an observation proves of an attempt. From a task's absence only
+// that is concluded which no command in flight can change any more.
 func DecideOnHeartbeat(attempt Attempt, observed Observation) Decision {
 	switch {
 	case observed.Session > attempt.Session:
@@ -24,7 +24,9 @@
 	return Decision{Action: Reschedule, Reason: Reason(observed.Task.Cause)}
 }
 
-// decideOnAbsence judges an attempt that the newest picture does not show.
+// decideOnAbsence decides about an attempt that the worker does not list. The worker refuses a
+// command with a lower fencing token than the highest it has seen, so that a late command can
+// start nothing once the worker has seen a higher one.
 func decideOnAbsence(attempt Attempt, workerToken uint64) Decision {
 	switch {
 	case !attempt.Durable:
@@ -39,7 +41,9 @@
 	return Decision{Action: Start, Reason: Absent}
 }
 
-// DecideCommand decides what a worker is to be told of an attempt.
+// DecideCommand decides which command about an attempt a worker is to be sent, if any. It never
+// decides to start an attempt that may be running, or while a command to start it may be in
+// flight.
 func DecideCommand(attempt Attempt) Decision {
 	present := attempt.ObservedState != ""
 	switch {
@@ -67,8 +71,9 @@
 	return Decision{Action: Start, Reason: Assigned}
 }
 
-// DecideOnStaleHeartbeat decides about a task in a report from before the term. It proves nothing,
-// but its answer renews the lease: what is cancelled stops all the same.
+// DecideOnStaleHeartbeat decides about a task in a heartbeat from before this leader's term. It
+// proves nothing, but the answer to it renews the worker's lease: a task of a cancelled job must
+// not go on by it.
 func DecideOnStaleHeartbeat(task *workers.Task, cancelled bool) Decision {
 	if cancelled && task.State != workers.Ended {
 		return Decision{Action: Stop, Reason: JobCancelled}
@@ -76,8 +81,8 @@
 	return Decision{Action: Wait, Reason: NoHeartbeat}
 }
 
-// DecideWithoutHeartbeat decides about an attempt on a machine of which nothing was heard: it may be there
-// until the worker's lease must have ended.
+// DecideWithoutHeartbeat decides about an attempt on a machine that has sent no heartbeat: the
+// task may be running until the worker's lease must have expired.
 func DecideWithoutHeartbeat(leaseUntil, now time.Time) Decision {
 	if now.Before(leaseUntil) {
 		return Decision{Action: Wait, Reason: NoHeartbeat, Until: leaseUntil}
@@ -85,8 +90,9 @@
 	return Decision{Action: Reschedule, Reason: LeaseExpired}
 }
 
-// DecideOnRecords decides about an attempt that a new leader has found in the records, by these
-// alone: its task may be recorded as done, or a later session of its worker.
+// DecideOnRecords decides about an attempt that a new leader has found, by the records alone:
+// they may have its task as done, or a later session of its worker than the attempt's. Else it
+// waits for a heartbeat, or until the worker's lease must have expired.
 func DecideOnRecords(attempt Attempt, taskDone bool, newestSession uint64, leaseUntil time.Time) Decision {
 	switch {
 	case taskDone:
--- a/internal/reconcile/failover.go
+++ b/internal/reconcile/failover.go
@@ -4,106 +4,109 @@
 	"time"
 )
 
-// Failover follows a new leader until it knows what became of every machine that the
-// records name.
+// Failover follows a new leader until every machine that the records name is accounted for: it
+// has reported, its worker's lease has expired, or it was released. One goroutine owns it.
 type Failover struct {
 	startedAt      time.Time
-	overdueAfter   time.Duration // since the records were read
+	overdueAfter   time.Duration // counted from loadedAt
 	loadedAt       time.Time
 	firstAnswerAt  time.Time
 	firstCommandAt time.Time
 	doneAt         time.Time
-	awaited        map[string]bool // machines that are expected still
+	awaited        map[string]bool // machines that are not accounted for
 	reported       int
 	neverReported  int
 	commandCounts  map[commandKey]int
 }
 
-// NewFailover begins with the term. A machine that is well reports within lateAfter.
-func NewFailover(began time.Time, lateAfter time.Duration) *Failover {
-	return &Failover{startedAt: began, overdueAfter: lateAfter, awaited: map[string]bool{}, commandCounts: map[commandKey]int{}}
+// NewFailover makes the failover of a term that has started. A healthy machine reports within
+// overdueAfter of the moment when the records are loaded.
+func NewFailover(startedAt time.Time, overdueAfter time.Duration) *Failover {
+	return &Failover{
+		startedAt: startedAt, overdueAfter: overdueAfter,
+		awaited: map[string]bool{}, commandCounts: map[commandKey]int{},
+	}
 }
 
-// ExpectMachine adds a machine that may have tasks, or room.
-func (t *Failover) ExpectMachine(machine string) {
-	if !t.doneAt.IsZero() || t.awaited[machine] {
-		return
+// ExpectMachine adds a machine of the records, unless the failover is done.
+func (f *Failover) ExpectMachine(machine string) {
+	if f.doneAt.IsZero() {
+		f.awaited[machine] = true
 	}
-	t.awaited[machine] = true
 }
 
-// RecordsLoaded ends the first phase.
-func (t *Failover) RecordsLoaded(now time.Time) { t.loadedAt = now }
+// RecordsLoaded takes in that all records are loaded, which ends the first phase.
+func (f *Failover) RecordsLoaded(now time.Time) { f.loadedAt = now }
 
-// MachineReported takes in that a machine has reported under this term's token.
-func (t *Failover) MachineReported(machine string) {
-	if t.awaited[machine] {
-		delete(t.awaited, machine)
-		t.reported++
+// MachineReported takes in a heartbeat under this term's fencing token.
+func (f *Failover) MachineReported(machine string) {
+	if f.awaited[machine] {
+		delete(f.awaited, machine)
+		f.reported++
 	}
 }
 
-// MachineGone takes in that nothing can be on a machine any more, though it has not reported.
-func (t *Failover) MachineGone(machine string) {
-	if t.awaited[machine] {
-		delete(t.awaited, machine)
-		t.neverReported++
+// MachineGone takes in that a machine can have no task any more, though it has not reported.
+func (f *Failover) MachineGone(machine string) {
+	if f.awaited[machine] {
+		delete(f.awaited, machine)
+		f.neverReported++
 	}
 }
 
-// HeartbeatAnswered takes in that a report was answered.
-func (t *Failover) HeartbeatAnswered(now time.Time) {
-	if t.firstAnswerAt.IsZero() {
-		t.firstAnswerAt = now
+// HeartbeatAnswered takes in that a heartbeat was answered; the term's first is noted.
+func (f *Failover) HeartbeatAnswered(now time.Time) {
+	if f.firstAnswerAt.IsZero() {
+		f.firstAnswerAt = now
 	}
 }
 
-// CommandSent takes in that an order went out.
-func (t *Failover) CommandSent(now time.Time) {
-	if t.firstCommandAt.IsZero() {
-		t.firstCommandAt = now
+// CommandSent takes in that a command was sent to a worker; the term's first is noted.
+func (f *Failover) CommandSent(now time.Time) {
+	if f.firstCommandAt.IsZero() {
+		f.firstCommandAt = now
 	}
 }
 
-// CountCommand counts a command to a worker.
-func (t *Failover) CountCommand(op string, why Reason) {
-	if t.doneAt.IsZero() {
-		t.commandCounts[commandKey{op, why}]++
+// CountCommand counts a command to a worker, unless the failover is done.
+func (f *Failover) CountCommand(op string, reason Reason) {
+	if f.doneAt.IsZero() {
+		f.commandCounts[commandKey{op, reason}]++
 	}
 }
 
-// TryFinish ends the take-over when nothing is expected any more. It returns true once.
-func (t *Failover) TryFinish(now time.Time) bool {
-	if t.loadedAt.IsZero() || !t.doneAt.IsZero() || len(t.awaited) > 0 {
+// TryFinish ends the failover if every machine is accounted for. It returns true once.
+func (f *Failover) TryFinish(now time.Time) bool {
+	if f.loadedAt.IsZero() || !f.doneAt.IsZero() || len(f.awaited) > 0 {
 		return false
 	}
-	t.doneAt = now
+	f.doneAt = now
 	return true
 }
 
-// Phase returns how far it is.
-func (t *Failover) Phase() Phase {
+// Phase returns how far the failover is.
+func (f *Failover) Phase() Phase {
 	switch {
-	case t.loadedAt.IsZero():
+	case f.loadedAt.IsZero():
 		return LoadingRecords
-	case t.doneAt.IsZero():
+	case f.doneAt.IsZero():
 		return AwaitingHeartbeats
 	}
 	return FailoverDone
 }
 
-// AwaitsCapacity tells whether machines that are well may yet report, and with them room that
-// nothing needs to be stopped for. Those that are late do not count.
-func (t *Failover) AwaitsCapacity(now time.Time) bool {
-	return t.Phase() == AwaitingHeartbeats && len(t.awaited) > 0 && now.Sub(t.loadedAt) < t.overdueAfter
+// AwaitsCapacity tells whether machines may yet report, and with them free room for which
+// nothing needs to be preempted. Machines that are overdue do not count.
+func (f *Failover) AwaitsCapacity(now time.Time) bool {
+	return f.Phase() == AwaitingHeartbeats && len(f.awaited) > 0 && now.Sub(f.loadedAt) < f.overdueAfter
 }
 
-// MayPreempt tells whether work that has waited since a moment may have others stopped for
-// it: until machines that are expected have reported, or are late, only what has waited for
-// as long as its bound.
-func (t *Failover) MayPreempt(now, waitingSince time.Time, bound time.Duration) bool {
-	if waitingSince.Before(t.loadedAt) {
-		waitingSince = t.loadedAt
+// MayPreempt tells whether tasks may be preempted for a job that has waited since a moment.
+// While the failover awaits capacity only a job that has waited for bound may preempt, counted
+// from the load of the records at the earliest.
+func (f *Failover) MayPreempt(now, waitingSince time.Time, bound time.Duration) bool {
+	if waitingSince.Before(f.loadedAt) {
+		waitingSince = f.loadedAt
 	}
-	return !t.AwaitsCapacity(now) || now.Sub(waitingSince) >= bound
+	return !f.AwaitsCapacity(now) || now.Sub(waitingSince) >= bound
 }
--- a/internal/reconcile/orphaned_task.go
+++ b/internal/reconcile/orphaned_task.go
@@ -4,13 +4,15 @@
 type OrphanedTask struct {
 	Ended             bool
 	JobCancelled      bool
-	RecordsIncomplete bool   // its job, or its attempt, may be missing from the records
-	CommandToken      uint64 // of the order that began it; 0 if an answer did, or an earlier leader
-	WorkerToken       uint64 // the highest that the worker has seen
-	InHeartbeatAnswer bool   // a report is being answered: no command to begin it can follow
+	RecordsIncomplete bool   // records may have been lost: it may have a job, or an attempt, all the same
+	CommandToken      uint64 // fencing token of the command that started it; 0 if a heartbeat's answer did, or an earlier leader
+	WorkerToken       uint64 // the highest fencing token that the worker has seen
+	InHeartbeatAnswer bool   // the decision goes into a heartbeat's answer, which no command to start it can follow
 }
 
-// DecideCommand decides what a worker is to be told of a task that is not assigned to it.
+// DecideCommand decides which command about an orphaned task its worker is to be sent, if any.
+// One that has ended is acknowledged only when no copy of the command that started it can
+// arrive any more: the worker, which would have forgotten it, would start it again.
 func (u OrphanedTask) DecideCommand() Decision {
 	switch {
 	case u.RecordsIncomplete:
--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Phase is how far a take-over is.
+// Phase is how far a failover is.
 type Phase string
 
 // The phases.
 const (
-	LoadingRecords     Phase = "reading" // the records are being read
-	AwaitingHeartbeats Phase = "hearing" // machines that the records name have not all been accounted for
-	FailoverDone       Phase = "settled" // each of them has reported, or its lease has ended
+	LoadingRecords     Phase = "reading" // the records are being loaded
+	AwaitingHeartbeats Phase = "hearing" // not all machines that the records name are accounted for
+	FailoverDone       Phase = "settled" // all of them are
 )
 
-// CommandCount is how often workers were told to do something for one reason.
+// CommandCount is how often workers were sent a command for one reason.
 type CommandCount struct {
 	Op     string `json:"op"`
 	Reason Reason `json:"reason"`
@@ -26,44 +26,51 @@
 
 func (c CommandCount) String() string { return fmt.Sprintf("%s (%s): %d", c.Op, c.Reason, c.Count) }
 
-// commandKey is what commands are counted by.
+// commandKey is what commands are counted by: the operation and the reason.
 type commandKey struct {
 	op     string
 	reason Reason
 }
 
-// Progress is a take-over as operators see it. Times are in seconds since the term began; 0
-// means not yet.
+// Progress is a failover as operators see it, in the status and in logs. Times are in seconds
+// since the term began; 0 means not yet.
 type Progress struct {
 	Phase          Phase   `json:"phase"`
 	Expected       int     `json:"expected"` // machines that the records name
 	Reported       int     `json:"heard"`
-	Overdue        int     `json:"late"`  // not heard for longer than a machine that is well needs
-	NeverReported  int     `json:"never"` // whose lease ended, or that were given back, without a word
+	Overdue        int     `json:"late"`  // of those that are not accounted for: healthy ones would have reported
+	NeverReported  int     `json:"never"` // accounted for without a heartbeat: the worker's lease expired, or the machine was released
 	RecordsLoadedS float64 `json:"readS"`
-	FirstAnswerS   float64 `json:"answerS"` // first report answered
-	FirstCommandS  float64 `json:"orderS"`  // first order sent
+	FirstAnswerS   float64 `json:"answerS"` // first heartbeat answered
+	FirstCommandS  float64 `json:"orderS"`  // first command sent outside of such answers
 	DoneS          float64 `json:"settledS"`
-	// Commands until it was settled, in order.
+	// Commands until the failover was done, by operation and reason.
 	Commands []CommandCount `json:"commands"`
 }
 
-// Progress returns what is known by a moment.
-func (t *Failover) Progress(now time.Time) Progress {
+// Progress returns how far the failover is at a moment.
+func (f *Failover) Progress(now time.Time) Progress {
 	progress := Progress{
-		Phase: t.Phase(), Expected: t.reported + t.neverReported + len(t.awaited), Reported: t.reported, NeverReported: t.neverReported, Commands: t.sortedCommandCounts(),
-		RecordsLoadedS: t.secondsSinceStart(t.loadedAt), FirstAnswerS: t.secondsSinceStart(t.firstAnswerAt), FirstCommandS: t.secondsSinceStart(t.firstCommandAt), DoneS: t.secondsSinceStart(t.doneAt),
+		Phase:          f.Phase(),
+		Expected:       f.reported + f.neverReported + len(f.awaited),
+		Reported:       f.reported,
+		NeverReported:  f.neverReported,
+		RecordsLoadedS: f.secondsSinceStart(f.loadedAt),
+		FirstAnswerS:   f.secondsSinceStart(f.firstAnswerAt),
+		FirstCommandS:  f.secondsSinceStart(f.firstCommandAt),
+		DoneS:          f.secondsSinceStart(f.doneAt),
+		Commands:       f.sortedCommandCounts(),
 	}
-	if !t.loadedAt.IsZero() && now.Sub(t.loadedAt) >= t.overdueAfter {
-		progress.Overdue = len(t.awaited)
+	if !f.loadedAt.IsZero() && now.Sub(f.loadedAt) >= f.overdueAfter {
+		progress.Overdue = len(f.awaited)
 	}
 	return progress
 }
 
-func (t *Failover) sortedCommandCounts() []CommandCount {
-	all := make([]CommandCount, 0, len(t.commandCounts))
-	for kind, count := range t.commandCounts {
-		all = append(all, CommandCount{kind.op, kind.reason, count})
+func (f *Failover) sortedCommandCounts() []CommandCount {
+	all := make([]CommandCount, 0, len(f.commandCounts))
+	for key, count := range f.commandCounts {
+		all = append(all, CommandCount{key.op, key.reason, count})
 	}
 	slices.SortFunc(all, func(a, b CommandCount) int {
 		return cmp.Or(cmp.Compare(a.Op, b.Op), cmp.Compare(a.Reason, b.Reason))
@@ -71,9 +78,10 @@
 	return all
 }
 
-func (t *Failover) secondsSinceStart(at time.Time) float64 {
+// secondsSinceStart returns 0 for a moment that has not come.
+func (f *Failover) secondsSinceStart(at time.Time) float64 {
 	if at.IsZero() {
 		return 0
 	}
-	return at.Sub(t.startedAt).Seconds()
+	return at.Sub(f.startedAt).Seconds()
 }
