--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/decide_test.go
@@ -20,7 +20,7 @@
 
 func task(state, cause string) *workers.Task { return &workers.Task{State: state, Cause: cause} }
 
-func TestObserve(t *testing.T) {
+func TestDecideOnHeartbeat(t *testing.T) {
 	doubt := stored(func(a *Attempt) { a.InDoubtToken = 7 })
 	for _, c := range []struct {
 		what    string
@@ -36,8 +36,8 @@
 		{"a copy from an earlier session", stored(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
 		{"never begun", stored(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
 		{"never begun, and cancelled", stored(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
-		{"an order is on its way", stored(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
-		{"an order may come late", doubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
+		{"a command is in flight", stored(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
+		{"a command may come late", doubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
 		{"it would be refused", doubt, Observation{3, 8, nil}, Decision{Action: Start, Reason: Absent}},
 		{"it came", doubt, Observation{3, 7, task(workers.Fetching, "")}, Decision{Action: Adopt, Reason: Reported}},
 		{"its beginning is not written", stored(func(a *Attempt) { a.Durable = false }), Observation{3, 7, nil}, Decision{Action: Wait, Reason: StartNotDurable}},
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestCommand(t *testing.T) {
+func TestDecideCommand(t *testing.T) {
 	for what, c := range map[string]struct {
 		change func(*Attempt)
 		want   Decision
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestUnassigned(t *testing.T) {
+func TestOrphanedTask(t *testing.T) {
 	for what, c := range map[string]struct {
 		task OrphanedTask
 		want Decision
@@ -91,9 +91,9 @@
 	}
 }
 
-// A report from before the term stops what is cancelled and proves nothing else; without a
-// report only the end of the lease does.
-func TestWithoutAWordOfThisTerm(t *testing.T) {
+// A heartbeat from before the term stops what is cancelled and proves nothing else; without a
+// heartbeat only the end of the lease proves anything.
+func TestWithoutHeartbeatOfThisTerm(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	if d := DecideOnStaleHeartbeat(task(workers.Running, ""), true); d.Action != Stop {
 		t.Errorf("cancelled: %v", d)
@@ -143,53 +143,3 @@
 		}
 	})
 }
-
-// A take-over is settled when every machine of the records is accounted for. Until then, or
-// until those that are left are late, others are stopped only for what would wait too long.
-func TestTakeover(t *testing.T) {
-	began := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	to := NewFailover(began, 6*time.Second)
-	for _, m := range []string{"m-1", "m-2", "m-3", "m-1"} {
-		to.ExpectMachine(m)
-	}
-	if to.Phase() != LoadingRecords || to.TryFinish(at(1)) {
-		t.Error("settled before the records were read")
-	}
-	to.RecordsLoaded(at(1))
-	to.MachineReported("m-1")
-	to.MachineReported("m-1")
-	to.HeartbeatAnswered(at(1.5))
-	to.HeartbeatAnswered(at(2))
-	to.CountCommand(workers.OpRun, Assigned)
-	if to.Phase() != AwaitingHeartbeats || to.MayPreempt(at(2), at(1.9), time.Second) {
-		t.Error("m-2 and m-3 may have room")
-	}
-	if !to.MayPreempt(at(2), at(0), time.Second) || to.MayPreempt(at(1.9), at(0), time.Second) {
-		t.Error("what waits since before is bounded from when the records were read")
-	}
-	if !to.MayPreempt(at(7), at(6.9), time.Minute) {
-		t.Error("m-2 and m-3 are late: their room is not waited for")
-	}
-	if p := to.Progress(at(7)); p.Overdue != 2 || p.Reported != 1 || p.Expected != 3 {
-		t.Errorf("%+v", p)
-	}
-	to.MachineReported("m-2")
-	to.MachineGone("m-3")
-	to.MachineGone("m-2")
-	if !to.TryFinish(at(9)) || to.TryFinish(at(10)) {
-		t.Error("settled once, when all are accounted for")
-	}
-	to.CountCommand(workers.OpRun, Assigned)
-	p := to.Progress(at(10))
-	if p.Phase != FailoverDone || p.Reported != 2 || p.NeverReported != 1 || p.DoneS != 9 || p.FirstAnswerS != 1.5 || p.FirstCommandS != 0 {
-		t.Errorf("%+v", p)
-	}
-	if len(p.Commands) != 1 || p.Commands[0].String() != "run (assigned): 1" {
-		t.Errorf("commands %v", p.Commands)
-	}
-	to.ExpectMachine("m-9")
-	if to.Phase() != FailoverDone || !to.MayPreempt(at(10), at(10), time.Hour) {
-		t.Error("a settled take-over expects nothing")
-	}
-}
