--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,47 +1,49 @@
-// Package gang decides what becomes of an attempt of a gang: tasks that run at the
-// same time or not at all. It does no I/O and knows no clock; control gives it what
-// is known of the attempt's tasks, and carries out what it says.
+// Package gang decides what becomes of an attempt of a gang: a job whose tasks run at the same
+// time or not at all (gang scheduling). It does no I/O and reads no clock. The leader says what
+// is known of the attempt's tasks, and carries the decision out.
 package gang
 
-// Attempt is what is known of one attempt.
+// Attempt is what is known of one attempt to run a gang.
 type Attempt struct {
-	Size     int  // tasks of the gang
-	Placed   int  // that are, or may be, on their machines
-	Durable  int  // whose beginnings are durable
-	Stopping bool // all have been told to stop, or are to be
+	Size     int  // number of the gang's tasks
+	Placed   int  // tasks that are, or may be, on their machines
+	Durable  int  // tasks whose start is in the records
+	Stopping bool // all tasks have been told to stop, or are to be
 }
 
-// Decision is what to do with an attempt.
+// Decision is what to do about an attempt.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
-	AwaitRecords Decision = iota // no task may start yet
+	AwaitRecords Decision = iota // no task may start until the start of all is durable
 	Run                          // every task may start, or go on
-	Abort                        // it is not whole: the tasks that are left have to stop
-	AwaitStop                    // for those that are left to be off their machines
-	Retry                        // nothing is left of it: the next attempt may begin
+	Abort                        // tasks are missing: those that are left have to stop
+	AwaitStop                    // those that are left are stopping
+	Retry                        // no task is left: the next attempt may begin
 )
 
-// Decide judges an attempt. One that has lost a task is over: what ran has fallen
-// back to its last checkpoint, and what had not begun to run holds room in vain. The
-// next begins when the last task is surely off its machine.
-func Decide(f Attempt) Decision {
+// Decide decides about an attempt. One that has lost a task is over: tasks that ran have
+// fallen back to their last checkpoint, and others hold room in vain. The next attempt begins
+// only when the last task is certainly off its machine, so that no task runs twice.
+func Decide(attempt Attempt) Decision {
 	switch {
-	case f.Placed == 0:
+	case attempt.Placed == 0:
 		return Retry
-	case f.Stopping:
+	case attempt.Stopping:
 		return AwaitStop
-	case f.Placed < f.Size:
+	case attempt.Placed < attempt.Size:
 		return Abort
-	case f.Durable < f.Size:
+	case attempt.Durable < attempt.Size:
 		return AwaitRecords
 	}
 	return Run
 }
 
-// ShouldCheckpoint tells whether a gang that has so many seconds left should be stopped so that
-// its progress is saved: all its tasks have to be told in time and to save.
+// ShouldCheckpoint tells whether a gang that loses a machine in leftS seconds should be stopped
+// now so that its progress is saved. A checkpoint takes saveS seconds, and all tasks have to be
+// told to stop within peerS seconds of the first, half of which is allowed for. A gang without
+// a checkpoint interval saves nothing.
 func ShouldCheckpoint(checkpointS, saveS, peerS, leftS float64) bool {
 	return checkpointS > 0 && saveS+peerS/2 < leftS
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -4,9 +4,9 @@
 
 func TestDecide(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		f    Attempt
-		want Decision
+		name    string
+		attempt Attempt
+		want    Decision
 	}{
 		{"half of the beginnings are durable", Attempt{Size: 4, Placed: 4, Durable: 2}, AwaitRecords},
 		{"all are", Attempt{Size: 4, Placed: 4, Durable: 4}, Run},
@@ -18,13 +18,13 @@
 		{"all are stopping", Attempt{Size: 4, Placed: 4, Durable: 4, Stopping: true}, AwaitStop},
 		{"the last is off", Attempt{Size: 4, Placed: 0, Durable: 4, Stopping: true}, Retry},
 	} {
-		if got := Decide(tc.f); got != tc.want {
+		if got := Decide(tc.attempt); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
 	}
 }
 
-func TestSaves(t *testing.T) {
+func TestShouldCheckpoint(t *testing.T) {
 	if !ShouldCheckpoint(20, 5, 5, 12) {
 		t.Error("time enough to save, and it does not")
 	}
