--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -9,98 +9,76 @@
 	"ospreyslip/internal/placement"
 )
 
-// MachineForecast is a machine as the forecast sees it: what is free from a moment on, and
-// what running tasks will leave. Moments are seconds from now.
+// MachineForecast is a machine as the forecast sees it. Moments are in seconds from now.
 type MachineForecast struct {
 	MachinePool
-	AvailableFromS float64
-	Free           placement.Resources
-	Releases       []Release
+	AvailableFromS float64             // when Free may be used: later than now if the machine boots
+	Free           placement.Resources // free at that moment
+	Releases       []Release           // what running tasks will free
 }
 
-// Release is what a running task is expected to leave, and when.
+// Release is what a running task is expected to free, and when.
 type Release struct {
 	AtS       float64
 	Resources placement.Resources
 }
 
-// PendingTasks is a batch job's tasks without a machine.
+// PendingTasks are tasks of a batch job without a machine.
 type PendingTasks struct {
 	Spec      *jobs.Spec
 	Count     int
-	RunS      float64 // how long one of them runs
-	DeadlineS float64 // when the last of them should be over
+	RunS      float64 // seconds that one of them runs
+	DeadlineS float64 // moment at which the last of them should have ended
 }
 
-// ForecastLateTasks plays the queue forward on the machines there are, in its order, and
-// returns for each entry how many tasks would be over too late. Renting for
-// these, not for all that wait, is what keeps machines from idling after a
-// burst that they would have worked off anyway.
+// ForecastLateTasks simulates how the machines there are work off a queue, in its order, and
+// returns for each entry how many of its tasks would miss the deadline. Provisioning for these,
+// and not for all that are pending, keeps machines from idling after a burst that the present
+// ones would have worked off in time. The machines are changed.
 func ForecastLateTasks(machines []MachineForecast, queue []PendingTasks) []int {
 	for i := range machines {
-		slices.SortFunc(machines[i].Releases, func(a, b Release) int {
-			if a.AtS < b.AtS {
-				return -1
-			}
-			return 1
-		})
+		slices.SortFunc(machines[i].Releases, compareReleases)
 	}
 	late := make([]int, len(queue))
 	for i, pending := range queue {
-		request := placement.TaskRequest(pending.Spec)
-		var earliest availabilityHeap
-		for machine := range machines {
-			if !pending.Spec.Allows(machines[machine].Type, machines[machine].Zone, machines[machine].Spot) {
-				continue
-			}
-			if atS := machines[machine].earliestFit(request); atS+pending.RunS <= pending.DeadlineS {
-				earliest.entries = append(earliest.entries, availability{atS, machine})
-			}
-		}
-		heap.Init(&earliest)
-		for n := range pending.Count {
-			if len(earliest.entries) == 0 || earliest.entries[0].atS+pending.RunS > pending.DeadlineS {
-				// So would all that follow: later tasks find no earlier room.
-				late[i] = pending.Count - n
-				break
-			}
-			machine := &machines[earliest.entries[0].machine]
-			machine.placeTask(request, earliest.entries[0].atS, pending.RunS)
-			earliest.entries[0].atS = machine.earliestFit(request)
-			heap.Fix(&earliest, 0)
-		}
+		late[i] = placePending(machines, pending)
 	}
 	return late
 }
 
-// availability is when a machine has room for one more task.
-type availability struct {
-	atS     float64
-	machine int
-}
-
-// availabilityHeap is a heap, the earliest first.
-type availabilityHeap struct{ entries []availability }
-
-func (o *availabilityHeap) Len() int { return len(o.entries) }
-func (o *availabilityHeap) Less(a, b int) bool {
-	return o.entries[a].atS < o.entries[b].atS || o.entries[a].atS == o.entries[b].atS && o.entries[a].machine < o.entries[b].machine
-}
-func (o *availabilityHeap) Swap(a, b int) { o.entries[a], o.entries[b] = o.entries[b], o.entries[a] }
-func (o *availabilityHeap) Push(x any)    { o.entries = append(o.entries, x.(availability)) }
-func (o *availabilityHeap) Pop() any {
-	last := o.entries[len(o.entries)-1]
-	o.entries = o.entries[:len(o.entries)-1]
-	return last
+// placePending places tasks where they can start first, and returns how many would be late.
+func placePending(machines []MachineForecast, pending PendingTasks) (late int) {
+	request := placement.TaskRequest(pending.Spec)
+	var starts startHeap
+	for i := range machines {
+		machine := &machines[i]
+		if !pending.Spec.Allows(machine.Type, machine.Zone, machine.Spot) {
+			continue
+		}
+		if atS := machine.earliestStart(request); atS+pending.RunS <= pending.DeadlineS {
+			starts = append(starts, possibleStart{atS, i})
+		}
+	}
+	heap.Init(&starts)
+	for n := range pending.Count {
+		if len(starts) == 0 || starts[0].atS+pending.RunS > pending.DeadlineS {
+			return pending.Count - n // the others would start no earlier
+		}
+		machine := &machines[starts[0].machine]
+		machine.placeTask(request, starts[0].atS, pending.RunS)
+		starts[0].atS = machine.earliestStart(request)
+		heap.Fix(&starts, 0)
+	}
+	return 0
 }
 
-// earliestFit is when a machine has room.
-func (r *MachineForecast) earliestFit(request placement.Resources) float64 {
-	free, atS := r.Free, r.AvailableFromS
+// earliestStart is when a machine has room for a request: infinitely late if it never will.
+func (m *MachineForecast) earliestStart(request placement.Resources) float64 {
+	free, atS := m.Free, m.AvailableFromS
 	if free.Fits(request) {
 		return atS
 	}
-	for _, release := range r.Releases {
+	for _, release := range m.Releases {
 		free, atS = free.AddTimes(release.Resources, 1), max(atS, release.AtS)
 		if free.Fits(request) {
 			return atS
@@ -109,21 +87,51 @@
 	return math.Inf(1)
 }
 
-// placeTask puts a task on the machine. What the machine had free before counts no
-// more, which makes the forecast a little too cautious.
-func (r *MachineForecast) placeTask(request placement.Resources, startS, runS float64) {
-	for len(r.Releases) > 0 && !r.Free.Fits(request) {
-		r.Free = r.Free.AddTimes(r.Releases[0].Resources, 1)
-		r.Releases = r.Releases[1:]
+// placeTask puts a task on the machine. Nothing starts there before it any more, even in what
+// else is free: the forecast is a little too cautious, for the sake of one moment a machine.
+func (m *MachineForecast) placeTask(request placement.Resources, startS, runS float64) {
+	for len(m.Releases) > 0 && !m.Free.Fits(request) {
+		m.Free = m.Free.AddTimes(m.Releases[0].Resources, 1)
+		m.Releases = m.Releases[1:]
 	}
-	r.AvailableFromS = startS
-	r.Free = r.Free.AddTimes(request, -1)
+	m.AvailableFromS = startS
+	m.Free = m.Free.AddTimes(request, -1)
 	end := Release{startS + runS, request}
-	i, _ := slices.BinarySearchFunc(r.Releases, end, func(a, b Release) int {
-		if a.AtS < b.AtS {
-			return -1
-		}
-		return 1
-	})
-	r.Releases = slices.Insert(r.Releases, i, end)
+	i, _ := slices.BinarySearchFunc(m.Releases, end, compareReleases)
+	m.Releases = slices.Insert(m.Releases, i, end)
+}
+
+// compareReleases orders releases by time. Of two at the same time either may come first.
+func compareReleases(a, b Release) int {
+	if a.AtS < b.AtS {
+		return -1
+	}
+	return 1
+}
+
+// possibleStart is when one more task could start on a machine.
+type possibleStart struct {
+	atS     float64
+	machine int // index
+}
+
+// startHeap is a [heap.Interface], the earliest start first.
+type startHeap []possibleStart
+
+func (h startHeap) Len() int { return len(h) }
+
+func (h startHeap) Less(a, b int) bool {
+	return h[a].atS < h[b].atS || h[a].atS == h[b].atS && h[a].machine < h[b].machine
+}
+
+func (h startHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+
+// Push implements [heap.Interface].
+func (h *startHeap) Push(x any) { *h = append(*h, x.(possibleStart)) }
+
+// Pop implements [heap.Interface].
+func (h *startHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
 }
--- a/internal/autoscaler/forecast_test.go
+++ b/internal/autoscaler/forecast_test.go
@@ -9,14 +9,14 @@
 	"ospreyslip/internal/placement"
 )
 
-func TestLate(t *testing.T) {
+func TestForecastLateTasks(t *testing.T) {
 	cpus := func(n float64) placement.Resources { return placement.Resources{CPUs: n} }
 	task := func(n float64, spot bool) *jobs.Spec { return &jobs.Spec{CPUs: n, Spot: spot} }
 	for _, tc := range []struct {
-		name  string
-		rooms []MachineForecast
-		queue []PendingTasks
-		want  []int
+		name     string
+		machines []MachineForecast
+		queue    []PendingTasks
+		want     []int
 	}{
 		{"no machine at all", nil, []PendingTasks{{task(1, true), 3, 10, 100}}, []int{3}},
 		{"two waves in time, the third is late",
@@ -34,7 +34,7 @@
 			[]MachineForecast{{AvailableFromS: 20, Free: cpus(4)}}, []PendingTasks{{task(4, true), 1, 10, 29}, {task(4, true), 1, 10, 31}}, []int{1, 0}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if d := cmp.Diff(tc.want, ForecastLateTasks(tc.rooms, tc.queue)); d != "" {
+			if d := cmp.Diff(tc.want, ForecastLateTasks(tc.machines, tc.queue)); d != "" {
 				t.Error(d)
 			}
 		})
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -2,157 +2,217 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/placement"
 )
 
-// Demand is work without a machine.
+// Demand is a number of a job's tasks for which machines are to be provisioned.
 type Demand struct {
 	Spec        *jobs.Spec
-	TasksByZone map[string]int // the job's tasks by zone
+	TasksByZone map[string]int // tasks that the job has already; not changed
 	Count       int
 }
 
-// Market is what the planner may choose from.
+// Market is what a plan may choose from.
 type Market struct {
 	Types         []jobs.MachineType
-	MachineCounts map[MachinePool]int      // machines by kind, to spread them over zones
-	OutOfCapacity func(k MachinePool) bool // no capacity a short while ago
+	MachineCounts map[MachinePool]int         // machines there are, to spread new ones over zones
+	OutOfCapacity func(pool MachinePool) bool // the cloud had none a short while ago
 }
 
-// capacity is what is free on machines that will take work once they are up. Most of
-// them are alike, so that they are counted, not listed.
-type capacity struct {
-	MachinePool
-	free placement.Resources
-}
-
-// PlanScaleOut returns what to rent: each need goes to the machines that are coming
-// first and, for the rest, to the kind that costs least for each of its tasks.
+// PlanScaleOut returns how many machines of which pool to provision. Each task of the demands,
+// in their order, goes to a booting machine if one has room, then to one that is to be
+// provisioned already, and for the rest to one of the pool that costs least for each task of
+// its job. A demand that no pool can serve is left out.
 func PlanScaleOut(demands []Demand, booting map[MachinePool]int, market Market) map[MachinePool]int {
-	available := map[capacity]int{}
-	for k, n := range booting {
-		if t := findType(k, market.Types); t != nil && n > 0 {
-			available[capacity{k, machineResources(*t)}] += n
-		}
-	}
-	scaleOut := map[MachinePool]int{}
-	for _, n := range demands {
-		zones := map[string]int{}
-		for z, c := range n.TasksByZone {
-			zones[z] = c
-		}
-		for left := n.Count; left > 0; left-- {
-			r, ok := fullestFit(n.Spec, zones, available)
+	plan := newScaleOut(booting, market)
+	for _, demand := range demands {
+		tasksByZone := make(map[string]int, len(demand.TasksByZone)+1)
+		maps.Copy(tasksByZone, demand.TasksByZone)
+		for left := demand.Count; left > 0; left-- {
+			machine, ok := plan.fullestFit(demand.Spec, tasksByZone)
 			if !ok {
-				t, k, ok := cheapestPool(n.Spec, zones, left, scaleOut, market)
-				if !ok {
+				if machine, ok = plan.provision(demand.Spec, tasksByZone, left); !ok {
 					break
 				}
-				scaleOut[k]++
-				r = capacity{k, machineResources(t)}
-				available[r]++
-			}
-			if available[r]--; available[r] == 0 {
-				delete(available, r)
 			}
-			available[capacity{r.MachinePool, r.free.AddTimes(placement.TaskRequest(n.Spec), -1)}]++
-			zones[r.Zone]++
+			plan.placeTask(demand.Spec, machine)
+			tasksByZone[machine.Zone]++
 		}
 	}
-	return scaleOut
+	return plan.provisioned
 }
 
-func machineResources(machineType jobs.MachineType) placement.Resources {
-	return placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+// LargestFirst returns the pools of a plan in a fixed order, those with most machines first.
+func LargestFirst(plan map[MachinePool]int) []MachinePool {
+	pools := make([]MachinePool, 0, len(plan))
+	for pool := range plan {
+		pools = append(pools, pool)
+	}
+	slices.SortFunc(pools, func(a, b MachinePool) int {
+		return cmp.Or(cmp.Compare(plan[b], plan[a]), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), falseFirst(a.Spot, b.Spot))
+	})
+	return pools
 }
 
-func findType(pool MachinePool, types []jobs.MachineType) *jobs.MachineType {
-	for i := range types {
-		if types[i].Name == pool.Type {
-			return &types[i]
+// scaleOut is a plan in the making.
+type scaleOut struct {
+	market      Market
+	available   map[capacity]int // machines that boot or are to be provisioned
+	provisioned map[MachinePool]int
+}
+
+// capacity is what is free on a machine. Most machines are alike, so that they are counted by
+// it, not listed.
+type capacity struct {
+	MachinePool
+	free placement.Resources
+}
+
+func newScaleOut(booting map[MachinePool]int, market Market) *scaleOut {
+	s := &scaleOut{market: market, available: map[capacity]int{}, provisioned: map[MachinePool]int{}}
+	for pool, count := range booting {
+		if machineType := findType(pool.Type, market.Types); machineType != nil && count > 0 {
+			s.available[capacity{pool, machineResources(machineType)}] += count
 		}
 	}
-	return nil
+	return s
 }
 
-// fullestFit returns the fullest room for a task.
-func fullestFit(spec *jobs.Spec, tasksByZone map[string]int, available map[capacity]int) (best capacity, found bool) {
-	for candidate := range available {
-		if !spec.Allows(candidate.Type, candidate.Zone, candidate.Spot) || !candidate.free.Fits(placement.TaskRequest(spec)) || !placement.TopologyAllows(spec, tasksByZone, candidate.Zone) {
+// fullestFit returns the machine with the least room in which a task fits.
+func (s *scaleOut) fullestFit(spec *jobs.Spec, tasksByZone map[string]int) (best capacity, found bool) {
+	request := placement.TaskRequest(spec)
+	for candidate := range s.available {
+		if !spec.Allows(candidate.Type, candidate.Zone, candidate.Spot) || !candidate.free.Fits(request) ||
+			!placement.TopologyAllows(spec, tasksByZone, candidate.Zone) {
 			continue
 		}
-		if !found || cmp.Or(
-			cmp.Compare(candidate.free.CPUs, best.free.CPUs), cmp.Compare(candidate.free.RAMGB, best.free.RAMGB),
-			cmp.Compare(candidate.Type, best.Type), cmp.Compare(candidate.Zone, best.Zone), falseFirst(candidate.Spot, best.Spot)) < 0 {
+		if !found || compareCapacity(candidate, best) < 0 {
 			best, found = candidate, true
 		}
 	}
 	return best, found
 }
 
-func cheapestPool(s *jobs.Spec, zones map[string]int, left int, rent map[MachinePool]int, mk Market) (jobs.MachineType, MachinePool, bool) {
-	type option struct {
-		t     jobs.MachineType
-		k     MachinePool
-		price float64
-		begun bool
-		have  int
+// compareCapacity orders machines by what is free on them, the fullest first.
+func compareCapacity(a, b capacity) int {
+	return cmp.Or(
+		cmp.Compare(a.free.CPUs, b.free.CPUs),
+		cmp.Compare(a.free.RAMGB, b.free.RAMGB),
+		cmp.Compare(a.Type, b.Type),
+		cmp.Compare(a.Zone, b.Zone),
+		falseFirst(a.Spot, b.Spot),
+	)
+}
+
+// placeTask takes a task's request off what is free on a machine.
+func (s *scaleOut) placeTask(spec *jobs.Spec, machine capacity) {
+	if s.available[machine]--; s.available[machine] == 0 {
+		delete(s.available, machine)
 	}
-	var best *option
-	for _, t := range mk.Types {
-		if !t.Fits(s) {
+	s.available[capacity{machine.MachinePool, machine.free.AddTimes(placement.TaskRequest(spec), -1)}]++
+}
+
+// provision adds a machine of the pool that costs least for a job with so many tasks left, if
+// any pool allows the job.
+func (s *scaleOut) provision(spec *jobs.Spec, tasksByZone map[string]int, left int) (machine capacity, ok bool) {
+	var best poolOption
+	for i := range s.market.Types {
+		machineType := &s.market.Types[i]
+		if !machineType.Fits(spec) {
 			continue
 		}
-		for _, zone := range t.Zones {
-			for _, spot := range []bool{false, true} {
-				k := MachinePool{t.Name, zone, spot}
-				if !s.Allows(t.Name, zone, spot) || !placement.TopologyAllows(s, zones, zone) || mk.OutOfCapacity(k) {
-					continue
-				}
-				price := t.Price
-				if spot {
-					price = t.SpotPrice
-				}
-				// The cloud's calls are scarce: what one request can bring is not
-				// spread over several. The next request goes to another zone.
-				o := option{t, k, price / float64(min(left, tasksPerMachine(t, s))), rent[k]%MaxMachinesPerRequest != 0, mk.MachineCounts[k] + rent[k]}
-				if best == nil || cmp.Or(cmp.Compare(o.price, best.price), falseFirst(o.begun, best.begun), cmp.Compare(o.have, best.have)) < 0 {
-					best = &o
-				}
+		tasks := min(left, tasksPerMachine(machineType, spec))
+		for _, pool := range poolsOf(machineType) {
+			if !spec.Allows(pool.Type, pool.Zone, pool.Spot) || !placement.TopologyAllows(spec, tasksByZone, pool.Zone) || s.market.OutOfCapacity(pool) {
+				continue
+			}
+			if option := s.option(machineType, pool, tasks); !ok || option.compare(best) < 0 {
+				best, ok = option, true
 			}
 		}
 	}
-	if best == nil {
-		return jobs.MachineType{}, MachinePool{}, false
+	if !ok {
+		return machine, false
 	}
-	return best.t, best.k, true
+	s.provisioned[best.pool]++
+	machine = capacity{best.pool, machineResources(best.machineType)}
+	s.available[machine]++
+	return machine, true
+}
+
+// poolOption is a pool of which a machine could be provisioned.
+type poolOption struct {
+	pool         MachinePool
+	machineType  *jobs.MachineType
+	taskPrice    float64 // of a machine, for each task that it would take
+	requestBegun bool    // a request for machines of the pool is planned that may ask for more
+	machineCount int     // machines there are, or are to be provisioned
+}
+
+func (s *scaleOut) option(machineType *jobs.MachineType, pool MachinePool, tasks int) poolOption {
+	price := machineType.Price
+	if pool.Spot {
+		price = machineType.SpotPrice
+	}
+	return poolOption{
+		pool:         pool,
+		machineType:  machineType,
+		taskPrice:    price / float64(tasks),
+		requestBegun: s.provisioned[pool]%MaxMachinesPerRequest != 0,
+		machineCount: s.market.MachineCounts[pool] + s.provisioned[pool],
+	}
+}
+
+// compare orders options by their price. Of pools at the same price, one without a request
+// that may ask for more comes first, then that with fewest machines: new machines are spread
+// over the zones.
+func (o poolOption) compare(other poolOption) int {
+	return cmp.Or(
+		cmp.Compare(o.taskPrice, other.taskPrice),
+		falseFirst(o.requestBegun, other.requestBegun),
+		cmp.Compare(o.machineCount, other.machineCount),
+	)
 }
 
-// tasksPerMachine is how many of a job's tasks an empty machine takes.
-func tasksPerMachine(machineType jobs.MachineType, spec *jobs.Spec) int {
-	free, count := machineResources(machineType), 0
-	for free.Fits(placement.TaskRequest(spec)) && count < jobs.MaxTasks {
-		free = free.AddTimes(placement.TaskRequest(spec), -1)
+// poolsOf returns the pools of a machine type.
+func poolsOf(machineType *jobs.MachineType) []MachinePool {
+	pools := make([]MachinePool, 0, 2*len(machineType.Zones))
+	for _, zone := range machineType.Zones {
+		for _, spot := range []bool{false, true} {
+			pools = append(pools, MachinePool{machineType.Name, zone, spot})
+		}
+	}
+	return pools
+}
+
+// tasksPerMachine is how many of a job's tasks an empty machine takes, one at least.
+func tasksPerMachine(machineType *jobs.MachineType, spec *jobs.Spec) int {
+	free, request, count := machineResources(machineType), placement.TaskRequest(spec), 0
+	for free.Fits(request) && count < jobs.MaxTasks {
+		free = free.AddTimes(request, -1)
 		count++
 	}
 	return max(count, 1)
 }
 
-// LargestFirst returns the kinds in a fixed order, those of which most are wanted first.
-func LargestFirst(rent map[MachinePool]int) []MachinePool {
-	kinds := make([]MachinePool, 0, len(rent))
-	for k := range rent {
-		kinds = append(kinds, k)
+func machineResources(machineType *jobs.MachineType) placement.Resources {
+	return placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+}
+
+func findType(name string, types []jobs.MachineType) *jobs.MachineType {
+	for i := range types {
+		if types[i].Name == name {
+			return &types[i]
+		}
 	}
-	slices.SortFunc(kinds, func(a, b MachinePool) int {
-		return cmp.Or(cmp.Compare(rent[b], rent[a]), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), falseFirst(a.Spot, b.Spot))
-	})
-	return kinds
+	return nil
 }
 
+// falseFirst is a comparison that sorts false before true.
 func falseFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -13,7 +13,7 @@
 	{Name: "large", CPUs: 16, RAMGB: 64, Price: 0.7, SpotPrice: 0.3, Zones: []string{"a"}},
 }
 
-func need(count int, change func(*jobs.Spec)) Demand {
+func demandFor(count int, change func(*jobs.Spec)) Demand {
 	s := &jobs.Spec{ID: "j-1", Tasks: count, CPUs: 2, RAMGB: 4, Spot: true}
 	if change != nil {
 		change(s)
@@ -21,34 +21,34 @@
 	return Demand{Spec: s, Count: count}
 }
 
-func TestPlan(t *testing.T) {
+func TestPlanScaleOut(t *testing.T) {
 	never := func(MachinePool) bool { return false }
 	for _, tc := range []struct {
 		name    string
-		needs   []Demand
-		coming  map[MachinePool]int
+		demands []Demand
+		booting map[MachinePool]int
 		refused func(MachinePool) bool
 		want    map[MachinePool]int
 	}{
-		{"one task: the machine that costs least as a whole", []Demand{need(1, nil)}, nil, never,
+		{"one task: the machine that costs least as a whole", []Demand{demandFor(1, nil)}, nil, never,
 			map[MachinePool]int{{"small", "a", true}: 1}},
-		{"many tasks: the machine that costs least a task", []Demand{need(8, nil)}, nil, never,
+		{"many tasks: the machine that costs least a task", []Demand{demandFor(8, nil)}, nil, never,
 			map[MachinePool]int{{"large", "a", true}: 1}},
-		{"no spot machine for work that may not use one", []Demand{need(1, func(s *jobs.Spec) { s.Spot = false })}, nil, never,
+		{"no spot machine for work that may not use one", []Demand{demandFor(1, func(s *jobs.Spec) { s.Spot = false })}, nil, never,
 			map[MachinePool]int{{"small", "a", false}: 1}},
-		{"what is coming is used first", []Demand{need(3, nil)},
+		{"what boots is used first", []Demand{demandFor(3, nil)},
 			map[MachinePool]int{{"small", "b", true}: 1}, never,
 			map[MachinePool]int{{"small", "a", true}: 1}},
-		{"what was refused is left alone", []Demand{need(1, nil)}, nil,
-			func(k MachinePool) bool { return k.Spot && k.Zone == "a" },
+		{"what was refused is left alone", []Demand{demandFor(1, nil)}, nil,
+			func(pool MachinePool) bool { return pool.Spot && pool.Zone == "a" },
 			map[MachinePool]int{{"small", "b", true}: 1}},
-		{"replicas in two zones", []Demand{need(2, func(s *jobs.Spec) { s.Spread, s.Spot = true, false })}, nil, never,
+		{"replicas in two zones", []Demand{demandFor(2, func(s *jobs.Spec) { s.Spread, s.Spot = true, false })}, nil, never,
 			map[MachinePool]int{{"small", "a", false}: 1, {"small", "b", false}: 1}},
-		{"nothing allows it", []Demand{need(1, func(s *jobs.Spec) { s.Types = []string{"huge"} })}, nil, never,
+		{"nothing allows it", []Demand{demandFor(1, func(s *jobs.Spec) { s.Types = []string{"huge"} })}, nil, never,
 			map[MachinePool]int{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := PlanScaleOut(tc.needs, tc.coming, Market{Types: market, OutOfCapacity: tc.refused})
+			got := PlanScaleOut(tc.demands, tc.booting, Market{Types: market, OutOfCapacity: tc.refused})
 			if d := cmp.Diff(tc.want, got); d != "" {
 				t.Errorf("(-want +got):\n%s", d)
 			}
