--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -24,6 +24,7 @@
 	Count  int    `json:"count"`
 }
 
+// String returns the count as logs show it.
 func (c CommandCount) String() string { return fmt.Sprintf("%s (%s): %d", c.Op, c.Reason, c.Count) }
 
 // commandKey is what commands are counted by: the operation and the reason.
