--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -31,14 +31,14 @@
 
 // Forget drops a machine that is gone.
 func (d *Detector) Forget(id string) {
-	m := d.byID[id]
-	if m == nil {
+	forgotten := d.byID[id]
+	if forgotten == nil {
 		return
 	}
-	m.zone.machineCount--
+	forgotten.zone.machineCount--
 	delete(d.byID, id)
 	last := d.machines[len(d.machines)-1]
-	d.machines[m.index], last.index = last, m.index
+	d.machines[forgotten.index], last.index = last, forgotten.index
 	d.machines = d.machines[:len(d.machines)-1]
 }
 
@@ -46,24 +46,24 @@
 // A copy that was held up on the way changes nothing: it does not show that the machine is
 // alive now.
 func (d *Detector) Heartbeat(id, zone string, seq HeartbeatSeq, now time.Time) {
-	m := d.byID[id]
-	if m == nil {
-		m = d.add(id, zone)
-	} else if m.synced && !m.newestSeq.Before(seq) {
+	reporter := d.byID[id]
+	if reporter == nil {
+		reporter = d.add(id, zone)
+	} else if reporter.synced && !reporter.newestSeq.Before(seq) {
 		return
 	}
-	if m.hasWatermark() && !seq.Before(m.watermark) {
-		m.watermark = HeartbeatSeq{}
+	if reporter.hasWatermark() && !seq.Before(reporter.watermark) {
+		reporter.watermark = HeartbeatSeq{}
 	}
-	if current := d.zoneNamed(zone); current != m.zone {
-		moveToZone(m, current)
+	if current := d.zoneNamed(zone); current != reporter.zone {
+		moveToZone(reporter, current)
 	}
-	m.lastHeartbeat, m.newestSeq, m.commandsSince = now, seq, 0
+	reporter.lastHeartbeat, reporter.newestSeq, reporter.commandsSince = now, seq, 0
 	d.lastHeartbeat = now
-	m.zone.lastHeartbeat, m.zone.silentSince = now, time.Time{}
-	m.synced, m.lagging, m.suspected = true, false, false
-	if !m.unreachable {
-		m.revoke()
+	reporter.zone.lastHeartbeat, reporter.zone.silentSince = now, time.Time{}
+	reporter.synced, reporter.lagging, reporter.suspected = true, false, false
+	if !reporter.unreachable {
+		reporter.revoke()
 	}
 	if d.fullDisruption {
 		d.endDisruption(now)
--- a/internal/liveness/disruption.go
+++ b/internal/liveness/disruption.go
@@ -13,9 +13,9 @@
 		d.fullDisruption = true
 		d.setVerdictRates(1, 0, now)
 	}
-	for _, z := range d.zones {
-		if z.silentSince.IsZero() && d.isGroupSilent(z.machineCount, z.lastHeartbeat, now) {
-			z.silentSince = now
+	for _, zone := range d.zones {
+		if zone.silentSince.IsZero() && d.isGroupSilent(zone.machineCount, zone.lastHeartbeat, now) {
+			zone.silentSince = now
 		}
 	}
 }
@@ -34,13 +34,13 @@
 // must not be suspect at once.
 func (d *Detector) endDisruption(now time.Time) {
 	d.fullDisruption = false
-	for _, z := range d.zones {
-		if !z.lastHeartbeat.IsZero() { // a zone that never sent one cannot fall silent
-			z.lastHeartbeat = now
+	for _, zone := range d.zones {
+		if !zone.lastHeartbeat.IsZero() { // a zone that never sent one cannot fall silent
+			zone.lastHeartbeat = now
 		}
 	}
-	for _, m := range d.machines {
-		m.lastHeartbeat, m.deathReason, m.suspected = now, "", false
+	for _, member := range d.machines {
+		member.lastHeartbeat, member.deathReason, member.suspected = now, "", false
 	}
 	// limiterOf sets the rate by the zone's size at its next verdict.
 	d.setVerdictRates(1, d.cfg.VerdictInterval, now)
--- a/internal/liveness/probe.go
+++ b/internal/liveness/probe.go
@@ -16,49 +16,49 @@
 // ProbeDone takes in the outcome of a probe that Tick asked for, and the counter in its answer,
 // if there was one.
 func (d *Detector) ProbeDone(id string, answered bool, seq HeartbeatSeq, now time.Time) {
-	m := d.byID[id]
-	if m == nil || !m.probing {
+	target := d.byID[id]
+	if target == nil || !target.probing {
 		return
 	}
-	m.probing = false
-	if !d.isSuspect(m, now) {
+	target.probing = false
+	if !d.isSuspect(target, now) {
 		return // a heartbeat came meanwhile
 	}
 	if !answered {
-		m.watermark = HeartbeatSeq{} // no heartbeat will come that it could wait for
-		m.confirmDeath(ProbeFailed, now)
+		target.watermark = HeartbeatSeq{} // no heartbeat will come that it could wait for
+		target.confirmDeath(ProbeFailed, now)
 		return
 	}
-	m.suspected = false
+	target.suspected = false
 	d.MarkReachable(id)
-	if !d.isSilent(m, now) {
-		m.advance(seq)
-		m.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
+	if !d.isSilent(target, now) {
+		target.advance(seq)
+		target.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
 		return // alive, whatever the sign against it was
 	}
-	d.judgeSilentWorker(m, seq, now)
+	d.judgeSilentWorker(target, seq, now)
 }
 
 // judgeSilentWorker decides about a worker that answers with a counter, but whose heartbeats
 // do not arrive.
-func (d *Detector) judgeSilentWorker(m *machine, seq HeartbeatSeq, now time.Time) {
+func (d *Detector) judgeSilentWorker(target *machine, seq HeartbeatSeq, now time.Time) {
 	// Each of our commands that arrived has raised the counter by one, this probe too. What
 	// is beyond them are heartbeats that we have missed.
-	expected := HeartbeatSeq{m.newestSeq.Session, m.newestSeq.Seq + m.commandsSince}
-	heartbeatsMissed := m.synced && expected.Before(seq)
-	m.advance(seq)
+	expected := HeartbeatSeq{target.newestSeq.Session, target.newestSeq.Seq + target.commandsSince}
+	heartbeatsMissed := target.synced && expected.Before(seq)
+	target.advance(seq)
 	switch {
-	case heartbeatsMissed && !m.lagging:
+	case heartbeatsMissed && !target.lagging:
 		// The watermark is set once for a hold: raised by the answer to each probe, which the
 		// probe itself has raised, the hold would never end.
-		if !m.hasWatermark() {
-			m.watermark = seq
-			m.holdExpires = now.Add(d.cfg.HoldTimeout)
+		if !target.hasWatermark() {
+			target.watermark = seq
+			target.holdExpires = now.Add(d.cfg.HoldTimeout)
 		}
-		m.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
-	case m.lagging:
-		m.confirmDeath(HeartbeatsLost, now)
+		target.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
+	case target.lagging:
+		target.confirmDeath(HeartbeatsLost, now)
 	default:
-		m.confirmDeath(NoHeartbeatMissed, now)
+		target.confirmDeath(NoHeartbeatMissed, now)
 	}
 }
--- a/internal/liveness/tick.go
+++ b/internal/liveness/tick.go
@@ -36,16 +36,16 @@
 	suspects := d.suspects(now)
 	d.sortByImportance(suspects)
 	for _, id := range suspects {
-		m := d.byID[id]
+		suspect := d.byID[id]
 		switch {
-		case m.deathReason != "":
-			if !onHold && d.takeVerdictTurn(m, now) {
-				m.dead = true
-				verdicts = append(verdicts, Verdict{id, m.deathReason})
+		case suspect.deathReason != "":
+			if !onHold && d.takeVerdictTurn(suspect, now) {
+				suspect.dead = true
+				verdicts = append(verdicts, Verdict{id, suspect.deathReason})
 			}
-		case len(probes) < maxProbes && !now.Before(m.probeNotBefore):
-			m.probing = true
-			m.commandsSince++
+		case len(probes) < maxProbes && !now.Before(suspect.probeNotBefore):
+			suspect.probing = true
+			suspect.commandsSince++
 			probes = append(probes, id)
 		}
 	}
@@ -55,15 +55,15 @@
 // expireHolds ends the holds that have lasted for long enough, and tells whether another one
 // is left.
 func (d *Detector) expireHolds(now time.Time) (onHold bool) {
-	for _, m := range d.machines {
+	for _, member := range d.machines {
 		switch {
-		case !m.hasWatermark():
-		case now.Before(m.holdExpires):
+		case !member.hasWatermark():
+		case now.Before(member.holdExpires):
 			onHold = true
 		default:
 			// The heartbeat has had time enough: that it lags says nothing about other
 			// machines.
-			m.watermark, m.lagging = HeartbeatSeq{}, true
+			member.watermark, member.lagging = HeartbeatSeq{}, true
 		}
 	}
 	return onHold
@@ -78,10 +78,10 @@
 
 // suspects returns the machines that are to be probed or judged.
 func (d *Detector) suspects(now time.Time) (ids []string) {
-	for _, m := range d.machines {
-		m.suspected = m.suspected || d.missedHeartbeat(m, now)
-		if !m.dead && !m.probing && d.isSuspect(m, now) {
-			ids = append(ids, m.id)
+	for _, member := range d.machines {
+		member.suspected = member.suspected || d.missedHeartbeat(member, now)
+		if !member.dead && !member.probing && d.isSuspect(member, now) {
+			ids = append(ids, member.id)
 		}
 	}
 	return ids
@@ -106,6 +106,6 @@
 // A leader that has just lost its connection finds machine after machine silent before it finds
 // all of them silent. So a heartbeat of any machine has to follow the confirmation, as a proof
 // that this leader still receives some.
-func (d *Detector) takeVerdictTurn(m *machine, now time.Time) bool {
-	return !d.fullDisruption && d.lastHeartbeat.After(m.confirmedAt) && d.limiterOf(m.zone, now).allow(now)
+func (d *Detector) takeVerdictTurn(suspect *machine, now time.Time) bool {
+	return !d.fullDisruption && d.lastHeartbeat.After(suspect.confirmedAt) && d.limiterOf(suspect.zone, now).allow(now)
 }
--- a/internal/liveness/verdict_limiter.go
+++ b/internal/liveness/verdict_limiter.go
@@ -48,11 +48,11 @@
 
 // limiterOf returns a zone's limiter, set to the zone's present size: much the same share of a
 // zone may be judged dead in a given time, however large it is.
-func (d *Detector) limiterOf(z *zone, now time.Time) *verdictLimiter {
-	verdicts := max(1, z.machineCount/max(1, d.cfg.MachinesPerVerdict))
-	if z.limiter == nil {
-		z.limiter = newVerdictLimiter(verdicts, d.cfg.VerdictInterval)
+func (d *Detector) limiterOf(zone *zone, now time.Time) *verdictLimiter {
+	verdicts := max(1, zone.machineCount/max(1, d.cfg.MachinesPerVerdict))
+	if zone.limiter == nil {
+		zone.limiter = newVerdictLimiter(verdicts, d.cfg.VerdictInterval)
 	}
-	z.limiter.setRate(verdicts, d.cfg.VerdictInterval, now)
-	return z.limiter
+	zone.limiter.setRate(verdicts, d.cfg.VerdictInterval, now)
+	return zone.limiter
 }
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -8,8 +8,8 @@
 // one: by the zone limit of a job that is spread, and by the one zone of a job that wants that.
 func TopologyAllows(spec *jobs.Spec, tasksByZone map[string]int, zone string) bool {
 	if spec.OneZone {
-		for other, n := range tasksByZone {
-			if n > 0 && other != zone {
+		for other, tasks := range tasksByZone {
+			if tasks > 0 && other != zone {
 				return false
 			}
 		}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -37,8 +37,8 @@
 
 // Plan decides which tasks to place and which to preempt. It leaves the index as it found it;
 // the other parts of the input are changed. Equal inputs give equal plans.
-func Plan(in Input) Output {
-	p := &planner{Input: in, originalFree: map[*Machine]Resources{}, tasksLoaded: map[*Machine]bool{}}
+func Plan(input Input) Output {
+	p := &planner{Input: input, originalFree: map[*Machine]Resources{}, tasksLoaded: map[*Machine]bool{}}
 	queue := make([]queueEntry, 0, len(p.Jobs))
 	for _, job := range p.Jobs {
 		queue = append(queue, queueEntry{job, false})
