--- a/cmd/ospreyslip-operator/import.go
+++ b/cmd/ospreyslip-operator/import.go
@@ -21,7 +21,7 @@
 type importer struct {
 	client *leaderClient
 	page   recoverer.Import
-	bytes  int             // of the jobs in page
+	bytes  int                // of the jobs in page
 	total  recoverer.Imported // what the leader found in all pages sent
 }
 
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -17,7 +17,7 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/jobs/jobapi"
@@ -48,7 +48,7 @@
 	d       settings.Derived
 	store   *kvstore.Client
 	cache   *jobcache.Cache
-	cloud   *autoscaler.Client
+	cloud   *cloud.Client
 	workers *workers.Client
 	keeper  *election.Elector
 	gate    *leader.Gate
@@ -136,7 +136,7 @@
 		n.keeper.RequestPeerLeases = n.allPromise
 		n.keeper.NoPeerReliesOnGrants = n.nobodyRelies
 	}
-	n.cloud = autoscaler.NewClient(set.Endpoints.Cloud, pick(d.Host.CloudConns, 0, d.Cloud.RequestTimeout), d.Cloud.RequestTimeout, set.Deployment.Cloud.RPS*cloudShare)
+	n.cloud = cloud.NewClient(set.Endpoints.Cloud, pick(d.Host.CloudConns, 0, d.Cloud.RequestTimeout), d.Cloud.RequestTimeout, set.Deployment.Cloud.RPS*cloudShare)
 	return n
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/jobs/jobcache"
@@ -30,7 +30,7 @@
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Store    *kvstore.Client
-	Cloud    *autoscaler.Client
+	Cloud    *cloud.Client
 	Workers  *workers.Client
 	IsLeader func() bool // holds the term at this moment
 	// PromisesRequestedAt is when the promises were asked for that keep the term in an outage;
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/election"
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
@@ -48,7 +48,7 @@
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
 		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
-		Cloud: autoscaler.NewClient("cloud:1", silent, time.Minute, 10),
+		Cloud: cloud.NewClient("cloud:1", silent, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
 	l.lastAttempt, l.view.asOf = 100, now
@@ -331,7 +331,7 @@
 		r.Machine = id
 		l.answerHeartbeat(r, now)
 	}
-	l.scaler.ApplyList(t.Context(), []autoscaler.ListedMachine{{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}}, now.Add(time.Millisecond), now)
+	l.scaler.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := report(1, 2)
 	r.Machine = "m-2"
@@ -394,7 +394,7 @@
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
 		l.catalog.Types = func() []jobs.MachineType { return types }
 		asked := 0
-		l.Cloud = autoscaler.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
+		l.Cloud = cloud.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
--- a/internal/leader/scaler/list.go
+++ b/internal/leader/scaler/list.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/leader/cluster"
 )
 
@@ -38,7 +38,7 @@
 
 // ApplyList compares the cloud's list, asked for at a moment, with the machines known. The list
 // lags, so that a machine missing from it proves nothing, nor does one that is still there.
-func (s *Scaler) ApplyList(ctx context.Context, listed []autoscaler.ListedMachine, askedAt, now time.Time) {
+func (s *Scaler) ApplyList(ctx context.Context, listed []cloud.ListedMachine, askedAt, now time.Time) {
 	var failed []*cluster.Machine
 	for _, entry := range listed {
 		m := s.machineOf(entry, now)
@@ -49,10 +49,10 @@
 			m.Addr = entry.Addr
 		}
 		m.Rental.ListedAt = askedAt
-		if entry.State == autoscaler.StateRunning && m.Rental.ListedRunningSince.IsZero() {
+		if entry.State == cloud.StateRunning && m.Rental.ListedRunningSince.IsZero() {
 			m.Rental.ListedRunningSince = now
 		}
-		if entry.State == autoscaler.StateFailed && m.Phase != cluster.Releasing {
+		if entry.State == cloud.StateFailed && m.Phase != cluster.Releasing {
 			slog.Info("machine failed", "machine", m.ID, "term", s.host.Token(), "reason", "cloud says so")
 			failed = append(failed, m)
 		}
@@ -64,7 +64,7 @@
 
 // machineOf returns the machine of an entry of the list, which is added if it is new; nil if
 // it was released lately, so that the entry is out of date.
-func (s *Scaler) machineOf(entry autoscaler.ListedMachine, now time.Time) *cluster.Machine {
+func (s *Scaler) machineOf(entry cloud.ListedMachine, now time.Time) *cluster.Machine {
 	if m := s.deps.State.Machines.ByID[entry.ID]; m != nil {
 		return m
 	}
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -10,6 +10,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
 )
@@ -91,19 +92,19 @@
 	s.rentals.inFlight++
 	s.rentals.machines[kind] += count
 	name := fmt.Sprintf("r-%d-%d", s.host.Term(), s.rentals.made)
-	go s.requestRental(ctx, autoscaler.ProvisionRequest{Name: name, MachinePool: kind, Count: count})
+	go s.requestRental(ctx, cloud.ProvisionRequest{Name: name, MachinePool: kind, Count: count})
 }
 
 // requestRental rents until the outcome is known: after anything but an answer the same
 // request, which the cloud carries out once only, goes out again. It runs on a goroutine of its
 // own.
-func (s *Scaler) requestRental(ctx context.Context, rental autoscaler.ProvisionRequest) {
+func (s *Scaler) requestRental(ctx context.Context, rental cloud.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !s.deps.Valid() {
 			return nil, backoff.Permanent(errNotLeading)
 		}
 		ids, err := s.deps.Cloud.Provision(ctx, rental)
-		if errors.Is(err, autoscaler.ErrNoCapacity) {
+		if errors.Is(err, cloud.ErrNoCapacity) {
 			return nil, backoff.Permanent(err)
 		}
 		return ids, err
@@ -112,7 +113,7 @@
 }
 
 // rentalDone takes in the outcome of a request for machines.
-func (s *Scaler) rentalDone(ctx context.Context, rental autoscaler.ProvisionRequest, ids []string, err error, now time.Time) {
+func (s *Scaler) rentalDone(ctx context.Context, rental cloud.ProvisionRequest, ids []string, err error, now time.Time) {
 	s.rentals.inFlight--
 	s.rentals.machines[rental.MachinePool] -= rental.Count
 	if err != nil || len(ids) < rental.Count {
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -11,6 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
@@ -79,11 +80,11 @@
 func TestRefusalBacksOff(t *testing.T) {
 	b, _ := newBench(t, refuseAll(t))
 	kind := autoscaler.MachinePool{Type: "c4", Zone: "a"}
-	rental := autoscaler.ProvisionRequest{MachinePool: kind, Count: 1}
+	rental := cloud.ProvisionRequest{MachinePool: kind, Count: 1}
 	interval, most := b.deps.Derived.Leader.ControlInterval, 8*b.deps.Derived.Cloud.ListLag
 	var waits []time.Duration
 	for range 6 {
-		b.rentalDone(t.Context(), rental, nil, autoscaler.ErrNoCapacity, b.now)
+		b.rentalDone(t.Context(), rental, nil, cloud.ErrNoCapacity, b.now)
 		if !b.isUnavailable(kind, b.now) {
 			t.Fatal("asked for again at once")
 		}
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -9,7 +9,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/leader/cluster"
 )
 
@@ -26,7 +26,7 @@
 	if len(q.waiting) == 0 || q.inFlight {
 		return nil
 	}
-	ids := slices.Clone(q.waiting[:min(len(q.waiting), autoscaler.MaxMachinesPerRelease)])
+	ids := slices.Clone(q.waiting[:min(len(q.waiting), cloud.MaxMachinesPerRelease)])
 	q.waiting = slices.Delete(q.waiting, 0, len(ids))
 	q.inFlight = true
 	return ids
--- a/internal/leader/scaler/release_test.go
+++ b/internal/leader/scaler/release_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/leader/cluster"
 )
 
@@ -143,7 +143,7 @@
 func TestListDoesNotReviveReleasedMachines(t *testing.T) {
 	b, _ := newBench(t, refuseAll(t))
 	b.released["m-2"] = after(b.now, 160)
-	listed := []autoscaler.ListedMachine{{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}}
+	listed := []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}
 	b.ApplyList(t.Context(), listed, b.now, b.now)
 	if b.deps.State.Machines.ByID["m-2"] != nil {
 		t.Error("a released machine is back")
@@ -162,12 +162,12 @@
 		b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 		reporting, failed := b.addMachine("m-2", cluster.Up), b.addMachine("m-3", cluster.Up)
 		b.addMachine("m-4", cluster.Up) // in no list
-		b.ApplyList(t.Context(), []autoscaler.ListedMachine{
-			{ID: "m-1", State: autoscaler.StateRunning}, {ID: "m-2", State: autoscaler.StateRunning}, {ID: "m-3", State: autoscaler.StateRunning},
+		b.ApplyList(t.Context(), []cloud.ListedMachine{
+			{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}, {ID: "m-3", State: cloud.StateRunning},
 		}, b.now, b.now)
 		askedAt := after(b.now, 1)
 		reporting.Worker.HeartbeatAt = after(askedAt, 1)
-		b.ApplyList(t.Context(), []autoscaler.ListedMachine{{ID: "m-3", State: autoscaler.StateFailed}}, askedAt, after(askedAt, 2))
+		b.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-3", State: cloud.StateFailed}}, askedAt, after(askedAt, 2))
 		if d := cmp.Diff([]string{"m-1"}, b.host.suspected); d != "" {
 			t.Error(d)
 		}
--- a/internal/leader/scaler/scaler.go
+++ b/internal/leader/scaler/scaler.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
@@ -44,7 +44,7 @@
 type Deps struct {
 	Settings *settings.Settings
 	Derived  settings.Derived
-	Cloud    *autoscaler.Client
+	Cloud    *cloud.Client
 	Catalog  *cluster.Catalog
 	State    *cluster.State
 	Host     Host
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"ospreyslip/internal/autoscaler"
+	"ospreyslip/internal/cloud"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
@@ -71,8 +71,8 @@
 	events  chan func(time.Time) // posted to the event loop
 }
 
-// newBench makes a scaler with an idle machine, m-1, and a cloud that answers by a handler.
-func newBench(t *testing.T, cloud http.HandlerFunc) (*bench, *cluster.Machine) {
+// newBench makes a scaler with an idle machine, m-1, and a cloud with the answers of a handler.
+func newBench(t *testing.T, answer http.HandlerFunc) (*bench, *cluster.Machine) {
 	t.Helper()
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
 		Workers: settings.Workers{HeartbeatS: 1, LeaseS: 20, CancelS: 40},
@@ -87,7 +87,7 @@
 	derived := set.Derive()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, Price: 4, SpotPrice: 1, Zones: []string{"a", "b"}, BootS: 10}}
 	b.Scaler = New(Deps{
-		Settings: set, Derived: derived, Cloud: autoscaler.NewClient("cloud:1", handlerTransport{cloud}, time.Second, 10),
+		Settings: set, Derived: derived, Cloud: cloud.NewClient("cloud:1", handlerTransport{answer}, time.Second, 10),
 		Catalog: &cluster.Catalog{Types: func() []jobs.MachineType { return types }, DefaultBootTime: derived.Workers.Lease},
 		State:   state, Host: b.host,
 		Valid: func() bool { return b.leading },
@@ -129,7 +129,7 @@
 		b, m := newBench(t, refuseAll(t))
 		b.leading = false
 		b.Release(t.Context(), m)
-		b.requestRental(t.Context(), autoscaler.ProvisionRequest{Name: "r-5-1", Count: 1})
+		b.requestRental(t.Context(), cloud.ProvisionRequest{Name: "r-5-1", Count: 1})
 		synctest.Wait()
 	})
 }
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -4,49 +4,26 @@
 	"github.com/google/btree"
 )
 
-// Machine is a machine that takes work.
-type Machine struct {
-	ID, Type, Zone string
-	Spot           bool
-	Straggler      bool // not for batch tasks
-	Total, Free    Resources
-	FetchGBPS      float64
-	Images         map[string]bool    // that it has
-	Fetching       map[string]float64 // that it is getting, and their size in GB
-	AvoidJobs      map[string]bool    // jobs that should not come back
+// CapacityIndex holds the machines that take work, ordered by their free resources, so that the
+// cost of finding a machine does not grow with the number of machines. Its zero value is empty
+// and ready for use. Type, Zone, Spot and Free of a machine must not be changed while it is in
+// the index, but by SetFree.
+type CapacityIndex struct{ pools []*pool }
 
-	// Filled only where room has to be made.
-	Releasing Resources // of tasks told to stop
-	Tasks     []*RunningTask
-
-	on *kindIndex
-}
-
-// RunningTask is a task on a machine that could be stopped.
-type RunningTask struct {
-	Job       *Job
-	Index     int
-	LostRunS  float64 // what stopping it would lose
-	GangTasks int     // tasks of its gang, which stop with it
-	Starved   bool    // placed because its job had got nothing for too long
+// pool holds the machines of one type, zone and pricing model in the order of lessFree.
+type pool struct {
+	machineType, zone string
+	spot              bool
+	machines          *btree.BTreeG[*Machine]
+	searchKey         Machine // reused by eachWithCPUs as the lower bound of a search
 }
 
-// CapacityIndex holds the machines that take work, ordered by their free resources: the
-// cost of finding a machine does not grow with the fleet.
-type CapacityIndex struct{ kinds []*kindIndex }
+// btreeDegree makes a node of a tree fill a few cache lines.
+const btreeDegree = 16
 
-// kindIndex holds the machines of one type, zone and pricing model, the fullest first.
-type kindIndex struct {
-	typ, zone string
-	spot      bool
-	machines  *btree.BTreeG[*Machine]
-	pivot     Machine // where a search begins
-}
-
-// degree of the trees: a node fills a few cache lines.
-const degree = 16
-
-func fuller(a, b *Machine) bool {
+// lessFree orders machines by what is free on them, the fullest first. The name makes the order
+// total: the tree takes machines that compare equal for the same one.
+func lessFree(a, b *Machine) bool {
 	switch {
 	case a.Free.CPUs != b.Free.CPUs:
 		return a.Free.CPUs < b.Free.CPUs
@@ -58,68 +35,75 @@
 	return a.ID < b.ID
 }
 
-// Insert adds a machine and returns true, or does nothing if it is there.
-func (s *CapacityIndex) Insert(m *Machine) bool {
-	if m.on != nil {
+// Insert adds a machine. It returns false, and does nothing, if the machine is in the index.
+func (x *CapacityIndex) Insert(machine *Machine) bool {
+	if machine.pool != nil {
 		return false
 	}
-	for _, k := range s.kinds {
-		if k.typ == m.Type && k.zone == m.Zone && k.spot == m.Spot {
-			m.on = k
+	for _, candidate := range x.pools {
+		if candidate.machineType == machine.Type && candidate.zone == machine.Zone && candidate.spot == machine.Spot {
+			machine.pool = candidate
 		}
 	}
-	if m.on == nil {
-		m.on = &kindIndex{typ: m.Type, zone: m.Zone, spot: m.Spot, machines: btree.NewG(degree, fuller)}
-		s.kinds = append(s.kinds, m.on)
+	if machine.pool == nil {
+		machine.pool = &pool{
+			machineType: machine.Type, zone: machine.Zone, spot: machine.Spot,
+			machines: btree.NewG(btreeDegree, lessFree),
+		}
+		x.pools = append(x.pools, machine.pool)
 	}
-	m.on.machines.ReplaceOrInsert(m)
+	machine.pool.machines.ReplaceOrInsert(machine)
 	return true
 }
 
-// Remove drops a machine from the index.
-func (s *CapacityIndex) Remove(m *Machine) {
-	if m.on != nil {
-		m.on.machines.Delete(m)
-		m.on = nil
+// Remove drops a machine from the index, if it is there.
+func (x *CapacityIndex) Remove(machine *Machine) {
+	if machine.pool != nil {
+		machine.pool.machines.Delete(machine)
+		machine.pool = nil
 	}
 }
 
 // SetFree changes what is free on a machine, whether or not it is in the index.
-func (s *CapacityIndex) SetFree(m *Machine, free Resources) {
-	if m.on == nil {
-		m.Free = free
+func (x *CapacityIndex) SetFree(machine *Machine, free Resources) {
+	if machine.pool == nil {
+		machine.Free = free
 		return
 	}
-	m.on.machines.Delete(m)
-	m.Free = free
-	m.on.machines.ReplaceOrInsert(m)
+	machine.pool.machines.Delete(machine)
+	machine.Free = free
+	machine.pool.machines.ReplaceOrInsert(machine)
 }
 
-// from goes through the machines that may have room, the fullest first, while
-// next says so.
-func (k *kindIndex) from(need Resources, next func(*Machine) bool) {
-	least := need.CPUs - slack
-	if roomiest, ok := k.machines.Max(); !ok || roomiest.Free.CPUs < least {
-		return // mostly all are full
+// eachWithCPUs calls next with the machines that have enough free CPUs for a request, the
+// fullest first, until it returns false. That other resources suffice is for next to check.
+func (p *pool) eachWithCPUs(request Resources, next func(*Machine) bool) {
+	leastCPUs := request.CPUs - roundingTolerance
+	if roomiest, ok := p.machines.Max(); !ok || roomiest.Free.CPUs < leastCPUs {
+		return // the usual case: all machines are full
 	}
-	k.pivot.Free.CPUs = least
-	k.machines.AscendGreaterOrEqual(&k.pivot, next)
+	p.searchKey.Free.CPUs = leastCPUs
+	p.machines.AscendGreaterOrEqual(&p.searchKey, next)
 }
 
-// all goes through all machines, the fullest first.
-func (k *kindIndex) all(each func(*Machine)) {
-	k.machines.Ascend(func(m *Machine) bool { each(m); return true })
+// each calls visit with all machines, the fullest first.
+func (p *pool) each(visit func(*Machine)) {
+	p.machines.Ascend(func(machine *Machine) bool {
+		visit(machine)
+		return true
+	})
 }
 
-// roomiest returns the machine with most room of those that will do.
-func (s *CapacityIndex) roomiest(will func(*Machine) bool) (best *Machine) {
-	for _, k := range s.kinds {
-		k.machines.Descend(func(m *Machine) bool {
-			if !will(m) {
+// emptiest returns the machine with most free CPUs of those accepted, or nil. Of equals it is
+// one of the pool that came first.
+func (x *CapacityIndex) emptiest(accept func(*Machine) bool) (best *Machine) {
+	for _, pool := range x.pools {
+		pool.machines.Descend(func(machine *Machine) bool {
+			if !accept(machine) {
 				return true
 			}
-			if best == nil || best.Free.CPUs < m.Free.CPUs {
-				best = m
+			if best == nil || best.Free.CPUs < machine.Free.CPUs {
+				best = machine
 			}
 			return false
 		})
--- /dev/null
+++ b/internal/placement/gang_placement.go
@@ -0,0 +1,142 @@
+package placement
+
+import (
+	"slices"
+
+	"ospreyslip/internal/jobs"
+)
+
+// scheduleGang places all tasks of a gang, or preempts others for all that find no room, or
+// does neither. A gang that waits reserves nothing but the room for which it preempts, and,
+// when it has starved or has come just now, what Job.ReserveRoom describes.
+func (p *planner) scheduleGang(entry queueEntry, out *Output) {
+	job := entry.Job
+	if !p.gangSchedulable(entry) {
+		return
+	}
+	p.trial = true
+	defer func() { p.trial, p.onlyZone, p.undo = false, "", nil }()
+	zones := p.candidateZones(job.Spec)
+	best, fetchS := p.zoneWithSoonestStart(job, zones)
+	if best >= 0 && job.startsTooLate(fetchS) && p.preemptGangWhereCached(job, zones, out) {
+		return
+	}
+	if best >= 0 {
+		p.placeGang(entry, zones[best], out)
+		return
+	}
+	if p.preemptForGang(job, zones, out) {
+		return
+	}
+	if entry.starved || job.ReserveRoom {
+		p.reserveForGang(job, zones)
+		if entry.starved {
+			return
+		}
+		job.roomReserved = true
+	}
+	out.Unmet = append(out.Unmet, Demand{job, job.Pending})
+}
+
+// gangSchedulable tells whether a gang's entry has anything to place, and its team the quota
+// for all of it.
+func (p *planner) gangSchedulable(entry queueEntry) bool {
+	job := entry.Job
+	if job.roomReserved || job.Pending == 0 || entry.starved && job.StarvedTasks == 0 {
+		return false
+	}
+	return p.withinQuota(job, job.Pending) >= job.Pending
+}
+
+// candidateZones returns the zones of which each may hold all of a gang, if it has to be in
+// one; else one empty name, which stands for all zones together.
+func (p *planner) candidateZones(spec *jobs.Spec) (zones []string) {
+	if !spec.OneZone {
+		return []string{""}
+	}
+	for _, pool := range p.Index.pools {
+		if spec.Allows(pool.machineType, pool.zone, pool.spot) && !slices.Contains(zones, pool.zone) {
+			zones = append(zones, pool.zone)
+		}
+	}
+	slices.Sort(zones)
+	return zones
+}
+
+// placeWhatFits puts as many tasks of a gang on machines as have room, in one zone if one is
+// named. It returns the machines, and how many seconds the slowest of them needs to fetch the
+// image.
+func (p *planner) placeWhatFits(job *Job, zone string) (machines []*Machine, fetchS float64) {
+	p.onlyZone = zone
+	for len(machines) < job.Pending {
+		machine := p.bestFit(job, false)
+		if machine == nil {
+			break
+		}
+		fetchS = max(fetchS, machine.imageFetchS(job.Spec))
+		p.placeTask(job, machine)
+		machines = append(machines, machine)
+	}
+	return machines, fetchS
+}
+
+// zoneWithSoonestStart returns the index of the zone with room for all tasks where the last of
+// them has its image first, or -1, and how many seconds that takes.
+func (p *planner) zoneWithSoonestStart(job *Job, zones []string) (best int, bestFetchS float64) {
+	best = -1
+	for i, zone := range zones {
+		machines, fetchS := p.placeWhatFits(job, zone)
+		p.rollBack()
+		if len(machines) == job.Pending && (best < 0 || fetchS < bestFetchS) {
+			best, bestFetchS = i, fetchS
+		}
+		if best >= 0 && bestFetchS == 0 {
+			break
+		}
+	}
+	return best, bestFetchS
+}
+
+// placeGang places all tasks in a zone that has room for them.
+func (p *planner) placeGang(entry queueEntry, zone string, out *Output) {
+	job := entry.Job
+	machines, _ := p.placeWhatFits(job, zone)
+	for _, machine := range machines {
+		out.Assignments = append(out.Assignments, Assignment{job, machine, entry.starved})
+	}
+	job.Pending, job.StarvedTasks = 0, 0
+}
+
+// preemptGangWhereCached is preemptForGang on machines that have the image.
+func (p *planner) preemptGangWhereCached(job *Job, zones []string, out *Output) bool {
+	p.requireImage = true
+	defer func() { p.requireImage = false }()
+	return p.preemptForGang(job, zones, out)
+}
+
+// preemptForGang preempts others for the tasks that find no room, in the zone where the fewest
+// have to stop, if that makes room for all tasks. What is free there is reserved until they
+// have stopped. It returns false, and changes nothing, if no zone will do.
+func (p *planner) preemptForGang(job *Job, zones []string, out *Output) bool {
+	if !p.preemptionPossible(job) {
+		return false
+	}
+	best, fewestVictims := -1, 0
+	for i, zone := range zones {
+		var trial Output
+		machines, _ := p.placeWhatFits(job, zone)
+		roomFor := len(machines) + p.preemptFor(job, job.Pending-len(machines), &trial, p.requireImage)
+		if roomFor == job.Pending && (best < 0 || len(trial.Preemptions) < fewestVictims) {
+			best, fewestVictims = i, len(trial.Preemptions)
+		}
+		p.rollBack()
+	}
+	if best < 0 {
+		return false
+	}
+	machines, _ := p.placeWhatFits(job, zones[best])
+	p.preemptFor(job, job.Pending-len(machines), out, p.requireImage)
+	job.roomReserved = true
+	out.Preempting = append(out.Preempting, job)
+	return true
+}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -9,168 +9,178 @@
 	"ospreyslip/internal/settings"
 )
 
-// mayStop tells whether a task may be stopped to make room for j.
-func mayStop(in *Input, j *Job, p *RunningTask) bool {
-	v := p.Job
-	if p.Starved && j.Spec.Priority != jobs.Prod {
+// mayPreempt tells whether a running task may be stopped to make room for a job.
+func (p *planner) mayPreempt(job *Job, task *RunningTask) bool {
+	victim := task.Job
+	if task.Starved && job.Spec.Priority != jobs.Prod {
 		return false // it waited for too long to lose its place at once
 	}
-	if v.Spec.Rank() < j.Spec.Rank() {
+	if victim.Spec.Rank() < job.Spec.Rank() {
 		return true
 	}
 	// A team gets its guarantee from what another runs beyond its own, but not at
 	// the cost of a production service: its users notice at once, and a batch
 	// job can wait for the next task to end.
-	if v.Spec.Priority == jobs.Prod && j.Spec.Priority != jobs.Prod {
+	if victim.Spec.Priority == jobs.Prod && job.Spec.Priority != jobs.Prod {
 		return false
 	}
-	return in.mayReclaim(j) && !v.Guaranteed && v.Spec.Team != j.Spec.Team && in.beyond(v.Spec.Team)
+	return p.mayReclaim(job) && !victim.Guaranteed && victim.Spec.Team != job.Spec.Team && p.exceedsGuarantee(victim.Spec.Team)
 }
 
-// mayReclaim tells whether a job takes what its team is guaranteed from others. Tasks
-// end all the time, and what is guaranteed goes first where they do: a claim that
-// can wait for that costs nobody the work of a task.
-func (in *Input) mayReclaim(j *Job) bool { return j.Guaranteed && !j.ReclaimDeferred }
-
-// beyond tells whether a team uses more than it is guaranteed.
-func (in *Input) beyond(team string) bool {
-	t, used := teamOf(in.Teams, team), in.UsedByTeam[team]
-	return used.CPUs > t.GuaranteedCPUs+slack || used.GPUs > t.GuaranteedGPUs+slack
+// preemptionPossible tells whether a job may have victims anywhere. The search for them goes
+// through all machines, and mostly nothing that runs is of lower rank.
+func (p *planner) preemptionPossible(job *Job) bool {
+	if job.PreemptionDeferred {
+		return false
+	}
+	return p.LowestRank < job.Spec.Rank() || p.mayReclaim(job) && slices.ContainsFunc(p.Teams, func(team settings.Team) bool {
+		return team.Name != job.Spec.Team && p.exceedsGuarantee(team.Name)
+	})
 }
 
-// slowFetch is how much longer than usual a fetch may take, from the protocol.
-const slowFetch = 4.0 / 3
+// victimSearch is what victims are searched for.
+type victimSearch struct {
+	job     *Job
+	request Resources // of one task
+	// withImage restricts the search to machines that have the job's image. It is meant to
+	// start the job sooner, for which no gang is stopped.
+	withImage bool
+}
 
-// makeRoom stops tasks for up to n tasks of a job, on machines that will do; nil
-// means all. Room that is being made is set aside, so that the next plan does not
-// stop more for the same need.
-func (in *Input) makeRoom(j *Job, n int, out *Output, will func(*Machine) bool) (made int) {
-	if !in.mayMakeRoom(j) {
+// preemptFor preempts others for up to count tasks of a job, the cheapest victims first, and
+// returns for how many tasks that makes room. The room is reserved in this plan; later plans
+// find it in Releasing and stop nothing more for the same tasks.
+func (p *planner) preemptFor(job *Job, count int, out *Output, withImage bool) (made int) {
+	if !p.preemptionPossible(job) {
 		return 0
 	}
-	// To start a little sooner is no reason to stop a gang.
-	in.spare = in.cached || will != nil
-	need := TaskRequest(j.Spec)
-	var candidates preemptions
-	for _, s := range in.Index.kinds {
-		if !in.allows(j, s) {
+	search := victimSearch{job, TaskRequest(job.Spec), withImage}
+	options := p.preemptionOptions(search)
+	for made < count && options.Len() > 0 {
+		option := options.cheapest()
+		machine := option.machine
+		if !machine.accepts(job) || !TopologyAllows(job.Spec, job.TasksByZone, machine.Zone) {
+			heap.Pop(options)
+			continue
+		}
+		p.preempt(search, option, out)
+		made++
+		if next, ok := p.cheapestVictims(search, machine); ok {
+			options.replaceCheapest(next)
+		} else {
+			heap.Pop(options)
+		}
+	}
+	return made
+}
+
+// preemptionOptions returns a heap of the machines on which one more task would have room
+// without some of those that run there.
+func (p *planner) preemptionOptions(search victimSearch) *preemptionHeap {
+	var options preemptionHeap
+	for _, pool := range p.Index.pools {
+		if !p.poolAllowed(search.job, pool) {
 			continue
 		}
-		s.all(func(m *Machine) {
-			if will != nil && !will(m) || in.cached && !m.Images[j.Spec.Image] {
+		pool.each(func(machine *Machine) {
+			if search.withImage && !machine.Images[search.job.Spec.Image] {
 				return
 			}
-			in.look(m)
-			if w, ok := in.victims(j, m, need); ok {
-				candidates = append(candidates, w)
+			p.loadTasks(machine)
+			if option, ok := p.cheapestVictims(search, machine); ok {
+				options = append(options, option)
 			}
 		})
 	}
-	heap.Init(&candidates)
-	for made < n && len(candidates) > 0 {
-		w := candidates[0]
-		if !w.on.open(j) || !TopologyAllows(j.Spec, j.TasksByZone, w.on.Zone) {
-			heap.Pop(&candidates)
-			continue
-		}
-		m := w.on
-		if tasks, freeing := m.Tasks, m.Releasing; in.trial {
-			m.Tasks = slices.Clone(tasks)
-			in.undo = append(in.undo, func() { m.Tasks, m.Releasing = tasks, freeing })
-		}
-		for _, v := range w.stop {
-			out.Preemptions = append(out.Preemptions, Preemption{m, v, j.Spec.Shape != jobs.Batch})
-			m.Tasks = slices.DeleteFunc(m.Tasks, func(p *RunningTask) bool { return p == v })
-			m.Releasing = m.Releasing.AddTimes(TaskRequest(v.Job.Spec), 1)
+	heap.Init(&options)
+	return &options
+}
+
+// cheapestVictims returns the tasks that cost least to stop on a machine, lowest rank first, so
+// that one more task fits. There are none to stop where it will fit into what is already being
+// released. It returns false if the task would not fit even without all that may be preempted.
+func (p *planner) cheapestVictims(search victimSearch, machine *Machine) (option preemptionOption, ok bool) {
+	if !machine.accepts(search.job) {
+		return option, false
+	}
+	option.machine = machine
+	room := machine.Free.AddTimes(machine.Releasing, 1)
+	if room.Fits(search.request) {
+		return option, true
+	}
+	var candidates []*RunningTask
+	for _, task := range machine.Tasks {
+		if p.mayPreempt(search.job, task) && (!search.withImage || task.Job.Spec.Shape != jobs.Gang) {
+			candidates = append(candidates, task)
 		}
-		// Taken out of what is free now and, for the rest, of what will be.
-		m.Releasing = m.Free.AddTimes(m.Releasing, 1).AddTimes(need, -1)
-		in.setFree(m, Resources{})
-		in.counted(j, m)
-		made++
-		if next, ok := in.victims(j, m, need); ok {
-			candidates[0] = next
-			heap.Fix(&candidates, 0)
-		} else {
-			heap.Pop(&candidates)
+	}
+	slices.SortStableFunc(candidates, func(a, b *RunningTask) int {
+		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.preemptionCost(), b.preemptionCost()))
+	})
+	for _, task := range candidates {
+		room = room.AddTimes(TaskRequest(task.Job.Spec), 1)
+		option.victims = append(option.victims, task)
+		option.cost += task.preemptionCost()
+		if room.Fits(search.request) {
+			return option, true
 		}
 	}
-	return made
+	return option, false
 }
 
-// mayMakeRoom tells whether a search for victims can find any: it goes through
-// all machines, and mostly there is nothing of lower priority.
-func (in *Input) mayMakeRoom(j *Job) bool {
-	if j.PreemptionDeferred {
-		return false
+// preempt stops an option's victims, and reserves the machine for the task for which they
+// stop.
+func (p *planner) preempt(search victimSearch, option preemptionOption, out *Output) {
+	machine := option.machine
+	if tasks, releasing := machine.Tasks, machine.Releasing; p.trial {
+		machine.Tasks = slices.Clone(tasks)
+		p.undo = append(p.undo, func() { machine.Tasks, machine.Releasing = tasks, releasing })
 	}
-	return in.LowestRank < j.Spec.Rank() || in.mayReclaim(j) && slices.ContainsFunc(in.Teams, func(t settings.Team) bool {
-		return t.Name != j.Spec.Team && in.beyond(t.Name)
-	})
+	withoutGrace := search.job.Spec.Shape != jobs.Batch
+	for _, victim := range option.victims {
+		out.Preemptions = append(out.Preemptions, Preemption{machine, victim, withoutGrace})
+		machine.Tasks = slices.DeleteFunc(machine.Tasks, func(task *RunningTask) bool { return task == victim })
+		machine.Releasing = machine.Releasing.AddTimes(TaskRequest(victim.Job.Spec), 1)
+	}
+	// The task's request comes out of what is free, and for the rest out of what will be
+	// released. Nothing else is placed on the machine in this plan: with what is free gone,
+	// the task would have to wait for more to end.
+	machine.Releasing = machine.Free.AddTimes(machine.Releasing, 1).AddTimes(search.request, -1)
+	p.setFree(machine, Resources{})
+	p.countTask(search.job, machine)
 }
 
-// preemption is what a machine would lose to take one more task.
-type preemption struct {
-	on   *Machine
-	stop []*RunningTask
-	cost float64
+// preemptionOption is what one more task on a machine would cost there.
+type preemptionOption struct {
+	machine *Machine
+	victims []*RunningTask
+	cost    float64 // sum of the victims' preemptionCost
 }
 
-// preemptions is a heap, the cheapest first.
-type preemptions []preemption
+// preemptionHeap is a [heap.Interface], the cheapest option first.
+type preemptionHeap []preemptionOption
 
-func (s preemptions) Len() int { return len(s) }
+func (h preemptionHeap) Len() int { return len(h) }
 
-func (s preemptions) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(s[a].cost, s[b].cost), cmp.Compare(s[a].on.ID, s[b].on.ID)) < 0
+func (h preemptionHeap) Less(a, b int) bool {
+	return cmp.Or(cmp.Compare(h[a].cost, h[b].cost), cmp.Compare(h[a].machine.ID, h[b].machine.ID)) < 0
 }
 
-func (s preemptions) Swap(a, b int) { s[a], s[b] = s[b], s[a] }
+func (h preemptionHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (s *preemptions) Push(x any) { *s = append(*s, x.(preemption)) }
+func (h preemptionHeap) cheapest() preemptionOption { return h[0] }
 
-func (s *preemptions) Pop() any {
-	last := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
-	return last
+func (h *preemptionHeap) replaceCheapest(option preemptionOption) {
+	(*h)[0] = option
+	heap.Fix(h, 0)
 }
 
-// cost is what stopping a task loses. A gang loses what all of its tasks have run
-// for, and has to find room for all of them at a time again.
-func (p *RunningTask) cost() float64 {
-	s := p.Job.Spec
-	if s.Shape == jobs.Gang {
-		return float64(p.GangTasks) * (1 + (p.LostRunS+s.EstimatedRuntimeS)*s.CPUs)
-	}
-	return 1 + p.LostRunS*s.CPUs
-}
+// Push implements [heap.Interface].
+func (h *preemptionHeap) Push(x any) { *h = append(*h, x.(preemptionOption)) }
 
-// victims returns the cheapest tasks to stop on a machine.
-func (in *Input) victims(j *Job, m *Machine, need Resources) (w preemption, ok bool) {
-	if !m.open(j) {
-		return w, false
-	}
-	w.on = m
-	room := m.Free.AddTimes(m.Releasing, 1)
-	if room.Fits(need) {
-		return w, true
-	}
-	var order []*RunningTask
-	for _, v := range m.Tasks {
-		if mayStop(in, j, v) && (!in.spare || v.Job.Spec.Shape != jobs.Gang) {
-			order = append(order, v)
-		}
-	}
-	slices.SortStableFunc(order, func(a, b *RunningTask) int {
-		return cmp.Or(cmp.Compare(a.Job.Spec.Rank(), b.Job.Spec.Rank()), cmp.Compare(a.cost(), b.cost()))
-	})
-	for _, v := range order {
-		room = room.AddTimes(TaskRequest(v.Job.Spec), 1)
-		w.stop = append(w.stop, v)
-		w.cost += v.cost()
-		if room.Fits(need) {
-			return w, true
-		}
-	}
-	return w, false
+// Pop implements [heap.Interface].
+func (h *preemptionHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -6,32 +6,40 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Jobs without a deadline sort behind those with one, and jobs that have none
-// left to meet behind all: what they take would make others late, too.
+// Values of Job.DeadlineS for a job without a deadline to meet. Jobs that can meet none any
+// more come last of their rank: what they take would make others late, too.
 const (
-	NoDeadline     = 1e9
-	DeadlineMissed = 2e9
+	NoDeadline     = 1e9 // the job has none
+	DeadlineMissed = 2e9 // all of its deadlines are missed
 )
 
-// before orders the queue: production first, then what has got nothing for too
-// long, then what a guarantee covers, then by priority. Among equals it weighs
-// what is due soon against what takes little: by deadline alone, one large job
-// in an overload makes many small ones late.
-func before(a, b queueEntry) int {
+// queueEntry is a job's place in the queue. A starved job has two entries: one ahead of others
+// for StarvedTasks of its tasks, and its own for the rest.
+type queueEntry struct {
+	*Job
+	starved bool
+}
+
+// compareEntries orders the queue: production first, then gangs for which others are being
+// stopped, then starved tasks, then what a guarantee covers, then by priority. Among equals
+// the smallest product of the time to the deadline and the remaining work goes first: by
+// deadline alone, one large job in an overload makes many small ones late.
+func compareEntries(a, b queueEntry) int {
 	return cmp.Or(
-		first(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
-		first(a.Preempting, b.Preempting),
-		first(a.overdue, b.overdue),
-		first(a.Guaranteed, b.Guaranteed),
+		trueFirst(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
+		trueFirst(a.Preempting, b.Preempting),
+		trueFirst(a.starved, b.starved),
+		trueFirst(a.Guaranteed, b.Guaranteed),
 		cmp.Compare(b.Spec.Rank(), a.Spec.Rank()),
-		first(a.ReserveRoom, b.ReserveRoom),
-		cmp.Compare(stage(a.Job), stage(b.Job)),
+		trueFirst(a.ReserveRoom, b.ReserveRoom),
+		cmp.Compare(deadlineStage(a.Job), deadlineStage(b.Job)),
 		cmp.Compare(a.DeadlineS*a.RemainingCPUS, b.DeadlineS*b.RemainingCPUS),
 		cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder),
 	)
 }
 
-func first(a, b bool) int {
+// trueFirst is a comparison that sorts true before false.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -41,43 +49,40 @@
 	return 1
 }
 
-// queueEntry is a job's place in the queue. One that is overdue has two: one ahead for
-// a few of its tasks, and its own for the rest.
-type queueEntry struct {
-	*Job
-	overdue bool
-}
-
-// stage tells jobs with a deadline to meet from those without, and from those
-// that can meet none.
-func stage(j *Job) int {
+// deadlineStage sorts jobs with a deadline to meet before those without, and these before
+// those that can meet none.
+func deadlineStage(job *Job) int {
 	switch {
-	case j.DeadlineS < NoDeadline:
+	case job.DeadlineS < NoDeadline:
 		return 0
-	case j.DeadlineS < DeadlineMissed:
+	case job.DeadlineS < DeadlineMissed:
 		return 1
 	}
 	return 2
 }
 
-// mostNeighbours is how many jobs next to each other in the queue share machines by
-// the images that these have.
-const mostNeighbours = 8
+// maxInterchangeable bounds how many jobs share machines by images, and with it how far a job
+// may fall behind one that is due later.
+const maxInterchangeable = 8
 
-// neighbours is how many jobs at the head of the queue differ only in how soon they
-// are due. Where machines are scarce, each that falls free goes to the one of them
-// whose image it has: among jobs that all wait, fetches are what can be saved.
-func neighbours(queue []queueEntry) int {
-	a, n := queue[0], 1
-	if a.Spec.Shape != jobs.Batch {
-		return n
+// interchangeable returns how many jobs at the head of the queue differ only in how soon they
+// are due. Where machines are scarce, each that comes free goes to the one of them whose image
+// it has: as all of them wait, fetches are what can be saved.
+func interchangeable(queue []queueEntry) int {
+	head, count := queue[0], 1
+	if head.Spec.Shape != jobs.Batch {
+		return count
 	}
-	for n < min(len(queue), mostNeighbours) {
-		b := queue[n]
-		if b.Spec.Shape != a.Spec.Shape || b.Spec.Rank() != a.Spec.Rank() || b.overdue != a.overdue || b.Guaranteed != a.Guaranteed || stage(b.Job) != stage(a.Job) {
-			break
-		}
-		n++
+	for count < min(len(queue), maxInterchangeable) && differOnlyInDeadline(head, queue[count]) {
+		count++
 	}
-	return n
+	return count
+}
+
+func differOnlyInDeadline(a, b queueEntry) bool {
+	return a.Spec.Shape == b.Spec.Shape &&
+		a.Spec.Rank() == b.Spec.Rank() &&
+		a.starved == b.starved &&
+		a.Guaranteed == b.Guaranteed &&
+		deadlineStage(a.Job) == deadlineStage(b.Job)
 }
--- /dev/null
+++ b/internal/placement/reservation.go
@@ -0,0 +1,82 @@
+package placement
+
+// reserveEmptiest reserves up to count machines for a starved job: those with most room that
+// the plan has not touched. Others get nothing on them, so that they drain until a task of
+// the job fits.
+func (p *planner) reserveEmptiest(job *Job, count int) {
+	for range count {
+		machine := p.emptiestUntouched(job)
+		if machine == nil {
+			return
+		}
+		p.setFree(machine, Resources{})
+	}
+}
+
+// emptiestUntouched returns the machine with most room of those that the plan has not changed
+// yet and that would take a task of the job if they were empty; nil if there is none.
+func (p *planner) emptiestUntouched(job *Job) *Machine {
+	return p.Index.emptiest(func(machine *Machine) bool {
+		_, touched := p.originalFree[machine]
+		return !touched && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job) &&
+			(p.onlyZone == "" || machine.Zone == p.onlyZone)
+	})
+}
+
+// reserveForGang reserves room where most of a gang fits, if all of it will fit there once
+// running tasks have ended. Otherwise the gang would wait for machines that are not
+// provisioned yet, and others would wait with it for nothing.
+func (p *planner) reserveForGang(job *Job, zones []string) {
+	best, most := -1, -1
+	for i, zone := range zones {
+		machines, _ := p.placeWhatFits(job, zone)
+		p.rollBack()
+		if len(machines) > most && p.willFitEventually(job, zone) {
+			best, most = i, len(machines)
+		}
+	}
+	if best < 0 {
+		return
+	}
+	machines, _ := p.placeWhatFits(job, zones[best])
+	request := TaskRequest(job.Spec)
+	left := job.Pending - len(machines)
+	for left > 0 {
+		machine := p.emptiestUntouched(job)
+		if machine == nil {
+			return
+		}
+		p.setFree(machine, Resources{})
+		for room := machine.Total; left > 0 && room.Fits(request); left-- {
+			room = room.AddTimes(request, -1)
+		}
+	}
+}
+
+// willFitEventually tells whether a gang fits into a zone, or anywhere if none is named, once
+// the tasks that end by themselves have ended.
+func (p *planner) willFitEventually(job *Job, zone string) bool {
+	p.onlyZone = zone
+	request, count := TaskRequest(job.Spec), 0
+	for _, pool := range p.Index.pools {
+		if !p.poolAllowed(job, pool) {
+			continue
+		}
+		pool.each(func(machine *Machine) {
+			if count >= job.Pending || !machine.accepts(job) {
+				return
+			}
+			p.loadTasks(machine)
+			room := machine.Free.AddTimes(machine.Releasing, 1)
+			for _, task := range machine.Tasks {
+				if task.Job.Spec.RunsToCompletion() {
+					room = room.AddTimes(TaskRequest(task.Job.Spec), 1)
+				}
+			}
+			for ; count < job.Pending && room.Fits(request); count++ {
+				room = room.AddTimes(request, -1)
+			}
+		})
+	}
+	return count >= job.Pending
+}
