--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -24,17 +24,20 @@
 		l.state.Jobs[j.ID] = j
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 		l.answerHeartbeat(r, now)
-		l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
+		l.tasks.Assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
 	}
 
 	// The record of a cancelled job has no description, so that it is not among the jobs.
 	spec, live := *l.state.Jobs["j-7"].Spec, *small
 	next := successor(l, written(l), now, &spec, &live)
+	seen := map[string]bool{}
 	notifyPending := func() (ids []string) {
-		for _, m := range next.dispatcher.unresponsive {
-			ids = append(ids, m.ID)
+		for _, m := range next.state.Machines.All {
+			if m.Commands.NotifyPending && !seen[m.ID] {
+				ids = append(ids, m.ID)
+				seen[m.ID] = true
+			}
 		}
-		next.dispatcher.unresponsive = nil
 		slices.Sort(ids)
 		return ids
 	}
@@ -43,9 +46,9 @@
 	}
 	interval := func(at time.Time) {
 		for range cluster.TickGroups {
-			next.tickGroup = (next.tickGroup + 1) % cluster.TickGroups
-			for m := range next.state.Machines.Groups[next.tickGroup] {
-				next.announceToSilent(m, at)
+			next.ticks.group = (next.ticks.group + 1) % cluster.TickGroups
+			for m := range next.state.Machines.Groups[next.ticks.group] {
+				next.dispatcher.AnnounceToSilent(m, at)
 			}
 		}
 	}
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -15,6 +15,7 @@
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/leader/tasks"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 )
@@ -61,10 +62,11 @@
 // logLeader is a leader that reads the log from the segments, with the jobs given.
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
-	l.endMachineTasks(m, "not of this test")
-	l.state.Jobs, l.state.Machines, l.planner.Capacity, l.log, l.writer.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.catalog.Type), assignmentlog.New(assignmentlog.Config{}), nil
-	l.detector = liveness.New(liveness.Config{})
-	l.fencing.token, l.lastAttempt = token, token<<24
+	l.tasks.EndAllOn(m, "not of this test")
+	l.state.Jobs, l.state.Machines, l.planner.Capacity, l.writer.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.catalog.Type), nil
+	*l.detector = *liveness.New(liveness.Config{})
+	l.fencing.Current = token
+	*l.tasks = *tasks.NewManager(l.tasks.Deps, token<<24)
 	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
 	for i, spec := range specs {
 		l.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
@@ -189,7 +191,7 @@
 			l.state.Machines.Add(m)
 		}
 		if j := l.state.Jobs[fmt.Sprint("j-", 1+rnd.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
-			a := l.assign(j, j.TakePendingTask(), m, now)
+			a := l.tasks.Assign(j, j.TakePendingTask(), m, now)
 			if j.Spec.Shape == jobs.Gang {
 				a.GangAttempt = 7
 			}
@@ -200,9 +202,9 @@
 		for _, attempt := range cluster.SortedAttempts(m.Assignments) {
 			if a := m.Assignments[attempt]; a.Log.Durable && a.Outcome == cluster.Open && rnd.IntN(60) == 0 {
 				if a.Job.Spec.Shape == jobs.Batch && a.Job.Completions.Count+1 < a.Job.Spec.Tasks {
-					l.endAssignment(a, cluster.Success)
+					l.tasks.End(a, cluster.Success)
 				} else {
-					l.endAssignment(a, cluster.Retry)
+					l.tasks.End(a, cluster.Retry)
 				}
 			}
 		}
@@ -221,11 +223,11 @@
 // copy that is carried out late, after newer ones or under the next leader, fails.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	l, m, j, now := bench()
-	l.term.HolderRevision, l.fencing.revision, j.Revision = 77, 78, 79
+	l.term.HolderRevision, l.fencing.Revision, j.Revision = 77, 78, 79
 	l.readLog(nil)
-	l.fencing.raisePending = true
+	l.fencing.RaisePending = true
 	l.writer.completedJobs = append(l.writer.completedJobs, j)
-	l.assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
+	l.tasks.Assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
 	b := l.compose()
 	revisions := map[string]uint64{}
 	for _, g := range b.Guards {
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -54,15 +54,15 @@
 	Unreadable bool
 }
 
-// Load makes a log of the segments in the key-value store, and returns them in the order in
+// Load begins anew with the segments in the key-value store, and returns them in the order in
 // which they were written. What stands on them is for the caller to take in.
-func Load(config Config, stored []kvstore.KeyValue) (*Log, []StoredSegment) {
-	log := &Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
+func (l *Log) Load(config Config, stored []kvstore.KeyValue) []StoredSegment {
+	*l = Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
 	var read []StoredSegment
 	for _, pair := range stored {
 		segment := StoredSegment{Segment: cluster.NewSegment(pair.Key, pair.Revision)}
 		segment.Bytes = len(pair.Value)
-		log.keys[pair.Key] = true
+		l.keys[pair.Key] = true
 		if err := jsonv2.Unmarshal(pair.Value, &segment.Record); err != nil {
 			slog.Error("segment of the assignment log unreadable", "key", pair.Key, "reason", err)
 			segment.Unreadable = true
@@ -70,12 +70,12 @@
 		read = append(read, segment)
 	}
 	slices.SortFunc(read, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
-	log.addMissingSegments(minSegments - len(read))
+	l.addMissingSegments(minSegments - len(read))
 	for _, segment := range read {
-		log.segments = append(log.segments, segment.Segment)
-		log.number = max(log.number, segment.Record.Number)
+		l.segments = append(l.segments, segment.Segment)
+		l.number = max(l.number, segment.Record.Number)
 	}
-	return log, read
+	return read
 }
 
 // JobsNamed returns the jobs of which some segments have tasks.
--- a/internal/leader/cluster/assignment.go
+++ b/internal/leader/cluster/assignment.go
@@ -93,3 +93,13 @@
 
 // Ref is how the worker names the task.
 func (a *Assignment) Ref() TaskRef { return TaskRef{a.TaskName(), a.WireAttempt()} }
+
+// FindTask returns a task that a worker shows, or nil.
+func FindTask(heartbeat *workers.Heartbeat, ref TaskRef) *workers.TaskStatus {
+	for i := range heartbeat.Tasks {
+		if RefOf(&heartbeat.Tasks[i]) == ref {
+			return &heartbeat.Tasks[i]
+		}
+	}
+	return nil
+}
--- a/internal/leader/follow.go
+++ b/internal/leader/follow.go
@@ -38,7 +38,7 @@
 		request := watch.newest.Baseline()
 		revision, changes, err := l.readChanges(ctx, watch.after, rolledBack)
 		if err != nil {
-			slog.Debug("watch failed", "term", l.term.FencingToken, "reason", err)
+			slog.Debug("watch failed", "term", l.fencing.OfTerm, "reason", err)
 			l.sleep(ctx, l.Derived.Election.RenewInterval)
 			continue
 		}
@@ -121,7 +121,7 @@
 }
 
 func (l *Leader) cancelJob(j *cluster.Job, revision uint64) {
-	slog.Info("job cancelled", "job", j.ID, "term", l.fencing.token)
+	slog.Info("job cancelled", "job", j.ID, "term", l.fencing.Current)
 	j.End.Cancelled, j.Revision, j.End.CancelSeenAt = true, revision, time.Now()
 	l.endTasksOf(j)
 }
@@ -171,7 +171,7 @@
 
 func (l *Leader) endTasksOf(j *cluster.Job) {
 	for _, a := range j.Assignments {
-		l.dropUnsent(a)
+		l.tasks.EndIfUnsent(a)
 	}
 	l.planner.Requested = true
 	l.removeIfSettled(j)
@@ -189,3 +189,6 @@
 	l.planner.Forget(j)
 	l.Counts.drop(j.ID)
 }
+
+// recordsAge is for how long users may have been told of changes that the leader does not know.
+func (l *Leader) recordsAge(now time.Time) time.Duration { return now.Sub(l.view.asOf) }
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -9,6 +9,7 @@
 
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/workers"
 )
@@ -18,8 +19,8 @@
 func withGang() (l *Leader, j *cluster.Job, now time.Time) {
 	l, m, old, now := bench()
 	for _, a := range m.Assignments {
-		l.endAssignment(a, cluster.Retry)
-		l.removeAssignment(a)
+		l.tasks.End(a, cluster.Retry)
+		l.tasks.Remove(a)
 	}
 	delete(l.state.Jobs, old.ID)
 	l.readLog(nil)
@@ -29,7 +30,7 @@
 	j = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimatedRuntimeS: 30, CheckpointIntervalS: 10, CheckpointSaveS: 3, OneZone: true}, 1, 0, now)
 	l.state.Jobs[j.ID] = j
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
-		if a := l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[id], now); a.Index != i {
+		if a := l.tasks.Assign(j, j.TakePendingTask(), l.state.Machines.ByID[id], now); a.Index != i {
 			panic("tasks are not given out in order")
 		}
 	}
@@ -45,7 +46,7 @@
 		a := j.Assignments[n]
 		segment.Begun[a.Attempt] = a
 		a.Log.Segment, a.Log.Durable = segment, true
-		l.beginDurable(a)
+		l.tasks.BeginDurable(a)
 	}
 }
 
@@ -111,11 +112,11 @@
 	l.says("m-2", j, now)
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
 	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
-	l.endMachineTasks(l.state.Machines.ByID["m-2"], "its lease is over")
+	l.tasks.EndAllOn(l.state.Machines.ByID["m-2"], "its lease is over")
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
 		t.Error(d)
 	}
-	l.removeAssignment(j.Assignments[2])
+	l.tasks.Remove(j.Assignments[2])
 	l.planner.Enqueue(j)
 	l.plan(now)
 	if len(j.Assignments) != 2 {
@@ -123,13 +124,13 @@
 	}
 	first := j.Assignments[0].GangAttempt
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateEnded, workers.CauseMatesGone))
-	l.removeAssignment(j.Assignments[0])
+	l.tasks.Remove(j.Assignments[0])
 	l.plan(now)
 	if len(j.Assignments) != 1 {
 		t.Error("begun before the last end was durable")
 	}
-	l.removeAssignment(j.Assignments[1])
-	if a := l.assign(j, j.TakePendingTask(), l.state.Machines.ByID["m-1"], now); a.GangAttempt == first || j.Pending.Count != 2 {
+	l.tasks.Remove(j.Assignments[1])
+	if a := l.tasks.Assign(j, j.TakePendingTask(), l.state.Machines.ByID["m-1"], now); a.GangAttempt == first || j.Pending.Count != 2 {
 		t.Errorf("the next attempt is %d, the last was %d; %d wait", a.GangAttempt, first, j.Pending.Count)
 	}
 }
@@ -140,7 +141,7 @@
 	l, j, now := withGang()
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))
-	l.carryOutVerdict(t.Context(), l.state.Machines.ByID["m-2"], liveness.ProbeFailed, now)
+	l.declareDead(t.Context(), l.state.Machines.ByID["m-2"], liveness.ProbeFailed, now)
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
@@ -177,8 +178,8 @@
 	l.write(j, 0, 1, 2)
 	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
 	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
-	l.stopTask(j.Assignments[1], 3)
-	for range maxUndelivered + 2 {
+	l.tasks.Stop(j.Assignments[1], 3)
+	for range dispatch.MaxUndelivered + 2 {
 		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
 			t.Fatal(d)
 		}
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -27,8 +27,8 @@
 	}
 	req := heartbeatRequest{r, make(chan *workers.HeartbeatResponse, 1)}
 	select {
-	case l.heartbeats <- req:
-	case <-l.quit:
+	case l.inbox.heartbeats <- req:
+	case <-l.inbox.quit:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -36,7 +36,7 @@
 	select {
 	case a := <-req.reply:
 		return a
-	case <-l.quit:
+	case <-l.inbox.quit:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -60,11 +60,6 @@
 	}
 }
 
-type heartbeatRequest struct {
-	heartbeat *workers.Heartbeat
-	reply     chan *workers.HeartbeatResponse
-}
-
 // Lead does one term's work until the context ends.
 func (g *Gate) Lead(ctx context.Context, d Deps, t election.Term) {
 	l := newLeader(d, t)
@@ -73,7 +68,7 @@
 	defer func() {
 		g.leader.CompareAndSwap(l, nil)
 		stop()
-		close(l.quit)
+		close(l.inbox.quit)
 		duties.Wait()
 		d.Counts.clear()
 	}()
@@ -86,10 +81,10 @@
 	duties.Go(func() { l.scaler.PollList(ctx) })
 	// A leader that no worker reaches makes way for one that may be reached. It
 	// does so once in a while only: if all machines are really gone, nobody can.
-	l.mayResign = time.Since(g.resigned) > 4*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
+	l.resignation.allowed = time.Since(g.resigned) > 4*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
 	g.leader.Store(l)
 	l.run(ctx)
-	if l.resign {
+	if l.resignation.requested {
 		g.resigned = time.Now()
 	}
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -43,11 +43,11 @@
 	l.restoreLog(log, records.ended, now)
 	l.resumeJobs(now)
 	l.planner.Requested, l.planner.GuaranteesStale = true, true
-	l.fencing.raisedAt = now
+	l.fencing.RaisedAt = now
 	l.scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.view.seenRevision.Store(after)
 	l.failover.RecordsLoaded(time.Now())
-	slog.Info("records read", "term", l.fencing.token, "jobs", len(l.state.Jobs), "ended", records.over, "machines", len(l.state.Machines.All))
+	slog.Info("records read", "term", l.fencing.Current, "jobs", len(l.state.Jobs), "ended", records.over, "machines", len(l.state.Machines.All))
 	return after, nil
 }
 
@@ -99,10 +99,10 @@
 func (l *Leader) resumeJobs(now time.Time) {
 	for _, j := range l.state.Jobs {
 		if j.IsGang() && !j.IsOver() && j.GangVerdict() == gang.Abort {
-			l.stopGang(j, 0) // its leader ended when a part of it had begun, or was over
+			l.tasks.StopGang(j, 0) // its leader ended when a part of it had begun, or was over
 		}
 		if !j.IsOver() && j.Spec.Shape == jobs.Batch && j.Completions.Count == j.Spec.Tasks {
-			l.completeJob(j)
+			l.tasks.CompleteJob(j)
 		}
 		l.publishCounts(j)
 		l.planner.Enqueue(j)
@@ -114,15 +114,14 @@
 
 // readLog makes the log of its segments. What each says is for the caller.
 func (l *Leader) readLog(stored []kvstore.KeyValue) (read []assignmentlog.StoredSegment) {
-	l.log, read = assignmentlog.Load(logConfig(l.Derived), stored)
-	return read
+	return l.log.Load(logConfig(l.Derived), stored)
 }
 
 // restoreLog takes in the log. Whatever it names may be there: the tasks count
 // until a report under our token, or the end of the lease, shows otherwise. No
 // earlier leader answered a report later than the term began.
 func (l *Leader) restoreLog(segments []assignmentlog.StoredSegment, ended map[string]kvstore.KeyValue, now time.Time) {
-	defer l.announceTerm()
+	defer l.dispatcher.AnnounceTerm(l.log.Segments())
 	l.restoreSegments(segments, ended, now)
 	for _, segment := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
@@ -135,11 +134,11 @@
 	for _, segment := range l.log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 			a := segment.Begun[attempt]
-			switch d := reconcile.DecideOnRecords(l.attemptFacts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
+			switch d := reconcile.DecideOnRecords(l.tasks.Facts(a, now), a.Job.IsTaskDone(a.Index), a.Machine.Worker.Session, a.Machine.Worker.LeaseUntil); d.Action {
 			case reconcile.Complete:
-				l.endAssignment(a, cluster.Success)
+				l.tasks.End(a, cluster.Success)
 			case reconcile.Reschedule:
-				l.endAssignment(a, cluster.Retry)
+				l.tasks.End(a, cluster.Retry)
 			default: // its machine is heard first
 			}
 		}
@@ -227,6 +226,6 @@
 		j.GrowTo(t.Index + 1)
 	}
 	p.Begun[t.Attempt] = &cluster.Assignment{
-		Job: j, Index: t.Index, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.fencing.token - 1}, CreatedAt: now, RunningSince: now,
+		Job: j, Index: t.Index, Attempt: t.Attempt, GangAttempt: t.Gang, Session: session, Machine: m, Restored: true, Log: cluster.LogState{Segment: p, Durable: true}, Start: cluster.Start{InDoubtToken: l.fencing.Current - 1}, CreatedAt: now, RunningSince: now,
 	}
 }
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -20,7 +20,9 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/leader/runtimes"
+	"ospreyslip/internal/leader/tasks"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
@@ -51,13 +53,14 @@
 		Cloud: cloud.NewClient("cloud:1", silent, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
-	l.lastAttempt, l.view.asOf = 100, now
-	l.detector = liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
+	l.view.asOf = now
+	*l.tasks = *tasks.NewManager(l.tasks.Deps, 100)
+	*l.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	l.state.Jobs["j-1"] = j
 	l.answerHeartbeat(report(1, 1), now)
 	m := l.state.Machines.ByID["m-1"]
-	l.assign(j, j.TakePendingTask(), m, now)
+	l.tasks.Assign(j, j.TakePendingTask(), m, now)
 	for _, a := range m.Assignments {
 		a.Log.Durable = true
 	}
@@ -84,7 +87,7 @@
 		t.Fatal(d)
 	}
 	l.answerHeartbeat(report(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	l.requestStop(j.Assignments[0], 5)
+	l.tasks.Stop(j.Assignments[0], 5)
 	l.answerHeartbeat(report(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
 	l.answerHeartbeat(report(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
@@ -110,9 +113,9 @@
 		t.Errorf("before the completion is durable: %v", ops(calls))
 	}
 	for _, a := range m.Assignments {
-		l.removeAssignment(a) // as after the write
+		l.tasks.Remove(a) // as after the write
 	}
-	if calls := l.commandsFor(m, false); len(calls) > 0 {
+	if calls := l.dispatcher.CommandsFor(m, false); len(calls) > 0 {
 		t.Errorf("by order: %v", ops(calls))
 	}
 	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.answerHeartbeat(report(1, 4, done), now).Commands)); d != "" {
@@ -240,7 +243,7 @@
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
-	l.applyObservation(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.tasks.Observe(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if l.answerHeartbeat(report(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
@@ -272,7 +275,7 @@
 				j.RecordRunTime(math.Log(10))
 			}
 			start := func(ran float64) *cluster.Assignment {
-				a := l.assign(j, j.TakePendingTask(), m, now)
+				a := l.tasks.Assign(j, j.TakePendingTask(), m, now)
 				a.ObservedState, a.RunningSince = workers.StateRunning, now.Add(-time.Duration(ran*10*float64(time.Second)))
 				return a
 			}
@@ -300,7 +303,7 @@
 // happens. It must not look healthy for ever.
 func TestAnswersUnheeded(t *testing.T) {
 	l, m, _, now := bench()
-	for seq := uint64(2); seq < 2+maxUndelivered+1; seq++ {
+	for seq := uint64(2); seq < 2+dispatch.MaxUndelivered+1; seq++ {
 		if calls := l.answerHeartbeat(report(1, seq), now).Commands; len(calls) != 1 {
 			t.Fatalf("report %d: %v", seq, ops(calls))
 		}
@@ -360,23 +363,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, m, _, _ := bench()
 		now := time.Now()
-		l.Workers = workers.NewClient(silent, time.Minute)
+		l.dispatcher.Client = workers.NewClient(silent, time.Minute)
 		l.Derived.Host.CommandsInFlight = 4
-		l.events = make(chan func(time.Time), 64)
+		l.inbox.events = make(chan func(time.Time), 64)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i := range 20 {
 			lost := cluster.NewMachine(fmt.Sprint("m-9", i), now)
 			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
-			l.notify(lost) // from an earlier leader's records: it has not reported to this one
+			l.dispatcher.Notify(lost) // from an earlier leader's records: it has not reported to this one
 		}
-		l.sendCommands(ctx, now)
-		if l.dispatcher.commandsInFlight != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.dispatcher.commandsInFlight)
+		l.dispatcher.Send(ctx, now)
+		if l.dispatcher.InFlight() != 2 {
+			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.dispatcher.InFlight())
 		}
 		m.Worker.LeaseUntil = now.Add(time.Hour)
-		l.notify(m)
-		l.sendCommands(ctx, now)
+		l.dispatcher.Notify(m)
+		l.dispatcher.Send(ctx, now)
 		if !m.Commands.OrderInFlight {
 			t.Error("a machine that reports waits behind those that do not")
 		}
@@ -398,10 +401,10 @@
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
-		l.Broadcast, l.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
+		l.Broadcast, l.inbox.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
 		for _, a := range j.Assignments {
-			l.endAssignment(a, cluster.Retry)
-			l.removeAssignment(a)
+			l.tasks.End(a, cluster.Retry)
+			l.tasks.Remove(a)
 		}
 		l.IsLeader = func() bool { return false }
 		l.scaler = newScaler(l)
@@ -450,7 +453,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, _, _, now := bench()
 		quiet(t)
-		l.events = make(chan func(time.Time), 1)
+		l.inbox.events = make(chan func(time.Time), 1)
 		l.transactionReturned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
 			t.Error("plans while nothing can be made durable")
@@ -520,7 +523,7 @@
 	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 0 {
 		t.Errorf("with one ahead already: %d go first", n)
 	}
-	l.requestStop(a, 5)
+	l.tasks.Stop(a, 5)
 	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
 		t.Errorf("when it has to stop again: %d go first", n)
 	}
@@ -538,13 +541,13 @@
 	l, m, j, now := bench()
 	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	l.applyObservation(m, report(2, 1), at(19))
+	l.tasks.Observe(m, report(2, 1), at(19))
 	if old.Outcome == cluster.Open {
 		t.Fatal("the old session's task goes on")
 	}
-	a := l.assign(j, 1, m, at(19.1))
+	a := l.tasks.Assign(j, 1, m, at(19.1))
 	a.Log.Durable, a.Start.Sent = true, true
-	l.applyObservation(m, report(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
+	l.tasks.Observe(m, report(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
 	l.expireLeases(at(21)) // by which the old lease is over, by any clock
 	if a.Outcome != cluster.Open {
 		t.Error("lost with the old lease, while the new session runs on")
@@ -569,7 +572,7 @@
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := report(1, seq)
-			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.fencing.token
+			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.fencing.Current
 			if m := l.state.Machines.ByID[r.Machine]; m != nil {
 				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
 			}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -36,16 +36,16 @@
 // goroutine ends first.
 func (l *Leader) postUnlessEnded(ctx context.Context, outcome func(now time.Time)) {
 	select {
-	case l.events <- outcome:
+	case l.inbox.events <- outcome:
 	case <-ctx.Done():
-	case <-l.quit:
+	case <-l.inbox.quit:
 	}
 }
 
 // recoverRecords does what is due about lost records.
 func (l *Leader) recoverRecords(ctx context.Context, now time.Time) {
 	l.recovery.EndAdoptions(now)
-	if l.tickGroup == 0 {
+	if l.ticks.group == 0 {
 		l.recovery.RunUncertainJobs(now)
 	}
 	l.recovery.Advance(ctx, now)
@@ -57,23 +57,18 @@
 var _ recoverer.Leader = recoveryCalls{}
 
 func (c recoveryCalls) Tokens() recoverer.Tokens {
-	return recoverer.Tokens{Current: c.l.fencing.token, OfTerm: c.l.term.FencingToken, Floor: c.l.fencing.raiseAbove}
+	return recoverer.Tokens{Current: c.l.fencing.Current, OfTerm: c.l.fencing.OfTerm, Floor: c.l.fencing.RaiseAbove}
 }
 
-func (c recoveryCalls) RequestTokenRaise() { c.l.fencing.raisePending = true }
+func (c recoveryCalls) RequestTokenRaise() { c.l.fencing.RequestRaise() }
 
-func (c recoveryCalls) RaiseTokenAbove(floor uint64) {
-	c.l.fencing.raiseAbove, c.l.fencing.raisePending = max(c.l.fencing.raiseAbove, floor), true
-}
+func (c recoveryCalls) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
 
-func (c recoveryCalls) Resign() { c.l.resign = true }
+func (c recoveryCalls) Resign() { c.l.resignation.requested = true }
 
-func (c recoveryCalls) NextAttempt() uint64 {
-	c.l.lastAttempt++
-	return c.l.lastAttempt
-}
+func (c recoveryCalls) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
 
-func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.lastAttempt = max(c.l.lastAttempt, upTo) }
+func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
 
 func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.cancelJob(job, revision) }
 
@@ -85,7 +80,7 @@
 
 func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
 
-func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.stopGang(job, 0) }
+func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
 
 func (c recoveryCalls) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
 
@@ -94,15 +89,15 @@
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
-	if l.fencing.raiseAbove < l.term.FencingToken {
+	if l.fencing.RaiseAbove < l.fencing.OfTerm {
 		return
 	}
-	l.term.FencingToken = l.fencing.token
-	l.lastAttempt = max(l.lastAttempt, l.fencing.token<<attemptBits)
+	l.fencing.OfTerm = l.fencing.Current
+	l.tasks.ReserveAttempts(l.fencing.Current << attemptBits)
 	for _, machine := range l.state.Machines.All {
 		for _, assignment := range machine.Assignments {
 			if assignment.Start.InDoubtToken != 0 {
-				assignment.Start.InDoubtToken = l.fencing.token - 1 // an order under any earlier token may still arrive
+				assignment.Start.InDoubtToken = l.fencing.Current - 1 // an order under any earlier token may still arrive
 			}
 		}
 	}
@@ -130,8 +125,8 @@
 		return false
 	}
 	select {
-	case l.events <- func(now time.Time) { l.recovery.ReportLoss(loss, now) }:
-	case <-l.quit:
+	case l.inbox.events <- func(now time.Time) { l.recovery.ReportLoss(loss, now) }:
+	case <-l.inbox.quit:
 	}
 	return true
 }
@@ -144,8 +139,8 @@
 	}
 	replies := make(chan T, 1)
 	select {
-	case leader.events <- func(now time.Time) { answer(leader, now, func(v T) { replies <- v }) }:
-	case <-leader.quit:
+	case leader.inbox.events <- func(now time.Time) { answer(leader, now, func(v T) { replies <- v }) }:
+	case <-leader.inbox.quit:
 		return out, ErrNotLeading
 	case <-ctx.Done():
 		return out, ctx.Err()
@@ -153,7 +148,7 @@
 	select {
 	case out = <-replies:
 		return out, nil
-	case <-leader.quit:
+	case <-leader.inbox.quit:
 		return out, ErrNotLeading
 	case <-ctx.Done():
 		return out, ctx.Err()
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -85,8 +85,8 @@
 		}
 		both := []*cluster.Assignment{next.state.Machines.ByID["m-1"].Assignments[1], next.state.Machines.ByID["m-2"].Assignments[2]}
 		for i, a := range []*cluster.Assignment{both[firstEnds], both[1-firstEnds]} {
-			next.endAssignment(a, cluster.Retry)
-			next.removeAssignment(a)
+			next.tasks.End(a, cluster.Retry)
+			next.tasks.Remove(a)
 			if want := 1 + i; job.Pending.Count != want {
 				t.Errorf("after %d of two has ended, %d tasks wait, want %d", i+1, job.Pending.Count, want)
 			}
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -15,6 +15,7 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
@@ -39,7 +40,7 @@
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
 	l.MachineTypes = func() []jobs.MachineType { return types }
 	l.catalog.Types = l.MachineTypes
-	l.endMachineTasks(m, "not of this fleet")
+	l.tasks.EndAllOn(m, "not of this fleet")
 	l.state.Machines.Remove(m)
 	l.detector.Forget(m.ID)
 	l.state.Jobs = map[string]*cluster.Job{}
@@ -51,7 +52,7 @@
 	for i := range size {
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
 		l.answerHeartbeat(r, now)
-		a := l.assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
+		a := l.tasks.Assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
 		a.Log.Durable, a.Start.Sent = true, true
 		r.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
 		r.Seq++
@@ -74,10 +75,11 @@
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
 		l, reports, now := fleetOf(t, size)
-		l.planner.Requested, l.dispatcher.queue = false, nil
+		l.planner.Requested = false
+		l.dispatcher = dispatch.New(l.dispatchDeps())
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { again(l, reports[20], now) })
-		if l.planner.Requested || l.log.HasWork() || len(l.dispatcher.queue) > 0 {
+		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
 			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
 		}
 		return n
@@ -109,8 +111,8 @@
 			b.Fatalf("%d tasks placed", len(m.Assignments))
 		}
 		for _, a := range m.Assignments {
-			l.endAssignment(a, cluster.Retry)
-			l.removeAssignment(a)
+			l.tasks.End(a, cluster.Retry)
+			l.tasks.Remove(a)
 		}
 		b.StopTimer()
 		l.readLog(nil) // drops what the plan has queued
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -33,9 +33,9 @@
 // scalerHost is the leader as its scaler sees it.
 type scalerHost struct{ l *Leader }
 
-func (h scalerHost) Term() uint64 { return h.l.term.FencingToken }
+func (h scalerHost) Term() uint64 { return h.l.fencing.OfTerm }
 
-func (h scalerHost) Token() uint64 { return h.l.fencing.token }
+func (h scalerHost) Token() uint64 { return h.l.fencing.Current }
 
 func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.Seconds(spec) }
 
@@ -54,7 +54,7 @@
 func (h scalerHost) WithdrawOffer(m *cluster.Machine) { h.l.planner.Capacity.Withdraw(m) }
 
 func (h scalerHost) RemoveMachine(m *cluster.Machine) {
-	h.l.endMachineTasks(m, "machine given back")
+	h.l.tasks.EndAllOn(m, "machine given back")
 	h.l.detector.Forget(m.ID)
 	h.l.state.Machines.Remove(m)
 	h.l.failover.MachineGone(m.ID)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -56,31 +56,16 @@
 
 // Status returns the view of the leader on duty, or nil if there is none here.
 func (g *Gate) Status(ctx context.Context) *Status {
-	l := g.leader.Load()
-	if l == nil {
-		return nil
-	}
-	out := make(chan *Status, 1)
-	select {
-	case l.events <- func(now time.Time) { out <- l.status(now) }:
-	case <-l.quit:
-		return nil
-	case <-ctx.Done():
-		return nil
-	}
-	select {
-	case s := <-out:
-		return s
-	case <-l.quit:
-		return nil
-	case <-ctx.Done():
+	status, err := call(ctx, g, func(l *Leader, now time.Time, reply func(*Status)) { reply(l.status(now)) })
+	if err != nil {
 		return nil
 	}
+	return status
 }
 
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
-		Term: l.term.FencingToken, Token: l.fencing.token, PictureS: l.wishesAge(now).Seconds(),
+		Term: l.fencing.OfTerm, Token: l.fencing.Current, PictureS: l.recordsAge(now).Seconds(),
 		Held: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
 		WriteQueue: len(l.writer.completedJobs) + l.log.QueueLength(),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -7,35 +7,15 @@
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/planner"
-	"ospreyslip/internal/reconcile"
-	"ospreyslip/internal/workers"
 )
 
-// attemptFacts is an assignment as the reconcile package sees it.
-func (l *Leader) attemptFacts(a *cluster.Assignment, now time.Time) reconcile.Attempt {
-	j := a.Job
-	return reconcile.Attempt{
-		Session: a.Session, Durable: a.Log.Durable, CommandPending: a.Start.OrderInFlight, Sent: a.Start.Sent, InDoubtToken: a.Start.InDoubtToken, ObservedState: a.ObservedState,
-		RunsToCompletion: j.Spec.RunsToCompletion(), JobFinished: j.IsOver(), JobCancelled: j.End.Cancelled, Preempted: a.Stop.Requested, GraceS: a.Stop.GraceS,
-		GangReady: a.MayRun(),
-		// The log may be older than it was: the task may be over, or be elsewhere.
-		RecordsIncomplete: a.Restored && a.ObservedState == "" && l.recovery.AwaitsWorkers(j, now),
-	}
-}
-
-// countCommand counts a command to a worker.
-func (l *Leader) countCommand(c workers.Command, d reconcile.Decision) workers.Command {
-	l.failover.CountCommand(c.Op, d.Reason)
-	return c
-}
-
 // finishFailover notes when every machine that the records name is accounted for.
 func (l *Leader) finishFailover(now time.Time) {
 	if !l.failover.TryFinish(now) {
 		return
 	}
 	p := l.failover.Progress(now)
-	slog.Info("take-over settled", "term", l.fencing.token, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
+	slog.Info("take-over settled", "term", l.fencing.Current, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
 		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
 	l.planner.Requested = true
 }
--- a/internal/leader/takeover_test.go
+++ b/internal/leader/takeover_test.go
@@ -19,7 +19,7 @@
 	l.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "web", WithinS: 2}, {Kind: "guarantee", WithinS: 6},
 	}
-	l.failover = reconcile.NewFailover(now, l.Derived.Detection.HeartbeatOverdue)
+	*l.failover = *reconcile.NewFailover(now, l.Derived.Detection.HeartbeatOverdue)
 	l.failover.ExpectMachine("m-2")
 	l.failover.RecordsLoaded(now)
 	waiting := func(class, priority string, covered bool) *cluster.Job {
--- a/internal/leader/token_test.go
+++ b/internal/leader/token_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/workers"
 )
 
@@ -16,13 +17,13 @@
 	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
-			l.state.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.fencing.token
+			l.state.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.fencing.Current
 			r.Tasks = append(r.Tasks, task)
 		}
 	}
 	few, many, again, doubt := reports[0], reports[1], reports[2], reports[3]
-	endedByOrder(few, maxHeldAcknowledgements-1, workers.CauseDone)
-	endedByOrder(many, maxHeldAcknowledgements, workers.CauseDone)
+	endedByOrder(few, dispatch.MaxHeldAcknowledgements-1, workers.CauseDone)
+	endedByOrder(many, dispatch.MaxHeldAcknowledgements, workers.CauseDone)
 	endedByOrder(again, 1, workers.CauseStopped)
 	l.state.Machines.ByID[doubt.Machine].Commands.InDoubtSince = now
 	answer := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
@@ -47,15 +48,15 @@
 			t.Errorf("%s, before there is a higher token: %+v", r.Machine, a)
 		}
 	}
-	if !l.fencing.acknowledgementsHeld {
+	if !l.fencing.AcknowledgementsHeld {
 		t.Error("no higher token is asked for")
 	}
-	l.fencing.token = 6
+	l.fencing.Current = 6
 	for _, want := range []struct {
 		r     *workers.Heartbeat
 		token uint64
 		clear int
-	}{{few, 5, 0}, {many, 6, maxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
+	}{{few, 5, 0}, {many, 6, dispatch.MaxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
 		if a := answer(want.r); a.FencingToken != want.token || cleared(a) > 0 {
 			t.Errorf("%s: token %d, %d cleared at once; want %d, none", want.r.Machine, a.FencingToken, cleared(a), want.token)
 		}
@@ -64,11 +65,11 @@
 		}
 	}
 	// An order carries the token that its machine knows, and never one from before.
-	if got := l.tokenFor(l.state.Machines.ByID[few.Machine]); got != 5 {
+	if got := l.dispatcher.TokenFor(l.state.Machines.ByID[few.Machine]); got != 5 {
 		t.Errorf("token %d where nothing waits, want 5", got)
 	}
-	l.term.FencingToken, l.fencing.token = 7, 7
-	if got := l.tokenFor(l.state.Machines.ByID[few.Machine]); got != 7 {
+	l.fencing.OfTerm, l.fencing.Current = 7, 7
+	if got := l.dispatcher.TokenFor(l.state.Machines.ByID[few.Machine]); got != 7 {
 		t.Errorf("token %d, of an earlier term", got)
 	}
 }
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -22,7 +22,7 @@
 
 // writeNext starts the next transaction.
 func (l *Leader) writeNext(ctx context.Context, now time.Time) {
-	if l.writer.inFlight || !l.fencing.raisePending && len(l.writer.completedJobs) == 0 && !l.log.HasWork() || now.Sub(l.writer.startedAt) < l.Derived.Leader.FlushInterval || !l.IsLeader() {
+	if l.writer.inFlight || !l.fencing.RaisePending && len(l.writer.completedJobs) == 0 && !l.log.HasWork() || now.Sub(l.writer.startedAt) < l.Derived.Leader.FlushInterval || !l.IsLeader() {
 		return
 	}
 	l.writer.startedAt = now
@@ -43,7 +43,7 @@
 	l.log.Grow(l.Derived.Store.TxnOps / 2)
 	// The segments of a transaction of unknown outcome come before all else.
 	left := l.Derived.Store.TxnOps - l.log.UnsettledSegments()
-	if l.fencing.raisePending && left > 0 {
+	if l.fencing.RaisePending && left > 0 {
 		l.addToken(b)
 		left--
 	}
@@ -63,19 +63,19 @@
 }
 
 func (l *Leader) addToken(b *transaction.Batch) {
-	next := max(l.fencing.token, l.fencing.raiseAbove) + 1
-	l.fencing.raisePending = false
-	b.OnFailure(func() { l.fencing.raisePending = true })
+	next := l.fencing.Next()
+	l.fencing.RaisePending = false
+	b.OnFailure(func() { l.fencing.RaisePending = true })
 	b.OnCommit(func(rev uint64) {
-		l.fencing.token, l.fencing.revision = next, rev
-		l.fencing.acknowledgementsHeld = false
+		l.fencing.Current, l.fencing.Revision = next, rev
+		l.fencing.AcknowledgementsHeld = false
 		l.TokenRaised(next)
 		l.tokenRaised()
-		slog.Info("token raised", "term", l.fencing.token, "reason", "an order may still arrive")
+		slog.Info("token raised", "term", l.fencing.Current, "reason", "an order may still arrive")
 	})
-	b.Set(election.TokenKey, l.fencing.revision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
+	b.Set(election.TokenKey, l.fencing.Revision, json.RawMessage(strconv.FormatUint(next, 10)), func(m uint64) {
 		// Ours, from an attempt whose outcome was unknown; or the key was lost.
-		l.fencing.token, l.fencing.revision = next, m
+		l.fencing.Current, l.fencing.Revision = next, m
 		l.TokenRaised(next)
 		l.tokenRaised()
 	})
@@ -89,7 +89,7 @@
 	b.Set(jobs.RecordKey(j.ID), j.Revision, rec.FinalForm(jobs.Done, l.Derived.Store.ValueBytes), func(uint64) {})
 	b.OnFailure(func() { l.writer.completedJobs = append(l.writer.completedJobs, j) })
 	b.OnCommit(func(uint64) {
-		slog.Debug("job done", "job", j.ID, "term", l.fencing.token)
+		slog.Debug("job done", "job", j.ID, "term", l.fencing.Current)
 		l.jobCompletionDurable(j)
 	})
 }
@@ -125,7 +125,7 @@
 	}
 	b.Failed()
 	if err != nil {
-		slog.Debug("records not written", "term", l.fencing.token, "reason", err)
+		slog.Debug("records not written", "term", l.fencing.Current, "reason", err)
 		if !errors.Is(err, kvstore.ErrNotExecuted) {
 			l.log.MarkOutcomeUnknown()
 		}
@@ -133,19 +133,19 @@
 			l.transactionRejected(b, err)
 		}
 		if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
-			slog.Error("records not written", "term", l.fencing.token, "reason", err)
+			slog.Error("records not written", "term", l.fencing.Current, "reason", err)
 		}
 		l.postAfter(ctx, l.Derived.Election.RenewInterval/4, func() { l.writer.inFlight = false })
 		return
 	}
 	if slices.Contains(failed, election.HolderKey) {
 		// The term is over. The keeper notices by itself; nothing is written.
-		slog.Info("term lost", "term", l.fencing.token, "reason", "holder key changed")
+		slog.Info("term lost", "term", l.fencing.Current, "reason", "holder key changed")
 		return
 	}
 	// An earlier transaction of ours was executed after all, or a user ended a
 	// job. Only keys that others never write under our term are written again.
-	slog.Debug("guards failed", "term", l.fencing.token, "keys", failed)
+	slog.Debug("guards failed", "term", l.fencing.Current, "keys", failed)
 	go l.readConflictingKeys(ctx, b, failed)
 }
 
@@ -155,22 +155,13 @@
 	for _, event := range l.log.TakeEvents() {
 		switch event.Kind {
 		case assignmentlog.BeginDurable:
-			l.beginDurable(event.Assignment)
+			l.tasks.BeginDurable(event.Assignment)
 		case assignmentlog.EndDurable:
-			l.removeAssignment(event.Assignment)
+			l.tasks.Remove(event.Assignment)
 		}
 	}
 }
 
-// beginDurable lets a worker hear of an assignment. Tasks of a gang go together.
-func (l *Leader) beginDurable(a *cluster.Assignment) {
-	if a.Job.IsGang() {
-		l.gangBeginDurable(a.Job)
-	} else {
-		l.notify(a.Machine)
-	}
-}
-
 // transactionRejected looks for a transaction that the state service takes: its limits are
 // lower than the settings say. The same one would be rejected for ever, and with it
 // all that waits behind it.
@@ -179,11 +170,11 @@
 	for _, w := range b.Writes {
 		most = max(most, len(w.Value))
 	}
-	slog.Error("transaction rejected", "term", l.fencing.token, "writes", len(b.Writes), "bytes", b.Bytes, "largest", most, "reason", err)
+	slog.Error("transaction rejected", "term", l.fencing.Current, "writes", len(b.Writes), "bytes", b.Bytes, "largest", most, "reason", err)
 	if l.log.OutcomeUnknown() {
 		// An earlier one may still be carried out, and its segments have to be written
 		// again. The end of the term is what makes sure that it is not.
-		l.resign = true
+		l.resignation.requested = true
 		return
 	}
 	l.log.ShrinkSegments()
@@ -243,17 +234,3 @@
 		}
 	}
 }
-
-func (l *Leader) sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
-func (l *Leader) postAfter(ctx context.Context, d time.Duration, f func()) {
-	go func() {
-		l.sleep(ctx, d)
-		l.post(ctx, func(time.Time) { f() })
-	}()
-}
