--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -46,8 +46,8 @@
 	}
 	interval := func(at time.Time) {
 		for range cluster.TickGroups {
-			next.ticks.group = (next.ticks.group + 1) % cluster.TickGroups
-			for m := range next.state.Machines.Groups[next.ticks.group] {
+			next.loop.tickGroup = (next.loop.tickGroup + 1) % cluster.TickGroups
+			for m := range next.state.Machines.Groups[next.loop.tickGroup] {
 				next.dispatcher.AnnounceToSilent(m, at)
 			}
 		}
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -17,6 +17,7 @@
 	"ospreyslip/internal/leader/planner"
 	"ospreyslip/internal/leader/tasks"
 	"ospreyslip/internal/leader/transaction"
+	"ospreyslip/internal/leader/writer"
 	"ospreyslip/internal/liveness"
 )
 
@@ -63,15 +64,16 @@
 func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	l, m, _, now := bench()
 	l.tasks.EndAllOn(m, "not of this test")
-	l.state.Jobs, l.state.Machines, l.planner.Capacity, l.writer.completedJobs = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.catalog.Type), nil
+	l.state.Jobs, l.state.Machines, l.planner.Capacity = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.catalog.Type)
 	*l.detector = *liveness.New(liveness.Config{})
 	l.fencing.Current = token
 	*l.tasks = *tasks.NewManager(l.tasks.Deps, token<<24)
 	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
+	l.writer = writer.New(l.writerDeps())
 	for i, spec := range specs {
 		l.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
 	}
-	l.restoreLog(l.readLog(s.pairs()), nil, now)
+	l.loader().Restore(l.readLog(s.pairs()), nil, now)
 	return l
 }
 
@@ -124,7 +126,7 @@
 				if step < 60 {
 					l.stir(rnd)
 				}
-				b := l.compose()
+				b := l.writer.Compose()
 				if len(b.Writes) == 0 {
 					continue
 				}
@@ -145,10 +147,10 @@
 				case len(failed) > 0:
 					b.Failed()
 					for _, key := range failed {
-						l.takeInConflict(b, key, s.keys[key])
+						l.writer.ApplyConflict(b, key, s.keys[key])
 					}
 				default:
-					l.committed(b, s.rev)
+					l.writer.Committed(b, s.rev)
 					before = nil
 				}
 				if before == nil && (step < 3 || step%5 == 0 || step > 60 && step < 70) {
@@ -174,7 +176,7 @@
 // drafted, the log once seemed to wait for one more.
 func TestPagesByNeed(t *testing.T) {
 	l, j, _ := withGang()
-	if b := l.compose(); len(b.Writes) != 1 {
+	if b := l.writer.Compose(); len(b.Writes) != 1 {
 		t.Errorf("%d segments for %d beginnings", len(b.Writes), j.Spec.Tasks)
 	}
 }
@@ -223,12 +225,12 @@
 // copy that is carried out late, after newer ones or under the next leader, fails.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	l, m, j, now := bench()
-	l.term.HolderRevision, l.fencing.Revision, j.Revision = 77, 78, 79
+	l.writer.Term.HolderRevision, l.fencing.Revision, j.Revision = 77, 78, 79
 	l.readLog(nil)
 	l.fencing.RaisePending = true
-	l.writer.completedJobs = append(l.writer.completedJobs, j)
+	l.jobs.QueueCompleted(j)
 	l.tasks.Assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
-	b := l.compose()
+	b := l.writer.Compose()
 	revisions := map[string]uint64{}
 	for _, g := range b.Guards {
 		revisions[g.Key] = g.Revision
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -4,7 +4,6 @@
 	"sync"
 
 	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/leader/cluster"
 )
 
 // Counts hands the leader's display counts to the users' side.
@@ -24,13 +23,15 @@
 	return v, ok
 }
 
-func (c *Counts) set(id string, v jobs.Counts) {
+// Set shows a job's counts.
+func (c *Counts) Set(id string, v jobs.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.m[id] = v
 }
 
-func (c *Counts) drop(id string) {
+// Drop forgets a job.
+func (c *Counts) Drop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.m, id)
@@ -61,12 +62,3 @@
 	defer c.mu.Unlock()
 	clear(c.m)
 }
-
-// publishCounts publishes a job's counts when they have changed.
-func (l *Leader) publishCounts(j *cluster.Job) {
-	c := jobs.Counts{Done: j.Completions.Count, Running: j.Running}
-	if c != j.PublishedCounts || c == (jobs.Counts{}) {
-		j.PublishedCounts = c
-		l.Counts.set(j.ID, c)
-	}
-}
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -35,6 +35,16 @@
 	reply     chan *workers.HeartbeatResponse
 }
 
+// loopState is what the event loop itself remembers.
+type loopState struct {
+	tickGroup       int       // of the ticks in a control interval
+	nextLeaseExpiry time.Time // no worker's lease ends before
+	broadcastAt     time.Time // when other controllers were last told what has changed
+	probesInFlight  int
+	mayResign       bool // because no machine is heard of
+	resigns         bool // the term is given up
+}
+
 // run is the event loop. It ends with the context, or when the leader resigns.
 func (l *Leader) run(ctx context.Context) {
 	ticker := time.NewTicker(l.Derived.Leader.ControlInterval / cluster.TickGroups)
@@ -51,7 +61,7 @@
 			l.tick(ctx, time.Now())
 		}
 		l.drainInbox()
-		if ctx.Err() != nil || l.resignation.requested {
+		if ctx.Err() != nil || l.loop.resigns {
 			return
 		}
 		l.act(ctx, time.Now())
@@ -78,14 +88,14 @@
 	if l.planner.IsDue(now) && l.mayBegin(now) {
 		l.plan(now)
 	}
-	l.writeNext(ctx, now)
+	l.writer.WriteNext(ctx, now)
 	l.dispatcher.Send(ctx, now)
 }
 
 // mayBegin tells whether new work can be made durable. While it cannot, a plan would stop tasks
 // to make room that nothing can be placed in.
 func (l *Leader) mayBegin(now time.Time) bool {
-	return !l.writer.storeUnavailable && now.Sub(l.PromisesRequestedAt()) > l.Derived.Election.LeaseDuration
+	return !l.writer.StoreUnavailable() && now.Sub(l.PromisesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
 
 // post has an outcome applied by the event loop, unless the context ends before.
@@ -99,15 +109,11 @@
 // postAfter does so after a while.
 func (l *Leader) postAfter(ctx context.Context, delay time.Duration, apply func()) {
 	go func() {
-		l.sleep(ctx, delay)
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay):
+		}
 		l.post(ctx, func(time.Time) { apply() })
 	}()
 }
-
-// sleep waits for a while, or until the context ends.
-func (l *Leader) sleep(ctx context.Context, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(duration):
-	}
-}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -13,7 +13,7 @@
 
 // detectFailures probes the machines that look dead, and carries out verdicts.
 func (l *Leader) detectFailures(ctx context.Context, now time.Time) {
-	probes, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.probesInFlight)
+	probes, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.loop.probesInFlight)
 	for _, id := range probes {
 		if machine := l.state.Machines.ByID[id]; machine != nil {
 			l.probe(ctx, machine)
@@ -30,7 +30,7 @@
 
 // probe asks a worker what it shows.
 func (l *Leader) probe(ctx context.Context, machine *cluster.Machine) {
-	l.probesInFlight++
+	l.loop.probesInFlight++
 	addr := machine.Addr // a heartbeat may change it meanwhile
 	go func() {
 		heartbeat, err := l.Workers.Probe(ctx, addr)
@@ -40,7 +40,7 @@
 
 // probeReturned takes in the outcome of a probe.
 func (l *Leader) probeReturned(machine *cluster.Machine, heartbeat *workers.Heartbeat, err error, now time.Time) {
-	l.probesInFlight--
+	l.loop.probesInFlight--
 	if workers.OutOfSockets(err) {
 		l.detector.ProbeNotSent(machine.ID, now) // it never left this process
 		return
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -162,10 +162,10 @@
 	if d := cmp.Diff([]string(nil), l.says("m-2", j, now, done)); d != "" {
 		t.Errorf("before the job's end is durable: %s", d)
 	}
-	if j.Completions.Count != 3 || !j.End.Complete || len(l.writer.completedJobs) != 1 {
-		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, len(l.writer.completedJobs))
+	if j.Completions.Count != 3 || !j.End.Complete || l.jobs.CompletedCount() != 1 {
+		t.Errorf("%d done, final %v, %d to be written", j.Completions.Count, j.End.Complete, l.jobs.CompletedCount())
 	}
-	b := l.compose()
+	b := l.writer.Compose()
 	if a := j.Assignments[2]; !a.Log.EndInFlight || len(b.Writes) < 2 {
 		t.Error("the end of the task is not in the transaction that says that the job is done")
 	}
--- a/internal/leader/gate.go
+++ b/internal/leader/gate.go
@@ -47,7 +47,7 @@
 // 0 if there is none.
 func (g *Gate) SeenRevision() uint64 {
 	if l := g.leader.Load(); l != nil {
-		return l.view.seenRevision.Load()
+		return l.jobs.SeenRevision()
 	}
 	return 0
 }
@@ -56,7 +56,7 @@
 // moment and that are newer than what was seen.
 func (g *Gate) ApplyPeerCancellations(ctx context.Context, all []jobs.Cancellation, by time.Time) {
 	if l := g.leader.Load(); l != nil {
-		l.post(ctx, func(time.Time) { l.cancelFromPeers(all, by) })
+		l.post(ctx, func(time.Time) { l.jobs.ApplyPeerCancellations(all, by) })
 	}
 }
 
@@ -72,19 +72,19 @@
 		duties.Wait()
 		d.Counts.clear()
 	}()
-	after, err := l.loadRecords(ctx)
+	after, err := l.loader().Load(ctx)
 	if err != nil {
 		slog.Info("records not read, resigning", "term", t.FencingToken, "reason", err)
 		return
 	}
-	duties.Go(func() { l.followJobRecords(ctx, after) })
+	duties.Go(func() { l.jobs.Follow(ctx, after) })
 	duties.Go(func() { l.scaler.PollList(ctx) })
 	// A leader that no worker reaches makes way for one that may be reached. It
 	// does so once in a while only: if all machines are really gone, nobody can.
-	l.resignation.allowed = time.Since(g.resigned) > 4*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
+	l.loop.mayResign = time.Since(g.resigned) > 4*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
 	g.leader.Store(l)
 	l.run(ctx)
-	if l.resignation.requested {
+	if l.loop.resigns {
 		g.resigned = time.Now()
 	}
 }
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -16,7 +16,7 @@
 	if heartbeat.FencingToken > l.fencing.Current {
 		l.recovery.CheckToken(heartbeat.FencingToken)
 	}
-	if !l.IsLeader() || l.recordsAge(now) > l.Derived.Store.MaxStaleness || heartbeat.FencingToken > l.fencing.Current {
+	if !l.IsLeader() || l.jobs.Age(now) > l.Derived.Store.MaxStaleness || heartbeat.FencingToken > l.fencing.Current {
 		return nil
 	}
 	machine := l.state.Machines.ByID[heartbeat.Machine]
--- /dev/null
+++ b/internal/leader/jobtracker/follow.go
@@ -0,0 +1,98 @@
+package jobtracker
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/recovery/detection"
+)
+
+// recordWatch is how far the records of jobs have been followed. It belongs to the goroutine that
+// runs Follow.
+type recordWatch struct {
+	after         uint64 // all changes up to this revision have been seen
+	revision      uint64 // that the store had at some moment after revisionAsked
+	revisionAsked time.Time
+	newest        detection.Watermark
+}
+
+// isProven tells whether all changes up to revisionAsked have been seen. Only what reaches a
+// revision read at some moment is as new as that: a watch may lag, or be empty because the store
+// does not serve this node.
+func (w *recordWatch) isProven() bool { return w.after >= w.revision && !w.revisionAsked.IsZero() }
+
+// Follow watches the records of jobs from a revision on until the context ends, and hands their
+// changes to the event loop. It runs on a goroutine of its own.
+func (t *Tracker) Follow(ctx context.Context, after uint64) {
+	watch := &recordWatch{after: after}
+	for ctx.Err() == nil {
+		rolledBack := t.readRevision(ctx, watch)
+		baseline := watch.newest.Baseline()
+		revision, changes, err := t.readChanges(ctx, watch.after, rolledBack)
+		if err != nil {
+			slog.Debug("watch failed", "term", t.Fencing.OfTerm, "reason", err)
+			select {
+			case <-ctx.Done():
+			case <-time.After(t.Derived.Election.RenewInterval):
+			}
+			continue
+		}
+		watch.after = max(watch.after, revision)
+		watch.newest.Advance(baseline, revision)
+		t.postChanges(ctx, watch, changes)
+	}
+}
+
+// readRevision reads the store's revision, once the one that was read last is reached. It tells
+// whether the store was rolled back meanwhile: then revisions are given out again, and nothing
+// can be concluded from those before.
+func (t *Tracker) readRevision(ctx context.Context, watch *recordWatch) (rolledBack bool) {
+	if watch.revision > watch.after {
+		return false
+	}
+	baseline := watch.newest.Baseline()
+	asked := time.Now()
+	revision, err := t.Store.Revision(ctx)
+	if err != nil {
+		return false
+	}
+	watch.revision, watch.revisionAsked = revision, asked
+	evidence, rolledBack := watch.newest.Observe(baseline, detection.RevisionBack, "", revision)
+	if rolledBack {
+		t.Post(ctx, func(now time.Time) { t.Recovery.ReportLoss(evidence, now) })
+		watch.after = 0
+	}
+	return rolledBack
+}
+
+// readChanges waits for changes of job records, or lists all records where changes may have been
+// missed.
+func (t *Tracker) readChanges(ctx context.Context, after uint64, rolledBack bool) (uint64, []kvstore.Change, error) {
+	revision, changes, err := t.Store.Watch(ctx, jobs.RecordPrefix, after, t.Derived.Store.WatchTimeout)
+	if !rolledBack && !t.Recovery.TakeRelist() && !errors.Is(err, kvstore.ErrCompacted) {
+		return revision, changes, err
+	}
+	records, revision, err := t.Store.List(ctx, jobs.RecordPrefix)
+	if err != nil {
+		return revision, nil, err
+	}
+	for _, record := range records {
+		changes = append(changes, kvstore.Change{Set: record.Key, Value: record.Value, Revision: record.Revision})
+	}
+	return revision, changes, nil
+}
+
+// postChanges hands changes to the event loop.
+func (t *Tracker) postChanges(ctx context.Context, watch *recordWatch, changes []kvstore.Change) {
+	seen, proven, asked := watch.after, watch.isProven(), watch.revisionAsked
+	t.Post(ctx, func(now time.Time) {
+		if proven && asked.After(t.asOf) {
+			t.asOf = asked
+		}
+		t.apply(changes, seen, now)
+	})
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -3,7 +3,6 @@
 package leader
 
 import (
-	"sync/atomic"
 	"time"
 
 	"ospreyslip/internal/cloud"
@@ -15,11 +14,13 @@
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/leader/fencing"
+	"ospreyslip/internal/leader/jobtracker"
 	"ospreyslip/internal/leader/planner"
 	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/leader/runtimes"
 	"ospreyslip/internal/leader/scaler"
 	"ospreyslip/internal/leader/tasks"
+	"ospreyslip/internal/leader/writer"
 	"ospreyslip/internal/liveness"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/reconcile"
@@ -67,39 +68,10 @@
 	scaler     *scaler.Scaler
 	recovery   *recoverer.Recoverer
 
-	view           recordView
-	writer         recordWriter
-	ticks          tickState
-	probesInFlight int
-	broadcast      broadcast
-	resignation    resignation
-}
-
-// recordView is as of when the leader knows the records of jobs.
-type recordView struct {
-	asOf           time.Time         // all that users were told by then is in the jobs
-	seenRevision   atomic.Uint64     // all changes up to this revision are
-	cancelledLater map[string]uint64 // jobs known to be cancelled at a revision that is not seen yet
-}
-
-// recordWriter is what waits to be written besides the log, and the transaction under way.
-type recordWriter struct {
-	completedJobs    []*cluster.Job // whose records are to be written as done
-	inFlight         bool
-	storeUnavailable bool // the last transaction was not executed, as far as is known
-	startedAt        time.Time
-}
-
-// broadcast is what other controllers are told from time to time.
-type broadcast struct {
-	sentAt  time.Time
-	changes []peer.JobChange // of records, since then
-}
+	jobs   *jobtracker.Tracker
+	writer *writer.Writer
 
-// resignation is whether the leader gives up its term by itself.
-type resignation struct {
-	allowed   bool // because no machine is heard of
-	requested bool
+	loop loopState
 }
 
 // newLeader makes a leader that knows of nothing yet.
@@ -111,7 +83,6 @@
 		failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
 		log:      assignmentlog.New(logConfig(d.Derived)),
 		runTimes: runtimes.NewEstimator(),
-		view:     recordView{cancelledLater: map[string]uint64{}},
 	}
 	l.detector = liveness.New(detectorConfig(d.Derived, l.productionTasks))
 	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.catalog.Type, planConstraints{l})
@@ -119,6 +90,8 @@
 	l.dispatcher = dispatch.New(l.dispatchDeps())
 	l.scaler = newScaler(l)
 	l.recovery = recoverer.New(l.recoveryConfig())
+	l.jobs = jobtracker.New(l.trackerDeps())
+	l.writer = writer.New(l.writerDeps())
 	return l
 }
 
--- a/internal/leader/picture_test.go
+++ b/internal/leader/leader_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -53,7 +54,7 @@
 		Cloud: cloud.NewClient("cloud:1", silent, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
-	l.view.asOf = now
+	l.jobs.Loaded(now, l.jobs.SeenRevision())
 	*l.tasks = *tasks.NewManager(l.tasks.Deps, 100)
 	*l.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
@@ -67,6 +68,22 @@
 	return l, m, j, now
 }
 
+// readLog begins the log anew with stored segments.
+func (l *Leader) readLog(stored []kvstore.KeyValue) []assignmentlog.StoredSegment {
+	return l.log.Load(logConfig(l.Derived), stored)
+}
+
+// restoreMachine takes in a machine of which the log has no task any more.
+func (l *Leader) restoreMachine(t *testing.T, record assignmentlog.MachineRecord, now time.Time) {
+	t.Helper()
+	value, err := json.Marshal(assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{record}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := []kvstore.KeyValue{{Key: assignmentlog.Prefix + "0", Value: value, Revision: 1}}
+	l.loader().Restore(l.readLog(stored), nil, now)
+}
+
 func report(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
 	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: 5, Tasks: tasks}
 }
@@ -195,7 +212,7 @@
 	l, m, j, now := bench()
 	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
 	l.state.Jobs[live.ID] = live
-	l.cancelJob(j, 9)
+	l.jobs.Cancel(j, 9)
 	old := report(1, 9,
 		workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		workers.TaskStatus{Name: "j-1/1", Attempt: 102, State: workers.StateEnded, Cause: workers.CauseDone},
@@ -431,7 +448,7 @@
 	l.catalog.Types = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
-	l.restoreMachine(assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
+	l.restoreMachine(t, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
 	l.plan(now)
 	if l.planner.Requested {
 		t.Fatal("a plan is wanted before anything has happened")
@@ -454,12 +471,12 @@
 		l, _, _, now := bench()
 		quiet(t)
 		l.inbox.events = make(chan func(time.Time), 1)
-		l.transactionReturned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
+		l.writer.Returned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
 			t.Error("plans while nothing can be made durable")
 		}
 		l.readLog(nil)
-		l.transactionReturned(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
+		l.writer.Returned(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
 		if !l.mayBegin(now) {
 			t.Error("plans no more")
 		}
@@ -491,7 +508,7 @@
 			r := report(1, 4, task)
 			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
-			l.view.asOf = now
+			l.jobs.Loaded(now, l.jobs.SeenRevision())
 			l.answerHeartbeat(r, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
 				t.Errorf("stopped: %v", a.Stop.Requested)
@@ -513,7 +530,7 @@
 	l.answerHeartbeat(report(1, 2), now)
 	task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
 	late := now.Add(l.Derived.Leader.StarvationLimit)
-	l.view.asOf = late
+	l.jobs.Loaded(late, l.jobs.SeenRevision())
 	l.answerHeartbeat(report(1, 3, task), late)
 	a := j.Assignments[0]
 	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
@@ -568,7 +585,7 @@
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
 	for now := start; now.Sub(start) < 20*l.Derived.Workers.LeaseExpiry; now = now.Add(step) {
-		l.view.asOf = now
+		l.jobs.Loaded(now, l.jobs.SeenRevision())
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := report(1, seq)
--- /dev/null
+++ b/internal/leader/loader/loader.go
@@ -0,0 +1,273 @@
+// Package loader reads what a new leader begins with: the records of jobs and the assignment log.
+// Nothing of it is certain before the workers have reported.
+package loader
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	jsonv2 "github.com/go-json-experiment/json"
+
+	"ospreyslip/internal/gang"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/jobs/jobcache"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/assignmentlog"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/dispatch"
+	"ospreyslip/internal/leader/fencing"
+	"ospreyslip/internal/leader/jobtracker"
+	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/leader/recoverer"
+	"ospreyslip/internal/leader/scaler"
+	"ospreyslip/internal/leader/tasks"
+	"ospreyslip/internal/liveness"
+	"ospreyslip/internal/reconcile"
+	"ospreyslip/internal/settings"
+)
+
+// Loader fills the leader's parts with what the records say. It is used before the event loop runs.
+type Loader struct {
+	Derived    settings.Derived
+	LogConfig  assignmentlog.Config
+	Store      *kvstore.Client
+	Cache      *jobcache.Cache // what this node knows of all jobs
+	State      *cluster.State
+	Fencing    *fencing.Token
+	Detector   *liveness.Detector
+	Failover   *reconcile.Failover
+	Log        *assignmentlog.Log
+	Planner    *planner.Planner
+	Jobs       *jobtracker.Tracker
+	Tasks      *tasks.Manager
+	Dispatcher *dispatch.Dispatcher
+	Scaler     *scaler.Scaler
+	Recovery   *recoverer.Recoverer
+}
+
+// Load reads all records. The term is ours already, so that no earlier leader can change them any
+// more; users can, and the watch goes on after the revision that is returned.
+func (l *Loader) Load(ctx context.Context) (after uint64, err error) {
+	now := time.Now()
+	l.Recovery.BeginTerm()
+	stored, _, err := l.Store.List(ctx, assignmentlog.Prefix)
+	if err != nil {
+		return 0, err
+	}
+	if err := l.Recovery.ReadControlKeys(ctx, now); err != nil {
+		return 0, err
+	}
+	segments := l.Log.Load(l.LogConfig, stored)
+	l.Recovery.CheckLog(segments, now)
+	records := loadedRecords{
+		namedInLog: assignmentlog.JobsNamed(segments), ended: EndedRecords{},
+		counts: recoverer.RecordCounts{Known: l.Cache.RecordedCount()},
+	}
+	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(record kvstore.KeyValue) { l.loadRecord(record, &records, now) })
+	if err != nil {
+		return 0, err
+	}
+	l.Recovery.CheckRecords(records.counts, segments, records.hasEnded, now)
+	l.Restore(segments, records.ended, now)
+	l.resumeJobs(now)
+	l.Planner.Requested, l.Planner.GuaranteesStale = true, true
+	l.Fencing.RaisedAt = now
+	l.Scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
+	l.Jobs.Loaded(now, after)
+	l.Failover.RecordsLoaded(time.Now())
+	slog.Info("records read", "term", l.Fencing.Current, "jobs", len(l.State.Jobs), "ended", records.over, "machines", len(l.State.Machines.All))
+	return after, nil
+}
+
+// EndedRecords is the records of jobs that are over, of which tasks may be left, by the job.
+type EndedRecords map[string]kvstore.KeyValue
+
+// loadedRecords is what a new leader notes of the job records while it reads them.
+type loadedRecords struct {
+	namedInLog map[string]bool
+	ended      EndedRecords
+	over       int // jobs that are over
+	counts     recoverer.RecordCounts
+}
+
+func (r *loadedRecords) hasEnded(id string) bool {
+	_, ended := r.ended[id]
+	return ended
+}
+
+// loadRecord takes in one job's record.
+func (l *Loader) loadRecord(stored kvstore.KeyValue, records *loadedRecords, now time.Time) {
+	records.counts.Read++
+	var record jobs.Record
+	if err := jsonv2.Unmarshal(stored.Value, &record); err != nil {
+		slog.Error("job record unreadable", "key", stored.Key, "reason", err)
+		return
+	}
+	id := jobs.JobIDFromKey(stored.Key)
+	told, _ := l.Cache.Known(id)
+	if record.Held != nil {
+		l.Recovery.HoldJob(id, &record, stored.Revision)
+	}
+	switch {
+	case record.Finished(), told.Finished(): // the latter: it is older than what users were told
+	case record.Held != nil:
+		return
+	case record.Spec != nil:
+		job := cluster.NewJob(id, record.Spec, stored.Revision, record.AcceptedAtMs, now)
+		l.State.Jobs[id] = job
+		if record.Restored || l.Recovery.LogIncomplete() {
+			l.Recovery.AdoptTasksOf(job, now)
+		}
+		return
+	}
+	records.over++
+	if records.namedInLog[id] {
+		records.ended[id] = stored
+	}
+}
+
+// resumeJobs goes on with each job where the records say that its leader has ended.
+func (l *Loader) resumeJobs(now time.Time) {
+	for _, job := range l.State.Jobs {
+		if job.IsGang() && !job.IsOver() && job.GangVerdict() == gang.Abort {
+			l.Tasks.StopGang(job, 0) // its leader ended when a part of it had begun, or was over
+		}
+		if !job.IsOver() && job.Spec.Shape == jobs.Batch && job.Completions.Count == job.Spec.Tasks {
+			l.Tasks.CompleteJob(job)
+		}
+		l.Jobs.PublishCounts(job)
+		l.Planner.Enqueue(job)
+		age := time.Duration(now.UnixMilli()-job.AcceptedMs) * time.Millisecond
+		l.Scaler.JobArrived(job, age, now)
+		l.Planner.RestoreAge(job, age, now)
+	}
+}
+
+// Restore takes in the assignment log. Whatever it names may be there: the tasks count until a
+// heartbeat under our token, or the end of the lease, shows otherwise. No earlier leader answered
+// a heartbeat later than the term began.
+func (l *Loader) Restore(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
+	l.restoreSegments(segments, ended, now)
+	l.forEachAssignment(func(a *cluster.Assignment) {
+		l.Planner.Capacity.Count(a)
+		a.Machine.Assignments[a.Attempt] = a
+		a.Job.RestoreAssignment(a)
+	})
+	l.forEachAssignment(func(a *cluster.Assignment) {
+		worker := &a.Machine.Worker
+		decision := reconcile.DecideOnRecords(l.Tasks.Facts(a, now), a.Job.IsTaskDone(a.Index), worker.Session, worker.LeaseUntil)
+		switch decision.Action {
+		case reconcile.Complete:
+			l.Tasks.End(a, cluster.Success)
+		case reconcile.Reschedule:
+			l.Tasks.End(a, cluster.Retry)
+		default: // its machine is heard first
+		}
+	})
+	l.Dispatcher.AnnounceTerm(l.Log.Segments())
+}
+
+// forEachAssignment goes through what stands on the segments, in the order of writing.
+func (l *Loader) forEachAssignment(take func(a *cluster.Assignment)) {
+	for _, segment := range l.Log.Segments() {
+		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
+			take(segment.Begun[attempt])
+		}
+	}
+}
+
+// restoreSegments finds out what stands on each segment. Later segments overrule earlier ones.
+func (l *Loader) restoreSegments(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
+	where := map[uint64]*cluster.Segment{}
+	for _, stored := range segments {
+		segment := stored.Segment
+		for _, begun := range stored.Record.Begun {
+			machine := l.restoreMachine(begun, now)
+			for _, task := range begun.Tasks {
+				if old := where[task.Attempt]; old != nil {
+					delete(old.Begun, task.Attempt) // carried along since
+				}
+				where[task.Attempt] = segment
+				l.restoreTask(segment, machine, begun.Session, task, ended, now)
+			}
+		}
+		for _, attempt := range stored.Record.Over {
+			if earlier := where[attempt]; earlier != nil {
+				delete(earlier.Begun, attempt)
+			}
+		}
+		for _, done := range stored.Record.Done {
+			l.restoreCompletions(segment, done)
+		}
+	}
+}
+
+// restoreCompletions takes in the completions of one chunk of a job's tasks.
+func (l *Loader) restoreCompletions(segment *cluster.Segment, done assignmentlog.CompletionRecord) {
+	job := l.State.Jobs[done.Job]
+	if job == nil || done.Chunk < 0 || done.Chunk*l.Derived.Store.ChunkTasks >= job.Spec.Tasks {
+		return
+	}
+	if err := job.DecodeChunk(done.Chunk, l.Derived.Store.ChunkTasks, done.Bits); err != nil {
+		slog.Error("completions unreadable", "job", done.Job, "reason", err)
+		return
+	}
+	segment.Completions[cluster.ChunkRef{Job: job, Index: done.Chunk}] = true
+	job.Completions.Chunks[done.Chunk] = &cluster.Chunk{Segment: segment, Saved: true}
+}
+
+// restoreMachine adds a machine that the log names.
+func (l *Loader) restoreMachine(record assignmentlog.MachineRecord, now time.Time) *cluster.Machine {
+	machine := l.State.Machines.ByID[record.Machine]
+	if machine == nil {
+		machine = cluster.NewMachine(record.Machine, now)
+		machine.Phase, machine.Worker.LeaseUntil = cluster.Up, now.Add(l.Derived.Workers.LeaseExpiry)
+		l.State.Machines.Add(machine)
+		l.Detector.Restore(machine.ID, record.Zone, now)
+		l.Failover.ExpectMachine(machine.ID)
+	}
+	machine.Addr, machine.Type, machine.Zone, machine.Spot = record.Addr, record.Type, record.Zone, record.Spot
+	machine.Worker.Session = max(machine.Worker.Session, record.Session)
+	return machine
+}
+
+// restoreTask finds out what may be on a machine; it does not count before the whole log is read.
+func (l *Loader) restoreTask(segment *cluster.Segment, machine *cluster.Machine, session uint64, task assignmentlog.TaskRecord, ended EndedRecords, now time.Time) {
+	job := l.State.Jobs[task.Job]
+	if job == nil {
+		record, isEnded := ended[task.Job]
+		if !isEnded {
+			l.Recovery.AddLoggedTask(task)
+			return
+		}
+		job = l.restoreEndedJob(task, record, now)
+	}
+	if task.Index < 0 || task.Index >= job.Spec.Tasks {
+		if !job.End.Cancelled {
+			slog.Error("record names a task that its job does not have", "job", task.Job, "task", task.Index)
+			return
+		}
+		job.GrowTo(task.Index + 1)
+	}
+	segment.Begun[task.Attempt] = &cluster.Assignment{
+		Job: job, Index: task.Index, Attempt: task.Attempt, GangAttempt: task.Gang, Session: session, Machine: machine,
+		Restored: true, CreatedAt: now, RunningSince: now,
+		Start: cluster.Start{InDoubtToken: l.Fencing.Current - 1},
+		Log:   cluster.LogState{Segment: segment, Durable: true},
+	}
+}
+
+// restoreEndedJob adds a job that is over, of which a task may still be on a machine.
+func (l *Loader) restoreEndedJob(task assignmentlog.TaskRecord, stored kvstore.KeyValue, now time.Time) *cluster.Job {
+	var record jobs.Record
+	_ = jsonv2.Unmarshal(stored.Value, &record)
+	if record.Spec == nil {
+		// Done: what is left of it on the machine ends by itself.
+		record.Spec = &jobs.Spec{ID: task.Job, Tasks: task.Index + 1, Shape: jobs.Batch}
+	}
+	job := cluster.NewJob(task.Job, record.Spec, stored.Revision, 0, now)
+	job.End.Cancelled, job.End.Recorded = true, record.State
+	l.State.Jobs[task.Job] = job
+	return job
+}
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -144,11 +144,11 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for step := range 150 {
 		l.stir(rnd)
-		b := l.compose()
+		b := l.writer.Compose()
 		if failed := s.apply(b); len(failed) > 0 {
 			t.Fatal(failed)
 		}
-		l.committed(b, s.rev)
+		l.writer.Committed(b, s.rev)
 		if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks), l.durable()); d != "" {
 			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
 		}
@@ -157,9 +157,9 @@
 			l = logLeader(s, uint64(6+step), specs)
 			for range 5 {
 				l.stir(rnd)
-				b := l.compose()
+				b := l.writer.Compose()
 				s.apply(b)
-				l.committed(b, s.rev)
+				l.writer.Committed(b, s.rev)
 			}
 			s.value, s.ops = 2<<10, 4
 			l = logLeader(s, uint64(7+step), specs)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -45,7 +45,7 @@
 // recoverRecords does what is due about lost records.
 func (l *Leader) recoverRecords(ctx context.Context, now time.Time) {
 	l.recovery.EndAdoptions(now)
-	if l.ticks.group == 0 {
+	if l.loop.tickGroup == 0 {
 		l.recovery.RunUncertainJobs(now)
 	}
 	l.recovery.Advance(ctx, now)
@@ -64,18 +64,18 @@
 
 func (c recoveryCalls) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
 
-func (c recoveryCalls) Resign() { c.l.resignation.requested = true }
+func (c recoveryCalls) Resign() { c.l.loop.resigns = true }
 
 func (c recoveryCalls) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
 
 func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
 
-func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.cancelJob(job, revision) }
+func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
 
-func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.completeElsewhere(job) }
+func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
 
 func (c recoveryCalls) JobChanged(change kvstore.Change, now time.Time) {
-	c.l.applyJobChange(change, now)
+	c.l.jobs.Apply(change, now)
 }
 
 func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
@@ -89,6 +89,7 @@
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
+	l.TokenRaised(l.fencing.Current)
 	if l.fencing.RaiseAbove < l.fencing.OfTerm {
 		return
 	}
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -26,7 +26,7 @@
 	l, reports, now := fleetOf(t, lostFleet)
 	spec := *l.state.Jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
-	next.view.asOf = now
+	next.jobs.Loaded(now, next.jobs.SeenRevision())
 	next.detector = liveness.New(liveness.Config{})
 	next.readLog(nil)
 	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
@@ -79,7 +79,7 @@
 			}
 			segments = append(segments, kvstore.KeyValue{Key: fmt.Sprint(assignmentlog.Prefix, i), Value: value, Revision: 1})
 		}
-		next.restoreLog(next.readLog(segments), nil, now)
+		next.loader().Restore(next.readLog(segments), nil, now)
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
 			t.Fatalf("%d wait, %d are placed", job.Pending.Count, len(job.Assignments))
 		}
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -157,7 +157,7 @@
 	cost := func(size int) float64 {
 		l, _, now := fleetOf(t, size)
 		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
-		l.planner.Unmet, l.broadcast.sentAt = nil, now
+		l.planner.Unmet, l.loop.broadcastAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.tick(t.Context(), now)
 			l.scaler.Reconcile(t.Context(), now, l.planner.Unmet) // in each tick, as if it were due
@@ -188,7 +188,7 @@
 		l.log.Grow(1)
 		batch := transaction.New()
 		l.log.AddSegments(batch, 1)
-		l.committed(batch, rev)
+		l.writer.Committed(batch, rev)
 		w := batch.Writes[0]
 		segments[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: rev}
 	}
@@ -198,7 +198,7 @@
 // successor is the next leader, which has read the log but heard of no machine.
 func successor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
 	next := newLeader(l.Deps, election.Term{FencingToken: 6})
-	next.view.asOf = now
+	next.jobs.Loaded(now, next.jobs.SeenRevision())
 	next.detector = liveness.New(liveness.Config{})
 	for _, s := range specs {
 		next.state.Jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
@@ -210,7 +210,7 @@
 			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
 	}
-	next.restoreLog(log, ended, now)
+	next.loader().Restore(log, ended, now)
 	return next
 }
 
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -65,9 +65,9 @@
 
 func (l *Leader) status(now time.Time) *Status {
 	s := &Status{
-		Term: l.fencing.OfTerm, Token: l.fencing.Current, PictureS: l.recordsAge(now).Seconds(),
+		Term: l.fencing.OfTerm, Token: l.fencing.Current, PictureS: l.jobs.Age(now).Seconds(),
 		Held: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
-		WriteQueue: len(l.writer.completedJobs) + l.log.QueueLength(),
+		WriteQueue: l.writer.QueueLength(),
 		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
 		Takeover: l.failover.Progress(now),
 	}
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -10,12 +10,6 @@
 	"ospreyslip/internal/reconcile"
 )
 
-// tickState is how far the periodic work is.
-type tickState struct {
-	group           int       // of the ticks in a control interval
-	nextLeaseExpiry time.Time // no worker's lease ends before
-}
-
 // tick does what is due without anything having happened.
 func (l *Leader) tick(ctx context.Context, now time.Time) {
 	// A process that stood still for longer than its term finds all machines idle and silent when
@@ -38,15 +32,15 @@
 // lookAtMachines goes through one group of the machines, so that each has its turn once in a
 // control interval.
 func (l *Leader) lookAtMachines(now time.Time) {
-	l.ticks.group = (l.ticks.group + 1) % cluster.TickGroups
-	for machine := range l.state.Machines.Groups[l.ticks.group] {
+	l.loop.tickGroup = (l.loop.tickGroup + 1) % cluster.TickGroups
+	for machine := range l.state.Machines.Groups[l.loop.tickGroup] {
 		l.dispatcher.AnnounceToSilent(machine, now)
 		l.updateOffer(machine, now) // what has fallen silent takes no work
 		if machine.ExpireAvoidance(now) {
 			l.planner.Requested = true
 		}
 	}
-	if l.ticks.group == 0 && l.mayBegin(now) {
+	if l.loop.tickGroup == 0 && l.mayBegin(now) {
 		l.drainStragglers(now)
 	}
 }
@@ -55,10 +49,10 @@
 // is set to the same time from then on: none that is set after a look at all of them ends before
 // the first of these.
 func (l *Leader) expireLeases(now time.Time) {
-	if now.Before(l.ticks.nextLeaseExpiry) {
+	if now.Before(l.loop.nextLeaseExpiry) {
 		return
 	}
-	l.ticks.nextLeaseExpiry = now.Add(l.Derived.Workers.LeaseExpiry)
+	l.loop.nextLeaseExpiry = now.Add(l.Derived.Workers.LeaseExpiry)
 	for _, machine := range l.state.Machines.All {
 		if machine.Phase == cluster.Booting {
 			continue
@@ -66,7 +60,7 @@
 		worker := &machine.Worker
 		decision := reconcile.DecideWithoutHeartbeat(worker.LeaseUntil, now)
 		if decision.Action == reconcile.Wait {
-			l.ticks.nextLeaseExpiry = earlier(l.ticks.nextLeaseExpiry, decision.Until)
+			l.loop.nextLeaseExpiry = earlier(l.loop.nextLeaseExpiry, decision.Until)
 			continue
 		}
 		l.tasks.EndAllOn(machine, string(decision.Reason))
@@ -99,18 +93,17 @@
 // resignIfUnreached makes way for a leader that workers may reach. What is known to be lost is
 // durable first: the next leader would wait a whole lease for it once more.
 func (l *Leader) resignIfUnreached() {
-	if l.detector.FullDisruption() && l.resignation.allowed && !l.writer.inFlight && !l.log.HasWork() {
+	if l.detector.FullDisruption() && l.loop.mayResign && l.writer.IsIdle() {
 		slog.Info("resigning", "term", l.fencing.Current, "reason", "no machine of any zone reports here")
-		l.resignation.requested = true
+		l.loop.resigns = true
 	}
 }
 
 // broadcastUpdate tells other controllers from time to time what has changed.
 func (l *Leader) broadcastUpdate(now time.Time) {
-	if now.Sub(l.broadcast.sentAt) > l.Derived.Leader.ControlInterval/2 {
-		l.broadcast.sentAt = now
-		l.Broadcast(l.Counts.nonZero(), l.broadcast.changes)
-		l.broadcast.changes = nil
+	if now.Sub(l.loop.broadcastAt) > l.Derived.Leader.ControlInterval/2 {
+		l.loop.broadcastAt = now
+		l.Broadcast(l.Counts.nonZero(), l.jobs.TakeChanges())
 	}
 }
 
