--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -51,7 +51,7 @@
 	cloud   *cloud.Client
 	workers *workers.Client
 	keeper  *election.Elector
-	gate    *leader.Gate
+	gate    *leader.Handle
 	counts  *leader.Counts
 	hub     *peer.Hub
 	debug   *handed
@@ -89,7 +89,7 @@
 	if w.Listen == nil {
 		users, cluster = listenForUsers, listenForPeers
 	}
-	n := &Controller{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
+	n := &Controller{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Handle{}}
 	n.workers = workers.NewClient(pick(2, d.Host.WorkerConns, d.Workers.RequestTimeout), d.Workers.RequestTimeout)
 	n.store = kvstore.New(set.Endpoints.Store, pick(d.Host.StoreConns, 0, d.Store.RequestTimeout), d.Store.RequestTimeout, n.budget(false))
 	n.cache = jobcache.New(n.store, jobcache.Options{ReadGap: d.API.PollReadInterval, IdleReadInterval: d.Workers.CancelDeadline / 4, SuspectFor: d.Workers.CancelDeadline, CancellationsKept: d.API.CancellationHistory})
@@ -202,7 +202,7 @@
 func (n *Controller) Work(ctx context.Context, cluster net.Listener) {
 	deps := leader.Deps{
 		Settings: n.set, Derived: n.d, Store: n.store, Cloud: n.cloud,
-		Workers: n.workers, IsLeader: n.keeper.IsLeader, PromisesRequestedAt: n.keeper.PeerLeasesRequestedAt, TokenRaised: n.keeper.TokenRaised, Broadcast: n.publish, MachineTypes: n.types, Counts: n.counts,
+		Workers: n.workers, IsLeader: n.keeper.IsLeader, PeerLeasesRequestedAt: n.keeper.PeerLeasesRequestedAt, TokenRaised: n.keeper.TokenRaised, Broadcast: n.publish, MachineTypes: n.types, Counts: n.counts,
 		Cache: n.cache, Peers: n.hub, Node: n.set.Node,
 	}
 	var duties sync.WaitGroup
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -18,7 +18,7 @@
 const (
 	Booting   Phase = iota // rented, not heard of
 	Up                     // its worker has reported
-	Releasing              // being given back to the cloud
+	Releasing              // being released to the cloud
 )
 
 // Machine is a rented machine as the leader sees it.
@@ -68,7 +68,7 @@
 // Health is what speaks against giving work to a machine.
 type Health struct {
 	Dead        bool // judged dead
-	Draining    bool // takes no new tasks until it is given back
+	Draining    bool // takes no new tasks until it is released
 	SlowLogOdds float64
 	NoticeUntil time.Time       // when the cloud takes the machine away, as announced
 	FailedJobs  map[string]bool // jobs that failed here since one succeeded
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -25,7 +25,7 @@
 	}
 	commands.UndeliveredAnswers++
 	if commands.UndeliveredAnswers == MaxUndelivered {
-		slog.Info("machine does not hear", "machine", machine.ID, "term", d.Fencing.Current)
+		slog.Info("machine does not carry out commands", "machine", machine.ID, "term", d.Fencing.Current)
 		d.Detector.MarkUnreachable(machine.ID)
 		d.Planner.Requested = true
 	}
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -188,7 +188,7 @@
 	defer d.enqueue(machine)
 	d.settleStarts(machine, request, &r, now)
 	if r.err != nil {
-		slog.Debug("order failed", "machine", machine.ID, "term", d.Fencing.Current, "reason", r.err)
+		slog.Debug("commands not delivered", "machine", machine.ID, "term", d.Fencing.Current, "reason", r.err)
 		d.retryLater(machine, now)
 		d.Detector.Suspect(machine.ID)
 		return
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -95,7 +95,7 @@
 // mayBegin tells whether new work can be made durable. While it cannot, a plan would stop tasks
 // to make room that nothing can be placed in.
 func (l *Leader) mayBegin(now time.Time) bool {
-	return !l.writer.StoreUnavailable() && now.Sub(l.PromisesRequestedAt()) > l.Derived.Election.LeaseDuration
+	return !l.writer.StoreUnavailable() && now.Sub(l.PeerLeasesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
 
 // post has an outcome applied by the event loop, unless the context ends before.
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -15,12 +15,12 @@
 		return
 	}
 	p := l.failover.Progress(now)
-	slog.Info("take-over settled", "term", l.fencing.Current, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
+	slog.Info("failover settled", "term", l.fencing.Current, "afterS", p.DoneS, "machines", p.Expected, "heard", p.Reported,
 		"never", p.NeverReported, "answerS", p.FirstAnswerS, "orderS", p.FirstCommandS, "commands", p.Commands)
 	l.planner.Requested = true
 }
 
-// mayPreempt tells whether others may be stopped for a job. In a take-over, machines that
+// mayPreempt tells whether others may be stopped for a job. After a failover, machines that
 // are about to report may have room enough: only what would wait for too long does not wait
 // for them.
 func (l *Leader) mayPreempt(j *cluster.Job, now time.Time) bool {
@@ -30,7 +30,7 @@
 	return l.failover.MayPreempt(now, j.Scheduling.LastServedAt, l.preemptionBound(j))
 }
 
-// preemptionBound is for how long a job waits in a take-over before others are stopped for
+// preemptionBound is for how long a job waits after a failover before others are stopped for
 // it. Production does not wait: its users notice each second. What a guarantee covers waits part
 // of the time in which it should start, other work until the machines that have not reported
 // are late.
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -184,7 +184,7 @@
 			t.Fatal(d)
 		}
 	}
-	if !l.usable(l.state.Machines.ByID["m-1"], now) {
+	if !l.acceptsWork(l.state.Machines.ByID["m-1"], now) {
 		t.Error("a machine whose tasks save is taken for one that does not hear")
 	}
 	if a := j.Assignments[2]; !a.Stop.Requested || a.Stop.GraceS != 3 || !l.state.Machines.ByID["m-2"].Commands.NotifyPending {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -36,16 +36,16 @@
 	Cloud    *cloud.Client
 	Workers  *workers.Client
 	IsLeader func() bool // holds the term at this moment
-	// PromisesRequestedAt is when the promises were asked for that keep the term in an outage;
+	// PeerLeasesRequestedAt is when the peer leases were asked for that keep the term in an outage;
 	// they came from all other nodes.
-	PromisesRequestedAt func() time.Time
-	TokenRaised         func(token uint64) // told of a token raised within the term
-	Broadcast           func(map[string]jobs.Counts, []peer.JobChange)
-	MachineTypes        func() []jobs.MachineType
-	Counts              *Counts
-	Cache               *jobcache.Cache // what this node knows of all jobs
-	Peers               recoverer.PeerClient
-	Node                string
+	PeerLeasesRequestedAt func() time.Time
+	TokenRaised           func(token uint64) // told of a token raised within the term
+	Broadcast             func(map[string]jobs.Counts, []peer.JobChange)
+	MachineTypes          func() []jobs.MachineType
+	Counts                *Counts
+	Cache                 *jobcache.Cache // what this node knows of all jobs
+	Peers                 recoverer.PeerClient
+	Node                  string
 }
 
 // Leader is one term's work. One goroutine, the event loop, owns all of it but the inbox and what
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -50,7 +50,7 @@
 	}}
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
-		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
+		PeerLeasesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
 		Cloud: cloud.NewClient("cloud:1", silent, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
@@ -325,19 +325,19 @@
 			t.Fatalf("report %d: %v", seq, ops(calls))
 		}
 	}
-	if l.usable(m, now) {
+	if l.acceptsWork(m, now) {
 		t.Error("a machine that does not hear is given work")
 	}
 	if calls, _ := l.detector.Tick(now, 1); len(calls) != 1 {
 		t.Error("it is not called")
 	}
 	l.probeReturned(m, report(1, 20), nil, now)
-	if !l.usable(m, now) {
+	if !l.acceptsWork(m, now) {
 		t.Error("it answers calls, but is given no work")
 	}
 	l.answerHeartbeat(report(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	l.answerHeartbeat(report(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if m.Commands.UndeliveredAnswers != 0 || !l.usable(m, now) {
+	if m.Commands.UndeliveredAnswers != 0 || !l.acceptsWork(m, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
 }
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// usable tells whether work may go to a machine.
-func (l *Leader) usable(m *cluster.Machine, now time.Time) bool {
+// acceptsWork tells whether work may go to a machine.
+func (l *Leader) acceptsWork(m *cluster.Machine, now time.Time) bool {
 	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.fencing.Current && l.detector.Schedulable(m.ID, now)
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -16,9 +16,6 @@
 // This file connects the recovery of lost records, package recoverer, with the rest of the
 // leader: what the recovery is given, what it calls, and what other goroutines ask of it.
 
-// ErrNotLeading means that this node does not lead, so that another has to be asked.
-var ErrNotLeading = errors.New("this node does not lead")
-
 // recoveryConfig is what the recovery of this leader works with.
 func (l *Leader) recoveryConfig() recoverer.Config {
 	return recoverer.Config{
@@ -105,8 +102,8 @@
 }
 
 // RecoveryPhase is how far the recovery of the leader on duty here is; Whole if there is none.
-func (g *Gate) RecoveryPhase() recoverer.Phase {
-	if l := g.leader.Load(); l != nil {
+func (h *Handle) RecoveryPhase() recoverer.Phase {
+	if l := h.leader.Load(); l != nil {
 		return l.recovery.Phase()
 	}
 	return recoverer.Whole
@@ -114,14 +111,14 @@
 
 // StoreRolledBack tells whether records may say less than users were told, as far as the leader on
 // duty here knows.
-func (g *Gate) StoreRolledBack() bool {
-	l := g.leader.Load()
+func (h *Handle) StoreRolledBack() bool {
+	l := h.leader.Load()
 	return l != nil && l.recovery.RolledBack()
 }
 
 // ReportLoss hands evidence of a loss to the leader on duty, and tells whether there is one.
-func (g *Gate) ReportLoss(loss detection.Evidence) bool {
-	l := g.leader.Load()
+func (h *Handle) ReportLoss(loss detection.Evidence) bool {
+	l := h.leader.Load()
 	if l == nil {
 		return false
 	}
@@ -132,40 +129,16 @@
 	return true
 }
 
-// call has a question answered by the leader's goroutine.
-func call[T any](ctx context.Context, gate *Gate, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
-	leader := gate.leader.Load()
-	if leader == nil {
-		return out, ErrNotLeading
-	}
-	replies := make(chan T, 1)
-	select {
-	case leader.inbox.events <- func(now time.Time) { answer(leader, now, func(v T) { replies <- v }) }:
-	case <-leader.inbox.quit:
-		return out, ErrNotLeading
-	case <-ctx.Done():
-		return out, ctx.Err()
-	}
-	select {
-	case out = <-replies:
-		return out, nil
-	case <-leader.inbox.quit:
-		return out, ErrNotLeading
-	case <-ctx.Done():
-		return out, ctx.Err()
-	}
-}
-
 // Recovery returns the state of the recovery, from the leader on duty here. It fails with
 // ErrNotLeading if there is none.
-func (g *Gate) Recovery(ctx context.Context) (recoverer.Status, error) {
-	return call(ctx, g, func(l *Leader, _ time.Time, reply func(recoverer.Status)) { reply(l.recovery.Status()) })
+func (h *Handle) Recovery(ctx context.Context) (recoverer.Status, error) {
+	return call(ctx, h, func(l *Leader, _ time.Time, reply func(recoverer.Status)) { reply(l.recovery.Status()) })
 }
 
 // Settle decides a held job as an operator says, unless that contradicts proof. It returns when
 // the job's record is durable, and fails with ErrNotLeading or as recoverer.Recoverer.Settle does.
-func (g *Gate) Settle(ctx context.Context, id string, as recovery.Settlement) error {
-	outcome, err := call(ctx, g, func(l *Leader, now time.Time, reply func(error)) {
+func (h *Handle) Settle(ctx context.Context, id string, as recovery.Settlement) error {
+	outcome, err := call(ctx, h, func(l *Leader, now time.Time, reply func(error)) {
 		l.recovery.Settle(ctx, id, as, now, reply)
 	})
 	return errors.Join(err, outcome)
@@ -173,12 +146,12 @@
 
 // Import takes in a part of a snapshot. It fails with ErrNotLeading or as
 // recoverer.Recoverer.Import does.
-func (g *Gate) Import(ctx context.Context, in recoverer.Import) (recoverer.Imported, error) {
+func (h *Handle) Import(ctx context.Context, in recoverer.Import) (recoverer.Imported, error) {
 	type answer struct {
 		recoverer.Imported
 		err error
 	}
-	out, err := call(ctx, g, func(l *Leader, now time.Time, reply func(answer)) {
+	out, err := call(ctx, h, func(l *Leader, now time.Time, reply func(answer)) {
 		count, err := l.recovery.Import(in, now)
 		reply(answer{count, err})
 	})
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -39,7 +39,7 @@
 
 func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.Seconds(spec) }
 
-func (h scalerHost) IsUsable(m *cluster.Machine, now time.Time) bool { return h.l.usable(m, now) }
+func (h scalerHost) IsUsable(m *cluster.Machine, now time.Time) bool { return h.l.acceptsWork(m, now) }
 
 func (h scalerHost) MayHaveUnknownTasks(m *cluster.Machine) bool {
 	return h.l.recovery.MayHaveUnknownTasks(m)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -55,8 +55,8 @@
 }
 
 // Status returns the view of the leader on duty, or nil if there is none here.
-func (g *Gate) Status(ctx context.Context) *Status {
-	status, err := call(ctx, g, func(l *Leader, now time.Time, reply func(*Status)) { reply(l.status(now)) })
+func (h *Handle) Status(ctx context.Context) *Status {
+	status, err := call(ctx, h, func(l *Leader, now time.Time, reply func(*Status)) { reply(l.status(now)) })
 	if err != nil {
 		return nil
 	}
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -14,7 +14,7 @@
 // what may still complete goes on, and the rest begins anew elsewhere at once.
 func (m *Manager) applySpotNotice(machine *cluster.Machine, inS float64, now time.Time) {
 	if machine.Health.NoticeUntil.IsZero() {
-		slog.Info("machine will be taken", "machine", machine.ID, "term", m.Fencing.Current, "inS", inS)
+		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", inS)
 	}
 	machine.Health.Draining = true
 	m.Planner.Capacity.Withdraw(machine)
@@ -63,7 +63,7 @@
 		if !slow {
 			return false
 		}
-		slog.Info("machine slow", "machine", machine.ID, "term", m.Fencing.Current, "odds", odds)
+		slog.Info("straggler detected", "machine", machine.ID, "term", m.Fencing.Current, "odds", odds)
 		machine.Offer.Straggler = true
 	}
 	servesUsers := false
--- a/internal/leader/tasks/gang.go
+++ b/internal/leader/tasks/gang.go
@@ -20,7 +20,7 @@
 // have to stop.
 func (m *Manager) leaveGang(job *cluster.Job) {
 	if job.Gang.Assigned--; !job.IsOver() && job.GangVerdict() == gang.Abort {
-		slog.Debug("gang not whole", "job", job.ID, "attempt", job.Gang.Number, "term", m.Fencing.Current, "left", job.Gang.Assigned)
+		slog.Debug("gang incomplete", "job", job.ID, "attempt", job.Gang.Number, "term", m.Fencing.Current, "left", job.Gang.Assigned)
 		m.StopGang(job, 0)
 	}
 }
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -105,7 +105,7 @@
 
 // updateOffer offers a machine to placement while it takes work.
 func (l *Leader) updateOffer(m *cluster.Machine, now time.Time) {
-	if !l.usable(m, now) {
+	if !l.acceptsWork(m, now) {
 		l.planner.Capacity.Withdraw(m)
 		return
 	}
