--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -234,6 +234,7 @@
 // conversation has one controller send a message of each kind to another, over a
 // connection that dial makes, and returns what was understood of each.
 func conversation(t *testing.T, dial func() (asker, answerer net.Conn)) (heard []string) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	note := func(format string, args ...any) { heard = append(heard, fmt.Sprintf(format, args...)) }
--- a/internal/compat/cluster_test.go
+++ b/internal/compat/cluster_test.go
@@ -42,6 +42,7 @@
 
 // inCluster runs a scenario on a simulated clock.
 func inCluster(t *testing.T, catalog string, valueKB float64, nodes []string, scenario func(*cluster)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		out, err := newOutside(ctx, []byte(catalog), nodes)
--- a/internal/compat/day_test.go
+++ b/internal/compat/day_test.go
@@ -49,6 +49,7 @@
 
 // seeOperators notes what operators see of all nodes.
 func (o *observed) seeOperators(t *testing.T, c *cluster) {
+	t.Helper()
 	for _, n := range c.nodes {
 		for _, path := range []string{"/status", "/recovery"} {
 			status, body, _ := strings.Cut(c.operator(n, "GET", path, ""), " ")
--- a/internal/leader/recoverer/adoption_test.go
+++ b/internal/leader/recoverer/adoption_test.go
@@ -11,7 +11,7 @@
 // its worker knows it. Numbers given out later are above it.
 func TestAdoptTask(t *testing.T) {
 	s := newScenario(t)
-	job, machine := s.addJob("j-000001", jobs.Batch, 2), s.addMachine("m-1")
+	job, machine := s.addJob(jobs.Batch), s.addMachine("m-1")
 	report := &workers.Heartbeat{Machine: "m-1", AgentEpoch: 1, Tasks: []workers.TaskStatus{running("j-000001", 1, 77)}}
 
 	s.AdoptReported(machine, report, s.now)
@@ -56,7 +56,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := newScenario(t)
-			job := s.addJob("j-000001", jobs.Gang, 2)
+			job := s.addJob(jobs.Gang)
 			s.AdoptTasksOf(job, s.now)
 			for index, attempt := range test.attempts {
 				id := []string{"m-1", "m-2"}[index]
--- a/internal/leader/recoverer/comparison_test.go
+++ b/internal/leader/recoverer/comparison_test.go
@@ -57,7 +57,7 @@
 func TestLostJobThatIsOverStops(t *testing.T) {
 	for state, call := range map[string]string{jobs.Cancelled: "cancel j-000001", jobs.Done: "complete j-000001", jobs.Queued: ""} {
 		s := newScenario(t)
-		s.addJob("j-000001", jobs.Batch, 2)
+		s.addJob(jobs.Batch)
 		s.knowledge.addCached("j-000001", recovery.FromCache("node-1"), state, 2, nil)
 		if call == "" && len(s.leader.calls) > 0 || call != "" && !s.leader.called(call) {
 			t.Errorf("%s: calls %v", state, s.leader.calls)
--- a/internal/leader/recoverer/orphans_test.go
+++ b/internal/leader/recoverer/orphans_test.go
@@ -36,7 +36,7 @@
 // What is no orphan is stopped or cleared as ever.
 func TestNoOrphanedTasks(t *testing.T) {
 	s := newScenario(t)
-	s.addJob("j-000001", jobs.Batch, 2)
+	s.addJob(jobs.Batch)
 	for _, task := range []workers.TaskStatus{{Name: "not a task"}, {Name: "no-job/0"}, running("j-000001", 0, 3)} {
 		if s.LeaveAlone(s.addMachine("m-"+task.Name), &task) {
 			t.Errorf("%s is left alone", task.Name)
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -107,8 +107,10 @@
 	return m
 }
 
-func (s *scenario) addJob(id, shape string, tasks int) *cluster.Job {
-	spec := &jobs.Spec{ID: id, Team: "red", Shape: shape, Priority: jobs.Standard, Tasks: tasks, CPUs: 1}
+// addJob adds the job j-000001, of two tasks.
+func (s *scenario) addJob(shape string) *cluster.Job {
+	const id = "j-000001"
+	spec := &jobs.Spec{ID: id, Team: "red", Shape: shape, Priority: jobs.Standard, Tasks: 2, CPUs: 1}
 	job := cluster.NewJob(id, spec, 1, 0, s.now)
 	s.cfg.State.Jobs[id] = job
 	return job
@@ -135,7 +137,7 @@
 	for _, test := range tests {
 		t.Run(string(test.kind), func(t *testing.T) {
 			s := newScenario(t)
-			job := s.addJob("j-000001", jobs.Batch, 2)
+			job := s.addJob(jobs.Batch)
 			s.ReportLoss(detection.Evidence{Kind: test.kind}, s.now)
 			if s.Phase() != Comparing || !s.TakeRelist() || s.TakeRelist() {
 				t.Errorf("phase %s: want a comparison, and one listing", s.Phase())
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -114,11 +114,11 @@
 		count       int
 		stillCPUs   float64
 	}{
-		{"in time", batchDemand(8, 2, 10, 100), 0, 0, 0, 0},
-		{"late, one wave", batchDemand(8, 2, 10, 25), 8, 0, 8, 0},
-		{"late, three waves", batchDemand(8, 2, 10, 45), 8, 0, 3, 0},
-		{"in time, but CPUs are missing", batchDemand(8, 2, 10, 100), 0, 5, 3, -1},
-		{"more CPUs are missing than its tasks take", batchDemand(8, 2, 10, 100), 0, 50, 8, 34},
+		{"in time", batchDemand(100), 0, 0, 0, 0},
+		{"late, one wave", batchDemand(25), 8, 0, 8, 0},
+		{"late, three waves", batchDemand(45), 8, 0, 3, 0},
+		{"in time, but CPUs are missing", batchDemand(100), 0, 5, 3, -1},
+		{"more CPUs are missing than its tasks take", batchDemand(100), 0, 50, 8, 34},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, _ := newBench(t, refuseAll(t))
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -117,10 +117,11 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// batchDemand is waiting tasks of a batch job with so many seconds left.
-func batchDemand(count int, cpus, estimateS, dueS float64) placement.Demand {
-	spec := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Tasks: count, CPUs: cpus, EstimatedRuntimeS: estimateS}
-	return placement.Demand{Job: &placement.Job{Spec: spec, DeadlineS: dueS}, Count: count}
+// batchDemand is eight pending tasks of a batch job, of two CPUs and ten seconds each, with so many
+// seconds to its deadline.
+func batchDemand(deadlineS float64) placement.Demand {
+	spec := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Tasks: 8, CPUs: 2, EstimatedRuntimeS: 10}
+	return placement.Demand{Job: &placement.Job{Spec: spec, DeadlineS: deadlineS}, Count: spec.Tasks}
 }
 
 // Without a valid lease nothing is asked of the cloud, whatever was under way.
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -64,60 +64,75 @@
 }
 
 func (l *Leader) status(now time.Time) *Status {
-	s := &Status{
+	return &Status{
 		Term: l.fencing.OfTerm, Token: l.fencing.Current, PictureS: l.jobs.Age(now).Seconds(),
 		Held: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
 		WriteQueue: l.writer.QueueLength(),
-		Machines:   []MachineStatus{}, Classes: []ClassStatus{}, Teams: []TeamStatus{},
+		Machines:   l.machineStatuses(now), Classes: l.classStatuses(), Teams: l.teamStatuses(),
 		Takeover: l.failover.Progress(now),
 	}
-	for _, m := range l.state.Machines.All {
-		s.Machines = append(s.Machines, MachineStatus{
-			ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: l.stateOf(m, now),
-			Session: m.Worker.Session, Tasks: len(m.Assignments), CPUs: m.Used.CPUs, Doubt: !m.Commands.InDoubtSince.IsZero(),
+}
+
+func (l *Leader) machineStatuses(now time.Time) []MachineStatus {
+	statuses := []MachineStatus{}
+	for _, machine := range l.state.Machines.All {
+		statuses = append(statuses, MachineStatus{
+			ID: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, State: l.stateOf(machine, now),
+			Session: machine.Worker.Session, Tasks: len(machine.Assignments), CPUs: machine.Used.CPUs,
+			Doubt: !machine.Commands.InDoubtSince.IsZero(),
 		})
 	}
-	slices.SortFunc(s.Machines, func(a, b MachineStatus) int { return cmp.Compare(a.ID, b.ID) })
-	classes := map[string]*ClassStatus{}
-	for _, j := range l.state.Jobs {
-		if j.IsOver() {
+	slices.SortFunc(statuses, func(a, b MachineStatus) int { return cmp.Compare(a.ID, b.ID) })
+	return statuses
+}
+
+func (l *Leader) classStatuses() []ClassStatus {
+	byClass := map[string]*ClassStatus{}
+	for _, job := range l.state.Jobs {
+		if job.IsOver() {
 			continue
 		}
-		c := classes[j.Spec.Class]
-		if c == nil {
-			c = &ClassStatus{Class: j.Spec.Class}
-			classes[j.Spec.Class] = c
+		status := byClass[job.Spec.Class]
+		if status == nil {
+			status = &ClassStatus{Class: job.Spec.Class}
+			byClass[job.Spec.Class] = status
 		}
-		c.Jobs++
-		c.Placed += len(j.Assignments)
-		c.Done += j.Completions.Count
-		c.Waiting += j.Pending.Count
+		status.Jobs++
+		status.Placed += len(job.Assignments)
+		status.Done += job.Completions.Count
+		status.Waiting += job.Pending.Count
 	}
-	for _, c := range classes {
-		s.Classes = append(s.Classes, *c)
+	statuses := []ClassStatus{}
+	for _, status := range byClass {
+		statuses = append(statuses, *status)
 	}
-	slices.SortFunc(s.Classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
-	for _, t := range l.Settings.Deployment.Teams {
-		used := l.planner.Capacity.UsedBy(t.Name)
-		s.Teams = append(s.Teams, TeamStatus{t.Name, used.CPUs, used.GPUs})
+	slices.SortFunc(statuses, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
+	return statuses
+}
+
+func (l *Leader) teamStatuses() []TeamStatus {
+	statuses := []TeamStatus{}
+	for _, team := range l.Settings.Deployment.Teams {
+		used := l.planner.Capacity.UsedBy(team.Name)
+		statuses = append(statuses, TeamStatus{team.Name, used.CPUs, used.GPUs})
 	}
-	return s
+	return statuses
 }
 
-// stateOf says in one word what is the matter with a machine.
-func (l *Leader) stateOf(m *cluster.Machine, now time.Time) string {
+// stateOf is the state of a machine as operators see it.
+func (l *Leader) stateOf(machine *cluster.Machine, now time.Time) string {
 	switch {
-	case m.Phase == cluster.Booting:
+	case machine.Phase == cluster.Booting:
 		return "booting"
-	case m.Phase == cluster.Releasing:
+	case machine.Phase == cluster.Releasing:
 		return "returning"
-	case m.Health.Dead:
+	case machine.Health.Dead:
 		return "dead"
-	case m.Health.Draining:
+	case machine.Health.Draining:
 		return "draining"
-	case !l.detector.Schedulable(m.ID, now):
+	case !l.detector.Schedulable(machine.ID, now):
 		return "silent"
-	case len(m.Assignments) == 0:
+	case len(machine.Assignments) == 0:
 		return "idle"
 	}
 	return "busy"
