--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -40,22 +40,22 @@
 // isEmpty tells whether nothing stands on the segment yet.
 func (d *draft) isEmpty() bool { return len(d.begun)+len(d.chunks) == 0 }
 
-func (d *draft) addBegin(a *cluster.Assignment) {
-	i, ok := d.machineAt[a.Machine]
-	if !ok || d.record.Begun[i].Session != a.Session {
+func (d *draft) addBegin(assignment *cluster.Assignment) {
+	i, ok := d.machineAt[assignment.Machine]
+	if !ok || d.record.Begun[i].Session != assignment.Session {
 		i = len(d.record.Begun)
-		d.machineAt[a.Machine] = i
-		m := a.Machine
+		d.machineAt[assignment.Machine] = i
+		m := assignment.Machine
 		d.record.Begun = append(d.record.Begun, MachineRecord{
-			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: a.Session,
+			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: assignment.Session,
 		})
-		d.bytes += startSize(a)
+		d.bytes += startSize(assignment)
 	} else {
-		d.bytes += taskSize(a)
+		d.bytes += taskSize(assignment)
 	}
 	tasks := &d.record.Begun[i].Tasks
-	*tasks = append(*tasks, TaskRecord{a.Job.ID, a.Index, a.Attempt, a.GangAttempt})
-	d.begun = append(d.begun, a)
+	*tasks = append(*tasks, TaskRecord{assignment.Job.ID, assignment.Index, assignment.Attempt, assignment.GangAttempt})
+	d.begun = append(d.begun, assignment)
 }
 
 func (d *draft) addChunk(ref cluster.ChunkRef, bits string) {
@@ -78,18 +78,18 @@
 
 func digits(number uint64) int { return len(strconv.FormatUint(number, 10)) }
 
-func taskSize(a *cluster.Assignment) int {
-	return taskBytes + textBytes(a.Job.ID) + digits(uint64(a.Index)) + digits(a.Attempt) + digits(a.GangAttempt)
+func taskSize(assignment *cluster.Assignment) int {
+	return taskBytes + textBytes(assignment.Job.ID) + digits(uint64(assignment.Index)) + digits(assignment.Attempt) + digits(assignment.GangAttempt)
 }
 
 // startSize is that of an assignment with its machine.
-func startSize(a *cluster.Assignment) int {
-	m := a.Machine
+func startSize(assignment *cluster.Assignment) int {
+	m := assignment.Machine
 	names := textBytes(m.ID) + textBytes(m.Addr) + textBytes(m.Type) + textBytes(m.Zone)
-	return machineBytes + names + digits(a.Session) + taskSize(a)
+	return machineBytes + names + digits(assignment.Session) + taskSize(assignment)
 }
 
-func endSize(a *cluster.Assignment) int { return digits(a.Attempt) + len(",") }
+func endSize(assignment *cluster.Assignment) int { return digits(assignment.Attempt) + len(",") }
 
 func chunkSize(ref cluster.ChunkRef, bits string) int {
 	return completionBytes + textBytes(ref.Job.ID) + digits(uint64(ref.Index)) + len(bits)
--- a/internal/leader/assignmentlog/log.go
+++ b/internal/leader/assignmentlog/log.go
@@ -89,13 +89,15 @@
 }
 
 // QueueBegin queues a new assignment to be written.
-func (l *Log) QueueBegin(a *cluster.Assignment) { l.queue.begins = append(l.queue.begins, a) }
+func (l *Log) QueueBegin(assignment *cluster.Assignment) {
+	l.queue.begins = append(l.queue.begins, assignment)
+}
 
 // QueueEnd queues an assignment that is over. It may be queued already.
-func (l *Log) QueueEnd(a *cluster.Assignment) {
-	if !a.Log.EndQueued {
-		a.Log.EndQueued = true
-		l.queue.ends = append(l.queue.ends, a)
+func (l *Log) QueueEnd(assignment *cluster.Assignment) {
+	if !assignment.Log.EndQueued {
+		assignment.Log.EndQueued = true
+		l.queue.ends = append(l.queue.ends, assignment)
 	}
 }
 
--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -13,39 +13,39 @@
 
 // AddSegments writes as many segments as the log needs and the transaction has room for, the
 // oldest first. Those of a transaction of unknown outcome are written whatever there is.
-func (l *Log) AddSegments(b *transaction.Batch, maxOps int) {
+func (l *Log) AddSegments(batch *transaction.Batch, maxOps int) {
 	segments := 0
-	for ; segments < len(l.segments) && len(b.Writes) < maxOps; segments++ {
+	for ; segments < len(l.segments) && len(batch.Writes) < maxOps; segments++ {
 		required := segments < l.unsettledSegments
 		wanted := l.HasNews() || l.rewriteSegments > segments
-		if !required && (!wanted || b.Bytes+l.maxSegmentBytes > transaction.MaxBytes) {
+		if !required && (!wanted || batch.Bytes+l.maxSegmentBytes > transaction.MaxBytes) {
 			break
 		}
-		l.addSegment(b, segments, segments+1 >= l.unsettledSegments)
+		l.addSegment(batch, segments, segments+1 >= l.unsettledSegments)
 		l.unsettledSegments = max(l.unsettledSegments, segments+1)
 	}
-	b.OnCommit(func(uint64) { l.rotate(segments) })
+	batch.OnCommit(func(uint64) { l.rotate(segments) })
 }
 
 // addSegment writes the i-th oldest segment: what is still true of it, then what is new, as far
 // as there is room for it. In front of an oversized segment it adds one.
-func (l *Log) addSegment(b *transaction.Batch, i int, withNews bool) {
-	if i >= l.unsettledSegments && l.isOversized(l.segments[i]) {
-		l.segments = slices.Insert(l.segments, i, l.unwrittenSegment())
+func (l *Log) addSegment(batch *transaction.Batch, position int, withNews bool) {
+	if position >= l.unsettledSegments && l.isOversized(l.segments[position]) {
+		l.segments = slices.Insert(l.segments, position, l.unwrittenSegment())
 	}
-	segment := l.segments[i]
-	d := newDraft(l.number+uint64(i)+1, min(l.maxSegmentBytes, transaction.MaxBytes-b.Bytes))
-	l.leaveOutEnded(b, d, segment)
-	l.carryOver(b, d, segment, math.MaxInt)
+	segment := l.segments[position]
+	d := newDraft(l.number+uint64(position)+1, min(l.maxSegmentBytes, transaction.MaxBytes-batch.Bytes))
+	l.leaveOutEnded(batch, d, segment)
+	l.carryOver(batch, d, segment, math.MaxInt)
 	l.carriedBytes += (float64(d.bytes-segmentBytes) - l.carriedBytes) / float64(len(l.segments))
-	l.moveFromOversized(b, d, i)
+	l.moveFromOversized(batch, d, position)
 	if withNews {
-		l.addNews(b, d)
+		l.addNews(batch, d)
 	}
 	raw, _ := json.Marshal(d.record)
-	b.Set(segment.Key, segment.Revision, raw, func(revision uint64) { segment.Revision = revision })
-	b.OnFailure(func() { l.requeue(d) })
-	b.OnCommit(func(revision uint64) {
+	batch.Set(segment.Key, segment.Revision, raw, func(revision uint64) { segment.Revision = revision })
+	batch.OnFailure(func() { l.requeue(d) })
+	batch.OnCommit(func(revision uint64) {
 		segment.Bytes = len(raw)
 		l.segmentWritten(segment, d, revision)
 	})
@@ -53,24 +53,24 @@
 
 // leaveOutEnded ends the assignments that stand on this segment only: once it is written anew
 // without them, nothing else needs to be said.
-func (l *Log) leaveOutEnded(b *transaction.Batch, d *draft, segment *cluster.Segment) {
+func (l *Log) leaveOutEnded(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
-		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(b, a) {
+		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
 			a.Log.EndInFlight = true
-			d.ended = append(d.ended, a)
+			draft.ended = append(draft.ended, a)
 		}
 	}
 }
 
 // carryOver adds what is still true of a segment, or as much of it as fits into a draft of so
 // many bytes.
-func (l *Log) carryOver(b *transaction.Batch, d *draft, segment *cluster.Segment, maxBytes int) {
+func (l *Log) carryOver(batch *transaction.Batch, draft *draft, segment *cluster.Segment, maxBytes int) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		a := segment.Begun[attempt]
 		switch {
-		case a.Log.EndInFlight || a.Log.MoveInFlight || l.endMayBeWritten(b, a):
-		case d.bytes+startSize(a) <= maxBytes:
-			d.addBegin(a)
+		case a.Log.EndInFlight || a.Log.MoveInFlight || l.endMayBeWritten(batch, a):
+		case draft.bytes+startSize(a) <= maxBytes:
+			draft.addBegin(a)
 		}
 	}
 	for ref := range segment.Completions {
@@ -82,8 +82,8 @@
 		switch size := chunkSize(ref, bits); {
 		case segmentBytes+size > l.maxSegmentBytes:
 			chunk.Saved = false // no segment holds it any more: see addChunks
-		case d.bytes+size <= maxBytes:
-			d.addChunk(ref, bits)
+		case draft.bytes+size <= maxBytes:
+			draft.addChunk(ref, bits)
 		}
 	}
 }
@@ -113,51 +113,51 @@
 // moveFromOversized moves a part of the first oversized segment behind the i-th to a draft. The
 // oversized segment is written over only when the rest fits: until then it stays the oldest,
 // so that the ends of what was moved, which are on later segments, outlast it.
-func (l *Log) moveFromOversized(b *transaction.Batch, d *draft, i int) {
-	for _, segment := range l.segments[i+1 : min(i+1+l.config.MaxOps, len(l.segments))] {
+func (l *Log) moveFromOversized(batch *transaction.Batch, draft *draft, position int) {
+	for _, segment := range l.segments[position+1 : min(position+1+l.config.MaxOps, len(l.segments))] {
 		if len(segment.Begun)+len(segment.Completions) == 0 {
 			continue // never written, or the outcome is unknown
 		}
 		if l.isOversized(segment) {
-			l.movePart(b, d, segment)
+			l.movePart(batch, draft, segment)
 		}
 		return
 	}
 }
 
-func (l *Log) movePart(b *transaction.Batch, d *draft, segment *cluster.Segment) {
-	begun, chunks := len(d.begun), len(d.chunks)
-	if l.carryOver(b, d, segment, d.maxBytes/2); d.isEmpty() {
-		l.carryOver(b, d, segment, d.maxBytes) // what takes more than half of a segment
+func (l *Log) movePart(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
+	begun, chunks := len(draft.begun), len(draft.chunks)
+	if l.carryOver(batch, draft, segment, draft.maxBytes/2); draft.isEmpty() {
+		l.carryOver(batch, draft, segment, draft.maxBytes) // what takes more than half of a segment
 	}
-	for _, a := range d.begun[begun:] {
+	for _, a := range draft.begun[begun:] {
 		a.Log.MoveInFlight = true
 	}
-	for _, ref := range d.chunks[chunks:] {
+	for _, ref := range draft.chunks[chunks:] {
 		ref.Job.Completions.Chunks[ref.Index].Moving = true
 	}
 }
 
 // addNews adds what is queued, as far as it fits. Completions go before the ends that rest on
 // them.
-func (l *Log) addNews(b *transaction.Batch, d *draft) {
-	l.addDeaths(d)
-	l.addChunks(d)
-	l.addEnds(b, d)
-	l.addBegins(d)
+func (l *Log) addNews(batch *transaction.Batch, draft *draft) {
+	l.addDeaths(draft)
+	l.addChunks(draft)
+	l.addEnds(batch, draft)
+	l.addBegins(draft)
 }
 
-func (l *Log) addDeaths(d *draft) {
+func (l *Log) addDeaths(draft *draft) {
 	q := &l.queue
-	for len(q.deaths) > 0 && d.fits(len(q.deaths[0])+deathBytes) {
-		d.record.Dead = append(d.record.Dead, q.deaths[0])
-		d.bytes += len(q.deaths[0]) + deathBytes
-		d.taken.deaths = append(d.taken.deaths, q.deaths[0])
+	for len(q.deaths) > 0 && draft.fits(len(q.deaths[0])+deathBytes) {
+		draft.record.Dead = append(draft.record.Dead, q.deaths[0])
+		draft.bytes += len(q.deaths[0]) + deathBytes
+		draft.taken.deaths = append(draft.taken.deaths, q.deaths[0])
 		q.deaths = q.deaths[1:]
 	}
 }
 
-func (l *Log) addChunks(d *draft) {
+func (l *Log) addChunks(draft *draft) {
 	for len(l.queue.chunks) > 0 {
 		ref := l.queue.chunks[0]
 		chunk := ref.Job.Completions.Chunks[ref.Index]
@@ -168,11 +168,11 @@
 			case segmentBytes+size > l.maxSegmentBytes:
 				l.giveUpChunk(ref, size)
 				continue
-			case !d.fits(size):
+			case !draft.fits(size):
 				return
 			}
-			d.addChunk(ref, bits)
-			d.taken.chunks = append(d.taken.chunks, ref)
+			draft.addChunk(ref, bits)
+			draft.taken.chunks = append(draft.taken.chunks, ref)
 			// As far as this transaction goes: queueChunk takes it back if it fails, or
 			// if more tasks complete meanwhile.
 			chunk.Saved = true
@@ -193,19 +193,19 @@
 	l.queue.chunks = l.queue.chunks[1:]
 }
 
-func (l *Log) addEnds(b *transaction.Batch, d *draft) {
+func (l *Log) addEnds(batch *transaction.Batch, draft *draft) {
 	later := l.queue.ends[:0]
 	for _, a := range l.queue.ends {
 		switch {
 		case a.Log.EndInFlight: // its segment is written anew, without it
 			a.Log.EndQueued = false
-		case d.fits(endSize(a)) && l.endMayBeWritten(b, a):
+		case draft.fits(endSize(a)) && l.endMayBeWritten(batch, a):
 			a.Log.EndInFlight, a.Log.EndQueued = true, false
 			if a.Log.Segment != nil {
-				d.record.Over = append(d.record.Over, a.Attempt)
-				d.bytes += endSize(a)
+				draft.record.Over = append(draft.record.Over, a.Attempt)
+				draft.bytes += endSize(a)
 			}
-			d.ended = append(d.ended, a)
+			draft.ended = append(draft.ended, a)
 		default:
 			later = append(later, a)
 		}
@@ -214,60 +214,60 @@
 	l.queue.ends = later
 }
 
-func (l *Log) addBegins(d *draft) {
+func (l *Log) addBegins(draft *draft) {
 	q := &l.queue
-	for len(q.begins) > 0 && d.fits(startSize(q.begins[0])) {
+	for len(q.begins) > 0 && draft.fits(startSize(q.begins[0])) {
 		a := q.begins[0]
 		q.begins = q.begins[1:]
 		if a.Outcome == cluster.Open {
-			d.addBegin(a)
-			d.taken.begins = append(d.taken.begins, a)
+			draft.addBegin(a)
+			draft.taken.begins = append(draft.taken.begins, a)
 		}
 	}
 }
 
 // endMayBeWritten tells whether an assignment is over and its end may be written: the
 // completion of its task has to be durable with it.
-func (l *Log) endMayBeWritten(b *transaction.Batch, a *cluster.Assignment) bool {
-	return a.Outcome == cluster.Retry || a.Outcome == cluster.Success && l.completionSaved(b, a)
+func (l *Log) endMayBeWritten(batch *transaction.Batch, assignment *cluster.Assignment) bool {
+	return assignment.Outcome == cluster.Retry || assignment.Outcome == cluster.Success && l.completionSaved(batch, assignment)
 }
 
 // completionSaved tells whether a completion is durable, or goes into the transaction that is
 // being put together.
-func (l *Log) completionSaved(b *transaction.Batch, a *cluster.Assignment) bool {
-	job := a.Job
-	if job.End.Cancelled || job.End.CompletionDurable || b.Sets(jobs.RecordKey(job.ID)) {
+func (l *Log) completionSaved(batch *transaction.Batch, assignment *cluster.Assignment) bool {
+	job := assignment.Job
+	if job.End.Cancelled || job.End.CompletionDurable || batch.Sets(jobs.RecordKey(job.ID)) {
 		return true
 	}
-	chunk := job.Completions.Chunks[a.Index/l.config.ChunkTasks]
+	chunk := job.Completions.Chunks[assignment.Index/l.config.ChunkTasks]
 	return chunk != nil && chunk.Saved
 }
 
 // requeue queues what a transaction that failed should have written.
-func (l *Log) requeue(d *draft) {
-	l.queue.begins = append(d.taken.begins, l.queue.begins...)
-	l.queue.deaths = append(d.taken.deaths, l.queue.deaths...)
-	for _, a := range d.ended {
+func (l *Log) requeue(draft *draft) {
+	l.queue.begins = append(draft.taken.begins, l.queue.begins...)
+	l.queue.deaths = append(draft.taken.deaths, l.queue.deaths...)
+	for _, a := range draft.ended {
 		a.Log.EndInFlight = false
 		l.QueueEnd(a)
 	}
-	for _, a := range d.begun {
+	for _, a := range draft.begun {
 		a.Log.MoveInFlight = false
 	}
-	for _, ref := range d.chunks {
+	for _, ref := range draft.chunks {
 		ref.Job.Completions.Chunks[ref.Index].Moving = false
 	}
-	for _, ref := range d.taken.chunks {
+	for _, ref := range draft.taken.chunks {
 		l.queueChunk(ref)
 	}
 }
 
 // segmentWritten takes in that a segment was written.
-func (l *Log) segmentWritten(segment *cluster.Segment, d *draft, revision uint64) {
+func (l *Log) segmentWritten(segment *cluster.Segment, draft *draft, revision uint64) {
 	segment.Revision = revision
 	clear(segment.Begun)
 	clear(segment.Completions)
-	for _, a := range d.begun {
+	for _, a := range draft.begun {
 		if a.Log.Segment != nil && a.Log.Segment != segment {
 			delete(a.Log.Segment.Begun, a.Attempt)
 		}
@@ -278,13 +278,13 @@
 			l.events = append(l.events, Event{BeginDurable, a})
 		}
 	}
-	for _, ref := range d.chunks {
+	for _, ref := range draft.chunks {
 		segment.Completions[ref] = true
 		if chunk := ref.Job.Completions.Chunks[ref.Index]; chunk != nil {
 			chunk.Segment, chunk.Moving = segment, false
 		}
 	}
-	for _, a := range d.ended {
+	for _, a := range draft.ended {
 		if a.Log.Segment != nil {
 			delete(a.Log.Segment.Begun, a.Attempt)
 		}
--- a/internal/leader/cluster/assignment.go
+++ b/internal/leader/cluster/assignment.go
@@ -42,9 +42,9 @@
 
 // Start is what is known of the start command of an assignment.
 type Start struct {
-	Sent          bool   // one went out and is not known to have failed
-	OrderInFlight bool   // it went out in an order that has not returned
-	InDoubtToken  uint64 // one sent under this token may still arrive; 0 if none may
+	Sent            bool   // one went out and is not known to have failed
+	RequestInFlight bool   // it went out in a request that has not returned
+	InDoubtToken    uint64 // one sent under this token may still arrive; 0 if none may
 }
 
 // Stop is the request that a task ends before it is done.
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -33,10 +33,10 @@
 }
 
 // JoinGang adds an assignment to the present attempt of its gang.
-func (j *Job) JoinGang(a *Assignment) {
-	j.Gang.Number = a.GangAttempt
+func (j *Job) JoinGang(assignment *Assignment) {
+	j.Gang.Number = assignment.GangAttempt
 	j.Gang.Assigned++
-	if a.Log.Durable {
+	if assignment.Log.Durable {
 		j.Gang.Durable++
 	}
 }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -112,39 +112,39 @@
 // RestoreAssignment adds an assignment from the assignment log. There may be two of one task
 // if the segment was lost that said that the first was over: both have to be off their
 // machines before the task is placed again.
-func (j *Job) RestoreAssignment(a *Assignment) {
-	if earlier := j.Assignments[a.Index]; earlier != nil {
+func (j *Job) RestoreAssignment(assignment *Assignment) {
+	if earlier := j.Assignments[assignment.Index]; earlier != nil {
 		if j.Adoption.duplicates == nil {
 			j.Adoption.duplicates = map[int][]*Assignment{}
 		}
-		j.Adoption.duplicates[a.Index] = append(j.Adoption.duplicates[a.Index], earlier)
-		j.Assignments[a.Index] = a
+		j.Adoption.duplicates[assignment.Index] = append(j.Adoption.duplicates[assignment.Index], earlier)
+		j.Assignments[assignment.Index] = assignment
 		return
 	}
-	j.Assignments[a.Index] = a
-	if !j.IsTaskDone(a.Index) {
+	j.Assignments[assignment.Index] = assignment
+	if !j.IsTaskDone(assignment.Index) {
 		j.Pending.Count--
 	}
 	if j.IsGang() {
-		j.JoinGang(a)
+		j.JoinGang(assignment)
 	}
 }
 
 // RemoveAssignment drops an assignment whose end is durable. It tells whether the task is on
 // no machine any more.
-func (j *Job) RemoveAssignment(a *Assignment) (offAllMachines bool) {
-	if duplicates := j.Adoption.duplicates[a.Index]; len(duplicates) > 0 {
-		left := slices.DeleteFunc(duplicates, func(other *Assignment) bool { return other == a })
-		if j.Assignments[a.Index] == a {
-			j.Assignments[a.Index], left = left[0], left[1:]
+func (j *Job) RemoveAssignment(assignment *Assignment) (offAllMachines bool) {
+	if duplicates := j.Adoption.duplicates[assignment.Index]; len(duplicates) > 0 {
+		left := slices.DeleteFunc(duplicates, func(other *Assignment) bool { return other == assignment })
+		if j.Assignments[assignment.Index] == assignment {
+			j.Assignments[assignment.Index], left = left[0], left[1:]
 		}
-		j.Adoption.duplicates[a.Index] = left
+		j.Adoption.duplicates[assignment.Index] = left
 		return false
 	}
-	if j.Assignments[a.Index] != a {
+	if j.Assignments[assignment.Index] != assignment {
 		return false
 	}
-	delete(j.Assignments, a.Index)
+	delete(j.Assignments, assignment.Index)
 	return true
 }
 
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -55,11 +55,11 @@
 // CommandState is the delivery of commands to the machine's worker.
 type CommandState struct {
 	NotifyPending      bool // there is something to be told at once
-	OrderInFlight      bool
-	RetryAfter         time.Time          // no order goes out before
-	OrderFailures      int                // orders in a row without an answer
-	InDoubtSince       time.Time          // since when an order's outcome is unknown; zero if none is
-	StartedByOrder     map[TaskRef]uint64 // tasks that an order has started, with its token
+	RequestInFlight    bool
+	RetryAfter         time.Time          // no request goes out before
+	FailedRequests     int                // requests in a row without an answer
+	InDoubtSince       time.Time          // since when a request's outcome is unknown; zero if none is
+	StartedByRequest   map[TaskRef]uint64 // tasks that a request has started, with its token
 	NeedsHigherToken   bool               // ended tasks wait for the worker to see a higher token
 	LastAnswer         []workers.Command  // the commands of the last answer to a heartbeat
 	UndeliveredAnswers int                // answers in a row of which nothing was carried out
@@ -95,7 +95,7 @@
 	return &Machine{
 		ID: id, TickGroup: tickGroup(id), Assignments: map[uint64]*Assignment{},
 		Rental:   Rental{KnownSince: now, IdleSince: now},
-		Commands: CommandState{StartedByOrder: map[TaskRef]uint64{}},
+		Commands: CommandState{StartedByRequest: map[TaskRef]uint64{}},
 		Health:   Health{FailedJobs: map[string]bool{}, avoid: map[string]time.Time{}},
 		Offer: &placement.Machine{
 			ID: id, Images: map[string]bool{}, Fetching: map[string]float64{}, AvoidJobs: map[string]bool{},
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -38,10 +38,10 @@
 }
 
 // Replace takes in the counts that a leader has published.
-func (c *Counts) Replace(m map[string]jobs.Counts) {
+func (c *Counts) Replace(machine map[string]jobs.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.m = m
+	c.m = machine
 }
 
 // nonZero returns the counts that say more than that nothing has happened.
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -50,7 +50,7 @@
 		case reconcile.Stop:
 			commands = append(commands, d.count(stopCommand(a.TaskName(), a.WireAttempt(), decision.GraceS), decision))
 		case reconcile.Start:
-			a.Start.Sent, a.Start.OrderInFlight = true, !inAnswer
+			a.Start.Sent, a.Start.RequestInFlight = true, !inAnswer
 			commands = append(commands, d.count(runCommand(a), decision))
 		default: // it goes on, or has to wait
 		}
@@ -70,7 +70,7 @@
 		orphan := reconcile.OrphanedTask{
 			Ended: task.State == workers.StateEnded, JobCancelled: d.Host.IsCancelled(job),
 			RecordsIncomplete: d.Host.LeaveAlone(machine, &task),
-			CommandToken:      machine.Commands.StartedByOrder[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inAnswer,
+			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inAnswer,
 		}
 		switch decision := orphan.DecideCommand(); {
 		case decision.Action == reconcile.Stop:
@@ -94,8 +94,8 @@
 	return command
 }
 
-func runCommand(a *cluster.Assignment) workers.Command {
-	return workers.Command{Op: workers.OpRun, Task: a.TaskName(), Attempt: a.WireAttempt()}
+func runCommand(assignment *cluster.Assignment) workers.Command {
+	return workers.Command{Op: workers.OpRun, Task: assignment.TaskName(), Attempt: assignment.WireAttempt()}
 }
 
 func stopCommand(task string, attempt uint64, graceS float64) workers.Command {
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -43,13 +43,13 @@
 }
 
 // isCarriedOut tells whether a command was, by how the worker shows its task; nil if it does not.
-func isCarriedOut(op string, task *workers.TaskStatus, a *cluster.Assignment) bool {
+func isCarriedOut(op string, task *workers.TaskStatus, assignment *cluster.Assignment) bool {
 	switch {
 	case op == workers.OpRun:
 		return task != nil
 	case op == workers.OpClear:
 		return task == nil
-	case a != nil && a.Job.IsGang() && task != nil && task.State == workers.StateRunning:
+	case assignment != nil && assignment.Job.IsGang() && task != nil && task.State == workers.StateRunning:
 		return true // it runs on, in its heartbeat, until all have saved
 	case task == nil:
 		return true
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -95,7 +95,7 @@
 func (d *Dispatcher) enqueue(machine *cluster.Machine) {
 	switch {
 	case !machine.Commands.NotifyPending:
-	case machine.Commands.OrderFailures > 0 || machine.Worker.HeartbeatAt.IsZero():
+	case machine.Commands.FailedRequests > 0 || machine.Worker.HeartbeatAt.IsZero():
 		d.unresponsive = append(d.unresponsive, machine)
 	default:
 		d.queue = append(d.queue, machine)
@@ -114,7 +114,7 @@
 	for len(*queue) > 0 && d.inFlight < limit {
 		machine := (*queue)[0]
 		*queue = (*queue)[1:]
-		if !machine.Commands.NotifyPending || machine.Commands.OrderInFlight {
+		if !machine.Commands.NotifyPending || machine.Commands.RequestInFlight {
 			continue // nothing any more, or looked at again when that request has returned
 		}
 		if wait := machine.Commands.RetryAfter.Sub(now); wait > 0 {
@@ -144,11 +144,11 @@
 	}
 	d.inFlight++
 	d.Failover.CommandSent(now)
-	machine.Commands.OrderInFlight = true
+	machine.Commands.RequestInFlight = true
 	d.Detector.CommandSent(machine.ID)
 	for _, command := range commands {
 		if command.Op == workers.OpRun {
-			machine.Commands.StartedByOrder[cluster.CommandRef(&command)] = token
+			machine.Commands.StartedByRequest[cluster.CommandRef(&command)] = token
 		}
 	}
 	request := workers.CommandRequest{FencingToken: token, AgentEpoch: machine.Worker.Session, Commands: commands}
@@ -156,13 +156,13 @@
 	go func() {
 		heartbeat, executed, err := d.Client.SendCommands(ctx, addr, request)
 		d.Host.Post(ctx, func(now time.Time) {
-			d.returned(machine, request, response{heartbeat, executed, err}, now)
+			d.returned(machine, request, commandResponse{heartbeat, executed, err}, now)
 		})
 	}()
 }
 
-// response is what a worker answered to commands.
-type response struct {
+// commandResponse is what a worker answered to commands.
+type commandResponse struct {
 	heartbeat *workers.Heartbeat
 	executed  bool
 	err       error
@@ -170,7 +170,7 @@
 
 // neverSent tells whether the commands can certainly not be executed any more: the worker refused
 // them, or there was no connection. A connection attempt that was given up does not complete later.
-func (r *response) neverSent() bool {
+func (r *commandResponse) neverSent() bool {
 	var dial *net.OpError
 	if errors.As(r.err, &dial) && dial.Op == "dial" {
 		return true
@@ -182,21 +182,21 @@
 // among them are in doubt: they may be executed at any later time while token and session match.
 // They are not sent again, nor are their tasks placed elsewhere, until a heartbeat shows them or
 // the worker has seen a higher token.
-func (d *Dispatcher) returned(machine *cluster.Machine, request workers.CommandRequest, r response, now time.Time) {
-	machine.Commands.OrderInFlight = false
+func (d *Dispatcher) returned(machine *cluster.Machine, request workers.CommandRequest, response commandResponse, now time.Time) {
+	machine.Commands.RequestInFlight = false
 	d.inFlight--
 	defer d.enqueue(machine)
-	d.settleStarts(machine, request, &r, now)
-	if r.err != nil {
-		slog.Debug("commands not delivered", "machine", machine.ID, "term", d.Fencing.Current, "reason", r.err)
+	d.settleStarts(machine, request, &response, now)
+	if response.err != nil {
+		slog.Debug("commands not delivered", "machine", machine.ID, "term", d.Fencing.Current, "reason", response.err)
 		d.retryLater(machine, now)
 		d.Detector.Suspect(machine.ID)
 		return
 	}
-	machine.Commands.UndeliveredAnswers, machine.Commands.OrderFailures = 0, 0
+	machine.Commands.UndeliveredAnswers, machine.Commands.FailedRequests = 0, 0
 	d.Detector.MarkReachable(machine.ID)
-	d.Detector.CommandAnswered(machine.ID, HeartbeatSeq(r.heartbeat))
-	d.Tasks.Observe(machine, r.heartbeat, now)
+	d.Detector.CommandAnswered(machine.ID, HeartbeatSeq(response.heartbeat))
+	d.Tasks.Observe(machine, response.heartbeat, now)
 	for _, a := range machine.Assignments {
 		if a.Job.IsOver() && a.Outcome == cluster.Open {
 			d.Tasks.EndIfUnsent(a)
@@ -205,18 +205,18 @@
 }
 
 // settleStarts notes what is known of the starts in a request that has returned.
-func (d *Dispatcher) settleStarts(machine *cluster.Machine, request workers.CommandRequest, r *response, now time.Time) {
-	neverSent := r.neverSent()
+func (d *Dispatcher) settleStarts(machine *cluster.Machine, request workers.CommandRequest, response *commandResponse, now time.Time) {
+	neverSent := response.neverSent()
 	for _, command := range request.Commands {
 		a := machine.FindAssignment(cluster.CommandRef(&command))
 		if command.Op != workers.OpRun || a == nil {
 			continue
 		}
-		a.Start.OrderInFlight = false
+		a.Start.RequestInFlight = false
 		switch {
 		case neverSent:
 			a.Start.Sent = a.ObservedState != ""
-		case r.err != nil && a.ObservedState == "":
+		case response.err != nil && a.ObservedState == "":
 			a.Start.InDoubtToken = request.FencingToken
 			machine.Commands.InDoubtSince = now
 			d.inDoubt[machine] = true
@@ -227,9 +227,9 @@
 // retryLater has a worker told again after a pause that grows with each failure.
 func (d *Dispatcher) retryLater(machine *cluster.Machine, now time.Time) {
 	commands := &machine.Commands
-	pause := d.Derived.Leader.ControlInterval << min(commands.OrderFailures, maxRetryDoublings)
+	pause := d.Derived.Leader.ControlInterval << min(commands.FailedRequests, maxRetryDoublings)
 	commands.RetryAfter = now.Add(min(pause, d.Derived.Workers.Lease/leasesPerRetry))
-	commands.OrderFailures++
+	commands.FailedRequests++
 	commands.NotifyPending = true
 }
 
--- a/internal/leader/handle.go
+++ b/internal/leader/handle.go
@@ -29,8 +29,8 @@
 
 // Lead does one term's work until the context ends, or the leader gives up its term. It returns
 // when all goroutines of the term have ended that are its duties.
-func (h *Handle) Lead(ctx context.Context, d Deps, t election.Term) {
-	l := newLeader(d, t)
+func (h *Handle) Lead(ctx context.Context, deps Deps, term election.Term) {
+	l := newLeader(deps, term)
 	ctx, stop := context.WithCancel(ctx)
 	var duties sync.WaitGroup
 	defer func() {
@@ -38,18 +38,18 @@
 		stop()
 		close(l.inbox.quit)
 		duties.Wait()
-		d.Counts.clear()
+		deps.Counts.clear()
 	}()
 	after, err := l.loader().Load(ctx)
 	if err != nil {
-		slog.Info("records not read, resigning", "term", t.FencingToken, "reason", err)
+		slog.Info("records not read, resigning", "term", term.FencingToken, "reason", err)
 		return
 	}
 	duties.Go(func() { l.jobs.Follow(ctx, after) })
 	duties.Go(func() { l.scaler.PollList(ctx) })
 	// A leader that no worker reaches makes way for one that may be reached. It does so once in a
 	// while only: if all machines are really gone, nobody can be.
-	l.loop.mayResign = time.Since(h.resigned) > leasesBetweenResignations*d.Derived.Workers.Lease && len(d.Settings.Peers) > 0
+	l.loop.mayResign = time.Since(h.resigned) > leasesBetweenResignations*deps.Derived.Workers.Lease && len(deps.Settings.Peers) > 0
 	h.leader.Store(l)
 	l.run(ctx)
 	if l.loop.resigns {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -84,7 +84,7 @@
 	}
 	l.recovery.AdoptReported(machine, heartbeat, now)
 	l.tasks.Observe(machine, heartbeat, now)
-	machine.Worker.HeartbeatAt, machine.Commands.OrderFailures = now, 0
+	machine.Worker.HeartbeatAt, machine.Commands.FailedRequests = now, 0
 	l.updateOffer(machine, now)
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -75,18 +75,18 @@
 }
 
 // newLeader makes a leader that knows of nothing yet.
-func newLeader(d Deps, t election.Term) *Leader {
+func newLeader(deps Deps, term election.Term) *Leader {
 	l := &Leader{
-		Deps: d, term: t, state: cluster.NewState(), inbox: newInbox(),
-		catalog:  &cluster.Catalog{Types: d.MachineTypes, DefaultBootTime: d.Derived.Workers.Lease},
-		fencing:  fencing.New(t.FencingToken, t.TokenRevision),
-		failover: reconcile.NewFailover(t.Since, d.Derived.Detection.HeartbeatOverdue),
-		log:      assignmentlog.New(logConfig(d.Derived)),
+		Deps: deps, term: term, state: cluster.NewState(), inbox: newInbox(),
+		catalog:  &cluster.Catalog{Types: deps.MachineTypes, DefaultBootTime: deps.Derived.Workers.Lease},
+		fencing:  fencing.New(term.FencingToken, term.TokenRevision),
+		failover: reconcile.NewFailover(term.Since, deps.Derived.Detection.HeartbeatOverdue),
+		log:      assignmentlog.New(logConfig(deps.Derived)),
 		runTimes: runtimes.NewEstimator(),
 	}
-	l.detector = liveness.New(detectorConfig(d.Derived, l.productionTasks))
-	l.planner = planner.New(plannerConfig(d), l.state, l.runTimes, l.catalog.Type, planConstraints{l})
-	l.tasks = tasks.NewManager(l.taskDeps(), t.FencingToken<<attemptBits)
+	l.detector = liveness.New(detectorConfig(deps.Derived, l.productionTasks))
+	l.planner = planner.New(plannerConfig(deps), l.state, l.runTimes, l.catalog.Type, planConstraints{l})
+	l.tasks = tasks.NewManager(l.taskDeps(), term.FencingToken<<attemptBits)
 	l.dispatcher = dispatch.New(l.dispatchDeps())
 	l.scaler = newScaler(l)
 	l.recovery = recoverer.New(l.recoveryConfig())
@@ -111,11 +111,11 @@
 }
 
 // plannerConfig is what plans go by.
-func plannerConfig(d Deps) planner.Config {
+func plannerConfig(deps Deps) planner.Config {
 	return planner.Config{
-		Teams: d.Settings.Deployment.Teams, Objectives: d.Settings.Deployment.Objectives,
-		ControlInterval: d.Derived.Leader.ControlInterval, StarvationLimit: d.Derived.Leader.StarvationLimit,
-		CountedRunTime: d.Derived.Leader.CountedRunTime,
+		Teams: deps.Settings.Deployment.Teams, Objectives: deps.Settings.Deployment.Objectives,
+		ControlInterval: deps.Derived.Leader.ControlInterval, StarvationLimit: deps.Derived.Leader.StarvationLimit,
+		CountedRunTime: deps.Derived.Leader.CountedRunTime,
 	}
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -397,7 +397,7 @@
 		m.Worker.LeaseUntil = now.Add(time.Hour)
 		l.dispatcher.Notify(m)
 		l.dispatcher.Send(ctx, now)
-		if !m.Commands.OrderInFlight {
+		if !m.Commands.RequestInFlight {
 			t.Error("a machine that reports waits behind those that do not")
 		}
 		cancel()
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -38,6 +38,6 @@
 }
 
 // acceptsWork tells whether work may go to a machine.
-func (l *Leader) acceptsWork(m *cluster.Machine, now time.Time) bool {
-	return m.Phase == cluster.Up && !m.Health.Dead && !m.Health.Draining && m.Worker.Session != 0 && m.Worker.Token <= l.fencing.Current && l.detector.Schedulable(m.ID, now)
+func (l *Leader) acceptsWork(machine *cluster.Machine, now time.Time) bool {
+	return machine.Phase == cluster.Up && !machine.Health.Dead && !machine.Health.Draining && machine.Worker.Session != 0 && machine.Worker.Token <= l.fencing.Current && l.detector.Schedulable(machine.ID, now)
 }
--- a/internal/leader/planner/capacity.go
+++ b/internal/leader/planner/capacity.go
@@ -25,49 +25,49 @@
 
 // Count makes an assignment count against its machine's room, its team's quota and its job's
 // spread over zones.
-func (c *Capacity) Count(a *cluster.Assignment) {
-	a.CountsAsUsed = true
-	c.add(a, 1)
+func (c *Capacity) Count(assignment *cluster.Assignment) {
+	assignment.CountsAsUsed = true
+	c.add(assignment, 1)
 }
 
 // Release undoes Count. It does nothing for an assignment that does not count.
-func (c *Capacity) Release(a *cluster.Assignment) {
-	if a.CountsAsUsed {
-		a.CountsAsUsed = false
-		c.add(a, -1)
+func (c *Capacity) Release(assignment *cluster.Assignment) {
+	if assignment.CountsAsUsed {
+		assignment.CountsAsUsed = false
+		c.add(assignment, -1)
 	}
 }
 
-func (c *Capacity) add(a *cluster.Assignment, sign int) {
-	machine, spec := a.Machine, a.Job.Spec
+func (c *Capacity) add(assignment *cluster.Assignment, sign int) {
+	machine, spec := assignment.Machine, assignment.Job.Spec
 	request := placement.TaskRequest(spec)
 	machine.Used = machine.Used.AddTimes(request, float64(sign))
 	c.index.SetFree(machine.Offer, machine.Offer.Total.AddTimes(machine.Used, -1))
 	c.usedByTeam[spec.Team] = c.usedByTeam[spec.Team].AddTimes(request, float64(sign))
 	c.tasksByRank[spec.Rank()] += sign
-	a.Job.Zones[machine.Zone] += sign
+	assignment.Job.Zones[machine.Zone] += sign
 }
 
 // Offer lets placement use a machine, if its type is known, and tells whether that is new.
-func (c *Capacity) Offer(m *cluster.Machine) (isNew bool) {
-	offer := m.Offer
-	changed := offer.Type != m.Type || offer.Zone != m.Zone || offer.Spot != m.Spot
+func (c *Capacity) Offer(machine *cluster.Machine) (isNew bool) {
+	offer := machine.Offer
+	changed := offer.Type != machine.Type || offer.Zone != machine.Zone || offer.Spot != machine.Spot
 	if offer.Total == (placement.Resources{}) || changed {
-		machineType := c.machineType(m.Type)
+		machineType := c.machineType(machine.Type)
 		if machineType == nil {
 			return false
 		}
 		c.index.Remove(offer)
-		offer.Type, offer.Zone, offer.Spot = m.Type, m.Zone, m.Spot
+		offer.Type, offer.Zone, offer.Spot = machine.Type, machine.Zone, machine.Spot
 		offer.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
 		offer.FetchGBPS = machineType.FetchGBPS
-		offer.Free = offer.Total.AddTimes(m.Used, -1)
+		offer.Free = offer.Total.AddTimes(machine.Used, -1)
 	}
 	return c.index.Insert(offer)
 }
 
 // Withdraw keeps placement from using a machine.
-func (c *Capacity) Withdraw(m *cluster.Machine) { c.index.Remove(m.Offer) }
+func (c *Capacity) Withdraw(machine *cluster.Machine) { c.index.Remove(machine.Offer) }
 
 // usage returns a copy of what the teams use.
 func (c *Capacity) usage() map[string]placement.Resources {
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -214,18 +214,18 @@
 	})
 }
 
-func (r *runningTasks) task(a *cluster.Assignment) *placement.RunningTask {
-	job := r.jobs[a.Job]
+func (r *runningTasks) task(assignment *cluster.Assignment) *placement.RunningTask {
+	job := r.jobs[assignment.Job]
 	if job == nil {
-		job = &placement.Job{Spec: a.Job.Spec, Guaranteed: a.Job.Scheduling.WithinGuarantee}
-		r.jobs[a.Job] = job
+		job = &placement.Job{Spec: assignment.Job.Spec, Guaranteed: assignment.Job.Scheduling.WithinGuarantee}
+		r.jobs[assignment.Job] = job
 	}
-	task := &placement.RunningTask{Job: job, Index: a.Index, Starved: a.Overdue}
-	if a.ObservedState == workers.StateRunning {
-		task.LostRunS = r.now.Sub(a.RunningSince).Seconds()
+	task := &placement.RunningTask{Job: job, Index: assignment.Index, Starved: assignment.Overdue}
+	if assignment.ObservedState == workers.StateRunning {
+		task.LostRunS = r.now.Sub(assignment.RunningSince).Seconds()
 	}
-	if a.Job.IsGang() {
-		task.GangTasks = a.Job.Spec.Tasks
+	if assignment.Job.IsGang() {
+		task.GangTasks = assignment.Job.Spec.Tasks
 	}
 	return task
 }
--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -66,17 +66,17 @@
 }
 
 // TaskCompleted observes a completed task. Nobody may have seen it start: then it tells nothing.
-func (e *Estimator) TaskCompleted(a *cluster.Assignment, now time.Time) {
-	job, seconds := a.Job, now.Sub(a.RunningSince).Seconds()
-	startMissed := a.RunningSince.Equal(a.CreatedAt) || a.Restored && job.IsGang()
+func (e *Estimator) TaskCompleted(assignment *cluster.Assignment, now time.Time) {
+	job, seconds := assignment.Job, now.Sub(assignment.RunningSince).Seconds()
+	startMissed := assignment.RunningSince.Equal(assignment.CreatedAt) || assignment.Restored && job.IsGang()
 	if startMissed || job.Spec.EstimatedRuntimeS <= 0 || seconds <= 0 {
 		return
 	}
 	distribution, logSeconds := e.Of(job.Spec.Class), math.Log(seconds)
 	if median, known := job.MedianRunTime(); known && !job.IsGang() { // a gang is as slow as its slowest
-		health := &a.Machine.Health
+		health := &assignment.Machine.Health
 		odds := health.SlowLogOdds + distribution.stragglerLogOdds(logSeconds-median)
-		health.SlowLogOdds = max(odds, -float64(len(a.Machine.Assignments)))
+		health.SlowLogOdds = max(odds, -float64(len(assignment.Machine.Assignments)))
 	}
 	job.RecordRunTime(logSeconds)
 	distribution.Tasks++
--- a/internal/leader/runtimes/straggler.go
+++ b/internal/leader/runtimes/straggler.go
@@ -20,16 +20,16 @@
 )
 
 // IsStraggler tells whether a machine runs tasks much slower than others, and the odds of it.
-func (e *Estimator) IsStraggler(m *cluster.Machine, now time.Time) (slow bool, odds float64) {
-	logOdds := e.StragglerLogOdds(m, now)
+func (e *Estimator) IsStraggler(machine *cluster.Machine, now time.Time) (slow bool, odds float64) {
+	logOdds := e.StragglerLogOdds(machine, now)
 	return logOdds >= math.Log(stragglerOdds), math.Exp(logOdds)
 }
 
 // StragglerLogOdds is how much likelier a machine is slow than not, as a logarithm, by the tasks
 // that have completed there and those that run.
-func (e *Estimator) StragglerLogOdds(m *cluster.Machine, now time.Time) float64 {
-	logOdds := m.Health.SlowLogOdds
-	for _, a := range m.Assignments {
+func (e *Estimator) StragglerLogOdds(machine *cluster.Machine, now time.Time) float64 {
+	logOdds := machine.Health.SlowLogOdds
+	for _, a := range machine.Assignments {
 		if a.Outcome != cluster.Open || a.ObservedState != workers.StateRunning || a.Job.Spec.Shape != jobs.Batch {
 			continue
 		}
@@ -44,8 +44,8 @@
 
 // SoonerElsewhere tells whether a task would be over sooner if it began anew on another machine,
 // given that its own is slow.
-func (e *Estimator) SoonerElsewhere(a *cluster.Assignment, now time.Time) bool {
-	ran, seconds := now.Sub(a.RunningSince).Seconds(), e.Seconds(a.Job.Spec)
+func (e *Estimator) SoonerElsewhere(assignment *cluster.Assignment, now time.Time) bool {
+	ran, seconds := now.Sub(assignment.RunningSince).Seconds(), e.Seconds(assignment.Job.Spec)
 	return SlowFactor*seconds-ran > seconds || ran > SlowFactor*seconds
 }
 
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -51,17 +51,17 @@
 
 // batchDemand is for how many of a job's tasks to rent machines if so many would be late, and
 // so many CPUs are missing for batch work in all. It returns how many CPUs are missing then.
-func (s *Scaler) batchDemand(d placement.Demand, late int, missingCPUs float64) (count int, stillMissing float64) {
-	spec := d.Job.Spec
+func (s *Scaler) batchDemand(demand placement.Demand, late int, missingCPUs float64) (count int, stillMissing float64) {
+	spec := demand.Job.Spec
 	count = late
 	// A new machine works off several tasks one after the other.
-	waves := (s.timeLeftS(d.Job) - s.deps.Catalog.ShortestBootTime().Seconds()) / s.host.RunTimeS(spec)
+	waves := (s.timeLeftS(demand.Job) - s.deps.Catalog.ShortestBootTime().Seconds()) / s.host.RunTimeS(spec)
 	if waves > 1 && count > 0 {
 		count = int(math.Ceil(float64(count) / math.Floor(waves)))
 	}
 	// The forecast knows of no work that is still to come.
 	if spec.CPUs > 0 && missingCPUs > 0 {
-		count = max(count, min(d.Count, int(math.Ceil(missingCPUs/spec.CPUs))))
+		count = max(count, min(demand.Count, int(math.Ceil(missingCPUs/spec.CPUs))))
 		missingCPUs -= float64(count) * spec.CPUs
 	}
 	return count, missingCPUs
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -42,27 +42,27 @@
 }
 
 // takesWorkIn is how long it takes until a machine takes work, if it does.
-func (s *Scaler) takesWorkIn(m *cluster.Machine, now time.Time) (wait time.Duration, takesWork bool) {
+func (s *Scaler) takesWorkIn(machine *cluster.Machine, now time.Time) (wait time.Duration, takesWork bool) {
 	switch {
-	case s.host.IsUsable(m, now):
+	case s.host.IsUsable(machine, now):
 		return 0, true
-	case s.isBootingInTime(m, now):
-		boot := s.deps.Catalog.BootTime(m.Type)
-		return max(boot-now.Sub(m.Rental.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
+	case s.isBootingInTime(machine, now):
+		boot := s.deps.Catalog.BootTime(machine.Type)
+		return max(boot-now.Sub(machine.Rental.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
 	}
 	return 0, false
 }
 
 // isBootingInTime tells whether a machine boots, and not for so long that it must not be
 // counted on.
-func (s *Scaler) isBootingInTime(m *cluster.Machine, now time.Time) bool {
-	slow := cluster.ScaleDuration(s.deps.Catalog.BootTime(m.Type), s.deps.Settings.Operator.SlowBootTimes)
-	return m.Phase == cluster.Booting && now.Sub(m.Rental.KnownSince) < slow
+func (s *Scaler) isBootingInTime(machine *cluster.Machine, now time.Time) bool {
+	slow := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
+	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slow
 }
 
 // forecastLeaves is when the tasks on a machine are expected to leave it. Services never do.
-func (s *Scaler) forecastLeaves(m *cluster.Machine, now time.Time) (leaves []autoscaler.Release) {
-	for _, a := range m.Assignments {
+func (s *Scaler) forecastLeaves(machine *cluster.Machine, now time.Time) (leaves []autoscaler.Release) {
+	for _, a := range machine.Assignments {
 		if a.Outcome != cluster.Open || !a.Job.Spec.RunsToCompletion() {
 			continue
 		}
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -136,16 +136,16 @@
 }
 
 // MachineUp notes that a machine which was booting has sent its first heartbeat.
-func (s *Scaler) MachineUp(m *cluster.Machine, now time.Time) {
-	m.Phase = cluster.Up
-	m.Rental.IdleSince = now
-	took := now.Sub(m.Rental.KnownSince)
-	slog.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", s.host.Token(), "bootS", took.Seconds())
+func (s *Scaler) MachineUp(machine *cluster.Machine, now time.Time) {
+	machine.Phase = cluster.Up
+	machine.Rental.IdleSince = now
+	took := now.Sub(machine.Rental.KnownSince)
+	slog.Info("machine up", "machine", machine.ID, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.host.Token(), "bootS", took.Seconds())
 	s.host.RequestPlan()
 }
 
-func kindOf(m *cluster.Machine) autoscaler.MachinePool {
-	return autoscaler.MachinePool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+func kindOf(machine *cluster.Machine) autoscaler.MachinePool {
+	return autoscaler.MachinePool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
 // errNotLeading ends what only the leader may ask of the cloud.
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -44,58 +44,58 @@
 	return unneeded
 }
 
-func (s *Scaler) shouldRelease(m *cluster.Machine, now time.Time) bool {
+func (s *Scaler) shouldRelease(machine *cluster.Machine, now time.Time) bool {
 	switch {
-	case m.Phase == cluster.Releasing || !m.Health.Dead && s.host.MayHaveUnknownTasks(m):
+	case machine.Phase == cluster.Releasing || !machine.Health.Dead && s.host.MayHaveUnknownTasks(machine):
 		return false
-	case m.Phase == cluster.Booting:
-		timedOut := s.bootTimedOut(m, now)
+	case machine.Phase == cluster.Booting:
+		timedOut := s.bootTimedOut(machine, now)
 		if timedOut {
-			slog.Info("machine failed to boot in time", "machine", m.ID, "term", s.host.Token())
+			slog.Info("machine failed to boot in time", "machine", machine.ID, "term", s.host.Token())
 		}
 		return timedOut
 	}
-	return isReclaimed(m, now) || s.isUnneeded(m, now)
+	return isReclaimed(machine, now) || s.isUnneeded(machine, now)
 }
 
 // bootTimedOut tells whether a machine that was not heard of is to be given up. One that the
 // list has as running may have tasks that no record names: it has a lease to report.
-func (s *Scaler) bootTimedOut(m *cluster.Machine, now time.Time) bool {
-	runningSince := m.Rental.ListedRunningSince
+func (s *Scaler) bootTimedOut(machine *cluster.Machine, now time.Time) bool {
+	runningSince := machine.Rental.ListedRunningSince
 	if !runningSince.IsZero() && now.Sub(runningSince) < s.deps.Derived.Workers.LeaseExpiry {
 		return false
 	}
-	timeout := cluster.ScaleDuration(s.deps.Catalog.BootTime(m.Type), s.deps.Settings.Operator.LateBootTimes)
-	return now.Sub(m.Rental.KnownSince) > timeout
+	timeout := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.LateBootTimes)
+	return now.Sub(machine.Rental.KnownSince) > timeout
 }
 
 // isReclaimed tells whether the cloud has taken a machine away as announced: it was not heard
 // of since. Its release makes that certain, which frees its tasks before the failure detector
 // or its lease would.
-func isReclaimed(m *cluster.Machine, now time.Time) bool {
-	notice := m.Health.NoticeUntil
-	return !notice.IsZero() && now.After(notice) && !m.Worker.HeartbeatAt.After(notice)
+func isReclaimed(machine *cluster.Machine, now time.Time) bool {
+	notice := machine.Health.NoticeUntil
+	return !notice.IsZero() && now.After(notice) && !machine.Worker.HeartbeatAt.After(notice)
 }
 
 // isUnneeded tells whether a machine without tasks is to be released. One that the cloud has
 // announced to take away is left to it, and to the lag of its list.
-func (s *Scaler) isUnneeded(m *cluster.Machine, now time.Time) bool {
-	if len(m.Assignments) > 0 {
+func (s *Scaler) isUnneeded(machine *cluster.Machine, now time.Time) bool {
+	if len(machine.Assignments) > 0 {
 		return false
 	}
-	idleTooLong := now.Sub(m.Rental.IdleSince) > s.idleTimeout(m)
-	if !m.Health.Dead && !m.Health.Draining && !idleTooLong {
+	idleTooLong := now.Sub(machine.Rental.IdleSince) > s.idleTimeout(machine)
+	if !machine.Health.Dead && !machine.Health.Draining && !idleTooLong {
 		return false
 	}
-	notice := m.Health.NoticeUntil
-	return m.Health.Dead || notice.IsZero() || now.After(notice.Add(s.deps.Derived.Cloud.ListLag))
+	notice := machine.Health.NoticeUntil
+	return machine.Health.Dead || notice.IsZero() || now.After(notice.Add(s.deps.Derived.Cloud.ListLag))
 }
 
 // idleTimeout is how long an idle machine is kept. The cheaper it is, by the price of the
 // ordinary kind, the longer keeping it costs less than booting another.
-func (s *Scaler) idleTimeout(m *cluster.Machine) time.Duration {
-	keep := cluster.ScaleDuration(s.deps.Catalog.BootTime(m.Type), s.deps.Settings.Operator.IdleBootTimes)
-	if machineType := s.deps.Catalog.Type(m.Type); m.Spot && machineType != nil && machineType.SpotPrice > 0 {
+func (s *Scaler) idleTimeout(machine *cluster.Machine) time.Duration {
+	keep := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.IdleBootTimes)
+	if machineType := s.deps.Catalog.Type(machine.Type); machine.Spot && machineType != nil && machineType.SpotPrice > 0 {
 		keep = cluster.ScaleDuration(keep, machineType.Price/machineType.SpotPrice)
 	}
 	return keep
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -39,10 +39,12 @@
 
 func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.Seconds(spec) }
 
-func (h scalerHost) IsUsable(m *cluster.Machine, now time.Time) bool { return h.l.acceptsWork(m, now) }
+func (h scalerHost) IsUsable(machine *cluster.Machine, now time.Time) bool {
+	return h.l.acceptsWork(machine, now)
+}
 
-func (h scalerHost) MayHaveUnknownTasks(m *cluster.Machine) bool {
-	return h.l.recovery.MayHaveUnknownTasks(m)
+func (h scalerHost) MayHaveUnknownTasks(machine *cluster.Machine) bool {
+	return h.l.recovery.MayHaveUnknownTasks(machine)
 }
 
 func (h scalerHost) IsZoneSilent(zone string, now time.Time, while time.Duration) bool {
@@ -51,13 +53,13 @@
 
 func (h scalerHost) SuspectMachine(id string) { h.l.detector.Suspect(id) }
 
-func (h scalerHost) WithdrawOffer(m *cluster.Machine) { h.l.planner.Capacity.Withdraw(m) }
+func (h scalerHost) WithdrawOffer(machine *cluster.Machine) { h.l.planner.Capacity.Withdraw(machine) }
 
-func (h scalerHost) RemoveMachine(m *cluster.Machine) {
-	h.l.tasks.EndAllOn(m, "machine given back")
-	h.l.detector.Forget(m.ID)
-	h.l.state.Machines.Remove(m)
-	h.l.failover.MachineGone(m.ID)
+func (h scalerHost) RemoveMachine(machine *cluster.Machine) {
+	h.l.tasks.EndAllOn(machine, "machine given back")
+	h.l.detector.Forget(machine.ID)
+	h.l.state.Machines.Remove(machine)
+	h.l.failover.MachineGone(machine.ID)
 }
 
 func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -32,9 +32,9 @@
 }
 
 // canSave tells whether a task can save a checkpoint within some seconds.
-func (m *Manager) canSave(a *cluster.Assignment, withinS float64) bool {
-	spec := a.Job.Spec
-	if a.Job.IsGang() {
+func (m *Manager) canSave(assignment *cluster.Assignment, withinS float64) bool {
+	spec := assignment.Job.Spec
+	if assignment.Job.IsGang() {
 		return gang.ShouldCheckpoint(spec.CheckpointIntervalS, spec.CheckpointSaveS, m.Derived.Workers.GangStopWindow.Seconds(), withinS)
 	}
 	return spec.CheckpointIntervalS > 0 && spec.CheckpointSaveS < withinS
@@ -42,16 +42,16 @@
 
 // shouldRestartElsewhere tells whether a task on a machine that will be taken within some seconds
 // should begin anew elsewhere: if it stays, it most likely loses the time until then as well.
-func (m *Manager) shouldRestartElsewhere(a *cluster.Assignment, withinS float64, now time.Time) bool {
-	if !a.Job.Spec.RunsToCompletion() {
+func (m *Manager) shouldRestartElsewhere(assignment *cluster.Assignment, withinS float64, now time.Time) bool {
+	if !assignment.Job.Spec.RunsToCompletion() {
 		return len(m.Planner.Unmet) == 0 // it never completes; while others wait it would, too
 	}
 	ranS := 0.0
-	if a.ObservedState == workers.StateRunning {
-		ranS = now.Sub(a.RunningSince).Seconds()
+	if assignment.ObservedState == workers.StateRunning {
+		ranS = now.Sub(assignment.RunningSince).Seconds()
 	}
-	runS := m.RunTimes.JobSeconds(a.Job)
-	chance := m.RunTimes.Of(a.Job.Spec.Class).ChanceToEnd(ranS, withinS, runS)
+	runS := m.RunTimes.JobSeconds(assignment.Job)
+	chance := m.RunTimes.Of(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, runS)
 	return chance*runS < (1-chance)*withinS
 }
 
--- a/internal/leader/tasks/failure.go
+++ b/internal/leader/tasks/failure.go
@@ -17,8 +17,8 @@
 
 // recordFailure finds out whether a task that ended without being done says something against its
 // machine or its job.
-func (m *Manager) recordFailure(a *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
-	job, machine := a.Job, a.Machine
+func (m *Manager) recordFailure(assignment *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
+	job, machine := assignment.Job, assignment.Machine
 	switch task.Cause {
 	case workers.CauseStopped, workers.CauseMatesGone, workers.CauseIncomplete:
 	case workers.CauseError:
@@ -30,7 +30,7 @@
 			job.Scheduling.BackoffUntil = now.Add(m.Derived.Workers.HeartbeatInterval)
 		}
 	}
-	slog.Debug("task ended", "task", a.TaskName(), "machine", machine.ID, "term", m.Fencing.Current, "reason", task.Cause)
+	slog.Debug("task ended", "task", assignment.TaskName(), "machine", machine.ID, "term", m.Fencing.Current, "reason", task.Cause)
 }
 
 // backOff tries a job ever more rarely that fails on several machines in a row: that is its
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -90,46 +90,46 @@
 }
 
 // BeginDurable lets a worker hear of an assignment. Tasks of a gang go together.
-func (m *Manager) BeginDurable(a *cluster.Assignment) {
-	if a.Job.IsGang() {
-		m.gangBeginDurable(a.Job)
+func (m *Manager) BeginDurable(assignment *cluster.Assignment) {
+	if assignment.Job.IsGang() {
+		m.gangBeginDurable(assignment.Job)
 		return
 	}
-	m.Host.Notify(a.Machine)
+	m.Host.Notify(assignment.Machine)
 }
 
 // Facts is an assignment as the reconcile package sees it.
-func (m *Manager) Facts(a *cluster.Assignment, now time.Time) reconcile.Attempt {
-	job := a.Job
+func (m *Manager) Facts(assignment *cluster.Assignment, now time.Time) reconcile.Attempt {
+	job := assignment.Job
 	return reconcile.Attempt{
-		Session: a.Session, Durable: a.Log.Durable, ObservedState: a.ObservedState,
-		CommandPending: a.Start.OrderInFlight, Sent: a.Start.Sent, InDoubtToken: a.Start.InDoubtToken,
+		Session: assignment.Session, Durable: assignment.Log.Durable, ObservedState: assignment.ObservedState,
+		CommandPending: assignment.Start.RequestInFlight, Sent: assignment.Start.Sent, InDoubtToken: assignment.Start.InDoubtToken,
 		RunsToCompletion: job.Spec.RunsToCompletion(), JobFinished: job.IsOver(), JobCancelled: job.End.Cancelled,
-		Preempted: a.Stop.Requested, GraceS: a.Stop.GraceS,
-		GangReady: a.MayRun(),
+		Preempted: assignment.Stop.Requested, GraceS: assignment.Stop.GraceS,
+		GangReady: assignment.MayRun(),
 		// The log may be older than it was: the task may be over, or be elsewhere.
-		RecordsIncomplete: a.Restored && a.ObservedState == "" && m.Host.MayHaveUnknownTasks(job, now),
+		RecordsIncomplete: assignment.Restored && assignment.ObservedState == "" && m.Host.MayHaveUnknownTasks(job, now),
 	}
 }
 
 // Stop stops a task, and with it the gang that it is one of. The grace is the time to save a
 // checkpoint, in seconds.
-func (m *Manager) Stop(a *cluster.Assignment, graceS float64) {
-	if a.Job.IsGang() {
-		m.StopGang(a.Job, graceS)
+func (m *Manager) Stop(assignment *cluster.Assignment, graceS float64) {
+	if assignment.Job.IsGang() {
+		m.StopGang(assignment.Job, graceS)
 		return
 	}
-	a.Stop.Requested, a.Stop.GraceS = true, graceS
-	m.EndIfUnsent(a)
+	assignment.Stop.Requested, assignment.Stop.GraceS = true, graceS
+	m.EndIfUnsent(assignment)
 }
 
 // EndIfUnsent ends an assignment that no worker can have heard of. Else its worker is told.
-func (m *Manager) EndIfUnsent(a *cluster.Assignment) {
-	if a.ObservedState == "" && !a.Start.Sent && !a.Start.OrderInFlight && a.Start.InDoubtToken == 0 {
-		m.End(a, cluster.Retry)
+func (m *Manager) EndIfUnsent(assignment *cluster.Assignment) {
+	if assignment.ObservedState == "" && !assignment.Start.Sent && !assignment.Start.RequestInFlight && assignment.Start.InDoubtToken == 0 {
+		m.End(assignment, cluster.Retry)
 		return
 	}
-	m.Host.Notify(a.Machine)
+	m.Host.Notify(assignment.Machine)
 }
 
 // EndAllOn ends all assignments of a machine on which nothing can run any more.
@@ -145,29 +145,29 @@
 // End ends an assignment whose task is certainly off its machine. It is removed, and a task that
 // is not done pending again, once that is durable: until then a new leader would still find it
 // there.
-func (m *Manager) End(a *cluster.Assignment, outcome cluster.Outcome) {
-	if a.Outcome != cluster.Open {
+func (m *Manager) End(assignment *cluster.Assignment, outcome cluster.Outcome) {
+	if assignment.Outcome != cluster.Open {
 		return
 	}
-	setObservedState(a, "")
-	a.Outcome = outcome
-	m.Planner.Capacity.Release(a)
+	setObservedState(assignment, "")
+	assignment.Outcome = outcome
+	m.Planner.Capacity.Release(assignment)
 	if outcome == cluster.Success {
-		m.completeTask(a)
+		m.completeTask(assignment)
 	}
-	dropUnneededFetch(a)
-	m.Log.QueueEnd(a)
-	m.Host.CountsChanged(a.Job)
+	dropUnneededFetch(assignment)
+	m.Log.QueueEnd(assignment)
+	m.Host.CountsChanged(assignment.Job)
 	m.Planner.Requested = true
-	if a.Job.IsGang() {
-		m.leaveGang(a.Job)
+	if assignment.Job.IsGang() {
+		m.leaveGang(assignment.Job)
 	}
 }
 
 // completeTask marks a task as done, with all others of its gang.
-func (m *Manager) completeTask(a *cluster.Assignment) {
-	job := a.Job
-	if job.IsOver() || !job.MarkTaskDone(a.Index) {
+func (m *Manager) completeTask(assignment *cluster.Assignment) {
+	job := assignment.Job
+	if job.IsOver() || !job.MarkTaskDone(assignment.Index) {
 		return
 	}
 	if job.IsGang() {
@@ -178,7 +178,7 @@
 	if job.Completions.Count == job.Spec.Tasks {
 		m.CompleteJob(job)
 	} else {
-		m.Log.QueueCompletion(job, a.Index)
+		m.Log.QueueCompletion(job, assignment.Index)
 	}
 }
 
@@ -204,18 +204,18 @@
 }
 
 // Remove drops an assignment whose end is durable. A task that is not done is pending again.
-func (m *Manager) Remove(a *cluster.Assignment) {
-	job, machine := a.Job, a.Machine
-	delete(machine.Assignments, a.Attempt)
+func (m *Manager) Remove(assignment *cluster.Assignment) {
+	job, machine := assignment.Job, assignment.Machine
+	delete(machine.Assignments, assignment.Attempt)
 	if len(machine.Assignments) == 0 {
 		machine.Rental.IdleSince = time.Now()
 	}
-	if job.RemoveAssignment(a) {
+	if job.RemoveAssignment(assignment) {
 		if len(job.Assignments) == 0 {
 			job.Gang, job.Scheduling.GangPendingSince = cluster.GangAttempt{}, time.Now()
 		}
-		if a.Outcome == cluster.Retry && !job.IsOver() {
-			job.RequeueTask(a.Index)
+		if assignment.Outcome == cluster.Retry && !job.IsOver() {
+			job.RequeueTask(assignment.Index)
 			m.Planner.Enqueue(job)
 		}
 	}
@@ -224,12 +224,12 @@
 }
 
 // setObservedState notes the state in which a worker shows a task; empty if it does not.
-func setObservedState(a *cluster.Assignment, state string) {
-	if a.ObservedState == workers.StateRunning {
-		a.Job.Running--
+func setObservedState(assignment *cluster.Assignment, state string) {
+	if assignment.ObservedState == workers.StateRunning {
+		assignment.Job.Running--
 	}
 	if state == workers.StateRunning {
-		a.Job.Running++
+		assignment.Job.Running++
 	}
-	a.ObservedState = state
+	assignment.ObservedState = state
 }
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -35,12 +35,12 @@
 	m.reconcileAssignments(machine, heartbeat, now)
 }
 
-// dropRefusedStarts forgets tasks that an order has started and the worker shows no more, once it
-// has seen a higher token: it refuses late copies of the order from then on.
+// dropRefusedStarts forgets tasks that a request has started and the worker shows no more, once it
+// has seen a higher token: it refuses late copies of the request from then on.
 func dropRefusedStarts(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
-	for started, token := range machine.Commands.StartedByOrder {
+	for started, token := range machine.Commands.StartedByRequest {
 		if token < machine.Worker.Token && cluster.FindTask(heartbeat, started) == nil {
-			delete(machine.Commands.StartedByOrder, started)
+			delete(machine.Commands.StartedByRequest, started)
 		}
 	}
 }
@@ -60,46 +60,46 @@
 
 // apply carries out what an observation means for an assignment. The task is nil if the worker
 // does not show it.
-func (m *Manager) apply(a *cluster.Assignment, task *workers.TaskStatus, decision reconcile.Decision, now time.Time) {
+func (m *Manager) apply(assignment *cluster.Assignment, task *workers.TaskStatus, decision reconcile.Decision, now time.Time) {
 	if task != nil {
-		m.applyTaskState(a, task, now)
+		m.applyTaskState(assignment, task, now)
 	}
 	switch decision.Action {
 	case reconcile.Complete:
-		m.taskCompleted(a, now)
+		m.taskCompleted(assignment, now)
 	case reconcile.Start:
-		a.Start.InDoubtToken, a.Start.Sent = 0, false
-		setObservedState(a, "")
+		assignment.Start.InDoubtToken, assignment.Start.Sent = 0, false
+		setObservedState(assignment, "")
 	case reconcile.Reschedule:
 		if task != nil {
-			m.recordFailure(a, task, now)
+			m.recordFailure(assignment, task, now)
 		} else {
-			a.Start.InDoubtToken, a.Start.Sent = 0, false
+			assignment.Start.InDoubtToken, assignment.Start.Sent = 0, false
 		}
-		m.End(a, cluster.Retry)
+		m.End(assignment, cluster.Retry)
 	default: // it goes on, or nothing is certain
 	}
 }
 
 // applyTaskState takes in the state of an assignment's task on its machine.
-func (m *Manager) applyTaskState(a *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
-	// A start is sent in one order only, so that one that is seen is not on its way any more.
-	a.Start.InDoubtToken, a.Start.Sent = 0, true
-	if a.ObservedState == task.State {
+func (m *Manager) applyTaskState(assignment *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
+	// A start is sent in one request only, so that one that is seen is not on its way any more.
+	assignment.Start.InDoubtToken, assignment.Start.Sent = 0, true
+	if assignment.ObservedState == task.State {
 		return
 	}
-	slog.Debug("task seen", "task", task.Name, "machine", a.Machine.ID, "term", m.Fencing.Current, "state", task.State)
+	slog.Debug("task seen", "task", task.Name, "machine", assignment.Machine.ID, "term", m.Fencing.Current, "state", task.State)
 	switch task.State {
 	case workers.StateRunning:
-		if a.ObservedState == workers.StateFetching || a.ObservedState == workers.StateGathering || !a.Restored {
-			a.RunningSince = now
+		if assignment.ObservedState == workers.StateFetching || assignment.ObservedState == workers.StateGathering || !assignment.Restored {
+			assignment.RunningSince = now
 		}
-		a.Machine.CacheImage(a.Job.Spec, m.imageCacheGB(a.Machine))
+		assignment.Machine.CacheImage(assignment.Job.Spec, m.imageCacheGB(assignment.Machine))
 	case workers.StateGathering:
-		a.Machine.CacheImage(a.Job.Spec, m.imageCacheGB(a.Machine))
+		assignment.Machine.CacheImage(assignment.Job.Spec, m.imageCacheGB(assignment.Machine))
 	}
-	setObservedState(a, task.State)
-	m.Host.CountsChanged(a.Job)
+	setObservedState(assignment, task.State)
+	m.Host.CountsChanged(assignment.Job)
 }
 
 // imageCacheGB is how much a machine keeps of images; 0 if that is not known.
@@ -111,9 +111,9 @@
 }
 
 // taskCompleted takes in that a task is done.
-func (m *Manager) taskCompleted(a *cluster.Assignment, now time.Time) {
-	a.Job.Scheduling.ConsecutiveFailures, a.Job.Scheduling.LastServedAt = 0, now
-	clear(a.Machine.Health.FailedJobs)
-	m.RunTimes.TaskCompleted(a, now)
-	m.End(a, cluster.Success)
+func (m *Manager) taskCompleted(assignment *cluster.Assignment, now time.Time) {
+	assignment.Job.Scheduling.ConsecutiveFailures, assignment.Job.Scheduling.LastServedAt = 0, now
+	clear(assignment.Machine.Health.FailedJobs)
+	m.RunTimes.TaskCompleted(assignment, now)
+	m.End(assignment, cluster.Success)
 }
--- a/internal/leader/token_test.go
+++ b/internal/leader/token_test.go
@@ -17,7 +17,7 @@
 	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
-			l.state.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.fencing.Current
+			l.state.Machines.ByID[r.Machine].Commands.StartedByRequest[cluster.RefOf(&task)] = l.fencing.Current
 			r.Tasks = append(r.Tasks, task)
 		}
 	}
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -28,7 +28,7 @@
 
 var _ tasks.Host = taskHost{}
 
-func (h taskHost) Notify(m *cluster.Machine)        { h.l.dispatcher.Notify(m) }
+func (h taskHost) Notify(machine *cluster.Machine)  { h.l.dispatcher.Notify(machine) }
 func (h taskHost) CountsChanged(job *cluster.Job)   { h.l.jobs.PublishCounts(job) }
 func (h taskHost) RemoveIfSettled(job *cluster.Job) { h.l.jobs.RemoveIfSettled(job) }
 func (h taskHost) JobCompleted(job *cluster.Job)    { h.l.jobs.QueueCompleted(job) }
@@ -53,8 +53,8 @@
 func (h dispatchHost) IsLeader() bool              { return h.l.IsLeader() }
 func (h dispatchHost) IsCancelled(job string) bool { return h.l.isCancelled(job) }
 
-func (h dispatchHost) LeaveAlone(m *cluster.Machine, task *workers.TaskStatus) bool {
-	return h.l.recovery.LeaveAlone(m, task)
+func (h dispatchHost) LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool {
+	return h.l.recovery.LeaveAlone(machine, task)
 }
 
 func (h dispatchHost) Post(ctx context.Context, apply func(now time.Time)) { h.l.post(ctx, apply) }
@@ -104,12 +104,12 @@
 }
 
 // updateOffer offers a machine to placement while it takes work.
-func (l *Leader) updateOffer(m *cluster.Machine, now time.Time) {
-	if !l.acceptsWork(m, now) {
-		l.planner.Capacity.Withdraw(m)
+func (l *Leader) updateOffer(machine *cluster.Machine, now time.Time) {
+	if !l.acceptsWork(machine, now) {
+		l.planner.Capacity.Withdraw(machine)
 		return
 	}
-	if l.planner.Capacity.Offer(m) {
+	if l.planner.Capacity.Offer(machine) {
 		l.planner.Requested = true
 	}
 }
--- a/internal/leader/writer/conflict.go
+++ b/internal/leader/writer/conflict.go
@@ -13,12 +13,12 @@
 )
 
 // readConflicts reads the keys that were not as expected, each until it can be read.
-func (w *Writer) readConflicts(ctx context.Context, b *transaction.Batch, keys []string) {
+func (w *Writer) readConflicts(ctx context.Context, batch *transaction.Batch, keys []string) {
 	for _, key := range keys {
 		for {
 			found, _, err := w.Store.Get(ctx, key)
 			if err == nil {
-				w.Host.Post(ctx, func(time.Time) { w.ApplyConflict(b, key, found) })
+				w.Host.Post(ctx, func(time.Time) { w.ApplyConflict(batch, key, found) })
 				break
 			}
 			if ctx.Err() != nil {
@@ -34,12 +34,12 @@
 }
 
 // ApplyConflict takes in what a key is whose guard has failed.
-func (w *Writer) ApplyConflict(b *transaction.Batch, key string, found kvstore.KeyValue) {
+func (w *Writer) ApplyConflict(batch *transaction.Batch, key string, found kvstore.KeyValue) {
 	if jobs.JobIDFromKey(key) != key {
 		w.applyRecord(key, found)
 		return
 	}
-	b.Learn(key, found.Revision)
+	batch.Learn(key, found.Revision)
 	w.Recovery.CheckSegment(key, found)
 }
 
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -123,18 +123,18 @@
 }
 
 // addToken writes a higher token.
-func (w *Writer) addToken(b *transaction.Batch) {
+func (w *Writer) addToken(batch *transaction.Batch) {
 	next := w.Fencing.Next()
 	w.Fencing.RaisePending = false
-	b.OnFailure(func() { w.Fencing.RaisePending = true })
-	b.OnCommit(func(revision uint64) {
+	batch.OnFailure(func() { w.Fencing.RaisePending = true })
+	batch.OnCommit(func(revision uint64) {
 		w.Fencing.Current, w.Fencing.Revision = next, revision
 		w.Fencing.AcknowledgementsHeld = false
 		w.Host.TokenRaised()
 		slog.Info("token raised", "term", w.Fencing.Current, "reason", "an order may still arrive")
 	})
 	value := json.RawMessage(strconv.FormatUint(next, 10))
-	b.Set(election.TokenKey, w.Fencing.Revision, value, func(revision uint64) {
+	batch.Set(election.TokenKey, w.Fencing.Revision, value, func(revision uint64) {
 		// Ours, from an attempt whose outcome was unknown; or the key was lost.
 		w.Fencing.Current, w.Fencing.Revision = next, revision
 		w.Host.TokenRaised()
@@ -142,33 +142,33 @@
 }
 
 // addCompletion writes the record of a job that is done.
-func (w *Writer) addCompletion(b *transaction.Batch, job *cluster.Job) {
+func (w *Writer) addCompletion(batch *transaction.Batch, job *cluster.Job) {
 	if job.End.Cancelled {
 		return // its user was faster
 	}
 	record := jobs.Record{Tasks: job.Spec.Tasks, Spec: job.Spec}
 	value := record.FinalForm(jobs.Done, w.Derived.Store.ValueBytes)
-	b.Set(jobs.RecordKey(job.ID), job.Revision, value, func(uint64) {})
-	b.OnFailure(func() { w.Jobs.QueueCompleted(job) })
-	b.OnCommit(func(uint64) {
+	batch.Set(jobs.RecordKey(job.ID), job.Revision, value, func(uint64) {})
+	batch.OnFailure(func() { w.Jobs.QueueCompleted(job) })
+	batch.OnCommit(func(uint64) {
 		slog.Debug("job done", "job", job.ID, "term", w.Fencing.Current)
 		w.Jobs.CompletionDurable(job)
 	})
 }
 
 // Returned takes in the outcome of a transaction.
-func (w *Writer) Returned(ctx context.Context, b *transaction.Batch, revision uint64, failed []string, err error) {
+func (w *Writer) Returned(ctx context.Context, batch *transaction.Batch, revision uint64, failed []string, err error) {
 	// What was too large is no outage: were it taken for one, and nothing were left to be written,
 	// nothing would be planned any more.
 	w.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failed) == 0 {
 		w.inFlight = false
-		w.Committed(b, revision)
+		w.Committed(batch, revision)
 		return
 	}
-	b.Failed()
+	batch.Failed()
 	if err != nil {
-		w.notWritten(ctx, b, err)
+		w.notWritten(ctx, batch, err)
 		return
 	}
 	if slices.Contains(failed, election.HolderKey) {
@@ -179,17 +179,17 @@
 	// An earlier transaction of ours was executed after all, or a user ended a job. Only keys that
 	// others never write under our term are written again.
 	slog.Debug("guards failed", "term", w.Fencing.Current, "keys", failed)
-	go w.readConflicts(ctx, b, failed)
+	go w.readConflicts(ctx, batch, failed)
 }
 
 // notWritten takes in that a transaction was not executed, or nobody knows.
-func (w *Writer) notWritten(ctx context.Context, b *transaction.Batch, err error) {
+func (w *Writer) notWritten(ctx context.Context, batch *transaction.Batch, err error) {
 	slog.Debug("records not written", "term", w.Fencing.Current, "reason", err)
 	if !errors.Is(err, kvstore.ErrNotExecuted) {
 		w.Log.MarkOutcomeUnknown()
 	}
 	if errors.Is(err, kvstore.ErrInvalidRequest) {
-		w.rejected(b, err)
+		w.rejected(batch, err)
 	}
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
 		slog.Error("records not written", "term", w.Fencing.Current, "reason", err)
@@ -198,8 +198,8 @@
 }
 
 // Committed takes in that a transaction was executed.
-func (w *Writer) Committed(b *transaction.Batch, revision uint64) {
-	b.Committed(revision)
+func (w *Writer) Committed(batch *transaction.Batch, revision uint64) {
+	batch.Committed(revision)
 	for _, event := range w.Log.TakeEvents() {
 		switch event.Kind {
 		case assignmentlog.BeginDurable:
@@ -212,12 +212,12 @@
 
 // rejected looks for a transaction that the key-value store takes: its limits are lower than the
 // settings say. The same one would be rejected for ever, and with it all that waits behind it.
-func (w *Writer) rejected(b *transaction.Batch, err error) {
+func (w *Writer) rejected(batch *transaction.Batch, err error) {
 	largest := 0
-	for _, write := range b.Writes {
+	for _, write := range batch.Writes {
 		largest = max(largest, len(write.Value))
 	}
-	slog.Error("transaction rejected", "term", w.Fencing.Current, "writes", len(b.Writes), "bytes", b.Bytes, "largest", largest, "reason", err)
+	slog.Error("transaction rejected", "term", w.Fencing.Current, "writes", len(batch.Writes), "bytes", batch.Bytes, "largest", largest, "reason", err)
 	if w.Log.OutcomeUnknown() {
 		// An earlier one may still be executed, and its segments have to be written again. The end
 		// of the term is what makes sure that it is not.
