--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -4,27 +4,8 @@
 	"time"
 
 	"ospreyslip/internal/leader/cluster"
-	"ospreyslip/internal/leader/planner"
-	"ospreyslip/internal/placement"
 )
 
-// planConstraints is the leader as its planner sees it.
-type planConstraints struct{ l *Leader }
-
-var _ planner.Constraints = planConstraints{}
-
-func (c planConstraints) MayPreempt(job *cluster.Job, now time.Time) bool {
-	return c.l.mayPreempt(job, now)
-}
-
-func (c planConstraints) MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool {
-	return c.l.recovery.AwaitsWorkers(job, now)
-}
-
-func (c planConstraints) AddHeldUsage(usedByTeam map[string]placement.Resources) {
-	c.l.recovery.AddHeldUsage(usedByTeam)
-}
-
 // plan places pending tasks on the state as it is.
 func (l *Leader) plan(now time.Time) {
 	defer func() { l.planner.Finished(time.Since(now)) }()
@@ -41,3 +22,14 @@
 func (l *Leader) acceptsWork(machine *cluster.Machine, now time.Time) bool {
 	return machine.Phase == cluster.Up && !machine.Health.Dead && !machine.Health.Draining && machine.Worker.Session != 0 && machine.Worker.Token <= l.fencing.Current && l.detector.Schedulable(machine.ID, now)
 }
+
+// updateOffer offers a machine to placement while it takes work.
+func (l *Leader) updateOffer(machine *cluster.Machine, now time.Time) {
+	if !l.acceptsWork(machine, now) {
+		l.planner.Capacity.Withdraw(machine)
+		return
+	}
+	if l.planner.Capacity.Offer(machine) {
+		l.planner.Requested = true
+	}
+}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -5,16 +5,14 @@
 	"errors"
 	"time"
 
-	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
-	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/recovery"
 	"ospreyslip/internal/recovery/detection"
 )
 
 // This file connects the recovery of lost records, package recoverer, with the rest of the
-// leader: what the recovery is given, what it calls, and what other goroutines ask of it.
+// leader: what the recovery is given, and what other goroutines ask of it.
 
 // recoveryConfig is what the recovery of this leader works with.
 func (l *Leader) recoveryConfig() recoverer.Config {
@@ -48,41 +46,6 @@
 	l.recovery.Advance(ctx, now)
 }
 
-// recoveryCalls is the leader as its recovery sees it.
-type recoveryCalls struct{ l *Leader }
-
-var _ recoverer.Leader = recoveryCalls{}
-
-func (c recoveryCalls) Tokens() recoverer.Tokens {
-	return recoverer.Tokens{Current: c.l.fencing.Current, OfTerm: c.l.fencing.OfTerm, Floor: c.l.fencing.RaiseAbove}
-}
-
-func (c recoveryCalls) RequestTokenRaise() { c.l.fencing.RequestRaise() }
-
-func (c recoveryCalls) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
-
-func (c recoveryCalls) Resign() { c.l.loop.resigns = true }
-
-func (c recoveryCalls) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
-
-func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
-
-func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
-
-func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
-
-func (c recoveryCalls) JobChanged(change kvstore.Change, now time.Time) {
-	c.l.jobs.Apply(change, now)
-}
-
-func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
-
-func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
-
-func (c recoveryCalls) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
-
-func (c recoveryCalls) RequestPlan() { c.l.planner.Requested = true }
-
 // tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
 // term begins with the raised one: reports and numbers below it are of earlier terms.
 func (l *Leader) tokenRaised() {
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -4,8 +4,6 @@
 	"context"
 	"time"
 
-	"ospreyslip/internal/jobs"
-	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/scaler"
 )
 
@@ -29,37 +27,3 @@
 		l.scaler.Reconcile(ctx, now, l.planner.Unmet)
 	}
 }
-
-// scalerHost is the leader as its scaler sees it.
-type scalerHost struct{ l *Leader }
-
-func (h scalerHost) Term() uint64 { return h.l.fencing.OfTerm }
-
-func (h scalerHost) Token() uint64 { return h.l.fencing.Current }
-
-func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.Seconds(spec) }
-
-func (h scalerHost) IsUsable(machine *cluster.Machine, now time.Time) bool {
-	return h.l.acceptsWork(machine, now)
-}
-
-func (h scalerHost) MayHaveUnknownTasks(machine *cluster.Machine) bool {
-	return h.l.recovery.MayHaveUnknownTasks(machine)
-}
-
-func (h scalerHost) IsZoneSilent(zone string, now time.Time, while time.Duration) bool {
-	return h.l.detector.ZoneFellSilent(zone, now, while)
-}
-
-func (h scalerHost) SuspectMachine(id string) { h.l.detector.Suspect(id) }
-
-func (h scalerHost) WithdrawOffer(machine *cluster.Machine) { h.l.planner.Capacity.Withdraw(machine) }
-
-func (h scalerHost) RemoveMachine(machine *cluster.Machine) {
-	h.l.tasks.EndAllOn(machine, "machine given back")
-	h.l.detector.Forget(machine.ID)
-	h.l.state.Machines.Remove(machine)
-	h.l.failover.MachineGone(machine.ID)
-}
-
-func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -4,16 +4,22 @@
 	"context"
 	"time"
 
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/leader/jobtracker"
 	"ospreyslip/internal/leader/loader"
+	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/leader/recoverer"
 	"ospreyslip/internal/leader/tasks"
 	"ospreyslip/internal/leader/writer"
+	"ospreyslip/internal/placement"
 	"ospreyslip/internal/workers"
 )
 
-// This file connects the parts that carry assignments and commands with the rest of the leader.
+// This file connects the parts of a leader: what each is given, and what it may ask of the others.
+// A part never gets the leader itself, only an interface that it defines.
 
 // taskDeps is what the manager of assignments works with.
 func (l *Leader) taskDeps() tasks.Deps {
@@ -103,13 +109,88 @@
 	}
 }
 
-// updateOffer offers a machine to placement while it takes work.
-func (l *Leader) updateOffer(machine *cluster.Machine, now time.Time) {
-	if !l.acceptsWork(machine, now) {
-		l.planner.Capacity.Withdraw(machine)
-		return
-	}
-	if l.planner.Capacity.Offer(machine) {
-		l.planner.Requested = true
-	}
+// planConstraints is the leader as its planner sees it.
+type planConstraints struct{ l *Leader }
+
+var _ planner.Constraints = planConstraints{}
+
+func (c planConstraints) MayPreempt(job *cluster.Job, now time.Time) bool {
+	return c.l.mayPreempt(job, now)
+}
+
+func (c planConstraints) MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool {
+	return c.l.recovery.AwaitsWorkers(job, now)
+}
+
+func (c planConstraints) AddHeldUsage(usedByTeam map[string]placement.Resources) {
+	c.l.recovery.AddHeldUsage(usedByTeam)
+}
+
+// scalerHost is the leader as its scaler sees it.
+type scalerHost struct{ l *Leader }
+
+func (h scalerHost) Term() uint64 { return h.l.fencing.OfTerm }
+
+func (h scalerHost) Token() uint64 { return h.l.fencing.Current }
+
+func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.Seconds(spec) }
+
+func (h scalerHost) IsUsable(machine *cluster.Machine, now time.Time) bool {
+	return h.l.acceptsWork(machine, now)
+}
+
+func (h scalerHost) MayHaveUnknownTasks(machine *cluster.Machine) bool {
+	return h.l.recovery.MayHaveUnknownTasks(machine)
+}
+
+func (h scalerHost) IsZoneSilent(zone string, now time.Time, while time.Duration) bool {
+	return h.l.detector.ZoneFellSilent(zone, now, while)
+}
+
+func (h scalerHost) SuspectMachine(id string) { h.l.detector.Suspect(id) }
+
+func (h scalerHost) WithdrawOffer(machine *cluster.Machine) { h.l.planner.Capacity.Withdraw(machine) }
+
+func (h scalerHost) RemoveMachine(machine *cluster.Machine) {
+	h.l.tasks.EndAllOn(machine, "machine given back")
+	h.l.detector.Forget(machine.ID)
+	h.l.state.Machines.Remove(machine)
+	h.l.failover.MachineGone(machine.ID)
+}
+
+func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
+
+// recoveryCalls is the leader as its recovery sees it.
+type recoveryCalls struct{ l *Leader }
+
+var _ recoverer.Leader = recoveryCalls{}
+
+func (c recoveryCalls) Tokens() recoverer.Tokens {
+	return recoverer.Tokens{Current: c.l.fencing.Current, OfTerm: c.l.fencing.OfTerm, Floor: c.l.fencing.RaiseAbove}
+}
+
+func (c recoveryCalls) RequestTokenRaise() { c.l.fencing.RequestRaise() }
+
+func (c recoveryCalls) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
+
+func (c recoveryCalls) Resign() { c.l.loop.resigns = true }
+
+func (c recoveryCalls) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
+
+func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
+
+func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
+
+func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
+
+func (c recoveryCalls) JobChanged(change kvstore.Change, now time.Time) {
+	c.l.jobs.Apply(change, now)
 }
+
+func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
+
+func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
+
+func (c recoveryCalls) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
+
+func (c recoveryCalls) RequestPlan() { c.l.planner.Requested = true }
