--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -7,6 +7,7 @@
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/planner"
+	"ospreyslip/internal/settings"
 )
 
 // finishFailover notes when every machine that the records name is accounted for.
@@ -41,8 +42,8 @@
 	}
 	bound := l.Derived.Detection.HeartbeatOverdue
 	for _, objective := range l.Settings.Deployment.Objectives {
-		toStart := objective.Kind == "wait" && objective.Class == job.Spec.Class
-		byGuarantee := objective.Kind == "guarantee" && job.Scheduling.WithinGuarantee && job.Spec.Shape == jobs.Batch
+		toStart := objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class
+		byGuarantee := objective.Kind == settings.ObjectiveGuarantee && job.Scheduling.WithinGuarantee && job.Spec.Shape == jobs.Batch
 		if toStart || byGuarantee {
 			bound = min(bound, cluster.ScaleDuration(time.Second, planner.PatienceShare*objective.WithinS))
 		}
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -9,6 +9,7 @@
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/placement"
+	"ospreyslip/internal/settings"
 	"ospreyslip/internal/workers"
 )
 
@@ -47,17 +48,17 @@
 			continue
 		}
 		switch leftS := objective.WithinS - ageS; {
-		case objective.Kind == "finished" && leftS >= runS:
+		case objective.Kind == settings.ObjectiveFinished && leftS >= runS:
 			deadlineS = min(deadlineS, leftS)
-		case objective.Kind == "deadline" && job.Spec.DeadlineS != nil:
+		case objective.Kind == settings.ObjectiveDeadline && job.Spec.DeadlineS != nil:
 			hasObjective = true
 			if leftS := max(1, objective.DeadlineFactor)**job.Spec.DeadlineS - ageS; leftS >= runS {
 				deadlineS = min(deadlineS, leftS)
 			}
-		case objective.Kind == "wait" && leftS >= 0 && job.Pending.Count == job.Spec.Tasks:
+		case objective.Kind == settings.ObjectiveWait && leftS >= 0 && job.Pending.Count == job.Spec.Tasks:
 			deadlineS = min(deadlineS, leftS+runS)
 		}
-		hasObjective = hasObjective || objective.Kind == "finished"
+		hasObjective = hasObjective || objective.Kind == settings.ObjectiveFinished
 	}
 	if job.Spec.DeadlineS != nil && !hasObjective { // nobody has said how much it matters
 		hasObjective = true
@@ -121,10 +122,10 @@
 // applyObjectives adds how soon a job should start.
 func (p *Planner) applyObjectives(planned *placement.Job, job *cluster.Job, now time.Time, wallMs int64) {
 	for _, objective := range p.config.Objectives {
-		if objective.Kind == "guarantee" && job.Spec.Shape == jobs.Batch {
+		if objective.Kind == settings.ObjectiveGuarantee && job.Spec.Shape == jobs.Batch {
 			planned.ReclaimDeferred = now.Sub(job.Scheduling.GuaranteedSince).Seconds() < PatienceShare*objective.WithinS
 		}
-		if objective.Kind == "wait" && objective.Class == job.Spec.Class {
+		if objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class {
 			planned.StartWithinS = objective.WithinS - p.config.ControlInterval.Seconds()*startMargin
 			// What has run before is wanted back as soon as it was wanted at first.
 			if !job.Pending.HasRetries() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -56,6 +56,14 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
+// The kinds of objectives.
+const (
+	ObjectiveFinished  = "finished"  // jobs are done within a time
+	ObjectiveDeadline  = "deadline"  // jobs are done by their own deadline, times a factor
+	ObjectiveWait      = "wait"      // tasks start within a time
+	ObjectiveGuarantee = "guarantee" // work within a team's guarantee starts within a time
+)
+
 // Objective is a service-level objective of a class of jobs, at their start or their end.
 type Objective struct {
 	Kind           string  `toml:"kind"`
