--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -21,9 +21,10 @@
 // other could give them that. To stop them is right however old the heartbeat is.
 func (d *Dispatcher) AnswerStale(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	commands := []workers.Command{}
-	for _, task := range heartbeat.Tasks {
+	for i := range heartbeat.Tasks {
+		task := &heartbeat.Tasks[i]
 		job, _, ok := workers.SplitTask(task.Name)
-		decision := reconcile.DecideOnStaleHeartbeat(&task, ok && d.Host.IsCancelled(job))
+		decision := reconcile.DecideOnStaleHeartbeat(task, ok && d.Host.IsCancelled(job))
 		if decision.Action == reconcile.Stop {
 			commands = append(commands, d.count(stopCommand(task.Name, task.Attempt, 0), decision))
 		}
@@ -61,15 +62,16 @@
 // addOrphanCommands adds what the worker should do with tasks that are not assigned to it.
 func (d *Dispatcher) addOrphanCommands(machine *cluster.Machine, commands []workers.Command, inAnswer bool) []workers.Command {
 	var held heldAcknowledgements
-	for _, task := range machine.Worker.Tasks {
-		ref := cluster.RefOf(&task)
+	for i := range machine.Worker.Tasks {
+		task := &machine.Worker.Tasks[i] // not copied: a heartbeat without news allocates nothing more
+		ref := cluster.RefOf(task)
 		if machine.FindAssignment(ref) != nil {
 			continue // its end is not durable yet
 		}
 		job, _, _ := workers.SplitTask(task.Name)
 		orphan := reconcile.OrphanedTask{
 			Ended: task.State == workers.StateEnded, JobCancelled: d.Host.IsCancelled(job),
-			RecordsIncomplete: d.Host.LeaveAlone(machine, &task),
+			RecordsIncomplete: d.Host.LeaveAlone(machine, task),
 			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inAnswer,
 		}
 		switch decision := orphan.DecideCommand(); {
@@ -78,7 +80,7 @@
 		case decision.Action == reconcile.Acknowledge:
 			commands = append(commands, d.count(workers.Command{Op: workers.OpClear, Task: task.Name, Attempt: task.Attempt}, decision))
 		case decision.Reason == reconcile.TokenNotSuperseded:
-			held.add(&task, orphan.CommandToken, d.mayRunAgain(&task))
+			held.add(task, orphan.CommandToken, d.mayRunAgain(task))
 		}
 	}
 	machine.Commands.NeedsHigherToken = held.needHigherToken()
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -56,6 +56,7 @@
 	constraints Constraints
 
 	queued      map[*cluster.Job]bool
+	last        Plan // whose memory the next one takes
 	lastStarted time.Time
 	lastTook    time.Duration
 }
@@ -68,7 +69,7 @@
 	}
 }
 
-// Plan is what the leader is to carry out, in this order.
+// Plan is what the leader is to carry out, in this order. It is valid until the next one is made.
 type Plan struct {
 	Preemptions []Preemption
 	Placements  []Placement
@@ -126,8 +127,10 @@
 	p.constraints.AddHeldUsage(input.UsedByTeam)
 	jobOf := map[*placement.Job]*cluster.Job{}
 	input.Jobs = p.queuedJobs(jobOf, now)
-	running := newRunningTasks(p.state, now)
-	input.LoadTasks = running.load
+	running := newRunningTasks()
+	input.LoadTasks = func(offer *placement.Machine) {
+		running.load(offer, p.state.Machines.ByID[offer.ID].Assignments, now)
+	}
 	output := placement.Plan(input)
 	for _, job := range output.Preempting {
 		jobOf[job].Scheduling.PreemptingForGangAt = now
@@ -164,7 +167,8 @@
 }
 
 // plan is placement's output in the leader's terms.
-func (p *Planner) plan(output placement.Output, jobOf map[*placement.Job]*cluster.Job, running *runningTasks) (plan Plan) {
+func (p *Planner) plan(output placement.Output, jobOf map[*placement.Job]*cluster.Job, running runningTasks) Plan {
+	plan := Plan{Preemptions: p.last.Preemptions[:0], Placements: p.last.Placements[:0]}
 	for _, preempted := range output.Preemptions {
 		a, graceS := running.assignmentOf[preempted.Task], 0.0
 		if !preempted.WithoutGrace {
@@ -177,34 +181,32 @@
 			Job: jobOf[assigned.Job], Machine: p.state.Machines.ByID[assigned.Machine.ID], Starved: assigned.Starved,
 		})
 	}
+	p.last = plan
 	return plan
 }
 
 // runningTasks shows placement the tasks on machines, for one plan.
 type runningTasks struct {
-	state        *cluster.State
-	now          time.Time
 	jobs         map[*cluster.Job]*placement.Job
 	assignmentOf map[*placement.RunningTask]*cluster.Assignment
 }
 
-func newRunningTasks(state *cluster.State, now time.Time) *runningTasks {
-	return &runningTasks{
-		state: state, now: now,
+func newRunningTasks() runningTasks {
+	return runningTasks{
 		jobs: map[*cluster.Job]*placement.Job{}, assignmentOf: map[*placement.RunningTask]*cluster.Assignment{},
 	}
 }
 
 // load shows what could be stopped on a machine, and what is stopping already.
-func (r *runningTasks) load(offer *placement.Machine) {
+func (r runningTasks) load(offer *placement.Machine, assignments map[uint64]*cluster.Assignment, now time.Time) {
 	offer.Releasing, offer.Tasks = placement.Resources{}, offer.Tasks[:0]
-	for _, a := range r.state.Machines.ByID[offer.ID].Assignments {
+	for _, a := range assignments {
 		switch {
 		case a.Outcome != cluster.Open:
 		case a.Stop.Requested || a.Job.IsOver():
 			offer.Releasing = offer.Releasing.AddTimes(placement.TaskRequest(a.Job.Spec), 1)
 		case a.Log.Durable:
-			task := r.task(a)
+			task := r.task(a, now)
 			r.assignmentOf[task] = a
 			offer.Tasks = append(offer.Tasks, task)
 		}
@@ -214,7 +216,7 @@
 	})
 }
 
-func (r *runningTasks) task(assignment *cluster.Assignment) *placement.RunningTask {
+func (r runningTasks) task(assignment *cluster.Assignment, now time.Time) *placement.RunningTask {
 	job := r.jobs[assignment.Job]
 	if job == nil {
 		job = &placement.Job{Spec: assignment.Job.Spec, Guaranteed: assignment.Job.Scheduling.WithinGuarantee}
@@ -222,7 +224,7 @@
 	}
 	task := &placement.RunningTask{Job: job, Index: assignment.Index, Starved: assignment.Overdue}
 	if assignment.ObservedState == workers.StateRunning {
-		task.LostRunS = r.now.Sub(assignment.RunningSince).Seconds()
+		task.LostRunS = now.Sub(assignment.RunningSince).Seconds()
 	}
 	if assignment.Job.IsGang() {
 		task.GangTasks = assignment.Job.Spec.Tasks
