--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -9,7 +9,6 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/assignmentlog"
@@ -172,15 +171,6 @@
 	}
 }
 
-// A transaction writes no more segments than its news need: with each segment that it
-// drafted, the log once seemed to wait for one more.
-func TestPagesByNeed(t *testing.T) {
-	l, j, _ := withGang()
-	if b := l.writer.Compose(); len(b.Writes) != 1 {
-		t.Errorf("%d segments for %d beginnings", len(b.Writes), j.Spec.Tasks)
-	}
-}
-
 // stir lets some tasks begin and end.
 func (l *Leader) stir(rnd *rand.Rand) {
 	now := time.Now()
@@ -220,30 +210,3 @@
 	slices.Sort(ids)
 	return ids
 }
-
-// Whatever a leader writes is guarded by its term, and each key by its own revision: a
-// copy that is carried out late, after newer ones or under the next leader, fails.
-func TestEveryWriteIsGuarded(t *testing.T) {
-	l, m, j, now := bench()
-	l.writer.Term.HolderRevision, l.fencing.Revision, j.Revision = 77, 78, 79
-	l.readLog(nil)
-	l.fencing.RaisePending = true
-	l.jobs.QueueCompleted(j)
-	l.tasks.Assign(j, j.TakePendingTask(), m, now) // its beginning is to be written
-	b := l.writer.Compose()
-	revisions := map[string]uint64{}
-	for _, g := range b.Guards {
-		revisions[g.Key] = g.Revision
-	}
-	if revisions[election.HolderKey] != 77 || revisions[election.TokenKey] != 78 || revisions[jobs.RecordKey(j.ID)] != 79 {
-		t.Errorf("guards: %v", revisions)
-	}
-	for _, w := range b.Writes {
-		if _, guarded := revisions[w.Set]; !guarded || w.Remove != "" {
-			t.Errorf("%s%s is written unguarded", w.Set, w.Remove)
-		}
-	}
-	if len(b.Writes) < 3 {
-		t.Errorf("%d writes", len(b.Writes))
-	}
-}
--- a/internal/leader/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -1,11 +1,11 @@
-package leader
+package dispatch
 
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"ospreyslip/internal/leader/cluster"
-	"ospreyslip/internal/leader/dispatch"
 	"ospreyslip/internal/workers"
 )
 
@@ -13,25 +13,34 @@
 // something waits for it only: several ended tasks that were begun by orders, an ended
 // task that is to begin again, or an order in doubt. With it, what waited is cleared.
 func TestTokenByNeed(t *testing.T) {
-	l, reports, now := fleetOf(t, 4)
+	s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	var reports []*workers.Heartbeat
+	for i := range 4 {
+		machine, a := s.addMachine(fmt.Sprintf("m-%06d", i))
+		a.Start.Sent = true
+		running := workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}
+		reports = append(reports, &workers.Heartbeat{Machine: machine.ID, Addr: machine.Addr, AgentEpoch: 1, Seq: 1, FencingToken: 5, Tasks: []workers.TaskStatus{running}})
+	}
 	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
-			l.state.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = l.fencing.Current
+			s.State.Machines.ByID[r.Machine].Commands.StartedByOrder[cluster.RefOf(&task)] = s.Fencing.Current
 			r.Tasks = append(r.Tasks, task)
 		}
 	}
 	few, many, again, doubt := reports[0], reports[1], reports[2], reports[3]
-	endedByOrder(few, dispatch.MaxHeldAcknowledgements-1, workers.CauseDone)
-	endedByOrder(many, dispatch.MaxHeldAcknowledgements, workers.CauseDone)
+	endedByOrder(few, MaxHeldAcknowledgements-1, workers.CauseDone)
+	endedByOrder(many, MaxHeldAcknowledgements, workers.CauseDone)
 	endedByOrder(again, 1, workers.CauseStopped)
-	l.state.Machines.ByID[doubt.Machine].Commands.InDoubtSince = now
+	s.State.Machines.ByID[doubt.Machine].Commands.InDoubtSince = s.now
 	answer := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
 		r.Seq++
-		a := l.answerHeartbeat(r, now)
-		if a == nil {
-			t.Fatalf("%s is not answered", r.Machine)
+		machine := s.State.Machines.ByID[r.Machine]
+		s.Tasks.Observe(machine, r, s.now)
+		if machine.Worker.Seq != r.Seq {
+			t.Fatalf("%s: its report is not taken in", r.Machine)
 		}
+		a := s.Answer(machine)
 		r.FencingToken = a.FencingToken
 		return a
 	}
@@ -48,15 +57,15 @@
 			t.Errorf("%s, before there is a higher token: %+v", r.Machine, a)
 		}
 	}
-	if !l.fencing.AcknowledgementsHeld {
+	if !s.Fencing.AcknowledgementsHeld {
 		t.Error("no higher token is asked for")
 	}
-	l.fencing.Current = 6
+	s.Fencing.Current = 6
 	for _, want := range []struct {
 		r     *workers.Heartbeat
 		token uint64
 		clear int
-	}{{few, 5, 0}, {many, 6, dispatch.MaxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
+	}{{few, 5, 0}, {many, 6, MaxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
 		if a := answer(want.r); a.FencingToken != want.token || cleared(a) > 0 {
 			t.Errorf("%s: token %d, %d cleared at once; want %d, none", want.r.Machine, a.FencingToken, cleared(a), want.token)
 		}
@@ -65,11 +74,11 @@
 		}
 	}
 	// An order carries the token that its machine knows, and never one from before.
-	if got := l.dispatcher.TokenFor(l.state.Machines.ByID[few.Machine]); got != 5 {
+	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 5 {
 		t.Errorf("token %d where nothing waits, want 5", got)
 	}
-	l.fencing.OfTerm, l.fencing.Current = 7, 7
-	if got := l.dispatcher.TokenFor(l.state.Machines.ByID[few.Machine]); got != 7 {
+	s.Fencing.OfTerm, s.Fencing.Current = 7, 7
+	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 7 {
 		t.Errorf("token %d, of an earlier term", got)
 	}
 }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -22,7 +22,6 @@
 	"ospreyslip/internal/leader/assignmentlog"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/dispatch"
-	"ospreyslip/internal/leader/runtimes"
 	"ospreyslip/internal/leader/tasks"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/liveness"
@@ -266,53 +265,21 @@
 	}
 }
 
-// Run times of one class vary: a task that runs for long says little of its
-// machine. Several on one machine say much, and so do tasks that are over.
-func TestSlowMachinesByOdds(t *testing.T) {
-	for _, tc := range []struct {
-		name    string
-		before  []float64 // how many times their usual time tasks took on the machine
-		running []float64 // how many times their usual time tasks have been running
-		slow    bool
-	}{
-		{"one long task", nil, []float64{2.5, 0.5, 0.5, 0.1}, false},
-		{"one long task after quick ones", []float64{0.8, 1.2, 1}, []float64{4}, false},
-		{"all tasks long", nil, []float64{2.5, 2.5, 2.5, 2.5}, true},
-		{"tasks over, each late", []float64{3, 3.5, 4, 4}, []float64{1}, true},
-		{"late by a little", []float64{1.4, 1.5, 1.3}, []float64{1.2, 1.2}, false},
-		{"a task that never ends", nil, []float64{30}, true},
-		{"no task of the job is over elsewhere", nil, nil, false},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			l, m, _, now := bench()
-			*l.runTimes.Of("sums") = runtimes.Distribution{Variance: 0.25, Tasks: 100, Jobs: 100}
-			j := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10}, 1, 0, now)
-			l.state.Jobs["j-2"] = j
-			for range 25 {
-				j.RecordRunTime(math.Log(10))
-			}
-			start := func(ran float64) *cluster.Assignment {
-				a := l.tasks.Assign(j, j.TakePendingTask(), m, now)
-				a.ObservedState, a.RunningSince = workers.StateRunning, now.Add(-time.Duration(ran*10*float64(time.Second)))
-				return a
-			}
-			for _, r := range tc.before {
-				l.runTimes.TaskCompleted(start(r), now)
-			}
-			clear(m.Assignments)
-			for _, r := range tc.running {
-				start(r)
-			}
-			if tc.running == nil {
-				j.RunTimeLogs = nil // the quick ones would be over first
-				start(9)
-				start(9)
-			}
-			l.drainStragglers(now)
-			if m.Offer.Straggler != tc.slow {
-				t.Errorf("slow: %v, odds %.1f", m.Offer.Straggler, l.runTimes.StragglerLogOdds(m, now))
-			}
-		})
+// The leader marks a machine that the estimator finds slow, so that no more work is placed on it.
+func TestStragglersAreMarked(t *testing.T) {
+	for _, slow := range []bool{false, true} {
+		l, m, j, now := bench()
+		for range 25 {
+			j.RecordRunTime(math.Log(10))
+		}
+		a := j.Assignments[0]
+		if a.ObservedState, a.RunningSince = workers.StateRunning, now.Add(-time.Second); slow {
+			a.RunningSince = now.Add(-time.Hour)
+		}
+		l.drainStragglers(now)
+		if m.Offer.Straggler != slow {
+			t.Errorf("slow: %v, odds %.1f", m.Offer.Straggler, l.runTimes.StragglerLogOdds(m, now))
+		}
 	}
 }
 
@@ -374,37 +341,6 @@
 	return nil, r.Context().Err()
 })
 
-// A zone that is cut off has orders time out by the hundred. They must not keep
-// the orders waiting that can arrive.
-func TestOrdersThatCanArriveGoFirst(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		l, m, _, _ := bench()
-		now := time.Now()
-		l.dispatcher.Client = workers.NewClient(silent, time.Minute)
-		l.Derived.Host.CommandsInFlight = 4
-		l.inbox.events = make(chan func(time.Time), 64)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		for i := range 20 {
-			lost := cluster.NewMachine(fmt.Sprint("m-9", i), now)
-			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
-			l.dispatcher.Notify(lost) // from an earlier leader's records: it has not reported to this one
-		}
-		l.dispatcher.Send(ctx, now)
-		if l.dispatcher.InFlight() != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", l.dispatcher.InFlight())
-		}
-		m.Worker.LeaseUntil = now.Add(time.Hour)
-		l.dispatcher.Notify(m)
-		l.dispatcher.Send(ctx, now)
-		if !m.Commands.OrderInFlight {
-			t.Error("a machine that reports waits behind those that do not")
-		}
-		cancel()
-		synctest.Wait()
-	})
-}
-
 // A leader that stood still for longer than its term must not act on what it
 // finds when it goes on: all machines look idle for long, while the next leader
 // has work on them. It gave a hundred of them back.
@@ -523,33 +459,6 @@
 	}
 }
 
-// A job whose tasks are stopped again soon after they start has got nothing: it
-// would wait for ever if each of them began its wait anew.
-func TestStartsThatDoNotLast(t *testing.T) {
-	l, _, j, now := bench()
-	l.answerHeartbeat(report(1, 2), now)
-	task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
-	late := now.Add(l.Derived.Leader.StarvationLimit)
-	l.jobs.Loaded(late, l.jobs.SeenRevision())
-	l.answerHeartbeat(report(1, 3, task), late)
-	a := j.Assignments[0]
-	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
-		t.Errorf("with a task that has just begun: %d go first", n)
-	}
-	a.Overdue = true
-	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 0 {
-		t.Errorf("with one ahead already: %d go first", n)
-	}
-	l.tasks.Stop(a, 5)
-	if n := l.planner.StarvedTasks(j, late.Add(time.Second)); n != 1 {
-		t.Errorf("when it has to stop again: %d go first", n)
-	}
-	a.Stop.Requested = false
-	if n := l.planner.StarvedTasks(j, late.Add(l.Derived.Leader.CountedRunTime+time.Second)); n != 0 {
-		t.Errorf("with a task that has lasted: %d go first", n)
-	}
-}
-
 // The answer to an order tells of a worker's next session before its old lease is over by
 // the leader's clock: the last report was long under way. What begins in the new session
 // is not taken for lost with the old one, or it would run twice. (Found by TestTroublesMeet,
--- /dev/null
+++ b/internal/leader/planner/priority_test.go
@@ -0,0 +1,39 @@
+package planner
+
+import (
+	"testing"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/runtimes"
+	"ospreyslip/internal/workers"
+)
+
+// A job whose tasks are stopped again soon after they start has got nothing: it
+// would wait for ever if each of them began its wait anew.
+func TestStartsThatDoNotLast(t *testing.T) {
+	accepted := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	config := Config{StarvationLimit: time.Minute, CountedRunTime: 10 * time.Second}
+	p := New(config, cluster.NewState(), runtimes.NewEstimator(), nil, nil)
+	spec := &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}
+	job := cluster.NewJob("j-1", spec, 1, 0, accepted)
+	late := accepted.Add(config.StarvationLimit)
+	a := &cluster.Assignment{Job: job, Index: job.TakePendingTask(), ObservedState: workers.StateRunning, RunningSince: late}
+	job.Assignments[a.Index] = a
+	if n := p.StarvedTasks(job, late.Add(time.Second)); n != 1 {
+		t.Errorf("with a task that has just begun: %d go first", n)
+	}
+	a.Overdue = true
+	if n := p.StarvedTasks(job, late.Add(time.Second)); n != 0 {
+		t.Errorf("with one ahead already: %d go first", n)
+	}
+	a.Stop.Requested = true
+	if n := p.StarvedTasks(job, late.Add(time.Second)); n != 1 {
+		t.Errorf("when it has to stop again: %d go first", n)
+	}
+	a.Stop.Requested = false
+	if n := p.StarvedTasks(job, late.Add(config.CountedRunTime+time.Second)); n != 0 {
+		t.Errorf("with a task that has lasted: %d go first", n)
+	}
+}
