--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -1,10 +1,14 @@
 package assignmentlog
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
+	"github.com/google/go-cmp/cmp"
+
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/cluster"
 	"ospreyslip/internal/leader/transaction"
 )
@@ -45,3 +49,41 @@
 		t.Errorf("%d segments for %d beginnings", len(b.Writes), len(begins))
 	}
 }
+
+func TestLoadOrdersSegmentsAndLeavesNoGapInTheKeys(t *testing.T) {
+	log, order, keys := New(testConfig), []string{}, map[string]bool{}
+	for _, segment := range log.Load(testConfig, []kvstore.KeyValue{
+		{Key: "book/0", Value: []byte(`{"number":12}`)}, {Key: "book/3", Value: []byte(`{"number":10}`)}, {Key: "book/1", Value: []byte(`{"number":11}`)},
+	}) {
+		order = append(order, segment.Key)
+	}
+	if d := cmp.Diff([]string{"book/3", "book/1", "book/0"}, order); d != "" {
+		t.Errorf("in the order of their numbers: %s", d)
+	}
+	for _, segment := range log.Segments() {
+		keys[segment.Key] = true
+	}
+	for i := range minSegments {
+		if !keys[fmt.Sprint(Prefix, i)] {
+			t.Errorf("of %d segments, none is called %d", len(keys), i)
+		}
+	}
+}
+
+func TestFailedBatchIsQueuedAgain(t *testing.T) {
+	log := New(testConfig)
+	begins := queueBegins(t, log, 3)
+	failed := compose(log)
+	failed.Failed()
+	if log.QueueLength() != len(begins) || log.TakeEvents() != nil {
+		t.Errorf("%d queued after the failure, want %d", log.QueueLength(), len(begins))
+	}
+	retry := compose(log)
+	if d := cmp.Diff(failed.Writes, retry.Writes); d != "" {
+		t.Errorf("the same is not written again: %s", d)
+	}
+	retry.Committed(7)
+	if events := log.TakeEvents(); len(events) != len(begins) || events[0] != (Event{BeginDurable, begins[0]}) || log.HasWork() {
+		t.Errorf("durable: %+v, work left: %v", events, log.HasWork())
+	}
+}
--- /dev/null
+++ b/internal/leader/cluster/job_test.go
@@ -0,0 +1,65 @@
+package cluster
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ospreyslip/internal/jobs"
+)
+
+func newTestJob(tasks int) *Job {
+	return NewJob("j-1", &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Tasks: tasks}, 1, 0, time.Time{})
+}
+
+func TestRequeuedTasksGoFirst(t *testing.T) {
+	job := newTestJob(5)
+	job.MarkTaskDone(1)
+	job.RestoreAssignment(&Assignment{Job: job, Index: 2})
+	taken := []int{job.TakePendingTask(), job.TakePendingTask()}
+	job.RequeueTask(0)
+	taken = append(taken, job.TakePendingTask(), job.TakePendingTask())
+	if d := cmp.Diff([]int{0, 3, 0, 4}, taken); d != "" || job.Pending.Count != 0 {
+		t.Errorf("%d pending, taken: %s", job.Pending.Count, d)
+	}
+}
+
+func TestTaskWithDuplicatesIsOffOnlyAfterTheLast(t *testing.T) {
+	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 2, 0}} {
+		job, restored := newTestJob(1), []*Assignment{{}, {}, {}}
+		for _, a := range restored {
+			job.RestoreAssignment(a)
+		}
+		for i, n := range order {
+			if off := job.RemoveAssignment(restored[n]); off != (i == 2) || off != (job.Assignments[0] == nil) {
+				t.Errorf("order %v: off all machines after %d: %v", order, i+1, off)
+			}
+		}
+	}
+}
+
+func TestEncodedChunksDecodeToTheSameTasks(t *testing.T) {
+	for _, tc := range []struct {
+		done    []int
+		encoded []string // by chunk
+	}{
+		{nil, []string{"", ""}},
+		{[]int{0, 63}, []string{"AQAAAAAAAIA=", ""}},
+		{[]int{9, 64, 99}, []string{"AAI=", "AQAAAAg="}},
+	} {
+		job, decoded := newTestJob(100), newTestJob(100)
+		for _, index := range tc.done {
+			job.MarkTaskDone(index)
+		}
+		for chunk, want := range tc.encoded {
+			got := job.EncodeChunk(chunk, 64)
+			if err := decoded.DecodeChunk(chunk, 64, got); err != nil || got != want {
+				t.Errorf("%v: chunk %d is %q, want %q; %v", tc.done, chunk, got, want, err)
+			}
+		}
+		if d := cmp.Diff(job.Completions.bits, decoded.Completions.bits); d != "" || decoded.Completions.Count != len(tc.done) {
+			t.Errorf("%v: %d decoded: %s", tc.done, decoded.Completions.Count, d)
+		}
+	}
+}
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -82,3 +83,26 @@
 		t.Errorf("token %d, of an earlier term", got)
 	}
 }
+
+func TestCommandsInDoubtAskForARaise(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		token  uint64 // of the order that got no answer
+		after  time.Duration
+		raises bool
+	}{
+		{"not for long", 5, 2 * time.Second, false},
+		{"for long", 5, 3 * time.Second, true},
+		{"refused under the present token", 4, 3 * time.Second, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+			machine, a := s.addMachine("m-1")
+			request := workers.CommandRequest{FencingToken: tc.token, AgentEpoch: 1, Commands: s.CommandsFor(machine, false)}
+			s.returned(machine, request, response{err: context.DeadlineExceeded}, s.now)
+			if s.ResolveInDoubt(s.now.Add(tc.after)); s.Fencing.RaisePending != tc.raises || a.Start.InDoubtToken != tc.token {
+				t.Errorf("raise pending: %v, in doubt under token %d", s.Fencing.RaisePending, a.Start.InDoubtToken)
+			}
+		})
+	}
+}
