--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -16,7 +16,7 @@
 // cancelled job. Of the others, those that have not reported after a report period get
 // one as well, whatever that costs: a worker may reach no controller by itself.
 func TestAnnouncedAtTakeOver(t *testing.T) {
-	l, reports, now := fleetOf(t, 12) // of each machine, one task takes all CPUs
+	l, reports, now := newFullFleet(t, 12) // of each machine, one task takes all CPUs
 	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimatedRuntimeS: 30}
 	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
@@ -29,7 +29,7 @@
 
 	// The record of a cancelled job has no description, so that it is not among the jobs.
 	spec, live := *l.state.Jobs["j-7"].Spec, *small
-	next := successor(l, written(l), now, &spec, &live)
+	next := newSuccessor(l, writeLog(l), now, &spec, &live)
 	seen := map[string]bool{}
 	notifyPending := func() (ids []string) {
 		for _, m := range next.state.Machines.All {
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -20,13 +20,14 @@
 	"ospreyslip/internal/liveness"
 )
 
-// segmentStore is a state service that holds segments, and checks what it is given.
+// segmentStore is a key-value store that holds segments of the assignment log, and fails the test
+// if a transaction exceeds its limits.
 type segmentStore struct {
-	t     *testing.T
-	keys  map[string]kvstore.KeyValue
-	rev   uint64
-	value int // bytes
-	ops   int
+	t             *testing.T
+	keys          map[string]kvstore.KeyValue
+	revision      uint64 // of the last transaction
+	maxValueBytes int
+	maxOps        int // writes in a transaction
 }
 
 // apply carries out a transaction, or returns the guards that failed.
@@ -39,19 +40,20 @@
 	if len(failed) > 0 {
 		return failed
 	}
-	if len(b.Writes) > s.ops {
-		s.t.Fatalf("%d writes in a transaction, %d are allowed", len(b.Writes), s.ops)
+	if len(b.Writes) > s.maxOps {
+		s.t.Fatalf("%d writes in a transaction, %d are allowed", len(b.Writes), s.maxOps)
 	}
-	s.rev++
+	s.revision++
 	for _, w := range b.Writes {
-		if len(w.Value) > s.value {
-			s.t.Fatalf("%s is written with %d bytes, %d are allowed", w.Set, len(w.Value), s.value)
+		if len(w.Value) > s.maxValueBytes {
+			s.t.Fatalf("%s is written with %d bytes, %d are allowed", w.Set, len(w.Value), s.maxValueBytes)
 		}
-		s.keys[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: s.rev}
+		s.keys[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: s.revision}
 	}
 	return nil
 }
 
+// pairs returns all segments, in no order.
 func (s *segmentStore) pairs() (out []kvstore.KeyValue) {
 	for _, p := range s.keys {
 		out = append(out, p)
@@ -59,15 +61,16 @@
 	return out
 }
 
-// logLeader is a leader that reads the log from the segments, with the jobs given.
-func logLeader(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
-	l, m, _, now := bench()
+// newLeaderFromLog makes a leader under a token that has read the stored segments, with the given
+// jobs and the limits of the store.
+func newLeaderFromLog(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
+	l, m, _, now := newTestLeader()
 	l.tasks.EndAllOn(m, "not of this test")
 	l.state.Jobs, l.state.Machines, l.planner.Capacity = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.catalog.Type)
 	*l.detector = *liveness.New(liveness.Config{})
 	l.fencing.Current = token
 	*l.tasks = *tasks.NewManager(l.tasks.Deps, token<<24)
-	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.value, s.ops
+	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.maxValueBytes, s.maxOps
 	l.writer = writer.New(l.writerDeps())
 	for i, spec := range specs {
 		l.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
@@ -76,9 +79,9 @@
 	return l
 }
 
-// durable is what a leader knows to be in the log: what is on machines, and what
-// is done.
-func (l *Leader) durable() (out []string) {
+// durableRecords describes what a leader knows to be in the assignment log, sorted: the durable
+// assignments, and the completions of tasks.
+func durableRecords(l *Leader) (out []string) {
 	for _, m := range l.state.Machines.All {
 		for _, a := range m.Assignments {
 			if a.Log.Durable {
@@ -101,35 +104,35 @@
 // Whatever the history, the sizes of segments, old and new, and the fate of single
 // transactions: a new leader finds what was durable, no end undone and nothing lost,
 // after each of them.
-func TestBookOverMixedPages(t *testing.T) {
+func TestLogOverMixedSegmentSizes(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			quiet(t)
+			discardLogs(t)
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, value: 32 << 10, ops: 12}
+			s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 32 << 10, maxOps: 12}
 			specs := []*jobs.Spec{
 				{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 3000, CPUs: 1},
 				{ID: "j-2", Team: "red", Shape: jobs.Service, Tasks: 900, CPUs: 1},
 				{ID: "j-3", Team: "red", Shape: jobs.Gang, Tasks: 200, CPUs: 1},
 			}
-			l := logLeader(s, 1, specs)
+			l := newLeaderFromLog(s, 1, specs)
 			token := uint64(1)
 			for step := range 240 {
 				if step == 60 {
 					// As production wrote them, the segments are full by now. The limits fall.
-					s.value, s.ops = 2<<10, 4
+					s.maxValueBytes, s.maxOps = 2<<10, 4
 					token++
-					l = logLeader(s, token, specs)
+					l = newLeaderFromLog(s, token, specs)
 				}
-				l.stir(rnd)
+				startAndEndTasks(l, rnd)
 				if step < 60 {
-					l.stir(rnd)
+					startAndEndTasks(l, rnd)
 				}
 				b := l.writer.Compose()
 				if len(b.Writes) == 0 {
 					continue
 				}
-				before := l.durable()
+				before := durableRecords(l)
 				for i := range len(s.keys) {
 					if _, ok := s.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
 						t.Fatalf("step %d: of %d segments, none is called %d", step, len(s.keys), i)
@@ -141,7 +144,7 @@
 					l.log.MarkOutcomeUnknown()
 					if rnd.IntN(2) == 0 { // and so is the leader
 						token++
-						l = logLeader(s, token, specs)
+						l = newLeaderFromLog(s, token, specs)
 					}
 				case len(failed) > 0:
 					b.Failed()
@@ -149,15 +152,15 @@
 						l.writer.ApplyConflict(b, key, s.keys[key])
 					}
 				default:
-					l.writer.Committed(b, s.rev)
+					l.writer.Committed(b, s.revision)
 					before = nil
 				}
 				if before == nil && (step < 3 || step%5 == 0 || step > 60 && step < 70) {
-					if d := cmp.Diff(l.durable(), asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks)); d != "" {
+					if d := cmp.Diff(durableRecords(l), readAsVersion030(t, s.pairs(), l.Derived.Store.ChunkTasks)); d != "" {
 						t.Fatalf("step %d, what production reads: %s", step, d)
 					}
-					next := logLeader(s, token+1, specs)
-					if d := cmp.Diff(l.durable(), next.durable()); d != "" {
+					next := newLeaderFromLog(s, token+1, specs)
+					if d := cmp.Diff(durableRecords(l), durableRecords(next)); d != "" {
 						t.Fatalf("step %d, what the next leader reads: %s", step, d)
 					}
 					for _, a := range next.state.Jobs["j-3"].Assignments {
@@ -171,8 +174,8 @@
 	}
 }
 
-// stir lets some tasks begin and end.
-func (l *Leader) stir(rnd *rand.Rand) {
+// startAndEndTasks assigns some tasks to machines and ends some assignments, drawn at random.
+func startAndEndTasks(l *Leader, rnd *rand.Rand) {
 	now := time.Now()
 	for range rnd.IntN(12) {
 		id := fmt.Sprintf("m-%06d", rnd.IntN(200))
@@ -189,7 +192,7 @@
 			}
 		}
 	}
-	for _, id := range sortedMachines(l) {
+	for _, id := range sortedMachineIDs(l) {
 		m := l.state.Machines.ByID[id]
 		for _, attempt := range cluster.SortedAttempts(m.Assignments) {
 			if a := m.Assignments[attempt]; a.Log.Durable && a.Outcome == cluster.Open && rnd.IntN(60) == 0 {
@@ -203,7 +206,8 @@
 	}
 }
 
-func sortedMachines(l *Leader) (ids []string) {
+// sortedMachineIDs returns the ids of all machines, so that a draw from them can be repeated.
+func sortedMachineIDs(l *Leader) (ids []string) {
 	for id := range l.state.Machines.ByID {
 		ids = append(ids, id)
 	}
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -42,7 +42,7 @@
 
 // A transaction writes no more segments than its news need: with each segment that it
 // drafted, the log once seemed to wait for one more.
-func TestPagesByNeed(t *testing.T) {
+func TestSegmentsByNeed(t *testing.T) {
 	log := New(testConfig)
 	begins := queueBegins(t, log, 3)
 	if b := compose(log); len(b.Writes) != 1 {
--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -12,7 +12,7 @@
 
 // A zone that is cut off has orders time out by the hundred. They must not keep
 // the orders waiting that can arrive.
-func TestOrdersThatCanArriveGoFirst(t *testing.T) {
+func TestCommandsThatCanArriveGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		s := newScenario(t, now)
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -15,7 +15,7 @@
 // production at once, for a class with an aim to start or a guarantee when half of that time is
 // over, and else when the machines are late.
 func TestPreemptionInATakeover(t *testing.T) {
-	l, _, _, now := bench()
+	l, _, _, now := newTestLeader()
 	l.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "web", WithinS: 2}, {Kind: "guarantee", WithinS: 6},
 	}
@@ -73,8 +73,8 @@
 // A new leader's take-over is settled when the machines that its records name have reported or
 // their leases are over. What runs as stored is told nothing; what is gone is begun elsewhere.
 func TestTakeoverIsFollowed(t *testing.T) {
-	l, reports, now := fleetOf(t, 4)
-	next := successor(l, written(l), now, l.state.Jobs["j-7"].Spec)
+	l, reports, now := newFullFleet(t, 4)
+	next := newSuccessor(l, writeLog(l), now, l.state.Jobs["j-7"].Spec)
 	next.failover.RecordsLoaded(now)
 	for i, r := range reports[:3] {
 		r.FencingToken = 6
--- a/internal/leader/gangs_test.go
+++ b/internal/leader/gangs_test.go
@@ -14,17 +14,17 @@
 	"ospreyslip/internal/workers"
 )
 
-// withGang is a leader with two machines and a gang of three: two tasks on the
-// first machine, one on the second.
-func withGang() (l *Leader, j *cluster.Job, now time.Time) {
-	l, m, old, now := bench()
+// newLeaderWithGang makes a leader with two machines and a gang of three: two tasks are assigned
+// to the first machine, one to the second, and nothing is durable yet.
+func newLeaderWithGang() (l *Leader, j *cluster.Job, now time.Time) {
+	l, m, old, now := newTestLeader()
 	for _, a := range m.Assignments {
 		l.tasks.End(a, cluster.Retry)
 		l.tasks.Remove(a)
 	}
 	delete(l.state.Jobs, old.ID)
 	l.readLog(nil)
-	other := report(1, 1)
+	other := newHeartbeat(1, 1)
 	other.Machine = "m-2"
 	l.answerHeartbeat(other, now)
 	j = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimatedRuntimeS: 30, CheckpointIntervalS: 10, CheckpointSaveS: 3, OneZone: true}, 1, 0, now)
@@ -37,8 +37,9 @@
 	return l, j, now
 }
 
-// write makes the beginnings of some tasks durable.
-func (l *Leader) write(j *cluster.Job, tasks ...int) {
+// makeBeginsDurable makes the assignments of some tasks of a job durable, as if they had been
+// written to a segment of their own, and drops whatever else is queued for the log.
+func makeBeginsDurable(l *Leader, j *cluster.Job, tasks ...int) {
 	l.readLog(nil) // drops what is queued
 	segment := l.log.Segments()[len(l.log.Segments())-1-len(tasks)]
 	segment.Revision = 1
@@ -50,54 +51,57 @@
 	}
 }
 
-var seq uint64 = 10
+// lastHeartbeatSeq numbers the heartbeats of commandsAfterHeartbeat.
+var lastHeartbeatSeq uint64 = 10
 
-// says lets a machine report the gang's tasks, in the order of their numbers.
-func (l *Leader) says(machine string, j *cluster.Job, now time.Time, tasks ...workers.TaskStatus) []string {
-	seq++
-	r := report(1, seq, tasks...)
+// commandsAfterHeartbeat sends the leader the next heartbeat of a machine, with the tasks that its
+// worker shows, and describes the commands in the answer, sorted.
+func commandsAfterHeartbeat(l *Leader, machine string, now time.Time, tasks ...workers.TaskStatus) []string {
+	lastHeartbeatSeq++
+	r := newHeartbeat(1, lastHeartbeatSeq, tasks...)
 	r.Machine = machine
 	answer := l.answerHeartbeat(r, now)
 	if answer == nil {
 		return []string{"no answer"}
 	}
-	got := ops(answer.Commands)
+	got := describeCommands(answer.Commands)
 	slices.Sort(got)
 	return got
 }
 
-func gangTask(j *cluster.Job, n int, state, cause string) workers.TaskStatus {
+// gangTaskStatus is a task of a gang as its worker shows it.
+func gangTaskStatus(j *cluster.Job, n int, state, cause string) workers.TaskStatus {
 	return workers.TaskStatus{Name: workers.TaskName(j.ID, n), Attempt: j.Assignments[n].GangAttempt, State: state, Cause: cause}
 }
 
 // No task of a gang is sent before all beginnings are durable. All have the same
 // number, so that two on one machine are told apart by their names.
 func TestGangGoesTogether(t *testing.T) {
-	l, j, now := withGang()
-	l.write(j, 0, 2)
-	if d := cmp.Diff([]string(nil), l.says("m-1", j, now)); d != "" {
+	l, j, now := newLeaderWithGang()
+	makeBeginsDurable(l, j, 0, 2)
+	if d := cmp.Diff([]string(nil), commandsAfterHeartbeat(l, "m-1", now)); d != "" {
 		t.Errorf("before all were written: %s", d)
 	}
-	l.write(j, 1)
-	if d := cmp.Diff([]string{"run j-2/0", "run j-2/1"}, l.says("m-1", j, now)); d != "" {
+	makeBeginsDurable(l, j, 1)
+	if d := cmp.Diff([]string{"run j-2/0", "run j-2/1"}, commandsAfterHeartbeat(l, "m-1", now)); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]string{"run j-2/2"}, l.says("m-2", j, now)); d != "" {
+	if d := cmp.Diff([]string{"run j-2/2"}, commandsAfterHeartbeat(l, "m-2", now)); d != "" {
 		t.Error(d)
 	}
 	if a, b := j.Assignments[0], j.Assignments[1]; a.Attempt == b.Attempt || a.GangAttempt != b.GangAttempt || a.GangAttempt == a.Attempt {
 		t.Errorf("attempts %d and %d of gang %d and %d", a.Attempt, b.Attempt, a.GangAttempt, b.GangAttempt)
 	}
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateFetching, ""))
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 1, workers.StateFetching, ""))
 	if a, b := j.Assignments[0], j.Assignments[1]; a.ObservedState != workers.StateGathering || b.ObservedState != workers.StateFetching {
 		t.Errorf("seen %q and %q", a.ObservedState, b.ObservedState)
 	}
 	// A mate that no one has put there, as by a copy of an order, has no part in it.
-	if d := cmp.Diff([]string{"stop j-2/0"}, l.says("m-2", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 2, workers.StateGathering, ""))); d != "" {
+	if d := cmp.Diff([]string{"stop j-2/0"}, commandsAfterHeartbeat(l, "m-2", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 2, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
 	// One of the two ends: the other is still there.
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseNoRoom), gangTask(j, 1, workers.StateFetching, ""))
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateEnded, workers.CauseNoRoom), gangTaskStatus(j, 1, workers.StateFetching, ""))
 	if j.Assignments[0].Outcome != cluster.Retry || j.Assignments[1].Outcome != cluster.Open {
 		t.Error("an end was taken for that of another task")
 	}
@@ -106,14 +110,14 @@
 // When one is lost, the others are told to stop at once, and nothing begins before
 // the last of them is off and its end durable.
 func TestGangEndsTogether(t *testing.T) {
-	l, j, now := withGang()
-	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now)
-	l.says("m-2", j, now)
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
-	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
+	l, j, now := newLeaderWithGang()
+	makeBeginsDurable(l, j, 0, 1, 2)
+	commandsAfterHeartbeat(l, "m-1", now)
+	commandsAfterHeartbeat(l, "m-2", now)
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateRunning, ""), gangTaskStatus(j, 1, workers.StateRunning, ""))
+	commandsAfterHeartbeat(l, "m-2", now, gangTaskStatus(j, 2, workers.StateRunning, ""))
 	l.tasks.EndAllOn(l.state.Machines.ByID["m-2"], "its lease is over")
-	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
+	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateRunning, ""), gangTaskStatus(j, 1, workers.StateRunning, ""))); d != "" {
 		t.Error(d)
 	}
 	l.tasks.Remove(j.Assignments[2])
@@ -123,7 +127,7 @@
 		t.Error("a task was begun while the others may still run")
 	}
 	first := j.Assignments[0].GangAttempt
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateEnded, workers.CauseMatesGone))
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTaskStatus(j, 1, workers.StateEnded, workers.CauseMatesGone))
 	l.tasks.Remove(j.Assignments[0])
 	l.plan(now)
 	if len(j.Assignments) != 1 {
@@ -138,11 +142,11 @@
 // A machine that does not answer is given up while a gang gathers: its mates would
 // hold their room until the workers give up waiting.
 func TestGangGathersNoMore(t *testing.T) {
-	l, j, now := withGang()
-	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))
+	l, j, now := newLeaderWithGang()
+	makeBeginsDurable(l, j, 0, 1, 2)
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 1, workers.StateGathering, ""))
 	l.declareDead(t.Context(), l.state.Machines.ByID["m-2"], liveness.ProbeFailed, now)
-	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateGathering, ""), gangTask(j, 1, workers.StateGathering, ""))); d != "" {
+	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 1, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
 }
@@ -150,16 +154,16 @@
 // If one is done, all are: also when the end of another, by the loss of its mates,
 // came first, and whatever becomes of the rest.
 func TestGangDone(t *testing.T) {
-	l, j, now := withGang()
-	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
-	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTask(j, 1, workers.StateRunning, ""))
+	l, j, now := newLeaderWithGang()
+	makeBeginsDurable(l, j, 0, 1, 2)
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateRunning, ""), gangTaskStatus(j, 1, workers.StateRunning, ""))
+	commandsAfterHeartbeat(l, "m-2", now, gangTaskStatus(j, 2, workers.StateRunning, ""))
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateEnded, workers.CauseMatesGone), gangTaskStatus(j, 1, workers.StateRunning, ""))
 	if j.Completions.Count != 0 || j.End.Complete {
 		t.Fatal("done by a loss")
 	}
-	done := gangTask(j, 2, workers.StateEnded, workers.CauseDone)
-	if d := cmp.Diff([]string(nil), l.says("m-2", j, now, done)); d != "" {
+	done := gangTaskStatus(j, 2, workers.StateEnded, workers.CauseDone)
+	if d := cmp.Diff([]string(nil), commandsAfterHeartbeat(l, "m-2", now, done)); d != "" {
 		t.Errorf("before the job's end is durable: %s", d)
 	}
 	if j.Completions.Count != 3 || !j.End.Complete || l.jobs.CompletedCount() != 1 {
@@ -174,13 +178,13 @@
 // A gang that is stopped to save runs on in its reports until all have saved: its
 // machine hears all the same.
 func TestGangSaves(t *testing.T) {
-	l, j, now := withGang()
-	l.write(j, 0, 1, 2)
-	l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))
-	l.says("m-2", j, now, gangTask(j, 2, workers.StateRunning, ""))
+	l, j, now := newLeaderWithGang()
+	makeBeginsDurable(l, j, 0, 1, 2)
+	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateRunning, ""), gangTaskStatus(j, 1, workers.StateRunning, ""))
+	commandsAfterHeartbeat(l, "m-2", now, gangTaskStatus(j, 2, workers.StateRunning, ""))
 	l.tasks.Stop(j.Assignments[1], 3)
 	for range dispatch.MaxUndelivered + 2 {
-		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, l.says("m-1", j, now, gangTask(j, 0, workers.StateRunning, ""), gangTask(j, 1, workers.StateRunning, ""))); d != "" {
+		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateRunning, ""), gangTaskStatus(j, 1, workers.StateRunning, ""))); d != "" {
 			t.Fatal(d)
 		}
 	}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -39,8 +39,10 @@
 	return peer.LostJobsResponse{}, peer.ErrNoResponse
 }
 
-// bench is a leader with one machine and one job of two tasks, and no duties.
-func bench() (*Leader, *cluster.Machine, *cluster.Job, time.Time) {
+// newTestLeader makes a leader of a term with token 5, with a machine m-1 that has reported and a
+// job j-1 of two tasks, the first of which is durably assigned to the machine. No goroutine of the
+// leader runs, and its cloud and key-value store do not answer.
+func newTestLeader() (*Leader, *cluster.Machine, *cluster.Job, time.Time) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
 		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40},
@@ -50,7 +52,7 @@
 	l := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
 		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
-		Cloud: cloud.NewClient("cloud:1", silent, time.Minute, 10),
+		Cloud: cloud.NewClient("cloud:1", silentNetwork, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
 	l.jobs.Loaded(now, l.jobs.SeenRevision())
@@ -58,7 +60,7 @@
 	*l.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	l.state.Jobs["j-1"] = j
-	l.answerHeartbeat(report(1, 1), now)
+	l.answerHeartbeat(newHeartbeat(1, 1), now)
 	m := l.state.Machines.ByID["m-1"]
 	l.tasks.Assign(j, j.TakePendingTask(), m, now)
 	for _, a := range m.Assignments {
@@ -67,13 +69,13 @@
 	return l, m, j, now
 }
 
-// readLog begins the log anew with stored segments.
+// readLog begins the assignment log anew with stored segments, and drops what is queued for it.
 func (l *Leader) readLog(stored []kvstore.KeyValue) []assignmentlog.StoredSegment {
 	return l.log.Load(logConfig(l.Derived), stored)
 }
 
-// restoreMachine takes in a machine of which the log has no task any more.
-func (l *Leader) restoreMachine(t *testing.T, record assignmentlog.MachineRecord, now time.Time) {
+// restoreMachine has the leader restore a machine from a segment of the assignment log.
+func restoreMachine(t *testing.T, l *Leader, record assignmentlog.MachineRecord, now time.Time) {
 	t.Helper()
 	value, err := json.Marshal(assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{record}})
 	if err != nil {
@@ -83,11 +85,13 @@
 	l.loader().Restore(l.readLog(stored), nil, now)
 }
 
-func report(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
+// newHeartbeat is a heartbeat of machine m-1 in a session of its worker, under the term's token.
+func newHeartbeat(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
 	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: 5, Tasks: tasks}
 }
 
-func ops(calls []workers.Command) (out []string) {
+// describeCommands returns the operation and the task of each command.
+func describeCommands(calls []workers.Command) (out []string) {
 	for _, c := range calls {
 		out = append(out, c.Op+" "+c.Task)
 	}
@@ -98,14 +102,14 @@
 // task is being stopped, and an old report that does not show it yet would have
 // it placed elsewhere while it is still saving.
 func TestOldReportsChangeNothing(t *testing.T) {
-	l, m, j, now := bench()
-	if d := cmp.Diff([]string{"run j-1/0"}, ops(l.answerHeartbeat(report(1, 2), now).Commands)); d != "" {
+	l, m, j, now := newTestLeader()
+	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(l.answerHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
 	}
-	l.answerHeartbeat(report(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.answerHeartbeat(newHeartbeat(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	l.tasks.Stop(j.Assignments[0], 5)
-	l.answerHeartbeat(report(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
-	l.answerHeartbeat(report(1, 3), now)
+	l.answerHeartbeat(newHeartbeat(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
+	l.answerHeartbeat(newHeartbeat(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
 		t.Error("an old report ended a task that is still saving")
 	}
@@ -113,8 +117,8 @@
 		t.Errorf("picture at %d, %v CPUs taken", m.Worker.Seq, m.Used.CPUs)
 	}
 	// A report of an earlier session says nothing at all.
-	l.answerHeartbeat(report(2, 1), now)
-	if l.answerHeartbeat(report(1, 9), now) != nil {
+	l.answerHeartbeat(newHeartbeat(2, 1), now)
+	if l.answerHeartbeat(newHeartbeat(1, 9), now) != nil {
 		t.Error("answered a session that is over")
 	}
 }
@@ -122,19 +126,19 @@
 // A task's end is cleared once its completion is durable, and in answers only:
 // a run in an answer that is still on its way could follow a clear sent by order.
 func TestClearFollowsTheRecord(t *testing.T) {
-	l, m, _, now := bench()
-	l.answerHeartbeat(report(1, 2), now)
+	l, m, _, now := newTestLeader()
+	l.answerHeartbeat(newHeartbeat(1, 2), now)
 	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
-	if calls := l.answerHeartbeat(report(1, 3, done), now).Commands; len(calls) > 0 {
-		t.Errorf("before the completion is durable: %v", ops(calls))
+	if calls := l.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(calls) > 0 {
+		t.Errorf("before the completion is durable: %v", describeCommands(calls))
 	}
 	for _, a := range m.Assignments {
 		l.tasks.Remove(a) // as after the write
 	}
 	if calls := l.dispatcher.CommandsFor(m, false); len(calls) > 0 {
-		t.Errorf("by order: %v", ops(calls))
+		t.Errorf("by order: %v", describeCommands(calls))
 	}
-	if d := cmp.Diff([]string{"clear j-1/0"}, ops(l.answerHeartbeat(report(1, 4, done), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(l.answerHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -143,9 +147,9 @@
 // is over, what is no job's task at all. A task of a job that nobody knows is left alone:
 // its record may have been lost.
 func TestUnassignedTasksAreStopped(t *testing.T) {
-	l, _, _, now := bench()
+	l, _, _, now := newTestLeader()
 	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
-	l.answerHeartbeat(report(1, 2), now)
+	l.answerHeartbeat(newHeartbeat(1, 2), now)
 	tasks := []workers.TaskStatus{
 		{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		{Name: "j-1/1", Attempt: 7, State: workers.StateRunning},
@@ -154,7 +158,7 @@
 		{Name: "j-9/3", Attempt: 10, State: workers.StateRunning},
 		{Name: "j-9/4", Attempt: 11, State: workers.StateEnded, Cause: workers.CauseDone},
 	}
-	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, ops(l.answerHeartbeat(report(1, 3, tasks...), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, describeCommands(l.answerHeartbeat(newHeartbeat(1, 3, tasks...), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -162,17 +166,17 @@
 // Who does not hold the term, has an old picture of users' wishes, or meets a
 // worker that has seen a higher token, has no right to answer.
 func TestNoRightToAnswer(t *testing.T) {
-	l, _, _, now := bench()
-	higher := report(1, 2)
+	l, _, _, now := newTestLeader()
+	higher := newHeartbeat(1, 2)
 	higher.FencingToken = 6
 	if l.answerHeartbeat(higher, now) != nil {
 		t.Error("answered under a lower token than the worker has seen")
 	}
-	if l.answerHeartbeat(report(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
+	if l.answerHeartbeat(newHeartbeat(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
 		t.Error("answered with a picture in which cancellations may be missing")
 	}
 	l.IsLeader = func() bool { return false }
-	if l.answerHeartbeat(report(1, 4), now) != nil {
+	if l.answerHeartbeat(newHeartbeat(1, 4), now) != nil {
 		t.Error("answered without the term")
 	}
 }
@@ -181,9 +185,9 @@
 // earlier one, at any time. It proves nothing: not that the machine is there, not
 // that a task is not.
 func TestReportsBeforeTheTerm(t *testing.T) {
-	l, m, j, now := bench()
-	l.answerHeartbeat(report(1, 2), now)
-	old := report(1, 9)
+	l, m, j, now := newTestLeader()
+	l.answerHeartbeat(newHeartbeat(1, 2), now)
+	old := newHeartbeat(1, 9)
 	old.FencingToken = 4
 	until := l.Derived.Detection.SuspectAfter + time.Second
 	if a := l.answerHeartbeat(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
@@ -196,7 +200,7 @@
 	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.detector.Schedulable("m-1", now.Add(until)) {
 		t.Error("an old report counted as news")
 	}
-	other := report(1, 3)
+	other := newHeartbeat(1, 3)
 	other.Machine, other.FencingToken = "m-2", 4
 	if l.answerHeartbeat(other, now); l.state.Machines.ByID["m-2"] != nil {
 		t.Error("a machine was taken in by an old report of it")
@@ -208,11 +212,11 @@
 // follows a change of leaders, such a task would outlast the time of its cancellation.
 // (Found on the bench: ran_cancelled, by 0.5.0 with leaders that changed every ten seconds.)
 func TestOldReportsOfCancelledTasks(t *testing.T) {
-	l, m, j, now := bench()
+	l, m, j, now := newTestLeader()
 	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
 	l.state.Jobs[live.ID] = live
 	l.jobs.Cancel(j, 9)
-	old := report(1, 9,
+	old := newHeartbeat(1, 9,
 		workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		workers.TaskStatus{Name: "j-1/1", Attempt: 102, State: workers.StateEnded, Cause: workers.CauseDone},
 		workers.TaskStatus{Name: "j-2/0", Attempt: 103, State: workers.StateRunning},
@@ -233,11 +237,11 @@
 // A machine that was judged dead comes back while the cloud does not take it back.
 // Were its reports answered, its tasks would run on, even those of cancelled jobs.
 func TestReturningMachinesAreNotAnswered(t *testing.T) {
-	l, m, _, now := bench()
-	l.answerHeartbeat(report(1, 2), now)
+	l, m, _, now := newTestLeader()
+	l.answerHeartbeat(newHeartbeat(1, 2), now)
 	lease := m.Worker.LeaseUntil
 	m.Phase = cluster.Releasing
-	if l.answerHeartbeat(report(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
+	if l.answerHeartbeat(newHeartbeat(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("its lease was renewed")
 	}
 }
@@ -245,13 +249,13 @@
 // A copy of a report that was answered renews no lease, wakes no dead machine
 // and sets no floor.
 func TestCopiesOfReports(t *testing.T) {
-	l, m, _, now := bench()
-	l.answerHeartbeat(report(1, 2), now)
-	l.answerHeartbeat(report(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l, m, _, now := newTestLeader()
+	l.answerHeartbeat(newHeartbeat(1, 2), now)
+	l.answerHeartbeat(newHeartbeat(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	lease := m.Worker.LeaseUntil
 	m.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
-		if l.answerHeartbeat(report(1, seq), now.Add(5*time.Second)) != nil {
+		if l.answerHeartbeat(newHeartbeat(1, seq), now.Add(5*time.Second)) != nil {
 			t.Errorf("a copy of report %d was answered", seq)
 		}
 	}
@@ -259,8 +263,8 @@
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
-	l.tasks.Observe(m, report(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if l.answerHeartbeat(report(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
+	l.tasks.Observe(m, newHeartbeat(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	if l.answerHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
 }
@@ -268,7 +272,7 @@
 // The leader marks a machine that the estimator finds slow, so that no more work is placed on it.
 func TestStragglersAreMarked(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		l, m, j, now := bench()
+		l, m, j, now := newTestLeader()
 		for range 25 {
 			j.RecordRunTime(math.Log(10))
 		}
@@ -286,10 +290,10 @@
 // Reports of a machine arrive, our answers do not: what they ask for never
 // happens. It must not look healthy for ever.
 func TestAnswersUnheeded(t *testing.T) {
-	l, m, _, now := bench()
+	l, m, _, now := newTestLeader()
 	for seq := uint64(2); seq < 2+dispatch.MaxUndelivered+1; seq++ {
-		if calls := l.answerHeartbeat(report(1, seq), now).Commands; len(calls) != 1 {
-			t.Fatalf("report %d: %v", seq, ops(calls))
+		if calls := l.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(calls) != 1 {
+			t.Fatalf("report %d: %v", seq, describeCommands(calls))
 		}
 	}
 	if l.usable(m, now) {
@@ -298,12 +302,12 @@
 	if calls, _ := l.detector.Tick(now, 1); len(calls) != 1 {
 		t.Error("it is not called")
 	}
-	l.probeReturned(m, report(1, 20), nil, now)
+	l.probeReturned(m, newHeartbeat(1, 20), nil, now)
 	if !l.usable(m, now) {
 		t.Error("it answers calls, but is given no work")
 	}
-	l.answerHeartbeat(report(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	l.answerHeartbeat(report(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.answerHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	l.answerHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if m.Commands.UndeliveredAnswers != 0 || !l.usable(m, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
@@ -312,15 +316,15 @@
 // What the cloud lists no more is mostly gone: it is called at once, unless it
 // has reported since the list was asked for, or never was in a list.
 func TestUnlistedMachinesAreCalled(t *testing.T) {
-	l, _, _, now := bench()
+	l, _, _, now := newTestLeader()
 	for _, id := range []string{"m-2", "m-3"} {
-		r := report(1, 1)
+		r := newHeartbeat(1, 1)
 		r.Machine = id
 		l.answerHeartbeat(r, now)
 	}
 	l.scaler.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
-	r := report(1, 2)
+	r := newHeartbeat(1, 2)
 	r.Machine = "m-2"
 	l.answerHeartbeat(r, asked.Add(time.Millisecond))
 	l.scaler.ApplyList(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
@@ -330,13 +334,13 @@
 	}
 }
 
-// roundTrip is a network as one function.
-type roundTrip func(*http.Request) (*http.Response, error)
+// roundTripFunc is a network as one function that answers requests.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// silent is a network on which nothing is answered.
-var silent = roundTrip(func(r *http.Request) (*http.Response, error) {
+// silentNetwork is one on which no request is answered.
+var silentNetwork = roundTripFunc(func(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 })
@@ -346,11 +350,11 @@
 // has work on them. It gave a hundred of them back.
 func TestStoodStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, m, j, now := bench()
+		l, m, j, now := newTestLeader()
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
 		l.catalog.Types = func() []jobs.MachineType { return types }
 		asked := 0
-		l.Cloud = cloud.NewClient("cloud", roundTrip(func(*http.Request) (*http.Response, error) {
+		l.Cloud = cloud.NewClient("cloud", roundTripFunc(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
@@ -380,16 +384,16 @@
 // to be planned for then: it found no room before, and nothing else may happen for
 // long. (Found with real processes: a job waited until the next one came.)
 func TestPlansWhenAMachineReports(t *testing.T) {
-	l, _, _, now := bench()
+	l, _, _, now := newTestLeader()
 	l.catalog.Types = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
-	l.restoreMachine(t, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
+	restoreMachine(t, l, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
 	l.plan(now)
 	if l.planner.Requested {
 		t.Fatal("a plan is wanted before anything has happened")
 	}
-	r := report(1, 7)
+	r := newHeartbeat(1, 7)
 	r.Machine = "m-9"
 	if l.answerHeartbeat(r, now); !l.planner.Requested {
 		t.Error("no plan when it takes work")
@@ -404,8 +408,8 @@
 // A transaction that is rejected as it is says nothing of an outage: planning goes on.
 func TestRejectedIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _, _, now := bench()
-		quiet(t)
+		l, _, _, now := newTestLeader()
+		discardLogs(t)
 		l.inbox.events = make(chan func(time.Time), 1)
 		l.writer.Returned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
@@ -436,12 +440,12 @@
 		{"a service", jobs.Service, 100, 10, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, m, j, now := bench()
+			l, m, j, now := newTestLeader()
 			j.Spec.EstimatedRuntimeS, j.Spec.Shape = 30, tc.shape
-			l.answerHeartbeat(report(1, 2), now)
+			l.answerHeartbeat(newHeartbeat(1, 2), now)
 			task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
-			l.answerHeartbeat(report(1, 3, task), now)
-			r := report(1, 4, task)
+			l.answerHeartbeat(newHeartbeat(1, 3, task), now)
+			r := newHeartbeat(1, 4, task)
 			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
 			l.jobs.Loaded(now, l.jobs.SeenRevision())
@@ -464,16 +468,16 @@
 // is not taken for lost with the old one, or it would run twice. (Found by TestTroublesMeet,
 // seed 1255.)
 func TestNewSessionSeenByAnOrder(t *testing.T) {
-	l, m, j, now := bench()
+	l, m, j, now := newTestLeader()
 	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	l.tasks.Observe(m, report(2, 1), at(19))
+	l.tasks.Observe(m, newHeartbeat(2, 1), at(19))
 	if old.Outcome == cluster.Open {
 		t.Fatal("the old session's task goes on")
 	}
 	a := l.tasks.Assign(j, 1, m, at(19.1))
 	a.Log.Durable, a.Start.Sent = true, true
-	l.tasks.Observe(m, report(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
+	l.tasks.Observe(m, newHeartbeat(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
 	l.expireLeases(at(21)) // by which the old lease is over, by any clock
 	if a.Outcome != cluster.Open {
 		t.Error("lost with the old lease, while the new session runs on")
@@ -488,7 +492,7 @@
 // comes in between (reports, new machines, new sessions), each lease ends in the first
 // tick after its time.
 func TestLeasesEndInTime(t *testing.T) {
-	l, _, _, start := bench()
+	l, _, _, start := newTestLeader()
 	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 	rnd := rand.New(rand.NewPCG(7, 0))
 	seq := uint64(100)
@@ -497,7 +501,7 @@
 		l.jobs.Loaded(now, l.jobs.SeenRevision())
 		if rnd.IntN(8) == 0 {
 			seq++
-			r := report(1, seq)
+			r := newHeartbeat(1, seq)
 			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.fencing.Current
 			if m := l.state.Machines.ByID[r.Machine]; m != nil {
 				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -28,7 +28,7 @@
 		{"unreadable", errors.New("unexpected end of JSON input"), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, m, _, now := bench()
+			l, m, _, now := newTestLeader()
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 1}, now)
 			now = now.Add(3 * time.Second) // m-1 is silent
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 2}, now)
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -22,10 +22,11 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// asProduction reads the book as version 0.3.0 does, which may lead at any time of
-// an upgrade: the order of pages, what overrules what, and the fields that it knows.
-func asProduction(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
-	type page struct {
+// readAsVersion030 reads the assignment log as version 0.3.0 does, which may lead at any time of
+// an upgrade: the order of segments, which of them overrule which, and the fields that it knows.
+// It describes what is on machines and what is done as durableRecords does.
+func readAsVersion030(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
+	type segmentRecord struct {
 		Number uint64
 		Begun  []struct {
 			M       string
@@ -43,29 +44,29 @@
 			B string
 		}
 	}
-	var pages []page
+	var segments []segmentRecord
 	for _, p := range pairs {
 		if !strings.HasPrefix(p.Key, "book/") {
 			continue
 		}
-		var pg page
-		if err := json.Unmarshal(p.Value, &pg); err != nil {
+		var segment segmentRecord
+		if err := json.Unmarshal(p.Value, &segment); err != nil {
 			t.Fatal(p.Key, err)
 		}
-		pages = append(pages, pg)
+		segments = append(segments, segment)
 	}
-	slices.SortFunc(pages, func(a, b page) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(segments, func(a, b segmentRecord) int { return cmp.Compare(a.Number, b.Number) })
 	here, done := map[uint64]string{}, map[string]bool{}
-	for _, p := range pages {
-		for _, b := range p.Begun {
+	for _, segment := range segments {
+		for _, b := range segment.Begun {
 			for _, tk := range b.Tasks {
 				here[tk.A] = fmt.Sprint(tk.J, "/", tk.N, " ", tk.A, " on ", b.M, " ", b.Session)
 			}
 		}
-		for _, a := range p.Over {
+		for _, a := range segment.Over {
 			delete(here, a)
 		}
-		for _, d := range p.Done {
+		for _, d := range segment.Done {
 			bits, err := base64.StdEncoding.DecodeString(d.B)
 			if err != nil {
 				t.Fatal(err)
@@ -87,9 +88,9 @@
 	return out
 }
 
-// kept reads the records that production wrote on a day with a lost leader, and
-// what was on machines at that moment.
-func kept(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
+// readProductionRecords reads the records that a production deployment wrote on a day on which it
+// lost its leader, the jobs in them, and what was on its machines at that moment.
+func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -122,47 +123,47 @@
 // What production wrote is read, and continued within the limits to come; what is
 // written then, production reads as it was meant.
 func TestContinuesProduction(t *testing.T) {
-	quiet(t)
-	pairs, specs, world := kept(t)
-	s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, value: 2 << 10, ops: 4}
+	discardLogs(t)
+	pairs, specs, world := readProductionRecords(t)
+	s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 2 << 10, maxOps: 4}
 	for _, p := range pairs {
 		if strings.HasPrefix(p.Key, assignmentlog.Prefix) {
 			s.keys[p.Key] = p
 		}
-		s.rev = max(s.rev, p.Revision)
+		s.revision = max(s.revision, p.Revision)
 	}
-	l := logLeader(s, 5, specs)
+	l := newLeaderFromLog(s, 5, specs)
 	for _, line := range world {
 		task, m, on := strings.Cut(line, " on ")
 		if a := l.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
 			t.Errorf("%s, and the book does not say so", line)
 		}
 	}
-	if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks), l.durable()); d != "" {
+	if d := gocmp.Diff(readAsVersion030(t, s.pairs(), l.Derived.Store.ChunkTasks), durableRecords(l)); d != "" {
 		t.Errorf("production reads it otherwise: %s", d)
 	}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for step := range 150 {
-		l.stir(rnd)
+		startAndEndTasks(l, rnd)
 		b := l.writer.Compose()
 		if failed := s.apply(b); len(failed) > 0 {
 			t.Fatal(failed)
 		}
-		l.writer.Committed(b, s.rev)
-		if d := gocmp.Diff(asProduction(t, s.pairs(), l.Derived.Store.ChunkTasks), l.durable()); d != "" {
+		l.writer.Committed(b, s.revision)
+		if d := gocmp.Diff(readAsVersion030(t, s.pairs(), l.Derived.Store.ChunkTasks), durableRecords(l)); d != "" {
 			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
 		}
 		if step%40 == 39 { // and leads for a while: its pages are as large as it likes
-			s.value, s.ops = 32<<10, 12
-			l = logLeader(s, uint64(6+step), specs)
+			s.maxValueBytes, s.maxOps = 32<<10, 12
+			l = newLeaderFromLog(s, uint64(6+step), specs)
 			for range 5 {
-				l.stir(rnd)
+				startAndEndTasks(l, rnd)
 				b := l.writer.Compose()
 				s.apply(b)
-				l.writer.Committed(b, s.rev)
+				l.writer.Committed(b, s.revision)
 			}
-			s.value, s.ops = 2<<10, 4
-			l = logLeader(s, uint64(7+step), specs)
+			s.maxValueBytes, s.maxOps = 2<<10, 4
+			l = newLeaderFromLog(s, uint64(7+step), specs)
 		}
 	}
 }
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -16,14 +16,14 @@
 	"ospreyslip/internal/workers"
 )
 
-// lostFleet is the number of machines of the test below.
-const lostFleet = 4000
+// lostFleetSize is the number of machines of the test below.
+const lostFleetSize = 4000
 
 // The assignment log of 4,000 machines is lost with the leader. The next one, which reads
 // the jobs and no task, adopts what each worker reports: nothing is stopped, nothing begun
 // meanwhile, and at the end of the leases all is accounted for.
 func TestAdoptionAtScale(t *testing.T) {
-	l, reports, now := fleetOf(t, lostFleet)
+	l, reports, now := newFullFleet(t, lostFleetSize)
 	spec := *l.state.Jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 	next.jobs.Loaded(now, next.jobs.SeenRevision())
@@ -50,8 +50,8 @@
 		}
 	}
 	t.Logf("%d reports with adoption: %v", len(reports), time.Since(began).Round(time.Millisecond))
-	if len(j.Assignments) != lostFleet || j.Pending.Count != spec.Tasks-lostFleet {
-		t.Errorf("%d of %d tasks adopted, %d wait", len(j.Assignments), lostFleet, j.Pending.Count)
+	if len(j.Assignments) != lostFleetSize || j.Pending.Count != spec.Tasks-lostFleetSize {
+		t.Errorf("%d of %d tasks adopted, %d wait", len(j.Assignments), lostFleetSize, j.Pending.Count)
 	}
 	next.recovery.EndAdoptions(now.Add(next.Derived.Workers.LeaseExpiry))
 	if next.recovery.Status().Adopting > 0 || j.Spec.Shape != jobs.Batch {
@@ -63,7 +63,7 @@
 // The task waits again only when both are off their machines, and then once.
 func TestTaskTwiceInALogWithAHole(t *testing.T) {
 	for _, firstEnds := range []int{0, 1} {
-		l, _, j, now := bench()
+		l, _, j, now := newTestLeader()
 		next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 		spec := *j.Spec
 		job := cluster.NewJob(j.ID, &spec, 1, 0, now)
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -22,21 +22,23 @@
 	"ospreyslip/internal/workers"
 )
 
-// largest is half as many machines again as the largest fleet that is served, some 4,000.
-const largest = 6000
+// largestFleet is half as many machines again as the largest fleet that is served, some 4,000.
+const largestFleet = 6000
 
-// quiet keeps the log of thousands of machines to itself.
-func quiet(tb testing.TB) {
+// discardLogs discards what is logged until the test ends: thousands of machines log much.
+func discardLogs(tb testing.TB) {
+	tb.Helper()
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	tb.Cleanup(func() { slog.SetDefault(old) })
 }
 
-// fleetOf is a leader with a fleet in which every machine runs one task that
-// fills it, and what each worker reports.
-func fleetOf(tb testing.TB, size int) (*Leader, []*workers.Heartbeat, time.Time) {
-	quiet(tb)
-	l, m, _, now := bench()
+// newFullFleet makes a leader with machines each of which runs one task that fills it, and the last
+// heartbeat of each worker.
+func newFullFleet(tb testing.TB, size int) (*Leader, []*workers.Heartbeat, time.Time) {
+	tb.Helper()
+	discardLogs(tb)
+	l, m, _, now := newTestLeader()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
 	l.MachineTypes = func() []jobs.MachineType { return types }
 	l.catalog.Types = l.MachineTypes
@@ -62,8 +64,8 @@
 	return l, reports, now
 }
 
-// again is a worker's next report, with nothing new in it.
-func again(l *Leader, r *workers.Heartbeat, now time.Time) {
+// repeatHeartbeat sends the leader a worker's next heartbeat, with nothing new in it.
+func repeatHeartbeat(l *Leader, r *workers.Heartbeat, now time.Time) {
 	r.Seq++
 	if a := l.answerHeartbeat(r, now); a == nil || len(a.Commands) != 0 {
 		panic("a report without news was not simply answered")
@@ -74,32 +76,32 @@
 // plan, no write and no order. Counted, not timed.
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
-		l, reports, now := fleetOf(t, size)
+		l, reports, now := newFullFleet(t, size)
 		l.planner.Requested = false
 		l.dispatcher = dispatch.New(l.dispatchDeps())
 		l.readLog(nil)
-		n := testing.AllocsPerRun(100, func() { again(l, reports[20], now) })
+		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, reports[20], now) })
 		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
 			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
 		}
 		return n
 	}
-	if few, many := cost(25), cost(largest); few != many {
-		t.Errorf("%v allocations a report in a fleet of 25, %v in one of %d", few, many, largest)
+	if few, many := cost(25), cost(largestFleet); few != many {
+		t.Errorf("%v allocations a report in a fleet of 25, %v in one of %d", few, many, largestFleet)
 	}
 }
 
 func BenchmarkReport(b *testing.B) {
-	l, reports, now := fleetOf(b, largest)
+	l, reports, now := newFullFleet(b, largestFleet)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		again(l, reports[i%len(reports)], now)
+		repeatHeartbeat(l, reports[i%len(reports)], now)
 	}
 }
 
 // BenchmarkPlan places one job's tasks that find no room, and one that does.
 func BenchmarkPlan(b *testing.B) {
-	l, reports, now := fleetOf(b, largest)
+	l, reports, now := newFullFleet(b, largestFleet)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 	l.answerHeartbeat(idle, now)
 	l.planner.Enqueue(l.state.Jobs["j-7"])
@@ -122,7 +124,7 @@
 
 // BenchmarkPlanFull plans for a hundred jobs that wait for room on full machines.
 func BenchmarkPlanFull(b *testing.B) {
-	l, _, now := fleetOf(b, 400)
+	l, _, now := newFullFleet(b, 400)
 	for i := range 100 {
 		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimatedRuntimeS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
 		j := cluster.NewJob(s.ID, s, uint64(i+2), 0, now)
@@ -138,7 +140,7 @@
 // BenchmarkPlanGang looks for room for a gang of 16 in three zones in vain, and for
 // work that could make room for it.
 func BenchmarkPlanGang(b *testing.B) {
-	l, _, now := fleetOf(b, largest)
+	l, _, now := newFullFleet(b, largestFleet)
 	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
 	l.state.Jobs[j.ID] = j
@@ -155,7 +157,7 @@
 // machine, in a control interval in which each has its turn.
 func TestWorkPerTick(t *testing.T) {
 	cost := func(size int) float64 {
-		l, _, now := fleetOf(t, size)
+		l, _, now := newFullFleet(t, size)
 		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 		l.planner.Unmet, l.loop.broadcastAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
@@ -163,15 +165,15 @@
 			l.scaler.Reconcile(t.Context(), now, l.planner.Unmet) // in each tick, as if it were due
 		})
 	}
-	if few, many := cost(25), cost(largest); many > few+5 {
-		t.Errorf("%v allocations a tick in a fleet of 25, %v in one of %d", few, many, largest)
+	if few, many := cost(25), cost(largestFleet); many > few+5 {
+		t.Errorf("%v allocations a tick in a fleet of 25, %v in one of %d", few, many, largestFleet)
 	}
 }
 
 // BenchmarkTick looks after all machines while nothing happens, a fleet that is
 // planned for anew among it.
 func BenchmarkTick(b *testing.B) {
-	l, _, now := fleetOf(b, largest)
+	l, _, now := newFullFleet(b, largestFleet)
 	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 	l.scaler.DeferRentals(now.Add(time.Hour)) // nothing is rented
 	for b.Loop() {
@@ -180,9 +182,9 @@
 	}
 }
 
-// written is the log of a leader as it stands in the state service when all that waits
-// is written.
-func written(l *Leader) []kvstore.KeyValue {
+// writeLog writes all that waits in a leader's assignment log, and returns the segments as they
+// stand in the key-value store then.
+func writeLog(l *Leader) []kvstore.KeyValue {
 	segments := map[string]kvstore.KeyValue{}
 	for rev := uint64(1); l.log.HasWork(); rev++ {
 		l.log.Grow(1)
@@ -195,8 +197,9 @@
 	return slices.Collect(maps.Values(segments))
 }
 
-// successor is the next leader, which has read the log but heard of no machine.
-func successor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
+// newSuccessor makes the leader of the next term, which has read the segments and the given jobs
+// but has had no heartbeat. All other jobs that the segments name are cancelled.
+func newSuccessor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
 	next := newLeader(l.Deps, election.Term{FencingToken: 6})
 	next.jobs.Loaded(now, next.jobs.SeenRevision())
 	next.detector = liveness.New(liveness.Config{})
@@ -216,8 +219,8 @@
 
 // BenchmarkTakeOver reads a log of all machines.
 func BenchmarkTakeOver(b *testing.B) {
-	l, _, now := fleetOf(b, largest)
-	segments := written(l)
+	l, _, now := newFullFleet(b, largestFleet)
+	segments := writeLog(l)
 	spec, _ := json.Marshal(l.state.Jobs["j-7"].Spec)
 	bytes := 0
 	for _, p := range segments {
@@ -230,7 +233,7 @@
 		if err := json.Unmarshal(spec, &s); err != nil {
 			b.Fatal(err)
 		}
-		if next := successor(l, segments, now, &s); len(next.state.Machines.All) != largest {
+		if next := newSuccessor(l, segments, now, &s); len(next.state.Machines.All) != largestFleet {
 			b.Fatalf("%d machines restored", len(next.state.Machines.All))
 		}
 	}
