--- a/internal/leader/announce_test.go
+++ b/internal/leader/announce_test.go
@@ -16,20 +16,20 @@
 // cancelled job. Of the others, those that have not reported after a report period get
 // one as well, whatever that costs: a worker may reach no controller by itself.
 func TestAnnouncedAtTakeOver(t *testing.T) {
-	l, reports, now := newFullFleet(t, 12) // of each machine, one task takes all CPUs
+	leader, reports, now := newFullFleet(t, 12) // of each machine, one task takes all CPUs
 	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimatedRuntimeS: 30}
 	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
 		j := cluster.NewJob(spec.ID, spec, 2, 0, now)
-		l.state.Jobs[j.ID] = j
+		leader.state.Jobs[j.ID] = j
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
-		l.answerHeartbeat(r, now)
-		l.tasks.Assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
+		leader.answerHeartbeat(r, now)
+		leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[r.Machine], now)
 	}
 
 	// The record of a cancelled job has no description, so that it is not among the jobs.
-	spec, live := *l.state.Jobs["j-7"].Spec, *small
-	next := newSuccessor(l, writeLog(l), now, &spec, &live)
+	spec, live := *leader.state.Jobs["j-7"].Spec, *small
+	next := newSuccessor(leader, writeLog(leader), now, &spec, &live)
 	seen := map[string]bool{}
 	notifyPending := func() (ids []string) {
 		for _, m := range next.state.Machines.All {
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -31,8 +31,8 @@
 }
 
 // apply carries out a transaction, or returns the guards that failed.
-func (s *segmentStore) apply(b *transaction.Batch) (failed []string) {
-	for _, g := range b.Guards {
+func (s *segmentStore) apply(batch *transaction.Batch) (failed []string) {
+	for _, g := range batch.Guards {
 		if s.keys[g.Key].Revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
@@ -40,11 +40,11 @@
 	if len(failed) > 0 {
 		return failed
 	}
-	if len(b.Writes) > s.maxOps {
-		s.t.Fatalf("%d writes in a transaction, %d are allowed", len(b.Writes), s.maxOps)
+	if len(batch.Writes) > s.maxOps {
+		s.t.Fatalf("%d writes in a transaction, %d are allowed", len(batch.Writes), s.maxOps)
 	}
 	s.revision++
-	for _, w := range b.Writes {
+	for _, w := range batch.Writes {
 		if len(w.Value) > s.maxValueBytes {
 			s.t.Fatalf("%s is written with %d bytes, %d are allowed", w.Set, len(w.Value), s.maxValueBytes)
 		}
@@ -63,20 +63,20 @@
 
 // newLeaderFromLog makes a leader under a token that has read the stored segments, with the given
 // jobs and the limits of the store.
-func newLeaderFromLog(s *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
-	l, m, _, now := newTestLeader()
-	l.tasks.EndAllOn(m, "not of this test")
-	l.state.Jobs, l.state.Machines, l.planner.Capacity = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(l.catalog.Type)
-	*l.detector = *liveness.New(liveness.Config{})
-	l.fencing.Current = token
-	*l.tasks = *tasks.NewManager(l.tasks.Deps, token<<24)
-	l.Derived.Store.ValueBytes, l.Derived.Store.TxnOps = s.maxValueBytes, s.maxOps
-	l.writer = writer.New(l.writerDeps())
+func newLeaderFromLog(store *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
+	leader, m, _, now := newTestLeader()
+	leader.tasks.EndAllOn(m, "not of this test")
+	leader.state.Jobs, leader.state.Machines, leader.planner.Capacity = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(leader.catalog.Type)
+	*leader.detector = *liveness.New(liveness.Config{})
+	leader.fencing.Current = token
+	*leader.tasks = *tasks.NewManager(leader.tasks.Deps, token<<24)
+	leader.Derived.Store.ValueBytes, leader.Derived.Store.TxnOps = store.maxValueBytes, store.maxOps
+	leader.writer = writer.New(leader.writerDeps())
 	for i, spec := range specs {
-		l.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
+		leader.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
 	}
-	l.loader().Restore(l.readLog(s.pairs()), nil, now)
-	return l
+	leader.loader().Restore(leader.readLog(store.pairs()), nil, now)
+	return leader
 }
 
 // durableRecords describes what a leader knows to be in the assignment log, sorted: the durable
@@ -108,59 +108,59 @@
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			discardLogs(t)
-			rnd := rand.New(rand.NewPCG(seed, 7))
-			s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 32 << 10, maxOps: 12}
+			random := rand.New(rand.NewPCG(seed, 7))
+			store := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 32 << 10, maxOps: 12}
 			specs := []*jobs.Spec{
 				{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 3000, CPUs: 1},
 				{ID: "j-2", Team: "red", Shape: jobs.Service, Tasks: 900, CPUs: 1},
 				{ID: "j-3", Team: "red", Shape: jobs.Gang, Tasks: 200, CPUs: 1},
 			}
-			l := newLeaderFromLog(s, 1, specs)
+			leader := newLeaderFromLog(store, 1, specs)
 			token := uint64(1)
 			for step := range 240 {
 				if step == 60 {
 					// As production wrote them, the segments are full by now. The limits fall.
-					s.maxValueBytes, s.maxOps = 2<<10, 4
+					store.maxValueBytes, store.maxOps = 2<<10, 4
 					token++
-					l = newLeaderFromLog(s, token, specs)
+					leader = newLeaderFromLog(store, token, specs)
 				}
-				startAndEndTasks(l, rnd)
+				startAndEndTasks(leader, random)
 				if step < 60 {
-					startAndEndTasks(l, rnd)
+					startAndEndTasks(leader, random)
 				}
-				b := l.writer.Compose()
-				if len(b.Writes) == 0 {
+				batch := leader.writer.Compose()
+				if len(batch.Writes) == 0 {
 					continue
 				}
-				before := durableRecords(l)
-				for i := range len(s.keys) {
-					if _, ok := s.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
-						t.Fatalf("step %d: of %d segments, none is called %d", step, len(s.keys), i)
+				before := durableRecords(leader)
+				for i := range len(store.keys) {
+					if _, ok := store.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
+						t.Fatalf("step %d: of %d segments, none is called %d", step, len(store.keys), i)
 					}
 				}
-				switch failed := s.apply(b); {
-				case rnd.IntN(8) == 0: // its answer is lost
-					b.Failed()
-					l.log.MarkOutcomeUnknown()
-					if rnd.IntN(2) == 0 { // and so is the leader
+				switch failed := store.apply(batch); {
+				case random.IntN(8) == 0: // its answer is lost
+					batch.Failed()
+					leader.log.MarkOutcomeUnknown()
+					if random.IntN(2) == 0 { // and so is the leader
 						token++
-						l = newLeaderFromLog(s, token, specs)
+						leader = newLeaderFromLog(store, token, specs)
 					}
 				case len(failed) > 0:
-					b.Failed()
+					batch.Failed()
 					for _, key := range failed {
-						l.writer.ApplyConflict(b, key, s.keys[key])
+						leader.writer.ApplyConflict(batch, key, store.keys[key])
 					}
 				default:
-					l.writer.Committed(b, s.revision)
+					leader.writer.Committed(batch, store.revision)
 					before = nil
 				}
 				if before == nil && (step < 3 || step%5 == 0 || step > 60 && step < 70) {
-					if d := cmp.Diff(durableRecords(l), readAsVersion030(t, s.pairs(), l.Derived.Store.ChunkTasks)); d != "" {
+					if d := cmp.Diff(durableRecords(leader), readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks)); d != "" {
 						t.Fatalf("step %d, what production reads: %s", step, d)
 					}
-					next := newLeaderFromLog(s, token+1, specs)
-					if d := cmp.Diff(durableRecords(l), durableRecords(next)); d != "" {
+					next := newLeaderFromLog(store, token+1, specs)
+					if d := cmp.Diff(durableRecords(leader), durableRecords(next)); d != "" {
 						t.Fatalf("step %d, what the next leader reads: %s", step, d)
 					}
 					for _, a := range next.state.Jobs["j-3"].Assignments {
@@ -175,31 +175,31 @@
 }
 
 // startAndEndTasks assigns some tasks to machines and ends some assignments, drawn at random.
-func startAndEndTasks(l *Leader, rnd *rand.Rand) {
+func startAndEndTasks(leader *Leader, random *rand.Rand) {
 	now := time.Now()
-	for range rnd.IntN(12) {
-		id := fmt.Sprintf("m-%06d", rnd.IntN(200))
-		m := l.state.Machines.ByID[id]
+	for range random.IntN(12) {
+		id := fmt.Sprintf("m-%06d", random.IntN(200))
+		m := leader.state.Machines.ByID[id]
 		if m == nil {
 			m = cluster.NewMachine(id, now)
 			m.Addr, m.Type, m.Zone, m.Worker.Session = "10.1.0.232:9000", "c4", "far <away>", 1
-			l.state.Machines.Add(m)
+			leader.state.Machines.Add(m)
 		}
-		if j := l.state.Jobs[fmt.Sprint("j-", 1+rnd.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
-			a := l.tasks.Assign(j, j.TakePendingTask(), m, now)
+		if j := leader.state.Jobs[fmt.Sprint("j-", 1+random.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
+			a := leader.tasks.Assign(j, j.TakePendingTask(), m, now)
 			if j.Spec.Shape == jobs.Gang {
 				a.GangAttempt = 7
 			}
 		}
 	}
-	for _, id := range sortedMachineIDs(l) {
-		m := l.state.Machines.ByID[id]
+	for _, id := range sortedMachineIDs(leader) {
+		m := leader.state.Machines.ByID[id]
 		for _, attempt := range cluster.SortedAttempts(m.Assignments) {
-			if a := m.Assignments[attempt]; a.Log.Durable && a.Outcome == cluster.Open && rnd.IntN(60) == 0 {
+			if a := m.Assignments[attempt]; a.Log.Durable && a.Outcome == cluster.Open && random.IntN(60) == 0 {
 				if a.Job.Spec.Shape == jobs.Batch && a.Job.Completions.Count+1 < a.Job.Spec.Tasks {
-					l.tasks.End(a, cluster.Success)
+					leader.tasks.End(a, cluster.Success)
 				} else {
-					l.tasks.End(a, cluster.Retry)
+					leader.tasks.End(a, cluster.Retry)
 				}
 			}
 		}
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -15,13 +15,13 @@
 // production at once, for a class with an aim to start or a guarantee when half of that time is
 // over, and else when the machines are late.
 func TestPreemptionInATakeover(t *testing.T) {
-	l, _, _, now := newTestLeader()
-	l.Settings.Deployment.Objectives = []settings.Objective{
+	leader, _, _, now := newTestLeader()
+	leader.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "web", WithinS: 2}, {Kind: "guarantee", WithinS: 6},
 	}
-	*l.failover = *reconcile.NewFailover(now, l.Derived.Detection.HeartbeatOverdue)
-	l.failover.ExpectMachine("m-2")
-	l.failover.RecordsLoaded(now)
+	*leader.failover = *reconcile.NewFailover(now, leader.Derived.Detection.HeartbeatOverdue)
+	leader.failover.ExpectMachine("m-2")
+	leader.failover.RecordsLoaded(now)
 	waiting := func(class, priority string, covered bool) *cluster.Job {
 		j := cluster.NewJob("j-9", &jobs.Spec{ID: "j-9", Class: class, Team: "red", Shape: jobs.Batch, Priority: priority, Tasks: 1, CPUs: 1}, 1, 0, now)
 		j.Scheduling.WithinGuarantee = covered
@@ -33,23 +33,23 @@
 	}{
 		"a class with an aim":       {waiting("web", jobs.Urgent, false), time.Second},
 		"covered by a guarantee":    {waiting("sums", jobs.Standard, true), 3 * time.Second},
-		"nothing that it should be": {waiting("sums", jobs.Urgent, false), l.Derived.Detection.HeartbeatOverdue},
+		"nothing that it should be": {waiting("sums", jobs.Urgent, false), leader.Derived.Detection.HeartbeatOverdue},
 	} {
 		c.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders as well
-		if l.mayPreempt(c.j, now.Add(c.bound-time.Millisecond)) || !l.mayPreempt(c.j, now.Add(c.bound)) {
+		if leader.mayPreempt(c.j, now.Add(c.bound-time.Millisecond)) || !leader.mayPreempt(c.j, now.Add(c.bound)) {
 			t.Errorf("%s: others are stopped for it at another time than after %v", what, c.bound)
 		}
 	}
-	if !l.mayPreempt(waiting("web", jobs.Prod, false), now) {
+	if !leader.mayPreempt(waiting("web", jobs.Prod, false), now) {
 		t.Error("production waits")
 	}
-	l.Settings.Operator.TakeoverPatience = 0
-	if !l.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
+	leader.Settings.Operator.TakeoverPatience = 0
+	if !leader.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
 		t.Error("operators want others to be stopped at once")
 	}
-	l.Settings.Operator.TakeoverPatience = 1
-	l.failover.MachineReported("m-2")
-	if !l.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
+	leader.Settings.Operator.TakeoverPatience = 1
+	leader.failover.MachineReported("m-2")
+	if !leader.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
 		t.Error("all machines have reported: there is no other room")
 	}
 }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -49,24 +49,24 @@
 		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
 		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
 	}}
-	l := newLeader(Deps{
+	leader := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
 		PromisesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
 		Cloud: cloud.NewClient("cloud:1", silentNetwork, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
-	l.jobs.Loaded(now, l.jobs.SeenRevision())
-	*l.tasks = *tasks.NewManager(l.tasks.Deps, 100)
-	*l.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
+	leader.jobs.Loaded(now, leader.jobs.SeenRevision())
+	*leader.tasks = *tasks.NewManager(leader.tasks.Deps, 100)
+	*leader.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
-	l.state.Jobs["j-1"] = j
-	l.answerHeartbeat(newHeartbeat(1, 1), now)
-	m := l.state.Machines.ByID["m-1"]
-	l.tasks.Assign(j, j.TakePendingTask(), m, now)
+	leader.state.Jobs["j-1"] = j
+	leader.answerHeartbeat(newHeartbeat(1, 1), now)
+	m := leader.state.Machines.ByID["m-1"]
+	leader.tasks.Assign(j, j.TakePendingTask(), m, now)
 	for _, a := range m.Assignments {
 		a.Log.Durable = true
 	}
-	return l, m, j, now
+	return leader, m, j, now
 }
 
 // readLog begins the assignment log anew with stored segments, and drops what is queued for it.
@@ -102,23 +102,23 @@
 // task is being stopped, and an old report that does not show it yet would have
 // it placed elsewhere while it is still saving.
 func TestOldReportsChangeNothing(t *testing.T) {
-	l, m, j, now := newTestLeader()
-	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(l.answerHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
+	leader, machine, j, now := newTestLeader()
+	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
 	}
-	l.answerHeartbeat(newHeartbeat(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	l.tasks.Stop(j.Assignments[0], 5)
-	l.answerHeartbeat(newHeartbeat(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
-	l.answerHeartbeat(newHeartbeat(1, 3), now)
+	leader.answerHeartbeat(newHeartbeat(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	leader.tasks.Stop(j.Assignments[0], 5)
+	leader.answerHeartbeat(newHeartbeat(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
+	leader.answerHeartbeat(newHeartbeat(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
 		t.Error("an old report ended a task that is still saving")
 	}
-	if m.Worker.Seq != 5 || m.Used.CPUs != 1 {
-		t.Errorf("picture at %d, %v CPUs taken", m.Worker.Seq, m.Used.CPUs)
+	if machine.Worker.Seq != 5 || machine.Used.CPUs != 1 {
+		t.Errorf("picture at %d, %v CPUs taken", machine.Worker.Seq, machine.Used.CPUs)
 	}
 	// A report of an earlier session says nothing at all.
-	l.answerHeartbeat(newHeartbeat(2, 1), now)
-	if l.answerHeartbeat(newHeartbeat(1, 9), now) != nil {
+	leader.answerHeartbeat(newHeartbeat(2, 1), now)
+	if leader.answerHeartbeat(newHeartbeat(1, 9), now) != nil {
 		t.Error("answered a session that is over")
 	}
 }
@@ -126,19 +126,19 @@
 // A task's end is cleared once its completion is durable, and in answers only:
 // a run in an answer that is still on its way could follow a clear sent by order.
 func TestClearFollowsTheRecord(t *testing.T) {
-	l, m, _, now := newTestLeader()
-	l.answerHeartbeat(newHeartbeat(1, 2), now)
+	leader, m, _, now := newTestLeader()
+	leader.answerHeartbeat(newHeartbeat(1, 2), now)
 	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
-	if calls := l.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(calls) > 0 {
+	if calls := leader.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(calls) > 0 {
 		t.Errorf("before the completion is durable: %v", describeCommands(calls))
 	}
 	for _, a := range m.Assignments {
-		l.tasks.Remove(a) // as after the write
+		leader.tasks.Remove(a) // as after the write
 	}
-	if calls := l.dispatcher.CommandsFor(m, false); len(calls) > 0 {
+	if calls := leader.dispatcher.CommandsFor(m, false); len(calls) > 0 {
 		t.Errorf("by order: %v", describeCommands(calls))
 	}
-	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(l.answerHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -185,24 +185,24 @@
 // earlier one, at any time. It proves nothing: not that the machine is there, not
 // that a task is not.
 func TestReportsBeforeTheTerm(t *testing.T) {
-	l, m, j, now := newTestLeader()
-	l.answerHeartbeat(newHeartbeat(1, 2), now)
+	leader, machine, job, now := newTestLeader()
+	leader.answerHeartbeat(newHeartbeat(1, 2), now)
 	old := newHeartbeat(1, 9)
 	old.FencingToken = 4
-	until := l.Derived.Detection.SuspectAfter + time.Second
-	if a := l.answerHeartbeat(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
+	until := leader.Derived.Detection.SuspectAfter + time.Second
+	if a := leader.answerHeartbeat(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
 		t.Errorf("answered %+v, want the token and no commands", a)
 	}
-	lease := m.Worker.LeaseUntil
-	if l.answerHeartbeat(old, now.Add(until+time.Second)) != nil || m.Worker.LeaseUntil != lease {
+	lease := machine.Worker.LeaseUntil
+	if leader.answerHeartbeat(old, now.Add(until+time.Second)) != nil || machine.Worker.LeaseUntil != lease {
 		t.Error("a copy of it renewed the lease once more")
 	}
-	if m.Worker.Seq == 9 || j.Assignments[0] == nil || l.detector.Schedulable("m-1", now.Add(until)) {
+	if machine.Worker.Seq == 9 || job.Assignments[0] == nil || leader.detector.Schedulable("m-1", now.Add(until)) {
 		t.Error("an old report counted as news")
 	}
 	other := newHeartbeat(1, 3)
 	other.Machine, other.FencingToken = "m-2", 4
-	if l.answerHeartbeat(other, now); l.state.Machines.ByID["m-2"] != nil {
+	if leader.answerHeartbeat(other, now); leader.state.Machines.ByID["m-2"] != nil {
 		t.Error("a machine was taken in by an old report of it")
 	}
 }
@@ -212,7 +212,7 @@
 // follows a change of leaders, such a task would outlast the time of its cancellation.
 // (Found on the bench: ran_cancelled, by 0.5.0 with leaders that changed every ten seconds.)
 func TestOldReportsOfCancelledTasks(t *testing.T) {
-	l, m, j, now := newTestLeader()
+	l, machine, j, now := newTestLeader()
 	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
 	l.state.Jobs[live.ID] = live
 	l.jobs.Cancel(j, 9)
@@ -229,7 +229,7 @@
 	if c := a.Commands[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
 		t.Errorf("call %+v, want j-1/0 to stop at once", c)
 	}
-	if m.Worker.Seq == 9 {
+	if machine.Worker.Seq == 9 {
 		t.Error("an old report counted as news")
 	}
 }
@@ -249,22 +249,22 @@
 // A copy of a report that was answered renews no lease, wakes no dead machine
 // and sets no floor.
 func TestCopiesOfReports(t *testing.T) {
-	l, m, _, now := newTestLeader()
-	l.answerHeartbeat(newHeartbeat(1, 2), now)
-	l.answerHeartbeat(newHeartbeat(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	lease := m.Worker.LeaseUntil
-	m.Health.Dead = true
+	leader, machine, _, now := newTestLeader()
+	leader.answerHeartbeat(newHeartbeat(1, 2), now)
+	leader.answerHeartbeat(newHeartbeat(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	lease := machine.Worker.LeaseUntil
+	machine.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
-		if l.answerHeartbeat(newHeartbeat(1, seq), now.Add(5*time.Second)) != nil {
+		if leader.answerHeartbeat(newHeartbeat(1, seq), now.Add(5*time.Second)) != nil {
 			t.Errorf("a copy of report %d was answered", seq)
 		}
 	}
-	if m.Worker.LeaseUntil != lease || !m.Health.Dead || m.Worker.HeartbeatAt != now {
+	if machine.Worker.LeaseUntil != lease || !machine.Health.Dead || machine.Worker.HeartbeatAt != now {
 		t.Error("a copy counted as a report")
 	}
 	// An answer to an order may overtake a report: that one is no copy.
-	l.tasks.Observe(m, newHeartbeat(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if l.answerHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || m.Worker.Seq != 9 {
+	leader.tasks.Observe(machine, newHeartbeat(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	if leader.answerHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || machine.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
 }
@@ -290,25 +290,25 @@
 // Reports of a machine arrive, our answers do not: what they ask for never
 // happens. It must not look healthy for ever.
 func TestAnswersUnheeded(t *testing.T) {
-	l, m, _, now := newTestLeader()
+	leader, machine, _, now := newTestLeader()
 	for seq := uint64(2); seq < 2+dispatch.MaxUndelivered+1; seq++ {
-		if calls := l.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(calls) != 1 {
+		if calls := leader.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(calls) != 1 {
 			t.Fatalf("report %d: %v", seq, describeCommands(calls))
 		}
 	}
-	if l.usable(m, now) {
+	if leader.usable(machine, now) {
 		t.Error("a machine that does not hear is given work")
 	}
-	if calls, _ := l.detector.Tick(now, 1); len(calls) != 1 {
+	if calls, _ := leader.detector.Tick(now, 1); len(calls) != 1 {
 		t.Error("it is not called")
 	}
-	l.probeReturned(m, newHeartbeat(1, 20), nil, now)
-	if !l.usable(m, now) {
+	leader.probeReturned(machine, newHeartbeat(1, 20), nil, now)
+	if !leader.usable(machine, now) {
 		t.Error("it answers calls, but is given no work")
 	}
-	l.answerHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	l.answerHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if m.Commands.UndeliveredAnswers != 0 || !l.usable(m, now) {
+	leader.answerHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	leader.answerHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	if machine.Commands.UndeliveredAnswers != 0 || !leader.usable(machine, now) {
 		t.Error("a machine that does what it is told is suspected")
 	}
 }
@@ -316,19 +316,19 @@
 // What the cloud lists no more is mostly gone: it is called at once, unless it
 // has reported since the list was asked for, or never was in a list.
 func TestUnlistedMachinesAreCalled(t *testing.T) {
-	l, _, _, now := newTestLeader()
+	leader, _, _, now := newTestLeader()
 	for _, id := range []string{"m-2", "m-3"} {
 		r := newHeartbeat(1, 1)
 		r.Machine = id
-		l.answerHeartbeat(r, now)
+		leader.answerHeartbeat(r, now)
 	}
-	l.scaler.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}, now.Add(time.Millisecond), now)
+	leader.scaler.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}, now.Add(time.Millisecond), now)
 	asked := now.Add(2 * time.Millisecond)
 	r := newHeartbeat(1, 2)
 	r.Machine = "m-2"
-	l.answerHeartbeat(r, asked.Add(time.Millisecond))
-	l.scaler.ApplyList(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
-	calls, _ := l.detector.Tick(asked.Add(3*time.Millisecond), 10)
+	leader.answerHeartbeat(r, asked.Add(time.Millisecond))
+	leader.scaler.ApplyList(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
+	calls, _ := leader.detector.Tick(asked.Add(3*time.Millisecond), 10)
 	if d := cmp.Diff([]string{"m-1"}, calls); d != "" {
 		t.Error(d)
 	}
@@ -350,28 +350,28 @@
 // has work on them. It gave a hundred of them back.
 func TestStoodStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, m, j, now := newTestLeader()
+		leader, machine, j, now := newTestLeader()
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
-		l.catalog.Types = func() []jobs.MachineType { return types }
+		leader.catalog.Types = func() []jobs.MachineType { return types }
 		asked := 0
-		l.Cloud = cloud.NewClient("cloud", roundTripFunc(func(*http.Request) (*http.Response, error) {
+		leader.Cloud = cloud.NewClient("cloud", roundTripFunc(func(*http.Request) (*http.Response, error) {
 			asked++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
-		l.Broadcast, l.inbox.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
+		leader.Broadcast, leader.inbox.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
 		for _, a := range j.Assignments {
-			l.tasks.End(a, cluster.Retry)
-			l.tasks.Remove(a)
+			leader.tasks.End(a, cluster.Retry)
+			leader.tasks.Remove(a)
 		}
-		l.IsLeader = func() bool { return false }
-		l.scaler = newScaler(l)
+		leader.IsLeader = func() bool { return false }
+		leader.scaler = newScaler(leader)
 		ctx, stop := context.WithCancel(t.Context())
-		l.tick(ctx, now.Add(l.Derived.Workers.Lease))
-		if m.Phase != cluster.Up {
+		leader.tick(ctx, now.Add(leader.Derived.Workers.Lease))
+		if machine.Phase != cluster.Up {
 			t.Error("a machine was given back")
 		}
 		// What had begun before is not sent any more either.
-		l.scaler.Release(ctx, m)
+		leader.scaler.Release(ctx, machine)
 		synctest.Wait()
 		if asked > 0 {
 			t.Errorf("%d requests to the cloud", asked)
@@ -384,23 +384,23 @@
 // to be planned for then: it found no room before, and nothing else may happen for
 // long. (Found with real processes: a job waited until the next one came.)
 func TestPlansWhenAMachineReports(t *testing.T) {
-	l, _, _, now := newTestLeader()
-	l.catalog.Types = func() []jobs.MachineType {
+	leader, _, _, now := newTestLeader()
+	leader.catalog.Types = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
-	restoreMachine(t, l, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
-	l.plan(now)
-	if l.planner.Requested {
+	restoreMachine(t, leader, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
+	leader.plan(now)
+	if leader.planner.Requested {
 		t.Fatal("a plan is wanted before anything has happened")
 	}
 	r := newHeartbeat(1, 7)
 	r.Machine = "m-9"
-	if l.answerHeartbeat(r, now); !l.planner.Requested {
+	if leader.answerHeartbeat(r, now); !leader.planner.Requested {
 		t.Error("no plan when it takes work")
 	}
-	l.plan(now)
+	leader.plan(now)
 	r.Seq++
-	if l.answerHeartbeat(r, now); l.planner.Requested {
+	if leader.answerHeartbeat(r, now); leader.planner.Requested {
 		t.Error("a plan after a report without news")
 	}
 }
@@ -440,23 +440,23 @@
 		{"a service", jobs.Service, 100, 10, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, m, j, now := newTestLeader()
+			leader, machine, j, now := newTestLeader()
 			j.Spec.EstimatedRuntimeS, j.Spec.Shape = 30, tc.shape
-			l.answerHeartbeat(newHeartbeat(1, 2), now)
+			leader.answerHeartbeat(newHeartbeat(1, 2), now)
 			task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
-			l.answerHeartbeat(newHeartbeat(1, 3, task), now)
+			leader.answerHeartbeat(newHeartbeat(1, 3, task), now)
 			r := newHeartbeat(1, 4, task)
 			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
-			l.jobs.Loaded(now, l.jobs.SeenRevision())
-			l.answerHeartbeat(r, now)
+			leader.jobs.Loaded(now, leader.jobs.SeenRevision())
+			leader.answerHeartbeat(r, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
 				t.Errorf("stopped: %v", a.Stop.Requested)
 			}
 			// Not heard of after the notice, it is taken, and given back at once.
-			l.catalog.Types = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
-			l.scale(t.Context(), m.Health.NoticeUntil.Add(time.Millisecond))
-			if m.Phase != cluster.Releasing {
+			leader.catalog.Types = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
+			leader.scale(t.Context(), machine.Health.NoticeUntil.Add(time.Millisecond))
+			if machine.Phase != cluster.Releasing {
 				t.Error("not given back when its notice was over")
 			}
 		})
@@ -468,21 +468,21 @@
 // is not taken for lost with the old one, or it would run twice. (Found by TestTroublesMeet,
 // seed 1255.)
 func TestNewSessionSeenByAnOrder(t *testing.T) {
-	l, m, j, now := newTestLeader()
+	leader, m, j, now := newTestLeader()
 	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	l.tasks.Observe(m, newHeartbeat(2, 1), at(19))
+	leader.tasks.Observe(m, newHeartbeat(2, 1), at(19))
 	if old.Outcome == cluster.Open {
 		t.Fatal("the old session's task goes on")
 	}
-	a := l.tasks.Assign(j, 1, m, at(19.1))
+	a := leader.tasks.Assign(j, 1, m, at(19.1))
 	a.Log.Durable, a.Start.Sent = true, true
-	l.tasks.Observe(m, newHeartbeat(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
-	l.expireLeases(at(21)) // by which the old lease is over, by any clock
+	leader.tasks.Observe(m, newHeartbeat(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
+	leader.expireLeases(at(21)) // by which the old lease is over, by any clock
 	if a.Outcome != cluster.Open {
 		t.Error("lost with the old lease, while the new session runs on")
 	}
-	l.expireLeases(at(40))
+	leader.expireLeases(at(40))
 	if a.Outcome == cluster.Open {
 		t.Error("no lease lasts for ever")
 	}
@@ -492,24 +492,24 @@
 // comes in between (reports, new machines, new sessions), each lease ends in the first
 // tick after its time.
 func TestLeasesEndInTime(t *testing.T) {
-	l, _, _, start := newTestLeader()
-	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+	leader, _, _, start := newTestLeader()
+	leader.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 	rnd := rand.New(rand.NewPCG(7, 0))
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
-	for now := start; now.Sub(start) < 20*l.Derived.Workers.LeaseExpiry; now = now.Add(step) {
-		l.jobs.Loaded(now, l.jobs.SeenRevision())
+	for now := start; now.Sub(start) < 20*leader.Derived.Workers.LeaseExpiry; now = now.Add(step) {
+		leader.jobs.Loaded(now, leader.jobs.SeenRevision())
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := newHeartbeat(1, seq)
-			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), l.fencing.Current
-			if m := l.state.Machines.ByID[r.Machine]; m != nil {
+			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), leader.fencing.Current
+			if m := leader.state.Machines.ByID[r.Machine]; m != nil {
 				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
 			}
-			l.answerHeartbeat(r, now)
+			leader.answerHeartbeat(r, now)
 		}
-		l.expireLeases(now)
-		for _, m := range l.state.Machines.All {
+		leader.expireLeases(now)
+		for _, m := range leader.state.Machines.All {
 			if m.Phase == cluster.Up && now.After(m.Worker.LeaseUntil) {
 				t.Fatalf("%v: the lease of %s was over %v ago", now.Sub(start), m.ID, now.Sub(m.Worker.LeaseUntil))
 			}
--- a/internal/leader/production_test.go
+++ b/internal/leader/production_test.go
@@ -125,45 +125,45 @@
 func TestContinuesProduction(t *testing.T) {
 	discardLogs(t)
 	pairs, specs, world := readProductionRecords(t)
-	s := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 2 << 10, maxOps: 4}
+	store := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 2 << 10, maxOps: 4}
 	for _, p := range pairs {
 		if strings.HasPrefix(p.Key, assignmentlog.Prefix) {
-			s.keys[p.Key] = p
+			store.keys[p.Key] = p
 		}
-		s.revision = max(s.revision, p.Revision)
+		store.revision = max(store.revision, p.Revision)
 	}
-	l := newLeaderFromLog(s, 5, specs)
+	leader := newLeaderFromLog(store, 5, specs)
 	for _, line := range world {
 		task, m, on := strings.Cut(line, " on ")
-		if a := l.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
+		if a := leader.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
 			t.Errorf("%s, and the book does not say so", line)
 		}
 	}
-	if d := gocmp.Diff(readAsVersion030(t, s.pairs(), l.Derived.Store.ChunkTasks), durableRecords(l)); d != "" {
+	if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
 		t.Errorf("production reads it otherwise: %s", d)
 	}
-	rnd := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	for step := range 150 {
-		startAndEndTasks(l, rnd)
-		b := l.writer.Compose()
-		if failed := s.apply(b); len(failed) > 0 {
+		startAndEndTasks(leader, random)
+		b := leader.writer.Compose()
+		if failed := store.apply(b); len(failed) > 0 {
 			t.Fatal(failed)
 		}
-		l.writer.Committed(b, s.revision)
-		if d := gocmp.Diff(readAsVersion030(t, s.pairs(), l.Derived.Store.ChunkTasks), durableRecords(l)); d != "" {
+		leader.writer.Committed(b, store.revision)
+		if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
 			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
 		}
 		if step%40 == 39 { // and leads for a while: its pages are as large as it likes
-			s.maxValueBytes, s.maxOps = 32<<10, 12
-			l = newLeaderFromLog(s, uint64(6+step), specs)
+			store.maxValueBytes, store.maxOps = 32<<10, 12
+			leader = newLeaderFromLog(store, uint64(6+step), specs)
 			for range 5 {
-				startAndEndTasks(l, rnd)
-				b := l.writer.Compose()
-				s.apply(b)
-				l.writer.Committed(b, s.revision)
+				startAndEndTasks(leader, random)
+				b := leader.writer.Compose()
+				store.apply(b)
+				leader.writer.Committed(b, store.revision)
 			}
-			s.maxValueBytes, s.maxOps = 2<<10, 4
-			l = newLeaderFromLog(s, uint64(7+step), specs)
+			store.maxValueBytes, store.maxOps = 2<<10, 4
+			leader = newLeaderFromLog(store, uint64(7+step), specs)
 		}
 	}
 }
--- a/internal/leader/recovery_scale_test.go
+++ b/internal/leader/recovery_scale_test.go
@@ -29,10 +29,10 @@
 	next.jobs.Loaded(now, next.jobs.SeenRevision())
 	next.detector = liveness.New(liveness.Config{})
 	next.readLog(nil)
-	j := cluster.NewJob(spec.ID, &spec, 1, 0, now)
-	next.state.Jobs[spec.ID] = j
+	job := cluster.NewJob(spec.ID, &spec, 1, 0, now)
+	next.state.Jobs[spec.ID] = job
 	next.recovery.ReportLoss(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
-	if !next.recovery.AwaitsWorkers(j, now) {
+	if !next.recovery.AwaitsWorkers(job, now) {
 		t.Fatal("tasks would be placed before those that run are known")
 	}
 	began := time.Now()
@@ -50,11 +50,11 @@
 		}
 	}
 	t.Logf("%d reports with adoption: %v", len(reports), time.Since(began).Round(time.Millisecond))
-	if len(j.Assignments) != lostFleetSize || j.Pending.Count != spec.Tasks-lostFleetSize {
-		t.Errorf("%d of %d tasks adopted, %d wait", len(j.Assignments), lostFleetSize, j.Pending.Count)
+	if len(job.Assignments) != lostFleetSize || job.Pending.Count != spec.Tasks-lostFleetSize {
+		t.Errorf("%d of %d tasks adopted, %d wait", len(job.Assignments), lostFleetSize, job.Pending.Count)
 	}
 	next.recovery.EndAdoptions(now.Add(next.Derived.Workers.LeaseExpiry))
-	if next.recovery.Status().Adopting > 0 || j.Spec.Shape != jobs.Batch {
+	if next.recovery.Status().Adopting > 0 || job.Spec.Shape != jobs.Batch {
 		t.Error("still waiting after every lease has ended")
 	}
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -38,30 +38,30 @@
 func newFullFleet(tb testing.TB, size int) (*Leader, []*workers.Heartbeat, time.Time) {
 	tb.Helper()
 	discardLogs(tb)
-	l, m, _, now := newTestLeader()
+	leader, m, _, now := newTestLeader()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
-	l.MachineTypes = func() []jobs.MachineType { return types }
-	l.catalog.Types = l.MachineTypes
-	l.tasks.EndAllOn(m, "not of this fleet")
-	l.state.Machines.Remove(m)
-	l.detector.Forget(m.ID)
-	l.state.Jobs = map[string]*cluster.Job{}
-	l.readLog(nil)
+	leader.MachineTypes = func() []jobs.MachineType { return types }
+	leader.catalog.Types = leader.MachineTypes
+	leader.tasks.EndAllOn(m, "not of this fleet")
+	leader.state.Machines.Remove(m)
+	leader.detector.Forget(m.ID)
+	leader.state.Jobs = map[string]*cluster.Job{}
+	leader.readLog(nil)
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimatedRuntimeS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
-	l.state.Jobs[j.ID] = j
+	leader.state.Jobs[j.ID] = j
 	var reports []*workers.Heartbeat
 	for i := range size {
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
-		l.answerHeartbeat(r, now)
-		a := l.tasks.Assign(j, j.TakePendingTask(), l.state.Machines.ByID[r.Machine], now)
+		leader.answerHeartbeat(r, now)
+		a := leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[r.Machine], now)
 		a.Log.Durable, a.Start.Sent = true, true
 		r.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
 		r.Seq++
-		l.answerHeartbeat(r, now)
+		leader.answerHeartbeat(r, now)
 		reports = append(reports, r)
 	}
-	return l, reports, now
+	return leader, reports, now
 }
 
 // repeatHeartbeat sends the leader a worker's next heartbeat, with nothing new in it.
@@ -101,23 +101,23 @@
 
 // BenchmarkPlan places one job's tasks that find no room, and one that does.
 func BenchmarkPlan(b *testing.B) {
-	l, reports, now := newFullFleet(b, largestFleet)
+	leader, reports, now := newFullFleet(b, largestFleet)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
-	l.answerHeartbeat(idle, now)
-	l.planner.Enqueue(l.state.Jobs["j-7"])
+	leader.answerHeartbeat(idle, now)
+	leader.planner.Enqueue(leader.state.Jobs["j-7"])
 	_ = reports
 	for b.Loop() {
-		l.plan(now)
-		m := l.state.Machines.ByID[idle.Machine]
+		leader.plan(now)
+		m := leader.state.Machines.ByID[idle.Machine]
 		if len(m.Assignments) != 1 {
 			b.Fatalf("%d tasks placed", len(m.Assignments))
 		}
 		for _, a := range m.Assignments {
-			l.tasks.End(a, cluster.Retry)
-			l.tasks.Remove(a)
+			leader.tasks.End(a, cluster.Retry)
+			leader.tasks.Remove(a)
 		}
 		b.StopTimer()
-		l.readLog(nil) // drops what the plan has queued
+		leader.readLog(nil) // drops what the plan has queued
 		b.StartTimer()
 	}
 }
@@ -219,9 +219,9 @@
 
 // BenchmarkTakeOver reads a log of all machines.
 func BenchmarkTakeOver(b *testing.B) {
-	l, _, now := newFullFleet(b, largestFleet)
-	segments := writeLog(l)
-	spec, _ := json.Marshal(l.state.Jobs["j-7"].Spec)
+	leader, _, now := newFullFleet(b, largestFleet)
+	segments := writeLog(leader)
+	spec, _ := json.Marshal(leader.state.Jobs["j-7"].Spec)
 	bytes := 0
 	for _, p := range segments {
 		bytes += len(p.Value)
@@ -233,7 +233,7 @@
 		if err := json.Unmarshal(spec, &s); err != nil {
 			b.Fatal(err)
 		}
-		if next := newSuccessor(l, segments, now, &s); len(next.state.Machines.All) != largestFleet {
+		if next := newSuccessor(leader, segments, now, &s); len(next.state.Machines.All) != largestFleet {
 			b.Fatalf("%d machines restored", len(next.state.Machines.All))
 		}
 	}
