--- a/internal/leader/announcement_test.go
+++ b/internal/leader/announcement_test.go
@@ -12,8 +12,8 @@
 )
 
 // At a take-over all workers connect by themselves. Only machines from which something
-// is wanted are sent an order at once: here those with room, and one with a task of a
-// cancelled job. Of the others, those that have not reported after a report period get
+// is wanted are sent a command at once: here those with room, and one with a task of a
+// cancelled job. Of the others, those that have not reported after a heartbeat interval get
 // one as well, whatever that costs: a worker may reach no controller by itself.
 func TestAnnouncedAtTakeOver(t *testing.T) {
 	leader, reports, now := newFullFleet(t, 12) // of each machine, one task takes all CPUs
--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -10,8 +10,8 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// A zone that is cut off has orders time out by the hundred. They must not keep
-// the orders waiting that can arrive.
+// A zone that is cut off has commands time out by the hundred. They must not keep
+// the commands waiting that can arrive.
 func TestCommandsThatCanArriveGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -11,8 +11,8 @@
 )
 
 // A raised token makes each worker that sees it report once more. It is shown where
-// something waits for it only: several ended tasks that were begun by orders, an ended
-// task that is to begin again, or an order in doubt. With it, what waited is cleared.
+// something waits for it only: several ended tasks that were begun by commands, an ended
+// task that is to begin again, or a command in doubt. With it, what waited is cleared.
 func TestTokenByNeed(t *testing.T) {
 	s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	var reports []*workers.Heartbeat
@@ -74,7 +74,7 @@
 			t.Errorf("%s: %d cleared under token %d, want %d", want.r.Machine, cleared(a), want.r.FencingToken, want.clear)
 		}
 	}
-	// An order carries the token that its machine knows, and never one from before.
+	// A command carries the token that its machine knows, and never one from before.
 	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 5 {
 		t.Errorf("token %d where nothing waits, want 5", got)
 	}
@@ -87,7 +87,7 @@
 func TestCommandsInDoubtAskForARaise(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		token  uint64 // of the order that got no answer
+		token  uint64 // of the command that got no answer
 		after  time.Duration
 		raises bool
 	}{
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -96,7 +96,7 @@
 	if a, b := job.Assignments[0], job.Assignments[1]; a.ObservedState != workers.StateGathering || b.ObservedState != workers.StateFetching {
 		t.Errorf("seen %q and %q", a.ObservedState, b.ObservedState)
 	}
-	// A mate that no one has put there, as by a copy of an order, has no part in it.
+	// A mate that no one has put there, as by a copy of a command, has no part in it.
 	if d := cmp.Diff([]string{"stop j-2/0"}, commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 0, workers.StateGathering, ""), gangTaskStatus(job, 2, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-// A gang that is stopped to save runs on in its reports until all have saved: its
+// A gang that is stopped to save runs on in its heartbeats until all have saved: its
 // machine hears all the same.
 func TestGangSaves(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -12,8 +12,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// A report that was held up on the way must not turn the picture back: here the
-// task is being stopped, and an old report that does not show it yet would have
+// A heartbeat that was held up on the way must not turn the observed state back: here the
+// task is being stopped, and an old heartbeat that does not show it yet would have
 // it placed elsewhere while it is still saving.
 func TestOldReportsChangeNothing(t *testing.T) {
 	leader, machine, j, now := newTestLeader()
@@ -30,7 +30,7 @@
 	if machine.Worker.Seq != 5 || machine.Used.CPUs != 1 {
 		t.Errorf("picture at %d, %v CPUs taken", machine.Worker.Seq, machine.Used.CPUs)
 	}
-	// A report of an earlier session says nothing at all.
+	// A heartbeat of an earlier session says nothing at all.
 	leader.answerHeartbeat(newHeartbeat(2, 1), now)
 	if leader.answerHeartbeat(newHeartbeat(1, 9), now) != nil {
 		t.Error("answered a session that is over")
@@ -38,7 +38,7 @@
 }
 
 // A task's end is cleared once its completion is durable, and in answers only:
-// a run in an answer that is still on its way could follow a clear sent by order.
+// a run in an answer that is still on its way could follow a clear sent directly.
 func TestClearFollowsTheRecord(t *testing.T) {
 	leader, m, _, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Who does not hold the term, has an old picture of users' wishes, or meets a
+// Who does not hold the term, has an old view of users' wishes, or meets a
 // worker that has seen a higher token, has no right to answer.
 func TestNoRightToAnswer(t *testing.T) {
 	l, _, _, now := newTestLeader()
@@ -95,7 +95,7 @@
 	}
 }
 
-// What a new leader hears first may be a copy of a report that was sent to an
+// What a new leader hears first may be a copy of a heartbeat that was sent to an
 // earlier one, at any time. It proves nothing: not that the machine is there, not
 // that a task is not.
 func TestReportsBeforeTheTerm(t *testing.T) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// An answer to a report from before the term renews the worker's lease. It stops what is
-// cancelled there: were this leader to end before the next report, as in an outage that
+// An answer to a heartbeat from before the term renews the worker's lease. It stops what is
+// cancelled there: were this leader to end before the next heartbeat, as in an outage that
 // follows a change of leaders, such a task would outlast the time of its cancellation.
 // (Found on the bench: ran_cancelled, by 0.5.0 with leaders that changed every ten seconds.)
 func TestOldReportsOfCancelledTasks(t *testing.T) {
@@ -149,7 +149,7 @@
 }
 
 // A machine that was judged dead comes back while the cloud does not take it back.
-// Were its reports answered, its tasks would run on, even those of cancelled jobs.
+// Were its heartbeats answered, its tasks would run on, even those of cancelled jobs.
 func TestReturningMachinesAreNotAnswered(t *testing.T) {
 	l, m, _, now := newTestLeader()
 	l.answerHeartbeat(newHeartbeat(1, 2), now)
@@ -160,7 +160,7 @@
 	}
 }
 
-// A copy of a report that was answered renews no lease, wakes no dead machine
+// A copy of a heartbeat that was answered renews no lease, wakes no dead machine
 // and sets no floor.
 func TestCopiesOfReports(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
@@ -176,14 +176,14 @@
 	if machine.Worker.LeaseUntil != lease || !machine.Health.Dead || machine.Worker.HeartbeatAt != now {
 		t.Error("a copy counted as a report")
 	}
-	// An answer to an order may overtake a report: that one is no copy.
+	// An answer to a command may overtake a heartbeat: that one is no copy.
 	leader.tasks.Observe(machine, newHeartbeat(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if leader.answerHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || machine.Worker.Seq != 9 {
 		t.Error("a report that an answer overtook was not answered, or turned the picture back")
 	}
 }
 
-// Reports of a machine arrive, our answers do not: what they ask for never
+// Heartbeats of a machine arrive, our answers do not: what they ask for never
 // happens. It must not look healthy for ever.
 func TestAnswersUnheeded(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
--- a/internal/leader/log_compatibility_test.go
+++ b/internal/leader/log_compatibility_test.go
@@ -153,7 +153,7 @@
 		if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
 			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
 		}
-		if step%40 == 39 { // and leads for a while: its pages are as large as it likes
+		if step%40 == 39 { // and leads for a while: its segments are as large as it likes
 			store.maxValueBytes, store.maxOps = 32<<10, 12
 			leader = newLeaderFromLog(store, uint64(6+step), specs)
 			for range 5 {
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -12,7 +12,7 @@
 	"ospreyslip/internal/leader/transaction"
 )
 
-// A machine of an earlier leader takes work from its first report on. What waits has
+// A machine of an earlier leader takes work from its first heartbeat on. What waits has
 // to be planned for then: it found no room before, and nothing else may happen for
 // long. (Found with real processes: a job waited until the next one came.)
 func TestPlansWhenAMachineReports(t *testing.T) {
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -13,7 +13,7 @@
 	"ospreyslip/internal/liveness"
 )
 
-// A call that fails since this process has no socket left says nothing of its machine: it
+// A probe that fails since this process has no socket left says nothing of its machine: it
 // is made again, and confirms no death. One that its machine does not answer does.
 func TestCallWithoutASocket(t *testing.T) {
 	noSocket := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// What the cloud lists no more is mostly gone: it is called at once, unless it
+// What the cloud lists no more is mostly gone: it is probed at once, unless it
 // has reported since the list was asked for, or never was in a list.
 func TestUnlistedMachinesAreCalled(t *testing.T) {
 	leader, _, _, now := newTestLeader()
@@ -93,8 +93,8 @@
 	})
 }
 
-// The answer to an order tells of a worker's next session before its old lease is over by
-// the leader's clock: the last report was long under way. What begins in the new session
+// The answer to a command tells of a worker's next session before its old lease is over by
+// the leader's clock: the last heartbeat was long under way. What begins in the new session
 // is not taken for lost with the old one, or it would run twice. (Found by TestTroublesMeet,
 // seed 1255.)
 func TestNewSessionSeenByAnOrder(t *testing.T) {
@@ -119,7 +119,7 @@
 }
 
 // A look at all machines for leases that are over is due only when one can be. Whatever
-// comes in between (reports, new machines, new sessions), each lease ends in the first
+// comes in between (heartbeats, new machines, new sessions), each lease ends in the first
 // tick after its time.
 func TestLeasesEndInTime(t *testing.T) {
 	leader, _, _, start := newTestLeader()
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -13,8 +13,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// A report without news costs the same in a fleet of any size, and asks for no
-// plan, no write and no order. Counted, not timed.
+// A heartbeat without news costs the same in a fleet of any size, and asks for no
+// plan, no write and no command. Counted, not timed.
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
 		l, reports, now := newFullFleet(t, size)
