--- /dev/null
+++ b/internal/leader/assignmentlog/log_test.go
@@ -0,0 +1,89 @@
+package assignmentlog
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/transaction"
+)
+
+// testConfig is the limits of the tests' logs.
+var testConfig = Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10}
+
+// queueBegins queues the beginnings of all tasks of a new gang on one machine.
+func queueBegins(t *testing.T, log *Log, tasks int) (queued []*cluster.Assignment) {
+	t.Helper()
+	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	job := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Tasks: tasks, CPUs: 1}, 1, 0, now)
+	machine := cluster.NewMachine("m-1", now)
+	for range tasks {
+		index := job.TakePendingTask()
+		a := &cluster.Assignment{Job: job, Index: index, Attempt: uint64(102 + index), GangAttempt: 101, Session: 1, Machine: machine}
+		job.Assignments[index], machine.Assignments[a.Attempt] = a, a
+		log.QueueBegin(a)
+		queued = append(queued, a)
+	}
+	return queued
+}
+
+// compose puts a transaction of the log's segments together, as the leader's writer does.
+func compose(log *Log) *transaction.Batch {
+	batch := transaction.New()
+	log.Grow(testConfig.MaxOps / 2)
+	log.AddSegments(batch, testConfig.MaxOps)
+	return batch
+}
+
+// A transaction writes no more segments than its news need: with each segment that it
+// drafted, the log once seemed to wait for one more.
+func TestSegmentsByNeed(t *testing.T) {
+	log := New(testConfig)
+	begins := queueBegins(t, log, 3)
+	if b := compose(log); len(b.Writes) != 1 {
+		t.Errorf("%d segments for %d beginnings", len(b.Writes), len(begins))
+	}
+}
+
+func TestLoadOrdersSegmentsAndLeavesNoGapInTheKeys(t *testing.T) {
+	log, order, keys := New(testConfig), []string{}, map[string]bool{}
+	for _, segment := range log.Load(testConfig, []kvstore.KeyValue{
+		{Key: "book/0", Value: []byte(`{"number":12}`)}, {Key: "book/3", Value: []byte(`{"number":10}`)}, {Key: "book/1", Value: []byte(`{"number":11}`)},
+	}) {
+		order = append(order, segment.Key)
+	}
+	if d := cmp.Diff([]string{"book/3", "book/1", "book/0"}, order); d != "" {
+		t.Errorf("in the order of their numbers: %s", d)
+	}
+	for _, segment := range log.Segments() {
+		keys[segment.Key] = true
+	}
+	for i := range minSegments {
+		if !keys[fmt.Sprint(Prefix, i)] {
+			t.Errorf("of %d segments, none is called %d", len(keys), i)
+		}
+	}
+}
+
+func TestFailedBatchIsQueuedAgain(t *testing.T) {
+	log := New(testConfig)
+	begins := queueBegins(t, log, 3)
+	failed := compose(log)
+	failed.Failed()
+	if log.QueueLength() != len(begins) || log.TakeEvents() != nil {
+		t.Errorf("%d queued after the failure, want %d", log.QueueLength(), len(begins))
+	}
+	retry := compose(log)
+	if d := cmp.Diff(failed.Writes, retry.Writes); d != "" {
+		t.Errorf("the same is not written again: %s", d)
+	}
+	retry.Committed(7)
+	if events := log.TakeEvents(); len(events) != len(begins) || events[0] != (Event{BeginDurable, begins[0]}) || log.HasWork() {
+		t.Errorf("durable: %+v, work left: %v", events, log.HasWork())
+	}
+}
--- /dev/null
+++ b/internal/leader/dispatch/token_test.go
@@ -0,0 +1,108 @@
+package dispatch
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/workers"
+)
+
+// A raised token makes each worker that sees it report once more. It is shown where
+// something waits for it only: several ended tasks that were begun by commands, an ended
+// task that is to begin again, or a command in doubt. With it, what waited is cleared.
+func TestTokenByNeed(t *testing.T) {
+	s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	var reports []*workers.Heartbeat
+	for i := range 4 {
+		machine, a := s.addMachine(fmt.Sprintf("m-%06d", i))
+		a.Start.Sent = true
+		running := workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}
+		reports = append(reports, &workers.Heartbeat{Machine: machine.ID, Addr: machine.Addr, AgentEpoch: 1, Seq: 1, FencingToken: 5, Tasks: []workers.TaskStatus{running}})
+	}
+	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
+		for i := range tasks {
+			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
+			s.State.Machines.ByID[r.Machine].Commands.StartedByRequest[cluster.RefOf(&task)] = s.Fencing.Current
+			r.Tasks = append(r.Tasks, task)
+		}
+	}
+	few, many, again, doubt := reports[0], reports[1], reports[2], reports[3]
+	endedByOrder(few, MaxHeldAcknowledgements-1, workers.CauseDone)
+	endedByOrder(many, MaxHeldAcknowledgements, workers.CauseDone)
+	endedByOrder(again, 1, workers.CauseStopped)
+	s.State.Machines.ByID[doubt.Machine].Commands.InDoubtSince = s.now
+	answer := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
+		r.Seq++
+		machine := s.State.Machines.ByID[r.Machine]
+		s.Tasks.Observe(machine, r, s.now)
+		if machine.Worker.Seq != r.Seq {
+			t.Fatalf("%s: its report is not taken in", r.Machine)
+		}
+		a := s.Answer(machine)
+		r.FencingToken = a.FencingToken
+		return a
+	}
+	cleared := func(a *workers.HeartbeatResponse) (n int) {
+		for _, c := range a.Commands {
+			if c.Op == workers.OpClear {
+				n++
+			}
+		}
+		return n
+	}
+	for _, r := range reports {
+		if a := answer(r); a.FencingToken != 5 || cleared(a) > 0 {
+			t.Errorf("%s, before there is a higher token: %+v", r.Machine, a)
+		}
+	}
+	if !s.Fencing.AcknowledgementsHeld {
+		t.Error("no higher token is asked for")
+	}
+	s.Fencing.Current = 6
+	for _, want := range []struct {
+		r     *workers.Heartbeat
+		token uint64
+		clear int
+	}{{few, 5, 0}, {many, 6, MaxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
+		if a := answer(want.r); a.FencingToken != want.token || cleared(a) > 0 {
+			t.Errorf("%s: token %d, %d cleared at once; want %d, none", want.r.Machine, a.FencingToken, cleared(a), want.token)
+		}
+		if a := answer(want.r); cleared(a) != want.clear {
+			t.Errorf("%s: %d cleared under token %d, want %d", want.r.Machine, cleared(a), want.r.FencingToken, want.clear)
+		}
+	}
+	// A command carries the token that its machine knows, and never one from before.
+	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 5 {
+		t.Errorf("token %d where nothing waits, want 5", got)
+	}
+	s.Fencing.OfTerm, s.Fencing.Current = 7, 7
+	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 7 {
+		t.Errorf("token %d, of an earlier term", got)
+	}
+}
+
+func TestCommandsInDoubtAskForARaise(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		token  uint64 // of the command that got no answer
+		after  time.Duration
+		raises bool
+	}{
+		{"not for long", 5, 2 * time.Second, false},
+		{"for long", 5, 3 * time.Second, true},
+		{"refused under the present token", 4, 3 * time.Second, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+			machine, a := s.addMachine("m-1")
+			request := workers.CommandRequest{FencingToken: tc.token, AgentEpoch: 1, Commands: s.CommandsFor(machine, false)}
+			s.returned(machine, request, commandResponse{err: context.DeadlineExceeded}, s.now)
+			if s.ResolveInDoubt(s.now.Add(tc.after)); s.Fencing.RaisePending != tc.raises || a.Start.InDoubtToken != tc.token {
+				t.Errorf("raise pending: %v, in doubt under token %d", s.Fencing.RaisePending, a.Start.InDoubtToken)
+			}
+		})
+	}
+}
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -13,7 +13,7 @@
 	"ospreyslip/internal/liveness"
 )
 
-// A call that fails since this process has no socket left says nothing of its machine: it
+// A probe that fails since this process has no socket left says nothing of its machine: it
 // is made again, and confirms no death. One that its machine does not answer does.
 func TestCallWithoutASocket(t *testing.T) {
 	noSocket := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
@@ -28,7 +28,7 @@
 		{"unreadable", errors.New("unexpected end of JSON input"), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, m, _, now := bench()
+			l, m, _, now := newTestLeader()
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 1}, now)
 			now = now.Add(3 * time.Second) // m-1 is silent
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 2}, now)
--- a/internal/leader/recoverer/pinned_test.go
+++ b/internal/leader/recoverer/pinned_test.go
@@ -22,7 +22,9 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewScanner(bytes.NewReader(raw))
+	read := 0
 	for lines.Scan() {
+		read++
 		var p kvstore.KeyValue
 		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
 			t.Fatal(err)
@@ -38,4 +40,7 @@
 			t.Errorf("%s: %v, written as\n%s\nfor\n%s", p.Key, err, got, p.Value)
 		}
 	}
+	if err := lines.Err(); err != nil || read == 0 {
+		t.Errorf("%d records read: %v", read, err)
+	}
 }
--- /dev/null
+++ b/internal/leader/workload_test.go
@@ -0,0 +1,146 @@
+package leader
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/cluster"
+	"ospreyslip/internal/leader/dispatch"
+	"ospreyslip/internal/peer"
+	"ospreyslip/internal/workers"
+)
+
+// A heartbeat without news costs the same in a fleet of any size, and asks for no
+// plan, no write and no command. Counted, not timed.
+func TestWorkPerReport(t *testing.T) {
+	cost := func(size int) float64 {
+		l, reports, now := newFullFleet(t, size)
+		l.planner.Requested = false
+		l.dispatcher = dispatch.New(l.dispatchDeps())
+		l.readLog(nil)
+		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, reports[20], now) })
+		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
+			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
+		}
+		return n
+	}
+	if few, many := cost(25), cost(largestFleet); few != many {
+		t.Errorf("%v allocations a report in a fleet of 25, %v in one of %d", few, many, largestFleet)
+	}
+}
+
+func BenchmarkReport(b *testing.B) {
+	l, reports, now := newFullFleet(b, largestFleet)
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		repeatHeartbeat(l, reports[i%len(reports)], now)
+	}
+}
+
+// BenchmarkPlan places one job's tasks that find no room, and one that does.
+func BenchmarkPlan(b *testing.B) {
+	leader, reports, now := newFullFleet(b, largestFleet)
+	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
+	leader.answerHeartbeat(idle, now)
+	leader.planner.Enqueue(leader.state.Jobs["j-7"])
+	_ = reports
+	for b.Loop() {
+		leader.plan(now)
+		m := leader.state.Machines.ByID[idle.Machine]
+		if len(m.Assignments) != 1 {
+			b.Fatalf("%d tasks placed", len(m.Assignments))
+		}
+		for _, a := range m.Assignments {
+			leader.tasks.End(a, cluster.Retry)
+			leader.tasks.Remove(a)
+		}
+		b.StopTimer()
+		leader.readLog(nil) // drops what the plan has queued
+		b.StartTimer()
+	}
+}
+
+// BenchmarkPlanFull plans for a hundred jobs that wait for room on full machines.
+func BenchmarkPlanFull(b *testing.B) {
+	l, _, now := newFullFleet(b, 400)
+	for i := range 100 {
+		s := &jobs.Spec{ID: fmt.Sprintf("j-1%03d", i), Class: "sums", Team: "red", Shape: jobs.Batch, Priority: []string{jobs.Standard, jobs.BestEffort}[i%2], Tasks: 25, CPUs: 1, RAMGB: 3, EstimatedRuntimeS: 30, Spot: true, Image: fmt.Sprintf("img-%d", i%14)}
+		j := cluster.NewJob(s.ID, s, uint64(i+2), 0, now)
+		l.state.Jobs[j.ID] = j
+		l.planner.Enqueue(j)
+	}
+	for b.Loop() {
+		l.planner.GuaranteesStale = true
+		l.plan(now)
+	}
+}
+
+// BenchmarkPlanGang looks for room for a gang of 16 in three zones in vain, and for
+// work that could make room for it.
+func BenchmarkPlanGang(b *testing.B) {
+	l, _, now := newFullFleet(b, largestFleet)
+	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
+	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
+	l.state.Jobs[j.ID] = j
+	l.planner.Enqueue(j)
+	for b.Loop() {
+		l.plan(now)
+		if len(j.Assignments) > 0 {
+			b.Fatal("placed where nothing fits")
+		}
+	}
+}
+
+// A tick in which nothing waits and nothing has happened sets no memory aside for any
+// machine, in a control interval in which each has its turn.
+func TestWorkPerTick(t *testing.T) {
+	cost := func(size int) float64 {
+		l, _, now := newFullFleet(t, size)
+		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+		l.planner.Unmet, l.loop.broadcastAt = nil, now
+		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
+			l.tick(t.Context(), now)
+			l.scaler.Reconcile(t.Context(), now, l.planner.Unmet) // in each tick, as if it were due
+		})
+	}
+	if few, many := cost(25), cost(largestFleet); many > few+5 {
+		t.Errorf("%v allocations a tick in a fleet of 25, %v in one of %d", few, many, largestFleet)
+	}
+}
+
+// BenchmarkTick looks after all machines while nothing happens, a fleet that is
+// planned for anew among it.
+func BenchmarkTick(b *testing.B) {
+	l, _, now := newFullFleet(b, largestFleet)
+	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+	l.scaler.DeferRentals(now.Add(time.Hour)) // nothing is rented
+	for b.Loop() {
+		l.tick(b.Context(), now)
+		l.scaler.Reconcile(b.Context(), now, l.planner.Unmet) // in each tick, as if it were due
+	}
+}
+
+// BenchmarkTakeOver reads a log of all machines.
+func BenchmarkTakeOver(b *testing.B) {
+	leader, _, now := newFullFleet(b, largestFleet)
+	segments := writeLog(leader)
+	spec, _ := json.Marshal(leader.state.Jobs["j-7"].Spec)
+	bytes := 0
+	for _, p := range segments {
+		bytes += len(p.Value)
+	}
+	b.ReportMetric(float64(len(segments)), "segments")
+	b.ReportMetric(float64(bytes), "bytes")
+	for b.Loop() {
+		var s jobs.Spec
+		if err := json.Unmarshal(spec, &s); err != nil {
+			b.Fatal(err)
+		}
+		if next := newSuccessor(leader, segments, now, &s); len(next.state.Machines.All) != largestFleet {
+			b.Fatalf("%d machines restored", len(next.state.Machines.All))
+		}
+	}
+}
