--- a/internal/compat/day_test.go
+++ b/internal/compat/day_test.go
@@ -72,6 +72,7 @@
 
 // day has the cluster write, send and show as much as it can in a quiet time.
 func (o *observed) day(t *testing.T, c *cluster) {
+	t.Helper()
 	ask := func(node, method, path, body string) {
 		fmt.Fprintf(&o.users, "%s %s\n%s\n", method, path, c.user(node, method, path, body))
 	}
@@ -138,6 +139,7 @@
 
 // restart ends all controllers, and a machine with them, and starts them again.
 func (o *observed) restart(t *testing.T, c *cluster) {
+	t.Helper()
 	c.stopAll()
 	c.out.kill(c.out.machineOf("j-2/0"))
 	c.startAll()
@@ -151,6 +153,7 @@
 // losses has the state service lose its records, first while the controllers know them,
 // then with all controllers.
 func (o *observed) losses(t *testing.T, c *cluster) {
+	t.Helper()
 	c.out.lose(false, func(key string) bool { return strings.HasPrefix(key, "job/") || key == "book/0" })
 	c.within(time.Minute, "word of a recovery", func() bool { return c.out.value("recovery/status") != nil })
 	o.seeOperators(t, c)
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -101,73 +101,109 @@
 	return out
 }
 
+// logHistory is what befalls an assignment log, one transaction after the other.
+type logHistory struct {
+	t      *testing.T
+	random *rand.Rand
+	store  *segmentStore
+	specs  []*jobs.Spec
+	leader *Leader
+	token  uint64
+}
+
+// replaceLeader has the next leader go on with the log.
+func (h *logHistory) replaceLeader() {
+	h.token++
+	h.leader = newLeaderFromLog(h.store, h.token, h.specs)
+}
+
+// write sends a transaction, of which the answer may be lost, and tells whether what is durable
+// is known: it was executed, or nothing was durable before.
+func (h *logHistory) write(batch *transaction.Batch) (known bool) {
+	before := durableRecords(h.leader)
+	switch failed := h.store.apply(batch); {
+	case h.random.IntN(8) == 0: // its answer is lost
+		batch.Failed()
+		h.leader.log.MarkOutcomeUnknown()
+		if h.random.IntN(2) == 0 { // and so is the leader
+			h.replaceLeader()
+		}
+	case len(failed) > 0:
+		batch.Failed()
+		for _, key := range failed {
+			h.leader.writer.ApplyConflict(batch, key, h.store.keys[key])
+		}
+	default:
+		h.leader.writer.Committed(batch, h.store.revision)
+		return true
+	}
+	return before == nil
+}
+
+// requireKeysWithoutGaps fails if the segments are not numbered from 0.
+func (h *logHistory) requireKeysWithoutGaps(step int) {
+	h.t.Helper()
+	for i := range len(h.store.keys) {
+		if _, ok := h.store.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
+			h.t.Fatalf("step %d: of %d segments, none is called %d", step, len(h.store.keys), i)
+		}
+	}
+}
+
+// requireReadable fails if version 0.3.0 or the next leader reads something else than is durable.
+func (h *logHistory) requireReadable(step int) {
+	h.t.Helper()
+	durable := durableRecords(h.leader)
+	if d := cmp.Diff(durable, readAsVersion030(h.t, h.store.pairs(), h.leader.Derived.Store.ChunkTasks)); d != "" {
+		h.t.Fatalf("step %d, what production reads: %s", step, d)
+	}
+	next := newLeaderFromLog(h.store, h.token+1, h.specs)
+	if d := cmp.Diff(durable, durableRecords(next)); d != "" {
+		h.t.Fatalf("step %d, what the next leader reads: %s", step, d)
+	}
+	for _, a := range next.state.Jobs["j-3"].Assignments {
+		if a.GangAttempt != 7 {
+			h.t.Fatalf("step %d: %s has lost its gang", step, a.TaskName())
+		}
+	}
+}
+
 // Whatever the history, the sizes of segments, old and new, and the fate of single
 // transactions: a new leader finds what was durable, no end undone and nothing lost,
 // after each of them.
 func TestLogOverMixedSegmentSizes(t *testing.T) {
+	const limitsFallAt, steps = 60, 240
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			discardLogs(t)
-			random := rand.New(rand.NewPCG(seed, 7))
-			store := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 32 << 10, maxOps: 12}
-			specs := []*jobs.Spec{
-				{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 3000, CPUs: 1},
-				{ID: "j-2", Team: "red", Shape: jobs.Service, Tasks: 900, CPUs: 1},
-				{ID: "j-3", Team: "red", Shape: jobs.Gang, Tasks: 200, CPUs: 1},
+			h := &logHistory{
+				t: t, random: rand.New(rand.NewPCG(seed, 7)),
+				store: &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 32 << 10, maxOps: 12},
+				specs: []*jobs.Spec{
+					{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 3000, CPUs: 1},
+					{ID: "j-2", Team: "red", Shape: jobs.Service, Tasks: 900, CPUs: 1},
+					{ID: "j-3", Team: "red", Shape: jobs.Gang, Tasks: 200, CPUs: 1},
+				},
 			}
-			leader := newLeaderFromLog(store, 1, specs)
-			token := uint64(1)
-			for step := range 240 {
-				if step == 60 {
+			h.replaceLeader()
+			for step := range steps {
+				if step == limitsFallAt {
 					// As production wrote them, the segments are full by now. The limits fall.
-					store.maxValueBytes, store.maxOps = 2<<10, 4
-					token++
-					leader = newLeaderFromLog(store, token, specs)
+					h.store.maxValueBytes, h.store.maxOps = 2<<10, 4
+					h.replaceLeader()
 				}
-				startAndEndTasks(leader, random)
-				if step < 60 {
-					startAndEndTasks(leader, random)
+				startAndEndTasks(h.leader, h.random)
+				if step < limitsFallAt {
+					startAndEndTasks(h.leader, h.random)
 				}
-				batch := leader.writer.Compose()
+				batch := h.leader.writer.Compose()
 				if len(batch.Writes) == 0 {
 					continue
 				}
-				before := durableRecords(leader)
-				for i := range len(store.keys) {
-					if _, ok := store.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
-						t.Fatalf("step %d: of %d segments, none is called %d", step, len(store.keys), i)
-					}
-				}
-				switch failed := store.apply(batch); {
-				case random.IntN(8) == 0: // its answer is lost
-					batch.Failed()
-					leader.log.MarkOutcomeUnknown()
-					if random.IntN(2) == 0 { // and so is the leader
-						token++
-						leader = newLeaderFromLog(store, token, specs)
-					}
-				case len(failed) > 0:
-					batch.Failed()
-					for _, key := range failed {
-						leader.writer.ApplyConflict(batch, key, store.keys[key])
-					}
-				default:
-					leader.writer.Committed(batch, store.revision)
-					before = nil
-				}
-				if before == nil && (step < 3 || step%5 == 0 || step > 60 && step < 70) {
-					if d := cmp.Diff(durableRecords(leader), readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks)); d != "" {
-						t.Fatalf("step %d, what production reads: %s", step, d)
-					}
-					next := newLeaderFromLog(store, token+1, specs)
-					if d := cmp.Diff(durableRecords(leader), durableRecords(next)); d != "" {
-						t.Fatalf("step %d, what the next leader reads: %s", step, d)
-					}
-					for _, a := range next.state.Jobs["j-3"].Assignments {
-						if a.GangAttempt != 7 {
-							t.Fatalf("step %d: %s has lost its gang", step, a.TaskName())
-						}
-					}
+				h.requireKeysWithoutGaps(step)
+				justFallen := step > limitsFallAt && step < limitsFallAt+10
+				if h.write(batch) && (step < 3 || step%5 == 0 || justFallen) {
+					h.requireReadable(step)
 				}
 			}
 		})
