--- a/cmd/ospreyslip-operator/main_test.go
+++ b/cmd/ospreyslip-operator/main_test.go
@@ -172,7 +172,7 @@
 		case "/recovery":
 			_ = json.NewEncoder(w).Encode(status)
 		case "/recovery/settle":
-			var in controller.Settle
+			var in controller.SettleRequest
 			_ = json.NewDecoder(r.Body).Decode(&in)
 			if in.As == "done" {
 				w.WriteHeader(http.StatusConflict)
--- a/cmd/ospreyslip-operator/recover.go
+++ b/cmd/ospreyslip-operator/recover.go
@@ -156,8 +156,8 @@
 	settle := &cobra.Command{
 		Use: "settle JOB done|cancelled|run", Short: "Decide what becomes of a held job", Args: cobra.ExactArgs(2),
 		RunE: withLeader(func(cmd *cobra.Command, args []string, _ *settings.Settings, c *leaderClient) error {
-			var settled controller.Settle
-			in := controller.Settle{Job: args[0], As: recovery.Settlement(args[1])}
+			var settled controller.SettleRequest
+			in := controller.SettleRequest{Job: args[0], As: recovery.Settlement(args[1])}
 			if err := c.do(cmd.Context(), http.MethodPost, "/recovery/settle", in, &settled); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/ospreyslip/main.go
+++ b/cmd/ospreyslip/main.go
@@ -49,7 +49,7 @@
 			if err != nil {
 				return err
 			}
-			return controller.New(set, controller.Wire{}).Run(cmd.Context())
+			return controller.New(set, controller.Environment{}).Run(cmd.Context())
 		},
 	}
 	cmd.PersistentFlags().StringVar(&config, "config", "", "settings file (TOML)")
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -24,10 +24,10 @@
 		lost   func(c *cluster, teller string) // in the outage
 		lasts  bool                            // the other job's tasks last
 		leader bool                            // the leader confirms, and its own watch lags
-		adapt  func(*Node)
+		adapt  func(*Controller)
 	}{
 		{name: "all go on", lasts: true},
-		{name: "promises of an earlier version", adapt: func(n *Node) {
+		{name: "promises of an earlier version", adapt: func(n *Controller) {
 			n.hub.Promise = func(ctx context.Context, _ string, token, _ uint64) peer.Promise {
 				return peer.Promise{Given: n.keeper.Promise(ctx, token)}
 			}
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -27,7 +27,7 @@
 }
 
 // keepCatalog learns the machine types, and their prices from time to time.
-func (n *Node) keepCatalog(ctx context.Context) {
+func (n *Controller) keepCatalog(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := 2 * n.d.Cancel
 		types, err := n.cloud.Catalog(ctx)
@@ -53,7 +53,7 @@
 
 // storeCatalog keeps the machine types, once. What fails is tried again when they
 // are read again.
-func (n *Node) storeCatalog(ctx context.Context, types []jobs.MachineType) {
+func (n *Controller) storeCatalog(ctx context.Context, types []jobs.MachineType) {
 	once := func(key string, v any) {
 		if raw, err := json.Marshal(v); err == nil && len(raw) <= n.d.ValueBytes {
 			_, _, _ = n.store.Commit(ctx, []kvstore.Guard{{Key: key}}, []kvstore.Write{{Set: key, Value: raw}})
@@ -68,7 +68,7 @@
 	}
 }
 
-func (n *Node) storedCatalog(ctx context.Context) (types []jobs.MachineType) {
+func (n *Controller) storedCatalog(ctx context.Context) (types []jobs.MachineType) {
 	p, found, err := n.store.Get(ctx, catalogKey)
 	if err == nil && found && json.Unmarshal(p.Value, &types) == nil {
 		return types
--- a/internal/controller/certainty.go
+++ b/internal/controller/certainty.go
@@ -17,7 +17,7 @@
 // were: all other controllers are asked how many jobs they know, and a reading of the records
 // that begins after their answers must have as many. Where one does not answer, the leader's
 // word does, or in the end the time that most outages last.
-func (n *Node) becomeSure(ctx context.Context) {
+func (n *Controller) becomeSure(ctx context.Context) {
 	for time.Since(n.born) < n.d.Cancel && !n.cache.Settled() {
 		others, err := n.askOthers(ctx)
 		switch {
@@ -37,7 +37,7 @@
 // staySure asks all other controllers after each outage of the state service whether that
 // was put back in it: a node that read nothing of what was lost would not notice. Where one
 // does not answer, the time that most outages last has to do.
-func (n *Node) staySure(ctx context.Context) {
+func (n *Controller) staySure(ctx context.Context) {
 	var servedSince time.Time // since the last outage; zero if nothing is to be found out
 	for n.sleep(ctx, n.d.TermRenew/2) {
 		if n.cache.Confirmed() || n.store.Failing() {
@@ -61,7 +61,7 @@
 }
 
 // sleep waits; it returns false if the context has ended.
-func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
+func (n *Controller) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -80,15 +80,15 @@
 }
 
 // askOthers asks all other controllers what they know, together. It fails unless all answer.
-func (n *Node) askOthers(ctx context.Context) (othersKnow, error) {
+func (n *Controller) askOthers(ctx context.Context) (othersKnow, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.d.TermRenew)
 	defer cancel()
 	names := n.hub.Peers()
-	pages := make([]peer.LostPage, len(names))
+	pages := make([]peer.LostJobsResponse, len(names))
 	asking, ctx := errgroup.WithContext(ctx)
 	for i, name := range names {
 		asking.Go(func() (err error) {
-			pages[i], err = n.hub.AskLost(ctx, name, peer.Question{})
+			pages[i], err = n.hub.RequestLostJobs(ctx, name, peer.LostJobsRequest{})
 			return err
 		})
 	}
@@ -97,26 +97,26 @@
 	}
 	others := othersKnow{ready: true, idle: true}
 	for i, page := range pages {
-		others.ready = others.ready && page.Ready
-		others.idle = others.idle && page.ReliesOnNothing
-		if page.Noticed {
+		others.ready = others.ready && page.Compared
+		others.idle = others.idle && page.ReliesOnNoPromise
+		if page.LossNoticed {
 			others.noticed = names[i]
 		}
-		others.known, others.newest = max(others.known, page.Known), max(others.newest, page.Newest)
+		others.known, others.newest = max(others.known, page.KnownJobs), max(others.newest, page.NewestRevision)
 	}
 	return others, nil
 }
 
 // nobodyRelies tells whether every other controller has answered this process that it relies
 // on no promise.
-func (n *Node) nobodyRelies(ctx context.Context) bool {
+func (n *Controller) nobodyRelies(ctx context.Context) bool {
 	others, err := n.askOthers(ctx)
 	return err == nil && others.idle
 }
 
 // wasPutBack tells whether the state service is at an older revision than another controller
 // had seen before, or does not tell.
-func (n *Node) wasPutBack(ctx context.Context, newest uint64) bool {
+func (n *Controller) wasPutBack(ctx context.Context, newest uint64) bool {
 	now, err := n.store.Revision(ctx)
 	if err == nil && now < newest {
 		n.losses.notice(detection.Loss{Kind: detection.RevisionBack, Known: newest, Found: now})
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -41,12 +41,12 @@
 	drawn  uint64
 	memory atomic.Uint64 // what each node holds, in bytes
 	tweak  func(*settings.Settings)
-	adapt  func(*Node) // of nodes that are started from now on
+	adapt  func(*Controller) // of nodes that are started from now on
 	duties sync.WaitGroup
 }
 
 type life struct {
-	node   *Node
+	node   *Controller
 	born   time.Time
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -130,7 +130,7 @@
 
 func (c *cluster) start(name string) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	n := New(c.settings(name), Wire{
+	n := New(c.settings(name), Environment{
 		HTTP: c.world.Net.From(name),
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) { return c.world.Net.Dial(ctx, name, addr) },
 		// All nodes of all tests are one process: what it holds says nothing of a node.
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -69,7 +69,7 @@
 		},
 	}
 	listening := make(chan string, 2)
-	n := New(set, Wire{Listen: func(addr string) (net.Listener, error) {
+	n := New(set, Environment{Listen: func(addr string) (net.Listener, error) {
 		ln, err := listenForUsers(addr)
 		if err == nil {
 			listening <- ln.Addr().String()
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -51,7 +51,7 @@
 	c := &cluster{t: t, names: []string{"perch-0"}}
 	net := emulator.NewNet()
 	net.Attach("state", "10.2.0.1:1", emulator.NewState())
-	n := New(c.settings("perch-0"), Wire{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
+	n := New(c.settings("perch-0"), Environment{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
 	n.catalog.Store(&testTypes)
 	n.memory.short.Store(true)
 	n.cache.BeSure() // as Work does where there are no peers
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -39,8 +39,8 @@
 	collectAt = 300
 )
 
-// Node is one controller.
-type Node struct {
+// Controller is one controller.
+type Controller struct {
 	set     *settings.Settings
 	d       settings.Derived
 	store   *kvstore.Client
@@ -62,8 +62,8 @@
 	listenForUsers, listenForPeers func(addr string) (net.Listener, error)
 }
 
-// Wire is how a node reaches others; nil fields mean the real network.
-type Wire struct {
+// Environment is how a node reaches others; nil fields mean the real network.
+type Environment struct {
 	HTTP   http.RoundTripper
 	Dial   peer.Dial
 	Listen func(addr string) (net.Listener, error)
@@ -71,7 +71,7 @@
 }
 
 // New makes a node from checked settings.
-func New(set *settings.Settings, w Wire) *Node {
+func New(set *settings.Settings, w Environment) *Controller {
 	d := set.Derive()
 	pick := func(each, all int, wait time.Duration) http.RoundTripper {
 		if w.HTTP != nil {
@@ -86,7 +86,7 @@
 	if w.Listen == nil {
 		users, cluster = listenForUsers, listenForPeers
 	}
-	n := &Node{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
+	n := &Controller{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
 	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
 	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.budget(false))
 	n.cache = jobs.NewCache(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
@@ -138,7 +138,7 @@
 }
 
 // Run serves until the context ends.
-func (n *Node) Run(ctx context.Context) error {
+func (n *Controller) Run(ctx context.Context) error {
 	// One thread at a time is all that a share of a core can use.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(collectAt)
@@ -181,7 +181,7 @@
 }
 
 // Handler serves users and workers.
-func (n *Node) Handler() http.Handler {
+func (n *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	users := &jobs.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
 	users.Register(mux)
@@ -196,7 +196,7 @@
 }
 
 // Work does the long-lived duties until the context ends.
-func (n *Node) Work(ctx context.Context, cluster net.Listener) {
+func (n *Controller) Work(ctx context.Context, cluster net.Listener) {
 	deps := leader.Deps{
 		Settings: n.set, Derived: n.d, Store: n.store, Cloud: n.cloud,
 		Workers: n.workers, Valid: n.keeper.Valid, Promised: n.keeper.Promised, Raised: n.keeper.Raised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
@@ -224,7 +224,7 @@
 
 // promise answers the holder of the term, which has lost the state service. The
 // promise comes first: what this node tells users later is newer than the question.
-func (n *Node) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
+func (n *Controller) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
 	p := peer.Promise{Given: n.keeper.Promise(ctx, token)}
 	if p.Given && seen > 0 {
 		p.Cancellations, p.Complete = n.cache.Cancellations(seen)
@@ -235,7 +235,7 @@
 // allPromise asks all others for promises. The picture of the jobs is renewed only by
 // what all nodes, this one too, have told users and it has not seen: that none reaches
 // the state service now says nothing of what was told before.
-func (n *Node) allPromise(ctx context.Context, token uint64) bool {
+func (n *Controller) allPromise(ctx context.Context, token uint64) bool {
 	asked, seen := time.Now(), n.gate.Seen()
 	p := n.hub.AllPromise(ctx, token, seen)
 	own, complete := n.cache.Cancellations(seen)
@@ -246,7 +246,7 @@
 }
 
 // budget is what this node may ask of the state service.
-func (n *Node) budget(leading bool) kvstore.Budget {
+func (n *Controller) budget(leading bool) kvstore.Budget {
 	all := n.set.Deployment.State.Within()
 	b := kvstore.Budget{Requests: leaderRequests * all.RPS, Writes: leaderWrites * all.WriteRPS}
 	if others := float64(n.set.Deployment.Nodes - 1); !leading && others > 0 {
@@ -256,7 +256,7 @@
 	return b
 }
 
-func (n *Node) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
+func (n *Controller) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
 	n.cache.PutBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
@@ -271,7 +271,7 @@
 // service and the leader together, as it is most likely cut off itself. In an outage
 // of all it stays, since users would only find nobody, and come back later than the
 // service does.
-func (n *Node) ready() bool {
+func (n *Controller) ready() bool {
 	if !n.cache.Settled() && time.Since(n.born) < 2*n.d.TermLease {
 		return false // it has just begun, and cannot tell a new job from a lost one yet
 	}
@@ -289,7 +289,7 @@
 	return !ever || since <= n.d.Cancel // most outages are over by then
 }
 
-func (n *Node) types() []jobs.MachineType {
+func (n *Controller) types() []jobs.MachineType {
 	if t := n.catalog.Load(); t != nil {
 		return *t
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -43,7 +43,7 @@
 }
 
 // tellLosses hands evidence on until the context ends.
-func (n *Node) tellLosses(ctx context.Context) {
+func (n *Controller) tellLosses(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -56,7 +56,7 @@
 
 // tellLoss hands evidence to the leader, here or elsewhere. Another is told once in a
 // while only: it compares all records anyway.
-func (n *Node) tellLoss(l detection.Loss) {
+func (n *Controller) tellLoss(l detection.Loss) {
 	if n.gate.Noticed(l) {
 		return
 	}
@@ -71,29 +71,29 @@
 
 // lostPage answers the leader's question for jobs of which this node knows more than the
 // state service. In a new round, all records are compared with that first.
-func (n *Node) lostPage(q peer.Question) peer.LostPage {
-	if q.Round == 0 {
+func (n *Controller) lostPage(q peer.LostJobsRequest) peer.LostJobsResponse {
+	if q.ComparisonRound == 0 {
 		// Who asks compares with what this node knows: that has to be in the records still.
 		fresh := time.Since(n.cache.WitnessesChecked()) < n.d.TermRenew
 		if !fresh {
 			n.cache.CheckWitnesses()
 		}
-		return peer.LostPage{
-			Ready: fresh, Known: n.cache.Jobs(), Newest: n.cache.Newest(), Noticed: n.cache.Suspected() || n.cache.LostJobs() > 0,
-			ReliesOnNothing: n.keeper.ReliesOnNothing(),
+		return peer.LostJobsResponse{
+			Compared: fresh, KnownJobs: n.cache.Jobs(), NewestRevision: n.cache.Newest(), LossNoticed: n.cache.Suspected() || n.cache.LostJobs() > 0,
+			ReliesOnNoPromise: n.keeper.ReliesOnNothing(),
 		}
 	}
 	n.losses.mu.Lock()
-	if n.losses.round != q.Round {
-		n.losses.round, n.losses.ticket = q.Round, n.cache.Verify()
+	if n.losses.round != q.ComparisonRound {
+		n.losses.round, n.losses.ticket = q.ComparisonRound, n.cache.Verify()
 	}
 	ticket := n.losses.ticket
 	n.losses.mu.Unlock()
 	if !n.cache.Verified(ticket) {
-		return peer.LostPage{}
+		return peer.LostJobsResponse{}
 	}
-	lost, more := n.cache.Lost(q.After, lostRows)
-	page := peer.LostPage{Ready: true, More: more}
+	lost, more := n.cache.Lost(q.AfterID, lostRows)
+	page := peer.LostJobsResponse{Compared: true, More: more}
 	for _, l := range lost {
 		page.Jobs = append(page.Jobs, peer.LostJob{ID: l.ID, State: l.State, Tasks: l.Tasks, Record: n.cache.Unfinished(l.ID)})
 	}
@@ -105,7 +105,7 @@
 
 // leaderIsUnsure takes in whether the leader is comparing records, or writing lost ones again.
 // Until they are written, this node may not know of a job, or know less than others.
-func (n *Node) leaderIsUnsure(p peer.Progress) {
+func (n *Controller) leaderIsUnsure(p peer.Progress) {
 	n.cache.PutBack(p.PutBack)
 	compared := n.losses.unsure.Swap(p.Uncertain) && !p.Uncertain
 	written := n.losses.writing.Swap(p.Restoring) && !p.Restoring
@@ -119,13 +119,13 @@
 
 // recoveryHandlers serve operators: the state of a recovery, parts of a snapshot, and
 // decisions about held jobs.
-func (n *Node) recoveryHandlers(mux *http.ServeMux) {
+func (n *Controller) recoveryHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /recovery", n.showRecovery)
 	mux.HandleFunc("POST /recovery/import", n.importSnapshot)
 	mux.HandleFunc("POST /recovery/settle", n.settle)
 }
 
-func (n *Node) showRecovery(w http.ResponseWriter, r *http.Request) {
+func (n *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
 	defer cancel()
 	status, err := n.gate.Recovery(ctx)
@@ -143,7 +143,7 @@
 // mostImport bounds what one request may make this node hold in memory.
 const mostImport = 1 << 20
 
-func (n *Node) importSnapshot(w http.ResponseWriter, r *http.Request) {
+func (n *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
 	var in leader.Import
 	if !readJSON(w, r, &in) {
 		return
@@ -158,14 +158,14 @@
 	writeJSON(w, http.StatusOK, count)
 }
 
-// Settle is an operator's decision about a held job.
-type Settle struct {
+// SettleRequest is an operator's decision about a held job.
+type SettleRequest struct {
 	Job string              `json:"job"`
 	As  recovery.Settlement `json:"as"`
 }
 
-func (n *Node) settle(w http.ResponseWriter, r *http.Request) {
-	var in Settle
+func (n *Controller) settle(w http.ResponseWriter, r *http.Request) {
+	var in SettleRequest
 	if !readJSON(w, r, &in) {
 		return
 	}
--- a/internal/controller/recovery_seeds_test.go
+++ b/internal/controller/recovery_seeds_test.go
@@ -215,7 +215,7 @@
 }
 
 // lossDayOnce plays one day in a cluster of its own.
-func lossDayOnce(t *testing.T, seed uint64, adapt func(*Node), day *lossDay) {
+func lossDayOnce(t *testing.T, seed uint64, adapt func(*Controller), day *lossDay) {
 	inCluster(t, func(s *settings.Settings) {
 		s.Operator.AuditS = 15 // what is lost without a trace is found by nothing else
 	}, func(c *cluster) {
@@ -256,14 +256,14 @@
 
 // withoutSource leaves out a source of knowledge, to measure what it is worth:
 // OSPREYSLIP_WITHOUT=peers or kept.
-func withoutSource(t *testing.T) func(*Node) {
+func withoutSource(t *testing.T) func(*Controller) {
 	t.Helper()
 	switch without := os.Getenv("OSPREYSLIP_WITHOUT"); without {
 	case "":
 		return nil
 	case "peers":
-		return func(n *Node) {
-			n.hub.Lost = func(peer.Question) peer.LostPage { return peer.LostPage{Ready: true} }
+		return func(n *Controller) {
+			n.hub.Lost = func(peer.LostJobsRequest) peer.LostJobsResponse { return peer.LostJobsResponse{Compared: true} }
 		}
 	default:
 		t.Fatalf("OSPREYSLIP_WITHOUT: %q is no source that can be left out", without)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -25,7 +25,7 @@
 	View    *leader.Status `json:"view,omitempty"` // of the leader only
 }
 
-func (n *Node) status(ctx context.Context) Status {
+func (n *Controller) status(ctx context.Context) Status {
 	return Status{
 		Node: n.set.Node, Zone: n.set.Zone, Leader: n.keeper.Leader(), Leading: n.keeper.Valid(),
 		View: n.gate.Status(ctx),
@@ -33,7 +33,7 @@
 }
 
 // debugHandler serves operators on the cluster listener.
-func (n *Node) debugHandler() http.Handler {
+func (n *Controller) debugHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
@@ -50,7 +50,7 @@
 
 // collector reads the metrics when they are asked for: nothing is counted on
 // the way, so that they cost nothing in between.
-type collector struct{ n *Node }
+type collector struct{ n *Controller }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("ospreyslip_"+name, help, labels, nil)
@@ -176,7 +176,7 @@
 func (h *handed) Addr() net.Addr { return &net.TCPAddr{} }
 
 // serveDebug serves the operators' connections until the context ends.
-func (n *Node) serveDebug(ctx context.Context) {
+func (n *Controller) serveDebug(ctx context.Context) {
 	srv := &http.Server{Handler: n.debugHandler(), ReadHeaderTimeout: n.d.UserWait, IdleTimeout: time.Minute}
 	stop := context.AfterFunc(ctx, func() { srv.Close() })
 	defer stop()
--- a/internal/leader/picture_test.go
+++ b/internal/leader/picture_test.go
@@ -28,8 +28,8 @@
 
 func (noPeers) Peers() []string { return nil }
 
-func (noPeers) AskLost(context.Context, string, peer.Question) (peer.LostPage, error) {
-	return peer.LostPage{}, peer.ErrNoAnswer
+func (noPeers) RequestLostJobs(context.Context, string, peer.LostJobsRequest) (peer.LostJobsResponse, error) {
+	return peer.LostJobsResponse{}, peer.ErrNoResponse
 }
 
 // bench is a leader with one machine and one job of two tasks, and no duties.
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -34,7 +34,7 @@
 // PeerKnowledge is what other controllers know beyond the records.
 type PeerKnowledge interface {
 	Peers() []string
-	AskLost(ctx context.Context, node string, q peer.Question) (peer.LostPage, error)
+	RequestLostJobs(ctx context.Context, node string, q peer.LostJobsRequest) (peer.LostJobsResponse, error)
 }
 
 // recoverer is what is known of lost records, and what is being done about them.
--- a/internal/leader/recovery_compare.go
+++ b/internal/leader/recovery_compare.go
@@ -132,22 +132,22 @@
 			continue
 		}
 		scan.busy = true
-		question := peer.Question{Round: l.round, After: scan.after}
+		question := peer.LostJobsRequest{ComparisonRound: l.round, AfterID: scan.after}
 		go func() {
 			try, cancel := context.WithTimeout(ctx, l.Derived.TermLease)
 			defer cancel()
-			page, err := l.Peers.AskLost(try, name, question)
+			page, err := l.Peers.RequestLostJobs(try, name, question)
 			l.post(ctx, func(now time.Time) { l.peerAnswered(name, scan, page, err, now) })
 		}()
 	}
 }
 
-func (l *Leader) peerAnswered(name string, scan *peerScan, page peer.LostPage, err error, now time.Time) {
+func (l *Leader) peerAnswered(name string, scan *peerScan, page peer.LostJobsResponse, err error, now time.Time) {
 	scan.busy = false
 	if l.peers[name] != scan {
 		return // of an earlier round
 	}
-	if err != nil || !page.Ready {
+	if err != nil || !page.Compared {
 		scan.next = now.Add(l.Derived.ControlInterval / 2)
 		return
 	}
--- a/internal/peer/lost.go
+++ b/internal/peer/lost.go
@@ -20,43 +20,43 @@
 	Record []byte // as JSON, if this node has its description
 }
 
-// LostPage is a part of a controller's lost jobs.
-type LostPage struct {
-	Ready bool // it has compared all records with what it knows
-	More  bool
-	Jobs  []LostJob
-	// Known is how many jobs it knows, and Noticed tells that it has noticed a loss.
-	Known   int
-	Noticed bool
-	Newest  uint64 // revision of the state service that it has read
-	// ReliesOnNothing tells that it neither holds the term nor may come to act by one that
+// LostJobsResponse is a part of a controller's lost jobs.
+type LostJobsResponse struct {
+	Compared bool // it has compared all records with what it knows
+	More     bool
+	Jobs     []LostJob
+	// KnownJobs is how many jobs it knows, and Noticed tells that it has noticed a loss.
+	KnownJobs      int
+	LossNoticed    bool
+	NewestRevision uint64 // revision of the state service that it has read
+	// ReliesOnNoPromise tells that it neither holds the term nor may come to act by one that
 	// it took in its present life. An earlier version does not say so.
-	ReliesOnNothing bool
+	ReliesOnNoPromise bool
 }
 
-// Question is the leader's, for jobs of which another controller knows more than the state
+// LostJobsRequest is the leader's, for jobs of which another controller knows more than the state
 // service.
-type Question struct {
-	Round uint64 // of comparison; 0 asks only what the other has noticed and how much it knows
-	After string // jobs in the order of their ids after this one
+type LostJobsRequest struct {
+	ComparisonRound uint64 // of comparison; 0 asks only what the other has noticed and how much it knows
+	AfterID         string // jobs in the order of their ids after this one
 }
 
 type lostAsk struct {
 	number uint64
-	Question
+	LostJobsRequest
 }
 
 type lostPage struct {
 	number uint64
-	LostPage
+	LostJobsResponse
 }
 
 // mostLostBytes bounds a page well below what a message may be.
 const mostLostBytes = maxMessage / 4
 
-// ErrNoAnswer means that a controller did not answer, as it is away or of a version that
+// ErrNoResponse means that a controller did not answer, as it is away or of a version that
 // does not know the question.
-var ErrNoAnswer = errors.New("no answer")
+var ErrNoResponse = errors.New("no answer")
 
 // Peers returns the names of all other controllers, in order.
 func (h *Hub) Peers() []string {
@@ -68,13 +68,13 @@
 	return names
 }
 
-// AskLost asks another controller for jobs of which it knows more than the state service.
-func (h *Hub) AskLost(ctx context.Context, node string, q Question) (LostPage, error) {
+// RequestLostJobs asks another controller for jobs of which it knows more than the state service.
+func (h *Hub) RequestLostJobs(ctx context.Context, node string, q LostJobsRequest) (LostJobsResponse, error) {
 	l := h.links[node]
 	if l == nil {
-		return LostPage{}, fmt.Errorf("unknown node %q", node)
+		return LostJobsResponse{}, fmt.Errorf("unknown node %q", node)
 	}
-	reply := make(chan LostPage, 1)
+	reply := make(chan LostJobsResponse, 1)
 	h.mu.Lock()
 	h.number++
 	number := h.number
@@ -88,13 +88,13 @@
 	select {
 	case l.out <- encodeLostAsk(h.self, lostAsk{number, q}):
 	default:
-		return LostPage{}, ErrNoAnswer
+		return LostJobsResponse{}, ErrNoResponse
 	}
 	select {
 	case p := <-reply:
 		return p, nil
 	case <-ctx.Done():
-		return LostPage{}, ErrNoAnswer
+		return LostJobsResponse{}, ErrNoResponse
 	}
 }
 
@@ -122,7 +122,7 @@
 	case m.lostPage != nil:
 		if reply := h.pages[m.lostPage.number]; reply != nil {
 			delete(h.pages, m.lostPage.number)
-			reply <- m.lostPage.LostPage
+			reply <- m.lostPage.LostJobsResponse
 		}
 	default:
 		return errors.New("unexpected message")
@@ -132,10 +132,10 @@
 
 func encodeLostAsk(from string, a lostAsk) []byte {
 	b := flatbuffers.NewBuilder(128)
-	after := b.CreateString(a.After)
+	after := b.CreateString(a.AfterID)
 	wire.LostAskStart(b)
 	wire.LostAskAddNumber(b, a.number)
-	wire.LostAskAddRound(b, a.Round)
+	wire.LostAskAddRound(b, a.ComparisonRound)
 	wire.LostAskAddAfter(b, after)
 	return finish(b, from, wire.BodyLostAsk, wire.LostAskEnd(b))
 }
@@ -158,13 +158,13 @@
 	vector := b.EndVector(len(rows))
 	wire.LostPageStart(b)
 	wire.LostPageAddNumber(b, p.number)
-	wire.LostPageAddReady(b, p.Ready)
+	wire.LostPageAddReady(b, p.Compared)
 	wire.LostPageAddMore(b, p.More)
 	wire.LostPageAddJobs(b, vector)
-	wire.LostPageAddKnown(b, uint64(max(0, p.Known)))
-	wire.LostPageAddNoticed(b, p.Noticed)
-	wire.LostPageAddNewest(b, p.Newest)
-	wire.LostPageAddReliesOnNothing(b, p.ReliesOnNothing)
+	wire.LostPageAddKnown(b, uint64(max(0, p.KnownJobs)))
+	wire.LostPageAddNoticed(b, p.LossNoticed)
+	wire.LostPageAddNewest(b, p.NewestRevision)
+	wire.LostPageAddReliesOnNothing(b, p.ReliesOnNoPromise)
 	return finish(b, from, wire.BodyLostPage, wire.LostPageEnd(b))
 }
 
@@ -185,9 +185,9 @@
 	if p.JobsLength() > most {
 		return nil, errTooManyRows
 	}
-	page := &lostPage{p.Number(), LostPage{
-		Ready: p.Ready(), More: p.More(), Known: int(p.Known()), Noticed: p.Noticed(), Newest: p.Newest(),
-		ReliesOnNothing: p.ReliesOnNothing(),
+	page := &lostPage{p.Number(), LostJobsResponse{
+		Compared: p.Ready(), More: p.More(), KnownJobs: int(p.Known()), LossNoticed: p.Noticed(), NewestRevision: p.Newest(),
+		ReliesOnNoPromise: p.ReliesOnNothing(),
 	}}
 	var row wire.LostJob
 	for i := range p.JobsLength() {
--- a/internal/peer/lost_test.go
+++ b/internal/peer/lost_test.go
@@ -19,14 +19,14 @@
 // Questions and pages of lost jobs come out as they went in, and no broken ones end a
 // process.
 func TestLostMessages(t *testing.T) {
-	page := lostPage{9, LostPage{Ready: true, More: true, Known: 7, Noticed: true, Newest: 500, ReliesOnNothing: true, Jobs: []LostJob{
+	page := lostPage{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoPromise: true, Jobs: []LostJob{
 		{ID: "j-1", State: "done", Tasks: 4}, {ID: "j-2", State: "queued", Tasks: 1, Record: []byte(`{"stance":"queued"}`)},
 	}}}
 	for name, c := range map[string]struct {
 		raw  []byte
 		want message
 	}{
-		"question": {encodeLostAsk("perch-0", lostAsk{9, Question{41, "j-1"}}), message{from: "perch-0", lostAsk: &lostAsk{9, Question{41, "j-1"}}}},
+		"question": {encodeLostAsk("perch-0", lostAsk{9, LostJobsRequest{41, "j-1"}}), message{from: "perch-0", lostAsk: &lostAsk{9, LostJobsRequest{41, "j-1"}}}},
 		"notice":   {encodeLossNotice("perch-1", detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", loss: &detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}}},
 		"page":     {encodeLostPage("perch-1", page), message{from: "perch-1", lostPage: &page}},
 	} {
@@ -51,7 +51,7 @@
 // A page stays within a message, however large the descriptions are; the rest comes with
 // the next.
 func TestLargePage(t *testing.T) {
-	page := lostPage{1, LostPage{Ready: true}}
+	page := lostPage{1, LostJobsResponse{Compared: true}}
 	for i := range 100 {
 		page.Jobs = append(page.Jobs, LostJob{ID: fmt.Sprintf("j-%03d", i), Record: make([]byte, 30<<10)})
 	}
@@ -66,7 +66,7 @@
 }
 
 // pair is two hubs on loopback, the second of which answers as it is told.
-func pair(t *testing.T, lost func(Question) LostPage) *Hub {
+func pair(t *testing.T, lost func(LostJobsRequest) LostJobsResponse) *Hub {
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -94,10 +94,10 @@
 }
 
 // askUntil asks until the connection stands and there is an answer.
-func askUntil(h *Hub, after string) (p LostPage, err error) {
+func askUntil(h *Hub, after string) (p LostJobsResponse, err error) {
 	for range 100 {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
-		p, err = h.AskLost(ctx, "perch-1", Question{Round: 41, After: after})
+		p, err = h.RequestLostJobs(ctx, "perch-1", LostJobsRequest{ComparisonRound: 41, AfterID: after})
 		cancel()
 		if err == nil {
 			return p, nil
@@ -107,14 +107,14 @@
 }
 
 func TestAskLost(t *testing.T) {
-	h := pair(t, func(q Question) LostPage {
-		return LostPage{Ready: q.Round == 41, Jobs: []LostJob{{ID: q.After + "1"}}}
+	h := pair(t, func(q LostJobsRequest) LostJobsResponse {
+		return LostJobsResponse{Compared: q.ComparisonRound == 41, Jobs: []LostJob{{ID: q.AfterID + "1"}}}
 	})
 	p, err := askUntil(h, "j-")
-	if err != nil || !p.Ready || len(p.Jobs) != 1 || p.Jobs[0].ID != "j-1" {
+	if err != nil || !p.Compared || len(p.Jobs) != 1 || p.Jobs[0].ID != "j-1" {
 		t.Errorf("%+v, %v", p, err)
 	}
-	if _, err := h.AskLost(context.Background(), "perch-9", Question{Round: 1}); err == nil {
+	if _, err := h.RequestLostJobs(context.Background(), "perch-9", LostJobsRequest{ComparisonRound: 1}); err == nil {
 		t.Error("asked a node that there is not")
 	}
 }
@@ -124,7 +124,7 @@
 	h := pair(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := h.AskLost(ctx, "perch-1", Question{Round: 1}); !errors.Is(err, ErrNoAnswer) {
+	if _, err := h.RequestLostJobs(ctx, "perch-1", LostJobsRequest{ComparisonRound: 1}); !errors.Is(err, ErrNoResponse) {
 		t.Error(err)
 	}
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -202,7 +202,7 @@
 	case wire.BodyLostAsk:
 		var a wire.LostAsk
 		a.Init(body.Bytes, body.Pos)
-		m.lostAsk = &lostAsk{a.Number(), Question{a.Round(), string(a.After())}}
+		m.lostAsk = &lostAsk{a.Number(), LostJobsRequest{a.Round(), string(a.After())}}
 	case wire.BodyLostPage:
 		m.lostPage, err = decodeLostPage(body, len(raw)/flatbuffers.SizeUOffsetT)
 	case wire.BodyLossNotice:
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -40,7 +40,7 @@
 
 	// Lost answers the leader's question for jobs of which this node knows more than the
 	// state service.
-	Lost func(Question) LostPage
+	Lost func(LostJobsRequest) LostJobsResponse
 
 	// Noticed takes in what another controller says of lost records.
 	Noticed func(from string, l detection.Loss)
@@ -48,7 +48,7 @@
 	mu      sync.Mutex
 	number  uint64
 	waiting map[uint64]chan Promise
-	pages   map[uint64]chan LostPage
+	pages   map[uint64]chan LostJobsResponse
 }
 
 type link struct {
@@ -58,7 +58,7 @@
 
 // NewHub makes a hub. A connection that has failed is tried again after retry.
 func NewHub(self string, peers []settings.Peer, dial Dial, retry time.Duration) *Hub {
-	h := &Hub{self: self, dial: dial, retry: retry, links: map[string]*link{}, waiting: map[uint64]chan Promise{}, pages: map[uint64]chan LostPage{}}
+	h := &Hub{self: self, dial: dial, retry: retry, links: map[string]*link{}, waiting: map[uint64]chan Promise{}, pages: map[uint64]chan LostJobsResponse{}}
 	for _, p := range peers {
 		h.links[p.Node] = &link{addr: p.Addr, out: make(chan []byte, 4)}
 	}
@@ -233,7 +233,7 @@
 		case m.loss != nil && h.Noticed != nil:
 			h.Noticed(m.from, *m.loss)
 		case m.lostAsk != nil && h.Lost != nil:
-			page := h.Lost(m.lostAsk.Question)
+			page := h.Lost(m.lostAsk.LostJobsRequest)
 			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retry))
 			_, err := c.Write(encodeLostPage(h.self, lostPage{m.lostAsk.number, page}))
 			return err
