--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -15,8 +15,8 @@
 // the cloud does not answer. Where they do not fit into one value, each has one of
 // its own under catalogParts.
 const (
-	catalogKey   = "catalog"
-	catalogParts = "catalog/"
+	catalogKey        = "catalog"
+	catalogPartPrefix = "catalog/"
 )
 
 // catalogPart is one machine type of so many: a part of them would have jobs
@@ -26,23 +26,23 @@
 	Type jobs.MachineType `json:"type"`
 }
 
-// keepCatalog learns the machine types, and their prices from time to time.
-func (n *Controller) keepCatalog(ctx context.Context) {
+// refreshCatalog learns the machine types, and their prices from time to time.
+func (n *Controller) refreshCatalog(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := 2 * n.d.Cancel
+		wait := 2 * n.derived.Cancel
 		types, err := n.cloud.Catalog(ctx)
 		switch {
 		case err == nil:
 			n.catalog.Store(&types)
 			n.storeCatalog(ctx, types)
-		case n.types() == nil:
+		case n.machineTypes() == nil:
 			slog.Debug("machine types not read", "reason", err)
-			wait = n.d.TermRenew
-			if types := n.storedCatalog(ctx); types != nil {
+			wait = n.derived.TermRenew
+			if types := n.readStoredCatalog(ctx); types != nil {
 				n.catalog.Store(&types)
 			}
 		default:
-			wait = n.d.Cancel / 4
+			wait = n.derived.Cancel / 4
 		}
 		select {
 		case <-ctx.Done():
@@ -55,25 +55,25 @@
 // are read again.
 func (n *Controller) storeCatalog(ctx context.Context, types []jobs.MachineType) {
 	once := func(key string, v any) {
-		if raw, err := json.Marshal(v); err == nil && len(raw) <= n.d.ValueBytes {
+		if raw, err := json.Marshal(v); err == nil && len(raw) <= n.derived.ValueBytes {
 			_, _, _ = n.store.Commit(ctx, []kvstore.Guard{{Key: key}}, []kvstore.Write{{Set: key, Value: raw}})
 		}
 	}
-	if raw, err := json.Marshal(types); err == nil && len(raw) <= n.d.ValueBytes {
+	if raw, err := json.Marshal(types); err == nil && len(raw) <= n.derived.ValueBytes {
 		once(catalogKey, types)
 		return
 	}
 	for i, t := range types {
-		once(fmt.Sprint(catalogParts, i), catalogPart{len(types), t})
+		once(fmt.Sprint(catalogPartPrefix, i), catalogPart{len(types), t})
 	}
 }
 
-func (n *Controller) storedCatalog(ctx context.Context) (types []jobs.MachineType) {
+func (n *Controller) readStoredCatalog(ctx context.Context) (types []jobs.MachineType) {
 	p, found, err := n.store.Get(ctx, catalogKey)
 	if err == nil && found && json.Unmarshal(p.Value, &types) == nil {
 		return types
 	}
-	pairs, _, err := n.store.List(ctx, catalogParts)
+	pairs, _, err := n.store.List(ctx, catalogPartPrefix)
 	if err != nil {
 		return nil
 	}
--- a/internal/controller/certainty.go
+++ b/internal/controller/certainty.go
@@ -13,33 +13,33 @@
 // This file finds out, by asking the other controllers, what this node may take for certain:
 // that it knows all jobs, and that nobody relies on what its earlier life may have promised.
 
-// becomeSure finds out, after a start, whether this node has begun with all records there
+// confirmAfterStart finds out, after a start, whether this node has begun with all records there
 // were: all other controllers are asked how many jobs they know, and a reading of the records
 // that begins after their answers must have as many. Where one does not answer, the leader's
 // word does, or in the end the time that most outages last.
-func (n *Controller) becomeSure(ctx context.Context) {
-	for time.Since(n.born) < n.d.Cancel && !n.cache.Settled() {
-		others, err := n.askOthers(ctx)
+func (n *Controller) confirmAfterStart(ctx context.Context) {
+	for time.Since(n.born) < n.derived.Cancel && !n.cache.Settled() {
+		others, err := n.queryPeers(ctx)
 		switch {
 		case err != nil:
-		case others.noticed != "":
-			n.losses.notice(detection.Loss{Kind: detection.ReportedByPeer, Key: others.noticed})
-		case n.cache.Listed() && !n.wasPutBack(ctx, others.newest):
-			n.cache.Expect(others.known, false)
+		case others.lossNoticedBy != "":
+			n.lossReporter.notice(detection.Loss{Kind: detection.ReportedByPeer, Key: others.lossNoticedBy})
+		case n.cache.Listed() && !n.storeRolledBack(ctx, others.newestRevision):
+			n.cache.Expect(others.knownJobs, false)
 		}
-		if !n.sleep(ctx, n.d.TermRenew/2) {
+		if !n.sleep(ctx, n.derived.TermRenew/2) {
 			return
 		}
 	}
 	n.cache.BeSure()
 }
 
-// staySure asks all other controllers after each outage of the state service whether that
+// confirmAfterOutages asks all other controllers after each outage of the state service whether that
 // was put back in it: a node that read nothing of what was lost would not notice. Where one
 // does not answer, the time that most outages last has to do.
-func (n *Controller) staySure(ctx context.Context) {
+func (n *Controller) confirmAfterOutages(ctx context.Context) {
 	var servedSince time.Time // since the last outage; zero if nothing is to be found out
-	for n.sleep(ctx, n.d.TermRenew/2) {
+	for n.sleep(ctx, n.derived.TermRenew/2) {
 		if n.cache.Confirmed() || n.store.Failing() {
 			servedSince = time.Time{}
 			continue
@@ -47,14 +47,14 @@
 		if servedSince.IsZero() {
 			servedSince = time.Now()
 		}
-		if time.Since(servedSince) < n.d.TermRenew {
+		if time.Since(servedSince) < n.derived.TermRenew {
 			n.cache.CheckWitnesses()
 			continue // what the others have compared by then, they have compared after it
 		}
 		outages := n.store.Outages()
-		others, err := n.askOthers(ctx)
-		heard := err == nil && others.ready && others.noticed == "" && !n.wasPutBack(ctx, others.newest)
-		if heard || time.Since(servedSince) > n.d.Cancel {
+		others, err := n.queryPeers(ctx)
+		heard := err == nil && others.allCurrent && others.lossNoticedBy == "" && !n.storeRolledBack(ctx, others.newestRevision)
+		if heard || time.Since(servedSince) > n.derived.Cancel {
 			n.cache.Confirm(outages)
 		}
 	}
@@ -70,56 +70,56 @@
 	}
 }
 
-// othersKnow is what all other controllers have said.
-type othersKnow struct {
-	known   int    // the most jobs that one of them knows
-	newest  uint64 // the newest revision that one of them has seen
-	noticed string // one that has noticed a loss
-	ready   bool   // each has found the newest that it knows in the records, just now
-	idle    bool   // each, in its present life, relies on no promise
+// peerKnowledge is what all other controllers have said.
+type peerKnowledge struct {
+	knownJobs      int    // the most jobs that one of them knows
+	newestRevision uint64 // the newest revision that one of them has seen
+	lossNoticedBy  string // one that has noticed a loss
+	allCurrent     bool   // each has found the newest that it knows in the records, just now
+	noneRelies     bool   // each, in its present life, relies on no promise
 }
 
-// askOthers asks all other controllers what they know, together. It fails unless all answer.
-func (n *Controller) askOthers(ctx context.Context) (othersKnow, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.d.TermRenew)
+// queryPeers asks all other controllers what they know, together. It fails unless all answer.
+func (n *Controller) queryPeers(ctx context.Context) (peerKnowledge, error) {
+	ctx, cancel := context.WithTimeout(ctx, n.derived.TermRenew)
 	defer cancel()
-	names := n.hub.Peers()
+	names := n.peers.Peers()
 	pages := make([]peer.LostJobsResponse, len(names))
 	asking, ctx := errgroup.WithContext(ctx)
 	for i, name := range names {
 		asking.Go(func() (err error) {
-			pages[i], err = n.hub.RequestLostJobs(ctx, name, peer.LostJobsRequest{})
+			pages[i], err = n.peers.RequestLostJobs(ctx, name, peer.LostJobsRequest{})
 			return err
 		})
 	}
 	if err := asking.Wait(); err != nil {
-		return othersKnow{}, err
+		return peerKnowledge{}, err
 	}
-	others := othersKnow{ready: true, idle: true}
+	others := peerKnowledge{allCurrent: true, noneRelies: true}
 	for i, page := range pages {
-		others.ready = others.ready && page.Compared
-		others.idle = others.idle && page.ReliesOnNoPromise
+		others.allCurrent = others.allCurrent && page.Compared
+		others.noneRelies = others.noneRelies && page.ReliesOnNoPromise
 		if page.LossNoticed {
-			others.noticed = names[i]
+			others.lossNoticedBy = names[i]
 		}
-		others.known, others.newest = max(others.known, page.KnownJobs), max(others.newest, page.NewestRevision)
+		others.knownJobs, others.newestRevision = max(others.knownJobs, page.KnownJobs), max(others.newestRevision, page.NewestRevision)
 	}
 	return others, nil
 }
 
-// nobodyRelies tells whether every other controller has answered this process that it relies
+// noPeerRelies tells whether every other controller has answered this process that it relies
 // on no promise.
-func (n *Controller) nobodyRelies(ctx context.Context) bool {
-	others, err := n.askOthers(ctx)
-	return err == nil && others.idle
+func (n *Controller) noPeerRelies(ctx context.Context) bool {
+	others, err := n.queryPeers(ctx)
+	return err == nil && others.noneRelies
 }
 
-// wasPutBack tells whether the state service is at an older revision than another controller
+// storeRolledBack tells whether the state service is at an older revision than another controller
 // had seen before, or does not tell.
-func (n *Controller) wasPutBack(ctx context.Context, newest uint64) bool {
+func (n *Controller) storeRolledBack(ctx context.Context, newest uint64) bool {
 	now, err := n.store.Revision(ctx)
 	if err == nil && now < newest {
-		n.losses.notice(detection.Loss{Kind: detection.RevisionBack, Known: newest, Found: now})
+		n.lossReporter.notice(detection.Loss{Kind: detection.RevisionBack, Known: newest, Found: now})
 	}
 	return err != nil || now < newest
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -143,7 +143,7 @@
 	c.nodes[name] = l
 	c.world.Net.Attach(name, addrOf(name), n.Handler())
 	c.world.Note("%s begins", name)
-	c.duties.Go(func() { n.Work(ctx, c.world.Net.Listen(name, clusterOf(name))); close(l.done) })
+	c.duties.Go(func() { n.RunDuties(ctx, c.world.Net.Listen(name, clusterOf(name))); close(l.done) })
 }
 
 // crash ends a node without a last word: nothing it says any more arrives.
--- a/internal/controller/conns_test.go
+++ b/internal/controller/conns_test.go
@@ -24,9 +24,9 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/quick", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("/long", func(http.ResponseWriter, *http.Request) { busy <- true; <-release })
-	c := newConns(most)
-	srv := &http.Server{Handler: mux, ConnState: c.changed}
-	go func() { _ = srv.Serve(netutil.LimitListener(turns{ln}, most)) }()
+	c := newConnLimiter(most)
+	srv := &http.Server{Handler: mux, ConnState: c.connStateChanged}
+	go func() { _ = srv.Serve(netutil.LimitListener(yieldingListener{ln}, most)) }()
 	defer srv.Close()
 	get := func(path string) error {
 		// Each client has a connection of its own, and keeps it.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -31,33 +31,33 @@
 // Shares of what the state service takes from all nodes together. The parts of
 // all nodes stay within the whole: the leader writes most of what is written.
 const (
-	leaderWrites   = 0.64
-	leaderRequests = 0.5
-	cloudShare     = 0.8
-	// collectAt is by how many percent the heap may grow between two collections:
+	leaderWriteShare   = 0.64
+	leaderRequestShare = 0.5
+	cloudRequestShare  = 0.8
+	// gcPercent is by how many percent the heap may grow between two collections:
 	// memory, within its limit, is cheaper here than processor time.
-	collectAt = 300
+	gcPercent = 300
 )
 
 // Controller is one controller.
 type Controller struct {
-	set     *settings.Settings
-	d       settings.Derived
-	store   *kvstore.Client
-	cache   *jobs.Cache
-	cloud   *autoscaler.Cloud
-	workers *workers.Client
-	keeper  *election.Keeper
-	gate    *leader.Gate
-	counts  *leader.Counts
-	hub     *peer.Hub
-	debug   *handed
-	memory  *memoryGauge
-	losses  *lossDesk
-	born    time.Time
-	served  atomic.Int64 // when, since born, the leader last said that the state service answers it
-	heard   atomic.Int64 // when, since born, a leader was last heard of, this node included
-	catalog atomic.Pointer[[]jobs.MachineType]
+	settings      *settings.Settings
+	derived       settings.Derived
+	store         *kvstore.Client
+	cache         *jobs.Cache
+	cloud         *autoscaler.Cloud
+	workers       *workers.Client
+	elector       *election.Keeper
+	gate          *leader.Gate
+	jobCounts     *leader.Counts
+	peers         *peer.Hub
+	operatorConns *connQueue
+	memory        *memoryLimit
+	lossReporter  *lossReporter
+	born          time.Time
+	served        atomic.Int64 // when, since born, the leader last said that the state service answers it
+	heard         atomic.Int64 // when, since born, a leader was last heard of, this node included
+	catalog       atomic.Pointer[[]jobs.MachineType]
 
 	listenForUsers, listenForPeers func(addr string) (net.Listener, error)
 }
@@ -86,54 +86,54 @@
 	if w.Listen == nil {
 		users, cluster = listenForUsers, listenForPeers
 	}
-	n := &Controller{set: set, d: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), counts: leader.NewCounts(), gate: &leader.Gate{}}
+	n := &Controller{settings: set, derived: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), jobCounts: leader.NewCounts(), gate: &leader.Gate{}}
 	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
-	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.budget(false))
+	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.storeBudget(false))
 	n.cache = jobs.NewCache(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
-	n.keeper = election.NewKeeper(set.Node, n.store, election.Timing{
+	n.elector = election.NewKeeper(set.Node, n.store, election.Timing{
 		Lease: d.TermLease, Renew: d.TermRenew, Safe: d.TermSafe, WatchWait: d.WatchWait, Retry: d.TermRenew,
 	})
-	n.hub = peer.NewHub(set.Node, set.Peers, w.Dial, d.TermRenew)
-	n.debug = newHanded()
-	n.losses = newLossDesk()
-	n.cache.OnLoss = n.losses.notice
-	n.keeper.Lost = func(l detection.Loss) {
+	n.peers = peer.NewHub(set.Node, set.Peers, w.Dial, d.TermRenew)
+	n.operatorConns = newConnQueue()
+	n.lossReporter = newLossReporter()
+	n.cache.OnLoss = n.lossReporter.notice
+	n.elector.Lost = func(l detection.Loss) {
 		n.cache.Suspect(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
-		n.losses.notice(l)
+		n.lossReporter.notice(l)
 	}
-	n.hub.Lost = n.lostPage
-	n.hub.Noticed = func(_ string, l detection.Loss) {
+	n.peers.OnLostJobsRequest = n.answerLostJobsRequest
+	n.peers.OnLossNotice = func(_ string, l detection.Loss) {
 		if !l.Kind.AffectsLog() {
 			l.Kind = detection.ReportedByPeer
 		}
 		n.gate.Noticed(l)
 	}
 	if w.Memory == nil {
-		w.Memory = heldBytes
+		w.Memory = memoryInUse
 	}
-	n.memory = &memoryGauge{most: uint64(d.RefuseBytes), held: w.Memory}
-	n.hub.HTTP = n.debug.take
-	n.hub.Promise = n.promise
-	n.hub.Progress = func(from string, p peer.Progress) {
-		if n.keeper.Valid() {
+	n.memory = &memoryLimit{limitBytes: uint64(d.RefuseBytes), inUseBytes: w.Memory}
+	n.peers.OnHTTP = n.operatorConns.enqueue
+	n.peers.OnPromiseRequest = n.answerPromiseRequest
+	n.peers.OnLeaderUpdate = func(from string, p peer.LeaderUpdate) {
+		if n.elector.Valid() {
 			return
 		}
-		n.counts.Replace(p.Counts)
+		n.jobCounts.Replace(p.JobCounts)
 		for _, c := range p.Changes {
 			n.cache.Hear(c.ID, c.State, c.Tasks)
 		}
-		n.leaderIsUnsure(p)
-		n.cache.Expect(p.Known, p.Uncertain)
+		n.followRecovery(p)
+		n.cache.Expect(p.KnownJobs, p.ComparingRecords)
 		n.heard.Store(time.Since(n.born).Nanoseconds())
-		if p.Served {
+		if p.StoreAvailable {
 			n.served.Store(time.Since(n.born).Nanoseconds())
 		}
 	}
 	if len(set.Peers) == set.Deployment.Nodes-1 {
-		n.keeper.AllPromise = n.allPromise
-		n.keeper.NobodyRelies = n.nobodyRelies
+		n.elector.AllPromise = n.requestPromises
+		n.elector.NobodyRelies = n.noPeerRelies
 	}
-	n.cloud = autoscaler.NewCloud(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudShare)
+	n.cloud = autoscaler.NewCloud(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudRequestShare)
 	return n
 }
 
@@ -141,30 +141,30 @@
 func (n *Controller) Run(ctx context.Context) error {
 	// One thread at a time is all that a share of a core can use.
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(n.d.CollectBytes)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(n.derived.CollectBytes)
 
-	ln, err := n.listenForUsers(n.set.Listen)
+	ln, err := n.listenForUsers(n.settings.Listen)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	cluster, err := n.listenForPeers(n.set.ClusterListen)
+	cluster, err := n.listenForPeers(n.settings.ClusterListen)
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
-	served := newConns(n.d.ServedConns)
+	served := newConnLimiter(n.derived.ServedConns)
 	srv := &http.Server{
 		Handler:           n.Handler(),
-		ConnState:         served.changed,
-		ReadHeaderTimeout: n.d.UserWait * 2,
-		ReadTimeout:       n.d.UserWait * 4,
-		IdleTimeout:       n.d.IdleConns,
+		ConnState:         served.connStateChanged,
+		ReadHeaderTimeout: n.derived.UserWait * 2,
+		ReadTimeout:       n.derived.UserWait * 4,
+		IdleTimeout:       n.derived.IdleConns,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	slog.Info("serving", "node", n.set.Node, "zone", n.set.Zone, "bind", n.set.Listen)
+	slog.Info("serving", "node", n.settings.Node, "zone", n.settings.Zone, "bind", n.settings.Listen)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		err := srv.Serve(netutil.LimitListener(turns{ln}, n.d.ServedConns))
+		err := srv.Serve(netutil.LimitListener(yieldingListener{ln}, n.derived.ServedConns))
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
@@ -172,21 +172,21 @@
 	})
 	g.Go(func() error {
 		<-ctx.Done()
-		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), n.d.UserWait)
+		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), n.derived.UserWait)
 		defer cancel()
 		return srv.Shutdown(stop)
 	})
-	g.Go(func() error { n.Work(ctx, cluster); return nil })
+	g.Go(func() error { n.RunDuties(ctx, cluster); return nil })
 	return g.Wait()
 }
 
 // Handler serves users and workers.
 func (n *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
-	users := &jobs.API{Settings: n.set, Derived: n.d, Store: n.store, Cache: n.cache, Catalog: n.types, Counts: n.counts.Get, Ready: n.ready, Room: n.memory.room}
+	users := &jobs.API{Settings: n.settings, Derived: n.derived, Store: n.store, Cache: n.cache, Catalog: n.machineTypes, Counts: n.jobCounts.Get, Ready: n.ready, Room: n.memory.hasRoom}
 	users.Register(mux)
 	reports := &workers.Handler{Answer: n.gate.Report, Leader: func() string {
-		if l := n.keeper.Leader(); l != n.set.Node {
+		if l := n.elector.Leader(); l != n.settings.Node {
 			return l
 		}
 		return ""
@@ -195,74 +195,74 @@
 	return mux
 }
 
-// Work does the long-lived duties until the context ends.
-func (n *Controller) Work(ctx context.Context, cluster net.Listener) {
+// RunDuties does the long-lived duties until the context ends.
+func (n *Controller) RunDuties(ctx context.Context, cluster net.Listener) {
 	deps := leader.Deps{
-		Settings: n.set, Derived: n.d, Store: n.store, Cloud: n.cloud,
-		Workers: n.workers, Valid: n.keeper.Valid, Promised: n.keeper.Promised, Raised: n.keeper.Raised, Publish: n.publish, Catalog: n.types, Counts: n.counts,
-		Cache: n.cache, Peers: n.hub, Node: n.set.Node,
+		Settings: n.settings, Derived: n.derived, Store: n.store, Cloud: n.cloud,
+		Workers: n.workers, Valid: n.elector.Valid, Promised: n.elector.Promised, Raised: n.elector.Raised, Publish: n.broadcastUpdate, Catalog: n.machineTypes, Counts: n.jobCounts,
+		Cache: n.cache, Peers: n.peers, Node: n.settings.Node,
 	}
 	var duties sync.WaitGroup
-	duties.Go(func() { n.hub.Run(ctx, cluster) })
-	duties.Go(func() { n.serveDebug(ctx) })
-	duties.Go(func() { n.keepCatalog(ctx) })
+	duties.Go(func() { n.peers.Run(ctx, cluster) })
+	duties.Go(func() { n.serveOperators(ctx) })
+	duties.Go(func() { n.refreshCatalog(ctx) })
 	duties.Go(func() { n.cache.Run(ctx) })
-	duties.Go(func() { n.tellLosses(ctx) })
-	duties.Go(func() { n.becomeSure(ctx) })
-	duties.Go(func() { n.staySure(ctx) })
-	duties.Go(func() { n.cache.Audit(ctx, n.d.Audit, n.d.AuditPause) })
-	duties.Go(func() { n.memory.watch(ctx, n.d.TermRenew) })
+	duties.Go(func() { n.reportLosses(ctx) })
+	duties.Go(func() { n.confirmAfterStart(ctx) })
+	duties.Go(func() { n.confirmAfterOutages(ctx) })
+	duties.Go(func() { n.cache.Audit(ctx, n.derived.Audit, n.derived.AuditPause) })
+	duties.Go(func() { n.memory.watch(ctx, n.derived.TermRenew) })
 	duties.Go(func() {
-		n.keeper.Run(ctx, func(ctx context.Context, t election.Term) {
-			n.store.SetBudget(n.budget(true))
-			defer n.store.SetBudget(n.budget(false))
+		n.elector.Run(ctx, func(ctx context.Context, t election.Term) {
+			n.store.SetBudget(n.storeBudget(true))
+			defer n.store.SetBudget(n.storeBudget(false))
 			n.gate.Lead(ctx, deps, t)
 		})
 	})
 	duties.Wait()
 }
 
-// promise answers the holder of the term, which has lost the state service. The
+// answerPromiseRequest answers the holder of the term, which has lost the state service. The
 // promise comes first: what this node tells users later is newer than the question.
-func (n *Controller) promise(ctx context.Context, _ string, token, seen uint64) peer.Promise {
-	p := peer.Promise{Given: n.keeper.Promise(ctx, token)}
-	if p.Given && seen > 0 {
-		p.Cancellations, p.Complete = n.cache.Cancellations(seen)
+func (n *Controller) answerPromiseRequest(ctx context.Context, _ string, token, seen uint64) peer.PromiseResponse {
+	p := peer.PromiseResponse{Granted: n.elector.Promise(ctx, token)}
+	if p.Granted && seen > 0 {
+		p.Cancellations, p.CancellationsComplete = n.cache.Cancellations(seen)
 	}
 	return p
 }
 
-// allPromise asks all others for promises. The picture of the jobs is renewed only by
+// requestPromises asks all others for promises. The picture of the jobs is renewed only by
 // what all nodes, this one too, have told users and it has not seen: that none reaches
 // the state service now says nothing of what was told before.
-func (n *Controller) allPromise(ctx context.Context, token uint64) bool {
+func (n *Controller) requestPromises(ctx context.Context, token uint64) bool {
 	asked, seen := time.Now(), n.gate.Seen()
-	p := n.hub.AllPromise(ctx, token, seen)
+	p := n.peers.RequestPromises(ctx, token, seen)
 	own, complete := n.cache.Cancellations(seen)
-	if p.Given && p.Complete && complete && seen > 0 {
+	if p.Granted && p.CancellationsComplete && complete && seen > 0 {
 		n.gate.Cancelled(ctx, append(p.Cancellations, own...), asked)
 	}
-	return p.Given
+	return p.Granted
 }
 
-// budget is what this node may ask of the state service.
-func (n *Controller) budget(leading bool) kvstore.Budget {
-	all := n.set.Deployment.State.Within()
-	b := kvstore.Budget{Requests: leaderRequests * all.RPS, Writes: leaderWrites * all.WriteRPS}
-	if others := float64(n.set.Deployment.Nodes - 1); !leading && others > 0 {
-		b.Requests = (1 - leaderRequests) * all.RPS / others
-		b.Writes = (1 - leaderWrites) * all.WriteRPS / others
+// storeBudget is what this node may ask of the state service.
+func (n *Controller) storeBudget(leading bool) kvstore.Budget {
+	all := n.settings.Deployment.State.Within()
+	b := kvstore.Budget{Requests: leaderRequestShare * all.RPS, Writes: leaderWriteShare * all.WriteRPS}
+	if others := float64(n.settings.Deployment.Nodes - 1); !leading && others > 0 {
+		b.Requests = (1 - leaderRequestShare) * all.RPS / others
+		b.Writes = (1 - leaderWriteShare) * all.WriteRPS / others
 	}
 	return b
 }
 
-func (n *Controller) publish(counts map[string]jobs.Counts, changes []peer.JobChange) {
+func (n *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	n.heard.Store(time.Since(n.born).Nanoseconds())
 	n.cache.PutBack(n.gate.PutBack())
 	phase := n.gate.RecoveryPhase()
-	n.hub.Publish(peer.Progress{
-		Counts: counts, Served: !n.store.Failing(), Uncertain: phase == leader.Comparing, Restoring: phase == leader.Restoring,
-		PutBack: n.gate.PutBack(), Known: n.cache.Jobs(), Changes: changes,
+	n.peers.Broadcast(peer.LeaderUpdate{
+		JobCounts: counts, StoreAvailable: !n.store.Failing(), ComparingRecords: phase == leader.Comparing, RestoringRecords: phase == leader.Restoring,
+		RecordsRolledBack: n.gate.PutBack(), KnownJobs: n.cache.Jobs(), Changes: changes,
 	})
 }
 
@@ -272,7 +272,7 @@
 // of all it stays, since users would only find nobody, and come back later than the
 // service does.
 func (n *Controller) ready() bool {
-	if !n.cache.Settled() && time.Since(n.born) < 2*n.d.TermLease {
+	if !n.cache.Settled() && time.Since(n.born) < 2*n.derived.TermLease {
 		return false // it has just begun, and cannot tell a new job from a lost one yet
 	}
 	if !n.store.Failing() {
@@ -282,14 +282,14 @@
 		t := time.Duration(at.Load())
 		return time.Since(n.born) - t, t != 0
 	}
-	if since, ever := ago(&n.served); ever && since <= 2*n.d.Report {
+	if since, ever := ago(&n.served); ever && since <= 2*n.derived.Report {
 		return false
 	}
 	since, ever := ago(&n.heard)
-	return !ever || since <= n.d.Cancel // most outages are over by then
+	return !ever || since <= n.derived.Cancel // most outages are over by then
 }
 
-func (n *Controller) types() []jobs.MachineType {
+func (n *Controller) machineTypes() []jobs.MachineType {
 	if t := n.catalog.Load(); t != nil {
 		return *t
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -16,12 +16,12 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// lossQueue is how much evidence waits to be handed on. More tells nothing new.
-const lossQueue = 64
+// lossQueueSize is how much evidence waits to be handed on. More tells nothing new.
+const lossQueueSize = 64
 
-// lossDesk hands evidence of lost records to the leader, and answers the leader's
+// lossReporter hands evidence of lost records to the leader, and answers the leader's
 // questions for what this node knows.
-type lossDesk struct {
+type lossReporter struct {
 	noticed chan detection.Loss
 	told    time.Time   // when the leader was last told, owned by the duty
 	unsure  atomic.Bool // the leader says that records are being compared
@@ -32,67 +32,69 @@
 	ticket uint64 // of this node's own comparison in it
 }
 
-func newLossDesk() *lossDesk { return &lossDesk{noticed: make(chan detection.Loss, lossQueue)} }
+func newLossReporter() *lossReporter {
+	return &lossReporter{noticed: make(chan detection.Loss, lossQueueSize)}
+}
 
 // notice takes in evidence. It is called in the midst of other duties and never waits.
-func (d *lossDesk) notice(l detection.Loss) {
+func (d *lossReporter) notice(l detection.Loss) {
 	select {
 	case d.noticed <- l:
 	default:
 	}
 }
 
-// tellLosses hands evidence on until the context ends.
-func (n *Controller) tellLosses(ctx context.Context) {
+// reportLosses hands evidence on until the context ends.
+func (n *Controller) reportLosses(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-n.losses.noticed:
-			n.tellLoss(l)
+		case l := <-n.lossReporter.noticed:
+			n.reportLoss(l)
 		}
 	}
 }
 
-// tellLoss hands evidence to the leader, here or elsewhere. Another is told once in a
+// reportLoss hands evidence to the leader, here or elsewhere. Another is told once in a
 // while only: it compares all records anyway.
-func (n *Controller) tellLoss(l detection.Loss) {
+func (n *Controller) reportLoss(l detection.Loss) {
 	if n.gate.Noticed(l) {
 		return
 	}
-	n.cache.Suspect(time.Now().Add(n.d.Cancel))
-	leader := n.keeper.Leader()
-	if leader == "" || leader == n.set.Node || time.Since(n.losses.told) < n.d.TermLease {
+	n.cache.Suspect(time.Now().Add(n.derived.Cancel))
+	leader := n.elector.Leader()
+	if leader == "" || leader == n.settings.Node || time.Since(n.lossReporter.told) < n.derived.TermLease {
 		return
 	}
-	n.losses.told = time.Now()
-	n.hub.NotifyLoss(leader, l)
+	n.lossReporter.told = time.Now()
+	n.peers.SendLossNotice(leader, l)
 }
 
-// lostPage answers the leader's question for jobs of which this node knows more than the
+// answerLostJobsRequest answers the leader's question for jobs of which this node knows more than the
 // state service. In a new round, all records are compared with that first.
-func (n *Controller) lostPage(q peer.LostJobsRequest) peer.LostJobsResponse {
+func (n *Controller) answerLostJobsRequest(q peer.LostJobsRequest) peer.LostJobsResponse {
 	if q.ComparisonRound == 0 {
 		// Who asks compares with what this node knows: that has to be in the records still.
-		fresh := time.Since(n.cache.WitnessesChecked()) < n.d.TermRenew
+		fresh := time.Since(n.cache.WitnessesChecked()) < n.derived.TermRenew
 		if !fresh {
 			n.cache.CheckWitnesses()
 		}
 		return peer.LostJobsResponse{
 			Compared: fresh, KnownJobs: n.cache.Jobs(), NewestRevision: n.cache.Newest(), LossNoticed: n.cache.Suspected() || n.cache.LostJobs() > 0,
-			ReliesOnNoPromise: n.keeper.ReliesOnNothing(),
+			ReliesOnNoPromise: n.elector.ReliesOnNothing(),
 		}
 	}
-	n.losses.mu.Lock()
-	if n.losses.round != q.ComparisonRound {
-		n.losses.round, n.losses.ticket = q.ComparisonRound, n.cache.Verify()
+	n.lossReporter.mu.Lock()
+	if n.lossReporter.round != q.ComparisonRound {
+		n.lossReporter.round, n.lossReporter.ticket = q.ComparisonRound, n.cache.Verify()
 	}
-	ticket := n.losses.ticket
-	n.losses.mu.Unlock()
+	ticket := n.lossReporter.ticket
+	n.lossReporter.mu.Unlock()
 	if !n.cache.Verified(ticket) {
 		return peer.LostJobsResponse{}
 	}
-	lost, more := n.cache.Lost(q.AfterID, lostRows)
+	lost, more := n.cache.Lost(q.AfterID, maxLostJobsPerResponse)
 	page := peer.LostJobsResponse{Compared: true, More: more}
 	for _, l := range lost {
 		page.Jobs = append(page.Jobs, peer.LostJob{ID: l.ID, State: l.State, Tasks: l.Tasks, Record: n.cache.Unfinished(l.ID)})
@@ -100,37 +102,37 @@
 	return page
 }
 
-// lostRows is how many lost jobs are in one answer to the leader.
-const lostRows = 500
+// maxLostJobsPerResponse is how many lost jobs are in one answer to the leader.
+const maxLostJobsPerResponse = 500
 
-// leaderIsUnsure takes in whether the leader is comparing records, or writing lost ones again.
+// followRecovery takes in whether the leader is comparing records, or writing lost ones again.
 // Until they are written, this node may not know of a job, or know less than others.
-func (n *Controller) leaderIsUnsure(p peer.Progress) {
-	n.cache.PutBack(p.PutBack)
-	compared := n.losses.unsure.Swap(p.Uncertain) && !p.Uncertain
-	written := n.losses.writing.Swap(p.Restoring) && !p.Restoring
-	if compared || written || !p.Uncertain && !n.cache.SawAll() {
+func (n *Controller) followRecovery(p peer.LeaderUpdate) {
+	n.cache.PutBack(p.RecordsRolledBack)
+	compared := n.lossReporter.unsure.Swap(p.ComparingRecords) && !p.ComparingRecords
+	written := n.lossReporter.writing.Swap(p.RestoringRecords) && !p.RestoringRecords
+	if compared || written || !p.ComparingRecords && !n.cache.SawAll() {
 		n.cache.Compared()
 	}
-	if p.Uncertain || p.Restoring {
-		n.cache.Suspect(time.Now().Add(n.d.Cancel))
+	if p.ComparingRecords || p.RestoringRecords {
+		n.cache.Suspect(time.Now().Add(n.derived.Cancel))
 	}
 }
 
-// recoveryHandlers serve operators: the state of a recovery, parts of a snapshot, and
+// registerRecoveryHandlers serve operators: the state of a recovery, parts of a snapshot, and
 // decisions about held jobs.
-func (n *Controller) recoveryHandlers(mux *http.ServeMux) {
+func (n *Controller) registerRecoveryHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /recovery", n.showRecovery)
 	mux.HandleFunc("POST /recovery/import", n.importSnapshot)
 	mux.HandleFunc("POST /recovery/settle", n.settle)
 }
 
 func (n *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
 	defer cancel()
 	status, err := n.gate.Recovery(ctx)
 	if errors.Is(err, leader.ErrNotLeading) {
-		writeJSON(w, http.StatusMisdirectedRequest, leader.RecoveryStatus{Following: n.keeper.Leader()})
+		writeJSON(w, http.StatusMisdirectedRequest, leader.RecoveryStatus{Following: n.elector.Leader()})
 		return
 	}
 	if err != nil {
@@ -140,19 +142,19 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// mostImport bounds what one request may make this node hold in memory.
-const mostImport = 1 << 20
+// maxRequestBytes bounds what one request may make this node hold in memory.
+const maxRequestBytes = 1 << 20
 
 func (n *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
 	var in leader.Import
 	if !readJSON(w, r, &in) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
 	defer cancel()
 	count, err := n.gate.Import(ctx, in)
 	if err != nil {
-		writeError(w, statusOf(err), err)
+		writeError(w, httpStatusOf(err), err)
 		return
 	}
 	writeJSON(w, http.StatusOK, count)
@@ -173,17 +175,17 @@
 		writeError(w, http.StatusBadRequest, errors.New("job must be of the form j-000412"))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
 	defer cancel()
 	if err := n.gate.Settle(ctx, in.Job, in.As); err != nil {
-		writeError(w, statusOf(err), err)
+		writeError(w, httpStatusOf(err), err)
 		return
 	}
 	writeJSON(w, http.StatusOK, in)
 }
 
-// statusOf is the status for an error of the leader.
-func statusOf(err error) int {
+// httpStatusOf is the status for an error of the leader.
+func httpStatusOf(err error) int {
 	switch {
 	case errors.Is(err, leader.ErrNotLeading):
 		return http.StatusMisdirectedRequest
@@ -196,7 +198,7 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostImport)).Decode(into); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(into); err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return false
 	}
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -118,7 +118,7 @@
 	measure("unfinished jobs joined and decided", func() {
 		for after, more := "", true; more; {
 			var page []jobs.Lost
-			page, more = cache.Lost(after, lostRows)
+			page, more = cache.Lost(after, maxLostJobsPerResponse)
 			for _, l := range page {
 				after = l.ID
 				if l.State == jobs.Queued { // the others are written a page at a time
--- a/internal/controller/recovery_seeds_test.go
+++ b/internal/controller/recovery_seeds_test.go
@@ -263,7 +263,7 @@
 		return nil
 	case "peers":
 		return func(n *Controller) {
-			n.hub.Lost = func(peer.LostJobsRequest) peer.LostJobsResponse { return peer.LostJobsResponse{Compared: true} }
+			n.peers.OnLostJobsRequest = func(peer.LostJobsRequest) peer.LostJobsResponse { return peer.LostJobsResponse{Compared: true} }
 		}
 	default:
 		t.Fatalf("OSPREYSLIP_WITHOUT: %q is no source that can be left out", without)
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -460,8 +460,8 @@
 	inCluster(t, nil, func(c *cluster) {
 		c.fill()
 		for _, n := range c.names {
-			c.nodes[n].node.hub.Lost = nil
-			c.nodes[n].node.hub.Noticed = nil
+			c.nodes[n].node.peers.OnLostJobsRequest = nil
+			c.nodes[n].node.peers.OnLossNotice = nil
 		}
 		c.undisturbed(func() {
 			c.world.State.Lose(false, emulator.WithPrefix("job/"))
@@ -478,7 +478,7 @@
 	inCluster(t, nil, func(c *cluster) {
 		ask := func(node, method, path, body string) (int, string) {
 			rec := httptest.NewRecorder()
-			c.nodes[node].node.debugHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
+			c.nodes[node].node.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
 			return rec.Code, strings.TrimSpace(rec.Body.String())
 		}
 		leader, other := c.leader(), c.names[0]
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -88,7 +88,7 @@
 	began := time.Now()
 	for time.Since(began) < 30*time.Second {
 		for _, n := range names {
-			if c.nodes[n].node.keeper.Valid() {
+			if c.nodes[n].node.elector.Valid() {
 				return time.Since(began)
 			}
 		}
@@ -103,7 +103,7 @@
 func TestTakeOverAfterARestart(t *testing.T) {
 	inCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		lease := c.nodes[c.names[0]].node.d.TermLease
+		lease := c.nodes[c.names[0]].node.derived.TermLease
 		for range 5 {
 			c.crash(c.names...)
 			c.run(2 * lease)
@@ -126,10 +126,10 @@
 func TestRestartWhileTheHolderReliesOnPromises(t *testing.T) {
 	inCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		old, lease := c.leader(), c.nodes[c.names[0]].node.d.TermLease
+		old, lease := c.leader(), c.nodes[c.names[0]].node.derived.TermLease
 		c.world.State.Down(true)
 		c.run(2 * lease)
-		if !c.nodes[old].node.keeper.Valid() {
+		if !c.nodes[old].node.elector.Valid() {
 			t.Fatal("the holder does not live on promises")
 		}
 		var others []string
@@ -147,7 +147,7 @@
 		for range 3000 {
 			led := 0
 			for _, n := range c.names {
-				if c.nodes[n].node.keeper.Valid() {
+				if c.nodes[n].node.elector.Valid() {
 					led++
 				}
 			}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -27,30 +27,30 @@
 
 func (n *Controller) status(ctx context.Context) Status {
 	return Status{
-		Node: n.set.Node, Zone: n.set.Zone, Leader: n.keeper.Leader(), Leading: n.keeper.Valid(),
+		Node: n.settings.Node, Zone: n.settings.Zone, Leader: n.elector.Leader(), Leading: n.elector.Valid(),
 		View: n.gate.Status(ctx),
 	}
 }
 
-// debugHandler serves operators on the cluster listener.
-func (n *Controller) debugHandler() http.Handler {
+// operatorHandler serves operators on the cluster listener.
+func (n *Controller) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), n.d.UserWait)
+		ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
 		defer cancel()
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(n.status(ctx))
 	})
-	n.recoveryHandlers(mux)
+	n.registerRecoveryHandlers(mux)
 	reg := prometheus.NewRegistry()
-	reg.MustRegister(&collector{n})
+	reg.MustRegister(&metricsCollector{n})
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// collector reads the metrics when they are asked for: nothing is counted on
+// metricsCollector reads the metrics when they are asked for: nothing is counted on
 // the way, so that they cost nothing in between.
-type collector struct{ n *Controller }
+type metricsCollector struct{ n *Controller }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("ospreyslip_"+name, help, labels, nil)
@@ -77,10 +77,10 @@
 	teamDesc      = desc("team_cpus", "CPUs that a team's tasks take.", "team")
 )
 
-func (c *collector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, ch) }
+func (c *metricsCollector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, ch) }
 
-func (c *collector) Collect(ch chan<- prometheus.Metric) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.n.d.UserWait)
+func (c *metricsCollector) Collect(ch chan<- prometheus.Metric) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.n.derived.UserWait)
 	defer cancel()
 	s := c.n.status(ctx)
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
@@ -142,16 +142,18 @@
 	}
 }
 
-// handed is a listener whose connections are handed to it.
-type handed struct {
+// connQueue is a listener whose connections are handed to it.
+type connQueue struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newHanded() *handed { return &handed{conns: make(chan net.Conn), done: make(chan struct{})} }
+func newConnQueue() *connQueue {
+	return &connQueue{conns: make(chan net.Conn), done: make(chan struct{})}
+}
 
-func (h *handed) take(c net.Conn) {
+func (h *connQueue) enqueue(c net.Conn) {
 	select {
 	case h.conns <- c:
 	case <-h.done:
@@ -159,7 +161,7 @@
 	}
 }
 
-func (h *handed) Accept() (net.Conn, error) {
+func (h *connQueue) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -168,19 +170,19 @@
 	}
 }
 
-func (h *handed) Close() error {
+func (h *connQueue) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
-func (h *handed) Addr() net.Addr { return &net.TCPAddr{} }
+func (h *connQueue) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serveDebug serves the operators' connections until the context ends.
-func (n *Controller) serveDebug(ctx context.Context) {
-	srv := &http.Server{Handler: n.debugHandler(), ReadHeaderTimeout: n.d.UserWait, IdleTimeout: time.Minute}
+// serveOperators serves the operators' connections until the context ends.
+func (n *Controller) serveOperators(ctx context.Context) {
+	srv := &http.Server{Handler: n.operatorHandler(), ReadHeaderTimeout: n.derived.UserWait, IdleTimeout: time.Minute}
 	stop := context.AfterFunc(ctx, func() { srv.Close() })
 	defer stop()
-	if err := srv.Serve(n.debug); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
+	if err := srv.Serve(n.operatorConns); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
 		return
 	}
 }
--- a/internal/peer/lost.go
+++ b/internal/peer/lost.go
@@ -41,18 +41,18 @@
 	AfterID         string // jobs in the order of their ids after this one
 }
 
-type lostAsk struct {
+type lostJobsRequest struct {
 	number uint64
 	LostJobsRequest
 }
 
-type lostPage struct {
+type lostJobsResponse struct {
 	number uint64
 	LostJobsResponse
 }
 
-// mostLostBytes bounds a page well below what a message may be.
-const mostLostBytes = maxMessage / 4
+// maxLostJobsBytes bounds a page well below what a message may be.
+const maxLostJobsBytes = maxMessage / 4
 
 // ErrNoResponse means that a controller did not answer, as it is away or of a version that
 // does not know the question.
@@ -76,17 +76,17 @@
 	}
 	reply := make(chan LostJobsResponse, 1)
 	h.mu.Lock()
-	h.number++
-	number := h.number
-	h.pages[number] = reply
+	h.requestNumber++
+	number := h.requestNumber
+	h.pendingLostJobs[number] = reply
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		delete(h.pages, number)
+		delete(h.pendingLostJobs, number)
 	}()
 	select {
-	case l.out <- encodeLostAsk(h.self, lostAsk{number, q}):
+	case l.outbox <- encodeLostJobsRequest(h.node, lostJobsRequest{number, q}):
 	default:
 		return LostJobsResponse{}, ErrNoResponse
 	}
@@ -98,31 +98,31 @@
 	}
 }
 
-// NotifyLoss tells another controller what shows that records are lost. Should that not
+// SendLossNotice tells another controller what shows that records are lost. Should that not
 // arrive, the next evidence may.
-func (h *Hub) NotifyLoss(node string, l detection.Loss) {
+func (h *Hub) SendLossNotice(node string, l detection.Loss) {
 	if link := h.links[node]; link != nil {
 		select {
-		case link.out <- encodeLossNotice(h.self, l):
+		case link.outbox <- encodeLossNotice(h.node, l):
 		default:
 		}
 	}
 }
 
-// answered hands the answer to a question to who asked it.
-func (h *Hub) answered(m message) error {
+// deliverResponse hands the answer to a question to who asked it.
+func (h *Hub) deliverResponse(m message) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case m.promise != nil:
-		if reply := h.waiting[m.promise.number]; reply != nil {
-			delete(h.waiting, m.promise.number)
-			reply <- m.promise.Promise
+	case m.promiseResponse != nil:
+		if reply := h.pendingPromises[m.promiseResponse.number]; reply != nil {
+			delete(h.pendingPromises, m.promiseResponse.number)
+			reply <- m.promiseResponse.PromiseResponse
 		}
-	case m.lostPage != nil:
-		if reply := h.pages[m.lostPage.number]; reply != nil {
-			delete(h.pages, m.lostPage.number)
-			reply <- m.lostPage.LostJobsResponse
+	case m.lostJobsResponse != nil:
+		if reply := h.pendingLostJobs[m.lostJobsResponse.number]; reply != nil {
+			delete(h.pendingLostJobs, m.lostJobsResponse.number)
+			reply <- m.lostJobsResponse.LostJobsResponse
 		}
 	default:
 		return errors.New("unexpected message")
@@ -130,22 +130,22 @@
 	return nil
 }
 
-func encodeLostAsk(from string, a lostAsk) []byte {
+func encodeLostJobsRequest(from string, a lostJobsRequest) []byte {
 	b := flatbuffers.NewBuilder(128)
 	after := b.CreateString(a.AfterID)
 	wire.LostAskStart(b)
 	wire.LostAskAddNumber(b, a.number)
 	wire.LostAskAddRound(b, a.ComparisonRound)
 	wire.LostAskAddAfter(b, after)
-	return finish(b, from, wire.BodyLostAsk, wire.LostAskEnd(b))
+	return finishMessage(b, from, wire.BodyLostAsk, wire.LostAskEnd(b))
 }
 
-// encodeLostPage writes a page, or as much of it as one message may hold.
-func encodeLostPage(from string, p lostPage) []byte {
+// encodeLostJobsResponse writes a page, or as much of it as one message may hold.
+func encodeLostJobsResponse(from string, p lostJobsResponse) []byte {
 	b := flatbuffers.NewBuilder(128 + 64*len(p.Jobs))
 	rows := make([]flatbuffers.UOffsetT, 0, len(p.Jobs))
 	for _, j := range p.Jobs {
-		if b.Offset() > mostLostBytes {
+		if b.Offset() > maxLostJobsBytes {
 			p.More = true
 			break
 		}
@@ -165,7 +165,7 @@
 	wire.LostPageAddNoticed(b, p.LossNoticed)
 	wire.LostPageAddNewest(b, p.NewestRevision)
 	wire.LostPageAddReliesOnNothing(b, p.ReliesOnNoPromise)
-	return finish(b, from, wire.BodyLostPage, wire.LostPageEnd(b))
+	return finishMessage(b, from, wire.BodyLostPage, wire.LostPageEnd(b))
 }
 
 func encodeLostJob(b *flatbuffers.Builder, j LostJob) flatbuffers.UOffsetT {
@@ -179,13 +179,13 @@
 	return wire.LostJobEnd(b)
 }
 
-func decodeLostPage(body flatbuffers.Table, most int) (*lostPage, error) {
+func decodeLostJobsResponse(body flatbuffers.Table, most int) (*lostJobsResponse, error) {
 	var p wire.LostPage
 	p.Init(body.Bytes, body.Pos)
 	if p.JobsLength() > most {
 		return nil, errTooManyRows
 	}
-	page := &lostPage{p.Number(), LostJobsResponse{
+	page := &lostJobsResponse{p.Number(), LostJobsResponse{
 		Compared: p.Ready(), More: p.More(), KnownJobs: int(p.Known()), LossNoticed: p.Noticed(), NewestRevision: p.Newest(),
 		ReliesOnNoPromise: p.ReliesOnNothing(),
 	}}
@@ -206,7 +206,7 @@
 	wire.LossNoticeStart(b)
 	wire.LossNoticeAddKind(b, kind)
 	wire.LossNoticeAddKey(b, key)
-	return finish(b, from, wire.BodyLossNotice, wire.LossNoticeEnd(b))
+	return finishMessage(b, from, wire.BodyLossNotice, wire.LossNoticeEnd(b))
 }
 
 func decodeLossNotice(body flatbuffers.Table) *detection.Loss {
--- a/internal/peer/lost_test.go
+++ b/internal/peer/lost_test.go
@@ -19,23 +19,23 @@
 // Questions and pages of lost jobs come out as they went in, and no broken ones end a
 // process.
 func TestLostMessages(t *testing.T) {
-	page := lostPage{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoPromise: true, Jobs: []LostJob{
+	page := lostJobsResponse{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoPromise: true, Jobs: []LostJob{
 		{ID: "j-1", State: "done", Tasks: 4}, {ID: "j-2", State: "queued", Tasks: 1, Record: []byte(`{"stance":"queued"}`)},
 	}}}
 	for name, c := range map[string]struct {
 		raw  []byte
 		want message
 	}{
-		"question": {encodeLostAsk("perch-0", lostAsk{9, LostJobsRequest{41, "j-1"}}), message{from: "perch-0", lostAsk: &lostAsk{9, LostJobsRequest{41, "j-1"}}}},
-		"notice":   {encodeLossNotice("perch-1", detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", loss: &detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}}},
-		"page":     {encodeLostPage("perch-1", page), message{from: "perch-1", lostPage: &page}},
+		"question": {encodeLostJobsRequest("perch-0", lostJobsRequest{9, LostJobsRequest{41, "j-1"}}), message{from: "perch-0", lostJobsRequest: &lostJobsRequest{9, LostJobsRequest{41, "j-1"}}}},
+		"notice":   {encodeLossNotice("perch-1", detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", lossNotice: &detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}}},
+		"page":     {encodeLostJobsResponse("perch-1", page), message{from: "perch-1", lostJobsResponse: &page}},
 	} {
 		body := c.raw[4:]
 		got, err := decode(body)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		opts := []cmp.Option{cmp.AllowUnexported(message{}, lostAsk{}, lostPage{}), cmp.Comparer(bytes.Equal)}
+		opts := []cmp.Option{cmp.AllowUnexported(message{}, lostJobsRequest{}, lostJobsResponse{}), cmp.Comparer(bytes.Equal)}
 		if d := cmp.Diff(c.want, got, opts...); d != "" {
 			t.Errorf("%s: %s", name, d)
 		}
@@ -51,16 +51,16 @@
 // A page stays within a message, however large the descriptions are; the rest comes with
 // the next.
 func TestLargePage(t *testing.T) {
-	page := lostPage{1, LostJobsResponse{Compared: true}}
+	page := lostJobsResponse{1, LostJobsResponse{Compared: true}}
 	for i := range 100 {
 		page.Jobs = append(page.Jobs, LostJob{ID: fmt.Sprintf("j-%03d", i), Record: make([]byte, 30<<10)})
 	}
-	raw := encodeLostPage("perch-0", page)
+	raw := encodeLostJobsResponse("perch-0", page)
 	m, err := decode(raw[4:])
 	if err != nil || len(raw) > maxMessage {
 		t.Fatalf("%d bytes, %v", len(raw), err)
 	}
-	if got := m.lostPage; !got.More || len(got.Jobs) == 0 || len(got.Jobs) == 100 || got.Jobs[0].ID != "j-000" {
+	if got := m.lostJobsResponse; !got.More || len(got.Jobs) == 0 || len(got.Jobs) == 100 || got.Jobs[0].ID != "j-000" {
 		t.Errorf("%d jobs, more %v", len(got.Jobs), got.More)
 	}
 }
@@ -80,11 +80,11 @@
 	}
 	hub := func(self, other string, at net.Listener) *Hub {
 		h := NewHub(self, []settings.Peer{{Node: other, Addr: at.Addr().String()}}, dial, 20*time.Millisecond)
-		h.Progress = func(string, Progress) {}
+		h.OnLeaderUpdate = func(string, LeaderUpdate) {}
 		return h
 	}
 	a, b := hub("perch-0", "perch-1", second), hub("perch-1", "perch-0", first)
-	b.Lost = lost
+	b.OnLostJobsRequest = lost
 	ctx, cancel := context.WithCancel(context.Background())
 	var duties sync.WaitGroup
 	duties.Go(func() { a.Run(ctx, first) })
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -14,25 +14,25 @@
 
 // message is one decoded message; one of its parts is set.
 type message struct {
-	from     string
-	progress *Progress
-	ask      *ask
-	promise  *promise
-	lostAsk  *lostAsk
-	lostPage *lostPage
-	loss     *detection.Loss
+	from             string
+	leaderUpdate     *LeaderUpdate
+	promiseRequest   *promiseRequest
+	promiseResponse  *promiseResponse
+	lostJobsRequest  *lostJobsRequest
+	lostJobsResponse *lostJobsResponse
+	lossNotice       *detection.Loss
 }
 
-// Progress is what a leader publishes.
-type Progress struct {
-	Counts map[string]jobs.Counts
-	Served bool // the state service answers the leader
-	// Uncertain tells that records may be lost, and are being compared.
-	Uncertain bool
-	Known     int  // jobs that the leader knows
-	PutBack   bool // records may say less than users were told
-	Restoring bool // lost records are being written again
-	Changes   []JobChange
+// LeaderUpdate is what a leader publishes.
+type LeaderUpdate struct {
+	JobCounts      map[string]jobs.Counts
+	StoreAvailable bool // the state service answers the leader
+	// ComparingRecords tells that records may be lost, and are being compared.
+	ComparingRecords  bool
+	KnownJobs         int  // jobs that the leader knows
+	RecordsRolledBack bool // records may say less than users were told
+	RestoringRecords  bool // lost records are being written again
+	Changes           []JobChange
 }
 
 // JobChange is what a job's record has come to say.
@@ -42,32 +42,32 @@
 	Tasks int
 }
 
-// mostChanges bounds a message well below what it may be.
-const mostChanges = maxMessage / 256
+// maxChanges bounds a message well below what it may be.
+const maxChanges = maxMessage / 256
 
-type ask struct {
-	number, token uint64
-	seen          uint64 // the asker's picture of the jobs has all changes up to this revision
+type promiseRequest struct {
+	number, fencingToken uint64
+	seenRevision         uint64 // the asker's picture of the jobs has all changes up to this revision
 }
 
-// Promise is a node's answer to the holder of the term.
-type Promise struct {
-	Given bool // it keeps from taking the term for a while
-	// Complete tells that the cancellations are all that the node may have told a
+// PromiseResponse is a node's answer to the holder of the term.
+type PromiseResponse struct {
+	Granted bool // it keeps from taking the term for a while
+	// CancellationsComplete tells that the cancellations are all that the node may have told a
 	// user of and that are newer than what the holder has seen.
-	Complete      bool
-	Cancellations []jobs.Cancellation
+	CancellationsComplete bool
+	Cancellations         []jobs.Cancellation
 }
 
-type promise struct {
+type promiseResponse struct {
 	number uint64
-	Promise
+	PromiseResponse
 }
 
-// mostCancellations bounds a promise well below what a message may be.
-const mostCancellations = maxMessage / 128
+// maxCancellations bounds a promise well below what a message may be.
+const maxCancellations = maxMessage / 128
 
-func finish(b *flatbuffers.Builder, from string, kind wire.Body, body flatbuffers.UOffsetT) []byte {
+func finishMessage(b *flatbuffers.Builder, from string, kind wire.Body, body flatbuffers.UOffsetT) []byte {
 	name := b.CreateString(from)
 	wire.MessageStart(b)
 	wire.MessageAddFrom(b, name)
@@ -77,10 +77,10 @@
 	return b.FinishedBytes()
 }
 
-func encodeProgress(from string, p Progress) []byte {
-	b := flatbuffers.NewBuilder(64 * (1 + len(p.Counts)))
-	rows := make([]flatbuffers.UOffsetT, 0, len(p.Counts))
-	for id, c := range p.Counts {
+func encodeLeaderUpdate(from string, p LeaderUpdate) []byte {
+	b := flatbuffers.NewBuilder(64 * (1 + len(p.JobCounts)))
+	rows := make([]flatbuffers.UOffsetT, 0, len(p.JobCounts))
+	for id, c := range p.JobCounts {
 		key := b.CreateString(id)
 		wire.JobCountsStart(b)
 		wire.JobCountsAddId(b, key)
@@ -97,12 +97,12 @@
 	wire.ProgressStart(b)
 	wire.ProgressAddJobs(b, vector)
 	wire.ProgressAddChanges(b, changes)
-	wire.ProgressAddServed(b, p.Served)
-	wire.ProgressAddUncertain(b, p.Uncertain)
-	wire.ProgressAddKnown(b, uint64(max(0, p.Known)))
-	wire.ProgressAddPutBack(b, p.PutBack)
-	wire.ProgressAddRestoring(b, p.Restoring)
-	return finish(b, from, wire.BodyProgress, wire.ProgressEnd(b))
+	wire.ProgressAddServed(b, p.StoreAvailable)
+	wire.ProgressAddUncertain(b, p.ComparingRecords)
+	wire.ProgressAddKnown(b, uint64(max(0, p.KnownJobs)))
+	wire.ProgressAddPutBack(b, p.RecordsRolledBack)
+	wire.ProgressAddRestoring(b, p.RestoringRecords)
+	return finishMessage(b, from, wire.BodyProgress, wire.ProgressEnd(b))
 }
 
 // encodeChanges writes changes, the newest of them if they are too many.
@@ -110,7 +110,7 @@
 	if len(changes) == 0 {
 		return 0 // the field is left out
 	}
-	changes = changes[max(0, len(changes)-mostChanges):]
+	changes = changes[max(0, len(changes)-maxChanges):]
 	rows := make([]flatbuffers.UOffsetT, 0, len(changes))
 	for _, c := range changes {
 		id, state := b.CreateString(c.ID), b.CreateSharedString(c.State)
@@ -127,22 +127,22 @@
 	return b.EndVector(len(rows))
 }
 
-func encodeAsk(from string, a ask) []byte {
+func encodePromiseRequest(from string, a promiseRequest) []byte {
 	b := flatbuffers.NewBuilder(128)
 	wire.AskStart(b)
 	wire.AskAddNumber(b, a.number)
-	wire.AskAddToken(b, a.token)
-	wire.AskAddSeen(b, a.seen)
-	return finish(b, from, wire.BodyAsk, wire.AskEnd(b))
+	wire.AskAddToken(b, a.fencingToken)
+	wire.AskAddSeen(b, a.seenRevision)
+	return finishMessage(b, from, wire.BodyAsk, wire.AskEnd(b))
 }
 
-func encodePromise(from string, p promise) []byte {
-	if len(p.Cancellations) > mostCancellations {
-		p.Complete, p.Cancellations = false, nil
+func encodePromiseResponse(from string, p promiseResponse) []byte {
+	if len(p.Cancellations) > maxCancellations {
+		p.CancellationsComplete, p.Cancellations = false, nil
 	}
 	b := flatbuffers.NewBuilder(128 + 48*len(p.Cancellations))
 	var vector flatbuffers.UOffsetT
-	if p.Complete {
+	if p.CancellationsComplete {
 		rows := make([]flatbuffers.UOffsetT, 0, len(p.Cancellations))
 		for _, c := range p.Cancellations {
 			job := b.CreateString(c.Job)
@@ -159,10 +159,10 @@
 	}
 	wire.PromiseStart(b)
 	wire.PromiseAddNumber(b, p.number)
-	wire.PromiseAddGiven(b, p.Given)
-	wire.PromiseAddComplete(b, p.Complete)
+	wire.PromiseAddGiven(b, p.Granted)
+	wire.PromiseAddComplete(b, p.CancellationsComplete)
 	wire.PromiseAddCancellations(b, vector)
-	return finish(b, from, wire.BodyPromise, wire.PromiseEnd(b))
+	return finishMessage(b, from, wire.BodyPromise, wire.PromiseEnd(b))
 }
 
 // decode reads a message without its size prefix. FlatBuffers has no check of
@@ -181,54 +181,54 @@
 	}
 	switch in.BodyType() {
 	case wire.BodyProgress:
-		m.progress, err = decodeProgress(body, len(raw)/flatbuffers.SizeUOffsetT)
+		m.leaderUpdate, err = decodeLeaderUpdate(body, len(raw)/flatbuffers.SizeUOffsetT)
 	case wire.BodyAsk:
 		var a wire.Ask
 		a.Init(body.Bytes, body.Pos)
-		m.ask = &ask{a.Number(), a.Token(), a.Seen()}
+		m.promiseRequest = &promiseRequest{a.Number(), a.Token(), a.Seen()}
 	case wire.BodyPromise:
 		var p wire.Promise
 		p.Init(body.Bytes, body.Pos)
 		if p.CancellationsLength() > len(raw)/flatbuffers.SizeUOffsetT {
 			return m, errTooManyRows
 		}
-		m.promise = &promise{p.Number(), Promise{Given: p.Given(), Complete: p.Complete()}}
+		m.promiseResponse = &promiseResponse{p.Number(), PromiseResponse{Granted: p.Given(), CancellationsComplete: p.Complete()}}
 		var row wire.Cancellation
 		for i := range p.CancellationsLength() {
 			if p.Cancellations(&row, i) {
-				m.promise.Cancellations = append(m.promise.Cancellations, jobs.Cancellation{Job: string(row.Job()), Revision: row.Revision()})
+				m.promiseResponse.Cancellations = append(m.promiseResponse.Cancellations, jobs.Cancellation{Job: string(row.Job()), Revision: row.Revision()})
 			}
 		}
 	case wire.BodyLostAsk:
 		var a wire.LostAsk
 		a.Init(body.Bytes, body.Pos)
-		m.lostAsk = &lostAsk{a.Number(), LostJobsRequest{a.Round(), string(a.After())}}
+		m.lostJobsRequest = &lostJobsRequest{a.Number(), LostJobsRequest{a.Round(), string(a.After())}}
 	case wire.BodyLostPage:
-		m.lostPage, err = decodeLostPage(body, len(raw)/flatbuffers.SizeUOffsetT)
+		m.lostJobsResponse, err = decodeLostJobsResponse(body, len(raw)/flatbuffers.SizeUOffsetT)
 	case wire.BodyLossNotice:
-		m.loss = decodeLossNotice(body)
+		m.lossNotice = decodeLossNotice(body)
 	default:
 		return m, fmt.Errorf("unknown kind of message %d", in.BodyType())
 	}
 	return m, err
 }
 
-// decodeProgress reads a leader's word. A length is only a number in the message: a broken one
+// decodeLeaderUpdate reads a leader's word. A length is only a number in the message: a broken one
 // must not make this node set memory aside for it.
-func decodeProgress(body flatbuffers.Table, most int) (*Progress, error) {
+func decodeLeaderUpdate(body flatbuffers.Table, most int) (*LeaderUpdate, error) {
 	var in wire.Progress
 	in.Init(body.Bytes, body.Pos)
 	if in.JobsLength() > most || in.ChangesLength() > most {
 		return nil, errTooManyRows
 	}
-	p := &Progress{
-		Counts: make(map[string]jobs.Counts, in.JobsLength()), Served: in.Served(), Uncertain: in.Uncertain(),
-		Known: int(in.Known()), PutBack: in.PutBack(), Restoring: in.Restoring(),
+	p := &LeaderUpdate{
+		JobCounts: make(map[string]jobs.Counts, in.JobsLength()), StoreAvailable: in.Served(), ComparingRecords: in.Uncertain(),
+		KnownJobs: int(in.Known()), RecordsRolledBack: in.PutBack(), RestoringRecords: in.Restoring(),
 	}
 	var row wire.JobCounts
 	for i := range in.JobsLength() {
 		if in.Jobs(&row, i) {
-			p.Counts[string(row.Id())] = jobs.Counts{Done: int(row.Done()), Running: int(row.Running())}
+			p.JobCounts[string(row.Id())] = jobs.Counts{Done: int(row.Done()), Running: int(row.Running())}
 		}
 	}
 	var change wire.JobChange
--- a/internal/peer/message_test.go
+++ b/internal/peer/message_test.go
@@ -18,9 +18,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	progress := Progress{Served: true, Counts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}}}
+	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}}}
 	ours := map[string][]byte{
-		"progress": encodeProgress("perch-0", progress), "ask": encodeAsk("perch-1", ask{7, 41, 0}), "promise": encodePromise("perch-2", promise{7, Promise{Given: true}}),
+		"progress": encodeLeaderUpdate("perch-0", progress), "ask": encodePromiseRequest("perch-1", promiseRequest{7, 41, 0}), "promise": encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}),
 	}
 	for line := range strings.Lines(string(raw)) {
 		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -31,20 +31,20 @@
 }
 
 func TestMessages(t *testing.T) {
-	progress := Progress{Served: true, Counts: map[string]jobs.Counts{"j-1": {Done: 3, Running: 2}, "j-2": {Running: 1}}}
-	progress.Restoring = true
+	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-1": {Done: 3, Running: 2}, "j-2": {Running: 1}}}
+	progress.RestoringRecords = true
 	progress.Changes = []JobChange{{ID: "j-3", State: jobs.Queued, Tasks: 4}, {ID: "j-000004", State: jobs.Cancelled, Tasks: 1}}
-	told := Promise{Given: true, Complete: true, Cancellations: []jobs.Cancellation{{Job: "j-1", Revision: 431}, {Job: "j-000002", Revision: 1 << 40}}}
+	told := PromiseResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-1", Revision: 431}, {Job: "j-000002", Revision: 1 << 40}}}
 	for _, tc := range []struct {
 		name string
 		raw  []byte
 		want message
 	}{
-		{"progress", encodeProgress("perch-0", progress), message{from: "perch-0", progress: &progress}},
-		{"ask", encodeAsk("perch-1", ask{7, 41, 430}), message{from: "perch-1", ask: &ask{7, 41, 430}}},
-		{"promise", encodePromise("perch-2", promise{7, told}), message{from: "perch-2", promise: &promise{7, told}}},
-		{"promise of production", encodePromise("perch-2", promise{7, Promise{Given: true}}), message{from: "perch-2", promise: &promise{7, Promise{Given: true}}}},
-		{"promise with too many", encodePromise("perch-2", promise{7, Promise{true, true, make([]jobs.Cancellation, mostCancellations+1)}}), message{from: "perch-2", promise: &promise{7, Promise{Given: true}}}},
+		{"progress", encodeLeaderUpdate("perch-0", progress), message{from: "perch-0", leaderUpdate: &progress}},
+		{"ask", encodePromiseRequest("perch-1", promiseRequest{7, 41, 430}), message{from: "perch-1", promiseRequest: &promiseRequest{7, 41, 430}}},
+		{"promise", encodePromiseResponse("perch-2", promiseResponse{7, told}), message{from: "perch-2", promiseResponse: &promiseResponse{7, told}}},
+		{"promise of production", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
+		{"promise with too many", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			body := tc.raw[4:] // behind its size
@@ -52,7 +52,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, ask{}, promise{})); d != "" {
+			if d := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, promiseRequest{}, promiseResponse{})); d != "" {
 				t.Error(d)
 			}
 			// Whatever a broken sender does must end in an error or in some
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,42 +25,42 @@
 
 // Hub speaks to all other controllers.
 type Hub struct {
-	self  string
-	dial  Dial
-	retry time.Duration
-	links map[string]*link
+	node       string
+	dial       Dial
+	retryDelay time.Duration
+	links      map[string]*peerLink
 
-	// Progress takes in the leader's counts.
-	Progress func(from string, p Progress)
-	// HTTP takes over a connection on which somebody speaks HTTP; nil refuses.
-	HTTP func(net.Conn)
-	// Promise decides on an ask: whether this node keeps from taking the term, and
+	// OnLeaderUpdate takes in the leader's counts.
+	OnLeaderUpdate func(from string, p LeaderUpdate)
+	// OnHTTP takes over a connection on which somebody speaks HTTP; nil refuses.
+	OnHTTP func(net.Conn)
+	// OnPromiseRequest decides on an ask: whether this node keeps from taking the term, and
 	// what it has told users since the asker's picture of the jobs.
-	Promise func(ctx context.Context, from string, token, seen uint64) Promise
+	OnPromiseRequest func(ctx context.Context, from string, token, seen uint64) PromiseResponse
 
-	// Lost answers the leader's question for jobs of which this node knows more than the
+	// OnLostJobsRequest answers the leader's question for jobs of which this node knows more than the
 	// state service.
-	Lost func(LostJobsRequest) LostJobsResponse
+	OnLostJobsRequest func(LostJobsRequest) LostJobsResponse
 
-	// Noticed takes in what another controller says of lost records.
-	Noticed func(from string, l detection.Loss)
+	// OnLossNotice takes in what another controller says of lost records.
+	OnLossNotice func(from string, l detection.Loss)
 
-	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan Promise
-	pages   map[uint64]chan LostJobsResponse
+	mu              sync.Mutex
+	requestNumber   uint64
+	pendingPromises map[uint64]chan PromiseResponse
+	pendingLostJobs map[uint64]chan LostJobsResponse
 }
 
-type link struct {
-	addr string
-	out  chan []byte
+type peerLink struct {
+	addr   string
+	outbox chan []byte
 }
 
 // NewHub makes a hub. A connection that has failed is tried again after retry.
 func NewHub(self string, peers []settings.Peer, dial Dial, retry time.Duration) *Hub {
-	h := &Hub{self: self, dial: dial, retry: retry, links: map[string]*link{}, waiting: map[uint64]chan Promise{}, pages: map[uint64]chan LostJobsResponse{}}
+	h := &Hub{node: self, dial: dial, retryDelay: retry, links: map[string]*peerLink{}, pendingPromises: map[uint64]chan PromiseResponse{}, pendingLostJobs: map[uint64]chan LostJobsResponse{}}
 	for _, p := range peers {
-		h.links[p.Node] = &link{addr: p.Addr, out: make(chan []byte, 4)}
+		h.links[p.Node] = &peerLink{addr: p.Addr, outbox: make(chan []byte, 4)}
 	}
 	return h
 }
@@ -69,7 +69,7 @@
 func (h *Hub) Run(ctx context.Context, ln net.Listener) {
 	var conns sync.WaitGroup
 	for _, l := range h.links {
-		conns.Go(func() { h.keep(ctx, l) })
+		conns.Go(func() { h.maintainConnection(ctx, l) })
 	}
 	conns.Go(func() {
 		<-ctx.Done()
@@ -82,97 +82,97 @@
 				break
 			}
 			slog.Debug("peer not accepted", "reason", err)
-			h.pause(ctx)
+			h.waitBeforeRetry(ctx)
 			continue
 		}
-		conns.Go(func() { h.serve(ctx, c) })
+		conns.Go(func() { h.serveConnection(ctx, c) })
 	}
 	conns.Wait()
 }
 
-func (h *Hub) pause(ctx context.Context) {
+func (h *Hub) waitBeforeRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(h.retry):
+	case <-time.After(h.retryDelay):
 	}
 }
 
-// Publish sends the counts to all others. One that does not keep up misses
+// Broadcast sends the counts to all others. One that does not keep up misses
 // some; each message holds all that matters.
-func (h *Hub) Publish(p Progress) {
-	raw := encodeProgress(h.self, p)
+func (h *Hub) Broadcast(p LeaderUpdate) {
+	raw := encodeLeaderUpdate(h.node, p)
 	for _, l := range h.links {
 		select {
-		case l.out <- raw:
+		case l.outbox <- raw:
 		default:
 		}
 	}
 }
 
-// AllPromise asks every other controller. Its answer is that of all together.
-func (h *Hub) AllPromise(ctx context.Context, token, seen uint64) Promise {
-	replies := make(chan Promise, len(h.links))
+// RequestPromises asks every other controller. Its answer is that of all together.
+func (h *Hub) RequestPromises(ctx context.Context, token, seen uint64) PromiseResponse {
+	replies := make(chan PromiseResponse, len(h.links))
 	for _, l := range h.links {
 		h.mu.Lock()
-		h.number++
-		number := h.number
-		h.waiting[number] = replies
+		h.requestNumber++
+		number := h.requestNumber
+		h.pendingPromises[number] = replies
 		h.mu.Unlock()
 		defer func() {
 			h.mu.Lock()
-			delete(h.waiting, number)
+			delete(h.pendingPromises, number)
 			h.mu.Unlock()
 		}()
 		select {
-		case l.out <- encodeAsk(h.self, ask{number, token, seen}):
+		case l.outbox <- encodePromiseRequest(h.node, promiseRequest{number, token, seen}):
 		default:
-			return Promise{} // a queue that is stuck will bring no answer in time
+			return PromiseResponse{} // a queue that is stuck will bring no answer in time
 		}
 	}
-	all := Promise{Given: true, Complete: true}
+	all := PromiseResponse{Granted: true, CancellationsComplete: true}
 	for range h.links {
 		select {
 		case p := <-replies:
-			if !p.Given {
-				return Promise{}
+			if !p.Granted {
+				return PromiseResponse{}
 			}
-			all.Complete = all.Complete && p.Complete
+			all.CancellationsComplete = all.CancellationsComplete && p.CancellationsComplete
 			all.Cancellations = append(all.Cancellations, p.Cancellations...)
 		case <-ctx.Done():
-			return Promise{}
+			return PromiseResponse{}
 		}
 	}
 	return all
 }
 
-// keep holds the connection on which this node speaks.
-func (h *Hub) keep(ctx context.Context, l *link) {
+// maintainConnection holds the connection on which this node speaks.
+func (h *Hub) maintainConnection(ctx context.Context, l *peerLink) {
 	for ctx.Err() == nil {
-		try, cancel := context.WithTimeout(ctx, 4*h.retry)
+		try, cancel := context.WithTimeout(ctx, 4*h.retryDelay)
 		c, err := h.dial(try, l.addr)
 		cancel()
 		if err != nil {
-			h.drain(l)
-			h.pause(ctx)
+			h.discardQueued(l)
+			h.waitBeforeRetry(ctx)
 			continue
 		}
-		h.speak(ctx, c, l)
+		h.sendMessages(ctx, c, l)
 	}
 }
 
-// drain drops what was meant for a connection that is gone: it is out of date
+// discardQueued drops what was meant for a connection that is gone: it is out of date
 // by the time there is another.
-func (h *Hub) drain(l *link) {
+func (h *Hub) discardQueued(l *peerLink) {
 	for {
 		select {
-		case <-l.out:
+		case <-l.outbox:
 		default:
 			return
 		}
 	}
 }
 
-func (h *Hub) speak(ctx context.Context, c net.Conn, l *link) {
+func (h *Hub) sendMessages(ctx context.Context, c net.Conn, l *peerLink) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
@@ -180,62 +180,62 @@
 	defer cancel()
 	go func() {
 		defer cancel()
-		err := h.read(bufio.NewReader(c), h.answered)
+		err := h.readMessages(bufio.NewReader(c), h.deliverResponse)
 		slog.Debug("peer connection ended", "peer", l.addr, "reason", err)
 	}()
 	for {
 		select {
 		case <-ctx.Done():
-			h.drain(l)
+			h.discardQueued(l)
 			return
-		case raw := <-l.out:
-			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retry))
+		case raw := <-l.outbox:
+			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retryDelay))
 			if _, err := c.Write(raw); err != nil {
-				h.drain(l)
+				h.discardQueued(l)
 				return
 			}
 		}
 	}
 }
 
-// asHTTP is a connection whose first bytes have been read ahead.
-type asHTTP struct {
+// peekedConn is a connection whose first bytes have been read ahead.
+type peekedConn struct {
 	net.Conn
-	r *bufio.Reader
+	buffered *bufio.Reader
 }
 
-func (c *asHTTP) Read(p []byte) (int, error) { return c.r.Read(p) }
+func (c *peekedConn) Read(p []byte) (int, error) { return c.buffered.Read(p) }
 
-// serve answers on a connection on which another node speaks, or hands it over
+// serveConnection answers on a connection on which another node speaks, or hands it over
 // if it speaks HTTP: as a size, "GET " and "POST" are far beyond any message.
-func (h *Hub) serve(ctx context.Context, c net.Conn) {
+func (h *Hub) serveConnection(ctx context.Context, c net.Conn) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	r := bufio.NewReader(c)
 	first, err := r.Peek(4)
-	if err == nil && (string(first) == "GET " || string(first) == "POST") && h.HTTP != nil {
-		h.HTTP(&asHTTP{c, r})
+	if err == nil && (string(first) == "GET " || string(first) == "POST") && h.OnHTTP != nil {
+		h.OnHTTP(&peekedConn{c, r})
 		return
 	}
 	defer c.Close()
-	err = h.read(r, func(m message) error {
+	err = h.readMessages(r, func(m message) error {
 		if _, known := h.links[m.from]; !known {
 			return fmt.Errorf("unknown node %q", m.from)
 		}
 		switch {
-		case m.progress != nil:
-			h.Progress(m.from, *m.progress)
-		case m.ask != nil:
-			given := h.Promise(ctx, m.from, m.ask.token, m.ask.seen)
-			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retry))
-			_, err := c.Write(encodePromise(h.self, promise{m.ask.number, given}))
+		case m.leaderUpdate != nil:
+			h.OnLeaderUpdate(m.from, *m.leaderUpdate)
+		case m.promiseRequest != nil:
+			given := h.OnPromiseRequest(ctx, m.from, m.promiseRequest.fencingToken, m.promiseRequest.seenRevision)
+			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retryDelay))
+			_, err := c.Write(encodePromiseResponse(h.node, promiseResponse{m.promiseRequest.number, given}))
 			return err
-		case m.loss != nil && h.Noticed != nil:
-			h.Noticed(m.from, *m.loss)
-		case m.lostAsk != nil && h.Lost != nil:
-			page := h.Lost(m.lostAsk.LostJobsRequest)
-			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retry))
-			_, err := c.Write(encodeLostPage(h.self, lostPage{m.lostAsk.number, page}))
+		case m.lossNotice != nil && h.OnLossNotice != nil:
+			h.OnLossNotice(m.from, *m.lossNotice)
+		case m.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
+			page := h.OnLostJobsRequest(m.lostJobsRequest.LostJobsRequest)
+			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retryDelay))
+			_, err := c.Write(encodeLostJobsResponse(h.node, lostJobsResponse{m.lostJobsRequest.number, page}))
 			return err
 		}
 		return nil
@@ -243,8 +243,8 @@
 	slog.Debug("peer connection ended", "reason", err)
 }
 
-// read takes in messages until the connection ends, and returns why it did.
-func (h *Hub) read(r *bufio.Reader, take func(message) error) error {
+// readMessages takes in messages until the connection ends, and returns why it did.
+func (h *Hub) readMessages(r *bufio.Reader, take func(message) error) error {
 	var size [4]byte
 	for {
 		if _, err := io.ReadFull(r, size[:]); err != nil {
