--- a/internal/peer/peer.go
+++ b/internal/peer/connection.go
@@ -1,5 +1,3 @@
-// Package peer is what passes between controllers: FlatBuffers messages, each
-// behind its size, over one connection in each direction.
 package peer
 
 import (
@@ -10,141 +8,14 @@
 	"io"
 	"log/slog"
 	"net"
-	"sync"
 	"time"
-
-	"ospreyslip/internal/recovery/detection"
-	"ospreyslip/internal/settings"
 )
 
-// maxMessage bounds what one message may make this node hold in memory.
-const maxMessage = 1 << 20
-
-// Dial opens a connection to another controller.
-type Dial func(ctx context.Context, addr string) (net.Conn, error)
-
-// Hub speaks to all other controllers.
-type Hub struct {
-	node       string
-	dial       Dial
-	retryDelay time.Duration
-	links      map[string]*peerLink
-
-	// OnLeaderUpdate takes in the leader's counts.
-	OnLeaderUpdate func(from string, p LeaderUpdate)
-	// OnHTTP takes over a connection on which somebody speaks HTTP; nil refuses.
-	OnHTTP func(net.Conn)
-	// OnPromiseRequest decides on an ask: whether this node keeps from taking the term, and
-	// what it has told users since the asker's picture of the jobs.
-	OnPromiseRequest func(ctx context.Context, from string, token, seen uint64) PromiseResponse
-
-	// OnLostJobsRequest answers the leader's question for jobs of which this node knows more than the
-	// state service.
-	OnLostJobsRequest func(LostJobsRequest) LostJobsResponse
-
-	// OnLossNotice takes in what another controller says of lost records.
-	OnLossNotice func(from string, l detection.Loss)
-
-	mu              sync.Mutex
-	requestNumber   uint64
-	pendingPromises map[uint64]chan PromiseResponse
-	pendingLostJobs map[uint64]chan LostJobsResponse
-}
-
 type peerLink struct {
 	addr   string
 	outbox chan []byte
 }
 
-// NewHub makes a hub. A connection that has failed is tried again after retry.
-func NewHub(self string, peers []settings.Peer, dial Dial, retry time.Duration) *Hub {
-	h := &Hub{node: self, dial: dial, retryDelay: retry, links: map[string]*peerLink{}, pendingPromises: map[uint64]chan PromiseResponse{}, pendingLostJobs: map[uint64]chan LostJobsResponse{}}
-	for _, p := range peers {
-		h.links[p.Node] = &peerLink{addr: p.Addr, outbox: make(chan []byte, 4)}
-	}
-	return h
-}
-
-// Run keeps the connections until the context ends.
-func (h *Hub) Run(ctx context.Context, ln net.Listener) {
-	var conns sync.WaitGroup
-	for _, l := range h.links {
-		conns.Go(func() { h.maintainConnection(ctx, l) })
-	}
-	conns.Go(func() {
-		<-ctx.Done()
-		ln.Close()
-	})
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			if ctx.Err() != nil {
-				break
-			}
-			slog.Debug("peer not accepted", "reason", err)
-			h.waitBeforeRetry(ctx)
-			continue
-		}
-		conns.Go(func() { h.serveConnection(ctx, c) })
-	}
-	conns.Wait()
-}
-
-func (h *Hub) waitBeforeRetry(ctx context.Context) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(h.retryDelay):
-	}
-}
-
-// Broadcast sends the counts to all others. One that does not keep up misses
-// some; each message holds all that matters.
-func (h *Hub) Broadcast(p LeaderUpdate) {
-	raw := encodeLeaderUpdate(h.node, p)
-	for _, l := range h.links {
-		select {
-		case l.outbox <- raw:
-		default:
-		}
-	}
-}
-
-// RequestPromises asks every other controller. Its answer is that of all together.
-func (h *Hub) RequestPromises(ctx context.Context, token, seen uint64) PromiseResponse {
-	replies := make(chan PromiseResponse, len(h.links))
-	for _, l := range h.links {
-		h.mu.Lock()
-		h.requestNumber++
-		number := h.requestNumber
-		h.pendingPromises[number] = replies
-		h.mu.Unlock()
-		defer func() {
-			h.mu.Lock()
-			delete(h.pendingPromises, number)
-			h.mu.Unlock()
-		}()
-		select {
-		case l.outbox <- encodePromiseRequest(h.node, promiseRequest{number, token, seen}):
-		default:
-			return PromiseResponse{} // a queue that is stuck will bring no answer in time
-		}
-	}
-	all := PromiseResponse{Granted: true, CancellationsComplete: true}
-	for range h.links {
-		select {
-		case p := <-replies:
-			if !p.Granted {
-				return PromiseResponse{}
-			}
-			all.CancellationsComplete = all.CancellationsComplete && p.CancellationsComplete
-			all.Cancellations = append(all.Cancellations, p.Cancellations...)
-		case <-ctx.Done():
-			return PromiseResponse{}
-		}
-	}
-	return all
-}
-
 // maintainConnection holds the connection on which this node speaks.
 func (h *Hub) maintainConnection(ctx context.Context, l *peerLink) {
 	for ctx.Err() == nil {
@@ -198,6 +69,13 @@
 	}
 }
 
+func (h *Hub) waitBeforeRetry(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(h.retryDelay):
+	}
+}
+
 // peekedConn is a connection whose first bytes have been read ahead.
 type peekedConn struct {
 	net.Conn
