--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -28,8 +28,8 @@
 	}{
 		{name: "all go on", lasts: true},
 		{name: "promises of an earlier version", adapt: func(n *Controller) {
-			n.peers.OnPromiseRequest = func(ctx context.Context, _ string, token, _ uint64) peer.PromiseResponse {
-				return peer.PromiseResponse{Granted: n.elector.Promise(ctx, token)}
+			n.peers.OnPromiseRequest = func(ctx context.Context, _ string, request peer.PromiseRequest) peer.PromiseResponse {
+				return peer.PromiseResponse{Granted: n.elector.Promise(ctx, request.FencingToken)}
 			}
 		}},
 		{name: "the leader confirmed", lasts: true, leader: true},
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -222,27 +222,29 @@
 	duties.Wait()
 }
 
-// answerPromiseRequest answers the holder of the term, which has lost the state service. The
-// promise comes first: what this node tells users later is newer than the question.
-func (n *Controller) answerPromiseRequest(ctx context.Context, _ string, token, seen uint64) peer.PromiseResponse {
-	p := peer.PromiseResponse{Granted: n.elector.Promise(ctx, token)}
-	if p.Granted && seen > 0 {
-		p.Cancellations, p.CancellationsComplete = n.cache.Cancellations(seen)
+// answerPromiseRequest answers a leader that can not reach the key-value store. The promise
+// comes before the cancellations are collected: what this controller tells users afterwards
+// is newer than the request.
+func (n *Controller) answerPromiseRequest(ctx context.Context, _ string, request peer.PromiseRequest) peer.PromiseResponse {
+	response := peer.PromiseResponse{Granted: n.elector.Promise(ctx, request.FencingToken)}
+	if response.Granted && request.SeenRevision > 0 {
+		response.Cancellations, response.CancellationsComplete = n.cache.Cancellations(request.SeenRevision)
 	}
-	return p
+	return response
 }
 
-// requestPromises asks all others for promises. The picture of the jobs is renewed only by
-// what all nodes, this one too, have told users and it has not seen: that none reaches
-// the state service now says nothing of what was told before.
-func (n *Controller) requestPromises(ctx context.Context, token uint64) bool {
-	asked, seen := time.Now(), n.gate.Seen()
-	p := n.peers.RequestPromises(ctx, token, seen)
-	own, complete := n.cache.Cancellations(seen)
-	if p.Granted && p.CancellationsComplete && complete && seen > 0 {
-		n.gate.Cancelled(ctx, append(p.Cancellations, own...), asked)
+// requestPromises asks all other controllers for promises and tells whether all are granted.
+// The leader's observed state of the jobs counts as renewed only if every controller, this
+// one too, has said which cancellations it has told users of and the leader has not seen:
+// that none reaches the store now says nothing of what was told before.
+func (n *Controller) requestPromises(ctx context.Context, fencingToken uint64) bool {
+	askedAt, seenRevision := time.Now(), n.gate.Seen()
+	joined := n.peers.RequestPromises(ctx, peer.PromiseRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
+	own, complete := n.cache.Cancellations(seenRevision)
+	if joined.Granted && joined.CancellationsComplete && complete && seenRevision > 0 {
+		n.gate.Cancelled(ctx, append(joined.Cancellations, own...), askedAt)
 	}
-	return p.Granted
+	return joined.Granted
 }
 
 // storeBudget is what this node may ask of the state service.
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -4,36 +4,45 @@
 	"bufio"
 	"context"
 	"encoding/binary"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
+	"sync"
 	"time"
 )
 
+const (
+	// outboxSize is how many messages wait for a connection. More would be out of date by
+	// the time they are sent.
+	outboxSize = 4
+	// timeoutRetries is how many retry delays an attempt to connect, or to send a message,
+	// may last.
+	timeoutRetries = 4
+)
+
+// peerLink is the connection that this controller opens to another one.
 type peerLink struct {
 	addr   string
-	outbox chan []byte
+	outbox chan []byte // encoded messages to be sent
 }
 
-// maintainConnection holds the connection on which this node speaks.
-func (h *Hub) maintainConnection(ctx context.Context, l *peerLink) {
-	for ctx.Err() == nil {
-		try, cancel := context.WithTimeout(ctx, 4*h.retryDelay)
-		c, err := h.dial(try, l.addr)
-		cancel()
-		if err != nil {
-			h.discardQueued(l)
-			h.waitBeforeRetry(ctx)
-			continue
-		}
-		h.sendMessages(ctx, c, l)
+func newPeerLink(addr string) *peerLink {
+	return &peerLink{addr: addr, outbox: make(chan []byte, outboxSize)}
+}
+
+// enqueue queues an encoded message. It returns false, and drops it, if the queue is full.
+func (l *peerLink) enqueue(raw []byte) bool {
+	select {
+	case l.outbox <- raw:
+		return true
+	default:
+		return false
 	}
 }
 
-// discardQueued drops what was meant for a connection that is gone: it is out of date
-// by the time there is another.
-func (h *Hub) discardQueued(l *peerLink) {
+// discardQueued drops what was meant for a connection that is gone: it is out of date by the
+// time there is another.
+func (l *peerLink) discardQueued() {
 	for {
 		select {
 		case <-l.outbox:
@@ -43,39 +52,60 @@
 	}
 }
 
-func (h *Hub) sendMessages(ctx context.Context, c net.Conn, l *peerLink) {
+// maintainConnection keeps a connection to another controller open until the context ends.
+func (h *Hub) maintainConnection(ctx context.Context, link *peerLink) {
+	for ctx.Err() == nil {
+		dialCtx, cancel := context.WithTimeout(ctx, h.timeout())
+		conn, err := h.dial(dialCtx, link.addr)
+		cancel()
+		if err != nil {
+			link.discardQueued()
+			h.waitBeforeRetry(ctx)
+			continue
+		}
+		h.sendQueued(ctx, conn, link)
+	}
+}
+
+func (h *Hub) timeout() time.Duration { return timeoutRetries * h.retryDelay }
+
+// waitBeforeRetry waits for the retry delay, or until the context ends.
+func (h *Hub) waitBeforeRetry(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(h.retryDelay):
+	}
+}
+
+// sendQueued sends what is queued and takes in the responses, until the connection breaks or
+// the context ends. It closes the connection.
+func (h *Hub) sendQueued(ctx context.Context, conn net.Conn, link *peerLink) {
+	var reader sync.WaitGroup
+	defer reader.Wait() // last of all: closing the connection ends it
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	defer c.Close()
+	defer conn.Close()
 	defer cancel()
-	go func() {
+	reader.Go(func() {
 		defer cancel()
-		err := h.readMessages(bufio.NewReader(c), h.deliverResponse)
-		slog.Debug("peer connection ended", "peer", l.addr, "reason", err)
-	}()
+		err := h.readMessages(bufio.NewReader(conn), h.deliverResponse)
+		slog.Debug("peer connection ended", "peer", link.addr, "reason", err)
+	})
 	for {
 		select {
 		case <-ctx.Done():
-			h.discardQueued(l)
+			link.discardQueued()
 			return
-		case raw := <-l.outbox:
-			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retryDelay))
-			if _, err := c.Write(raw); err != nil {
-				h.discardQueued(l)
+		case raw := <-link.outbox:
+			if err := h.writeMessage(conn, raw); err != nil {
+				link.discardQueued()
 				return
 			}
 		}
 	}
 }
 
-func (h *Hub) waitBeforeRetry(ctx context.Context) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(h.retryDelay):
-	}
-}
-
 // peekedConn is a connection whose first bytes have been read ahead.
 type peekedConn struct {
 	net.Conn
@@ -84,63 +114,71 @@
 
 func (c *peekedConn) Read(p []byte) (int, error) { return c.buffered.Read(p) }
 
-// serveConnection answers on a connection on which another node speaks, or hands it over
-// if it speaks HTTP: as a size, "GET " and "POST" are far beyond any message.
-func (h *Hub) serveConnection(ctx context.Context, c net.Conn) {
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+// serveConnection handles the messages on a connection that another controller opened, or
+// hands the connection over if it speaks HTTP: read as a size, "GET " and "POST" are far
+// beyond any message.
+func (h *Hub) serveConnection(ctx context.Context, conn net.Conn) {
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	r := bufio.NewReader(c)
-	first, err := r.Peek(4)
-	if err == nil && (string(first) == "GET " || string(first) == "POST") && h.OnHTTP != nil {
-		h.OnHTTP(&peekedConn{c, r})
+	reader := bufio.NewReader(conn)
+	method, err := reader.Peek(4)
+	if err == nil && (string(method) == "GET " || string(method) == "POST") && h.OnHTTP != nil {
+		h.OnHTTP(&peekedConn{conn, reader})
 		return
 	}
-	defer c.Close()
-	err = h.readMessages(r, func(m message) error {
-		if _, known := h.links[m.from]; !known {
-			return fmt.Errorf("unknown node %q", m.from)
-		}
-		switch {
-		case m.leaderUpdate != nil:
-			h.OnLeaderUpdate(m.from, *m.leaderUpdate)
-		case m.promiseRequest != nil:
-			given := h.OnPromiseRequest(ctx, m.from, m.promiseRequest.fencingToken, m.promiseRequest.seenRevision)
-			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retryDelay))
-			_, err := c.Write(encodePromiseResponse(h.node, promiseResponse{m.promiseRequest.number, given}))
-			return err
-		case m.lossNotice != nil && h.OnLossNotice != nil:
-			h.OnLossNotice(m.from, *m.lossNotice)
-		case m.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
-			page := h.OnLostJobsRequest(m.lostJobsRequest.LostJobsRequest)
-			_ = c.SetWriteDeadline(time.Now().Add(4 * h.retryDelay))
-			_, err := c.Write(encodeLostJobsResponse(h.node, lostJobsResponse{m.lostJobsRequest.number, page}))
-			return err
-		}
-		return nil
-	})
+	defer conn.Close()
+	err = h.readMessages(reader, func(m message) error { return h.handleMessage(ctx, conn, m) })
 	slog.Debug("peer connection ended", "reason", err)
 }
 
-// readMessages takes in messages until the connection ends, and returns why it did.
-func (h *Hub) readMessages(r *bufio.Reader, take func(message) error) error {
+// handleMessage passes a message of another controller to its handler, and sends the
+// response to a request. An error ends the connection.
+func (h *Hub) handleMessage(ctx context.Context, conn net.Conn, m message) error {
+	if _, known := h.links[m.from]; !known {
+		return &UnknownPeerError{m.from}
+	}
+	switch {
+	case m.leaderUpdate != nil:
+		h.OnLeaderUpdate(m.from, *m.leaderUpdate)
+	case m.promiseRequest != nil:
+		response := h.OnPromiseRequest(ctx, m.from, m.promiseRequest.PromiseRequest)
+		return h.writeMessage(conn, encodePromiseResponse(h.node, promiseResponse{m.promiseRequest.number, response}))
+	case m.lossNotice != nil && h.OnLossNotice != nil:
+		h.OnLossNotice(m.from, *m.lossNotice)
+	case m.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
+		response := h.OnLostJobsRequest(m.lostJobsRequest.LostJobsRequest)
+		return h.writeMessage(conn, encodeLostJobsResponse(h.node, lostJobsResponse{m.lostJobsRequest.number, response}))
+	}
+	return nil
+}
+
+func (h *Hub) writeMessage(conn net.Conn, raw []byte) error {
+	_ = conn.SetWriteDeadline(time.Now().Add(h.timeout()))
+	_, err := conn.Write(raw)
+	return err
+}
+
+// readMessages passes all messages to handle until the connection ends or handle fails, and
+// returns why it did.
+func (h *Hub) readMessages(reader *bufio.Reader, handle func(message) error) error {
 	var size [4]byte
 	for {
-		if _, err := io.ReadFull(r, size[:]); err != nil {
+		if _, err := io.ReadFull(reader, size[:]); err != nil {
 			return err
 		}
-		n := binary.LittleEndian.Uint32(size[:])
-		if n > maxMessage {
-			return fmt.Errorf("message of %d bytes", n)
+		bytes := binary.LittleEndian.Uint32(size[:])
+		if bytes > maxMessage {
+			return &messageSizeError{bytes}
 		}
-		raw := make([]byte, n)
-		if _, err := io.ReadFull(r, raw); err != nil {
+		raw := make([]byte, bytes)
+		if _, err := io.ReadFull(reader, raw); err != nil {
 			return err
 		}
 		m, err := decode(raw)
 		if err != nil {
 			return err
 		}
-		if err := take(m); err != nil {
+		if err := handle(m); err != nil {
 			return err
 		}
 	}
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -6,64 +6,65 @@
 	"net"
 	"slices"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"ospreyslip/internal/recovery/detection"
 	"ospreyslip/internal/settings"
 )
 
-// Dial opens a connection to another controller.
+// Dial opens a connection to the controller that listens at addr.
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-// Hub speaks to all other controllers.
+// Hub exchanges messages with all other controllers.
+//
+// The On fields are called from the goroutines of the connections, several at a time, and
+// have to be set before Run. All methods may be called from any goroutine.
 type Hub struct {
-	node       string
+	node       string // name of this controller
 	dial       Dial
 	retryDelay time.Duration
-	links      map[string]*peerLink
+	links      map[string]*peerLink // by name of the other controller
 
-	// OnLeaderUpdate takes in the leader's counts.
-	OnLeaderUpdate func(from string, p LeaderUpdate)
-	// OnHTTP takes over a connection on which somebody speaks HTTP; nil refuses.
+	// OnLeaderUpdate takes in what the leader broadcasts.
+	OnLeaderUpdate func(from string, update LeaderUpdate)
+	// OnHTTP takes over a connection on which somebody speaks HTTP, and closes it; nil refuses.
 	OnHTTP func(net.Conn)
-	// OnPromiseRequest decides on an ask: whether this node keeps from taking the term, and
-	// what it has told users since the asker's picture of the jobs.
-	OnPromiseRequest func(ctx context.Context, from string, token, seen uint64) PromiseResponse
-
-	// OnLostJobsRequest answers the leader's question for jobs of which this node knows more than the
-	// state service.
+	// OnPromiseRequest decides on a promise request.
+	OnPromiseRequest func(ctx context.Context, from string, request PromiseRequest) PromiseResponse
+	// OnLostJobsRequest responds to a request for lost jobs; nil leaves it without a response.
 	OnLostJobsRequest func(LostJobsRequest) LostJobsResponse
+	// OnLossNotice takes in another controller's evidence of lost records; nil drops it.
+	OnLossNotice func(from string, loss detection.Loss)
 
-	// OnLossNotice takes in what another controller says of lost records.
-	OnLossNotice func(from string, l detection.Loss)
-
-	mu              sync.Mutex
-	requestNumber   uint64
-	pendingPromises map[uint64]chan PromiseResponse
-	pendingLostJobs map[uint64]chan LostJobsResponse
+	requestNumber    atomic.Uint64 // of the last request; a response carries the number of its request
+	promiseResponses pendingResponses[PromiseResponse]
+	lostJobResponses pendingResponses[LostJobsResponse]
 }
 
-// NewHub makes a hub. A connection that has failed is tried again after retry.
-func NewHub(self string, peers []settings.Peer, dial Dial, retry time.Duration) *Hub {
-	h := &Hub{node: self, dial: dial, retryDelay: retry, links: map[string]*peerLink{}, pendingPromises: map[uint64]chan PromiseResponse{}, pendingLostJobs: map[uint64]chan LostJobsResponse{}}
+// NewHub makes the hub of the controller named node. A connection that has failed is tried
+// again after retryDelay.
+func NewHub(node string, peers []settings.Peer, dial Dial, retryDelay time.Duration) *Hub {
+	h := &Hub{node: node, dial: dial, retryDelay: retryDelay, links: make(map[string]*peerLink, len(peers))}
 	for _, p := range peers {
-		h.links[p.Node] = &peerLink{addr: p.Addr, outbox: make(chan []byte, 4)}
+		h.links[p.Node] = newPeerLink(p.Addr)
 	}
 	return h
 }
 
-// Run keeps the connections until the context ends.
-func (h *Hub) Run(ctx context.Context, ln net.Listener) {
-	var conns sync.WaitGroup
-	for _, l := range h.links {
-		conns.Go(func() { h.maintainConnection(ctx, l) })
+// Run connects to all other controllers and serves the connections that listener accepts,
+// until the context ends. It closes the listener and returns when all connections are closed.
+func (h *Hub) Run(ctx context.Context, listener net.Listener) {
+	var connections sync.WaitGroup
+	for _, link := range h.links {
+		connections.Go(func() { h.maintainConnection(ctx, link) })
 	}
-	conns.Go(func() {
+	connections.Go(func() {
 		<-ctx.Done()
-		ln.Close()
+		listener.Close()
 	})
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				break
@@ -72,31 +73,25 @@
 			h.waitBeforeRetry(ctx)
 			continue
 		}
-		conns.Go(func() { h.serveConnection(ctx, c) })
+		connections.Go(func() { h.serveConnection(ctx, conn) })
 	}
-	conns.Wait()
+	connections.Wait()
 }
 
-// Broadcast sends the counts to all others. One that does not keep up misses
-// some; each message holds all that matters.
-func (h *Hub) Broadcast(p LeaderUpdate) {
-	raw := encodeLeaderUpdate(h.node, p)
-	for _, l := range h.links {
-		select {
-		case l.outbox <- raw:
-		default:
-		}
+// Broadcast sends the leader's update to all other controllers. One whose queue is full
+// misses it; the next update holds all that matters.
+func (h *Hub) Broadcast(update LeaderUpdate) {
+	raw := encodeLeaderUpdate(h.node, update)
+	for _, link := range h.links {
+		link.enqueue(raw)
 	}
 }
 
-// SendLossNotice tells another controller what shows that records are lost. Should that not
-// arrive, the next evidence may.
-func (h *Hub) SendLossNotice(node string, l detection.Loss) {
+// SendLossNotice sends evidence of lost records to the named controller. It is dropped if
+// the controller is unknown or its queue is full; the next evidence may arrive.
+func (h *Hub) SendLossNotice(node string, loss detection.Loss) {
 	if link := h.links[node]; link != nil {
-		select {
-		case link.outbox <- encodeLossNotice(h.node, l):
-		default:
-		}
+		link.enqueue(encodeLossNotice(h.node, loss))
 	}
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -5,12 +5,18 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// maxMessage bounds what one message may make this node hold in memory.
-const maxMessage = 1 << 20
+// Bounds of a message. What one may make this process hold in memory is maxMessage bytes;
+// the others keep the kinds of message whose size depends on the cluster well below that.
+const (
+	maxMessage       = 1 << 20
+	maxChanges       = maxMessage / 256 // in one LeaderUpdate
+	maxCancellations = maxMessage / 128 // in one PromiseResponse
+	maxLostJobsBytes = maxMessage / 4   // in one LostJobsResponse
+)
 
-// message is one decoded message; one of its parts is set.
+// message is one decoded message; exactly one of the fields after from is set.
 type message struct {
-	from             string
+	from             string // name of the controller that sent it
 	leaderUpdate     *LeaderUpdate
 	promiseRequest   *promiseRequest
 	promiseResponse  *promiseResponse
@@ -19,16 +25,24 @@
 	lossNotice       *detection.Loss
 }
 
-// LeaderUpdate is what a leader publishes.
+// LeaderUpdate is what a leader broadcasts with every round of its loop.
 type LeaderUpdate struct {
-	JobCounts      map[string]jobs.Counts
-	StoreAvailable bool // the state service answers the leader
-	// ComparingRecords tells that records may be lost, and are being compared.
-	ComparingRecords  bool
-	KnownJobs         int  // jobs that the leader knows
-	RecordsRolledBack bool // records may say less than users were told
-	RestoringRecords  bool // lost records are being written again
-	Changes           []JobChange
+	// JobCounts are the task counts of all unfinished jobs that have any, by job ID.
+	JobCounts map[string]jobs.Counts
+	// StoreAvailable tells that the key-value store answers the leader.
+	StoreAvailable bool
+	// ComparingRecords tells that records may be lost, and are being compared: a job without
+	// a record must not be taken for one that was never accepted.
+	ComparingRecords bool
+	// KnownJobs is how many jobs the leader knows.
+	KnownJobs int
+	// RecordsRolledBack tells that records may say less than users were told.
+	RecordsRolledBack bool
+	// RestoringRecords tells that lost records are being written again.
+	RestoringRecords bool
+	// Changes are those of job records since the last update, oldest first. If the store loses
+	// them and the leader ends, the other controllers still know.
+	Changes []JobChange
 }
 
 // JobChange is what a job's record has come to say.
@@ -38,69 +52,79 @@
 	Tasks int
 }
 
-// maxChanges bounds a message well below what it may be.
-const maxChanges = maxMessage / 256
-
-type promiseRequest struct {
-	number, fencingToken uint64
-	seenRevision         uint64 // the asker's picture of the jobs has all changes up to this revision
+// PromiseRequest is how a leader that can not reach the key-value store asks another
+// controller not to take over leadership for a while.
+type PromiseRequest struct {
+	FencingToken uint64 // of the asking leader
+	// SeenRevision is up to which revision of the store the leader has seen all changes of
+	// jobs; 0 if it does not say.
+	SeenRevision uint64
 }
 
-// PromiseResponse is a node's answer to the holder of the term.
+// PromiseResponse is the response to a PromiseRequest.
 type PromiseResponse struct {
-	Granted bool // it keeps from taking the term for a while
-	// CancellationsComplete tells that the cancellations are all that the node may have told a
-	// user of and that are newer than what the holder has seen.
+	// Granted tells that the controller does not take over leadership for a while.
+	Granted bool
+	// CancellationsComplete tells that Cancellations are all that the controller may have told
+	// a user of and that are newer than what the leader has seen.
 	CancellationsComplete bool
 	Cancellations         []jobs.Cancellation
 }
 
-type promiseResponse struct {
-	number uint64
-	PromiseResponse
-}
-
-// maxCancellations bounds a promise well below what a message may be.
-const maxCancellations = maxMessage / 128
-
-// LostJob is a job of which a controller knows more than the state service.
-type LostJob struct {
-	ID     string
-	State  string
-	Tasks  int
-	Record []byte // as JSON, if this node has its description
+// LostJobsRequest asks another controller for jobs of which it knows more than the records
+// in the key-value store say.
+type LostJobsRequest struct {
+	// ComparisonRound is the leader's comparison that this belongs to: in a new one the other
+	// controller first compares all records with what it knows. 0 asks only for a summary: how
+	// much the other controller knows, and whether it has noticed a loss.
+	ComparisonRound uint64
+	// AfterID asks for jobs whose ID is greater than this one.
+	AfterID string
 }
 
-// LostJobsResponse is a part of a controller's lost jobs.
+// LostJobsResponse is one page of a controller's lost jobs, or its summary.
 type LostJobsResponse struct {
-	Compared bool // it has compared all records with what it knows
-	More     bool
+	// Compared tells that the controller has compared the records with what it knows: all of
+	// them in a comparison round, the newest that it knows for a summary.
+	Compared bool
+	More     bool // there are jobs after the last of Jobs
 	Jobs     []LostJob
-	// KnownJobs is how many jobs it knows, and Noticed tells that it has noticed a loss.
-	KnownJobs      int
-	LossNoticed    bool
-	NewestRevision uint64 // revision of the state service that it has read
-	// ReliesOnNoPromise tells that it neither holds the term nor may come to act by one that
-	// it took in its present life. An earlier version does not say so.
+	// KnownJobs is how many jobs the controller knows.
+	KnownJobs int
+	// LossNoticed tells that the controller has noticed lost records.
+	LossNoticed bool
+	// NewestRevision is the newest revision of the store that it has read.
+	NewestRevision uint64
+	// ReliesOnNoPromise tells that the controller, since its process started, neither leads
+	// nor may come to act by a lease that it took: no promise to it has to be kept. A version
+	// that does not know the field leaves it false.
 	ReliesOnNoPromise bool
 }
 
-// LostJobsRequest is the leader's, for jobs of which another controller knows more than the state
-// service.
-type LostJobsRequest struct {
-	ComparisonRound uint64 // of comparison; 0 asks only what the other has noticed and how much it knows
-	AfterID         string // jobs in the order of their ids after this one
-}
-
-type lostJobsRequest struct {
-	number uint64
-	LostJobsRequest
-}
-
-type lostJobsResponse struct {
-	number uint64
-	LostJobsResponse
+// LostJob is a job of which a controller knows more than its record says.
+type LostJob struct {
+	ID     string
+	State  string
+	Tasks  int
+	Record []byte // as JSON; nil if the controller does not know the job's description
 }
 
-// maxLostJobsBytes bounds a page well below what a message may be.
-const maxLostJobsBytes = maxMessage / 4
+// The numbered forms add to a request the number that its response repeats.
+type (
+	promiseRequest struct {
+		number uint64
+		PromiseRequest
+	}
+	promiseResponse struct {
+		number uint64
+		PromiseResponse
+	}
+	lostJobsRequest struct {
+		number uint64
+		LostJobsRequest
+	}
+	lostJobsResponse struct {
+		number uint64
+		LostJobsResponse
+	}
+)
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -2,93 +2,101 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
+	"sync"
 )
 
-// RequestPromises asks every other controller. Its answer is that of all together.
-func (h *Hub) RequestPromises(ctx context.Context, token, seen uint64) PromiseResponse {
-	replies := make(chan PromiseResponse, len(h.links))
-	for _, l := range h.links {
-		h.mu.Lock()
-		h.requestNumber++
-		number := h.requestNumber
-		h.pendingPromises[number] = replies
-		h.mu.Unlock()
-		defer func() {
-			h.mu.Lock()
-			delete(h.pendingPromises, number)
-			h.mu.Unlock()
-		}()
-		select {
-		case l.outbox <- encodePromiseRequest(h.node, promiseRequest{number, token, seen}):
-		default:
-			return PromiseResponse{} // a queue that is stuck will bring no answer in time
+// pendingResponses matches responses with the requests that still wait for one. Its zero
+// value is ready to use.
+type pendingResponses[Response any] struct {
+	mu       sync.Mutex
+	byNumber map[uint64]chan<- Response
+}
+
+// expect has the response to a request sent to a channel, which must have room for it. The
+// returned function gives the request up.
+func (p *pendingResponses[Response]) expect(number uint64, response chan<- Response) (cancel func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.byNumber == nil {
+		p.byNumber = make(map[uint64]chan<- Response)
+	}
+	p.byNumber[number] = response
+	return func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.byNumber, number)
+	}
+}
+
+// deliver hands a response to who waits for it. One that comes too late, or twice, is dropped.
+func (p *pendingResponses[Response]) deliver(number uint64, response Response) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if waiting := p.byNumber[number]; waiting != nil {
+		delete(p.byNumber, number)
+		waiting <- response
+	}
+}
+
+// RequestPromises asks every other controller for a promise and joins the responses: the
+// promise is granted only if each of them grants it before the context ends.
+func (h *Hub) RequestPromises(ctx context.Context, request PromiseRequest) PromiseResponse {
+	responses := make(chan PromiseResponse, len(h.links))
+	for _, link := range h.links {
+		number := h.requestNumber.Add(1)
+		defer h.promiseResponses.expect(number, responses)()
+		if !link.enqueue(encodePromiseRequest(h.node, promiseRequest{number, request})) {
+			return PromiseResponse{} // a queue that is stuck will bring no response in time
 		}
 	}
-	all := PromiseResponse{Granted: true, CancellationsComplete: true}
+	joined := PromiseResponse{Granted: true, CancellationsComplete: true}
 	for range h.links {
 		select {
-		case p := <-replies:
-			if !p.Granted {
+		case response := <-responses:
+			if !response.Granted {
 				return PromiseResponse{}
 			}
-			all.CancellationsComplete = all.CancellationsComplete && p.CancellationsComplete
-			all.Cancellations = append(all.Cancellations, p.Cancellations...)
+			joined.CancellationsComplete = joined.CancellationsComplete && response.CancellationsComplete
+			joined.Cancellations = append(joined.Cancellations, response.Cancellations...)
 		case <-ctx.Done():
 			return PromiseResponse{}
 		}
 	}
-	return all
+	return joined
 }
 
-// RequestLostJobs asks another controller for jobs of which it knows more than the state service.
-func (h *Hub) RequestLostJobs(ctx context.Context, node string, q LostJobsRequest) (LostJobsResponse, error) {
-	l := h.links[node]
-	if l == nil {
-		return LostJobsResponse{}, fmt.Errorf("unknown node %q", node)
+// RequestLostJobs asks the named controller for jobs of which it knows more than the records
+// say. It fails with an UnknownPeerError, or with ErrNoResponse if none comes before the
+// context ends.
+func (h *Hub) RequestLostJobs(ctx context.Context, node string, request LostJobsRequest) (LostJobsResponse, error) {
+	link := h.links[node]
+	if link == nil {
+		return LostJobsResponse{}, &UnknownPeerError{node}
 	}
-	reply := make(chan LostJobsResponse, 1)
-	h.mu.Lock()
-	h.requestNumber++
-	number := h.requestNumber
-	h.pendingLostJobs[number] = reply
-	h.mu.Unlock()
-	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		delete(h.pendingLostJobs, number)
-	}()
-	select {
-	case l.outbox <- encodeLostJobsRequest(h.node, lostJobsRequest{number, q}):
-	default:
+	responses := make(chan LostJobsResponse, 1)
+	number := h.requestNumber.Add(1)
+	defer h.lostJobResponses.expect(number, responses)()
+	if !link.enqueue(encodeLostJobsRequest(h.node, lostJobsRequest{number, request})) {
 		return LostJobsResponse{}, ErrNoResponse
 	}
 	select {
-	case p := <-reply:
-		return p, nil
+	case response := <-responses:
+		return response, nil
 	case <-ctx.Done():
 		return LostJobsResponse{}, ErrNoResponse
 	}
 }
 
-// deliverResponse hands the answer to a question to who asked it.
+// deliverResponse hands a response to who waits for it. Nothing else may come on a
+// connection that this controller opened.
 func (h *Hub) deliverResponse(m message) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	switch {
 	case m.promiseResponse != nil:
-		if reply := h.pendingPromises[m.promiseResponse.number]; reply != nil {
-			delete(h.pendingPromises, m.promiseResponse.number)
-			reply <- m.promiseResponse.PromiseResponse
-		}
+		h.promiseResponses.deliver(m.promiseResponse.number, m.promiseResponse.PromiseResponse)
 	case m.lostJobsResponse != nil:
-		if reply := h.pendingLostJobs[m.lostJobsResponse.number]; reply != nil {
-			delete(h.pendingLostJobs, m.lostJobsResponse.number)
-			reply <- m.lostJobsResponse.LostJobsResponse
-		}
+		h.lostJobResponses.deliver(m.lostJobsResponse.number, m.lostJobsResponse.LostJobsResponse)
 	default:
-		return errors.New("unexpected message")
+		return errUnexpectedResponse
 	}
 	return nil
 }
--- a/internal/peer/wire_decode.go
+++ b/internal/peer/wire_decode.go
@@ -1,7 +1,6 @@
 package peer
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 
@@ -12,104 +11,126 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// decode reads a message without its size prefix. FlatBuffers has no check of
-// its own in Go: what is out of bounds panics, and that is turned into an error.
+// decode reads a message without its size prefix. FlatBuffers has no verifier in Go: what is
+// out of bounds panics, and that is turned into an ErrMalformedMessage.
 func decode(raw []byte) (m message, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("malformed message: %v", r)
+			err = fmt.Errorf("%w: %v", ErrMalformedMessage, r)
 		}
 	}()
-	in := wire.GetRootAsMessage(raw, 0)
-	m.from = string(in.From())
+	envelope := wire.GetRootAsMessage(raw, 0)
+	m.from = string(envelope.From())
 	var body flatbuffers.Table
-	if !in.Body(&body) {
-		return m, errors.New("message without a body")
+	if !envelope.Body(&body) {
+		return m, errNoBody
 	}
-	switch in.BodyType() {
+	// A length is only a number in the message: a broken one must not make this process set
+	// memory aside for it. Each row takes at least one offset.
+	maxRows := len(raw) / flatbuffers.SizeUOffsetT
+	switch envelope.BodyType() {
 	case wire.BodyProgress:
-		m.leaderUpdate, err = decodeLeaderUpdate(body, len(raw)/flatbuffers.SizeUOffsetT)
+		m.leaderUpdate, err = decodeLeaderUpdate(body, maxRows)
 	case wire.BodyAsk:
-		var a wire.Ask
-		a.Init(body.Bytes, body.Pos)
-		m.promiseRequest = &promiseRequest{a.Number(), a.Token(), a.Seen()}
+		m.promiseRequest = decodePromiseRequest(body)
 	case wire.BodyPromise:
-		var p wire.Promise
-		p.Init(body.Bytes, body.Pos)
-		if p.CancellationsLength() > len(raw)/flatbuffers.SizeUOffsetT {
-			return m, errTooManyRows
-		}
-		m.promiseResponse = &promiseResponse{p.Number(), PromiseResponse{Granted: p.Given(), CancellationsComplete: p.Complete()}}
-		var row wire.Cancellation
-		for i := range p.CancellationsLength() {
-			if p.Cancellations(&row, i) {
-				m.promiseResponse.Cancellations = append(m.promiseResponse.Cancellations, jobs.Cancellation{Job: string(row.Job()), Revision: row.Revision()})
-			}
-		}
+		m.promiseResponse, err = decodePromiseResponse(body, maxRows)
 	case wire.BodyLostAsk:
-		var a wire.LostAsk
-		a.Init(body.Bytes, body.Pos)
-		m.lostJobsRequest = &lostJobsRequest{a.Number(), LostJobsRequest{a.Round(), string(a.After())}}
+		m.lostJobsRequest = decodeLostJobsRequest(body)
 	case wire.BodyLostPage:
-		m.lostJobsResponse, err = decodeLostJobsResponse(body, len(raw)/flatbuffers.SizeUOffsetT)
+		m.lostJobsResponse, err = decodeLostJobsResponse(body, maxRows)
 	case wire.BodyLossNotice:
 		m.lossNotice = decodeLossNotice(body)
 	default:
-		return m, fmt.Errorf("unknown kind of message %d", in.BodyType())
+		return m, &unknownBodyError{envelope.BodyType()}
 	}
 	return m, err
 }
 
-// decodeLeaderUpdate reads a leader's word. A length is only a number in the message: a broken one
-// must not make this node set memory aside for it.
-func decodeLeaderUpdate(body flatbuffers.Table, most int) (*LeaderUpdate, error) {
-	var in wire.Progress
-	in.Init(body.Bytes, body.Pos)
-	if in.JobsLength() > most || in.ChangesLength() > most {
+func decodeLeaderUpdate(body flatbuffers.Table, maxRows int) (*LeaderUpdate, error) {
+	var table wire.Progress
+	table.Init(body.Bytes, body.Pos)
+	if table.JobsLength() > maxRows || table.ChangesLength() > maxRows {
 		return nil, errTooManyRows
 	}
-	p := &LeaderUpdate{
-		JobCounts: make(map[string]jobs.Counts, in.JobsLength()), StoreAvailable: in.Served(), ComparingRecords: in.Uncertain(),
-		KnownJobs: int(in.Known()), RecordsRolledBack: in.PutBack(), RestoringRecords: in.Restoring(),
+	update := &LeaderUpdate{
+		JobCounts:         make(map[string]jobs.Counts, table.JobsLength()),
+		StoreAvailable:    table.Served(),
+		ComparingRecords:  table.Uncertain(),
+		KnownJobs:         int(table.Known()),
+		RecordsRolledBack: table.PutBack(),
+		RestoringRecords:  table.Restoring(),
 	}
-	var row wire.JobCounts
-	for i := range in.JobsLength() {
-		if in.Jobs(&row, i) {
-			p.JobCounts[string(row.Id())] = jobs.Counts{Done: int(row.Done()), Running: int(row.Running())}
+	var counts wire.JobCounts
+	for i := range table.JobsLength() {
+		if table.Jobs(&counts, i) {
+			update.JobCounts[string(counts.Id())] = jobs.Counts{Done: int(counts.Done()), Running: int(counts.Running())}
 		}
 	}
 	var change wire.JobChange
-	for i := range in.ChangesLength() {
-		if in.Changes(&change, i) {
-			p.Changes = append(p.Changes, JobChange{ID: string(change.Id()), State: string(change.State()), Tasks: int(change.Tasks())})
+	for i := range table.ChangesLength() {
+		if table.Changes(&change, i) {
+			update.Changes = append(update.Changes, JobChange{ID: string(change.Id()), State: string(change.State()), Tasks: int(change.Tasks())})
+		}
+	}
+	return update, nil
+}
+
+func decodePromiseRequest(body flatbuffers.Table) *promiseRequest {
+	var table wire.Ask
+	table.Init(body.Bytes, body.Pos)
+	return &promiseRequest{table.Number(), PromiseRequest{FencingToken: table.Token(), SeenRevision: table.Seen()}}
+}
+
+func decodePromiseResponse(body flatbuffers.Table, maxRows int) (*promiseResponse, error) {
+	var table wire.Promise
+	table.Init(body.Bytes, body.Pos)
+	if table.CancellationsLength() > maxRows {
+		return nil, errTooManyRows
+	}
+	response := &promiseResponse{table.Number(), PromiseResponse{Granted: table.Given(), CancellationsComplete: table.Complete()}}
+	var row wire.Cancellation
+	for i := range table.CancellationsLength() {
+		if table.Cancellations(&row, i) {
+			response.Cancellations = append(response.Cancellations, jobs.Cancellation{Job: string(row.Job()), Revision: row.Revision()})
 		}
 	}
-	return p, nil
+	return response, nil
+}
+
+func decodeLostJobsRequest(body flatbuffers.Table) *lostJobsRequest {
+	var table wire.LostAsk
+	table.Init(body.Bytes, body.Pos)
+	return &lostJobsRequest{table.Number(), LostJobsRequest{ComparisonRound: table.Round(), AfterID: string(table.After())}}
 }
 
-func decodeLostJobsResponse(body flatbuffers.Table, most int) (*lostJobsResponse, error) {
-	var p wire.LostPage
-	p.Init(body.Bytes, body.Pos)
-	if p.JobsLength() > most {
+func decodeLostJobsResponse(body flatbuffers.Table, maxRows int) (*lostJobsResponse, error) {
+	var table wire.LostPage
+	table.Init(body.Bytes, body.Pos)
+	if table.JobsLength() > maxRows {
 		return nil, errTooManyRows
 	}
-	page := &lostJobsResponse{p.Number(), LostJobsResponse{
-		Compared: p.Ready(), More: p.More(), KnownJobs: int(p.Known()), LossNoticed: p.Noticed(), NewestRevision: p.Newest(),
-		ReliesOnNoPromise: p.ReliesOnNothing(),
+	response := &lostJobsResponse{table.Number(), LostJobsResponse{
+		Compared:          table.Ready(),
+		More:              table.More(),
+		KnownJobs:         int(table.Known()),
+		LossNoticed:       table.Noticed(),
+		NewestRevision:    table.Newest(),
+		ReliesOnNoPromise: table.ReliesOnNothing(),
 	}}
 	var row wire.LostJob
-	for i := range p.JobsLength() {
-		if p.Jobs(&row, i) {
-			page.Jobs = append(page.Jobs, LostJob{
+	for i := range table.JobsLength() {
+		if table.Jobs(&row, i) {
+			response.Jobs = append(response.Jobs, LostJob{
 				ID: string(row.Id()), State: string(row.State()), Tasks: int(row.Tasks()), Record: slices.Clone(row.RecordBytes()),
 			})
 		}
 	}
-	return page, nil
+	return response, nil
 }
 
 func decodeLossNotice(body flatbuffers.Table) *detection.Loss {
-	var n wire.LossNotice
-	n.Init(body.Bytes, body.Pos)
-	return &detection.Loss{Kind: detection.Kind(n.Kind()), Key: string(n.Key())}
+	var table wire.LossNotice
+	table.Init(body.Bytes, body.Pos)
+	return &detection.Loss{Kind: detection.Kind(table.Kind()), Key: string(table.Key())}
 }
--- a/internal/peer/wire_encode.go
+++ b/internal/peer/wire_encode.go
@@ -5,10 +5,20 @@
 
 	flatbuffers "github.com/google/flatbuffers/go"
 
+	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/peer/wire"
 	"ospreyslip/internal/recovery/detection"
 )
 
+// Sizes, in bytes, for which builders set memory aside. They are estimates: a builder grows.
+const (
+	messageBytes      = 128
+	jobCountsBytes    = 64
+	cancellationBytes = 48
+	lostJobBytes      = 64
+)
+
+// finishMessage puts a body into a message and returns that behind its size.
 func finishMessage(b *flatbuffers.Builder, from string, kind wire.Body, body flatbuffers.UOffsetT) []byte {
 	name := b.CreateString(from)
 	wire.MessageStart(b)
@@ -19,146 +29,152 @@
 	return b.FinishedBytes()
 }
 
-func encodeLeaderUpdate(from string, p LeaderUpdate) []byte {
-	b := flatbuffers.NewBuilder(64 * (1 + len(p.JobCounts)))
-	rows := make([]flatbuffers.UOffsetT, 0, len(p.JobCounts))
-	for id, c := range p.JobCounts {
-		key := b.CreateString(id)
+// endVector writes the rows of a vector that was started. A builder writes from the back.
+func endVector(b *flatbuffers.Builder, rows []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+	for _, row := range slices.Backward(rows) {
+		b.PrependUOffsetT(row)
+	}
+	return b.EndVector(len(rows))
+}
+
+func encodeLeaderUpdate(from string, update LeaderUpdate) []byte {
+	b := flatbuffers.NewBuilder(jobCountsBytes * (1 + len(update.JobCounts)))
+	counts := encodeJobCounts(b, update.JobCounts)
+	changes := encodeChanges(b, update.Changes)
+	wire.ProgressStart(b)
+	wire.ProgressAddJobs(b, counts)
+	wire.ProgressAddChanges(b, changes)
+	wire.ProgressAddServed(b, update.StoreAvailable)
+	wire.ProgressAddUncertain(b, update.ComparingRecords)
+	wire.ProgressAddKnown(b, uint64(max(0, update.KnownJobs)))
+	wire.ProgressAddPutBack(b, update.RecordsRolledBack)
+	wire.ProgressAddRestoring(b, update.RestoringRecords)
+	return finishMessage(b, from, wire.BodyProgress, wire.ProgressEnd(b))
+}
+
+func encodeJobCounts(b *flatbuffers.Builder, counts map[string]jobs.Counts) flatbuffers.UOffsetT {
+	rows := make([]flatbuffers.UOffsetT, 0, len(counts))
+	for jobID, c := range counts {
+		id := b.CreateString(jobID)
 		wire.JobCountsStart(b)
-		wire.JobCountsAddId(b, key)
+		wire.JobCountsAddId(b, id)
 		wire.JobCountsAddDone(b, uint32(c.Done))
 		wire.JobCountsAddRunning(b, uint32(c.Running))
 		rows = append(rows, wire.JobCountsEnd(b))
 	}
 	wire.ProgressStartJobsVector(b, len(rows))
-	for _, r := range rows {
-		b.PrependUOffsetT(r)
-	}
-	vector := b.EndVector(len(rows))
-	changes := encodeChanges(b, p.Changes)
-	wire.ProgressStart(b)
-	wire.ProgressAddJobs(b, vector)
-	wire.ProgressAddChanges(b, changes)
-	wire.ProgressAddServed(b, p.StoreAvailable)
-	wire.ProgressAddUncertain(b, p.ComparingRecords)
-	wire.ProgressAddKnown(b, uint64(max(0, p.KnownJobs)))
-	wire.ProgressAddPutBack(b, p.RecordsRolledBack)
-	wire.ProgressAddRestoring(b, p.RestoringRecords)
-	return finishMessage(b, from, wire.BodyProgress, wire.ProgressEnd(b))
+	return endVector(b, rows)
 }
 
-// encodeChanges writes changes, the newest of them if they are too many.
+// encodeChanges writes changes, only the newest if there are more than maxChanges.
 func encodeChanges(b *flatbuffers.Builder, changes []JobChange) flatbuffers.UOffsetT {
 	if len(changes) == 0 {
 		return 0 // the field is left out
 	}
 	changes = changes[max(0, len(changes)-maxChanges):]
 	rows := make([]flatbuffers.UOffsetT, 0, len(changes))
-	for _, c := range changes {
-		id, state := b.CreateString(c.ID), b.CreateSharedString(c.State)
+	for _, change := range changes {
+		id, state := b.CreateString(change.ID), b.CreateSharedString(change.State)
 		wire.JobChangeStart(b)
 		wire.JobChangeAddId(b, id)
 		wire.JobChangeAddState(b, state)
-		wire.JobChangeAddTasks(b, uint32(max(0, c.Tasks)))
+		wire.JobChangeAddTasks(b, uint32(max(0, change.Tasks)))
 		rows = append(rows, wire.JobChangeEnd(b))
 	}
 	wire.ProgressStartChangesVector(b, len(rows))
-	for _, r := range slices.Backward(rows) {
-		b.PrependUOffsetT(r)
-	}
-	return b.EndVector(len(rows))
+	return endVector(b, rows)
 }
 
-func encodePromiseRequest(from string, a promiseRequest) []byte {
-	b := flatbuffers.NewBuilder(128)
+func encodePromiseRequest(from string, request promiseRequest) []byte {
+	b := flatbuffers.NewBuilder(messageBytes)
 	wire.AskStart(b)
-	wire.AskAddNumber(b, a.number)
-	wire.AskAddToken(b, a.fencingToken)
-	wire.AskAddSeen(b, a.seenRevision)
+	wire.AskAddNumber(b, request.number)
+	wire.AskAddToken(b, request.FencingToken)
+	wire.AskAddSeen(b, request.SeenRevision)
 	return finishMessage(b, from, wire.BodyAsk, wire.AskEnd(b))
 }
 
-func encodePromiseResponse(from string, p promiseResponse) []byte {
-	if len(p.Cancellations) > maxCancellations {
-		p.CancellationsComplete, p.Cancellations = false, nil
+// encodePromiseResponse writes a response. Cancellations that are too many for one message
+// are left out, and not called complete.
+func encodePromiseResponse(from string, response promiseResponse) []byte {
+	if len(response.Cancellations) > maxCancellations {
+		response.CancellationsComplete, response.Cancellations = false, nil
 	}
-	b := flatbuffers.NewBuilder(128 + 48*len(p.Cancellations))
-	var vector flatbuffers.UOffsetT
-	if p.CancellationsComplete {
-		rows := make([]flatbuffers.UOffsetT, 0, len(p.Cancellations))
-		for _, c := range p.Cancellations {
-			job := b.CreateString(c.Job)
-			wire.CancellationStart(b)
-			wire.CancellationAddJob(b, job)
-			wire.CancellationAddRevision(b, c.Revision)
-			rows = append(rows, wire.CancellationEnd(b))
-		}
-		wire.PromiseStartCancellationsVector(b, len(rows))
-		for _, r := range slices.Backward(rows) {
-			b.PrependUOffsetT(r)
-		}
-		vector = b.EndVector(len(rows))
+	b := flatbuffers.NewBuilder(messageBytes + cancellationBytes*len(response.Cancellations))
+	var cancellations flatbuffers.UOffsetT
+	if response.CancellationsComplete {
+		cancellations = encodeCancellations(b, response.Cancellations)
 	}
 	wire.PromiseStart(b)
-	wire.PromiseAddNumber(b, p.number)
-	wire.PromiseAddGiven(b, p.Granted)
-	wire.PromiseAddComplete(b, p.CancellationsComplete)
-	wire.PromiseAddCancellations(b, vector)
+	wire.PromiseAddNumber(b, response.number)
+	wire.PromiseAddGiven(b, response.Granted)
+	wire.PromiseAddComplete(b, response.CancellationsComplete)
+	wire.PromiseAddCancellations(b, cancellations)
 	return finishMessage(b, from, wire.BodyPromise, wire.PromiseEnd(b))
 }
 
-func encodeLostJobsRequest(from string, a lostJobsRequest) []byte {
-	b := flatbuffers.NewBuilder(128)
-	after := b.CreateString(a.AfterID)
+func encodeCancellations(b *flatbuffers.Builder, cancellations []jobs.Cancellation) flatbuffers.UOffsetT {
+	rows := make([]flatbuffers.UOffsetT, 0, len(cancellations))
+	for _, c := range cancellations {
+		job := b.CreateString(c.Job)
+		wire.CancellationStart(b)
+		wire.CancellationAddJob(b, job)
+		wire.CancellationAddRevision(b, c.Revision)
+		rows = append(rows, wire.CancellationEnd(b))
+	}
+	wire.PromiseStartCancellationsVector(b, len(rows))
+	return endVector(b, rows)
+}
+
+func encodeLostJobsRequest(from string, request lostJobsRequest) []byte {
+	b := flatbuffers.NewBuilder(messageBytes)
+	after := b.CreateString(request.AfterID)
 	wire.LostAskStart(b)
-	wire.LostAskAddNumber(b, a.number)
-	wire.LostAskAddRound(b, a.ComparisonRound)
+	wire.LostAskAddNumber(b, request.number)
+	wire.LostAskAddRound(b, request.ComparisonRound)
 	wire.LostAskAddAfter(b, after)
 	return finishMessage(b, from, wire.BodyLostAsk, wire.LostAskEnd(b))
 }
 
-// encodeLostJobsResponse writes a page, or as much of it as one message may hold.
-func encodeLostJobsResponse(from string, p lostJobsResponse) []byte {
-	b := flatbuffers.NewBuilder(128 + 64*len(p.Jobs))
-	rows := make([]flatbuffers.UOffsetT, 0, len(p.Jobs))
-	for _, j := range p.Jobs {
+// encodeLostJobsResponse writes a response, or as much of it as one message may hold.
+func encodeLostJobsResponse(from string, response lostJobsResponse) []byte {
+	b := flatbuffers.NewBuilder(messageBytes + lostJobBytes*len(response.Jobs))
+	rows := make([]flatbuffers.UOffsetT, 0, len(response.Jobs))
+	for _, job := range response.Jobs {
 		if b.Offset() > maxLostJobsBytes {
-			p.More = true
+			response.More = true
 			break
 		}
-		rows = append(rows, encodeLostJob(b, j))
+		rows = append(rows, encodeLostJob(b, job))
 	}
 	wire.LostPageStartJobsVector(b, len(rows))
-	for _, r := range slices.Backward(rows) {
-		b.PrependUOffsetT(r)
-	}
-	vector := b.EndVector(len(rows))
+	lostJobs := endVector(b, rows)
 	wire.LostPageStart(b)
-	wire.LostPageAddNumber(b, p.number)
-	wire.LostPageAddReady(b, p.Compared)
-	wire.LostPageAddMore(b, p.More)
-	wire.LostPageAddJobs(b, vector)
-	wire.LostPageAddKnown(b, uint64(max(0, p.KnownJobs)))
-	wire.LostPageAddNoticed(b, p.LossNoticed)
-	wire.LostPageAddNewest(b, p.NewestRevision)
-	wire.LostPageAddReliesOnNothing(b, p.ReliesOnNoPromise)
+	wire.LostPageAddNumber(b, response.number)
+	wire.LostPageAddReady(b, response.Compared)
+	wire.LostPageAddMore(b, response.More)
+	wire.LostPageAddJobs(b, lostJobs)
+	wire.LostPageAddKnown(b, uint64(max(0, response.KnownJobs)))
+	wire.LostPageAddNoticed(b, response.LossNoticed)
+	wire.LostPageAddNewest(b, response.NewestRevision)
+	wire.LostPageAddReliesOnNothing(b, response.ReliesOnNoPromise)
 	return finishMessage(b, from, wire.BodyLostPage, wire.LostPageEnd(b))
 }
 
-func encodeLostJob(b *flatbuffers.Builder, j LostJob) flatbuffers.UOffsetT {
-	id, state := b.CreateString(j.ID), b.CreateString(j.State)
-	record := b.CreateByteVector(j.Record)
+func encodeLostJob(b *flatbuffers.Builder, job LostJob) flatbuffers.UOffsetT {
+	id, state := b.CreateString(job.ID), b.CreateString(job.State)
+	record := b.CreateByteVector(job.Record)
 	wire.LostJobStart(b)
 	wire.LostJobAddId(b, id)
 	wire.LostJobAddState(b, state)
-	wire.LostJobAddTasks(b, uint32(max(0, j.Tasks)))
+	wire.LostJobAddTasks(b, uint32(max(0, job.Tasks)))
 	wire.LostJobAddRecord(b, record)
 	return wire.LostJobEnd(b)
 }
 
-func encodeLossNotice(from string, l detection.Loss) []byte {
-	b := flatbuffers.NewBuilder(128)
-	kind, key := b.CreateString(string(l.Kind)), b.CreateString(l.Key)
+func encodeLossNotice(from string, loss detection.Loss) []byte {
+	b := flatbuffers.NewBuilder(messageBytes)
+	kind, key := b.CreateString(string(loss.Kind)), b.CreateString(loss.Key)
 	wire.LossNoticeStart(b)
 	wire.LossNoticeAddKind(b, kind)
 	wire.LossNoticeAddKey(b, key)
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -20,7 +20,7 @@
 	}
 	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}}}
 	ours := map[string][]byte{
-		"progress": encodeLeaderUpdate("perch-0", progress), "ask": encodePromiseRequest("perch-1", promiseRequest{7, 41, 0}), "promise": encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}),
+		"progress": encodeLeaderUpdate("perch-0", progress), "ask": encodePromiseRequest("perch-1", promiseRequest{7, PromiseRequest{41, 0}}), "promise": encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}),
 	}
 	for line := range strings.Lines(string(raw)) {
 		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -41,7 +41,7 @@
 		want message
 	}{
 		{"progress", encodeLeaderUpdate("perch-0", progress), message{from: "perch-0", leaderUpdate: &progress}},
-		{"ask", encodePromiseRequest("perch-1", promiseRequest{7, 41, 430}), message{from: "perch-1", promiseRequest: &promiseRequest{7, 41, 430}}},
+		{"ask", encodePromiseRequest("perch-1", promiseRequest{7, PromiseRequest{41, 430}}), message{from: "perch-1", promiseRequest: &promiseRequest{7, PromiseRequest{41, 430}}}},
 		{"promise", encodePromiseResponse("perch-2", promiseResponse{7, told}), message{from: "perch-2", promiseResponse: &promiseResponse{7, told}}},
 		{"promise of production", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
 		{"promise with too many", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
