--- /dev/null
+++ b/internal/peer/request_test.go
@@ -0,0 +1,79 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"ospreyslip/internal/settings"
+)
+
+// connectedHub returns the first of two hubs on loopback; the second answers requests for
+// lost jobs by answer.
+func connectedHub(t *testing.T, answer func(LostJobsRequest) LostJobsResponse) *Hub {
+	t.Helper()
+	listen := func() net.Listener {
+		t.Helper()
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		return listener
+	}
+	first, second := listen(), listen()
+	dial := func(ctx context.Context, addr string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	}
+	newHub := func(node, other string, at net.Listener) *Hub {
+		h := NewHub(node, []settings.Peer{{Node: other, Addr: at.Addr().String()}}, dial, 20*time.Millisecond)
+		h.OnLeaderUpdate = func(string, LeaderUpdate) {}
+		return h
+	}
+	asking, answering := newHub("perch-0", "perch-1", second), newHub("perch-1", "perch-0", first)
+	answering.OnLostJobsRequest = answer
+	ctx, cancel := context.WithCancel(context.Background())
+	var duties sync.WaitGroup
+	duties.Go(func() { asking.Run(ctx, first) })
+	duties.Go(func() { answering.Run(ctx, second) })
+	t.Cleanup(func() { cancel(); duties.Wait() })
+	return asking
+}
+
+// requestUntilAnswered repeats the request until the connection stands and there is an answer.
+func requestUntilAnswered(h *Hub, after string) (response LostJobsResponse, err error) {
+	for range 100 {
+		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		response, err = h.RequestLostJobs(ctx, "perch-1", LostJobsRequest{ComparisonRound: 41, AfterID: after})
+		cancel()
+		if err == nil {
+			return response, nil
+		}
+	}
+	return response, err
+}
+
+func TestAskLost(t *testing.T) {
+	h := connectedHub(t, func(q LostJobsRequest) LostJobsResponse {
+		return LostJobsResponse{Compared: q.ComparisonRound == 41, Jobs: []LostJob{{ID: q.AfterID + "1"}}}
+	})
+	p, err := requestUntilAnswered(h, "j-")
+	if err != nil || !p.Compared || len(p.Jobs) != 1 || p.Jobs[0].ID != "j-1" {
+		t.Errorf("%+v, %v", p, err)
+	}
+	if _, err := h.RequestLostJobs(context.Background(), "perch-9", LostJobsRequest{ComparisonRound: 1}); err == nil {
+		t.Error("asked a node that there is not")
+	}
+}
+
+// A controller that does not know the request does not respond, and who asked is not kept waiting.
+func TestPeerThatCannotAnswer(t *testing.T) {
+	h := connectedHub(t, nil)
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer cancel()
+	if _, err := h.RequestLostJobs(ctx, "perch-1", LostJobsRequest{ComparisonRound: 1}); !errors.Is(err, ErrNoResponse) {
+		t.Error(err)
+	}
+}
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -1,7 +1,9 @@
 package peer
 
 import (
+	"bytes"
 	"encoding/hex"
+	"fmt"
 	"os"
 	"strings"
 	"testing"
@@ -9,6 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/recovery/detection"
 )
 
 // Controllers of the version before this one send and read these very bytes, side
@@ -69,3 +72,52 @@
 		t.Error("an empty message was taken")
 	}
 }
+
+// Requests and responses for lost jobs, and loss notices, come out as they went in, and no
+// broken ones end a process.
+func TestLostMessages(t *testing.T) {
+	response := lostJobsResponse{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoPromise: true, Jobs: []LostJob{
+		{ID: "j-1", State: "done", Tasks: 4}, {ID: "j-2", State: "queued", Tasks: 1, Record: []byte(`{"stance":"queued"}`)},
+	}}}
+	for name, c := range map[string]struct {
+		raw  []byte
+		want message
+	}{
+		"request":  {encodeLostJobsRequest("perch-0", lostJobsRequest{9, LostJobsRequest{41, "j-1"}}), message{from: "perch-0", lostJobsRequest: &lostJobsRequest{9, LostJobsRequest{41, "j-1"}}}},
+		"notice":   {encodeLossNotice("perch-1", detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", lossNotice: &detection.Loss{Kind: detection.RecordMissing, Key: "job/j-1"}}},
+		"response": {encodeLostJobsResponse("perch-1", response), message{from: "perch-1", lostJobsResponse: &response}},
+	} {
+		body := c.raw[4:]
+		got, err := decode(body)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		opts := []cmp.Option{cmp.AllowUnexported(message{}, lostJobsRequest{}, lostJobsResponse{}), cmp.Comparer(bytes.Equal)}
+		if d := cmp.Diff(c.want, got, opts...); d != "" {
+			t.Errorf("%s: %s", name, d)
+		}
+		for n := range body {
+			_, _ = decode(body[:n])
+			broken := append([]byte(nil), body...)
+			broken[n] ^= 0xff
+			_, _ = decode(broken)
+		}
+	}
+}
+
+// A response stays within a message, however large the records are; the rest comes with the
+// next.
+func TestLargePage(t *testing.T) {
+	response := lostJobsResponse{1, LostJobsResponse{Compared: true}}
+	for i := range 100 {
+		response.Jobs = append(response.Jobs, LostJob{ID: fmt.Sprintf("j-%03d", i), Record: make([]byte, 30<<10)})
+	}
+	raw := encodeLostJobsResponse("perch-0", response)
+	m, err := decode(raw[4:])
+	if err != nil || len(raw) > maxMessage {
+		t.Fatalf("%d bytes, %v", len(raw), err)
+	}
+	if got := m.lostJobsResponse; !got.More || len(got.Jobs) == 0 || len(got.Jobs) == 100 || got.Jobs[0].ID != "j-000" {
+		t.Errorf("%d jobs, more %v", len(got.Jobs), got.More)
+	}
+}
