--- a/internal/controller/catalog.go
+++ b/internal/controller/machine_types.go
@@ -87,3 +87,10 @@
 	}
 	return types
 }
+
+func (n *Controller) machineTypes() []jobs.MachineType {
+	if t := n.catalog.Load(); t != nil {
+		return *t
+	}
+	return nil
+}
