--- a/internal/controller/connection_limit.go
+++ b/internal/controller/connection_limit.go
@@ -8,54 +8,54 @@
 	"sync"
 )
 
-// connLimiter are the connections of users and workers. Where they run short, the one
-// that has been idle for longest makes way: mostly its other end is gone without a
-// word, as in a zone that is cut off, and would keep the living out.
+// connLimiter keeps the connections of users and workers below a limit. When they run short,
+// the one that has been idle for longest is closed: mostly its other end has gone without
+// closing it, as in a zone that is cut off, and would keep others out.
 type connLimiter struct {
 	limit int
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // nil while a request is under way
+	open map[net.Conn]*list.Element // its place in idle; nil while a request is under way
 	idle list.List                  // of net.Conn, idle for longest first
 }
 
-func newConnLimiter(most int) *connLimiter {
-	return &connLimiter{limit: most, open: make(map[net.Conn]*list.Element)}
+func newConnLimiter(limit int) *connLimiter {
+	return &connLimiter{limit: limit, open: make(map[net.Conn]*list.Element)}
 }
 
-// connStateChanged is told by the server of every change of a connection.
-func (c *connLimiter) connStateChanged(conn net.Conn, s http.ConnState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	e, known := c.open[conn]
-	if !known && s != http.StateNew {
-		return // it has made way already
+// connStateChanged is the server's http.Server.ConnState.
+func (l *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	place, known := l.open[conn]
+	if !known && state != http.StateNew {
+		return // it was closed to make room
 	}
-	if e != nil {
-		c.idle.Remove(e)
+	if place != nil {
+		l.idle.Remove(place)
 	}
-	switch s {
+	switch state {
 	case http.StateNew, http.StateActive:
-		c.open[conn] = nil
+		l.open[conn] = nil
 	case http.StateIdle:
-		c.open[conn] = c.idle.PushBack(conn)
+		l.open[conn] = l.idle.PushBack(conn)
 	default:
-		delete(c.open, conn)
+		delete(l.open, conn)
 	}
 	// One place is kept free, so that whoever comes next is accepted at once.
-	if first := c.idle.Front(); first != nil && len(c.open) >= c.limit {
-		longest := c.idle.Remove(first).(net.Conn)
-		delete(c.open, longest)
-		longest.Close()
+	if first := l.idle.Front(); first != nil && len(l.open) >= l.limit {
+		longestIdle := l.idle.Remove(first).(net.Conn)
+		delete(l.open, longestIdle)
+		longestIdle.Close()
 	}
 }
 
-// yieldingListener accepts one connection a turn. Thousands of workers knock at once when a
-// leader is found; accepted in one go, they would all stand in line for the
-// processor before the renewal of the term.
+// yieldingListener lets other goroutines run before each connection that it accepts.
+// Thousands of workers connect at once when a leader is found; accepted in one go, they would
+// all be served before the renewal of the leadership lease.
 type yieldingListener struct{ net.Listener }
 
-func (t yieldingListener) Accept() (net.Conn, error) {
+func (l yieldingListener) Accept() (net.Conn, error) {
 	runtime.Gosched()
-	return t.Listener.Accept()
+	return l.Listener.Accept()
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,6 @@
 	"runtime"
 	"runtime/debug"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/net/netutil"
@@ -22,201 +21,185 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader"
 	"ospreyslip/internal/peer"
-	"ospreyslip/internal/recovery/detection"
 	"ospreyslip/internal/settings"
 	"ospreyslip/internal/workers"
 )
 
-// Shares of what the state service takes from all nodes together. The parts of
-// all nodes stay within the whole: the leader writes most of what is written.
 const (
-	leaderWriteShare   = 0.64
-	leaderRequestShare = 0.5
-	cloudRequestShare  = 0.8
-	// gcPercent is by how many percent the heap may grow between two collections:
-	// memory, within its limit, is cheaper here than processor time.
+	// cloudRequestShare is the share of the cloud's request rate that the leader uses.
+	cloudRequestShare = 0.8
+	// gcPercent is by how many percent the heap may grow between two collections: memory,
+	// within its limit, is cheaper here than processor time.
 	gcPercent = 300
 )
 
-// Controller is one controller.
+// Controller is one controller process.
 type Controller struct {
-	settings      *settings.Settings
-	derived       settings.Derived
-	store         *kvstore.Client
-	cache         *jobs.Cache
-	cloud         *autoscaler.Cloud
-	workers       *workers.Client
-	elector       *election.Keeper
-	gate          *leader.Gate
-	jobCounts     *leader.Counts
-	peers         *peer.Hub
-	operatorConns *connQueue
-	memory        *memoryLimit
-	lossReporter  *lossReporter
-	born          time.Time
-	served        atomic.Int64 // when, since born, the leader last said that the state service answers it
-	heard         atomic.Int64 // when, since born, a leader was last heard of, this node included
-	catalog       atomic.Pointer[[]jobs.MachineType]
-
-	listenForUsers, listenForPeers func(addr string) (net.Listener, error)
+	settings *settings.Settings
+	derived  settings.Derived
+	listen   listeners
+
+	// Clients of the services that the controller uses.
+	store   *kvstore.Client
+	cloud   *autoscaler.Cloud
+	workers *workers.Client
+
+	// What every controller knows, whether it leads or not.
+	cache        *jobs.Cache
+	jobCounts    *leader.Counts
+	machineTypes *machineTypeCatalog
+
+	// Leadership, and the exchange with the other controllers.
+	elector        *election.Keeper
+	gate           *leader.Gate
+	peers          *peer.Hub
+	losses         *lossReporter
+	currency       *currencyMonitor
+	leaderRecovery *recoveryFollower
+
+	// Admission of requests.
+	readiness *readiness
+	memory    *memoryLimit
 }
 
-// Environment is how a node reaches others; nil fields mean the real network.
+// listeners are how a controller accepts connections.
+type listeners struct {
+	users, cluster func(addr string) (net.Listener, error)
+	// operators gets the connections of the cluster listener that speak HTTP.
+	operators *connQueue
+}
+
+// Environment is what a controller process gets from the machine. Its zero value means the
+// real network and the memory of this process; tests put others in place.
 type Environment struct {
-	HTTP   http.RoundTripper
-	Dial   peer.Dial
+	// HTTP sends requests to the key-value store, the cloud and the workers.
+	HTTP http.RoundTripper
+	// Dial opens connections to other controllers.
+	Dial peer.Dial
+	// Listen opens the listener for users and workers, and that for the cluster.
 	Listen func(addr string) (net.Listener, error)
-	Memory func() uint64 // what this process holds, in bytes
+	// Memory returns how much memory this process holds, in bytes.
+	Memory func() uint64
 }
 
-// New makes a node from checked settings.
-func New(set *settings.Settings, w Environment) *Controller {
-	d := set.Derive()
-	pick := func(each, all int, wait time.Duration) http.RoundTripper {
-		if w.HTTP != nil {
-			return w.HTTP
-		}
-		return transport(each, all, wait)
-	}
-	if w.Dial == nil {
-		w.Dial = dialPeer
-	}
-	users, cluster := w.Listen, w.Listen
-	if w.Listen == nil {
-		users, cluster = listenForUsers, listenForPeers
-	}
-	n := &Controller{settings: set, derived: d, listenForUsers: users, listenForPeers: cluster, born: time.Now(), jobCounts: leader.NewCounts(), gate: &leader.Gate{}}
-	n.workers = workers.NewClient(pick(2, d.WorkerConns, d.CallWait), d.CallWait)
-	n.store = kvstore.New(set.Endpoints.State, pick(d.StateConns, 0, d.StateWait), d.StateWait, n.storeBudget(false))
-	n.cache = jobs.NewCache(n.store, d.PollGap, d.Cancel/4, d.Cancel, d.CancelsKept)
-	n.elector = election.NewKeeper(set.Node, n.store, election.Timing{
-		Lease: d.TermLease, Renew: d.TermRenew, Safe: d.TermSafe, WatchWait: d.WatchWait, Retry: d.TermRenew,
+// New makes a controller from checked settings. It opens no connection and starts no
+// goroutine before Run.
+func New(set *settings.Settings, env Environment) *Controller {
+	startedAt := time.Now()
+	derived := set.Derive()
+	env = env.withDefaults()
+	c := &Controller{settings: set, derived: derived, jobCounts: leader.NewCounts(), gate: &leader.Gate{}}
+	c.listen = newListeners(env)
+	c.workers = workers.NewClient(env.transport(2, derived.WorkerConns, derived.CallWait), derived.CallWait)
+	c.store = kvstore.New(set.Endpoints.State, env.transport(derived.StateConns, 0, derived.StateWait), derived.StateWait, storeBudget(set, false))
+	c.cloud = autoscaler.NewCloud(set.Endpoints.Cloud, env.transport(derived.CloudConns, 0, derived.CloudWait), derived.CloudWait,
+		set.Deployment.Cloud.RPS*cloudRequestShare)
+	c.cache = jobs.NewCache(c.store, derived.PollGap, derived.Cancel/4, derived.Cancel, derived.CancelsKept)
+	c.elector = election.NewKeeper(set.Node, c.store, election.Timing{
+		Lease: derived.TermLease, Renew: derived.TermRenew, Safe: derived.TermSafe, WatchWait: derived.WatchWait, Retry: derived.TermRenew,
 	})
-	n.peers = peer.NewHub(set.Node, set.Peers, w.Dial, d.TermRenew)
-	n.operatorConns = newConnQueue()
-	n.lossReporter = newLossReporter()
-	n.cache.OnLoss = n.lossReporter.notice
-	n.elector.Lost = func(l detection.Loss) {
-		n.cache.Suspect(time.Now().Add(d.Cancel)) // before the term ends, and with it what its leader knows
-		n.lossReporter.notice(l)
-	}
-	n.peers.OnLostJobsRequest = n.answerLostJobsRequest
-	n.peers.OnLossNotice = func(_ string, l detection.Loss) {
-		if !l.Kind.AffectsLog() {
-			l.Kind = detection.ReportedByPeer
-		}
-		n.gate.Noticed(l)
-	}
-	if w.Memory == nil {
-		w.Memory = memoryInUse
-	}
-	n.memory = &memoryLimit{limitBytes: uint64(d.RefuseBytes), inUseBytes: w.Memory}
-	n.peers.OnHTTP = n.operatorConns.enqueue
-	n.peers.OnPromiseRequest = n.answerPromiseRequest
-	n.peers.OnLeaderUpdate = func(from string, p peer.LeaderUpdate) {
-		if n.elector.Valid() {
-			return
-		}
-		n.jobCounts.Replace(p.JobCounts)
-		for _, c := range p.Changes {
-			n.cache.Hear(c.ID, c.State, c.Tasks)
-		}
-		n.followRecovery(p)
-		n.cache.Expect(p.KnownJobs, p.ComparingRecords)
-		n.heard.Store(time.Since(n.born).Nanoseconds())
-		if p.StoreAvailable {
-			n.served.Store(time.Since(n.born).Nanoseconds())
-		}
-	}
-	if len(set.Peers) == set.Deployment.Nodes-1 {
-		n.elector.AllPromise = n.requestPromises
-		n.elector.NobodyRelies = n.noPeerRelies
+	c.peers = peer.NewHub(set.Node, set.Peers, env.Dial, derived.TermRenew)
+
+	c.memory = &memoryLimit{limitBytes: uint64(derived.RefuseBytes), inUseBytes: env.Memory}
+	c.readiness = &readiness{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache}
+	c.machineTypes = &machineTypeCatalog{derived: derived, store: c.store, cloud: c.cloud}
+	c.losses = newLossReporter(set.Node, derived, c.cache, c.elector, c.gate, c.peers)
+	c.currency = &currencyMonitor{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache, peers: c.peers, losses: c.losses}
+	c.leaderRecovery = &recoveryFollower{derived: derived, cache: c.cache}
+	c.connectParts()
+	return c
+}
+
+// connectParts has the parts tell each other what concerns them.
+func (c *Controller) connectParts() {
+	c.cache.OnLoss = c.losses.notice
+	c.elector.Lost = c.leadershipKeyLost
+	c.peers.OnHTTP = c.listen.operators.enqueue
+	c.peers.OnPromiseRequest = c.answerPromiseRequest
+	c.peers.OnLeaderUpdate = c.followLeader
+	c.peers.OnLostJobsRequest = newLostJobsResponder(c.derived, c.cache, c.elector).respond
+	c.peers.OnLossNotice = c.receiveLossNotice
+	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 { // else some could not be asked
+		c.elector.AllPromise = c.requestPromises
+		c.elector.NobodyRelies = c.currency.noPeerRelies
 	}
-	n.cloud = autoscaler.NewCloud(set.Endpoints.Cloud, pick(d.CloudConns, 0, d.CloudWait), d.CloudWait, set.Deployment.Cloud.RPS*cloudRequestShare)
-	return n
 }
 
-// Run serves until the context ends.
-func (n *Controller) Run(ctx context.Context) error {
+// Run serves until the context ends, or until a listener fails. It sets limits of the whole
+// process: there can be one controller in a process that calls it.
+func (c *Controller) Run(ctx context.Context) error {
 	// One thread at a time is all that a share of a core can use.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(n.derived.CollectBytes)
+	debug.SetMemoryLimit(c.derived.CollectBytes)
 
-	ln, err := n.listenForUsers(n.settings.Listen)
+	users, err := c.listen.users(c.settings.Listen)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	cluster, err := n.listenForPeers(n.settings.ClusterListen)
+	cluster, err := c.listen.cluster(c.settings.ClusterListen)
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
-	served := newConnLimiter(n.derived.ServedConns)
-	srv := &http.Server{
-		Handler:           n.Handler(),
-		ConnState:         served.connStateChanged,
-		ReadHeaderTimeout: n.derived.UserWait * 2,
-		ReadTimeout:       n.derived.UserWait * 4,
-		IdleTimeout:       n.derived.IdleConns,
+	slog.Info("serving", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Listen)
+	group, ctx := errgroup.WithContext(ctx)
+	c.serveUsers(ctx, group, users)
+	group.Go(func() error { c.RunDuties(ctx, cluster); return nil })
+	return group.Wait()
+}
+
+// serveUsers serves users and workers, in goroutines of the group, until the context ends.
+func (c *Controller) serveUsers(ctx context.Context, group *errgroup.Group, listener net.Listener) {
+	limiter := newConnLimiter(c.derived.ServedConns)
+	server := &http.Server{
+		Handler:           c.Handler(),
+		ConnState:         limiter.connStateChanged,
+		ReadHeaderTimeout: c.derived.UserWait * 2,
+		ReadTimeout:       c.derived.UserWait * 4,
+		IdleTimeout:       c.derived.IdleConns,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	slog.Info("serving", "node", n.settings.Node, "zone", n.settings.Zone, "bind", n.settings.Listen)
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error {
-		err := srv.Serve(netutil.LimitListener(yieldingListener{ln}, n.derived.ServedConns))
+	group.Go(func() error {
+		err := server.Serve(netutil.LimitListener(yieldingListener{listener}, c.derived.ServedConns))
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
 		return err
 	})
-	g.Go(func() error {
+	group.Go(func() error {
 		<-ctx.Done()
-		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), n.derived.UserWait)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.derived.UserWait)
 		defer cancel()
-		return srv.Shutdown(stop)
+		return server.Shutdown(shutdownCtx)
 	})
-	g.Go(func() error { n.RunDuties(ctx, cluster); return nil })
-	return g.Wait()
 }
 
-// Handler serves users and workers.
-func (n *Controller) Handler() http.Handler {
+// Handler returns what serves users and workers.
+func (c *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
-	users := &jobs.API{Settings: n.settings, Derived: n.derived, Store: n.store, Cache: n.cache, Catalog: n.machineTypes, Counts: n.jobCounts.Get, Ready: n.ready, Room: n.memory.hasRoom}
+	users := &jobs.API{
+		Settings: c.settings, Derived: c.derived, Store: c.store, Cache: c.cache,
+		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, Room: c.memory.hasRoom,
+	}
 	users.Register(mux)
-	reports := &workers.Handler{Answer: n.gate.Report, Leader: func() string {
-		if l := n.elector.Leader(); l != n.settings.Node {
-			return l
-		}
-		return ""
-	}}
-	reports.Register(mux)
+	heartbeats := &workers.Handler{Answer: c.gate.Report, Leader: c.otherLeader}
+	heartbeats.Register(mux)
 	return mux
 }
 
-// RunDuties does the long-lived duties until the context ends.
-func (n *Controller) RunDuties(ctx context.Context, cluster net.Listener) {
-	deps := leader.Deps{
-		Settings: n.settings, Derived: n.derived, Store: n.store, Cloud: n.cloud,
-		Workers: n.workers, Valid: n.elector.Valid, Promised: n.elector.Promised, Raised: n.elector.Raised, Publish: n.broadcastUpdate, Catalog: n.machineTypes, Counts: n.jobCounts,
-		Cache: n.cache, Peers: n.peers, Node: n.settings.Node,
-	}
+// RunDuties runs the goroutines of the process until the context ends, and waits for them.
+// The cluster listener, for controllers and operators, is closed then.
+func (c *Controller) RunDuties(ctx context.Context, cluster net.Listener) {
 	var duties sync.WaitGroup
-	duties.Go(func() { n.peers.Run(ctx, cluster) })
-	duties.Go(func() { n.serveOperators(ctx) })
-	duties.Go(func() { n.refreshCatalog(ctx) })
-	duties.Go(func() { n.cache.Run(ctx) })
-	duties.Go(func() { n.reportLosses(ctx) })
-	duties.Go(func() { n.confirmAfterStart(ctx) })
-	duties.Go(func() { n.confirmAfterOutages(ctx) })
-	duties.Go(func() { n.cache.Audit(ctx, n.derived.Audit, n.derived.AuditPause) })
-	duties.Go(func() { n.memory.watch(ctx, n.derived.TermRenew) })
-	duties.Go(func() {
-		n.elector.Run(ctx, func(ctx context.Context, t election.Term) {
-			n.store.SetBudget(n.storeBudget(true))
-			defer n.store.SetBudget(n.storeBudget(false))
-			n.gate.Lead(ctx, deps, t)
-		})
-	})
+	duties.Go(func() { c.peers.Run(ctx, cluster) })
+	duties.Go(func() { c.serveOperators(ctx) })
+	duties.Go(func() { c.machineTypes.refresh(ctx) })
+	duties.Go(func() { c.cache.Run(ctx) })
+	duties.Go(func() { c.losses.report(ctx) })
+	duties.Go(func() { c.currency.confirmAfterStart(ctx) })
+	duties.Go(func() { c.currency.confirmAfterOutages(ctx) })
+	duties.Go(func() { c.cache.Audit(ctx, c.derived.Audit, c.derived.AuditPause) })
+	duties.Go(func() { c.memory.watch(ctx, c.derived.TermRenew) })
+	duties.Go(func() { c.campaign(ctx) })
 	duties.Wait()
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -88,7 +88,7 @@
 		slog.SetDefault(old)
 	})
 	l.addr = <-listening
-	for deadline := time.Now().Add(20 * time.Second); n.machineTypes() == nil || n.gate.Seen() == 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); n.machineTypes.types() == nil || n.gate.Seen() == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			tb.Fatal("the node does not lead")
 		}
--- a/internal/controller/currency.go
+++ b/internal/controller/currency.go
@@ -6,120 +6,135 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/peer"
 	"ospreyslip/internal/recovery/detection"
+	"ospreyslip/internal/settings"
 )
 
-// This file finds out, by asking the other controllers, what this node may take for certain:
-// that it knows all jobs, and that nobody relies on what its earlier life may have promised.
+// currencyMonitor proves that this controller's cache of job records is current, by comparing
+// with what the other controllers know: a store that was rolled back, or had lost records
+// before this process started, shows nothing of it to who reads it anew.
+type currencyMonitor struct {
+	startedAt time.Time
+	derived   settings.Derived
+	store     *kvstore.Client
+	cache     *jobs.Cache
+	peers     *peer.Hub
+	losses    *lossReporter
+}
 
-// confirmAfterStart finds out, after a start, whether this node has begun with all records there
-// were: all other controllers are asked how many jobs they know, and a reading of the records
-// that begins after their answers must have as many. Where one does not answer, the leader's
-// word does, or in the end the time that most outages last.
-func (n *Controller) confirmAfterStart(ctx context.Context) {
-	for time.Since(n.born) < n.derived.Cancel && !n.cache.Settled() {
-		others, err := n.queryPeers(ctx)
+// confirmAfterStart finds out whether this process has started with all records there were.
+// All other controllers are asked how many jobs they know; a reading of the records that
+// begins after their answers must find as many. Where one does not answer, what the leader
+// says will do (Controller.followLeader), or in the end the time that most outages last.
+func (m *currencyMonitor) confirmAfterStart(ctx context.Context) {
+	for time.Since(m.startedAt) < m.derived.Cancel && !m.cache.Settled() {
+		others, err := m.queryPeers(ctx)
 		switch {
 		case err != nil:
 		case others.lossNoticedBy != "":
-			n.lossReporter.notice(detection.Loss{Kind: detection.ReportedByPeer, Key: others.lossNoticedBy})
-		case n.cache.Listed() && !n.storeRolledBack(ctx, others.newestRevision):
-			n.cache.Expect(others.knownJobs, false)
+			m.losses.notice(detection.Loss{Kind: detection.ReportedByPeer, Key: others.lossNoticedBy})
+		case m.cache.Listed() && !m.storeRolledBack(ctx, others.newestRevision):
+			m.cache.Expect(others.knownJobs, false)
 		}
-		if !n.sleep(ctx, n.derived.TermRenew/2) {
+		if !sleep(ctx, m.derived.TermRenew/2) {
 			return
 		}
 	}
-	n.cache.BeSure()
+	m.cache.BeSure()
 }
 
-// confirmAfterOutages asks all other controllers after each outage of the state service whether that
-// was put back in it: a node that read nothing of what was lost would not notice. Where one
-// does not answer, the time that most outages last has to do.
-func (n *Controller) confirmAfterOutages(ctx context.Context) {
-	var servedSince time.Time // since the last outage; zero if nothing is to be found out
-	for n.sleep(ctx, n.derived.TermRenew/2) {
-		if n.cache.Confirmed() || n.store.Failing() {
-			servedSince = time.Time{}
+// confirmAfterOutages asks all other controllers, after each outage of the key-value store,
+// whether it was rolled back in the outage: a controller that has read nothing of what was
+// lost would not notice. Where one does not answer, the time that most outages last has to
+// do. It runs until the context ends.
+func (m *currencyMonitor) confirmAfterOutages(ctx context.Context) {
+	var availableSince time.Time // since the last outage; zero if nothing is to be found out
+	for sleep(ctx, m.derived.TermRenew/2) {
+		if m.cache.Confirmed() || m.store.Failing() {
+			availableSince = time.Time{}
 			continue
 		}
-		if servedSince.IsZero() {
-			servedSince = time.Now()
+		if availableSince.IsZero() {
+			availableSince = time.Now()
 		}
-		if time.Since(servedSince) < n.derived.TermRenew {
-			n.cache.CheckWitnesses()
+		if time.Since(availableSince) < m.derived.TermRenew {
+			m.cache.CheckWitnesses()
 			continue // what the others have compared by then, they have compared after it
 		}
-		outages := n.store.Outages()
-		others, err := n.queryPeers(ctx)
-		heard := err == nil && others.allCurrent && others.lossNoticedBy == "" && !n.storeRolledBack(ctx, others.newestRevision)
-		if heard || time.Since(servedSince) > n.derived.Cancel {
-			n.cache.Confirm(outages)
+		outages := m.store.Outages()
+		others, err := m.queryPeers(ctx)
+		confirmed := err == nil && others.allCurrent && others.lossNoticedBy == "" && !m.storeRolledBack(ctx, others.newestRevision)
+		if confirmed || time.Since(availableSince) > m.derived.Cancel {
+			m.cache.Confirm(outages)
 		}
 	}
 }
 
-// sleep waits; it returns false if the context has ended.
-func (n *Controller) sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(d):
-		return true
-	}
-}
-
-// peerKnowledge is what all other controllers have said.
+// peerKnowledge joins what all other controllers have said.
 type peerKnowledge struct {
 	knownJobs      int    // the most jobs that one of them knows
-	newestRevision uint64 // the newest revision that one of them has seen
-	lossNoticedBy  string // one that has noticed a loss
-	allCurrent     bool   // each has found the newest that it knows in the records, just now
-	noneRelies     bool   // each, in its present life, relies on no promise
+	newestRevision uint64 // the newest revision of the store that one of them has read
+	lossNoticedBy  string // the name of one that has noticed a loss; empty if none has
+	allCurrent     bool   // each has found the newest changes that it knows in the records, just now
+	noneRelies     bool   // each, since its process started, relies on no promise
 }
 
-// queryPeers asks all other controllers what they know, together. It fails unless all answer.
-func (n *Controller) queryPeers(ctx context.Context) (peerKnowledge, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.derived.TermRenew)
+// queryPeers asks all other controllers what they know, in parallel. It fails unless all
+// answer.
+func (m *currencyMonitor) queryPeers(ctx context.Context) (peerKnowledge, error) {
+	ctx, cancel := context.WithTimeout(ctx, m.derived.TermRenew)
 	defer cancel()
-	names := n.peers.Peers()
-	pages := make([]peer.LostJobsResponse, len(names))
-	asking, ctx := errgroup.WithContext(ctx)
+	names := m.peers.Peers()
+	summaries := make([]peer.LostJobsResponse, len(names))
+	requests, ctx := errgroup.WithContext(ctx)
 	for i, name := range names {
-		asking.Go(func() (err error) {
-			pages[i], err = n.peers.RequestLostJobs(ctx, name, peer.LostJobsRequest{})
+		requests.Go(func() (err error) {
+			summaries[i], err = m.peers.RequestLostJobs(ctx, name, peer.LostJobsRequest{})
 			return err
 		})
 	}
-	if err := asking.Wait(); err != nil {
+	if err := requests.Wait(); err != nil {
 		return peerKnowledge{}, err
 	}
 	others := peerKnowledge{allCurrent: true, noneRelies: true}
-	for i, page := range pages {
-		others.allCurrent = others.allCurrent && page.Compared
-		others.noneRelies = others.noneRelies && page.ReliesOnNoPromise
-		if page.LossNoticed {
+	for i, summary := range summaries {
+		others.allCurrent = others.allCurrent && summary.Compared
+		others.noneRelies = others.noneRelies && summary.ReliesOnNoPromise
+		if summary.LossNoticed {
 			others.lossNoticedBy = names[i]
 		}
-		others.knownJobs, others.newestRevision = max(others.knownJobs, page.KnownJobs), max(others.newestRevision, page.NewestRevision)
+		others.knownJobs = max(others.knownJobs, summary.KnownJobs)
+		others.newestRevision = max(others.newestRevision, summary.NewestRevision)
 	}
 	return others, nil
 }
 
 // noPeerRelies tells whether every other controller has answered this process that it relies
 // on no promise.
-func (n *Controller) noPeerRelies(ctx context.Context) bool {
-	others, err := n.queryPeers(ctx)
+func (m *currencyMonitor) noPeerRelies(ctx context.Context) bool {
+	others, err := m.queryPeers(ctx)
 	return err == nil && others.noneRelies
 }
 
-// storeRolledBack tells whether the state service is at an older revision than another controller
-// had seen before, or does not tell.
-func (n *Controller) storeRolledBack(ctx context.Context, newest uint64) bool {
-	now, err := n.store.Revision(ctx)
-	if err == nil && now < newest {
-		n.lossReporter.notice(detection.Loss{Kind: detection.RevisionBack, Known: newest, Found: now})
+// storeRolledBack tells whether the store is at an older revision than another controller has
+// read, or does not tell its revision.
+func (m *currencyMonitor) storeRolledBack(ctx context.Context, newestRevision uint64) bool {
+	current, err := m.store.Revision(ctx)
+	if err == nil && current < newestRevision {
+		m.losses.notice(detection.Loss{Kind: detection.RevisionBack, Known: newestRevision, Found: current})
+	}
+	return err != nil || current < newestRevision
+}
+
+// sleep waits for a duration. It returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(d):
+		return true
 	}
-	return err != nil || now < newest
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -4,19 +4,113 @@
 	"context"
 	"time"
 
+	"ospreyslip/internal/election"
 	"ospreyslip/internal/jobs"
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader"
 	"ospreyslip/internal/peer"
+	"ospreyslip/internal/recovery/detection"
+	"ospreyslip/internal/settings"
 )
 
+// Shares of the key-value store's rates that the leader may use. The other controllers share
+// the rest evenly. The leader writes most of what is written.
+const (
+	leaderRequestShare = 0.5
+	leaderWriteShare   = 0.64
+)
+
+// campaign takes part in the election until the context ends, and leads while elected.
+func (c *Controller) campaign(ctx context.Context) {
+	deps := leader.Deps{
+		Settings: c.settings, Derived: c.derived, Node: c.settings.Node,
+		Store: c.store, Cloud: c.cloud, Workers: c.workers, Cache: c.cache, Counts: c.jobCounts, Catalog: c.machineTypes.types,
+		Valid: c.elector.Valid, Promised: c.elector.Promised, Raised: c.elector.Raised,
+		Peers: c.peers, Publish: c.broadcastUpdate,
+	}
+	c.elector.Run(ctx, func(ctx context.Context, term election.Term) {
+		c.store.SetBudget(storeBudget(c.settings, true))
+		defer c.store.SetBudget(storeBudget(c.settings, false))
+		c.gate.Lead(ctx, deps, term)
+	})
+}
+
+// storeBudget is what this controller may ask of the key-value store. The budgets of all
+// controllers together stay within what the store takes.
+func storeBudget(set *settings.Settings, leading bool) kvstore.Budget {
+	all := set.Deployment.State.Within()
+	budget := kvstore.Budget{Requests: leaderRequestShare * all.RPS, Writes: leaderWriteShare * all.WriteRPS}
+	if others := float64(set.Deployment.Nodes - 1); !leading && others > 0 {
+		budget.Requests = (1 - leaderRequestShare) * all.RPS / others
+		budget.Writes = (1 - leaderWriteShare) * all.WriteRPS / others
+	}
+	return budget
+}
+
+// otherLeader returns the leader's name; empty if there is none, or if it is this controller.
+func (c *Controller) otherLeader() string {
+	if name := c.elector.Leader(); name != c.settings.Node {
+		return name
+	}
+	return ""
+}
+
+// leadershipKeyLost takes in that the store has lost keys of the election.
+func (c *Controller) leadershipKeyLost(loss detection.Loss) {
+	// Now, before leadership ends and with it what the leader knows.
+	c.cache.Suspect(time.Now().Add(c.derived.Cancel))
+	c.losses.notice(loss)
+}
+
+// receiveLossNotice takes in another controller's evidence of lost records, if this one leads.
+func (c *Controller) receiveLossNotice(_ string, loss detection.Loss) {
+	if !loss.Kind.AffectsLog() {
+		loss.Kind = detection.ReportedByPeer
+	}
+	c.gate.Noticed(loss)
+}
+
+// broadcastUpdate sends the leader's update to the other controllers. The leader calls it.
+func (c *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
+	c.readiness.leaderHeard()
+	c.cache.PutBack(c.gate.PutBack())
+	phase := c.gate.RecoveryPhase()
+	c.peers.Broadcast(peer.LeaderUpdate{
+		JobCounts:         counts,
+		StoreAvailable:    !c.store.Failing(),
+		ComparingRecords:  phase == leader.Comparing,
+		RestoringRecords:  phase == leader.Restoring,
+		RecordsRolledBack: c.gate.PutBack(),
+		KnownJobs:         c.cache.Jobs(),
+		Changes:           changes,
+	})
+}
+
+// followLeader takes in another controller's update. While this one leads itself, the other
+// is a leader that does not know yet that it was replaced.
+func (c *Controller) followLeader(_ string, update peer.LeaderUpdate) {
+	if c.elector.Valid() {
+		return
+	}
+	c.jobCounts.Replace(update.JobCounts)
+	for _, change := range update.Changes {
+		c.cache.Hear(change.ID, change.State, change.Tasks)
+	}
+	c.leaderRecovery.follow(update)
+	c.cache.Expect(update.KnownJobs, update.ComparingRecords)
+	c.readiness.leaderHeard()
+	if update.StoreAvailable {
+		c.readiness.leaderServed()
+	}
+}
+
 // answerPromiseRequest answers a leader that can not reach the key-value store. The promise
 // comes before the cancellations are collected: what this controller tells users afterwards
 // is newer than the request.
-func (n *Controller) answerPromiseRequest(ctx context.Context, _ string, request peer.PromiseRequest) peer.PromiseResponse {
-	response := peer.PromiseResponse{Granted: n.elector.Promise(ctx, request.FencingToken)}
+func (c *Controller) answerPromiseRequest(ctx context.Context, _ string, request peer.PromiseRequest) peer.PromiseResponse {
+	response := peer.PromiseResponse{Granted: c.elector.Promise(ctx, request.FencingToken)}
 	if response.Granted && request.SeenRevision > 0 {
-		response.Cancellations, response.CancellationsComplete = n.cache.Cancellations(request.SeenRevision)
+		response.Cancellations, response.CancellationsComplete = c.cache.Cancellations(request.SeenRevision)
 	}
 	return response
 }
@@ -25,33 +119,12 @@
 // The leader's observed state of the jobs counts as renewed only if every controller, this
 // one too, has said which cancellations it has told users of and the leader has not seen:
 // that none reaches the store now says nothing of what was told before.
-func (n *Controller) requestPromises(ctx context.Context, fencingToken uint64) bool {
-	askedAt, seenRevision := time.Now(), n.gate.Seen()
-	joined := n.peers.RequestPromises(ctx, peer.PromiseRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
-	own, complete := n.cache.Cancellations(seenRevision)
+func (c *Controller) requestPromises(ctx context.Context, fencingToken uint64) bool {
+	askedAt, seenRevision := time.Now(), c.gate.Seen()
+	joined := c.peers.RequestPromises(ctx, peer.PromiseRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
+	own, complete := c.cache.Cancellations(seenRevision)
 	if joined.Granted && joined.CancellationsComplete && complete && seenRevision > 0 {
-		n.gate.Cancelled(ctx, append(joined.Cancellations, own...), askedAt)
+		c.gate.Cancelled(ctx, append(joined.Cancellations, own...), askedAt)
 	}
 	return joined.Granted
 }
-
-// storeBudget is what this node may ask of the state service.
-func (n *Controller) storeBudget(leading bool) kvstore.Budget {
-	all := n.settings.Deployment.State.Within()
-	b := kvstore.Budget{Requests: leaderRequestShare * all.RPS, Writes: leaderWriteShare * all.WriteRPS}
-	if others := float64(n.settings.Deployment.Nodes - 1); !leading && others > 0 {
-		b.Requests = (1 - leaderRequestShare) * all.RPS / others
-		b.Writes = (1 - leaderWriteShare) * all.WriteRPS / others
-	}
-	return b
-}
-
-func (n *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
-	n.heard.Store(time.Since(n.born).Nanoseconds())
-	n.cache.PutBack(n.gate.PutBack())
-	phase := n.gate.RecoveryPhase()
-	n.peers.Broadcast(peer.LeaderUpdate{
-		JobCounts: counts, StoreAvailable: !n.store.Failing(), ComparingRecords: phase == leader.Comparing, RestoringRecords: phase == leader.Restoring,
-		RecordsRolledBack: n.gate.PutBack(), KnownJobs: n.cache.Jobs(), Changes: changes,
-	})
-}
--- a/internal/controller/memory_limit.go
+++ b/internal/controller/memory_limit.go
@@ -12,27 +12,28 @@
 type memoryLimit struct {
 	limitBytes uint64
 	inUseBytes func() uint64
-	exceeded   atomic.Bool
+	exceeded   atomic.Bool // as last measured
 }
 
-// watch looks at what is held, in every period until the context ends.
-func (g *memoryLimit) watch(ctx context.Context, every time.Duration) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// watch measures the memory in use, now and in every period until the context ends.
+func (m *memoryLimit) watch(ctx context.Context, period time.Duration) {
+	ticker := time.NewTicker(period)
+	defer ticker.Stop()
 	for {
-		g.exceeded.Store(g.inUseBytes() > g.limitBytes)
+		m.exceeded.Store(m.inUseBytes() > m.limitBytes)
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// hasRoom tells whether there was memory for more jobs when last looked at.
-func (g *memoryLimit) hasRoom() bool { return !g.exceeded.Load() }
+// hasRoom tells whether there was memory for more jobs when it was last measured. It may be
+// called from any goroutine.
+func (m *memoryLimit) hasRoom() bool { return !m.exceeded.Load() }
 
-// memoryInUse is what the runtime has of the system and has not given back.
+// memoryInUse is what the Go runtime has from the system and has not given back, in bytes.
 func memoryInUse() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(sample)
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -52,7 +52,7 @@
 	net := emulator.NewNet()
 	net.Attach("state", "10.2.0.1:1", emulator.NewState())
 	n := New(c.settings("perch-0"), Environment{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
-	n.catalog.Store(&testTypes)
+	n.machineTypes.current.Store(&testTypes)
 	n.memory.exceeded.Store(true)
 	n.cache.BeSure() // as Work does where there are no peers
 	body, _ := json.Marshal(asUser(batch("j-1", 1, 10)))
--- a/internal/controller/operator_listener.go
+++ b/internal/controller/operator_listener.go
@@ -2,54 +2,70 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"net/http"
 	"sync"
 	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// connQueue is a listener whose connections are handed to it.
+// connQueue is a net.Listener whose connections were accepted by somebody else.
 type connQueue struct {
-	conns chan net.Conn
-	done  chan struct{}
-	once  sync.Once
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
 func newConnQueue() *connQueue {
-	return &connQueue{conns: make(chan net.Conn), done: make(chan struct{})}
+	return &connQueue{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (h *connQueue) enqueue(c net.Conn) {
+// enqueue blocks until the connection is accepted, or closes it if the queue is closed.
+func (q *connQueue) enqueue(conn net.Conn) {
 	select {
-	case h.conns <- c:
-	case <-h.done:
-		c.Close()
+	case q.conns <- conn:
+	case <-q.closed:
+		conn.Close()
 	}
 }
 
-func (h *connQueue) Accept() (net.Conn, error) {
+func (q *connQueue) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
-		return c, nil
-	case <-h.done:
+	case conn := <-q.conns:
+		return conn, nil
+	case <-q.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (h *connQueue) Close() error {
-	h.once.Do(func() { close(h.done) })
+func (q *connQueue) Close() error {
+	q.once.Do(func() { close(q.closed) })
 	return nil
 }
 
-func (h *connQueue) Addr() net.Addr { return &net.TCPAddr{} }
+func (q *connQueue) Addr() net.Addr { return &net.TCPAddr{} }
 
 // serveOperators serves the operators' connections until the context ends.
-func (n *Controller) serveOperators(ctx context.Context) {
-	srv := &http.Server{Handler: n.operatorHandler(), ReadHeaderTimeout: n.derived.UserWait, IdleTimeout: time.Minute}
-	stop := context.AfterFunc(ctx, func() { srv.Close() })
+func (c *Controller) serveOperators(ctx context.Context) {
+	server := &http.Server{Handler: c.operatorHandler(), ReadHeaderTimeout: c.derived.UserWait, IdleTimeout: time.Minute}
+	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := srv.Serve(n.operatorConns); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
-		return
-	}
+	_ = server.Serve(c.listen.operators) // it ends only when the server is closed
+}
+
+// operatorHandler serves operators on the cluster listener.
+func (c *Controller) operatorHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
+		ctx, cancel := context.WithTimeout(r.Context(), c.derived.UserWait)
+		defer cancel()
+		writeJSON(w, http.StatusOK, c.status(ctx))
+	})
+	c.registerRecoveryHandlers(mux)
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(&metricsCollector{c})
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
+	return mux
 }
--- a/internal/controller/recovery_handlers.go
+++ b/internal/controller/recovery_handlers.go
@@ -11,20 +11,20 @@
 	"ospreyslip/internal/recovery"
 )
 
-// registerRecoveryHandlers serve operators: the state of a recovery, parts of a snapshot, and
-// decisions about held jobs.
-func (n *Controller) registerRecoveryHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("GET /recovery", n.showRecovery)
-	mux.HandleFunc("POST /recovery/import", n.importSnapshot)
-	mux.HandleFunc("POST /recovery/settle", n.settle)
+// registerRecoveryHandlers registers what serves operators in a recovery: its state, the import of
+// parts of a snapshot, and decisions about held jobs.
+func (c *Controller) registerRecoveryHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("GET /recovery", c.showRecovery)
+	mux.HandleFunc("POST /recovery/import", c.importSnapshot)
+	mux.HandleFunc("POST /recovery/settle", c.settle)
 }
 
-func (n *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
+func (c *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), c.derived.UserWait)
 	defer cancel()
-	status, err := n.gate.Recovery(ctx)
+	status, err := c.gate.Recovery(ctx)
 	if errors.Is(err, leader.ErrNotLeading) {
-		writeJSON(w, http.StatusMisdirectedRequest, leader.RecoveryStatus{Following: n.elector.Leader()})
+		writeJSON(w, http.StatusMisdirectedRequest, leader.RecoveryStatus{Following: c.elector.Leader()})
 		return
 	}
 	if err != nil {
@@ -34,49 +34,53 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// maxRequestBytes bounds what one request may make this node hold in memory.
+// maxRequestBytes bounds what one request may make this process hold in memory.
 const maxRequestBytes = 1 << 20
 
-func (n *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
-	var in leader.Import
-	if !readJSON(w, r, &in) {
+func (c *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
+	var request leader.Import
+	if !readJSON(w, r, &request) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), c.derived.UserWait)
 	defer cancel()
-	count, err := n.gate.Import(ctx, in)
+	imported, err := c.gate.Import(ctx, request)
 	if err != nil {
 		writeError(w, httpStatusOf(err), err)
 		return
 	}
-	writeJSON(w, http.StatusOK, count)
+	writeJSON(w, http.StatusOK, imported)
 }
 
-// SettleRequest is an operator's decision about a held job.
+// errInvalidJobID refuses a request with a job's ID that there can not be.
+var errInvalidJobID = errors.New("job must be of the form j-000412")
+
+// SettleRequest is the body of POST /recovery/settle, and of its response: an operator's
+// decision about a job that is held because its outcome is unknown.
 type SettleRequest struct {
 	Job string              `json:"job"`
 	As  recovery.Settlement `json:"as"`
 }
 
-func (n *Controller) settle(w http.ResponseWriter, r *http.Request) {
-	var in SettleRequest
-	if !readJSON(w, r, &in) {
+func (c *Controller) settle(w http.ResponseWriter, r *http.Request) {
+	var request SettleRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
-	if !jobs.ValidID(in.Job) {
-		writeError(w, http.StatusBadRequest, errors.New("job must be of the form j-000412"))
+	if !jobs.ValidID(request.Job) {
+		writeError(w, http.StatusBadRequest, errInvalidJobID)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), n.derived.UserWait)
+	ctx, cancel := context.WithTimeout(r.Context(), c.derived.UserWait)
 	defer cancel()
-	if err := n.gate.Settle(ctx, in.Job, in.As); err != nil {
+	if err := c.gate.Settle(ctx, request.Job, request.As); err != nil {
 		writeError(w, httpStatusOf(err), err)
 		return
 	}
-	writeJSON(w, http.StatusOK, in)
+	writeJSON(w, http.StatusOK, request)
 }
 
-// httpStatusOf is the status for an error of the leader.
+// httpStatusOf returns the HTTP status for an error of the leader.
 func httpStatusOf(err error) int {
 	switch {
 	case errors.Is(err, leader.ErrNotLeading):
@@ -89,6 +93,7 @@
 	return http.StatusServiceUnavailable
 }
 
+// readJSON decodes a request's body. It responds by itself, and returns false, if that fails.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(into); err != nil {
 		writeError(w, http.StatusBadRequest, err)
