--- a/internal/controller/meetings_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -15,7 +15,7 @@
 
 // The meetings of troubles that the users name. The stand-in judges all rules in each;
 // what is asserted here is that the trouble came as it was meant, and that the work
-// goes on afterwards. Meetings with tests of their own elsewhere: cancel_test.go,
+// goes on afterwards. Meetings with tests of their own elsewhere: cancellation_outage_test.go,
 // TestZoneCut, TestAloneWithWorkers, TestMachineDoesNotHear, TestEverythingIsRepeated,
 // TestHangingMachine, TestOrderArrivesLate, TestBackAtOnce, TestCancelRacesDone.
 
