--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -35,19 +35,19 @@
 		{name: "the leader confirmed", lasts: true, leader: true},
 		{name: "who confirmed begins anew", lost: func(c *cluster, teller string) {
 			c.crash(teller)
-			c.run(300 * time.Millisecond)
+			c.advance(300 * time.Millisecond)
 			c.start(teller)
 		}},
 		{name: "who confirmed ends", lost: func(c *cluster, teller string) { c.crash(teller) }},
 		{name: "the leader begins anew", lost: func(c *cluster, _ string) {
 			old := c.leader()
 			c.crash(old)
-			c.run(300 * time.Millisecond)
+			c.advance(300 * time.Millisecond)
 			c.start(old)
 		}},
 		{name: "all begin anew", lost: func(c *cluster, _ string) {
 			c.crash(c.names...)
-			c.run(300 * time.Millisecond)
+			c.advance(300 * time.Millisecond)
 			for _, n := range c.names {
 				c.start(n)
 			}
@@ -55,17 +55,17 @@
 	} {
 		for _, wait := range []time.Duration{0, 8 * time.Second} { // from the outage to the loss
 			t.Run(tc.name+" after "+wait.String(), func(t *testing.T) {
-				inCluster(t, nil, func(c *cluster) {
-					if c.adapt = tc.adapt; tc.adapt != nil {
+				runCluster(t, nil, func(c *cluster) {
+					if c.adaptController = tc.adapt; tc.adapt != nil {
 						for _, n := range c.names {
 							c.crash(n)
 							c.start(n)
 						}
-						c.run(5 * time.Second)
+						c.advance(5 * time.Second)
 					}
-					c.allUp()
-					c.submit("perch-0", batch("j-4", 4, 200))
-					c.within(20*time.Second, "all up", func() bool { return c.on("j-4", 4) == 4 })
+					c.runServiceAndBatch()
+					c.submit("perch-0", batchJob("j-4", 4, 200))
+					c.within(20*time.Second, "all up", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
 					leader, token := c.leader(), string(c.world.State.Value("term/token"))
 					teller := c.names[(slices.Index(c.names, leader)+1)%3]
 					if tc.leader {
@@ -73,26 +73,26 @@
 						c.world.State.Lag(1000)
 					} else {
 						c.world.State.RefuseFrom(leader, true)
-						c.run(100 * time.Millisecond)
-						if status, _ := c.ask("POST", leader, "/v1/jobs/j-4/withdraw", nil); status != http.StatusServiceUnavailable {
+						c.advance(100 * time.Millisecond)
+						if status, _ := c.request("POST", leader, "/v1/jobs/j-4/withdraw", nil); status != http.StatusServiceUnavailable {
 							t.Fatalf("the leader is not refused: %d", status)
 						}
 					}
-					c.withdraw(teller, "j-4")
-					c.run(700 * time.Millisecond)
+					c.cancelJob(teller, "j-4")
+					c.advance(700 * time.Millisecond)
 					c.world.State.Down(true)
-					c.run(wait)
-					if n := c.on("j-4", 4); tc.lasts && wait > 0 && n != 0 {
+					c.advance(wait)
+					if n := c.tasksOnMachines("j-4", 4); tc.lasts && wait > 0 && n != 0 {
 						t.Errorf("%d tasks are not stopped at once", n)
 					}
 					if tc.lost != nil {
 						tc.lost(c, teller)
 					}
-					c.run(41*time.Second - wait)
-					if n := c.on("j-1", 2); tc.lasts && n != 2 {
+					c.advance(41*time.Second - wait)
+					if n := c.tasksOnMachines("j-1", 2); tc.lasts && n != 2 {
 						t.Errorf("%d of 2 replicas go on in the outage", n)
 					}
-					c.run(10 * time.Second)
+					c.advance(10 * time.Second)
 					if now := string(c.world.State.Value("term/token")); tc.lost == nil && (now != token || c.leader() != leader) {
 						t.Errorf("the old leader was to go on: token %s, before %s", now, token)
 					}
@@ -100,12 +100,12 @@
 					c.world.State.RefuseFrom(leader, false)
 					c.world.State.Down(false)
 					for _, n := range c.names {
-						if c.nodes[n].ended() {
+						if c.processes[n].ended() {
 							c.start(n)
 						}
 					}
-					c.within(30*time.Second, "whole again", func() bool { return c.on("j-1", 2) == 2 })
-					if n := c.on("j-4", 4); n != 0 {
+					c.within(30*time.Second, "whole again", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+					if n := c.tasksOnMachines("j-4", 4); n != 0 {
 						t.Errorf("%d tasks of a cancelled job", n)
 					}
 				})
@@ -117,29 +117,29 @@
 // A job is accepted and cancelled while the leader sees neither. When the changes
 // come in parts, the first of them must not begin it.
 func TestAcceptedAndCancelledUnseen(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		leader := c.leader()
 		other := c.names[(slices.Index(c.names, leader)+1)%3]
 		c.world.State.Lag(1000)
-		c.submit(other, batch("j-4", 4, 200))
-		c.withdraw(other, "j-4")
+		c.submit(other, batchJob("j-4", 4, 200))
+		c.cancelJob(other, "j-4")
 		c.world.State.Down(true)
-		c.run(41 * time.Second)
+		c.advance(41 * time.Second)
 		c.world.State.Down(false)
 		c.world.State.Lag(1) // what was accepted is shown, that it was cancelled is not
 		starts := c.world.Starts()
 		for range 100 {
-			c.run(100 * time.Millisecond)
-			if n := c.world.Starts() - starts; n > 0 || c.on("j-4", 4) > 0 {
+			c.advance(100 * time.Millisecond)
+			if n := c.world.Starts() - starts; n > 0 || c.tasksOnMachines("j-4", 4) > 0 {
 				t.Fatalf("a cancelled job was begun: %d starts", n)
 			}
 		}
 		c.world.State.Lag(0)
-		if got := c.stance("j-4"); got != jobs.Cancelled {
+		if got := c.jobState("j-4"); got != jobs.Cancelled {
 			t.Errorf("j-4 is %s", got)
 		}
-		if live := c.inBook(); slices.ContainsFunc(live, func(s string) bool { return strings.HasPrefix(s, "j-4/") }) {
+		if live := c.loggedAssignments(); slices.ContainsFunc(live, func(s string) bool { return strings.HasPrefix(s, "j-4/") }) {
 			t.Errorf("in the book: %v", live)
 		}
 	})
@@ -149,25 +149,25 @@
 // to be had, as the state service is out. The order must not find its session still
 // there when it arrives after the time of the cancellation.
 func TestOrderHeldInOutage(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(3)
-		c.allUp()
+		c.runServiceAndBatch()
 		var first atomic.Bool
 		c.world.Net.Lateness = 55 * time.Second
-		end, held := c.trouble(func(_, to, path string) emulator.Fault {
+		end, held := c.injectFault(func(_, to, path string) emulator.Fault {
 			if path == "/orders" && first.CompareAndSwap(false, true) {
 				return emulator.Late
 			}
 			return emulator.Deliver
 		})
-		c.submit("perch-0", batch("j-4", 1, 200))
+		c.submit("perch-0", batchJob("j-4", 1, 200))
 		c.within(2*time.Second, "the order is on its way", func() bool { return held() > 0 })
-		c.withdraw("perch-1", "j-4")
-		c.run(100 * time.Millisecond)
+		c.cancelJob("perch-1", "j-4")
+		c.advance(100 * time.Millisecond)
 		token := string(c.world.State.Value("term/token"))
 		c.world.State.Down(true)
 		starts := c.world.Starts()
-		c.run(60 * time.Second)
+		c.advance(60 * time.Second)
 		if now := string(c.world.State.Value("term/token")); now != token {
 			t.Fatalf("a higher token was to be had: %s, before %s", now, token)
 		}
@@ -177,6 +177,6 @@
 		end()
 		c.world.State.Down(false)
 		c.withinDone(2*time.Minute, "j-2")
-		c.within(30*time.Second, "services up", func() bool { return c.on("j-1", 2) == 2 })
+		c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -33,51 +33,51 @@
 // cluster is three controllers in a world of stand-ins, all in one bubble of
 // time: a day passes in moments, and every run sees the same clock.
 type cluster struct {
-	t      *testing.T
-	ctx    context.Context
-	world  *emulator.World
-	nodes  map[string]*life
-	names  []string
-	drawn  uint64
-	memory atomic.Uint64 // what each node holds, in bytes
-	tweak  func(*settings.Settings)
-	adapt  func(*Controller) // of nodes that are started from now on
-	duties sync.WaitGroup
+	t               *testing.T
+	ctx             context.Context
+	world           *emulator.World
+	processes       map[string]*process
+	names           []string
+	randomSources   uint64
+	memory          atomic.Uint64 // what each node holds, in bytes
+	adjustSettings  func(*settings.Settings)
+	adaptController func(*Controller) // of nodes that are started from now on
+	duties          sync.WaitGroup
 }
 
-type life struct {
-	node   *Controller
-	born   time.Time
-	cancel context.CancelFunc
-	done   chan struct{}
+type process struct {
+	controller *Controller
+	startedAt  time.Time
+	cancel     context.CancelFunc
+	done       chan struct{}
 }
 
 var gangWait, gangPeer = 12.0, 4.0
 
-var testTypes = []jobs.MachineType{{
+var testMachineTypes = []jobs.MachineType{{
 	Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"a", "b", "c"},
 }}
 
-func clusterOf(name string) string { return "10.0.0." + name[len(name)-1:] + ":8081" }
+func clusterAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8081" }
 
-func addrOf(name string) string { return "10.0.0." + name[len(name)-1:] + ":8080" }
+func userAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8080" }
 
-// inCluster runs a scenario. Whatever it does, no rule may be broken.
-func inCluster(t *testing.T, tweak func(*settings.Settings), scenario func(c *cluster)) {
+// runCluster runs a scenario. Whatever it does, no rule may be broken.
+func runCluster(t *testing.T, tweak func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
-	inClusterWith(t, testTypes, tweak, scenario)
+	runClusterWith(t, testMachineTypes, tweak, scenario)
 }
 
-// inClusterWith is inCluster with machine types of its own.
-func inClusterWith(t *testing.T, types []jobs.MachineType, tweak func(*settings.Settings), scenario func(c *cluster)) {
+// runClusterWith is inCluster with machine types of its own.
+func runClusterWith(t *testing.T, types []jobs.MachineType, tweak func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
 	t.Parallel() // each has a bubble of its own
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{t: t, ctx: ctx, nodes: map[string]*life{}, names: []string{"perch-0", "perch-1", "perch-2"}, tweak: tweak}
+		c := &cluster{t: t, ctx: ctx, processes: map[string]*process{}, names: []string{"perch-0", "perch-1", "perch-2"}, adjustSettings: tweak}
 		pace := emulator.Pace{Report: 2 * time.Second, Lease: 20 * time.Second, Fetch: time.Second, GangWait: 12 * time.Second, GangPeer: 4 * time.Second, Nodes: c.names, Addrs: map[string]string{}}
 		for _, n := range c.names {
-			pace.Addrs[n] = addrOf(n)
+			pace.Addrs[n] = userAddr(n)
 		}
 		c.world = emulator.NewWorld(ctx, types, pace)
 		c.world.Cancel = 40 * time.Second
@@ -87,7 +87,7 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.run(5 * time.Second)
+		c.advance(5 * time.Second)
 		scenario(c)
 		for _, b := range c.world.Broken() {
 			t.Errorf("rule broken: %s", b)
@@ -106,7 +106,7 @@
 func (c *cluster) settings(name string) *settings.Settings {
 	s := &settings.Settings{
 		Operator: settings.DefaultOperator(),
-		Node:     name, Zone: "a", Listen: addrOf(name), ClusterListen: clusterOf(name),
+		Node:     name, Zone: "a", Listen: userAddr(name), ClusterListen: clusterAddr(name),
 		Endpoints: settings.Endpoints{Cloud: "10.2.0.2:1", State: "10.2.0.1:1"},
 		Deployment: settings.Deployment{
 			Nodes: 3, Zones: []string{"a", "b", "c"},
@@ -119,11 +119,11 @@
 	}
 	for _, n := range c.names {
 		if n != name {
-			s.Peers = append(s.Peers, settings.Peer{Node: n, Zone: "a", Addr: clusterOf(n)})
+			s.Peers = append(s.Peers, settings.Peer{Node: n, Zone: "a", Addr: clusterAddr(n)})
 		}
 	}
-	if c.tweak != nil {
-		c.tweak(s)
+	if c.adjustSettings != nil {
+		c.adjustSettings(s)
 	}
 	return s
 }
@@ -136,14 +136,14 @@
 		// All nodes of all tests are one process: what it holds says nothing of a node.
 		Memory: c.memory.Load,
 	})
-	if c.adapt != nil {
-		c.adapt(n)
+	if c.adaptController != nil {
+		c.adaptController(n)
 	}
-	l := &life{node: n, born: time.Now(), cancel: cancel, done: make(chan struct{})}
-	c.nodes[name] = l
-	c.world.Net.Attach(name, addrOf(name), n.Handler())
+	l := &process{controller: n, startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
+	c.processes[name] = l
+	c.world.Net.Attach(name, userAddr(name), n.Handler())
 	c.world.Note("%s begins", name)
-	c.duties.Go(func() { n.RunDuties(ctx, c.world.Net.Listen(name, clusterOf(name))); close(l.done) })
+	c.duties.Go(func() { n.RunDuties(ctx, c.world.Net.Listen(name, clusterAddr(name))); close(l.done) })
 }
 
 // crash ends a node without a last word: nothing it says any more arrives.
@@ -160,13 +160,13 @@
 	})()
 	for _, n := range names {
 		c.world.Note("%s ends", n)
-		c.nodes[n].cancel()
-		<-c.nodes[n].done
-		c.world.Net.Attach(n, addrOf(n), nil)
+		c.processes[n].cancel()
+		<-c.processes[n].done
+		c.world.Net.Attach(n, userAddr(n), nil)
 	}
 }
 
-func (l *life) ended() bool {
+func (l *process) ended() bool {
 	select {
 	case <-l.done:
 		return true
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *cluster) run(d time.Duration) {
+func (c *cluster) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
@@ -186,26 +186,26 @@
 	return h.Node
 }
 
-func (c *cluster) ask(method, node, path string, body any) (int, map[string]any) {
-	return c.world.Ask(method, addrOf(node), path, body)
+func (c *cluster) request(method, node, path string, body any) (int, map[string]any) {
+	return c.world.Ask(method, userAddr(node), path, body)
 }
 
-func batch(id string, tasks int, seconds float64) *jobs.Spec {
+func batchJob(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "sums", Team: "blue", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks,
 		CPUs: 1, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: seconds,
 	}
 }
 
-func service(id string, tasks int) *jobs.Spec {
+func serviceJob(id string, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "web", Team: "red", Shape: jobs.Service, Priority: jobs.Prod, Tasks: tasks,
 		CPUs: 2, RAMGB: 1, Image: "web", ImageGB: 1, Spread: true,
 	}
 }
 
-// asUser gives a spec its form on the wire, where null is not the empty string.
-func asUser(s *jobs.Spec) map[string]any {
+// wireSpec gives a spec its form on the wire, where null is not the empty string.
+func wireSpec(s *jobs.Spec) map[string]any {
 	raw, _ := json.Marshal(s)
 	var m map[string]any
 	_ = json.Unmarshal(raw, &m)
@@ -218,33 +218,33 @@
 func (c *cluster) submit(node string, s *jobs.Spec) {
 	c.t.Helper()
 	c.world.Upload(s)
-	if status, view := c.ask("POST", node, "/v1/jobs", asUser(s)); status != http.StatusCreated {
+	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(s)); status != http.StatusCreated {
 		c.t.Fatalf("submit %s: %d %v", s.ID, status, view)
 	}
 }
 
-// settleTime is by when a node that has just begun takes all requests: until then it may
+// startupTime is by when a node that has just begun takes all requests: until then it may
 // say that it has, as users may be told who repeat themselves.
-const settleTime = 2 * time.Second
+const startupTime = 2 * time.Second
 
-func (c *cluster) withdraw(node, id string) {
+func (c *cluster) cancelJob(node, id string) {
 	c.t.Helper()
 	began := time.Now()
 	for {
-		status, view := c.ask("POST", node, "/v1/jobs/"+id+"/withdraw", nil)
+		status, view := c.request("POST", node, "/v1/jobs/"+id+"/withdraw", nil)
 		if status == http.StatusOK && view["stance"] == "aborted" {
 			return
 		}
-		if status != http.StatusServiceUnavailable || time.Since(c.nodes[node].born) > settleTime || time.Since(began) > settleTime {
+		if status != http.StatusServiceUnavailable || time.Since(c.processes[node].startedAt) > startupTime || time.Since(began) > startupTime {
 			c.t.Fatalf("withdraw %s: %d %v", id, status, view)
 		}
-		c.run(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 	}
 }
 
-func (c *cluster) stance(id string) string {
+func (c *cluster) jobState(id string) string {
 	for _, n := range c.names {
-		if status, view := c.ask("GET", n, "/v1/jobs/"+id, nil); status == http.StatusOK {
+		if status, view := c.request("GET", n, "/v1/jobs/"+id, nil); status == http.StatusOK {
 			return view["stance"].(string)
 		}
 	}
@@ -254,7 +254,7 @@
 // within waits for something to become true.
 func (c *cluster) within(d time.Duration, what string, is func() bool) {
 	c.t.Helper()
-	for start := time.Now(); time.Since(start) < d; c.run(200 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < d; c.advance(200 * time.Millisecond) {
 		if is() {
 			return
 		}
@@ -264,19 +264,19 @@
 
 func (c *cluster) withinDone(d time.Duration, id string) {
 	c.t.Helper()
-	c.within(d, id+" done", func() bool { return c.stance(id) == jobs.Done })
+	c.within(d, id+" done", func() bool { return c.jobState(id) == jobs.Done })
 }
 
-// on counts the tasks of a job that are on machines.
-func (c *cluster) on(id string, tasks int) (n int) {
+// tasksOnMachines counts the tasks of a job that are on machines.
+func (c *cluster) tasksOnMachines(id string, tasks int) (n int) {
 	for i := range tasks {
 		n += len(c.world.On(fmt.Sprintf("%s/%d", id, i)))
 	}
 	return n
 }
 
-// inBook returns the assignments that the leaders' book still names.
-func (c *cluster) inBook() (live []string) {
+// loggedAssignments returns the assignments that the leaders' book still names.
+func (c *cluster) loggedAssignments() (live []string) {
 	type page struct {
 		Number uint64
 		Begun  []struct {
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -19,8 +19,8 @@
 // TestZoneCut, TestAloneWithWorkers, TestMachineDoesNotHear, TestEverythingIsRepeated,
 // TestHangingMachine, TestOrderArrivesLate, TestBackAtOnce, TestCancelRacesDone.
 
-// trouble puts a rule in force and counts the messages that it hits.
-func (c *cluster) trouble(rule emulator.Rule) (end func(), hits func() int) {
+// injectFault puts a rule in force and counts the messages that it hits.
+func (c *cluster) injectFault(rule emulator.Rule) (end func(), hits func() int) {
 	var n atomic.Int64
 	end = c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
 		f := rule(from, to, path)
@@ -32,8 +32,8 @@
 	return end, func() int { return int(n.Load()) }
 }
 
-// unreachable keeps machines from controllers, both ways.
-func unreachable(machines ...string) emulator.Rule {
+// isolate keeps machines from controllers, both ways.
+func isolate(machines ...string) emulator.Rule {
 	return func(from, to, _ string) emulator.Fault {
 		if slices.Contains(machines, from) || slices.Contains(machines, to) {
 			return emulator.Silent
@@ -42,8 +42,8 @@
 	}
 }
 
-// nextLeader ends the leader, and brings it back when there is another.
-func (c *cluster) nextLeader() {
+// replaceLeader ends the leader, and brings it back when there is another.
+func (c *cluster) replaceLeader() {
 	c.t.Helper()
 	old := c.leader()
 	c.crash(old)
@@ -54,12 +54,12 @@
 // A team is at its limit when the leader changes; machines with its tasks can not be
 // asked, and a job of it is cancelled. What may run counts until it is off.
 func TestTeamAtLimitAcrossLeaders(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		low := batch("j-1", 16, 300)
+	runCluster(t, nil, func(c *cluster) {
+		low := batchJob("j-1", 16, 300)
 		low.Team = "red" // 16 CPUs are its limit
 		c.submit("perch-0", low)
-		c.within(60*time.Second, "at the limit", func() bool { return c.on("j-1", 16) == 16 })
-		next := batch("j-2", 16, 20)
+		c.within(60*time.Second, "at the limit", func() bool { return c.tasksOnMachines("j-1", 16) == 16 })
+		next := batchJob("j-2", 16, 20)
 		next.Team = "red"
 		c.submit("perch-1", next)
 		far := c.world.On("j-1/0")[0]
@@ -69,24 +69,24 @@
 				kept++
 			}
 		}
-		end, hits := c.trouble(unreachable(far))
+		end, hits := c.injectFault(isolate(far))
 		c.crash(c.leader())
-		c.withdraw(c.survivor(), "j-1")
-		c.within(15*time.Second, "what can be asked is off", func() bool { return c.on("j-1", 16) == kept })
-		c.within(10*time.Second, "next in its place", func() bool { return c.on("j-2", 16) == 16-kept })
-		c.run(3 * time.Second)
-		if n := c.on("j-2", 16); n != 16-kept || hits() == 0 {
+		c.cancelJob(c.firstRunning(), "j-1")
+		c.within(15*time.Second, "what can be asked is off", func() bool { return c.tasksOnMachines("j-1", 16) == kept })
+		c.within(10*time.Second, "next in its place", func() bool { return c.tasksOnMachines("j-2", 16) == 16-kept })
+		c.advance(3 * time.Second)
+		if n := c.tasksOnMachines("j-2", 16); n != 16-kept || hits() == 0 {
 			t.Errorf("%d tasks run beside %d that may, %d messages held", n, kept, hits())
 		}
-		c.run(30 * time.Second)
+		c.advance(30 * time.Second)
 		end()
 		c.withinDone(2*time.Minute, "j-2")
 	})
 }
 
-func (c *cluster) survivor() string {
+func (c *cluster) firstRunning() string {
 	for _, n := range c.names {
-		if !c.nodes[n].ended() {
+		if !c.processes[n].ended() {
 			return n
 		}
 	}
@@ -95,31 +95,31 @@
 
 // Two tasks of a job end far apart, under two leaders, the second while none leads.
 func TestEndsFarApart(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		s := batch("j-1", 2, 20)
+	runCluster(t, nil, func(c *cluster) {
+		s := batchJob("j-1", 2, 20)
 		c.submit("perch-0", s)
-		c.within(40*time.Second, "running", func() bool { return c.on("j-1", 2) == 2 })
+		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		// One begins anew, and so ends much later than the other.
 		c.world.Kill(c.world.On("j-1/1")[0])
-		c.submit("perch-1", batch("j-2", 2, 20))
-		c.within(60*time.Second, "begun anew", func() bool { return c.on("j-1", 2) > 0 || c.stance("j-1") == jobs.Done })
+		c.submit("perch-1", batchJob("j-2", 2, 20))
+		c.within(60*time.Second, "begun anew", func() bool { return c.tasksOnMachines("j-1", 2) > 0 || c.jobState("j-1") == jobs.Done })
 		for range 4 {
-			c.run(6 * time.Second)
-			c.nextLeader()
+			c.advance(6 * time.Second)
+			c.replaceLeader()
 		}
 		c.withinDone(2*time.Minute, "j-1")
 		c.withinDone(2*time.Minute, "j-2")
-		c.run(time.Minute)
+		c.advance(time.Minute)
 	})
 }
 
 // Leaders change ten times in two minutes, some inside an outage: no two act, and the
 // work goes on.
 func TestTenLeadersInTwoMinutes(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
 		for i := range 6 {
-			c.submit("perch-0", batch(fmt.Sprintf("j-%d", i+2), 6, 15))
+			c.submit("perch-0", batchJob(fmt.Sprintf("j-%d", i+2), 6, 15))
 		}
 		tokens := map[string]bool{string(c.world.State.Value("term/token")): true}
 		for i := range 10 {
@@ -127,11 +127,11 @@
 			switch i % 5 {
 			case 2: // inside an outage
 				c.world.State.Down(true)
-				c.run(2 * time.Second)
+				c.advance(2 * time.Second)
 				c.crash(old)
-				c.run(500 * time.Millisecond)
+				c.advance(500 * time.Millisecond)
 				c.start(old)
-				c.run(4 * time.Second)
+				c.advance(4 * time.Second)
 				c.world.State.Down(false)
 			case 3: // handed over and back at once
 				c.world.State.RefuseFrom(old, true)
@@ -139,20 +139,20 @@
 				c.world.State.RefuseFrom(old, false)
 			case 4: // all end, and one is back within a second
 				c.crash(c.names...)
-				c.run(200 * time.Millisecond)
+				c.advance(200 * time.Millisecond)
 				c.start(c.names[i%3])
-				c.run(6 * time.Second)
+				c.advance(6 * time.Second)
 				for _, n := range c.names {
-					if c.nodes[n].ended() {
+					if c.processes[n].ended() {
 						c.start(n)
 					}
 				}
 			default:
-				c.nextLeader()
+				c.replaceLeader()
 			}
 			c.within(20*time.Second, "another term", func() bool { return c.leader() != "" && !tokens[string(c.world.State.Value("term/token"))] })
 			tokens[string(c.world.State.Value("term/token"))] = true
-			c.run(4 * time.Second)
+			c.advance(4 * time.Second)
 		}
 		if len(tokens) <= 10 {
 			t.Errorf("%d terms", len(tokens))
@@ -160,27 +160,27 @@
 		for i := range 6 {
 			c.withinDone(90*time.Second, fmt.Sprintf("j-%d", i+2))
 		}
-		c.within(20*time.Second, "services up", func() bool { return c.on("j-1", 2) == 2 })
+		c.within(20*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
 
 // All controllers are away for longer than a worker's lease: all tasks end, and all
 // begin once more.
 func TestAllAwayBeyondLease(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-3", 4, 200))
-		c.within(40*time.Second, "running", func() bool { return c.on("j-3", 4) == 4 })
-		c.allUp()
-		c.withdraw("perch-1", "j-3")
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-3", 4, 200))
+		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
+		c.runServiceAndBatch()
+		c.cancelJob("perch-1", "j-3")
 		c.crash(c.names...)
-		c.run(23 * time.Second)
-		if n := c.on("j-1", 2) + c.on("j-2", 6) + c.on("j-3", 4); n != 0 {
+		c.advance(23 * time.Second)
+		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 6) + c.tasksOnMachines("j-3", 4); n != 0 {
 			t.Errorf("%d tasks outlived their leases", n)
 		}
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(30*time.Second, "services up", func() bool { return c.on("j-1", 2) == 2 })
+		c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.withinDone(2*time.Minute, "j-2")
 	})
 }
@@ -193,7 +193,7 @@
 		name string
 		rule func(far string) emulator.Rule
 	}{
-		{"unreachable", func(far string) emulator.Rule { return unreachable(far) }},
+		{"unreachable", func(far string) emulator.Rule { return isolate(far) }},
 		{"deaf", func(far string) emulator.Rule {
 			return func(from, to, _ string) emulator.Fault {
 				switch far {
@@ -216,19 +216,19 @@
 	} {
 		for _, cloud := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cloud up %v", tc.name, cloud), func(t *testing.T) {
-				inCluster(t, nil, func(c *cluster) {
-					c.submit("perch-0", batch("j-3", 4, 150))
-					c.allUp()
+				runCluster(t, nil, func(c *cluster) {
+					c.submit("perch-0", batchJob("j-3", 4, 150))
+					c.runServiceAndBatch()
 					far := c.world.On("j-1/0")[0]
 					c.world.CloudDown(!cloud)
-					end, hits := c.trouble(tc.rule(far))
-					c.nextLeader()
+					end, hits := c.injectFault(tc.rule(far))
+					c.replaceLeader()
 					if !cloud { // and so no room elsewhere
 						c.within(60*time.Second, "off", func() bool { return !slices.Contains(c.world.On("j-1/0"), far) })
 						c.world.CloudDown(false)
 					}
 					c.within(90*time.Second, "whole, and not there", func() bool {
-						return c.on("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), far)
+						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), far)
 					})
 					if hits() == 0 {
 						t.Error("nothing was held")
@@ -246,13 +246,13 @@
 // the tasks end with it and begin once elsewhere, and the hold that the counters ahead
 // bring is bounded.
 func TestMuteMachines(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.submit("perch-0", batch("j-2", 8, 100))
-		c.within(60*time.Second, "running", func() bool { return c.on("j-1", 2) == 2 && c.on("j-2", 8) == 8 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.submit("perch-0", batchJob("j-2", 8, 100))
+		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 8) == 8 })
 		mute := c.world.On("j-1/0")[0]
 		var asked atomic.Int64
-		end, hits := c.trouble(func(from, to, path string) emulator.Fault {
+		end, hits := c.injectFault(func(from, to, path string) emulator.Fault {
 			if to == mute && path == "/inspect" {
 				asked.Add(1)
 			}
@@ -262,7 +262,7 @@
 			return emulator.Deliver
 		})
 		c.within(35*time.Second, "service elsewhere", func() bool {
-			return c.on("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), mute)
+			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), mute)
 		})
 		if hits() == 0 || asked.Load() == 0 {
 			t.Errorf("%d reports were lost, %d calls went out", hits(), asked.Load())
@@ -271,7 +271,7 @@
 		dead := c.world.On("j-1/0")[0]
 		c.world.Kill(dead)
 		c.within(25*time.Second, "service whole again", func() bool {
-			return c.on("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), dead)
+			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), dead)
 		})
 		end()
 		c.withinDone(4*time.Minute, "j-2")
@@ -283,34 +283,34 @@
 func TestReportsArriveAtNextLeader(t *testing.T) {
 	for _, late := range []time.Duration{4 * time.Second, 15 * time.Second, 45 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
-				c.allUp()
+			runCluster(t, nil, func(c *cluster) {
+				c.runServiceAndBatch()
 				c.world.Net.Lateness = late
-				end, hits := c.trouble(func(from, _, path string) emulator.Fault {
+				end, hits := c.injectFault(func(from, _, path string) emulator.Fault {
 					if path == "/v1/report" && isMachine(from) {
 						return emulator.Copied
 					}
 					return emulator.Deliver
 				})
-				c.run(3 * time.Second)
+				c.advance(3 * time.Second)
 				// The copies come to whoever has the address by then.
 				c.crash(c.names...)
-				c.run(300 * time.Millisecond)
+				c.advance(300 * time.Millisecond)
 				for _, n := range c.names {
 					c.start(n)
 				}
-				c.run(2 * time.Second)
-				c.submit(c.names[0], batch("j-3", 6, 8))
-				c.run(late)
-				c.nextLeader()
+				c.advance(2 * time.Second)
+				c.submit(c.names[0], batchJob("j-3", 6, 8))
+				c.advance(late)
+				c.replaceLeader()
 				end()
 				if hits() == 0 {
 					t.Error("no report was copied")
 				}
-				c.run(late)
+				c.advance(late)
 				c.withinDone(2*time.Minute, "j-2")
 				c.withinDone(2*time.Minute, "j-3")
-				c.within(30*time.Second, "services up", func() bool { return c.on("j-1", 2) == 2 })
+				c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 			})
 		})
 	}
@@ -319,12 +319,12 @@
 // Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the
 // same node: acceptances, cancellations, completions, pages of the book, the term.
 func TestTransactionsLandLate(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		var n, tries atomic.Int64
 		c.world.Net.LateBy = func(_, _, path string) time.Duration {
 			return 2*time.Second + time.Duration(n.Add(1)*2731%10000)*time.Millisecond
 		}
-		end, hits := c.trouble(func(_, _, path string) emulator.Fault {
+		end, hits := c.injectFault(func(_, _, path string) emulator.Fault {
 			if path != "/commit" {
 				return emulator.Deliver
 			}
@@ -334,22 +334,22 @@
 			return emulator.Deliver
 		})
 		before := c.world.State.Requests("/commit")
-		u := newUsers(c)
+		u := newSimulatedUsers(c)
 		var all []*jobs.Spec
 		for i := range 10 {
-			s := batch(fmt.Sprintf("j-%d", i+1), 3, float64(4+2*i))
+			s := batchJob(fmt.Sprintf("j-%d", i+1), 3, float64(4+2*i))
 			all = append(all, s)
-			h := habit{repeats: i%3 == 0, cancelAtEnd: i%4 == 1}
+			h := userBehavior{resubmits: i%3 == 0, cancelAtEnd: i%4 == 1}
 			if i%4 == 2 {
 				h.cancelAfter = 25 * time.Second
 			}
-			u.job(c.rand(), s, h)
-			c.run(2 * time.Second)
+			u.submitAndFollow(c.newRand(), s, h)
+			c.advance(2 * time.Second)
 			if i%5 == 4 {
-				c.nextLeader()
+				c.replaceLeader()
 			}
 		}
-		c.run(40 * time.Second)
+		c.advance(40 * time.Second)
 		end()
 		if hits() < 20 || c.world.State.Requests("/commit")-before < hits() {
 			t.Errorf("%d transactions were to be late, %d came", hits(), c.world.State.Requests("/commit")-before)
@@ -364,32 +364,32 @@
 // The leader loses state service and peers, but not its workers and users, while jobs
 // are cancelled through the new one.
 func TestCancelThroughTheNewLeader(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
-		c.submit("perch-0", batch("j-3", 6, 200))
-		c.within(30*time.Second, "running", func() bool { return c.on("j-3", 6) == 6 })
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
+		c.submit("perch-0", batchJob("j-3", 6, 200))
+		c.within(30*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 6) == 6 })
 		alone := c.leader()
-		end, hits := c.trouble(func(from, to, _ string) emulator.Fault {
+		end, hits := c.injectFault(func(from, to, _ string) emulator.Fault {
 			if (from == alone || to == alone) && !isMachine(from) && !isMachine(to) && from != "user" {
 				return emulator.Silent
 			}
 			return emulator.Deliver
 		})
 		other := c.names[(slices.Index(c.names, alone)+1)%3]
-		c.withdraw(other, "j-3") // while the old one still leads
-		if status, _ := c.ask("GET", alone, "/v1/jobs/j-3", nil); status == http.StatusOK {
+		c.cancelJob(other, "j-3") // while the old one still leads
+		if status, _ := c.request("GET", alone, "/v1/jobs/j-3", nil); status == http.StatusOK {
 			t.Errorf("a node that reaches nothing answers a question: %d", status)
 		}
 		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != alone })
-		c.withdraw(other, "j-2")
-		c.within(30*time.Second, "gone", func() bool { return c.on("j-3", 6)+c.on("j-2", 6) == 0 })
-		c.run(30 * time.Second)
+		c.cancelJob(other, "j-2")
+		c.within(30*time.Second, "gone", func() bool { return c.tasksOnMachines("j-3", 6)+c.tasksOnMachines("j-2", 6) == 0 })
+		c.advance(30 * time.Second)
 		if hits() == 0 {
 			t.Error("nothing was cut")
 		}
 		end()
-		c.run(10 * time.Second)
-		if n := c.on("j-1", 2); n != 2 {
+		c.advance(10 * time.Second)
+		if n := c.tasksOnMachines("j-1", 2); n != 2 {
 			t.Errorf("%d of 2 replicas", n)
 		}
 	})
@@ -398,10 +398,10 @@
 // There is more work than room, urgent and not, and every message to and from machines
 // takes its time. The last still begins within four minutes.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(3)
 		c.world.Net.Lateness = 700 * time.Millisecond
-		end, hits := c.trouble(func(from, to, path string) emulator.Fault {
+		end, hits := c.injectFault(func(from, to, path string) emulator.Fault {
 			if isMachine(from) || isMachine(to) {
 				return emulator.Slow
 			}
@@ -409,14 +409,14 @@
 		})
 		var all []*jobs.Spec
 		for i := range 14 {
-			s := batch(fmt.Sprintf("j-%d", i+1), 6, 12)
+			s := batchJob(fmt.Sprintf("j-%d", i+1), 6, 12)
 			s.Priority = []string{jobs.BestEffort, jobs.Standard, jobs.Urgent}[i%3]
 			if s.CheckpntS = 0; i%2 == 0 {
 				s.CheckpntS, s.SaveS = 4, 1
 			}
 			c.submit(c.names[i%3], s)
 			all = append(all, s)
-			c.run(3 * time.Second)
+			c.advance(3 * time.Second)
 		}
 		for _, s := range all {
 			c.withinDone(4*time.Minute, s.ID)
@@ -431,52 +431,54 @@
 // Jobs bound to one zone, arrays and services, lose machines there: the rest stays in
 // the zone until it is off, and all run in the end.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		array := batch("j-1", 8, 100)
+	runCluster(t, nil, func(c *cluster) {
+		array := batchJob("j-1", 8, 100)
 		array.OneZone, array.Spread = true, false
 		c.submit("perch-0", array)
-		fixed := batch("j-2", 6, 100)
+		fixed := batchJob("j-2", 6, 100)
 		fixed.Zone = "b"
 		c.submit("perch-0", fixed)
-		web := service("j-3", 4)
+		web := serviceJob("j-3", 4)
 		web.OneZone, web.Spread, web.CPUs = true, false, 1
 		c.submit("perch-0", web)
-		c.within(60*time.Second, "running", func() bool { return c.on("j-1", 8) == 8 && c.on("j-2", 6) == 6 && c.on("j-3", 4) == 4 })
+		c.within(60*time.Second, "running", func() bool {
+			return c.tasksOnMachines("j-1", 8) == 8 && c.tasksOnMachines("j-2", 6) == 6 && c.tasksOnMachines("j-3", 4) == 4
+		})
 		for _, task := range []string{"j-1/0", "j-2/0", "j-3/0"} {
 			if on := c.world.On(task); len(on) > 0 {
 				c.world.Kill(on[0])
 			}
 		}
-		c.run(3 * time.Second)
-		c.nextLeader()
+		c.advance(3 * time.Second)
+		c.replaceLeader()
 		c.withinDone(3*time.Minute, "j-1")
 		c.withinDone(3*time.Minute, "j-2")
-		c.within(60*time.Second, "service whole", func() bool { return c.on("j-3", 4) == 4 })
+		c.within(60*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
 	})
 }
 
 // Nothing is wrong. Cancellations, questions and repeated submissions meet the end of
 // jobs' last tasks, at every node: a job is done or cancelled, never both.
 func TestRequestsMeetTheEnd(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		u := newUsers(c)
+	runCluster(t, nil, func(c *cluster) {
+		u := newSimulatedUsers(c)
 		var all []*jobs.Spec
 		for i := range 40 {
-			s := batch(fmt.Sprintf("j-%d", i+1), 1+i%3, float64(1+i%5))
+			s := batchJob(fmt.Sprintf("j-%d", i+1), 1+i%3, float64(1+i%5))
 			all = append(all, s)
-			u.job(c.rand(), s, habit{cancelAtEnd: true, repeats: i%2 == 0})
+			u.submitAndFollow(c.newRand(), s, userBehavior{cancelAtEnd: true, resubmits: i%2 == 0})
 		}
 		c.within(3*time.Minute, "all over", func() bool {
 			return !slices.ContainsFunc(all, func(s *jobs.Spec) bool { return !u.isOver(s.ID) })
 		})
-		c.run(15 * time.Second)
+		c.advance(15 * time.Second)
 		u.stop()
 		ends := map[string]int{}
 		for _, s := range all {
-			ends[u.over[s.ID]]++
+			ends[u.finalStates[s.ID]]++
 			for _, n := range c.names { // every node says the same, for ever
-				if status, view := c.ask("GET", n, "/v1/jobs/"+s.ID, nil); status != http.StatusOK || view["stance"] != u.over[s.ID] {
-					t.Errorf("%s at %s: %d %v, was %s", s.ID, n, status, view["stance"], u.over[s.ID])
+				if status, view := c.request("GET", n, "/v1/jobs/"+s.ID, nil); status != http.StatusOK || view["stance"] != u.finalStates[s.ID] {
+					t.Errorf("%s at %s: %d %v, was %s", s.ID, n, status, view["stance"], u.finalStates[s.ID])
 				}
 			}
 		}
@@ -489,37 +491,37 @@
 // Users repeat submissions of jobs that run, are done or are cancelled, cancel what is
 // done, and send what can never run; also while the state service is out.
 func TestOddRequests(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		done, off, runs := batch("j-1", 1, 1), batch("j-2", 1, 300), service("j-3", 2)
+	runCluster(t, nil, func(c *cluster) {
+		done, off, runs := batchJob("j-1", 1, 1), batchJob("j-2", 1, 300), serviceJob("j-3", 2)
 		for _, s := range []*jobs.Spec{done, off, runs} {
 			c.submit("perch-0", s)
 		}
 		c.withinDone(60*time.Second, "j-1")
-		c.withdraw("perch-1", "j-2")
-		c.within(60*time.Second, "running", func() bool { return c.on("j-3", 2) == 2 })
-		c.run(4 * time.Second)
+		c.cancelJob("perch-1", "j-2")
+		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 2) == 2 })
+		c.advance(4 * time.Second)
 		for i, n := range c.names {
 			for _, tc := range []struct {
 				s    *jobs.Spec
 				want string
 			}{{done, jobs.Done}, {off, jobs.Cancelled}, {runs, jobs.Running}} {
-				if status, view := c.ask("POST", n, "/v1/jobs", asUser(tc.s)); status != http.StatusOK || view["stance"] != tc.want {
+				if status, view := c.request("POST", n, "/v1/jobs", wireSpec(tc.s)); status != http.StatusOK || view["stance"] != tc.want {
 					t.Errorf("%s submitted again at %s: %d %v", tc.s.ID, n, status, view)
 				}
 			}
-			if status, view := c.ask("POST", n, "/v1/jobs/j-1/withdraw", nil); status != http.StatusOK || view["stance"] != jobs.Done {
+			if status, view := c.request("POST", n, "/v1/jobs/j-1/withdraw", nil); status != http.StatusOK || view["stance"] != jobs.Done {
 				t.Errorf("a done job cancelled: %d %v", status, view)
 			}
-			if status, _ := c.ask("POST", n, fmt.Sprintf("/v1/jobs/j-90%d/withdraw", i), nil); status != http.StatusNotFound {
+			if status, _ := c.request("POST", n, fmt.Sprintf("/v1/jobs/j-90%d/withdraw", i), nil); status != http.StatusNotFound {
 				t.Errorf("an unknown job cancelled: %d", status)
 			}
 		}
-		lacks := asUser(batch("j-4", 1, 1))
+		lacks := wireSpec(batchJob("j-4", 1, 1))
 		delete(lacks, "ramGb")
 		never := func(change func(*jobs.Spec)) map[string]any {
-			s := service("j-5", 2)
+			s := serviceJob("j-5", 2)
 			change(s)
-			return asUser(s)
+			return wireSpec(s)
 		}
 		cannot := map[string]map[string]any{
 			"too large":                 never(func(s *jobs.Spec) { s.RAMGB = 33 }),
@@ -530,36 +532,36 @@
 			"a gang scattered the same": never(func(s *jobs.Spec) { s.Shape, s.OneZone = jobs.Gang, true }),
 		}
 		for name, body := range cannot {
-			if status, view := c.ask("POST", "perch-1", "/v1/jobs", body); status != http.StatusUnprocessableEntity {
+			if status, view := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusUnprocessableEntity {
 				t.Errorf("%s: %d %v", name, status, view)
 			}
 		}
 		// An array gets by with half of its tasks at a time, and one replica is not scattered.
-		array := batch("j-6", 4, 2)
+		array := batchJob("j-6", 4, 2)
 		array.Zone, array.Spread = "a", true
 		c.submit("perch-2", array)
-		one := service("j-7", 1)
+		one := serviceJob("j-7", 1)
 		one.Zone, one.OneZone = "a", true
 		c.submit("perch-2", one)
 		c.withinDone(60*time.Second, "j-6")
 
 		c.world.State.Down(true)
-		if status, _ := c.ask("POST", "perch-1", "/v1/jobs", lacks); status != http.StatusBadRequest {
+		if status, _ := c.request("POST", "perch-1", "/v1/jobs", lacks); status != http.StatusBadRequest {
 			t.Errorf("lacking a field, in an outage: %d", status)
 		}
 		for name, body := range cannot {
 			// Whether it was accepted under other settings can not be told now.
-			if status, _ := c.ask("POST", "perch-1", "/v1/jobs", body); status != http.StatusServiceUnavailable {
+			if status, _ := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusServiceUnavailable {
 				t.Errorf("%s, in an outage: %d", name, status)
 			}
 		}
 		c.world.State.Down(false)
-		c.run(2 * time.Second)
+		c.advance(2 * time.Second)
 		// Accepted by an earlier version, it stays accepted.
 		kept := never(func(s *jobs.Spec) { s.ID, s.Zone = "j-8", "a" })
 		c.world.Submitted("j-8")
 		c.world.State.Put("job/j-8", []byte(`{"stance":"queued","tasks":2}`))
-		if status, view := c.ask("POST", "perch-1", "/v1/jobs", kept); status != http.StatusOK || view["stance"] != jobs.Queued {
+		if status, view := c.request("POST", "perch-1", "/v1/jobs", kept); status != http.StatusOK || view["stance"] != jobs.Queued {
 			t.Errorf("accepted earlier: %d %v", status, view)
 		}
 		if keys := c.world.State.Keys("job/"); slices.ContainsFunc(keys, func(k string) bool { return strings.HasSuffix(k, "j-4") || strings.HasSuffix(k, "j-5") }) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -12,25 +12,25 @@
 )
 
 func TestQuietDay(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 10, 15))
-		c.submit("perch-1", service("j-2", 2))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 10, 15))
+		c.submit("perch-1", serviceJob("j-2", 2))
 		c.withinDone(90*time.Second, "j-1")
-		c.within(30*time.Second, "two replicas", func() bool { return c.on("j-2", 2) == 2 })
-		if got := c.stance("j-2"); got != jobs.Running {
+		c.within(30*time.Second, "two replicas", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		if got := c.jobState("j-2"); got != jobs.Running {
 			t.Errorf("service is %s", got)
 		}
-		c.withdraw("perch-2", "j-2")
-		c.within(10*time.Second, "replicas gone", func() bool { return c.on("j-2", 2) == 0 })
-		if status, _ := c.ask("GET", "perch-1", "/v1/jobs/j-77", nil); status != http.StatusNotFound {
+		c.cancelJob("perch-2", "j-2")
+		c.within(10*time.Second, "replicas gone", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
+		if status, _ := c.request("GET", "perch-1", "/v1/jobs/j-77", nil); status != http.StatusNotFound {
 			t.Errorf("a job that nobody submitted: %d", status)
 		}
-		if status, view := c.ask("POST", "perch-0", "/v1/jobs", asUser(batch("j-1", 10, 15))); status != 200 || view["stance"] != "done" {
+		if status, view := c.request("POST", "perch-0", "/v1/jobs", wireSpec(batchJob("j-1", 10, 15))); status != 200 || view["stance"] != "done" {
 			t.Errorf("repeated submission of a done job: %d %v", status, view)
 		}
 		// A fleet without work is given back.
 		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
-		if live := c.inBook(); len(live) > 0 {
+		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("still in the book: %v", live)
 		}
 	})
@@ -39,17 +39,17 @@
 // A crash of the leader, again and again, must lose no task's work for good,
 // start none twice and keep services up.
 func TestLeaderCrashes(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.within(40*time.Second, "service up", func() bool { return c.on("j-1", 2) == 2 })
-		c.submit("perch-0", batch("j-2", 12, 20))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.submit("perch-0", batchJob("j-2", 12, 20))
 		for range 4 {
-			c.run(7 * time.Second)
+			c.advance(7 * time.Second)
 			old := c.leader()
 			c.crash(old)
 			c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
 			c.start(old)
-			if c.on("j-1", 2) != 2 {
+			if c.tasksOnMachines("j-1", 2) != 2 {
 				t.Error("a take-over cost replicas of the service")
 			}
 		}
@@ -66,7 +66,7 @@
 func TestAllControllersRestart(t *testing.T) {
 	all := func(c *cluster, down time.Duration) {
 		c.crash(c.names...)
-		c.run(down)
+		c.advance(down)
 		for _, n := range c.names {
 			c.start(n)
 		}
@@ -80,39 +80,39 @@
 		{"back in a moment", func(c *cluster) { all(c, 200*time.Millisecond) }, 0},
 		{"twice within a lease", func(c *cluster) {
 			all(c, 3*time.Second)
-			c.run(4 * time.Second)
+			c.advance(4 * time.Second)
 			all(c, 3*time.Second)
 		}, 0},
 		{"in mid-election", func(c *cluster) {
 			all(c, 3*time.Second)
-			c.run(1500 * time.Millisecond)
+			c.advance(1500 * time.Millisecond)
 			all(c, 200*time.Millisecond)
 		}, 0},
 		{"one after the other in a burst", func(c *cluster) {
 			for i, n := range c.names {
-				c.submit(c.names[(i+1)%len(c.names)], batch(fmt.Sprintf("j-1%d", i), 8, 9))
+				c.submit(c.names[(i+1)%len(c.names)], batchJob(fmt.Sprintf("j-1%d", i), 8, 9))
 				c.crash(n)
-				c.run(2 * time.Second)
+				c.advance(2 * time.Second)
 				c.start(n)
-				c.submit(c.names[(i+1)%len(c.names)], batch(fmt.Sprintf("j-2%d", i), 8, 9))
-				c.run(5 * time.Second)
+				c.submit(c.names[(i+1)%len(c.names)], batchJob(fmt.Sprintf("j-2%d", i), 8, 9))
+				c.advance(5 * time.Second)
 			}
 		}, 48},
 		{"in an outage of the state service", func(c *cluster) {
 			c.world.State.Down(true)
-			c.run(3 * time.Second)
+			c.advance(3 * time.Second)
 			all(c, time.Second)
-			c.run(3 * time.Second)
+			c.advance(3 * time.Second)
 			c.world.State.Down(false)
 		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
-				c.allUp()
+			runCluster(t, nil, func(c *cluster) {
+				c.runServiceAndBatch()
 				tc.trouble(c)
 				c.withinDone(120*time.Second, "j-2")
-				c.run(60 * time.Second)
-				if starts := c.world.Starts(); c.on("j-1", 2) != 2 || starts != 8+tc.tasks {
+				c.advance(60 * time.Second)
+				if starts := c.world.Starts(); c.tasksOnMachines("j-1", 2) != 2 || starts != 8+tc.tasks {
 					t.Errorf("%d starts for %d tasks", starts, 8+tc.tasks)
 				}
 			})
@@ -123,11 +123,11 @@
 // A machine without power is confirmed by a failed call and given back, which
 // frees its tasks before its lease would.
 func TestMachineDies(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.within(40*time.Second, "service up", func() bool { return c.on("j-1", 2) == 2 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.world.Kill(c.world.On("j-1/0")[0])
-		c.within(40*time.Second, "replica elsewhere", func() bool { return c.on("j-1", 2) == 2 })
+		c.within(40*time.Second, "replica elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
 
@@ -136,17 +136,17 @@
 func TestHangingMachine(t *testing.T) {
 	for _, hang := range []time.Duration{8 * time.Second, 15 * time.Second, 30 * time.Second, 90 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
-				c.submit("perch-0", service("j-1", 2))
-				c.submit("perch-0", batch("j-2", 3, 60))
-				c.within(40*time.Second, "all up", func() bool { return c.on("j-1", 2) == 2 && c.on("j-2", 3) == 3 })
+			runCluster(t, nil, func(c *cluster) {
+				c.submit("perch-0", serviceJob("j-1", 2))
+				c.submit("perch-0", batchJob("j-2", 3, 60))
+				c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 3) == 3 })
 				c.world.CloudDown(true)
 				w := c.world.Worker(c.world.On("j-1/0")[0])
 				w.Hang(true)
-				c.run(hang)
+				c.advance(hang)
 				w.Hang(false)
 				c.world.CloudDown(false)
-				c.within(60*time.Second, "service whole", func() bool { return c.on("j-1", 2) == 2 })
+				c.within(60*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 				c.withinDone(200*time.Second, "j-2")
 			})
 		})
@@ -157,10 +157,10 @@
 // and its end has been cleared: only a higher token, seen by the worker in the
 // meantime, keeps the order from starting it once more.
 func TestOrderArrivesLate(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 4, 300)) // keeps its machines
-		c.within(60*time.Second, "running", func() bool { return c.on("j-1", 4) == 4 })
-		c.submit("perch-0", batch("j-2", 4, 30)) // makes room beside it
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 4, 300)) // keeps its machines
+		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
+		c.submit("perch-0", batchJob("j-2", 4, 30)) // makes room beside it
 		c.withinDone(120*time.Second, "j-2")
 		c.world.Net.Lateness = 15 * time.Second
 		c.world.Net.Faults(func(_, _, path string) emulator.Fault {
@@ -170,9 +170,9 @@
 			return emulator.Deliver
 		})
 		before := c.world.Starts()
-		c.submit("perch-0", batch("j-3", 2, 2))
+		c.submit("perch-0", batchJob("j-3", 2, 2))
 		c.withinDone(60*time.Second, "j-3")
-		c.run(30 * time.Second)
+		c.advance(30 * time.Second)
 		if n := c.world.Starts() - before; n != 2 {
 			t.Errorf("%d starts for 2 tasks", n)
 		}
@@ -182,8 +182,8 @@
 // What an old leader wrote may reach the state service after its successor has
 // read the records. It must not be applied: nobody would know of it.
 func TestOldLeaderWritesLate(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 4, 10))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 4, 10))
 		c.withinDone(60*time.Second, "j-1")
 		old := c.leader()
 		c.world.Net.Lateness = 8 * time.Second
@@ -197,12 +197,12 @@
 		if other == old {
 			other = c.names[1]
 		}
-		c.submit(other, batch("j-2", 2, 1))
-		c.run(time.Second)
+		c.submit(other, batchJob("j-2", 2, 1))
+		c.advance(time.Second)
 		c.crash(old)
 		c.withinDone(60*time.Second, "j-2")
 		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
-		if live := c.inBook(); len(live) > 0 {
+		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("the old leader's assignments were recorded late: %v", live)
 		}
 	})
@@ -211,10 +211,10 @@
 // A cancellation that reaches the state service after the job is done must not
 // turn it back, nor may its user be told that it was cancelled.
 func TestCancelRacesDone(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 2, 12))
-		c.within(40*time.Second, "running", func() bool { return c.on("j-1", 2) == 2 })
-		c.run(11 * time.Second)
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 2, 12))
+		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.advance(11 * time.Second)
 		node := c.names[0]
 		if node == c.leader() {
 			node = c.names[1]
@@ -226,12 +226,12 @@
 			}
 			return emulator.Deliver
 		})
-		if status, view := c.ask("POST", node, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
+		if status, view := c.request("POST", node, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
 			t.Errorf("told %v", view)
 		}
 		c.withinDone(10*time.Second, "j-1")
-		c.run(10 * time.Second)
-		if got := c.stance("j-1"); got != jobs.Done {
+		c.advance(10 * time.Second)
+		if got := c.jobState("j-1"); got != jobs.Done {
 			t.Errorf("done went back to %s", got)
 		}
 	})
@@ -240,7 +240,7 @@
 // Answers of the state service get lost: transactions may or may not have been
 // applied, and submissions and cancellations are repeated by their users.
 func TestTransactionOutcomesUnknown(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		n := 0
 		c.world.Net.Faults(func(from, to, path string) emulator.Fault {
 			if path != "/commit" {
@@ -255,17 +255,17 @@
 			}
 			return emulator.Deliver
 		})
-		s := batch("j-1", 8, 10)
+		s := batchJob("j-1", 8, 10)
 		c.world.Upload(s)
 		accepted := func() bool {
-			status, _ := c.ask("POST", "perch-1", "/v1/jobs", asUser(s))
+			status, _ := c.request("POST", "perch-1", "/v1/jobs", wireSpec(s))
 			return status == 200 || status == 201
 		}
 		c.within(30*time.Second, "accepted", accepted)
 		c.withinDone(200*time.Second, "j-1")
 		c.world.Net.Faults(nil)
-		c.run(2 * time.Minute)
-		if got := c.stance("j-1"); got != jobs.Done {
+		c.advance(2 * time.Minute)
+		if got := c.jobState("j-1"); got != jobs.Done {
 			t.Errorf("done went back to %s", got)
 		}
 		if c.world.Starts() != 8 {
@@ -277,9 +277,9 @@
 // A user cancels while the job's machines cannot be reached: their lease has
 // to end the tasks, and none may start again.
 func TestCancelOnUnreachableMachines(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 8, 300))
-		c.within(40*time.Second, "running", func() bool { return c.on("j-1", 8) == 8 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 8, 300))
+		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
 		cut := c.world.On("j-1/0")[0]
 		c.world.Net.Faults(func(from, to, _ string) emulator.Fault {
 			if from == cut || to == cut {
@@ -287,11 +287,11 @@
 			}
 			return emulator.Deliver
 		})
-		c.withdraw("perch-2", "j-1")
-		c.run(41 * time.Second)
+		c.cancelJob("perch-2", "j-1")
+		c.advance(41 * time.Second)
 		c.world.Net.Faults(nil)
-		c.run(time.Minute)
-		if n := c.on("j-1", 8); n != 0 {
+		c.advance(time.Minute)
+		if n := c.tasksOnMachines("j-1", 8); n != 0 {
 			t.Errorf("%d tasks of a cancelled job", n)
 		}
 	})
@@ -300,15 +300,15 @@
 // A team stays within its limit, whatever is asked, and gets its guarantee
 // from what another team has borrowed.
 func TestQuotaAndGuarantee(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(4) // 16 CPUs in all
-		c.submit("perch-0", batch("j-1", 60, 30))
-		c.within(60*time.Second, "blue has borrowed", func() bool { return c.on("j-1", 60) == 16 })
-		red := batch("j-2", 8, 20)
+		c.submit("perch-0", batchJob("j-1", 60, 30))
+		c.within(60*time.Second, "blue has borrowed", func() bool { return c.tasksOnMachines("j-1", 60) == 16 })
+		red := batchJob("j-2", 8, 20)
 		red.Team = "red"
 		c.submit("perch-1", red)
-		c.within(15*time.Second, "red has its guarantee", func() bool { return c.on("j-2", 8) == 8 })
-		over := batch("j-3", 40, 5)
+		c.within(15*time.Second, "red has its guarantee", func() bool { return c.tasksOnMachines("j-2", 8) == 8 })
+		over := batchJob("j-3", 40, 5)
 		over.Team = "red"
 		c.submit("perch-1", over)
 		c.withinDone(5*time.Minute, "j-3")
@@ -317,31 +317,31 @@
 
 // A service goes first: it takes the place of work of lower priority.
 func TestPreemption(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(2)
-		low := batch("j-1", 8, 200)
+		low := batchJob("j-1", 8, 200)
 		low.Priority, low.CheckpntS, low.SaveS, low.Spot = jobs.BestEffort, 10, 2, false
 		c.submit("perch-0", low)
-		c.within(40*time.Second, "machines full", func() bool { return c.on("j-1", 8) == 8 })
-		s := service("j-2", 2)
+		c.within(40*time.Second, "machines full", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
+		s := serviceJob("j-2", 2)
 		s.Spread = false
 		c.submit("perch-0", s)
-		c.within(15*time.Second, "service up", func() bool { return c.on("j-2", 2) == 2 })
+		c.within(15*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 	})
 }
 
-// allUp starts a service and an array and waits until all their tasks run.
-func (c *cluster) allUp() {
+// runServiceAndBatch starts a service and an array and waits until all their tasks run.
+func (c *cluster) runServiceAndBatch() {
 	c.t.Helper()
-	c.submit("perch-0", service("j-1", 2))
-	c.submit("perch-0", batch("j-2", 6, 60))
-	c.within(40*time.Second, "all up", func() bool { return c.on("j-1", 2) == 2 && c.on("j-2", 6) == 6 })
+	c.submit("perch-0", serviceJob("j-1", 2))
+	c.submit("perch-0", batchJob("j-2", 6, 60))
+	c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
 }
 
 // A leader that no worker reaches any more makes way for one that they reach.
 func TestLeaderLosesWorkers(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		old := c.leader()
 		c.world.Net.Faults(func(from, to, path string) emulator.Fault {
 			if from == old && strings.HasPrefix(to, "m-") || to == old && strings.HasPrefix(from, "m-") {
@@ -350,8 +350,8 @@
 			return emulator.Deliver
 		})
 		c.within(30*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
-		c.run(20 * time.Second)
-		if c.on("j-1", 2) != 2 || c.world.Starts() != 8 {
+		c.advance(20 * time.Second)
+		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 8 {
 			t.Errorf("the move cost work: %d starts for 8 tasks", c.world.Starts())
 		}
 		c.world.Net.Faults(nil)
@@ -360,9 +360,9 @@
 
 // A slow machine is found by the siblings of its tasks, which then run elsewhere.
 func TestSlowMachine(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 12, 20))
-		c.within(60*time.Second, "running", func() bool { return c.on("j-1", 12) >= 8 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 12, 20))
+		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 12) >= 8 })
 		c.world.Worker(c.world.On("j-1/0")[0]).Slow(20)
 		c.withinDone(120*time.Second, "j-1")
 	})
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -18,52 +18,52 @@
 	"ospreyslip/internal/jobs"
 )
 
-// users submit jobs, ask about them, cancel some and repeat themselves, one request
+// simulatedUsers submit jobs, ask about them, cancel some and repeat themselves, one request
 // at a time for each job, until they are told that it is over.
-type users struct {
-	c      *cluster
-	ctx    context.Context
-	cancel context.CancelFunc
-	all    sync.WaitGroup
-	mu     sync.Mutex
-	ends   map[string]chan struct{} // closed when a job's last task has ended
-	over   map[string]string
-	n      int
+type simulatedUsers struct {
+	cluster       *cluster
+	ctx           context.Context
+	cancel        context.CancelFunc
+	following     sync.WaitGroup
+	mu            sync.Mutex
+	lastTaskEnded map[string]chan struct{} // closed when a job's last task has ended
+	finalStates   map[string]string
+	submitted     int
 }
 
-func newUsers(c *cluster) *users {
-	u := &users{c: c, ends: map[string]chan struct{}{}, over: map[string]string{}}
+func newSimulatedUsers(c *cluster) *simulatedUsers {
+	u := &simulatedUsers{cluster: c, lastTaskEnded: map[string]chan struct{}{}, finalStates: map[string]string{}}
 	u.ctx, u.cancel = context.WithCancel(c.ctx)
 	c.world.Ended = func(id string) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if end := u.ends[id]; end != nil {
+		if end := u.lastTaskEnded[id]; end != nil {
 			close(end)
-			u.ends[id] = nil
+			u.lastTaskEnded[id] = nil
 		}
 	}
 	return u
 }
 
 // What a user does about a job besides asking.
-type habit struct {
+type userBehavior struct {
 	cancelAfter time.Duration // 0: never
 	cancelAtEnd bool          // cancels at the moment at which the last task ends
-	repeats     bool          // submits it again and again
+	resubmits   bool          // submits it again and again
 }
 
-func (u *users) job(r *rand.Rand, s *jobs.Spec, h habit) {
-	u.c.world.Upload(s)
+func (u *simulatedUsers) submitAndFollow(r *rand.Rand, s *jobs.Spec, h userBehavior) {
+	u.cluster.world.Upload(s)
 	end := make(chan struct{})
 	u.mu.Lock()
-	u.ends[s.ID] = end
-	u.n++
+	u.lastTaskEnded[s.ID] = end
+	u.submitted++
 	u.mu.Unlock()
-	u.all.Go(func() { u.follow(r, s, h, end) })
+	u.following.Go(func() { u.follow(r, s, h, end) })
 }
 
-func (u *users) follow(r *rand.Rand, s *jobs.Spec, h habit, end chan struct{}) {
-	node := func() string { return u.c.names[r.IntN(len(u.c.names))] }
+func (u *simulatedUsers) follow(r *rand.Rand, s *jobs.Spec, h userBehavior, end chan struct{}) {
+	node := func() string { return u.cluster.names[r.IntN(len(u.cluster.names))] }
 	sleep := func(d time.Duration) bool {
 		select {
 		case <-u.ctx.Done():
@@ -75,7 +75,7 @@
 	// A request is repeated until it is answered, for a minute.
 	until := func(method, path string, body any) (int, map[string]any) {
 		for start := time.Now(); ; {
-			status, view := u.c.ask(method, node(), path, body)
+			status, view := u.cluster.request(method, node(), path, body)
 			if status == http.StatusOK || status == http.StatusCreated || status == http.StatusUnprocessableEntity || time.Since(start) > time.Minute {
 				return status, view
 			}
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	if status, _ := until("POST", "/v1/jobs", asUser(s)); status != http.StatusCreated && status != http.StatusOK {
+	if status, _ := until("POST", "/v1/jobs", wireSpec(s)); status != http.StatusCreated && status != http.StatusOK {
 		return
 	}
 	var withdraw <-chan time.Time
@@ -106,17 +106,17 @@
 		switch {
 		case called:
 			status, view = until("POST", "/v1/jobs/"+s.ID+"/withdraw", nil)
-		case h.repeats && r.IntN(3) == 0:
-			status, view = u.c.ask("POST", node(), "/v1/jobs", asUser(s))
+		case h.resubmits && r.IntN(3) == 0:
+			status, view = u.cluster.request("POST", node(), "/v1/jobs", wireSpec(s))
 		default:
-			status, view = u.c.ask("GET", node(), "/v1/jobs/"+s.ID, nil)
+			status, view = u.cluster.request("GET", node(), "/v1/jobs/"+s.ID, nil)
 		}
 		if stance, _ := view["stance"].(string); status == http.StatusOK && (stance == jobs.Done || stance == jobs.Cancelled) {
 			u.mu.Lock()
-			u.over[s.ID] = stance
+			u.finalStates[s.ID] = stance
 			u.mu.Unlock()
-			if h.repeats && u.ctx.Err() == nil && sleep(10*time.Second) {
-				u.c.ask("POST", node(), "/v1/jobs", asUser(s)) // at any later time
+			if h.resubmits && u.ctx.Err() == nil && sleep(10*time.Second) {
+				u.cluster.request("POST", node(), "/v1/jobs", wireSpec(s)) // at any later time
 			}
 			return
 		}
@@ -124,78 +124,78 @@
 }
 
 // stop lets all users go.
-func (u *users) stop() {
+func (u *simulatedUsers) stop() {
 	u.cancel()
-	u.all.Wait()
+	u.following.Wait()
 }
 
-// rand is a source for a test's own users.
-func (c *cluster) rand() *rand.Rand {
-	c.drawn++
-	return rand.New(rand.NewPCG(c.drawn, 0))
+// newRand is a source for a test's own users.
+func (c *cluster) newRand() *rand.Rand {
+	c.randomSources++
+	return rand.New(rand.NewPCG(c.randomSources, 0))
 }
 
-func (u *users) isOver(id string) bool {
+func (u *simulatedUsers) isOver(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.over[id] != ""
+	return u.finalStates[id] != ""
 }
 
-// troubles draws from all that the users' pages name, one on another.
-type troubles struct {
-	c    *cluster
-	r    *rand.Rand
-	seed uint64
-	at   []event
+// faultSchedule draws from all that the users' pages name, one on another.
+type faultSchedule struct {
+	cluster *cluster
+	random  *rand.Rand
+	seed    uint64
+	events  []scheduledEvent
 }
 
-type event struct {
+type scheduledEvent struct {
 	at time.Duration
 	do func()
 }
 
-// chance is the same for the same message in every run.
-func (tr *troubles) chance(kind, from, to, path string) float64 {
+// probability is the same for the same message in every run.
+func (tr *faultSchedule) probability(kind, from, to, path string) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, tr.seed, kind, from, to, path, time.Now().UnixNano())
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-func (tr *troubles) on(at, life time.Duration, name string, begin func() (end func())) {
-	tr.at = append(tr.at, event{at, func() {
-		tr.c.world.Note("== %s, for %v", name, life)
+func (tr *faultSchedule) schedule(at, life time.Duration, name string, begin func() (end func())) {
+	tr.events = append(tr.events, scheduledEvent{at, func() {
+		tr.cluster.world.Note("== %s, for %v", name, life)
 		end := begin()
-		tr.at = append(tr.at, event{at + life, func() {
-			tr.c.world.Note("== %s is over", name)
+		tr.events = append(tr.events, scheduledEvent{at + life, func() {
+			tr.cluster.world.Note("== %s is over", name)
 			end()
 		}})
 	}})
 }
 
-func (tr *troubles) rule(at, life time.Duration, name string, rule emulator.Rule) {
-	tr.on(at, life, name, func() func() { return tr.c.world.Net.Trouble(rule) })
+func (tr *faultSchedule) scheduleRule(at, life time.Duration, name string, rule emulator.Rule) {
+	tr.schedule(at, life, name, func() func() { return tr.cluster.world.Net.Trouble(rule) })
 }
 
 // run plays all events up to a moment.
-func (tr *troubles) run(start time.Time, until time.Duration) {
+func (tr *faultSchedule) run(start time.Time, until time.Duration) {
 	for {
-		slices.SortStableFunc(tr.at, func(a, b event) int { return int(a.at - b.at) })
-		if len(tr.at) == 0 || tr.at[0].at > until {
+		slices.SortStableFunc(tr.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
+		if len(tr.events) == 0 || tr.events[0].at > until {
 			break
 		}
-		e := tr.at[0]
-		tr.at = tr.at[1:]
-		tr.c.run(time.Until(start.Add(e.at)))
+		e := tr.events[0]
+		tr.events = tr.events[1:]
+		tr.cluster.advance(time.Until(start.Add(e.at)))
 		e.do()
 	}
-	tr.c.run(time.Until(start.Add(until)))
+	tr.cluster.advance(time.Until(start.Add(until)))
 }
 
 func isMachine(host string) bool { return strings.HasPrefix(host, "m-") }
 
-// draw adds one trouble of any kind.
-func (tr *troubles) draw(at time.Duration) {
-	c, r := tr.c, tr.r
+// scheduleRandom adds one trouble of any kind.
+func (tr *faultSchedule) scheduleRandom(at time.Duration) {
+	c, r := tr.cluster, tr.random
 	life := time.Duration(1+r.IntN(12)) * time.Second
 	if r.IntN(3) == 0 {
 		life *= 6 // beyond any lease, and beyond the time of a cancellation
@@ -215,7 +215,7 @@
 	share := 0.1 + 0.6*r.Float64()
 	fault := []emulator.Fault{emulator.Silent, emulator.Refuse, emulator.Late, emulator.LoseAnswer}[r.IntN(4)]
 	nodeRule := func(name string, cut func(node, from, to string) bool) {
-		tr.on(at, life, name, func() func() {
+		tr.schedule(at, life, name, func() func() {
 			n := who()
 			c.world.Note("== of %s, fault %d", n, fault)
 			return c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
@@ -239,8 +239,8 @@
 		return set
 	}
 	messages := func(name, path string, f emulator.Fault) {
-		tr.rule(at, life, name, func(from, to, p string) emulator.Fault {
-			if p == path && tr.chance(name, from, to, p) < share {
+		tr.scheduleRule(at, life, name, func(from, to, p string) emulator.Fault {
+			if p == path && tr.probability(name, from, to, p) < share {
 				return f
 			}
 			return emulator.Deliver
@@ -248,12 +248,12 @@
 	}
 	switch r.IntN(20) {
 	case 0:
-		tr.on(at, life, "the state service is out", func() func() {
+		tr.schedule(at, life, "the state service is out", func() func() {
 			c.world.State.Down(true)
 			return func() { c.world.State.Down(false) }
 		})
 	case 1, 2:
-		tr.on(at, life, "the state service refuses one", func() func() {
+		tr.schedule(at, life, "the state service refuses one", func() func() {
 			n := who()
 			c.world.Note("== it is %s", n)
 			c.world.State.RefuseFrom(n, true)
@@ -270,7 +270,7 @@
 	case 7:
 		messages("transactions are slow", "/commit", emulator.Slow)
 	case 8:
-		tr.on(at, life, "machines are deaf", func() func() {
+		tr.schedule(at, life, "machines are deaf", func() func() {
 			deaf := some()
 			return c.world.Net.Trouble(func(from, to, _ string) emulator.Fault {
 				switch {
@@ -283,7 +283,7 @@
 			})
 		})
 	case 9:
-		tr.on(at, life, "machines are mute", func() func() {
+		tr.schedule(at, life, "machines are mute", func() func() {
 			mute := some()
 			return c.world.Net.Trouble(func(from, _, _ string) emulator.Fault {
 				if mute[from] {
@@ -293,7 +293,7 @@
 			})
 		})
 	case 10:
-		tr.on(at, life, "machines hang", func() func() {
+		tr.schedule(at, life, "machines hang", func() func() {
 			var hung []*emulator.Worker
 			for m := range some() {
 				hung = append(hung, c.world.Worker(m))
@@ -308,7 +308,7 @@
 			}
 		})
 	case 11:
-		tr.at = append(tr.at, event{at, func() {
+		tr.events = append(tr.events, scheduledEvent{at, func() {
 			for i, m := range c.world.Machines() {
 				if i < 2 {
 					c.world.Note("== %s dies", m)
@@ -330,7 +330,7 @@
 		zone := c.world.ZoneOf
 		in := c.settings("perch-0").Deployment.Zones[r.IntN(3)]
 		with := r.IntN(2) == 0
-		tr.on(at, life, "a zone is cut off", func() func() {
+		tr.schedule(at, life, "a zone is cut off", func() func() {
 			n := who()
 			within := func(host string) bool { return with && host == n || zone(host) == in }
 			return c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
@@ -342,7 +342,7 @@
 		})
 	case 17, 18:
 		back := []time.Duration{10 * time.Millisecond, 150 * time.Millisecond, time.Second, 5 * time.Second}[r.IntN(4)]
-		tr.at = append(tr.at, event{at, func() {
+		tr.events = append(tr.events, scheduledEvent{at, func() {
 			names := []string{who()}
 			switch r.IntN(4) {
 			case 0:
@@ -350,11 +350,11 @@
 			case 1:
 				names = append(names, c.names[(slices.Index(c.names, names[0])+1)%3])
 			}
-			names = slices.DeleteFunc(names, func(n string) bool { return c.nodes[n].ended() })
+			names = slices.DeleteFunc(names, func(n string) bool { return c.processes[n].ended() })
 			c.crash(names...)
 			for i, n := range names {
-				tr.at = append(tr.at, event{at + back + time.Duration(i*r.IntN(300))*time.Millisecond, func() {
-					if c.nodes[n].ended() {
+				tr.events = append(tr.events, scheduledEvent{at + back + time.Duration(i*r.IntN(300))*time.Millisecond, func() {
+					if c.processes[n].ended() {
 						c.start(n)
 					}
 				}})
@@ -362,18 +362,18 @@
 		}})
 	case 19:
 		lag := 1 + r.IntN(40)
-		tr.on(at, life, "watches lag", func() func() {
+		tr.schedule(at, life, "watches lag", func() func() {
 			c.world.State.Lag(lag)
 			return func() { c.world.State.Lag(0) }
 		})
 	}
 }
 
-// soakSeeds is how many days the test below draws. OSPREYSLIP_SEEDS=from:to plays others.
-const soakSeeds = 8
+// defaultSeeds is how many days the test below draws. OSPREYSLIP_SEEDS=from:to plays others.
+const defaultSeeds = 8
 
-func seeds(t *testing.T) (list []uint64) {
-	from, to := uint64(1), uint64(soakSeeds)
+func seedsToPlay(t *testing.T) (list []uint64) {
+	from, to := uint64(1), uint64(defaultSeeds)
 	if v := os.Getenv("OSPREYSLIP_SEEDS"); v != "" {
 		if _, err := fmt.Sscanf(v, "%d:%d", &from, &to); err != nil {
 			t.Fatalf("OSPREYSLIP_SEEDS: %v", err)
@@ -389,13 +389,13 @@
 // repeat and cancel. No rule may break; when the troubles are over every question is
 // answered within 75 s, and all work is done soon.
 func TestTroublesMeet(t *testing.T) {
-	for _, seed := range seeds(t) {
+	for _, seed := range seedsToPlay(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
+			runCluster(t, nil, func(c *cluster) {
 				r := rand.New(rand.NewPCG(seed, 0))
-				tr := &troubles{c: c, r: r, seed: seed}
+				tr := &faultSchedule{cluster: c, random: r, seed: seed}
 				c.world.Net.LateBy = func(from, to, path string) time.Duration {
-					late := tr.chance("late", from, to, path)
+					late := tr.probability("late", from, to, path)
 					switch path {
 					case "/commit":
 						return time.Duration((0.3 + 12*late*late) * float64(time.Second))
@@ -404,26 +404,26 @@
 					}
 				}
 				c.world.Capacity(8)
-				u := newUsers(c)
+				u := newSimulatedUsers(c)
 				var ends, lasts []*jobs.Spec
 				for i := range 26 {
 					id := fmt.Sprintf("j-%d", i+1)
 					var s *jobs.Spec
-					h := habit{repeats: r.IntN(4) == 0}
+					h := userBehavior{resubmits: r.IntN(4) == 0}
 					switch k := r.IntN(8); {
 					case i < 2:
-						s = service(id, 2)
+						s = serviceJob(id, 2)
 						lasts = append(lasts, s)
 					case k == 0:
-						s = service(id, 1+r.IntN(3))
+						s = serviceJob(id, 1+r.IntN(3))
 						h.cancelAfter = time.Duration(20+r.IntN(120)) * time.Second
 					case k == 1:
-						s = gang(id, 2+r.IntN(3), float64(5+r.IntN(20)))
+						s = gangJob(id, 2+r.IntN(3), float64(5+r.IntN(20)))
 					case k == 2:
-						s = batch(id, 2, 0)
+						s = batchJob(id, 2, 0)
 						s.EstimateS = float64(2 + r.IntN(70))
 					default:
-						s = batch(id, 1+r.IntN(12), float64(1+r.IntN(40)))
+						s = batchJob(id, 1+r.IntN(12), float64(1+r.IntN(40)))
 						s.Priority = []string{jobs.Standard, jobs.Urgent, jobs.BestEffort}[r.IntN(3)]
 						s.OneZone, s.Spread = r.IntN(5) == 0, r.IntN(6) == 0
 						if r.IntN(5) == 0 {
@@ -447,26 +447,26 @@
 						at = 0
 					}
 					own := rand.New(rand.NewPCG(seed, uint64(i+1)))
-					tr.at = append(tr.at, event{at, func() { u.job(own, s, h) }})
+					tr.events = append(tr.events, scheduledEvent{at, func() { u.submitAndFollow(own, s, h) }})
 				}
 				for range 6 + r.IntN(8) {
-					tr.draw(time.Duration(15+r.IntN(120)) * time.Second)
+					tr.scheduleRandom(time.Duration(15+r.IntN(120)) * time.Second)
 				}
 				// Two that meet: one begins within seconds of the other.
 				for range 4 {
 					at := time.Duration(20+r.IntN(110)) * time.Second
-					tr.draw(at)
-					tr.draw(at + time.Duration(r.IntN(3000))*time.Millisecond)
+					tr.scheduleRandom(at)
+					tr.scheduleRandom(at + time.Duration(r.IntN(3000))*time.Millisecond)
 				}
 				start := time.Now()
 				tr.run(start, 230*time.Second)
 				over := time.Now()
 				for _, n := range c.names {
-					if c.nodes[n].ended() {
+					if c.processes[n].ended() {
 						t.Fatalf("%s was not started again", n)
 					}
 				}
-				c.run(76 * time.Second)
+				c.advance(76 * time.Second)
 				for _, id := range c.world.Unanswered(over) {
 					if !u.isOver(id) {
 						t.Errorf("forgotten: no question about %s was answered for 75 s", id)
@@ -476,11 +476,11 @@
 					return !slices.ContainsFunc(ends, func(s *jobs.Spec) bool { return c.world.Accepted(s.ID) && !u.isOver(s.ID) })
 				})
 				c.within(30*time.Second, "services up", func() bool {
-					return !slices.ContainsFunc(lasts, func(s *jobs.Spec) bool { return c.world.Accepted(s.ID) && c.on(s.ID, s.Tasks) != s.Tasks })
+					return !slices.ContainsFunc(lasts, func(s *jobs.Spec) bool { return c.world.Accepted(s.ID) && c.tasksOnMachines(s.ID, s.Tasks) != s.Tasks })
 				})
 				u.stop()
 				if t.Failed() {
-					t.Log(c.waiting())
+					t.Log(c.queueSummary())
 					t.Log(c.world.Trace())
 				}
 			})
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -12,8 +12,8 @@
 // All controllers end together and come back. What runs goes on untouched, and only what is
 // truly gone is begun once more. The stand-in judges all rules besides.
 
-// wideLimits lets both teams use far more than they are guaranteed.
-func wideLimits(s *settings.Settings) {
+// wideQuotas lets both teams use far more than they are guaranteed.
+func wideQuotas(s *settings.Settings) {
 	s.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 200}, {Name: "blue", CPUs: 8, CPUsMax: 200}}
 }
 
@@ -21,7 +21,7 @@
 func (c *cluster) fillFleet(arrays int) (tasks int) {
 	c.t.Helper()
 	for i := range arrays {
-		spec := batch(fmt.Sprintf("j-%d", 100+i), 4, 4000)
+		spec := batchJob(fmt.Sprintf("j-%d", 100+i), 4, 4000)
 		if i%2 == 0 {
 			spec.Team = "red"
 		}
@@ -29,23 +29,23 @@
 	}
 	tasks = 4 * arrays
 	c.within(2*time.Minute, "fleet full", func() bool { return len(c.world.Running()) == tasks })
-	c.run(10 * time.Second)
+	c.advance(10 * time.Second)
 	return tasks
 }
 
 // restartAll ends all controllers and starts them again after a pause.
 func (c *cluster) restartAll(pause time.Duration) {
 	c.crash(c.names...)
-	c.run(pause)
+	c.advance(pause)
 	for _, n := range c.names {
 		c.start(n)
 	}
 }
 
-// takeover is what the leader says of its take-over.
-func (c *cluster) takeover() reconcile.Progress {
+// takeoverProgress is what the leader says of its take-over.
+func (c *cluster) takeoverProgress() reconcile.Progress {
 	for _, name := range c.names {
-		if s := c.nodes[name].node.gate.Status(c.ctx); s != nil {
+		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
 			return s.Takeover
 		}
 	}
@@ -58,11 +58,11 @@
 func TestRestartOfAllControllers(t *testing.T) {
 	for _, pause := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 8 * time.Second, 24 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
-			inCluster(t, wideLimits, func(c *cluster) {
+			runCluster(t, wideQuotas, func(c *cluster) {
 				tasks := c.fillFleet(20)
 				before := c.world.Starts()
 				c.restartAll(pause)
-				c.run(time.Minute)
+				c.advance(time.Minute)
 				gone := 0
 				if pause > 20*time.Second {
 					gone = tasks
@@ -70,7 +70,7 @@
 				if begun := c.world.Starts() - before; begun != gone || len(c.world.Running()) != tasks {
 					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.Running()), tasks)
 				}
-				p := c.takeover()
+				p := c.takeoverProgress()
 				if p.Phase != reconcile.Settled || p.Heard != p.Expected || p.Expected != len(c.world.Machines()) {
 					t.Errorf("take-over %+v with %d machines", p, len(c.world.Machines()))
 				}
@@ -79,8 +79,8 @@
 	}
 }
 
-// untilLed starts nodes and returns how long it takes until one leads.
-func (c *cluster) untilLed(names ...string) time.Duration {
+// timeUntilLeader starts nodes and returns how long it takes until one leads.
+func (c *cluster) timeUntilLeader(names ...string) time.Duration {
 	c.t.Helper()
 	for _, n := range names {
 		c.start(n)
@@ -88,11 +88,11 @@
 	began := time.Now()
 	for time.Since(began) < 30*time.Second {
 		for _, n := range names {
-			if c.nodes[n].node.elector.Valid() {
+			if c.processes[n].controller.elector.Valid() {
 				return time.Since(began)
 			}
 		}
-		c.run(10 * time.Millisecond)
+		c.advance(10 * time.Millisecond)
 	}
 	c.t.Error("nobody leads")
 	return 0
@@ -101,20 +101,20 @@
 // Beyond the term's lease, restarted nodes need not wait out what their earlier lives may have
 // promised: all have begun anew, and tell each other so. Where one does not answer, they wait.
 func TestTakeOverAfterARestart(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		lease := c.nodes[c.names[0]].node.derived.TermLease
+		lease := c.processes[c.names[0]].controller.derived.TermLease
 		for range 5 {
 			c.crash(c.names...)
-			c.run(2 * lease)
-			if took := c.untilLed(c.names...); took > lease/4 {
+			c.advance(2 * lease)
+			if took := c.timeUntilLeader(c.names...); took > lease/4 {
 				t.Errorf("led after %v with all nodes up, a term lease is %v", took, lease)
 			}
-			c.run(5 * time.Second)
+			c.advance(5 * time.Second)
 		}
 		c.crash(c.names...)
-		c.run(2 * lease)
-		if took := c.untilLed(c.names[:2]...); took < lease*9/10 {
+		c.advance(2 * lease)
+		if took := c.timeUntilLeader(c.names[:2]...); took < lease*9/10 {
 			t.Errorf("led after %v, though one node may rely on promises", took)
 		}
 		c.start(c.names[2])
@@ -124,12 +124,12 @@
 // The holder lives on promises, cut off from the state service alone, when the others are
 // restarted: they are told that it relies on what their earlier lives have promised.
 func TestRestartWhileTheHolderReliesOnPromises(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		old, lease := c.leader(), c.nodes[c.names[0]].node.derived.TermLease
+		old, lease := c.leader(), c.processes[c.names[0]].controller.derived.TermLease
 		c.world.State.Down(true)
-		c.run(2 * lease)
-		if !c.nodes[old].node.elector.Valid() {
+		c.advance(2 * lease)
+		if !c.processes[old].controller.elector.Valid() {
 			t.Fatal("the holder does not live on promises")
 		}
 		var others []string
@@ -147,14 +147,14 @@
 		for range 3000 {
 			led := 0
 			for _, n := range c.names {
-				if c.nodes[n].node.elector.Valid() {
+				if c.processes[n].controller.elector.Valid() {
 					led++
 				}
 			}
 			if led > 1 {
 				t.Fatal("two nodes lead")
 			}
-			c.run(10 * time.Millisecond)
+			c.advance(10 * time.Millisecond)
 		}
 		c.world.State.RefuseFrom(old, false)
 		c.within(time.Minute, "a leader", func() bool { return c.leader() != "" })
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -12,8 +12,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// gang is a job of two tasks a machine, so that tasks of one attempt share some.
-func gang(id string, tasks int, seconds float64) *jobs.Spec {
+// gangJob is a job of two tasks a machine, so that tasks of one attempt share some.
+func gangJob(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "joint", Team: "blue", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: tasks,
 		CPUs: 2, RAMGB: 1, Image: "joint", ImageGB: 1, OneZone: true, EstimateS: seconds, CheckpntS: 10, SaveS: 2,
@@ -21,18 +21,18 @@
 }
 
 func (c *cluster) gangRuns(id string, tasks int) func() bool {
-	return func() bool { return c.on(id, tasks) == tasks && c.world.Gangs(id) > 0 }
+	return func() bool { return c.tasksOnMachines(id, tasks) == tasks && c.world.Gangs(id) > 0 }
 }
 
 func TestGang(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", gang("j-1", 5, 20))
-		c.submit("perch-1", gang("j-2", 1, 5))
-		apart := gang("j-3", 6, 10)
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", gangJob("j-1", 5, 20))
+		c.submit("perch-1", gangJob("j-2", 1, 5))
+		apart := gangJob("j-3", 6, 10)
 		apart.OneZone, apart.Spread = false, true
 		c.submit("perch-2", apart)
 		c.within(40*time.Second, "a gang runs", c.gangRuns("j-1", 5))
-		if status, view := c.ask("GET", "perch-2", "/v1/jobs/j-1", nil); status != 200 {
+		if status, view := c.request("GET", "perch-2", "/v1/jobs/j-1", nil); status != 200 {
 			t.Errorf("%d %v", status, view)
 		}
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
@@ -41,20 +41,20 @@
 				t.Errorf("%s started %d times", id, n)
 			}
 		}
-		if _, view := c.ask("GET", "perch-2", "/v1/jobs/j-1", nil); view["done"] != 5.0 {
+		if _, view := c.request("GET", "perch-2", "/v1/jobs/j-1", nil); view["done"] != 5.0 {
 			t.Errorf("done: %v", view)
 		}
-		many := gang("j-4", 21, 10) // 42 CPUs, and the team may use 40
-		if status, _ := c.ask("POST", "perch-0", "/v1/jobs", asUser(many)); status != http.StatusUnprocessableEntity {
+		many := gangJob("j-4", 21, 10) // 42 CPUs, and the team may use 40
+		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(many)); status != http.StatusUnprocessableEntity {
 			t.Errorf("more than the team may use at a time: %d", status)
 		}
-		large := gang("j-5", 2, 10)
+		large := gangJob("j-5", 2, 10)
 		large.CPUs = 5
-		if status, _ := c.ask("POST", "perch-0", "/v1/jobs", asUser(large)); status != http.StatusUnprocessableEntity {
+		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(large)); status != http.StatusUnprocessableEntity {
 			t.Errorf("a task fits no machine: %d", status)
 		}
 		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
-		if live := c.inBook(); len(live) > 0 {
+		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("still in the book: %v", live)
 		}
 	})
@@ -64,12 +64,12 @@
 // half that the other waits for, and neither starves behind an array that fills
 // every gap.
 func TestGangsCompete(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(3) // 12 CPUs
-		c.submit("perch-0", batch("j-9", 400, 8))
-		c.run(30 * time.Second)
+		c.submit("perch-0", batchJob("j-9", 400, 8))
+		c.advance(30 * time.Second)
 		for i := range 3 {
-			c.submit("perch-1", gang(fmt.Sprint("j-", i+1), 2, 15))
+			c.submit("perch-1", gangJob(fmt.Sprint("j-", i+1), 2, 15))
 		}
 		for i := range 3 {
 			c.withinDone(6*time.Minute, fmt.Sprint("j-", i+1))
@@ -84,7 +84,7 @@
 	leader := func(c *cluster) {
 		old := c.leader()
 		c.crash(old)
-		c.run(300 * time.Millisecond)
+		c.advance(300 * time.Millisecond)
 		c.start(old)
 	}
 	kill := func(c *cluster) {
@@ -99,7 +99,7 @@
 		if on := c.world.On("j-1/2"); len(on) > 0 {
 			w := c.world.Worker(on[0])
 			w.Hang(true)
-			c.run(6 * time.Second)
+			c.advance(6 * time.Second)
 			w.Hang(false)
 		}
 	}
@@ -130,13 +130,13 @@
 			}
 			return emulator.Deliver
 		})
-		c.run(20 * time.Second)
+		c.advance(20 * time.Second)
 		c.world.Net.Faults(nil)
 	}
 	for name, trouble := range map[string]func(*cluster){
 		"leader lost": leader, "machine lost": kill, "machine hangs": hang,
 		"orders come twice": lateOrders, "reports come twice": lateReports, "orders held up": lostOrders,
-		"machine, then leader": func(c *cluster) { kill(c); c.run(time.Second); leader(c) },
+		"machine, then leader": func(c *cluster) { kill(c); c.advance(time.Second); leader(c) },
 		"leader, then machine": func(c *cluster) { leader(c); kill(c) },
 	} {
 		// From its submission on: placed, fetching, gathering, running, done. Its
@@ -144,15 +144,15 @@
 		for _, after := range []time.Duration{100, 400, 700, 1300, 2200, 6000, 12300} {
 			after *= time.Millisecond
 			t.Run(fmt.Sprint(name, " after ", after), func(t *testing.T) {
-				inCluster(t, nil, func(c *cluster) {
-					c.submit("perch-0", gang("j-8", 6, 20)) // leaves its machines idle
+				runCluster(t, nil, func(c *cluster) {
+					c.submit("perch-0", gangJob("j-8", 6, 20)) // leaves its machines idle
 					c.within(40*time.Second, "machines up", c.gangRuns("j-8", 6))
 					c.withinDone(40*time.Second, "j-8")
-					c.submit("perch-0", gang("j-1", 4, 10))
-					c.run(after)
+					c.submit("perch-0", gangJob("j-1", 4, 10))
+					c.advance(after)
 					trouble(c)
 					c.withinDone(4*time.Minute, "j-1")
-					c.run(40 * time.Second)
+					c.advance(40 * time.Second)
 				})
 			})
 		}
@@ -164,14 +164,14 @@
 	for _, after := range []time.Duration{0, 300, 900, 1500, 3000, 8000, 16000, 18000} {
 		after *= time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
-				c.submit("perch-0", service("j-7", 2)) // has machines up
-				c.within(40*time.Second, "machines up", func() bool { return c.on("j-7", 2) == 2 })
-				c.submit("perch-0", gang("j-1", 7, 60))
-				c.run(after)
-				c.withdraw("perch-1", "j-1")
-				c.run(20 * time.Second)
-				if n := c.on("j-1", 7); n != 0 {
+			runCluster(t, nil, func(c *cluster) {
+				c.submit("perch-0", serviceJob("j-7", 2)) // has machines up
+				c.within(40*time.Second, "machines up", func() bool { return c.tasksOnMachines("j-7", 2) == 2 })
+				c.submit("perch-0", gangJob("j-1", 7, 60))
+				c.advance(after)
+				c.cancelJob("perch-1", "j-1")
+				c.advance(20 * time.Second)
+				if n := c.tasksOnMachines("j-1", 7); n != 0 {
 					t.Errorf("%d tasks of a cancelled gang", n)
 				}
 			})
@@ -182,19 +182,19 @@
 // A service takes the room of a gang: all of it stops, is told in time to save, and
 // goes on from there later.
 func TestGangMakesRoom(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(2)
-		low := gang("j-1", 4, 60)
+		low := gangJob("j-1", 4, 60)
 		low.Priority = jobs.BestEffort
 		c.submit("perch-0", low)
 		c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
-		c.run(25 * time.Second)
-		s := service("j-2", 2)
+		c.advance(25 * time.Second)
+		s := serviceJob("j-2", 2)
 		s.Spread = false
 		c.submit("perch-0", s)
-		c.within(15*time.Second, "service up", func() bool { return c.on("j-2", 2) == 2 })
-		c.within(10*time.Second, "the gang is gone", func() bool { return c.on("j-1", 4) == 0 })
-		c.withdraw("perch-0", "j-2")
+		c.within(15*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(10*time.Second, "the gang is gone", func() bool { return c.tasksOnMachines("j-1", 4) == 0 })
+		c.cancelJob("perch-0", "j-2")
 		c.withinDone(80*time.Second, "j-1")
 	})
 }
@@ -205,22 +205,22 @@
 	for _, after := range []time.Duration{50, 150, 300, 700, 1500, 2500} {
 		after *= time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
+			runCluster(t, nil, func(c *cluster) {
 				c.world.Capacity(2)
-				low := gang("j-1", 4, 40)
+				low := gangJob("j-1", 4, 40)
 				low.Priority = jobs.BestEffort
 				c.submit("perch-0", low)
 				c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
-				s := service("j-2", 2)
+				s := serviceJob("j-2", 2)
 				s.Spread = false
 				c.submit("perch-0", s)
-				c.run(after)
+				c.advance(after)
 				old := c.leader()
 				c.crash(old)
-				c.run(500 * time.Millisecond)
+				c.advance(500 * time.Millisecond)
 				c.start(old)
-				c.within(30*time.Second, "service up", func() bool { return c.on("j-2", 2) == 2 })
-				c.withdraw("perch-0", "j-2")
+				c.within(30*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+				c.cancelJob("perch-0", "j-2")
 				c.withinDone(2*time.Minute, "j-1")
 			})
 		})
@@ -230,10 +230,10 @@
 // A gang in one zone that goes dark is not begun in another while a task of it may
 // still be there.
 func TestGangInDarkZone(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", gang("j-1", 4, 60))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", gangJob("j-1", 4, 60))
 		c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
-		c.run(5 * time.Second)
+		c.advance(5 * time.Second)
 		zone := c.world.ZoneOf(c.world.On("j-1/0")[0])
 		c.world.CloudDown(true)
 		c.world.Net.Faults(func(from, to, _ string) emulator.Fault {
@@ -242,9 +242,9 @@
 			}
 			return emulator.Deliver
 		})
-		c.run(15 * time.Second)
+		c.advance(15 * time.Second)
 		c.world.CloudDown(false)
-		c.run(30 * time.Second)
+		c.advance(30 * time.Second)
 		c.world.Net.Faults(nil)
 		c.withinDone(4*time.Minute, "j-1")
 	})
@@ -257,17 +257,17 @@
 	tweak := func(s *settings.Settings) {
 		s.Deployment.State.Next = &settings.NextState{ValueKB: &kb, WriteRPS: &writes, TxnOps: &ops}
 	}
-	inCluster(t, tweak, func(c *cluster) {
+	runCluster(t, tweak, func(c *cluster) {
 		c.world.State.Limit(emulator.Limits{ValueBytes: 2 << 10, TxnOps: 4, Writes: 70})
-		large := gang("j-1", 300, 12)
+		large := gangJob("j-1", 300, 12)
 		large.CPUs, large.RAMGB, large.OneZone = 0.125, 0.125, false
-		c.submit("perch-0", batch("j-9", 36, 10)) // leaves its machines idle
+		c.submit("perch-0", batchJob("j-9", 36, 10)) // leaves its machines idle
 		c.withinDone(60*time.Second, "j-9")
 		c.submit("perch-0", large)
 		written := 0
 		for range 6000 {
 			written = 0
-			for _, a := range c.inBook() {
+			for _, a := range c.loggedAssignments() {
 				if strings.HasPrefix(a, "j-1/") {
 					written++
 				}
@@ -275,14 +275,14 @@
 			if written > 0 {
 				break
 			}
-			c.run(5 * time.Millisecond)
+			c.advance(5 * time.Millisecond)
 		}
 		if written == 0 || written == 300 {
 			t.Errorf("%d beginnings were durable at first", written)
 		}
 		old := c.leader()
 		c.crash(old)
-		c.run(time.Second)
+		c.advance(time.Second)
 		c.start(old)
 		c.withinDone(3*time.Minute, "j-1")
 		if n := c.world.State.Rejected(); n > 0 {
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -15,33 +15,33 @@
 // Near its memory limit a node takes no new jobs, and says at once when to come back.
 // All else goes on: polls, submissions of known jobs, cancellations, and the work.
 func TestMemoryShort(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
-		c.submit("perch-0", batch("j-3", 2, 30))
-		c.submit("perch-0", batch("j-4", 2, 300))
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
+		c.submit("perch-0", batchJob("j-3", 2, 30))
+		c.submit("perch-0", batchJob("j-4", 2, 300))
 		c.memory.Store(1 << 40)
-		c.run(2 * time.Second)
+		c.advance(2 * time.Second)
 		began := time.Now()
 		for _, n := range c.names {
-			if status, _ := c.ask("POST", n, "/v1/jobs", asUser(batch("j-5", 2, 30))); status != http.StatusServiceUnavailable {
+			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-5", 2, 30))); status != http.StatusServiceUnavailable {
 				t.Errorf("%s answers a new job with %d", n, status)
 			}
-			if status, _ := c.ask("POST", n, "/v1/jobs", asUser(batch("j-3", 2, 30))); status != http.StatusOK {
+			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-3", 2, 30))); status != http.StatusOK {
 				t.Errorf("%s answers a known job with %d", n, status)
 			}
-			if status, _ := c.ask("GET", n, "/v1/jobs/j-3", nil); status != http.StatusOK {
+			if status, _ := c.request("GET", n, "/v1/jobs/j-3", nil); status != http.StatusOK {
 				t.Errorf("%s answers a poll with %d", n, status)
 			}
 		}
 		if took := time.Since(began); took > 3*time.Second {
 			t.Errorf("answered after %v in all", took)
 		}
-		c.withdraw("perch-1", "j-4")
+		c.cancelJob("perch-1", "j-4")
 		c.withinDone(60*time.Second, "j-3")
-		c.within(40*time.Second, "cancelled tasks are gone", func() bool { return c.on("j-4", 2) == 0 })
+		c.within(40*time.Second, "cancelled tasks are gone", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
 		c.memory.Store(0)
-		c.run(2 * time.Second)
-		c.submit("perch-2", batch("j-5", 2, 30))
+		c.advance(2 * time.Second)
+		c.submit("perch-2", batchJob("j-5", 2, 30))
 		c.withinDone(60*time.Second, "j-5")
 	})
 }
@@ -52,10 +52,10 @@
 	net := emulator.NewNet()
 	net.Attach("state", "10.2.0.1:1", emulator.NewState())
 	n := New(c.settings("perch-0"), Environment{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
-	n.machineTypes.current.Store(&testTypes)
+	n.machineTypes.current.Store(&testMachineTypes)
 	n.memory.exceeded.Store(true)
 	n.cache.BeSure() // as Work does where there are no peers
-	body, _ := json.Marshal(asUser(batch("j-1", 1, 10)))
+	body, _ := json.Marshal(wireSpec(batchJob("j-1", 1, 10)))
 	rec := httptest.NewRecorder()
 	n.Handler().ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
 	if rec.Code != http.StatusServiceUnavailable || rec.Header().Get("Retry-After") == "" || !strings.Contains(rec.Body.String(), "memory") {
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -18,10 +18,10 @@
 // no more work, its tasks come back in time, it is given back itself, and what
 // was cancelled meanwhile ends with its lease.
 func TestMachineDoesNotHear(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.submit("perch-0", batch("j-2", 20, 300))
-		c.within(60*time.Second, "all up", func() bool { return c.on("j-1", 2) == 2 && c.on("j-2", 20) == 20 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.submit("perch-0", batchJob("j-2", 20, 300))
+		c.within(60*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 20) == 20 })
 		deaf := c.world.On("j-1/0")[0]
 		c.world.Net.Faults(func(from, to, _ string) emulator.Fault {
 			switch {
@@ -32,12 +32,12 @@
 			}
 			return emulator.Deliver
 		})
-		c.withdraw("perch-2", "j-2")
+		c.cancelJob("perch-2", "j-2")
 		c.within(45*time.Second, "service whole, elsewhere", func() bool {
-			return c.on("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), deaf)
+			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.On("j-1/0"), deaf)
 		})
 		c.within(60*time.Second, "given back", func() bool { return !slices.Contains(c.world.Machines(), deaf) })
-		if n := c.on("j-2", 20); n != 0 {
+		if n := c.tasksOnMachines("j-2", 20); n != 0 {
 			t.Errorf("%d tasks of a cancelled job", n)
 		}
 	})
@@ -49,7 +49,7 @@
 func TestEverythingIsRepeated(t *testing.T) {
 	for _, late := range []time.Duration{3 * time.Second, 12 * time.Second, 35 * time.Second, 70 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
+			runCluster(t, nil, func(c *cluster) {
 				c.world.Net.Lateness = late
 				copied := func(_, _, path string) emulator.Fault {
 					if path == emulator.Stream {
@@ -58,24 +58,24 @@
 					return emulator.Copied
 				}
 				c.world.Net.Faults(copied)
-				c.submit("perch-0", service("j-1", 2))
-				low := batch("j-2", 16, 25)
+				c.submit("perch-0", serviceJob("j-1", 2))
+				low := batchJob("j-2", 16, 25)
 				low.Priority, low.CheckpntS, low.SaveS = jobs.BestEffort, 5, 1
 				c.submit("perch-0", low)
-				c.submit("perch-1", batch("j-3", 12, 200))
-				c.within(60*time.Second, "service up", func() bool { return c.on("j-1", 2) == 2 })
+				c.submit("perch-1", batchJob("j-3", 12, 200))
+				c.within(60*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 				c.world.Kill(c.world.On("j-1/1")[0])
-				c.run(20 * time.Second)
-				c.withdraw("perch-1", "j-3")
+				c.advance(20 * time.Second)
+				c.cancelJob("perch-1", "j-3")
 				old := c.leader()
 				c.crash(old)
 				c.world.Net.Faults(copied)
-				c.run(8 * time.Second)
+				c.advance(8 * time.Second)
 				c.start(old)
 				c.withinDone(3*time.Minute, "j-2")
-				c.within(30*time.Second, "service whole", func() bool { return c.on("j-1", 2) == 2 })
-				c.run(90 * time.Second)
-				if n := c.on("j-3", 12); n != 0 {
+				c.within(30*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.advance(90 * time.Second)
+				if n := c.tasksOnMachines("j-3", 12); n != 0 {
 					t.Errorf("%d tasks of a cancelled job", n)
 				}
 			})
@@ -87,12 +87,12 @@
 // elsewhere: only the higher token that the worker has seen keeps it from
 // starting the task again.
 func TestOrderIsRepeatedAfterClear(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.world.Capacity(1)
-		keeps := batch("j-1", 1, 300) // keeps the machine in use
+		keeps := batchJob("j-1", 1, 300) // keeps the machine in use
 		keeps.Spot = false
 		c.submit("perch-0", keeps)
-		c.within(60*time.Second, "running", func() bool { return c.on("j-1", 1) == 1 })
+		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 1) == 1 })
 		c.world.Net.Lateness = 60 * time.Second
 		c.world.Net.Faults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
@@ -100,19 +100,19 @@
 			}
 			return emulator.Deliver
 		})
-		low := batch("j-2", 2, 400)
+		low := batchJob("j-2", 2, 400)
 		low.Priority, low.Spot = jobs.BestEffort, false
 		c.submit("perch-0", low)
-		c.within(30*time.Second, "low is running", func() bool { return c.on("j-2", 2) == 2 })
-		s := service("j-3", 1)
+		c.within(30*time.Second, "low is running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		s := serviceJob("j-3", 1)
 		s.CPUs, s.Spread = 3, false
 		c.submit("perch-0", s) // takes its place
-		c.within(30*time.Second, "service up", func() bool { return c.on("j-3", 1) == 1 })
+		c.within(30*time.Second, "service up", func() bool { return c.tasksOnMachines("j-3", 1) == 1 })
 		c.world.Capacity(2)
-		c.within(40*time.Second, "low is back elsewhere", func() bool { return c.on("j-2", 2) == 2 })
-		c.withdraw("perch-1", "j-3")
+		c.within(40*time.Second, "low is back elsewhere", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.cancelJob("perch-1", "j-3")
 		before := c.world.Starts()
-		c.run(90 * time.Second)
+		c.advance(90 * time.Second)
 		if n := c.world.Starts() - before; n != 0 {
 			t.Errorf("%d starts by orders that came once more", n)
 		}
@@ -122,11 +122,11 @@
 // The leader's watch lags, so that it does not see a cancellation. It may not
 // answer workers on an old picture for longer than the cancellation has.
 func TestWatchLags(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		c.world.State.Lag(1000)
-		c.withdraw("perch-1", "j-1")
-		c.run(41 * time.Second)
+		c.cancelJob("perch-1", "j-1")
+		c.advance(41 * time.Second)
 		c.world.State.Lag(0)
 		c.withinDone(3*time.Minute, "j-2")
 	})
@@ -136,8 +136,8 @@
 // workers. As leader it stops in time, and its workers go on elsewhere; as
 // follower it sends no worker to one that leads no more.
 func TestAloneWithWorkers(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		alone := c.leader()
 		cut := func(from, to, path string) emulator.Fault {
 			if from != alone && to != alone || strings.HasPrefix(from, "m-") || strings.HasPrefix(to, "m-") || from == "user" {
@@ -147,27 +147,27 @@
 		}
 		c.world.Net.Faults(cut)
 		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != alone })
-		c.run(30 * time.Second)
-		if c.on("j-1", 2) != 2 || c.world.Starts() != 8 {
+		c.advance(30 * time.Second)
+		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 8 {
 			t.Errorf("the move cost work: %d starts for 8 tasks", c.world.Starts())
 		}
 		c.world.Net.Faults(nil)
-		c.run(5 * time.Second)
+		c.advance(5 * time.Second)
 		leader := c.leader()
 		alone = c.names[(slices.Index(c.names, leader)+1)%3] // and now as follower
 		c.world.Net.Faults(cut)
-		c.run(50 * time.Second)
+		c.advance(50 * time.Second)
 		report := map[string]any{"host": "m-000900", "addr": "10.1.9.9:9000", "perchKind": "c4", "eyrie": "a", "soar": 1, "beat": 1, "crest": 0, "talons": []any{}}
-		if status, view := c.ask("POST", alone, "/v1/report", report); status != http.StatusServiceUnavailable {
+		if status, view := c.request("POST", alone, "/v1/report", report); status != http.StatusServiceUnavailable {
 			t.Errorf("a node that knows nothing of the term answers a worker %d %v", status, view)
 		}
-		if status, _ := c.ask("GET", alone, "/up", nil); status != http.StatusServiceUnavailable {
+		if status, _ := c.request("GET", alone, "/up", nil); status != http.StatusServiceUnavailable {
 			t.Errorf("a node without state service and leader keeps its users: /up is %d", status)
 		}
 		token := string(c.world.State.Value("term/token"))
 		c.world.Net.Faults(nil)
-		c.run(20 * time.Second)
-		if status, _ := c.ask("GET", alone, "/up", nil); status != http.StatusOK {
+		c.advance(20 * time.Second)
+		if status, _ := c.request("GET", alone, "/up", nil); status != http.StatusOK {
 			t.Errorf("served again, /up is %d", status)
 		}
 		if now := string(c.world.State.Value("term/token")); now != token {
@@ -179,8 +179,8 @@
 
 // Controllers refuse each other's connections, while all reach the rest.
 func TestPeersRefuse(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		c.world.Net.Faults(func(_, _, path string) emulator.Fault {
 			if path == emulator.Stream {
 				return emulator.Refuse
@@ -189,7 +189,7 @@
 		})
 		token := string(c.world.State.Value("term/token"))
 		c.withinDone(90*time.Second, "j-2")
-		if c.on("j-1", 2) != 2 || c.world.Starts() != 8 {
+		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 8 {
 			t.Errorf("it cost work: %d starts for 8 tasks", c.world.Starts())
 		}
 		old := c.leader()
@@ -207,10 +207,10 @@
 	for _, leads := range []bool{false, true} {
 		for _, fault := range []emulator.Fault{emulator.Silent, emulator.Late, emulator.Refuse} {
 			t.Run(fmt.Sprintf("leads=%v fault=%d", leads, fault), func(t *testing.T) {
-				inCluster(t, nil, func(c *cluster) {
-					c.submit("perch-0", service("j-1", 4))
-					c.submit("perch-0", batch("j-2", 12, 60))
-					c.within(60*time.Second, "all up", func() bool { return c.on("j-1", 4) == 4 && c.on("j-2", 12) >= 4 })
+				runCluster(t, nil, func(c *cluster) {
+					c.submit("perch-0", serviceJob("j-1", 4))
+					c.submit("perch-0", batchJob("j-2", 12, 60))
+					c.within(60*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 4) == 4 && c.tasksOnMachines("j-2", 12) >= 4 })
 					node := c.leader()
 					if !leads {
 						node = c.names[(slices.Index(c.names, node)+1)%3]
@@ -235,10 +235,10 @@
 						}
 						return up >= 2 // at most half may be in one zone, and two zones are left
 					})
-					c.run(30 * time.Second)
+					c.advance(30 * time.Second)
 					c.world.Net.Faults(nil)
 					c.withinDone(4*time.Minute, "j-2")
-					c.within(30*time.Second, "service whole", func() bool { return c.on("j-1", 4) == 4 })
+					c.within(30*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
 				})
 			})
 		}
@@ -248,8 +248,8 @@
 // Processes are back within a fraction of a second, also in the middle of an
 // election and of an outage with its promises.
 func TestBackAtOnce(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		for i := range 12 {
 			gap := time.Duration(20+60*i) * time.Millisecond
 			old := c.leader()
@@ -257,21 +257,21 @@
 				old = c.names[i%3]
 			}
 			c.crash(old)
-			c.run(gap / 2)
+			c.advance(gap / 2)
 			c.start(old)
-			c.run(gap)
+			c.advance(gap)
 			if i%4 == 3 {
 				other := c.names[(slices.Index(c.names, old)+1)%3]
 				c.crash(other)
-				c.run(gap)
+				c.advance(gap)
 				c.start(other)
 				c.world.State.Down(true)
-				c.run(4 * gap)
+				c.advance(4 * gap)
 				c.world.State.Down(false)
 			}
-			c.run(2 * time.Second)
+			c.advance(2 * time.Second)
 		}
-		c.within(20*time.Second, "service up", func() bool { return c.on("j-1", 2) == 2 })
+		c.within(20*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.withinDone(3*time.Minute, "j-2")
 	})
 }
@@ -287,9 +287,9 @@
 		{"leaders come and go", 80 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
+			runCluster(t, nil, func(c *cluster) {
 				c.world.Capacity(2)
-				last := batch("j-1", 3, 10)
+				last := batchJob("j-1", 3, 10)
 				last.Priority, last.CPUs, last.Team = jobs.BestEffort, 4, "red"
 				c.submit("perch-0", last)
 				began, crashed := false, time.Now()
@@ -299,11 +299,11 @@
 						old := c.leader()
 						c.crash(old)
 						c.start(old)
-						c.run(2 * time.Second)
+						c.advance(2 * time.Second)
 					}
-					c.submit("perch-1", batch(fmt.Sprintf("j-1%02d", i), 8, 9))
-					c.run(5 * time.Second)
-					began = began || c.on("j-1", 3) > 0
+					c.submit("perch-1", batchJob(fmt.Sprintf("j-1%02d", i), 8, 9))
+					c.advance(5 * time.Second)
+					began = began || c.tasksOnMachines("j-1", 3) > 0
 				}
 				if !began {
 					t.Error("did not begin in four minutes")
@@ -317,20 +317,20 @@
 // cost the state service a few reads, out of a budget that all nodes share.
 func TestEveryPollIsAnswered(t *testing.T) {
 	tweak := func(s *settings.Settings) { s.Deployment.State.RPS = 30 }
-	inCluster(t, tweak, func(c *cluster) {
+	runCluster(t, tweak, func(c *cluster) {
 		var ids []string
 		for i := range 20 {
 			id := fmt.Sprintf("j-%d", i+1)
-			c.submit(c.names[i%3], batch(id, 1, 40))
+			c.submit(c.names[i%3], batchJob(id, 1, 40))
 			ids = append(ids, id)
-			c.run(300 * time.Millisecond)
+			c.advance(300 * time.Millisecond)
 		}
 		poll := func() {
 			var users sync.WaitGroup
 			for _, n := range c.names {
 				for _, id := range ids {
 					users.Go(func() {
-						if status, _ := c.ask("GET", n, "/v1/jobs/"+id, nil); status != http.StatusOK {
+						if status, _ := c.request("GET", n, "/v1/jobs/"+id, nil); status != http.StatusOK {
 							t.Errorf("poll for %s at %s: %d", id, n, status)
 						}
 					})
@@ -340,17 +340,17 @@
 		}
 		for range 50 {
 			poll()
-			c.run(100 * time.Millisecond)
+			c.advance(100 * time.Millisecond)
 		}
 		// After an outage, and with a new leader, they are answered again.
 		c.world.State.Down(true)
-		c.run(5 * time.Second)
+		c.advance(5 * time.Second)
 		old := c.leader()
 		c.crash(old)
 		c.world.State.Down(false)
-		c.run(10 * time.Second)
+		c.advance(10 * time.Second)
 		c.start(old)
-		c.run(5 * time.Second)
+		c.advance(5 * time.Second)
 		poll()
 	})
 }
--- a/internal/controller/operator_endpoints_test.go
+++ b/internal/controller/operator_endpoints_test.go
@@ -14,9 +14,9 @@
 // Users go to other nodes while the state service refuses this one alone; in an
 // outage of all, no node turns them away.
 func TestReadiness(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		up := func(node string) bool {
-			status, _ := c.ask("GET", node, "/up", nil)
+			status, _ := c.request("GET", node, "/up", nil)
 			return status == http.StatusOK
 		}
 		follower := c.names[0]
@@ -24,15 +24,15 @@
 			follower = c.names[1]
 		}
 		c.world.State.RefuseFrom(follower, true)
-		c.ask("GET", follower, "/v1/jobs/j-1", nil)
+		c.request("GET", follower, "/v1/jobs/j-1", nil)
 		c.within(5*time.Second, "the refused node is not ready", func() bool { return !up(follower) })
 		c.world.State.RefuseFrom(follower, false)
 		c.within(5*time.Second, "ready again", func() bool { return up(follower) })
 		c.world.State.Down(true)
 		for range 20 {
-			c.run(500 * time.Millisecond)
+			c.advance(500 * time.Millisecond)
 			for _, n := range c.names {
-				c.ask("GET", n, "/v1/jobs/j-1", nil)
+				c.request("GET", n, "/v1/jobs/j-1", nil)
 			}
 		}
 		for _, n := range c.names {
@@ -46,13 +46,13 @@
 
 // Operators read the leader's view on the cluster listener, beside the peers.
 func TestStatusAndMetrics(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		get := func(node, path string) string {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 				return c.world.Net.Dial(ctx, "operator", addr)
 			}}}
-			resp, err := client.Get("http://" + clusterOf(node) + path)
+			resp, err := client.Get("http://" + clusterAddr(node) + path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -87,14 +87,14 @@
 }
 
 func TestUserMistakes(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		change := func(field string, v any) map[string]any {
-			m := asUser(batch("j-9", 2, 5))
+			m := wireSpec(batchJob("j-9", 2, 5))
 			m[field] = v
 			return m
 		}
 		drop := func(field string) map[string]any {
-			m := asUser(batch("j-9", 2, 5))
+			m := wireSpec(batchJob("j-9", 2, 5))
 			delete(m, field)
 			return m
 		}
@@ -123,15 +123,15 @@
 			{"unknown field", change("colour", "red"), 201},
 			{"again, null allowed", change("duskS", nil), 200},
 		} {
-			if status, view := c.ask("POST", "perch-0", "/v1/jobs", tc.body); status != tc.want {
+			if status, view := c.request("POST", "perch-0", "/v1/jobs", tc.body); status != tc.want {
 				t.Errorf("%s: %d %v, want %d", tc.name, status, view, tc.want)
 			}
 		}
-		big := service("j-10", 9) // 18 CPUs of a limit of 16
-		if status, _ := c.ask("POST", "perch-0", "/v1/jobs", asUser(big)); status != 422 {
+		big := serviceJob("j-10", 9) // 18 CPUs of a limit of 16
+		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(big)); status != 422 {
 			t.Errorf("a service beyond its team's limit: %d", status)
 		}
-		if status, _ := c.ask("DELETE", "perch-0", "/v1/jobs/j-9", nil); status != 405 {
+		if status, _ := c.request("DELETE", "perch-0", "/v1/jobs/j-9", nil); status != 405 {
 			t.Errorf("unknown method: %d", status)
 		}
 	})
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -18,11 +18,11 @@
 // goes on, and no worker loses its lease.
 func TestOverloadBySlowState(t *testing.T) {
 	tweak := func(s *settings.Settings) { s.Deployment.Limits.MaxSockets = 256 }
-	inCluster(t, tweak, func(c *cluster) {
+	runCluster(t, tweak, func(c *cluster) {
 		c.world.Net.Lateness = 700 * time.Millisecond // of what the rule below calls slow
-		c.allUp()
+		c.runServiceAndBatch()
 		leader, starts := c.leader(), c.world.Starts()
-		end, hits := c.trouble(func(_, to, _ string) emulator.Fault {
+		end, hits := c.injectFault(func(_, to, _ string) emulator.Fault {
 			if to == "state" {
 				return emulator.Slow
 			}
@@ -34,7 +34,7 @@
 			for i := range 60 {
 				users.Go(func() {
 					began := time.Now()
-					status, _ := c.ask("GET", c.names[i%3], fmt.Sprintf("/v1/jobs/j-%d", 1+i%2), nil)
+					status, _ := c.request("GET", c.names[i%3], fmt.Sprintf("/v1/jobs/j-%d", 1+i%2), nil)
 					switch {
 					case time.Since(began) > 2*time.Second || status == 0:
 						late.Add(1)
@@ -47,7 +47,7 @@
 					}
 				})
 			}
-			c.run(500 * time.Millisecond)
+			c.advance(500 * time.Millisecond)
 		}
 		users.Wait()
 		end()
@@ -57,8 +57,8 @@
 		if now := c.leader(); now != leader || c.world.Starts() != starts {
 			t.Errorf("led by %s, then %s; %d tasks began anew", leader, now, c.world.Starts()-starts)
 		}
-		c.run(5 * time.Second)
-		c.submit("perch-1", batch("j-9", 2, 5))
+		c.advance(5 * time.Second)
+		c.submit("perch-1", batchJob("j-9", 2, 5))
 		c.withinDone(60*time.Second, "j-9")
 	})
 }
@@ -69,14 +69,14 @@
 func TestAllWorkersReconnect(t *testing.T) {
 	const machines = 40
 	noLimit := func(s *settings.Settings) { s.Deployment.Teams = []settings.Team{{Name: "red"}, {Name: "blue"}} }
-	inCluster(t, noLimit, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 4*machines, 300))
-		c.within(90*time.Second, "all tasks run", func() bool { return c.on("j-1", 4*machines) == 4*machines })
-		c.run(10 * time.Second)
+	runCluster(t, noLimit, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 4*machines, 300))
+		c.within(90*time.Second, "all tasks run", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
+		c.advance(10 * time.Second)
 		starts := c.world.Starts()
 		var orders atomic.Int64
 		reported := sync.Map{}
-		end, _ := c.trouble(func(from, _, path string) emulator.Fault {
+		end, _ := c.injectFault(func(from, _, path string) emulator.Fault {
 			switch {
 			case path == "/orders":
 				orders.Add(1)
@@ -86,12 +86,12 @@
 			return emulator.Deliver
 		})
 		c.crash(c.names...)
-		c.run(200 * time.Millisecond)
+		c.advance(200 * time.Millisecond)
 		for _, n := range c.names {
 			c.start(n)
 		}
 		d := c.settings("perch-0").Derive()
-		c.run(2 * d.Report)
+		c.advance(2 * d.Report)
 		heard := 0
 		reported.Range(func(any, any) bool { heard++; return true })
 		if heard < machines {
@@ -100,10 +100,10 @@
 		if n := orders.Load(); n > machines/4 {
 			t.Errorf("%d orders to %d machines that have nothing to be told", n, machines)
 		}
-		c.run(d.Lease + d.Report)
+		c.advance(d.Lease + d.Report)
 		end()
-		if n := c.world.Starts() - starts; n != 0 || c.on("j-1", 4*machines) != 4*machines {
-			t.Errorf("%d tasks began anew, %d of %d run", n, c.on("j-1", 4*machines), 4*machines)
+		if n := c.world.Starts() - starts; n != 0 || c.tasksOnMachines("j-1", 4*machines) != 4*machines {
+			t.Errorf("%d tasks began anew, %d of %d run", n, c.tasksOnMachines("j-1", 4*machines), 4*machines)
 		}
 		if c.leader() == "" {
 			t.Error("nobody leads")
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -20,13 +20,13 @@
 	"ospreyslip/internal/snapshot"
 )
 
-// direct hands requests to a handler without a network, and counts them.
-type direct struct {
+// handlerTransport hands requests to a handler without a network, and counts them.
+type handlerTransport struct {
 	handler  http.Handler
 	requests atomic.Int64
 }
 
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	d.requests.Add(1)
 	return respond(d.handler, r), nil
 }
@@ -34,7 +34,7 @@
 // storedJobs puts so many jobs into a state service: one of eight is unfinished.
 func storedJobs(count int) *emulator.State {
 	store := emulator.NewState()
-	spec := batch("j-0", 12, 300)
+	spec := batchJob("j-0", 12, 300)
 	for i := range count {
 		id := fmt.Sprintf("j-%08d", i)
 		rec := jobs.Record{State: jobs.Done, Tasks: 12}
@@ -64,7 +64,7 @@
 		count = 2000
 	}
 	store := storedJobs(count)
-	wire := &direct{handler: store}
+	wire := &handlerTransport{handler: store}
 	client := kvstore.New("state:1", wire, time.Minute, kvstore.Budget{Requests: 1e6, Writes: 1e6})
 	measure := func(what string, do func()) {
 		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -25,14 +25,14 @@
 // task runs twice. What is asserted here is that the records are whole again, and that
 // nothing was begun or stopped that need not have been.
 
-// recoveryOf returns the leader's word on the recovery.
-func (c *cluster) recoveryOf() leader.RecoveryStatus {
+// recoveryStatus returns the leader's word on the recovery.
+func (c *cluster) recoveryStatus() leader.RecoveryStatus {
 	for _, name := range c.names {
-		if c.nodes[name].ended() {
+		if c.processes[name].ended() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-		s, err := c.nodes[name].node.gate.Recovery(ctx)
+		s, err := c.processes[name].controller.gate.Recovery(ctx)
 		cancel()
 		if err == nil {
 			return s
@@ -41,17 +41,17 @@
 	return leader.RecoveryStatus{}
 }
 
-// withinWhole waits until the leader says that nothing is missing any more.
-func (c *cluster) withinWhole(d time.Duration) {
+// withinRecovered waits until the leader says that nothing is missing any more.
+func (c *cluster) withinRecovered(d time.Duration) {
 	c.t.Helper()
 	c.within(d, "records whole", func() bool {
-		return c.recoveryOf().Phase == leader.Whole && c.world.State.Value(jobs.RecoveryStatusKey) == nil
+		return c.recoveryStatus().Phase == leader.Whole && c.world.State.Value(jobs.RecoveryStatusKey) == nil
 	})
-	c.run(2 * time.Second) // within a control interval, all nodes have heard of it
+	c.advance(2 * time.Second) // within a control interval, all nodes have heard of it
 }
 
-// hasRecords checks that jobs have records again, in a state.
-func (c *cluster) hasRecords(state string, ids ...string) {
+// checkRecords checks that jobs have records again, in a state.
+func (c *cluster) checkRecords(state string, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
 		var rec jobs.Record
@@ -61,11 +61,11 @@
 	}
 }
 
-// showsEverywhere checks what every node says of a job.
-func (c *cluster) showsEverywhere(id string, want ...string) {
+// checkStateEverywhere checks what every node says of a job.
+func (c *cluster) checkStateEverywhere(id string, want ...string) {
 	c.t.Helper()
 	for _, n := range c.names {
-		status, view := c.ask("GET", n, "/v1/jobs/"+id, nil)
+		status, view := c.request("GET", n, "/v1/jobs/"+id, nil)
 		got := fmt.Sprint(status)
 		if status == http.StatusOK {
 			got = view["stance"].(string)
@@ -76,30 +76,30 @@
 	}
 }
 
-// fill runs a job of each kind: a service and an array that run, one that is done and one
+// runOneJobOfEachKind runs a job of each kind: a service and an array that run, one that is done and one
 // that is cancelled.
-func (c *cluster) fill() {
+func (c *cluster) runOneJobOfEachKind() {
 	c.t.Helper()
-	c.submit("perch-0", service("j-1", 2))
-	c.submit("perch-1", batch("j-2", 4, 400))
-	c.submit("perch-2", batch("j-3", 2, 5))
-	c.submit("perch-0", batch("j-4", 2, 400))
-	c.within(60*time.Second, "running", func() bool { return c.on("j-1", 2) == 2 && c.on("j-2", 4) == 4 })
+	c.submit("perch-0", serviceJob("j-1", 2))
+	c.submit("perch-1", batchJob("j-2", 4, 400))
+	c.submit("perch-2", batchJob("j-3", 2, 5))
+	c.submit("perch-0", batchJob("j-4", 2, 400))
+	c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
 	c.withinDone(60*time.Second, "j-3")
-	c.withdraw("perch-1", "j-4")
-	c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.on("j-4", 2) == 0 })
-	c.run(20 * time.Second) // all caches have it
+	c.cancelJob("perch-1", "j-4")
+	c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+	c.advance(20 * time.Second) // all caches have it
 }
 
-// undisturbed checks that what ran goes on, on the machines on which it ran, while do is
+// checkUndisturbed checks that what ran goes on, on the machines on which it ran, while do is
 // done and for some time after it.
-func (c *cluster) undisturbed(do func()) {
+func (c *cluster) checkUndisturbed(do func()) {
 	c.t.Helper()
 	starts := c.world.Starts()
 	do()
-	c.run(time.Minute)
-	if n := c.world.Starts() - starts; n > 0 || c.on("j-1", 2) != 2 || c.on("j-2", 4) != 4 {
-		c.t.Errorf("%d tasks began; of the service %d of 2 run, of the array %d of 4", n, c.on("j-1", 2), c.on("j-2", 4))
+	c.advance(time.Minute)
+	if n := c.world.Starts() - starts; n > 0 || c.tasksOnMachines("j-1", 2) != 2 || c.tasksOnMachines("j-2", 4) != 4 {
+		c.t.Errorf("%d tasks began; of the service %d of 2 run, of the array %d of 4", n, c.tasksOnMachines("j-1", 2), c.tasksOnMachines("j-2", 4))
 	}
 }
 
@@ -117,28 +117,28 @@
 		for _, silently := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silently %v", name, silently), func(t *testing.T) {
 				// Without a trace, only an audit finds out.
-				inCluster(t, audited(20), func(c *cluster) {
-					c.fill()
-					c.undisturbed(func() {
+				runCluster(t, audited(20), func(c *cluster) {
+					c.runOneJobOfEachKind()
+					c.checkUndisturbed(func() {
 						c.world.State.Lose(silently, lost)
-						c.run(2 * time.Second)
-						c.showsEverywhere("j-1", jobs.Running, jobs.Queued, "503")
-						c.showsEverywhere("j-3", jobs.Done, "503")
-						c.showsEverywhere("j-4", jobs.Cancelled, "503")
-						c.run(80 * time.Second)
-						c.withinWhole(3 * time.Minute)
+						c.advance(2 * time.Second)
+						c.checkStateEverywhere("j-1", jobs.Running, jobs.Queued, "503")
+						c.checkStateEverywhere("j-3", jobs.Done, "503")
+						c.checkStateEverywhere("j-4", jobs.Cancelled, "503")
+						c.advance(80 * time.Second)
+						c.withinRecovered(3 * time.Minute)
 					})
-					c.hasRecords(jobs.Queued, "j-1", "j-2")
-					c.hasRecords(jobs.Done, "j-3")
-					c.hasRecords(jobs.Cancelled, "j-4")
-					c.submit("perch-1", batch("j-9", 1, 5))
+					c.checkRecords(jobs.Queued, "j-1", "j-2")
+					c.checkRecords(jobs.Done, "j-3")
+					c.checkRecords(jobs.Cancelled, "j-4")
+					c.submit("perch-1", batchJob("j-9", 1, 5))
 					c.withinDone(time.Minute, "j-9")
-					c.showsEverywhere("j-77", "404")
+					c.checkStateEverywhere("j-77", "404")
 					for range 3 { // and it outlasts whoever knew
-						c.nextLeader()
-						c.run(25 * time.Second)
+						c.replaceLeader()
+						c.advance(25 * time.Second)
 					}
-					if n := c.on("j-1", 2) + c.on("j-2", 4); n != 6 {
+					if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
 						t.Errorf("%d of 6 tasks run under later leaders", n)
 					}
 				})
@@ -155,32 +155,34 @@
 // The service is put back to before a job was done, another cancelled, and a third
 // accepted. None of it is taken back.
 func TestServicePutBack(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.submit("perch-1", batch("j-2", 4, 400))
-		c.submit("perch-0", batch("j-3", 2, 15))
-		c.submit("perch-0", batch("j-4", 2, 400))
-		c.within(60*time.Second, "running", func() bool { return c.on("j-1", 2)+c.on("j-2", 4)+c.on("j-3", 2)+c.on("j-4", 2) == 10 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.submit("perch-1", batchJob("j-2", 4, 400))
+		c.submit("perch-0", batchJob("j-3", 2, 15))
+		c.submit("perch-0", batchJob("j-4", 2, 400))
+		c.within(60*time.Second, "running", func() bool {
+			return c.tasksOnMachines("j-1", 2)+c.tasksOnMachines("j-2", 4)+c.tasksOnMachines("j-3", 2)+c.tasksOnMachines("j-4", 2) == 10
+		})
 		before := c.world.State.Backup()
 		c.withinDone(60*time.Second, "j-3")
-		c.withdraw("perch-1", "j-4")
-		c.submit("perch-2", batch("j-5", 2, 400))
-		c.within(60*time.Second, "running", func() bool { return c.on("j-5", 2) == 2 })
-		c.run(10 * time.Second)
-		c.undisturbed(func() {
+		c.cancelJob("perch-1", "j-4")
+		c.submit("perch-2", batchJob("j-5", 2, 400))
+		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-5", 2) == 2 })
+		c.advance(10 * time.Second)
+		c.checkUndisturbed(func() {
 			c.world.State.Restore(before)
-			c.run(5 * time.Second)
-			c.showsEverywhere("j-3", jobs.Done, "503")
-			c.showsEverywhere("j-4", jobs.Cancelled, "503")
-			c.showsEverywhere("j-5", jobs.Running, jobs.Queued, "503")
-			c.withinWhole(3 * time.Minute)
+			c.advance(5 * time.Second)
+			c.checkStateEverywhere("j-3", jobs.Done, "503")
+			c.checkStateEverywhere("j-4", jobs.Cancelled, "503")
+			c.checkStateEverywhere("j-5", jobs.Running, jobs.Queued, "503")
+			c.withinRecovered(3 * time.Minute)
 		})
-		c.hasRecords(jobs.Done, "j-3")
-		c.hasRecords(jobs.Cancelled, "j-4")
-		c.hasRecords(jobs.Queued, "j-1", "j-2", "j-5")
-		c.nextLeader()
-		c.run(time.Minute)
-		if n := c.on("j-5", 2) + c.on("j-2", 4); n != 6 {
+		c.checkRecords(jobs.Done, "j-3")
+		c.checkRecords(jobs.Cancelled, "j-4")
+		c.checkRecords(jobs.Queued, "j-1", "j-2", "j-5")
+		c.replaceLeader()
+		c.advance(time.Minute)
+		if n := c.tasksOnMachines("j-5", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
 			t.Errorf("%d of 6 tasks run under the next leader", n)
 		}
 	})
@@ -196,26 +198,26 @@
 		"both":        func(key string) bool { return !strings.HasPrefix(key, "term/") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
-				c.fill()
-				c.undisturbed(func() {
+			runCluster(t, nil, func(c *cluster) {
+				c.runOneJobOfEachKind()
+				c.checkUndisturbed(func() {
 					old := c.leader()
 					c.crash(old)
 					c.world.State.Lose(true, lost)
 					c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
-					c.run(5 * time.Second)
+					c.advance(5 * time.Second)
 					c.start(old)
-					c.withinWhole(5 * time.Minute)
+					c.withinRecovered(5 * time.Minute)
 				})
-				if s := c.recoveryOf(); len(s.Evidence) == 0 {
+				if s := c.recoveryStatus(); len(s.Evidence) == 0 {
 					t.Error("nothing was noticed")
 				}
-				c.hasRecords(jobs.Done, "j-3")
-				c.hasRecords(jobs.Cancelled, "j-4")
-				c.run(30 * time.Second)
-				c.nextLeader()
-				c.run(time.Minute)
-				if n := c.on("j-1", 2) + c.on("j-2", 4); n != 6 {
+				c.checkRecords(jobs.Done, "j-3")
+				c.checkRecords(jobs.Cancelled, "j-4")
+				c.advance(30 * time.Second)
+				c.replaceLeader()
+				c.advance(time.Minute)
+				if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
 					t.Errorf("%d of 6 tasks run under the leader after that", n)
 				}
 			})
@@ -227,62 +229,62 @@
 // anything. Nothing is stopped, nothing they show is forgotten, and the next repeated
 // submission brings each job back; what nobody shows is an operator's to decide.
 func TestAllControllersEndAndEverythingIsLost(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.fill()
+	runCluster(t, nil, func(c *cluster) {
+		c.runOneJobOfEachKind()
 		starts := c.world.Starts()
 		c.crash(c.names...)
 		c.world.State.Lose(true, emulator.WithPrefix(""))
-		c.run(time.Second)
+		c.advance(time.Second)
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryOf().Evidence) > 0 })
-		c.within(2*time.Minute, "what workers show is held", func() bool { return c.recoveryOf().Held == 4 })
-		c.withinWhole(2 * time.Minute)
-		c.showsEverywhere("j-1", jobs.Queued, jobs.Running)
-		c.showsEverywhere("j-2", jobs.Queued, jobs.Running)
-		if n := c.on("j-1", 2) + c.on("j-2", 4); n != 6 || c.world.Starts() != starts {
+		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
+		c.within(2*time.Minute, "what workers show is held", func() bool { return c.recoveryStatus().Held == 4 })
+		c.withinRecovered(2 * time.Minute)
+		c.checkStateEverywhere("j-1", jobs.Queued, jobs.Running)
+		c.checkStateEverywhere("j-2", jobs.Queued, jobs.Running)
+		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 || c.world.Starts() != starts {
 			t.Errorf("%d of 6 tasks run on, %d began", n, c.world.Starts()-starts)
 		}
-		if err := c.settle("j-2", recovery.SettleRun); err == nil {
+		if err := c.settleJob("j-2", recovery.SettleRun); err == nil {
 			t.Error("a job without a description was let run")
 		}
-		if err := c.settle("j-2", recovery.SettleDone); err == nil {
+		if err := c.settleJob("j-2", recovery.SettleDone); err == nil {
 			t.Error("a job that runs was called done")
 		}
-		for id, spec := range map[string]*jobs.Spec{"j-1": service("j-1", 2), "j-2": batch("j-2", 4, 400)} {
-			if status, _ := c.ask("POST", "perch-1", "/v1/jobs", asUser(spec)); status != http.StatusOK {
+		for id, spec := range map[string]*jobs.Spec{"j-1": serviceJob("j-1", 2), "j-2": batchJob("j-2", 4, 400)} {
+			if status, _ := c.request("POST", "perch-1", "/v1/jobs", wireSpec(spec)); status != http.StatusOK {
 				t.Errorf("%s submitted again: %d", id, status)
 			}
 		}
-		c.within(time.Minute, "described", func() bool { return c.described() == 2 })
+		c.within(time.Minute, "described", func() bool { return c.describedHeldJobs() == 2 })
 		for _, id := range []string{"j-1", "j-2"} {
-			if err := c.settle(id, recovery.SettleRun); err != nil {
+			if err := c.settleJob(id, recovery.SettleRun); err != nil {
 				t.Errorf("%s: %v", id, err)
 			}
 		}
-		c.undisturbed(func() {
+		c.checkUndisturbed(func() {
 			// Tasks of the other two are listed by workers, but nobody can tell how they ended.
-			c.within(time.Minute, "no longer held", func() bool { return c.recoveryOf().Held == 2 })
+			c.within(time.Minute, "no longer held", func() bool { return c.recoveryStatus().Held == 2 })
 		})
-		c.nextLeader()
-		c.run(time.Minute)
-		if n := c.on("j-1", 2) + c.on("j-2", 4); n != 6 || c.world.Starts() != starts {
+		c.replaceLeader()
+		c.advance(time.Minute)
+		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 || c.world.Starts() != starts {
 			t.Errorf("under the next leader: %d of 6 tasks run on, %d began", n, c.world.Starts()-starts)
 		}
-		c.withdraw("perch-0", "j-2")
-		c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.on("j-2", 4) == 0 })
+		c.cancelJob("perch-0", "j-2")
+		c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
 	})
 }
 
-// settle decides a held job at the leader.
-func (c *cluster) settle(id string, as recovery.Settlement) error {
-	return c.nodes[c.leader()].node.gate.Settle(c.ctx, id, as)
+// settleJob decides a held job at the leader.
+func (c *cluster) settleJob(id string, as recovery.Settlement) error {
+	return c.processes[c.leader()].controller.gate.Settle(c.ctx, id, as)
 }
 
-// described counts the held jobs of which the description is known.
-func (c *cluster) described() (n int) {
-	for _, h := range c.recoveryOf().HeldJobs {
+// describedHeldJobs counts the held jobs of which the description is known.
+func (c *cluster) describedHeldJobs() (n int) {
+	for _, h := range c.recoveryStatus().HeldJobs {
 		if h.Described {
 			n++
 		}
@@ -293,18 +295,18 @@
 // A held job that its user cancels is off its machines in time, though no record said
 // where it was.
 func TestHeldJobIsCancelled(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.fill()
+	runCluster(t, nil, func(c *cluster) {
+		c.runOneJobOfEachKind()
 		c.crash(c.names...)
 		c.world.State.Lose(true, emulator.WithPrefix(""))
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(2*time.Minute, "held", func() bool { return c.recoveryOf().Held == 4 })
-		c.withdraw("perch-2", "j-2")
-		c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.on("j-2", 4) == 0 })
-		c.run(time.Minute)
-		if n := c.on("j-1", 2); n != 2 {
+		c.within(2*time.Minute, "held", func() bool { return c.recoveryStatus().Held == 4 })
+		c.cancelJob("perch-2", "j-2")
+		c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
+		c.advance(time.Minute)
+		if n := c.tasksOnMachines("j-1", 2); n != 2 {
 			t.Errorf("%d of 2 tasks of the other job run", n)
 		}
 	})
@@ -314,10 +316,10 @@
 func TestGangWithoutItsRecords(t *testing.T) {
 	for _, partly := range []bool{false, true} {
 		t.Run(fmt.Sprint("partly ", partly), func(t *testing.T) {
-			inCluster(t, nil, func(c *cluster) {
-				c.submit("perch-0", gang("j-1", 3, 300))
-				c.within(60*time.Second, "running", func() bool { return c.on("j-1", 3) == 3 })
-				c.run(20 * time.Second)
+			runCluster(t, nil, func(c *cluster) {
+				c.submit("perch-0", gangJob("j-1", 3, 300))
+				c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 3) == 3 })
+				c.advance(20 * time.Second)
 				starts := c.world.Starts()
 				old := c.leader()
 				c.crash(old)
@@ -327,8 +329,8 @@
 				}
 				c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
 				c.start(old)
-				c.run(2 * time.Minute)
-				switch n, began := c.on("j-1", 3), c.world.Starts()-starts; {
+				c.advance(2 * time.Minute)
+				switch n, began := c.tasksOnMachines("j-1", 3), c.world.Starts()-starts; {
 				case n != 3:
 					t.Errorf("partly %v: %d of 3 tasks run", partly, n)
 				case !partly && began > 0:
@@ -339,8 +341,8 @@
 	}
 }
 
-// snapshotNow copies all records, as the operators' command does.
-func (c *cluster) snapshotNow() *snapshot.Snapshot {
+// takeSnapshot copies all records, as the operators' command does.
+func (c *cluster) takeSnapshot() *snapshot.Snapshot {
 	c.t.Helper()
 	client := kvstore.New("10.2.0.1:1", c.world.Net.From("tool"), time.Second, kvstore.Budget{Requests: 100})
 	s, err := snapshot.Take(c.ctx, client, c.settings(c.names[0]).ClusterID(), time.Now())
@@ -358,33 +360,35 @@
 			in.Jobs = append(in.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
 		}
 	}
-	return c.nodes[c.leader()].node.gate.Import(c.ctx, in)
+	return c.processes[c.leader()].controller.gate.Import(c.ctx, in)
 }
 
 // All controllers end and everything is lost. A snapshot from before one job's completion,
 // another's cancellation and a third's acceptance brings back what it proves, and no more:
 // what was unfinished in it is held, but what workers show goes on running.
 func TestSnapshotOlderThanTheLoss(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 2, 5))
-		c.submit("perch-0", batch("j-2", 2, 400))
-		c.submit("perch-0", batch("j-3", 2, 400))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 2, 5))
+		c.submit("perch-0", batchJob("j-2", 2, 400))
+		c.submit("perch-0", batchJob("j-3", 2, 400))
 		c.withinDone(time.Minute, "j-1")
-		c.submit("perch-0", batch("j-4", 2, 25))
-		c.within(time.Minute, "running", func() bool { return c.on("j-2", 2)+c.on("j-3", 2)+c.on("j-4", 2) == 6 })
-		s := c.snapshotNow()
+		c.submit("perch-0", batchJob("j-4", 2, 25))
+		c.within(time.Minute, "running", func() bool {
+			return c.tasksOnMachines("j-2", 2)+c.tasksOnMachines("j-3", 2)+c.tasksOnMachines("j-4", 2) == 6
+		})
+		s := c.takeSnapshot()
 		c.withinDone(time.Minute, "j-4") // after the snapshot, as is the rest
-		c.withdraw("perch-1", "j-3")
-		c.submit("perch-1", batch("j-5", 1, 400))
-		c.within(time.Minute, "running", func() bool { return c.on("j-5", 1) == 1 && c.on("j-3", 2) == 0 })
-		c.run(15 * time.Second)
+		c.cancelJob("perch-1", "j-3")
+		c.submit("perch-1", batchJob("j-5", 1, 400))
+		c.within(time.Minute, "running", func() bool { return c.tasksOnMachines("j-5", 1) == 1 && c.tasksOnMachines("j-3", 2) == 0 })
+		c.advance(15 * time.Second)
 		starts := c.world.Starts()
 		c.crash(c.names...)
 		c.world.State.Lose(true, emulator.WithPrefix(""))
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryOf().Evidence) > 0 })
+		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
 		foreign := *s
 		foreign.Manifest.Cluster = "another"
 		if _, err := c.importSnapshot(&foreign); !errors.Is(err, recovery.ErrRefused) {
@@ -395,29 +399,29 @@
 			t.Errorf("imported: %+v, %v", count, err)
 		}
 		c.within(2*time.Minute, "compared", func() bool { return len(c.world.State.Keys("job/")) == 5 })
-		c.withinWhole(2 * time.Minute)
+		c.withinRecovered(2 * time.Minute)
 		// Of j-4, workers still list every task as done.
-		c.hasRecords(jobs.Done, "j-1", "j-4")
+		c.checkRecords(jobs.Done, "j-1", "j-4")
 		held := map[string]bool{}
-		for _, h := range c.recoveryOf().HeldJobs {
+		for _, h := range c.recoveryStatus().HeldJobs {
 			held[h.Job] = h.Described
 		}
 		if want := map[string]bool{"j-2": true, "j-3": true, "j-5": false}; fmt.Sprint(held) != fmt.Sprint(want) {
 			t.Errorf("held, and described: %v, want %v", held, want)
 		}
-		if n := c.on("j-2", 2) + c.on("j-5", 1); n != 3 || c.world.Starts() != starts {
+		if n := c.tasksOnMachines("j-2", 2) + c.tasksOnMachines("j-5", 1); n != 3 || c.world.Starts() != starts {
 			t.Errorf("%d of 3 tasks run on, %d began", n, c.world.Starts()-starts)
 		}
 		// The operator knows better; finished work is not begun again by itself.
 		for id, as := range map[string]recovery.Settlement{"j-3": recovery.SettleCancelled, "j-2": recovery.SettleRun} {
-			if err := c.settle(id, as); err != nil {
+			if err := c.settleJob(id, as); err != nil {
 				t.Errorf("%s as %s: %v", id, as, err)
 			}
 		}
-		c.run(time.Minute)
-		c.hasRecords(jobs.Done, "j-1", "j-4")
-		c.hasRecords(jobs.Cancelled, "j-3")
-		if n := c.on("j-2", 2); n != 2 || c.world.Starts() != starts {
+		c.advance(time.Minute)
+		c.checkRecords(jobs.Done, "j-1", "j-4")
+		c.checkRecords(jobs.Cancelled, "j-3")
+		if n := c.tasksOnMachines("j-2", 2); n != 2 || c.world.Starts() != starts {
 			t.Errorf("%d of 2 tasks run on, %d began", n, c.world.Starts()-starts)
 		}
 		if again, err := c.importSnapshot(s); err != nil || again.Missing+again.Ended+again.Described != 0 {
@@ -428,28 +432,28 @@
 
 // With runUncertainAfterS, an uncertain job runs after that time, if it is described.
 func TestUncertainJobRunsAfterATime(t *testing.T) {
-	inCluster(t, func(s *settings.Settings) { s.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
+	runCluster(t, func(s *settings.Settings) { s.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
 		c.world.Capacity(0)
-		c.submit("perch-0", batch("j-1", 1, 10))
-		s := c.snapshotNow()
-		c.run(15 * time.Second)
+		c.submit("perch-0", batchJob("j-1", 1, 10))
+		s := c.takeSnapshot()
+		c.advance(15 * time.Second)
 		c.crash(c.names...)
 		c.world.State.Lose(true, emulator.WithPrefix(""))
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.run(10 * time.Second)
+		c.advance(10 * time.Second)
 		if _, err := c.importSnapshot(s); err != nil {
 			t.Error(err)
 		}
-		c.within(2*time.Minute, "held", func() bool { return c.recoveryOf().Held == 1 })
+		c.within(2*time.Minute, "held", func() bool { return c.recoveryStatus().Held == 1 })
 		c.world.Capacity(10)
 		starts := c.world.Starts()
-		c.run(60 * time.Second)
+		c.advance(60 * time.Second)
 		if c.world.Starts() != starts {
 			t.Error("an uncertain job ran before its time")
 		}
-		c.within(4*time.Minute, "over", func() bool { return c.recoveryOf().Held == 0 && c.world.Starts() > starts })
+		c.within(4*time.Minute, "over", func() bool { return c.recoveryStatus().Held == 0 && c.world.Starts() > starts })
 		c.withinDone(time.Minute, "j-1")
 	})
 }
@@ -457,28 +461,28 @@
 // A previous version beside this one neither answers questions nor hears of a recovery: its
 // peers go on without it, and what they write it can read.
 func TestRecoveryBesideAPeerThatCannotAnswer(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.fill()
+	runCluster(t, nil, func(c *cluster) {
+		c.runOneJobOfEachKind()
 		for _, n := range c.names {
-			c.nodes[n].node.peers.OnLostJobsRequest = nil
-			c.nodes[n].node.peers.OnLossNotice = nil
+			c.processes[n].controller.peers.OnLostJobsRequest = nil
+			c.processes[n].controller.peers.OnLossNotice = nil
 		}
-		c.undisturbed(func() {
+		c.checkUndisturbed(func() {
 			c.world.State.Lose(false, emulator.WithPrefix("job/"))
-			c.withinWhole(3 * time.Minute)
+			c.withinRecovered(3 * time.Minute)
 		})
-		c.hasRecords(jobs.Queued, "j-1", "j-2")
-		c.hasRecords(jobs.Done, "j-3")
-		c.hasRecords(jobs.Cancelled, "j-4")
+		c.checkRecords(jobs.Queued, "j-1", "j-2")
+		c.checkRecords(jobs.Done, "j-3")
+		c.checkRecords(jobs.Cancelled, "j-4")
 	})
 }
 
 // Operators are answered by the leader alone, refused what cannot be, and told why.
 func TestOperatorsRequests(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		ask := func(node, method, path, body string) (int, string) {
 			rec := httptest.NewRecorder()
-			c.nodes[node].node.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
+			c.processes[node].controller.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
 			return rec.Code, strings.TrimSpace(rec.Body.String())
 		}
 		leader, other := c.leader(), c.names[0]
@@ -510,27 +514,27 @@
 // The log is lost with its leader, and a machine is unreachable until after its worker's
 // lease. What it had is begun anew only then; when it is back, nothing runs twice.
 func TestWorkerSilentInRecovery(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.fill()
+	runCluster(t, nil, func(c *cluster) {
+		c.runOneJobOfEachKind()
 		far := c.world.On("j-2/0")[0]
 		starts := c.world.Starts()
 		old := c.leader()
-		end, hits := c.trouble(unreachable(far))
+		end, hits := c.injectFault(isolate(far))
 		c.crash(old)
 		c.world.State.Lose(true, emulator.WithPrefix("book/"))
 		c.start(old)
-		c.run(12 * time.Second)
+		c.advance(12 * time.Second)
 		if n := c.world.Starts() - starts; n > 0 || len(c.world.On("j-2/0")) != 1 {
 			t.Errorf("%d tasks began before the lease of %s was over", n, far)
 		}
-		c.run(20 * time.Second)
-		c.within(90*time.Second, "begun anew elsewhere", func() bool { return c.on("j-1", 2) == 2 && c.on("j-2", 4) == 4 })
+		c.advance(20 * time.Second)
+		c.within(90*time.Second, "begun anew elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
 		if hits() == 0 || c.world.Starts() == starts {
 			t.Errorf("%d messages held, %d tasks began", hits(), c.world.Starts()-starts)
 		}
 		end()
-		c.run(time.Minute)
-		if n := c.on("j-1", 2) + c.on("j-2", 4); n != 6 {
+		c.advance(time.Minute)
+		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
 			t.Errorf("%d of 6 tasks run when the machine is back", n)
 		}
 	})
@@ -539,19 +543,19 @@
 // A job ends, its last completions are in segments that are lost, and its record with them:
 // it is done by what the caches know, and its tasks are not begun again.
 func TestFinishedJobWithItsSegmentLost(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batch("j-1", 6, 10))
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", batchJob("j-1", 6, 10))
 		c.withinDone(time.Minute, "j-1")
-		c.run(15 * time.Second)
+		c.advance(15 * time.Second)
 		starts := c.world.Starts()
 		old := c.leader()
 		c.crash(old)
 		c.world.State.Lose(true, func(key string) bool { return strings.HasPrefix(key, "book/") || key == "job/j-1" })
 		c.start(old)
-		c.run(time.Minute)
-		c.withinWhole(2 * time.Minute)
-		c.hasRecords(jobs.Done, "j-1")
-		c.showsEverywhere("j-1", jobs.Done)
+		c.advance(time.Minute)
+		c.withinRecovered(2 * time.Minute)
+		c.checkRecords(jobs.Done, "j-1")
+		c.checkStateEverywhere("j-1", jobs.Done)
 		if n := c.world.Starts() - starts; n > 0 {
 			t.Errorf("%d tasks of a finished job began again", n)
 		}
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -27,7 +27,7 @@
 // connection each and do at once what they are told. The other side's part is in the
 // figures; it is kept small.
 
-type loopback struct {
+type loopbackCluster struct {
 	tb      testing.TB
 	addr    string
 	fleet   []*fakeWorker
@@ -35,17 +35,17 @@
 }
 
 type fakeWorker struct {
-	conn net.Conn
-	r    *bufio.Reader
-	rep  workers.Report
-	buf  []byte
+	conn       net.Conn
+	reader     *bufio.Reader
+	lastReport workers.Report
+	buf        []byte
 }
 
-// newLoopback starts a node and a fleet of so many machines, each with four tasks.
-func newLoopback(tb testing.TB, machines int) *loopback {
+// newLoopbackCluster starts a node and a fleet of so many machines, each with four tasks.
+func newLoopbackCluster(tb testing.TB, machines int) *loopbackCluster {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
-	l := &loopback{tb: tb}
+	l := &loopbackCluster{tb: tb}
 	store := emulator.NewState()
 	store.Limit(emulator.Limits{ValueBytes: 32 << 10, TxnOps: 12, Writes: 1 << 30})
 	serve := func(h http.Handler) string {
@@ -95,18 +95,18 @@
 	}
 	for i := range machines {
 		w := l.dial()
-		w.rep = workers.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "127.0.0.1:9", Type: "c4", Zone: string(rune('a' + i%3)), Session: 1, Tasks: []workers.Task{}}
+		w.lastReport = workers.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "127.0.0.1:9", Type: "c4", Zone: string(rune('a' + i%3)), Session: 1, Tasks: []workers.Task{}}
 		l.fleet = append(l.fleet, w)
-		w.report(tb)
+		w.sendReport(tb)
 	}
-	job := batch("j-000001", 4*machines, 10000)
-	if status := l.dial().ask(tb, "POST", "/v1/jobs", job); status != http.StatusCreated {
+	job := batchJob("j-000001", 4*machines, 10000)
+	if status := l.dial().requestJob(tb, "POST", "/v1/jobs", job); status != http.StatusCreated {
 		tb.Fatalf("submit: %d", status)
 	}
 	for deadline := time.Now().Add(20 * time.Second); ; {
 		idle := 0
 		for _, w := range l.fleet {
-			if w.report(tb); len(w.rep.Tasks) < 4 {
+			if w.sendReport(tb); len(w.lastReport.Tasks) < 4 {
 				idle++
 			}
 		}
@@ -120,10 +120,10 @@
 }
 
 // cloud has all that is asked for, but gives nothing: the fleet is there already.
-func (l *loopback) cloud(w http.ResponseWriter, r *http.Request) {
+func (l *loopbackCluster) cloud(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
-		_ = json.NewEncoder(w).Encode(map[string]any{"perches": testTypes})
+		_ = json.NewEncoder(w).Encode(map[string]any{"perches": testMachineTypes})
 	case r.Method == http.MethodPost:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
@@ -131,12 +131,12 @@
 	}
 }
 
-func (l *loopback) dial() *fakeWorker {
+func (l *loopbackCluster) dial() *fakeWorker {
 	conn, err := net.Dial("tcp", l.addr)
 	if err != nil {
 		l.tb.Fatal(err)
 	}
-	return &fakeWorker{conn: conn, r: bufio.NewReaderSize(conn, 8<<10)}
+	return &fakeWorker{conn: conn, reader: bufio.NewReaderSize(conn, 8<<10)}
 }
 
 // send sends a request and returns the answer's status and body.
@@ -148,7 +148,7 @@
 	}
 	status, length := 0, 0
 	for {
-		line, err := w.r.ReadString('\n')
+		line, err := w.reader.ReadString('\n')
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -164,25 +164,25 @@
 		}
 	}
 	out := make([]byte, length)
-	if _, err := io.ReadFull(w.r, out); err != nil {
+	if _, err := io.ReadFull(w.reader, out); err != nil {
 		tb.Fatal(err)
 	}
 	return status, out
 }
 
-func (w *fakeWorker) ask(tb testing.TB, method, path string, s *jobs.Spec) int {
+func (w *fakeWorker) requestJob(tb testing.TB, method, path string, s *jobs.Spec) int {
 	var raw []byte
 	if s != nil {
-		raw, _ = json.Marshal(asUser(s))
+		raw, _ = json.Marshal(wireSpec(s))
 	}
 	status, _ := w.send(tb, method, path, raw)
 	return status
 }
 
-// report sends a report and does what the answer says.
-func (w *fakeWorker) report(tb testing.TB) {
-	w.rep.Seq++
-	raw, _ := json.Marshal(w.rep)
+// sendReport sends a report and does what the answer says.
+func (w *fakeWorker) sendReport(tb testing.TB) {
+	w.lastReport.Seq++
+	raw, _ := json.Marshal(w.lastReport)
 	status, body := w.send(tb, "POST", "/v1/report", raw)
 	if status != http.StatusOK {
 		tb.Fatalf("report: %d", status)
@@ -191,26 +191,26 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		tb.Fatal(err)
 	}
-	w.rep.Token = a.Token
+	w.lastReport.Token = a.Token
 	for _, c := range a.Calls {
 		if c.Op == workers.OpRun {
-			w.rep.Tasks = append(w.rep.Tasks, workers.Task{Task: c.Task, Attempt: c.Attempt, State: workers.Running})
+			w.lastReport.Tasks = append(w.lastReport.Tasks, workers.Task{Task: c.Task, Attempt: c.Attempt, State: workers.Running})
 		}
 	}
 }
 
 func BenchmarkReport(b *testing.B) {
-	l := newLoopback(b, 400)
+	l := newLoopbackCluster(b, 400)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		l.fleet[i%len(l.fleet)].report(b)
+		l.fleet[i%len(l.fleet)].sendReport(b)
 		i++
 	}
 }
 
 func BenchmarkPoll(b *testing.B) {
-	l := newLoopback(b, 10)
+	l := newLoopbackCluster(b, 10)
 	// Many at a time, as users come: what one read of the state service costs is shared.
 	const users = 64
 	var all []*fakeWorker
@@ -222,7 +222,7 @@
 		var wait sync.WaitGroup
 		for _, w := range all {
 			wait.Go(func() {
-				if status := w.ask(b, "GET", "/v1/jobs/j-000001", nil); status != http.StatusOK {
+				if status := w.requestJob(b, "GET", "/v1/jobs/j-000001", nil); status != http.StatusOK {
 					b.Errorf("poll: %d", status)
 				}
 			})
@@ -233,12 +233,12 @@
 }
 
 func BenchmarkSubmit(b *testing.B) {
-	l := newLoopback(b, 10)
+	l := newLoopbackCluster(b, 10)
 	w := l.dial()
 	b.ReportAllocs()
 	for b.Loop() {
 		l.counter++
-		if status := w.ask(b, "POST", "/v1/jobs", batch(fmt.Sprintf("j-%06d", 100+l.counter), 1, 10)); status != http.StatusCreated {
+		if status := w.requestJob(b, "POST", "/v1/jobs", batchJob(fmt.Sprintf("j-%06d", 100+l.counter), 1, 10)); status != http.StatusCreated {
 			b.Fatalf("submit: %d", status)
 		}
 	}
@@ -246,7 +246,7 @@
 
 // A worker that has found its leader: a new connection and a report.
 func BenchmarkReconnect(b *testing.B) {
-	l := newLoopback(b, 400)
+	l := newLoopbackCluster(b, 400)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
@@ -254,14 +254,14 @@
 		i++
 		w.conn.Close()
 		c := l.dial()
-		w.conn, w.r = c.conn, c.r
-		w.report(b)
+		w.conn, w.reader = c.conn, c.reader
+		w.sendReport(b)
 	}
 }
 
 // A node that does not lead sends a worker on.
 func BenchmarkRedirect(b *testing.B) {
-	l := newLoopback(b, 10)
+	l := newLoopbackCluster(b, 10)
 	w := l.dial()
 	old := workers.Report{Machine: "m-900000", Addr: "127.0.0.1:9", Type: "c4", Zone: "a", Session: 1, Token: 1 << 40, Tasks: []workers.Task{}}
 	raw, _ := json.Marshal(old)
@@ -275,7 +275,7 @@
 
 // What idle connections of workers hold, in the node and on this side.
 func BenchmarkIdleConnections(b *testing.B) {
-	l := newLoopback(b, 2)
+	l := newLoopbackCluster(b, 2)
 	measure := func() (m runtime.MemStats) {
 		runtime.GC()
 		runtime.ReadMemStats(&m)
@@ -287,8 +287,8 @@
 	for b.Loop() {
 		for range conns {
 			c := l.dial()
-			w.conn, w.r = c.conn, c.r
-			w.report(b)
+			w.conn, w.reader = c.conn, c.reader
+			w.sendReport(b)
 			l.fleet = append(l.fleet, &fakeWorker{conn: c.conn})
 		}
 		var m runtime.MemStats
--- a/internal/controller/rollback_detection_test.go
+++ b/internal/controller/rollback_detection_test.go
@@ -13,9 +13,9 @@
 // Revisions cannot be read for a while, though the watch goes on: what was read earlier is
 // lower than what the watch has shown since, and that is no loss.
 func TestUnreadRevisionIsNoLoss(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.within(time.Minute, "running", func() bool { return c.on("j-1", 2) == 2 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.within(time.Minute, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		leader := c.leader()
 		end := c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
 			if from == leader && to == "state" && path == "/keys/nothing" {
@@ -24,19 +24,19 @@
 			return emulator.Deliver
 		})
 		for i := range 4 {
-			c.submit(c.other(leader), batch(fmt.Sprintf("j-%d", 10+i), 1, 3))
-			c.run(500 * time.Millisecond)
+			c.submit(c.otherThan(leader), batchJob(fmt.Sprintf("j-%d", 10+i), 1, 3))
+			c.advance(500 * time.Millisecond)
 		}
 		end()
-		c.run(10 * time.Second)
-		if s := c.recoveryOf(); len(s.Evidence) > 0 || s.Phase == "" {
+		c.advance(10 * time.Second)
+		if s := c.recoveryStatus(); len(s.Evidence) > 0 || s.Phase == "" {
 			t.Errorf("a loss was noticed where there was none: %+v", s.Evidence)
 		}
 	})
 }
 
-// other is a node that is not the one named.
-func (c *cluster) other(name string) string {
+// otherThan is a node that is not the one named.
+func (c *cluster) otherThan(name string) string {
 	if name == c.names[0] {
 		return c.names[1]
 	}
@@ -46,23 +46,23 @@
 // A job is accepted, and in the same moment the state service is put back to before that and
 // has an outage: the only one to know of the job is the node that accepted it.
 func TestAcceptedJustBeforeAPutBack(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.run(20 * time.Second)
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.advance(20 * time.Second)
 		before := c.world.State.Backup()
-		accepting := c.other(c.leader())
-		spec := batch("j-2", 1, 5)
+		accepting := c.otherThan(c.leader())
+		spec := batchJob("j-2", 1, 5)
 		c.world.Upload(spec)
-		if status, _ := c.ask("POST", accepting, "/v1/jobs", asUser(spec)); status != http.StatusCreated {
+		if status, _ := c.request("POST", accepting, "/v1/jobs", wireSpec(spec)); status != http.StatusCreated {
 			t.Fatal("not accepted")
 		}
 		c.world.State.Down(true)
 		c.world.State.Restore(before)
-		c.run(10 * time.Second)
+		c.advance(10 * time.Second)
 		c.world.State.Down(false)
 		for range 30 {
-			c.showsEverywhere("j-2", jobs.Queued, jobs.Running, jobs.Done, "503")
-			c.run(time.Second)
+			c.checkStateEverywhere("j-2", jobs.Queued, jobs.Running, jobs.Done, "503")
+			c.advance(time.Second)
 		}
 		c.withinDone(time.Minute, "j-2")
 	})
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -15,12 +15,12 @@
 // Many tasks in one job: completions are kept in chunks that fit a value.
 func TestManyTasks(t *testing.T) {
 	tweak := func(s *settings.Settings) { s.Deployment.State.ValueKB, s.Deployment.State.TxnOps = 1, 4 }
-	inCluster(t, tweak, func(c *cluster) {
+	runCluster(t, tweak, func(c *cluster) {
 		c.world.State.Limit(emulator.Limits{ValueBytes: 1 << 10, TxnOps: 4, Writes: 1000}) // fewer than there are machines
-		c.submit("perch-0", batch("j-1", 2500, 0.5))
-		c.run(45 * time.Second)
+		c.submit("perch-0", batchJob("j-1", 2500, 0.5))
+		c.advance(45 * time.Second)
 		c.crash(c.leader())
-		c.run(20 * time.Second)
+		c.advance(20 * time.Second)
 		for _, k := range c.world.State.Keys("") {
 			if n := len(c.world.State.Value(k)); n > 1024 {
 				t.Errorf("%s has %d bytes", k, n)
@@ -48,7 +48,7 @@
 		{"in a burst", func(c *cluster) { c.world.State.Limit(lower) }},
 		{"in an outage", func(c *cluster) {
 			c.world.State.Down(true)
-			c.run(5 * time.Second)
+			c.advance(5 * time.Second)
 			c.world.State.Limit(lower)
 			c.world.State.Down(false)
 		}},
@@ -58,11 +58,11 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inCluster(t, tweak, func(c *cluster) {
-				c.allUp()
-				c.submit("perch-0", batch("j-3", 300, 5))
-				c.submit("perch-1", batch("j-4", 100, 5))
-				c.run(3 * time.Second)
+			runCluster(t, tweak, func(c *cluster) {
+				c.runServiceAndBatch()
+				c.submit("perch-0", batchJob("j-3", 300, 5))
+				c.submit("perch-1", batchJob("j-4", 100, 5))
+				c.advance(3 * time.Second)
 				tc.trouble(c)
 				for _, id := range []string{"j-2", "j-3", "j-4"} {
 					c.withinDone(10*time.Minute, id)
@@ -81,11 +81,11 @@
 // The limits fall below what the settings say. What is rejected is not repeated as it
 // is: smaller pages are tried, and the work goes on.
 func TestLimitsLowerThanSaid(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		c.world.State.Limit(emulator.Limits{ValueBytes: 700, TxnOps: 12, Writes: 1000})
-		c.submit("perch-0", batch("j-3", 300, 5))
-		c.submit("perch-1", batch("j-4", 300, 5))
+		c.submit("perch-0", batchJob("j-3", 300, 5))
+		c.submit("perch-1", batchJob("j-4", 300, 5))
 		for _, id := range []string{"j-2", "j-3", "j-4"} {
 			c.withinDone(5*time.Minute, id)
 		}
@@ -99,9 +99,9 @@
 func TestSmallValues(t *testing.T) {
 	kb := 2.0
 	tweak := func(s *settings.Settings) { s.Deployment.State.Next = &settings.NextState{ValueKB: &kb} }
-	inCluster(t, tweak, func(c *cluster) {
+	runCluster(t, tweak, func(c *cluster) {
 		c.world.State.Limit(emulator.Limits{ValueBytes: 2 << 10, TxnOps: 12, Writes: 1000})
-		s := batch("j-1", 2, 5)
+		s := batchJob("j-1", 2, 5)
 		for i := range 300 {
 			s.Types = append(s.Types, fmt.Sprint("of-another-cloud-", i))
 		}
@@ -110,15 +110,15 @@
 		c.withinDone(60*time.Second, "j-1")
 
 		// One that was accepted when values could be larger, and is cancelled now.
-		old := batch("j-2", 2, 500)
+		old := batchJob("j-2", 2, 500)
 		old.Types = s.Types
 		raw, _ := json.Marshal(jobs.Record{State: jobs.Queued, Tasks: 2, Spec: old})
 		c.world.State.Put("job/j-2", raw)
 		c.world.Submitted("j-2")
 		c.world.Upload(old)
-		c.within(60*time.Second, "the old one runs", func() bool { return c.on("j-2", 2) == 2 })
-		c.withdraw("perch-1", "j-2")
-		c.within(20*time.Second, "it is gone", func() bool { return c.on("j-2", 2) == 0 })
+		c.within(60*time.Second, "the old one runs", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.cancelJob("perch-1", "j-2")
+		c.within(20*time.Second, "it is gone", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
 		if n := c.world.State.Rejected(); n > 0 {
 			t.Errorf("%d transactions were too large", n)
 		}
@@ -128,7 +128,7 @@
 // A catalog that does not fit into one value is kept in parts, for a node that starts
 // while the cloud is away.
 func TestLargeCatalog(t *testing.T) {
-	types := slices.Clone(testTypes) // those of all tests that run beside this one stay as they are
+	types := slices.Clone(testMachineTypes) // those of all tests that run beside this one stay as they are
 	for i := range 30 {
 		another := types[0]
 		another.Name, another.Price, another.SpotPrice = fmt.Sprint("dear-", i), 100, 50
@@ -136,15 +136,15 @@
 	}
 	kb := 2.0
 	tweak := func(s *settings.Settings) { s.Deployment.State.Next = &settings.NextState{ValueKB: &kb} }
-	inClusterWith(t, types, tweak, func(c *cluster) {
-		c.run(20 * time.Second)
+	runClusterWith(t, types, tweak, func(c *cluster) {
+		c.advance(20 * time.Second)
 		c.world.CloudDown(true)
 		c.crash(c.names...)
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.run(10 * time.Second)
-		c.submit("perch-0", batch("j-1", 2, 5)) // 503 from a node that knows no types
+		c.advance(10 * time.Second)
+		c.submit("perch-0", batchJob("j-1", 2, 5)) // 503 from a node that knows no types
 		c.world.CloudDown(false)
 		c.withinDone(2*time.Minute, "j-1")
 	})
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -11,34 +11,34 @@
 // A leader that the state service refuses must fall silent to workers before
 // another can lead.
 func TestLeaderRefusedByState(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", service("j-1", 2))
-		c.within(40*time.Second, "service up", func() bool { return c.on("j-1", 2) == 2 })
+	runCluster(t, nil, func(c *cluster) {
+		c.submit("perch-0", serviceJob("j-1", 2))
+		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		old := c.leader()
 		c.world.State.RefuseFrom(old, true)
 		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
-		c.run(30 * time.Second)
-		if c.on("j-1", 2) != 2 || c.world.Starts() != 2 {
+		c.advance(30 * time.Second)
+		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 2 {
 			t.Errorf("the move cost replicas: %d starts", c.world.Starts())
 		}
 		c.world.State.RefuseFrom(old, false)
-		c.run(10 * time.Second)
+		c.advance(10 * time.Second)
 	})
 }
 
 // While no node reaches the state service, the others' promises let the leader
 // keep the workers' leases: running work survives, and nothing new is begun.
 func TestStateOutage(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		c.world.State.Down(true)
-		if status, _ := c.ask("POST", "perch-0", "/v1/jobs", asUser(batch("j-3", 1, 1))); status != http.StatusServiceUnavailable {
+		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(batchJob("j-3", 1, 1))); status != http.StatusServiceUnavailable {
 			t.Errorf("submission during an outage: %d", status)
 		}
-		c.run(time.Minute)
+		c.advance(time.Minute)
 		c.world.State.Down(false)
 		c.withinDone(30*time.Second, "j-2")
-		if c.on("j-1", 2) != 2 || c.world.Starts() != 8 {
+		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 8 {
 			t.Errorf("the outage cost work: %d starts for 8 tasks", c.world.Starts())
 		}
 	})
@@ -47,8 +47,8 @@
 // A token raised within the term, to end a doubt, must not make the others take
 // the holder for one that has been succeeded, and refuse their promises.
 func TestOutageAfterRaisedToken(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		c.world.Net.Faults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
 				return emulator.Late
@@ -56,17 +56,17 @@
 			return emulator.Deliver
 		})
 		token := string(c.world.State.Value("term/token"))
-		c.submit("perch-0", batch("j-3", 2, 1))
+		c.submit("perch-0", batchJob("j-3", 2, 1))
 		c.withinDone(60*time.Second, "j-3")
 		if string(c.world.State.Value("term/token")) == token {
 			t.Fatal("no token was raised")
 		}
 		c.world.Net.Faults(nil)
-		c.run(10 * time.Second)
+		c.advance(10 * time.Second)
 		c.world.State.Down(true)
-		c.run(time.Minute)
+		c.advance(time.Minute)
 		c.world.State.Down(false)
-		if n := c.on("j-1", 2); n != 2 {
+		if n := c.tasksOnMachines("j-1", 2); n != 2 {
 			t.Errorf("%d of 2 replicas after the outage", n)
 		}
 	})
@@ -75,8 +75,8 @@
 // Without every promise the leader falls silent, and the work ends with the
 // workers' leases. It must not end in two leaders.
 func TestOutageWithoutPromises(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		old := c.leader()
 		c.world.Net.Faults(func(from, to, path string) emulator.Fault {
 			if path == emulator.Stream {
@@ -85,8 +85,8 @@
 			return emulator.Deliver
 		})
 		c.world.State.Down(true)
-		c.run(30 * time.Second)
-		if n := c.on("j-1", 2) + c.on("j-2", 6); n != 0 {
+		c.advance(30 * time.Second)
+		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 6); n != 0 {
 			t.Errorf("%d tasks outlived their leases under leader %s", n, old)
 		}
 		c.world.State.Down(false)
@@ -98,22 +98,22 @@
 // A follower that restarts during an outage has forgotten its promise. When the
 // outage ends for it before it does for the leader, it waits the promise out.
 func TestRestartAmidPromises(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		old := c.leader()
 		c.world.State.Down(true)
-		c.run(10 * time.Second)
+		c.advance(10 * time.Second)
 		for _, n := range c.names {
 			if n != old {
 				c.crash(n)
-				c.run(300 * time.Millisecond)
+				c.advance(300 * time.Millisecond)
 				c.start(n)
 			}
 		}
 		c.world.State.RefuseFrom(old, true)
 		c.world.State.Down(false)
 		c.within(30*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
-		c.run(20 * time.Second)
+		c.advance(20 * time.Second)
 		c.world.State.RefuseFrom(old, false)
 		c.withinDone(3*time.Minute, "j-2")
 	})
@@ -122,18 +122,18 @@
 // A user cancels at a node that the state service serves, while it refuses the
 // leader alone: the leader gets no promises and may not keep the job alive.
 func TestCancelWhileLeaderIsRefused(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
-		c.allUp()
+	runCluster(t, nil, func(c *cluster) {
+		c.runServiceAndBatch()
 		old := c.leader()
 		c.world.State.RefuseFrom(old, true)
-		c.run(time.Second)
+		c.advance(time.Second)
 		for _, n := range c.names {
 			if n != old {
-				c.withdraw(n, "j-1")
+				c.cancelJob(n, "j-1")
 				break
 			}
 		}
-		c.within(30*time.Second, "replicas gone", func() bool { return c.on("j-1", 2) == 0 })
+		c.within(30*time.Second, "replicas gone", func() bool { return c.tasksOnMachines("j-1", 2) == 0 })
 		c.world.State.RefuseFrom(old, false)
 	})
 }
