--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"log/slog"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
@@ -18,6 +19,7 @@
 
 	"ospreyslip/internal/emulator"
 	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/reconcile"
 	"ospreyslip/internal/settings"
 )
 
@@ -190,31 +192,6 @@
 	return c.world.Ask(method, userAddr(node), path, body)
 }
 
-func batchJob(id string, tasks int, seconds float64) *jobs.Spec {
-	return &jobs.Spec{
-		ID: id, Class: "sums", Team: "blue", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks,
-		CPUs: 1, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: seconds,
-	}
-}
-
-func serviceJob(id string, tasks int) *jobs.Spec {
-	return &jobs.Spec{
-		ID: id, Class: "web", Team: "red", Shape: jobs.Service, Priority: jobs.Prod, Tasks: tasks,
-		CPUs: 2, RAMGB: 1, Image: "web", ImageGB: 1, Spread: true,
-	}
-}
-
-// wireSpec gives a spec its form on the wire, where null is not the empty string.
-func wireSpec(s *jobs.Spec) map[string]any {
-	raw, _ := json.Marshal(s)
-	var m map[string]any
-	_ = json.Unmarshal(raw, &m)
-	if s.Zone == "" {
-		m["eyrie"] = nil
-	}
-	return m
-}
-
 func (c *cluster) submit(node string, s *jobs.Spec) {
 	c.t.Helper()
 	c.world.Upload(s)
@@ -314,3 +291,118 @@
 	}
 	return live
 }
+
+// injectFault puts a rule in force and counts the messages that it hits.
+func (c *cluster) injectFault(rule emulator.Rule) (end func(), hits func() int) {
+	var n atomic.Int64
+	end = c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
+		f := rule(from, to, path)
+		if f != emulator.Deliver {
+			n.Add(1)
+		}
+		return f
+	})
+	return end, func() int { return int(n.Load()) }
+}
+
+// isolate keeps machines from controllers, both ways.
+func isolate(machines ...string) emulator.Rule {
+	return func(from, to, _ string) emulator.Fault {
+		if slices.Contains(machines, from) || slices.Contains(machines, to) {
+			return emulator.Silent
+		}
+		return emulator.Deliver
+	}
+}
+
+// replaceLeader ends the leader, and brings it back when there is another.
+func (c *cluster) replaceLeader() {
+	c.t.Helper()
+	old := c.leader()
+	c.crash(old)
+	c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+	c.start(old)
+}
+
+func (c *cluster) firstRunning() string {
+	for _, n := range c.names {
+		if !c.processes[n].ended() {
+			return n
+		}
+	}
+	return ""
+}
+
+// otherThan is a node that is not the one named.
+func (c *cluster) otherThan(name string) string {
+	if name == c.names[0] {
+		return c.names[1]
+	}
+	return c.names[0]
+}
+
+// runServiceAndBatch starts a service and an array and waits until all their tasks run.
+func (c *cluster) runServiceAndBatch() {
+	c.t.Helper()
+	c.submit("perch-0", serviceJob("j-1", 2))
+	c.submit("perch-0", batchJob("j-2", 6, 60))
+	c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
+}
+
+// restartAll ends all controllers and starts them again after a pause.
+func (c *cluster) restartAll(pause time.Duration) {
+	c.crash(c.names...)
+	c.advance(pause)
+	for _, n := range c.names {
+		c.start(n)
+	}
+}
+
+// takeoverProgress is what the leader says of its take-over.
+func (c *cluster) takeoverProgress() reconcile.Progress {
+	for _, name := range c.names {
+		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
+			return s.Takeover
+		}
+	}
+	return reconcile.Progress{}
+}
+
+// timeUntilLeader starts nodes and returns how long it takes until one leads.
+func (c *cluster) timeUntilLeader(names ...string) time.Duration {
+	c.t.Helper()
+	for _, n := range names {
+		c.start(n)
+	}
+	began := time.Now()
+	for time.Since(began) < 30*time.Second {
+		for _, n := range names {
+			if c.processes[n].controller.elector.Valid() {
+				return time.Since(began)
+			}
+		}
+		c.advance(10 * time.Millisecond)
+	}
+	c.t.Error("nobody leads")
+	return 0
+}
+
+// queueSummary is what the leader says of all classes.
+func (c *cluster) queueSummary() string {
+	for _, name := range c.names {
+		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
+			return fmt.Sprintf("%+v, %d to write", s.Classes, s.WriteQueue)
+		}
+	}
+	return "nobody leads"
+}
+
+func (c *cluster) gangRuns(id string, tasks int) func() bool {
+	return func() bool { return c.tasksOnMachines(id, tasks) == tasks && c.world.Gangs(id) > 0 }
+}
+
+// newRand is a source for a test's own users.
+func (c *cluster) newRand() *rand.Rand {
+	c.randomSources++
+	return rand.New(rand.NewPCG(c.randomSources, 0))
+}
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -19,38 +19,6 @@
 // TestZoneCut, TestAloneWithWorkers, TestMachineDoesNotHear, TestEverythingIsRepeated,
 // TestHangingMachine, TestOrderArrivesLate, TestBackAtOnce, TestCancelRacesDone.
 
-// injectFault puts a rule in force and counts the messages that it hits.
-func (c *cluster) injectFault(rule emulator.Rule) (end func(), hits func() int) {
-	var n atomic.Int64
-	end = c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
-		f := rule(from, to, path)
-		if f != emulator.Deliver {
-			n.Add(1)
-		}
-		return f
-	})
-	return end, func() int { return int(n.Load()) }
-}
-
-// isolate keeps machines from controllers, both ways.
-func isolate(machines ...string) emulator.Rule {
-	return func(from, to, _ string) emulator.Fault {
-		if slices.Contains(machines, from) || slices.Contains(machines, to) {
-			return emulator.Silent
-		}
-		return emulator.Deliver
-	}
-}
-
-// replaceLeader ends the leader, and brings it back when there is another.
-func (c *cluster) replaceLeader() {
-	c.t.Helper()
-	old := c.leader()
-	c.crash(old)
-	c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
-	c.start(old)
-}
-
 // A team is at its limit when the leader changes; machines with its tasks can not be
 // asked, and a job of it is cancelled. What may run counts until it is off.
 func TestTeamAtLimitAcrossLeaders(t *testing.T) {
@@ -84,15 +52,6 @@
 	})
 }
 
-func (c *cluster) firstRunning() string {
-	for _, n := range c.names {
-		if !c.processes[n].ended() {
-			return n
-		}
-	}
-	return ""
-}
-
 // Two tasks of a job end far apart, under two leaders, the second while none leads.
 func TestEndsFarApart(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -330,14 +330,6 @@
 	})
 }
 
-// runServiceAndBatch starts a service and an array and waits until all their tasks run.
-func (c *cluster) runServiceAndBatch() {
-	c.t.Helper()
-	c.submit("perch-0", serviceJob("j-1", 2))
-	c.submit("perch-0", batchJob("j-2", 6, 60))
-	c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
-}
-
 // A leader that no worker reaches any more makes way for one that they reach.
 func TestLeaderLosesWorkers(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -33,25 +33,6 @@
 	return tasks
 }
 
-// restartAll ends all controllers and starts them again after a pause.
-func (c *cluster) restartAll(pause time.Duration) {
-	c.crash(c.names...)
-	c.advance(pause)
-	for _, n := range c.names {
-		c.start(n)
-	}
-}
-
-// takeoverProgress is what the leader says of its take-over.
-func (c *cluster) takeoverProgress() reconcile.Progress {
-	for _, name := range c.names {
-		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
-			return s.Takeover
-		}
-	}
-	return reconcile.Progress{}
-}
-
 // Shorter than the lease, no task is begun, stopped or lost; beyond it, each task that the
 // lease has ended is begun exactly once, though both teams are beyond their guarantees and
 // each would have the other's tasks stopped.
@@ -79,25 +60,6 @@
 	}
 }
 
-// timeUntilLeader starts nodes and returns how long it takes until one leads.
-func (c *cluster) timeUntilLeader(names ...string) time.Duration {
-	c.t.Helper()
-	for _, n := range names {
-		c.start(n)
-	}
-	began := time.Now()
-	for time.Since(began) < 30*time.Second {
-		for _, n := range names {
-			if c.processes[n].controller.elector.Valid() {
-				return time.Since(began)
-			}
-		}
-		c.advance(10 * time.Millisecond)
-	}
-	c.t.Error("nobody leads")
-	return 0
-}
-
 // Beyond the term's lease, restarted nodes need not wait out what their earlier lives may have
 // promised: all have begun anew, and tell each other so. Where one does not answer, they wait.
 func TestTakeOverAfterARestart(t *testing.T) {
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -12,18 +12,6 @@
 	"ospreyslip/internal/settings"
 )
 
-// gangJob is a job of two tasks a machine, so that tasks of one attempt share some.
-func gangJob(id string, tasks int, seconds float64) *jobs.Spec {
-	return &jobs.Spec{
-		ID: id, Class: "joint", Team: "blue", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: tasks,
-		CPUs: 2, RAMGB: 1, Image: "joint", ImageGB: 1, OneZone: true, EstimateS: seconds, CheckpntS: 10, SaveS: 2,
-	}
-}
-
-func (c *cluster) gangRuns(id string, tasks int) func() bool {
-	return func() bool { return c.tasksOnMachines(id, tasks) == tasks && c.world.Gangs(id) > 0 }
-}
-
 func TestGang(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", gangJob("j-1", 5, 20))
--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -185,35 +185,6 @@
 	}
 }
 
-// queueSummary is what the leader says of all classes.
-func (c *cluster) queueSummary() string {
-	for _, name := range c.names {
-		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
-			return fmt.Sprintf("%+v, %d to write", s.Classes, s.WriteQueue)
-		}
-	}
-	return "nobody leads"
-}
-
-func randomJob(r *rand.Rand, i int) *jobs.Spec {
-	id := fmt.Sprintf("j-%d", 10+i)
-	switch r.IntN(8) {
-	case 0:
-		return serviceJob(id, 1+r.IntN(2))
-	case 1:
-		return gangJob(id, 2, float64(5+r.IntN(20)))
-	}
-	return batchJob(id, 1+r.IntN(4), float64(3+r.IntN(30)))
-}
-
-func randomBehavior(r *rand.Rand) userBehavior {
-	h := userBehavior{resubmits: r.IntN(3) == 0}
-	if r.IntN(4) == 0 {
-		h.cancelAfter = time.Duration(5+r.IntN(60)) * time.Second
-	}
-	return h
-}
-
 // runLossScenario plays one day in a cluster of its own.
 func runLossScenario(t *testing.T, seed uint64, adapt func(*Controller), day *lossOutcome) {
 	runCluster(t, func(s *settings.Settings) {
--- /dev/null
+++ b/internal/controller/recovery_helpers_test.go
@@ -0,0 +1,131 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader"
+	"ospreyslip/internal/recovery"
+	"ospreyslip/internal/snapshot"
+)
+
+// recoveryStatus returns the leader's word on the recovery.
+func (c *cluster) recoveryStatus() leader.RecoveryStatus {
+	for _, name := range c.names {
+		if c.processes[name].ended() {
+			continue
+		}
+		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
+		s, err := c.processes[name].controller.gate.Recovery(ctx)
+		cancel()
+		if err == nil {
+			return s
+		}
+	}
+	return leader.RecoveryStatus{}
+}
+
+// withinRecovered waits until the leader says that nothing is missing any more.
+func (c *cluster) withinRecovered(d time.Duration) {
+	c.t.Helper()
+	c.within(d, "records whole", func() bool {
+		return c.recoveryStatus().Phase == leader.Whole && c.world.State.Value(jobs.RecoveryStatusKey) == nil
+	})
+	c.advance(2 * time.Second) // within a control interval, all nodes have heard of it
+}
+
+// checkRecords checks that jobs have records again, in a state.
+func (c *cluster) checkRecords(state string, ids ...string) {
+	c.t.Helper()
+	for _, id := range ids {
+		var rec jobs.Record
+		if err := json.Unmarshal(c.world.State.Value("job/"+id), &rec); err != nil || rec.State != state {
+			c.t.Errorf("record of %s: %+v, %v; want %s", id, rec, err, state)
+		}
+	}
+}
+
+// checkStateEverywhere checks what every node says of a job.
+func (c *cluster) checkStateEverywhere(id string, want ...string) {
+	c.t.Helper()
+	for _, n := range c.names {
+		status, view := c.request("GET", n, "/v1/jobs/"+id, nil)
+		got := fmt.Sprint(status)
+		if status == http.StatusOK {
+			got = view["stance"].(string)
+		}
+		if !strings.Contains(strings.Join(want, " "), got) {
+			c.t.Errorf("%s says of %s: %s, want %v", n, id, got, want)
+		}
+	}
+}
+
+// runOneJobOfEachKind runs a job of each kind: a service and an array that run, one that is done and one
+// that is cancelled.
+func (c *cluster) runOneJobOfEachKind() {
+	c.t.Helper()
+	c.submit("perch-0", serviceJob("j-1", 2))
+	c.submit("perch-1", batchJob("j-2", 4, 400))
+	c.submit("perch-2", batchJob("j-3", 2, 5))
+	c.submit("perch-0", batchJob("j-4", 2, 400))
+	c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
+	c.withinDone(60*time.Second, "j-3")
+	c.cancelJob("perch-1", "j-4")
+	c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+	c.advance(20 * time.Second) // all caches have it
+}
+
+// checkUndisturbed checks that what ran goes on, on the machines on which it ran, while do is
+// done and for some time after it.
+func (c *cluster) checkUndisturbed(do func()) {
+	c.t.Helper()
+	starts := c.world.Starts()
+	do()
+	c.advance(time.Minute)
+	if n := c.world.Starts() - starts; n > 0 || c.tasksOnMachines("j-1", 2) != 2 || c.tasksOnMachines("j-2", 4) != 4 {
+		c.t.Errorf("%d tasks began; of the service %d of 2 run, of the array %d of 4", n, c.tasksOnMachines("j-1", 2), c.tasksOnMachines("j-2", 4))
+	}
+}
+
+// settleJob decides a held job at the leader.
+func (c *cluster) settleJob(id string, as recovery.Settlement) error {
+	return c.processes[c.leader()].controller.gate.Settle(c.ctx, id, as)
+}
+
+// describedHeldJobs counts the held jobs of which the description is known.
+func (c *cluster) describedHeldJobs() (n int) {
+	for _, h := range c.recoveryStatus().HeldJobs {
+		if h.Described {
+			n++
+		}
+	}
+	return n
+}
+
+// takeSnapshot copies all records, as the operators' command does.
+func (c *cluster) takeSnapshot() *snapshot.Snapshot {
+	c.t.Helper()
+	client := kvstore.New("10.2.0.1:1", c.world.Net.From("tool"), time.Second, kvstore.Budget{Requests: 100})
+	s, err := snapshot.Take(c.ctx, client, c.settings(c.names[0]).ClusterID(), time.Now())
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return s
+}
+
+// importSnapshot hands a snapshot to the leader.
+func (c *cluster) importSnapshot(s *snapshot.Snapshot) (leader.Imported, error) {
+	in := leader.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}
+	for _, r := range s.Records {
+		if strings.HasPrefix(r.Key, jobs.RecordPrefix) {
+			in.Jobs = append(in.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+		}
+	}
+	return c.processes[c.leader()].controller.gate.Import(c.ctx, in)
+}
--- a/internal/controller/rollback_detection_test.go
+++ b/internal/controller/rollback_detection_test.go
@@ -35,14 +35,6 @@
 	})
 }
 
-// otherThan is a node that is not the one named.
-func (c *cluster) otherThan(name string) string {
-	if name == c.names[0] {
-		return c.names[1]
-	}
-	return c.names[0]
-}
-
 // A job is accepted, and in the same moment the state service is put back to before that and
 // has an outage: the only one to know of the job is the node that accepted it.
 func TestAcceptedJustBeforeAPutBack(t *testing.T) {
