--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -32,21 +32,23 @@
 	os.Exit(m.Run())
 }
 
-// cluster is three controllers in a world of stand-ins, all in one bubble of
-// time: a day passes in moments, and every run sees the same clock.
+// cluster is three controllers with an emulated store, cloud, network and workers, all in one
+// bubble of time (testing/synctest): a day passes in moments, and every run sees the same
+// clock.
 type cluster struct {
 	t               *testing.T
 	ctx             context.Context
 	world           *emulator.World
-	processes       map[string]*process
-	names           []string
-	randomSources   uint64
-	memory          atomic.Uint64 // what each node holds, in bytes
+	names           []string            // of all controllers
+	processes       map[string]*process // by the controller's name, the latest of each
+	memory          atomic.Uint64       // what each controller seems to hold, in bytes
 	adjustSettings  func(*settings.Settings)
-	adaptController func(*Controller) // of nodes that are started from now on
+	adaptController func(*Controller) // if set, applied to controllers that are started from now on
+	randomSources   uint64            // given out by newRand
 	duties          sync.WaitGroup
 }
 
+// process is a controller from its start to its end.
 type process struct {
 	controller *Controller
 	startedAt  time.Time
@@ -54,45 +56,49 @@
 	done       chan struct{}
 }
 
+// Times of the gang protocol, in seconds.
 var gangWait, gangPeer = 12.0, 4.0
 
 var testMachineTypes = []jobs.MachineType{{
 	Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"a", "b", "c"},
 }}
 
+// clusterAddr is where a controller listens for its peers and operators.
 func clusterAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8081" }
 
+// userAddr is where a controller listens for users and workers.
 func userAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8080" }
 
-// runCluster runs a scenario. Whatever it does, no rule may be broken.
-func runCluster(t *testing.T, tweak func(*settings.Settings), scenario func(c *cluster)) {
+// runCluster runs a scenario in a cluster whose settings were adjusted (nil: as they are).
+// Whatever the scenario does, no rule of the protocol may be broken.
+func runCluster(t *testing.T, adjust func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
-	runClusterWith(t, testMachineTypes, tweak, scenario)
+	runClusterWith(t, testMachineTypes, adjust, scenario)
 }
 
-// runClusterWith is inCluster with machine types of its own.
-func runClusterWith(t *testing.T, types []jobs.MachineType, tweak func(*settings.Settings), scenario func(c *cluster)) {
+// runClusterWith is runCluster with other machine types than testMachineTypes.
+func runClusterWith(t *testing.T, types []jobs.MachineType, adjust func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
 	t.Parallel() // each has a bubble of its own
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{t: t, ctx: ctx, processes: map[string]*process{}, names: []string{"perch-0", "perch-1", "perch-2"}, adjustSettings: tweak}
+		c := &cluster{t: t, ctx: ctx, processes: map[string]*process{}, names: []string{"perch-0", "perch-1", "perch-2"}, adjustSettings: adjust}
 		pace := emulator.Pace{Report: 2 * time.Second, Lease: 20 * time.Second, Fetch: time.Second, GangWait: 12 * time.Second, GangPeer: 4 * time.Second, Nodes: c.names, Addrs: map[string]string{}}
-		for _, n := range c.names {
-			pace.Addrs[n] = userAddr(n)
+		for _, name := range c.names {
+			pace.Addrs[name] = userAddr(name)
 		}
 		c.world = emulator.NewWorld(ctx, types, pace)
 		c.world.Cancel = 40 * time.Second
 		c.world.Teams = c.settings(c.names[0]).Deployment.Teams
 		c.world.Net.Attach("state", "10.2.0.1:1", c.world.State)
 		c.world.Net.Attach("cloud", "10.2.0.2:1", c.world)
-		for _, n := range c.names {
-			c.start(n)
+		for _, name := range c.names {
+			c.start(name)
 		}
 		c.advance(5 * time.Second)
 		scenario(c)
-		for _, b := range c.world.Broken() {
-			t.Errorf("rule broken: %s", b)
+		for _, rule := range c.world.Broken() {
+			t.Errorf("rule broken: %s", rule)
 		}
 		if len(c.world.Broken()) > 0 {
 			t.Log("what led to the first:\n" + c.world.Trace())
@@ -105,8 +111,9 @@
 	})
 }
 
+// settings returns the settings of one controller.
 func (c *cluster) settings(name string) *settings.Settings {
-	s := &settings.Settings{
+	set := &settings.Settings{
 		Operator: settings.DefaultOperator(),
 		Node:     name, Zone: "a", Listen: userAddr(name), ClusterListen: clusterAddr(name),
 		Endpoints: settings.Endpoints{Cloud: "10.2.0.2:1", State: "10.2.0.1:1"},
@@ -119,91 +126,97 @@
 			Limits:  settings.Limits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
 		},
 	}
-	for _, n := range c.names {
-		if n != name {
-			s.Peers = append(s.Peers, settings.Peer{Node: n, Zone: "a", Addr: clusterAddr(n)})
+	for _, other := range c.names {
+		if other != name {
+			set.Peers = append(set.Peers, settings.Peer{Node: other, Zone: "a", Addr: clusterAddr(other)})
 		}
 	}
 	if c.adjustSettings != nil {
-		c.adjustSettings(s)
+		c.adjustSettings(set)
 	}
-	return s
+	return set
 }
 
+// start starts a controller.
 func (c *cluster) start(name string) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	n := New(c.settings(name), Environment{
+	controller := New(c.settings(name), Environment{
 		HTTP: c.world.Net.From(name),
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) { return c.world.Net.Dial(ctx, name, addr) },
-		// All nodes of all tests are one process: what it holds says nothing of a node.
+		// All controllers of all tests are one process: what it holds says nothing of one.
 		Memory: c.memory.Load,
 	})
 	if c.adaptController != nil {
-		c.adaptController(n)
+		c.adaptController(controller)
 	}
-	l := &process{controller: n, startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
-	c.processes[name] = l
-	c.world.Net.Attach(name, userAddr(name), n.Handler())
+	started := &process{controller: controller, startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
+	c.processes[name] = started
+	c.world.Net.Attach(name, userAddr(name), controller.Handler())
 	c.world.Note("%s begins", name)
-	c.duties.Go(func() { n.RunDuties(ctx, c.world.Net.Listen(name, clusterAddr(name))); close(l.done) })
+	c.duties.Go(func() {
+		controller.RunDuties(ctx, c.world.Net.Listen(name, clusterAddr(name)))
+		close(started.done)
+	})
 }
 
-// crash ends a node without a last word: nothing it says any more arrives.
+// crash ends controllers without a graceful shutdown: nothing they send any more arrives.
 func (c *cluster) crash(names ...string) {
-	dead := map[string]bool{}
-	for _, n := range names {
-		dead[n] = true
-	}
 	defer c.world.Net.Trouble(func(from, to, _ string) emulator.Fault {
-		if dead[from] || dead[to] {
+		if slices.Contains(names, from) || slices.Contains(names, to) {
 			return emulator.Refuse
 		}
 		return emulator.Deliver
 	})()
-	for _, n := range names {
-		c.world.Note("%s ends", n)
-		c.processes[n].cancel()
-		<-c.processes[n].done
-		c.world.Net.Attach(n, userAddr(n), nil)
+	for _, name := range names {
+		c.world.Note("%s ends", name)
+		c.processes[name].cancel()
+		<-c.processes[name].done
+		c.world.Net.Attach(name, userAddr(name), nil)
 	}
 }
 
-func (l *process) ended() bool {
+// ended tells whether the controller was ended by crash.
+func (p *process) ended() bool {
 	select {
-	case <-l.done:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
+// advance lets time pass, and all that is due in it happen.
 func (c *cluster) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
+// leader returns the name of the elected leader, as the store has it; empty if there is none.
 func (c *cluster) leader() string {
-	var h struct{ Node string }
-	_ = json.Unmarshal(c.world.State.Value("term/holder"), &h)
-	return h.Node
+	var holder struct{ Node string }
+	_ = json.Unmarshal(c.world.State.Value("term/holder"), &holder)
+	return holder.Node
 }
 
+// request sends a user's request to a controller and returns its status and its decoded body.
 func (c *cluster) request(method, node, path string, body any) (int, map[string]any) {
 	return c.world.Ask(method, userAddr(node), path, body)
 }
 
-func (c *cluster) submit(node string, s *jobs.Spec) {
+// submit submits a job, which has to be accepted at once.
+func (c *cluster) submit(node string, spec *jobs.Spec) {
 	c.t.Helper()
-	c.world.Upload(s)
-	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(s)); status != http.StatusCreated {
-		c.t.Fatalf("submit %s: %d %v", s.ID, status, view)
+	c.world.Upload(spec)
+	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(spec)); status != http.StatusCreated {
+		c.t.Fatalf("submit %s: %d %v", spec.ID, status, view)
 	}
 }
 
-// startupTime is by when a node that has just begun takes all requests: until then it may
-// say that it has, as users may be told who repeat themselves.
+// startupTime is by when a controller that has just started takes all requests. Until then it
+// may refuse: users repeat their requests.
 const startupTime = 2 * time.Second
 
+// cancelJob cancels a job, which has to be confirmed, at once but for the startup time.
 func (c *cluster) cancelJob(node, id string) {
 	c.t.Helper()
 	began := time.Now()
@@ -219,29 +232,31 @@
 	}
 }
 
+// jobState returns a job's state as the first controller that knows tells it, or "unknown".
 func (c *cluster) jobState(id string) string {
-	for _, n := range c.names {
-		if status, view := c.request("GET", n, "/v1/jobs/"+id, nil); status == http.StatusOK {
+	for _, name := range c.names {
+		if status, view := c.request("GET", name, "/v1/jobs/"+id, nil); status == http.StatusOK {
 			return view["stance"].(string)
 		}
 	}
 	return "unknown"
 }
 
-// within waits for something to become true.
-func (c *cluster) within(d time.Duration, what string, is func() bool) {
+// within waits for a condition and fails the test, but goes on, if it does not hold in time.
+func (c *cluster) within(timeout time.Duration, what string, condition func() bool) {
 	c.t.Helper()
-	for start := time.Now(); time.Since(start) < d; c.advance(200 * time.Millisecond) {
-		if is() {
+	for start := time.Now(); time.Since(start) < timeout; c.advance(200 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	c.t.Errorf("not within %v: %s; %s", d, what, c.world.Summary())
+	c.t.Errorf("not within %v: %s; %s", timeout, what, c.world.Summary())
 }
 
-func (c *cluster) withinDone(d time.Duration, id string) {
+// withinDone waits for a job to be done.
+func (c *cluster) withinDone(timeout time.Duration, id string) {
 	c.t.Helper()
-	c.within(d, id+" done", func() bool { return c.jobState(id) == jobs.Done })
+	c.within(timeout, id+" done", func() bool { return c.jobState(id) == jobs.Done })
 }
 
 // tasksOnMachines counts the tasks of a job that are on machines.
@@ -252,60 +267,62 @@
 	return n
 }
 
-// loggedAssignments returns the assignments that the leaders' book still names.
-func (c *cluster) loggedAssignments() (live []string) {
-	type page struct {
-		Number uint64
-		Begun  []struct {
-			M     string
-			Tasks []struct {
-				J string
-				N int
-				A uint64
-			}
+// logPage is one stored segment of the assignment log.
+type logPage struct {
+	Number uint64
+	Begun  []struct {
+		Machine string `json:"M"`
+		Tasks   []struct {
+			Job        string `json:"J"`
+			Number     int    `json:"N"`
+			Assignment uint64 `json:"A"`
 		}
-		Over []uint64
 	}
-	var pages []page
-	for _, k := range c.world.State.Keys("book/") {
-		var p page
-		if err := json.Unmarshal(c.world.State.Value(k), &p); err != nil {
-			c.t.Errorf("%s: %v", k, err)
+	Over []uint64 // assignments that have ended
+}
+
+// loggedAssignments returns the assignments that the log has begun and not ended.
+func (c *cluster) loggedAssignments() (live []string) {
+	var pages []logPage
+	for _, key := range c.world.State.Keys("book/") {
+		var page logPage
+		if err := json.Unmarshal(c.world.State.Value(key), &page); err != nil {
+			c.t.Errorf("%s: %v", key, err)
 		}
-		pages = append(pages, p)
+		pages = append(pages, page)
 	}
-	slices.SortFunc(pages, func(a, b page) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(pages, func(a, b logPage) int { return cmp.Compare(a.Number, b.Number) })
 	names := map[uint64]string{}
-	for _, p := range pages {
-		for _, b := range p.Begun {
-			for _, t := range b.Tasks {
-				names[t.A] = fmt.Sprintf("%s/%d on %s", t.J, t.N, b.M)
+	for _, page := range pages {
+		for _, begun := range page.Begun {
+			for _, task := range begun.Tasks {
+				names[task.Assignment] = fmt.Sprintf("%s/%d on %s", task.Job, task.Number, begun.Machine)
 			}
 		}
-		for _, a := range p.Over {
-			delete(names, a)
+		for _, assignment := range page.Over {
+			delete(names, assignment)
 		}
 	}
-	for _, n := range names {
-		live = append(live, n)
+	for _, name := range names {
+		live = append(live, name)
 	}
 	return live
 }
 
-// injectFault puts a rule in force and counts the messages that it hits.
+// injectFault applies a rule to all messages until end is called, and counts those that it hits.
 func (c *cluster) injectFault(rule emulator.Rule) (end func(), hits func() int) {
-	var n atomic.Int64
+	var count atomic.Int64
 	end = c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
-		f := rule(from, to, path)
-		if f != emulator.Deliver {
-			n.Add(1)
+		fault := rule(from, to, path)
+		if fault != emulator.Deliver {
+			count.Add(1)
 		}
-		return f
+		return fault
 	})
-	return end, func() int { return int(n.Load()) }
+	return end, func() int { return int(count.Load()) }
 }
 
-// isolate keeps machines from controllers, both ways.
+// isolate drops all messages from and to machines.
 func isolate(machines ...string) emulator.Rule {
 	return func(from, to, _ string) emulator.Fault {
 		if slices.Contains(machines, from) || slices.Contains(machines, to) {
@@ -315,25 +332,32 @@
 	}
 }
 
-// replaceLeader ends the leader, and brings it back when there is another.
+// replaceLeader ends the leader, and starts it again when another was elected.
 func (c *cluster) replaceLeader() {
 	c.t.Helper()
 	old := c.leader()
 	c.crash(old)
-	c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+	c.withinAnotherLeader(15*time.Second, old)
 	c.start(old)
 }
 
+// withinAnotherLeader waits for a leader that is not the old one.
+func (c *cluster) withinAnotherLeader(timeout time.Duration, old string) {
+	c.t.Helper()
+	c.within(timeout, "another leader", func() bool { name := c.leader(); return name != "" && name != old })
+}
+
+// firstRunning returns the first controller that was not ended.
 func (c *cluster) firstRunning() string {
-	for _, n := range c.names {
-		if !c.processes[n].ended() {
-			return n
+	for _, name := range c.names {
+		if !c.processes[name].ended() {
+			return name
 		}
 	}
 	return ""
 }
 
-// otherThan is a node that is not the one named.
+// otherThan returns a controller that is not the one named.
 func (c *cluster) otherThan(name string) string {
 	if name == c.names[0] {
 		return c.names[1]
@@ -353,31 +377,31 @@
 func (c *cluster) restartAll(pause time.Duration) {
 	c.crash(c.names...)
 	c.advance(pause)
-	for _, n := range c.names {
-		c.start(n)
+	for _, name := range c.names {
+		c.start(name)
 	}
 }
 
-// takeoverProgress is what the leader says of its take-over.
+// takeoverProgress returns how far the leader's failover is; zero if nobody leads.
 func (c *cluster) takeoverProgress() reconcile.Progress {
 	for _, name := range c.names {
-		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
-			return s.Takeover
+		if status := c.processes[name].controller.gate.Status(c.ctx); status != nil {
+			return status.Takeover
 		}
 	}
 	return reconcile.Progress{}
 }
 
-// timeUntilLeader starts nodes and returns how long it takes until one leads.
+// timeUntilLeader starts controllers and returns how long it takes until one of them leads.
 func (c *cluster) timeUntilLeader(names ...string) time.Duration {
 	c.t.Helper()
-	for _, n := range names {
-		c.start(n)
+	for _, name := range names {
+		c.start(name)
 	}
 	began := time.Now()
 	for time.Since(began) < 30*time.Second {
-		for _, n := range names {
-			if c.processes[n].controller.elector.Valid() {
+		for _, name := range names {
+			if c.processes[name].controller.elector.Valid() {
 				return time.Since(began)
 			}
 		}
@@ -387,21 +411,22 @@
 	return 0
 }
 
-// queueSummary is what the leader says of all classes.
+// queueSummary is what the leader tells of all classes, for messages of tests that fail.
 func (c *cluster) queueSummary() string {
 	for _, name := range c.names {
-		if s := c.processes[name].controller.gate.Status(c.ctx); s != nil {
-			return fmt.Sprintf("%+v, %d to write", s.Classes, s.WriteQueue)
+		if status := c.processes[name].controller.gate.Status(c.ctx); status != nil {
+			return fmt.Sprintf("%+v, %d to write", status.Classes, status.WriteQueue)
 		}
 	}
 	return "nobody leads"
 }
 
+// gangRuns returns a condition: all tasks of a gang are on machines, and have started together.
 func (c *cluster) gangRuns(id string, tasks int) func() bool {
 	return func() bool { return c.tasksOnMachines(id, tasks) == tasks && c.world.Gangs(id) > 0 }
 }
 
-// newRand is a source for a test's own users.
+// newRand returns a source of random numbers for a test's users, the same ones in every run.
 func (c *cluster) newRand() *rand.Rand {
 	c.randomSources++
 	return rand.New(rand.NewPCG(c.randomSources, 0))
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -94,7 +94,7 @@
 				c.world.State.Down(false)
 			case 3: // handed over and back at once
 				c.world.State.RefuseFrom(old, true)
-				c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+				c.withinAnotherLeader(15*time.Second, old)
 				c.world.State.RefuseFrom(old, false)
 			case 4: // all end, and one is back within a second
 				c.crash(c.names...)
@@ -339,7 +339,7 @@
 		if status, _ := c.request("GET", alone, "/v1/jobs/j-3", nil); status == http.StatusOK {
 			t.Errorf("a node that reaches nothing answers a question: %d", status)
 		}
-		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != alone })
+		c.withinAnotherLeader(15*time.Second, alone)
 		c.cancelJob(other, "j-2")
 		c.within(30*time.Second, "gone", func() bool { return c.tasksOnMachines("j-3", 6)+c.tasksOnMachines("j-2", 6) == 0 })
 		c.advance(30 * time.Second)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -47,7 +47,7 @@
 			c.advance(7 * time.Second)
 			old := c.leader()
 			c.crash(old)
-			c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+			c.withinAnotherLeader(15*time.Second, old)
 			c.start(old)
 			if c.tasksOnMachines("j-1", 2) != 2 {
 				t.Error("a take-over cost replicas of the service")
@@ -341,7 +341,7 @@
 			}
 			return emulator.Deliver
 		})
-		c.within(30*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+		c.withinAnotherLeader(30*time.Second, old)
 		c.advance(20 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 8 {
 			t.Errorf("the move cost work: %d starts for 8 tasks", c.world.Starts())
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -146,7 +146,7 @@
 			return emulator.Silent
 		}
 		c.world.Net.Faults(cut)
-		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != alone })
+		c.withinAnotherLeader(15*time.Second, alone)
 		c.advance(30 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 8 {
 			t.Errorf("the move cost work: %d starts for 8 tasks", c.world.Starts())
@@ -194,7 +194,7 @@
 		}
 		old := c.leader()
 		c.crash(old) // the others agree without speaking to each other
-		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+		c.withinAnotherLeader(15*time.Second, old)
 		if string(c.world.State.Value("term/token")) == token {
 			t.Error("the token was not raised")
 		}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -121,7 +121,7 @@
 					old := c.leader()
 					c.crash(old)
 					c.world.State.Lose(true, lost)
-					c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+					c.withinAnotherLeader(15*time.Second, old)
 					c.advance(5 * time.Second)
 					c.start(old)
 					c.withinRecovered(5 * time.Minute)
@@ -229,7 +229,7 @@
 				if partly {
 					c.world.Kill(c.world.On("j-1/1")[0])
 				}
-				c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+				c.withinAnotherLeader(15*time.Second, old)
 				c.start(old)
 				c.advance(2 * time.Minute)
 				switch n, began := c.tasksOnMachines("j-1", 3), c.world.Starts()-starts; {
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -16,7 +16,7 @@
 		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		old := c.leader()
 		c.world.State.RefuseFrom(old, true)
-		c.within(15*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+		c.withinAnotherLeader(15*time.Second, old)
 		c.advance(30 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.Starts() != 2 {
 			t.Errorf("the move cost replicas: %d starts", c.world.Starts())
@@ -112,7 +112,7 @@
 		}
 		c.world.State.RefuseFrom(old, true)
 		c.world.State.Down(false)
-		c.within(30*time.Second, "another leader", func() bool { l := c.leader(); return l != "" && l != old })
+		c.withinAnotherLeader(30*time.Second, old)
 		c.advance(20 * time.Second)
 		c.world.State.RefuseFrom(old, false)
 		c.withinDone(3*time.Minute, "j-2")
