--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -11,7 +11,8 @@
 	"ospreyslip/internal/emulator"
 )
 
-// faultSchedule draws from all that the users' pages name, one on another.
+// faultSchedule draws faults of all kinds that the protocol names, one on another, and brings
+// them about at their times. What is drawn, and when, depends on the seed only.
 type faultSchedule struct {
 	cluster *cluster
 	random  *rand.Rand
@@ -19,222 +20,285 @@
 	events  []scheduledEvent
 }
 
+// scheduledEvent is due at a time since the schedule began.
 type scheduledEvent struct {
 	at time.Duration
 	do func()
 }
 
-// probability is the same for the same message in every run.
-func (tr *faultSchedule) probability(kind, from, to, path string) float64 {
-	h := fnv.New64a()
-	fmt.Fprint(h, tr.seed, kind, from, to, path, time.Now().UnixNano())
-	return float64(h.Sum64()>>11) / (1 << 53)
+// probability returns a number in [0, 1) that is the same for the same message in every run.
+func (s *faultSchedule) probability(kind, from, to, path string) float64 {
+	hash := fnv.New64a()
+	fmt.Fprint(hash, s.seed, kind, from, to, path, time.Now().UnixNano())
+	return float64(hash.Sum64()>>11) / (1 << 53)
 }
 
-func (tr *faultSchedule) schedule(at, life time.Duration, name string, begin func() (end func())) {
-	tr.events = append(tr.events, scheduledEvent{at, func() {
-		tr.cluster.world.Note("== %s, for %v", name, life)
-		end := begin()
-		tr.events = append(tr.events, scheduledEvent{at + life, func() {
-			tr.cluster.world.Note("== %s is over", name)
-			end()
-		}})
-	}})
-}
-
-func (tr *faultSchedule) scheduleRule(at, life time.Duration, name string, rule emulator.Rule) {
-	tr.schedule(at, life, name, func() func() { return tr.cluster.world.Net.Trouble(rule) })
+// once schedules an event.
+func (s *faultSchedule) once(at time.Duration, do func()) {
+	s.events = append(s.events, scheduledEvent{at, do})
 }
 
-// run plays all events up to a moment.
-func (tr *faultSchedule) run(start time.Time, until time.Duration) {
+// run brings about all events up to a time, and returns then.
+func (s *faultSchedule) run(start time.Time, until time.Duration) {
 	for {
-		slices.SortStableFunc(tr.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
-		if len(tr.events) == 0 || tr.events[0].at > until {
+		slices.SortStableFunc(s.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
+		if len(s.events) == 0 || s.events[0].at > until {
 			break
 		}
-		e := tr.events[0]
-		tr.events = tr.events[1:]
-		tr.cluster.advance(time.Until(start.Add(e.at)))
-		e.do()
+		next := s.events[0]
+		s.events = s.events[1:]
+		s.cluster.advance(time.Until(start.Add(next.at)))
+		next.do()
 	}
-	tr.cluster.advance(time.Until(start.Add(until)))
+	s.cluster.advance(time.Until(start.Add(until)))
 }
 
-func isMachine(host string) bool { return strings.HasPrefix(host, "m-") }
-
-// scheduleRandom adds one trouble of any kind.
-func (tr *faultSchedule) scheduleRandom(at time.Duration) {
-	c, r := tr.cluster, tr.random
-	life := time.Duration(1+r.IntN(12)) * time.Second
-	if r.IntN(3) == 0 {
-		life *= 6 // beyond any lease, and beyond the time of a cancellation
-	}
-	node := c.names[r.IntN(3)]
-	who := func() string { // the leader, if it is meant
-		return node
-	}
-	if r.IntN(2) == 0 {
-		who = func() string {
-			if l := c.leader(); l != "" {
-				return l
-			}
-			return node
-		}
-	}
-	share := 0.1 + 0.6*r.Float64()
-	fault := []emulator.Fault{emulator.Silent, emulator.Refuse, emulator.Late, emulator.LoseAnswer}[r.IntN(4)]
-	nodeRule := func(name string, cut func(node, from, to string) bool) {
-		tr.schedule(at, life, name, func() func() {
-			n := who()
-			c.world.Note("== of %s, fault %d", n, fault)
-			return c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
-				if path == emulator.Stream && fault == emulator.Late {
-					return emulator.Deliver
-				}
-				if (from == n || to == n) && cut(n, from, to) {
-					return fault
-				}
-				return emulator.Deliver
-			})
-		})
-	}
-	some := func() map[string]bool { // of the machines
-		set := map[string]bool{}
-		for _, m := range c.world.Machines() {
-			if r.Float64() < share {
-				set[m] = true
-			}
-		}
-		return set
-	}
-	messages := func(name, path string, f emulator.Fault) {
-		tr.scheduleRule(at, life, name, func(from, to, p string) emulator.Fault {
-			if p == path && tr.probability(name, from, to, p) < share {
-				return f
-			}
-			return emulator.Deliver
-		})
-	}
-	switch r.IntN(20) {
+// scheduleRandom draws one fault of any kind, to begin at a time.
+func (s *faultSchedule) scheduleRandom(at time.Duration) {
+	fault := s.drawFault(at)
+	switch s.random.IntN(20) {
 	case 0:
-		tr.schedule(at, life, "the state service is out", func() func() {
-			c.world.State.Down(true)
-			return func() { c.world.State.Down(false) }
-		})
+		fault.storeOutage()
 	case 1, 2:
-		tr.schedule(at, life, "the state service refuses one", func() func() {
-			n := who()
-			c.world.Note("== it is %s", n)
-			c.world.State.RefuseFrom(n, true)
-			return func() { c.world.State.RefuseFrom(n, false) }
-		})
+		fault.storeRefusesOne()
 	case 3:
-		messages("transactions are carried out late", "/commit", emulator.Late)
+		fault.onMessages("transactions are carried out late", "/commit", emulator.Late)
 	case 4:
-		messages("reports come once more, late", "/v1/report", emulator.Copied)
+		fault.onMessages("reports come once more, late", "/v1/report", emulator.Copied)
 	case 5:
-		messages("reports are held up", "/v1/report", []emulator.Fault{emulator.Late, emulator.Slow}[r.IntN(2)])
+		fault.onMessages("reports are held up", "/v1/report", fault.oneOf(emulator.Late, emulator.Slow))
 	case 6:
-		messages("orders are held up", "/orders", []emulator.Fault{emulator.Late, emulator.Slow, emulator.Copied, emulator.LoseAnswer}[r.IntN(4)])
+		fault.onMessages("orders are held up", "/orders", fault.oneOf(emulator.Late, emulator.Slow, emulator.Copied, emulator.LoseAnswer))
 	case 7:
-		messages("transactions are slow", "/commit", emulator.Slow)
+		fault.onMessages("transactions are slow", "/commit", emulator.Slow)
 	case 8:
-		tr.schedule(at, life, "machines are deaf", func() func() {
-			deaf := some()
-			return c.world.Net.Trouble(func(from, to, _ string) emulator.Fault {
-				switch {
-				case deaf[from]:
-					return emulator.LoseAnswer
-				case deaf[to]:
-					return emulator.Silent
-				}
-				return emulator.Deliver
-			})
-		})
+		fault.deafMachines()
 	case 9:
-		tr.schedule(at, life, "machines are mute", func() func() {
-			mute := some()
-			return c.world.Net.Trouble(func(from, _, _ string) emulator.Fault {
-				if mute[from] {
-					return emulator.Silent
-				}
-				return emulator.Deliver
-			})
-		})
+		fault.muteMachines()
 	case 10:
-		tr.schedule(at, life, "machines hang", func() func() {
-			var hung []*emulator.Worker
-			for m := range some() {
-				hung = append(hung, c.world.Worker(m))
-			}
-			for _, w := range hung {
-				w.Hang(true)
-			}
-			return func() {
-				for _, w := range hung {
-					w.Hang(false)
-				}
-			}
-		})
+		fault.hangingMachines()
 	case 11:
-		tr.events = append(tr.events, scheduledEvent{at, func() {
-			for i, m := range c.world.Machines() {
-				if i < 2 {
-					c.world.Note("== %s dies", m)
-					c.world.Kill(m)
-				}
-			}
-		}})
+		fault.twoMachinesDie()
 	case 12:
-		nodeRule("a node is cut off from the state service", func(_, from, to string) bool { return from == "state" || to == "state" })
+		fault.onTarget("a node is cut off from the state service", func(from, to string) bool { return from == "state" || to == "state" })
 	case 13:
-		nodeRule("a node is cut off from state service and peers", func(_, from, to string) bool {
+		fault.onTarget("a node is cut off from state service and peers", func(from, to string) bool {
 			return !isMachine(from) && !isMachine(to) && from != "user"
 		})
 	case 14:
-		nodeRule("a node is cut off from all", func(string, string, string) bool { return true })
+		fault.onTarget("a node is cut off from all", func(string, string) bool { return true })
 	case 15:
-		nodeRule("a node is cut off from the workers", func(_, from, to string) bool { return isMachine(from) || isMachine(to) })
+		fault.onTarget("a node is cut off from the workers", func(from, to string) bool { return isMachine(from) || isMachine(to) })
 	case 16:
-		zone := c.world.ZoneOf
-		in := c.settings("perch-0").Deployment.Zones[r.IntN(3)]
-		with := r.IntN(2) == 0
-		tr.schedule(at, life, "a zone is cut off", func() func() {
-			n := who()
-			within := func(host string) bool { return with && host == n || zone(host) == in }
-			return c.world.Net.Trouble(func(from, to, path string) emulator.Fault {
-				if from != "user" && within(from) != within(to) && (path != emulator.Stream || fault != emulator.Late) {
-					return fault
-				}
-				return emulator.Deliver
-			})
-		})
+		fault.zoneCutOff()
 	case 17, 18:
-		back := []time.Duration{10 * time.Millisecond, 150 * time.Millisecond, time.Second, 5 * time.Second}[r.IntN(4)]
-		tr.events = append(tr.events, scheduledEvent{at, func() {
-			names := []string{who()}
-			switch r.IntN(4) {
-			case 0:
-				names = slices.Clone(c.names)
-			case 1:
-				names = append(names, c.names[(slices.Index(c.names, names[0])+1)%3])
+		fault.controllersRestart()
+	case 19:
+		fault.watchesLag()
+	}
+}
+
+// randomFault is what all kinds of faults have in common.
+type randomFault struct {
+	*faultSchedule
+	begin  time.Duration
+	lasts  time.Duration
+	target func() string  // the controller that it concerns: any, or who leads when it begins
+	share  float64        // of machines or messages
+	effect emulator.Fault // on messages
+}
+
+func (s *faultSchedule) drawFault(at time.Duration) *randomFault {
+	lasts := time.Duration(1+s.random.IntN(12)) * time.Second
+	if s.random.IntN(3) == 0 {
+		lasts *= 6 // beyond any lease, and beyond the time of a cancellation
+	}
+	node := s.cluster.names[s.random.IntN(3)]
+	target := func() string { return node }
+	if s.random.IntN(2) == 0 {
+		target = func() string {
+			if name := s.cluster.leader(); name != "" {
+				return name
+			}
+			return node
+		}
+	}
+	fault := &randomFault{faultSchedule: s, begin: at, lasts: lasts, target: target, share: 0.1 + 0.6*s.random.Float64()}
+	fault.effect = fault.oneOf(emulator.Silent, emulator.Refuse, emulator.Late, emulator.LoseAnswer)
+	return fault
+}
+
+func (f *randomFault) oneOf(effects ...emulator.Fault) emulator.Fault {
+	return effects[f.random.IntN(len(effects))]
+}
+
+// schedule has the fault begin and end at its times.
+func (f *randomFault) schedule(name string, begin func() (end func())) {
+	f.once(f.begin, func() {
+		f.cluster.world.Note("== %s, for %v", name, f.lasts)
+		end := begin()
+		f.once(f.begin+f.lasts, func() {
+			f.cluster.world.Note("== %s is over", name)
+			end()
+		})
+	})
+}
+
+// onMessages has an effect on a share of the messages to a path.
+func (f *randomFault) onMessages(name, path string, effect emulator.Fault) {
+	f.schedule(name, func() func() {
+		return f.cluster.world.Net.Trouble(func(from, to, messagePath string) emulator.Fault {
+			if messagePath == path && f.probability(name, from, to, messagePath) < f.share {
+				return effect
 			}
-			names = slices.DeleteFunc(names, func(n string) bool { return c.processes[n].ended() })
-			c.crash(names...)
-			for i, n := range names {
-				tr.events = append(tr.events, scheduledEvent{at + back + time.Duration(i*r.IntN(300))*time.Millisecond, func() {
-					if c.processes[n].ended() {
-						c.start(n)
-					}
-				}})
+			return emulator.Deliver
+		})
+	})
+}
+
+// onTarget has the fault's effect on the messages from and to its target that match.
+func (f *randomFault) onTarget(name string, match func(from, to string) bool) {
+	f.schedule(name, func() func() {
+		target := f.target()
+		f.cluster.world.Note("== of %s, fault %d", target, f.effect)
+		return f.cluster.world.Net.Trouble(func(from, to, path string) emulator.Fault {
+			if path == emulator.Stream && f.effect == emulator.Late {
+				return emulator.Deliver
 			}
-		}})
-	case 19:
-		lag := 1 + r.IntN(40)
-		tr.schedule(at, life, "watches lag", func() func() {
-			c.world.State.Lag(lag)
-			return func() { c.world.State.Lag(0) }
+			if (from == target || to == target) && match(from, to) {
+				return f.effect
+			}
+			return emulator.Deliver
 		})
+	})
+}
+
+// someMachines draws the fault's share of the machines that are up.
+func (f *randomFault) someMachines() map[string]bool {
+	machines := map[string]bool{}
+	for _, name := range f.cluster.world.Machines() {
+		if f.random.Float64() < f.share {
+			machines[name] = true
+		}
 	}
+	return machines
+}
+
+func (f *randomFault) storeOutage() {
+	f.schedule("the state service is out", func() func() {
+		f.cluster.world.State.Down(true)
+		return func() { f.cluster.world.State.Down(false) }
+	})
+}
+
+func (f *randomFault) storeRefusesOne() {
+	f.schedule("the state service refuses one", func() func() {
+		target := f.target()
+		f.cluster.world.Note("== it is %s", target)
+		f.cluster.world.State.RefuseFrom(target, true)
+		return func() { f.cluster.world.State.RefuseFrom(target, false) }
+	})
+}
+
+func (f *randomFault) deafMachines() {
+	f.schedule("machines are deaf", func() func() {
+		deaf := f.someMachines()
+		return f.cluster.world.Net.Trouble(func(from, to, _ string) emulator.Fault {
+			switch {
+			case deaf[from]:
+				return emulator.LoseAnswer
+			case deaf[to]:
+				return emulator.Silent
+			}
+			return emulator.Deliver
+		})
+	})
 }
+
+func (f *randomFault) muteMachines() {
+	f.schedule("machines are mute", func() func() {
+		mute := f.someMachines()
+		return f.cluster.world.Net.Trouble(func(from, _, _ string) emulator.Fault {
+			if mute[from] {
+				return emulator.Silent
+			}
+			return emulator.Deliver
+		})
+	})
+}
+
+func (f *randomFault) hangingMachines() {
+	f.schedule("machines hang", func() func() {
+		var hung []*emulator.Worker
+		for name := range f.someMachines() {
+			hung = append(hung, f.cluster.world.Worker(name))
+		}
+		setHanging := func(on bool) {
+			for _, worker := range hung {
+				worker.Hang(on)
+			}
+		}
+		setHanging(true)
+		return func() { setHanging(false) }
+	})
+}
+
+func (f *randomFault) twoMachinesDie() {
+	f.once(f.begin, func() {
+		machines := f.cluster.world.Machines()
+		for _, name := range machines[:min(2, len(machines))] {
+			f.cluster.world.Note("== %s dies", name)
+			f.cluster.world.Kill(name)
+		}
+	})
+}
+
+// zoneCutOff cuts the machines of a zone off, some times with the target in it.
+func (f *randomFault) zoneCutOff() {
+	zone := f.cluster.settings("perch-0").Deployment.Zones[f.random.IntN(3)]
+	withTarget := f.random.IntN(2) == 0
+	f.schedule("a zone is cut off", func() func() {
+		target := f.target()
+		inside := func(host string) bool { return withTarget && host == target || f.cluster.world.ZoneOf(host) == zone }
+		return f.cluster.world.Net.Trouble(func(from, to, path string) emulator.Fault {
+			if from != "user" && inside(from) != inside(to) && (path != emulator.Stream || f.effect != emulator.Late) {
+				return f.effect
+			}
+			return emulator.Deliver
+		})
+	})
+}
+
+// controllersRestart ends the target, two controllers or all, and starts them again soon.
+func (f *randomFault) controllersRestart() {
+	pauses := []time.Duration{10 * time.Millisecond, 150 * time.Millisecond, time.Second, 5 * time.Second}
+	pause := pauses[f.random.IntN(len(pauses))]
+	f.once(f.begin, func() {
+		names := []string{f.target()}
+		switch f.random.IntN(4) {
+		case 0:
+			names = slices.Clone(f.cluster.names)
+		case 1:
+			names = append(names, f.cluster.names[(slices.Index(f.cluster.names, names[0])+1)%3])
+		}
+		names = slices.DeleteFunc(names, func(name string) bool { return f.cluster.processes[name].ended() })
+		f.cluster.crash(names...)
+		for i, name := range names {
+			f.once(f.begin+pause+time.Duration(i*f.random.IntN(300))*time.Millisecond, func() {
+				if f.cluster.processes[name].ended() {
+					f.cluster.start(name)
+				}
+			})
+		}
+	})
+}
+
+func (f *randomFault) watchesLag() {
+	lag := 1 + f.random.IntN(40)
+	f.schedule("watches lag", func() func() {
+		f.cluster.world.State.Lag(lag)
+		return func() { f.cluster.world.State.Lag(0) }
+	})
+}
+
+func isMachine(host string) bool { return strings.HasPrefix(host, "m-") }
--- a/internal/controller/job_specs_test.go
+++ b/internal/controller/job_specs_test.go
@@ -8,6 +8,7 @@
 	"ospreyslip/internal/jobs"
 )
 
+// batchJob is a job whose tasks end after so many seconds, on spot machines.
 func batchJob(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "sums", Team: "blue", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks,
@@ -15,6 +16,7 @@
 	}
 }
 
+// serviceJob is a job whose tasks run until it is cancelled.
 func serviceJob(id string, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "web", Team: "red", Shape: jobs.Service, Priority: jobs.Prod, Tasks: tasks,
@@ -22,7 +24,8 @@
 	}
 }
 
-// gangJob is a job of two tasks a machine, so that tasks of one attempt share some.
+// gangJob is a job whose tasks run together. Two fit on a machine, so that tasks of one attempt
+// share some.
 func gangJob(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "joint", Team: "blue", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: tasks,
@@ -30,24 +33,25 @@
 	}
 }
 
-func randomJob(r *rand.Rand, i int) *jobs.Spec {
-	id := fmt.Sprintf("j-%d", 10+i)
-	switch r.IntN(8) {
+// randomJob draws the job of a number: mostly a batch job, sometimes a service or a gang.
+func randomJob(random *rand.Rand, number int) *jobs.Spec {
+	id := fmt.Sprintf("j-%d", 10+number)
+	switch random.IntN(8) {
 	case 0:
-		return serviceJob(id, 1+r.IntN(2))
+		return serviceJob(id, 1+random.IntN(2))
 	case 1:
-		return gangJob(id, 2, float64(5+r.IntN(20)))
+		return gangJob(id, 2, float64(5+random.IntN(20)))
 	}
-	return batchJob(id, 1+r.IntN(4), float64(3+r.IntN(30)))
+	return batchJob(id, 1+random.IntN(4), float64(3+random.IntN(30)))
 }
 
-// wireSpec gives a spec its form on the wire, where null is not the empty string.
-func wireSpec(s *jobs.Spec) map[string]any {
-	raw, _ := json.Marshal(s)
-	var m map[string]any
-	_ = json.Unmarshal(raw, &m)
-	if s.Zone == "" {
-		m["eyrie"] = nil
+// wireSpec returns a spec as users send it: there, no zone is null, not the empty string.
+func wireSpec(spec *jobs.Spec) map[string]any {
+	raw, _ := json.Marshal(spec)
+	var fields map[string]any
+	_ = json.Unmarshal(raw, &fields)
+	if spec.Zone == "" {
+		fields["eyrie"] = nil
 	}
-	return m
+	return fields
 }
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -10,127 +10,145 @@
 	"ospreyslip/internal/jobs"
 )
 
-// simulatedUsers submit jobs, ask about them, cancel some and repeat themselves, one request
+// simulatedUsers submit jobs, ask about them, cancel some and submit them again, one request
 // at a time for each job, until they are told that it is over.
 type simulatedUsers struct {
-	cluster       *cluster
-	ctx           context.Context
-	cancel        context.CancelFunc
-	following     sync.WaitGroup
+	cluster   *cluster
+	ctx       context.Context
+	cancel    context.CancelFunc
+	following sync.WaitGroup
+
 	mu            sync.Mutex
-	lastTaskEnded map[string]chan struct{} // closed when a job's last task has ended
-	finalStates   map[string]string
-	submitted     int
+	lastTaskEnded map[string]chan struct{} // by job ID, closed when the job's last task has ended
+	finalStates   map[string]string        // by job ID, as users were told
 }
 
 func newSimulatedUsers(c *cluster) *simulatedUsers {
-	u := &simulatedUsers{cluster: c, lastTaskEnded: map[string]chan struct{}{}, finalStates: map[string]string{}}
-	u.ctx, u.cancel = context.WithCancel(c.ctx)
+	users := &simulatedUsers{cluster: c, lastTaskEnded: map[string]chan struct{}{}, finalStates: map[string]string{}}
+	users.ctx, users.cancel = context.WithCancel(c.ctx)
 	c.world.Ended = func(id string) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		if end := u.lastTaskEnded[id]; end != nil {
-			close(end)
-			u.lastTaskEnded[id] = nil
+		users.mu.Lock()
+		defer users.mu.Unlock()
+		if ended := users.lastTaskEnded[id]; ended != nil {
+			close(ended)
+			users.lastTaskEnded[id] = nil
 		}
 	}
-	return u
+	return users
 }
 
-// What a user does about a job besides asking.
+// userBehavior is what a user does about a job besides asking.
 type userBehavior struct {
 	cancelAfter time.Duration // 0: never
 	cancelAtEnd bool          // cancels at the moment at which the last task ends
 	resubmits   bool          // submits it again and again
 }
 
-func (u *simulatedUsers) submitAndFollow(r *rand.Rand, s *jobs.Spec, h userBehavior) {
-	u.cluster.world.Upload(s)
-	end := make(chan struct{})
+func randomBehavior(random *rand.Rand) userBehavior {
+	behavior := userBehavior{resubmits: random.IntN(3) == 0}
+	if random.IntN(4) == 0 {
+		behavior.cancelAfter = time.Duration(5+random.IntN(60)) * time.Second
+	}
+	return behavior
+}
+
+// submitAndFollow has a user submit a job and follow it, in a goroutine that stop waits for.
+func (u *simulatedUsers) submitAndFollow(random *rand.Rand, spec *jobs.Spec, behavior userBehavior) {
+	u.cluster.world.Upload(spec)
+	ended := make(chan struct{})
 	u.mu.Lock()
-	u.lastTaskEnded[s.ID] = end
-	u.submitted++
+	u.lastTaskEnded[spec.ID] = ended
 	u.mu.Unlock()
-	u.following.Go(func() { u.follow(r, s, h, end) })
+	user := &jobUser{simulatedUsers: u, random: random, spec: spec, behavior: behavior}
+	u.following.Go(func() { user.follow(ended) })
 }
 
-func (u *simulatedUsers) follow(r *rand.Rand, s *jobs.Spec, h userBehavior, end chan struct{}) {
-	node := func() string { return u.cluster.names[r.IntN(len(u.cluster.names))] }
-	sleep := func(d time.Duration) bool {
-		select {
-		case <-u.ctx.Done():
-			return false
-		case <-time.After(d):
-			return true
-		}
-	}
-	// A request is repeated until it is answered, for a minute.
-	until := func(method, path string, body any) (int, map[string]any) {
-		for start := time.Now(); ; {
-			status, view := u.cluster.request(method, node(), path, body)
-			if status == http.StatusOK || status == http.StatusCreated || status == http.StatusUnprocessableEntity || time.Since(start) > time.Minute {
-				return status, view
-			}
-			if !sleep(time.Second + time.Duration(r.IntN(1000))*time.Millisecond) {
-				return 0, nil
-			}
-		}
-	}
-	if status, _ := until("POST", "/v1/jobs", wireSpec(s)); status != http.StatusCreated && status != http.StatusOK {
+// stop has all users give up, and waits for them.
+func (u *simulatedUsers) stop() {
+	u.cancel()
+	u.following.Wait()
+}
+
+// isOver tells whether a user was told that the job is over.
+func (u *simulatedUsers) isOver(id string) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.finalStates[id] != ""
+}
+
+// jobUser is the user of one job.
+type jobUser struct {
+	*simulatedUsers
+	random   *rand.Rand
+	spec     *jobs.Spec
+	behavior userBehavior
+}
+
+// follow submits the job and asks about it until it is over.
+func (u *jobUser) follow(ended <-chan struct{}) {
+	if status, _ := u.requestUntilAnswered("POST", "/v1/jobs", wireSpec(u.spec)); status != http.StatusCreated && status != http.StatusOK {
 		return
 	}
-	var withdraw <-chan time.Time
-	if h.cancelAfter > 0 {
-		withdraw = time.After(h.cancelAfter)
+	var cancelDue <-chan time.Time
+	if u.behavior.cancelAfter > 0 {
+		cancelDue = time.After(u.behavior.cancelAfter)
 	}
 	for {
-		called := false
+		cancels := false
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-withdraw:
-			withdraw, called = nil, true
-		case <-end:
-			end, called = nil, h.cancelAtEnd
-		case <-time.After(4*time.Second + time.Duration(r.IntN(2000))*time.Millisecond):
-		}
-		status, view := 0, map[string]any(nil)
-		switch {
-		case called:
-			status, view = until("POST", "/v1/jobs/"+s.ID+"/withdraw", nil)
-		case h.resubmits && r.IntN(3) == 0:
-			status, view = u.cluster.request("POST", node(), "/v1/jobs", wireSpec(s))
-		default:
-			status, view = u.cluster.request("GET", node(), "/v1/jobs/"+s.ID, nil)
+		case <-cancelDue:
+			cancelDue, cancels = nil, true
+		case <-ended:
+			ended, cancels = nil, u.behavior.cancelAtEnd
+		case <-time.After(4*time.Second + time.Duration(u.random.IntN(2000))*time.Millisecond):
 		}
-		if stance, _ := view["stance"].(string); status == http.StatusOK && (stance == jobs.Done || stance == jobs.Cancelled) {
-			u.mu.Lock()
-			u.finalStates[s.ID] = stance
-			u.mu.Unlock()
-			if h.resubmits && u.ctx.Err() == nil && sleep(10*time.Second) {
-				u.cluster.request("POST", node(), "/v1/jobs", wireSpec(s)) // at any later time
-			}
+		status, view := u.cancelOrAsk(cancels)
+		state, _ := view["stance"].(string)
+		if status == http.StatusOK && (state == jobs.Done || state == jobs.Cancelled) {
+			u.toldOver(state)
 			return
 		}
 	}
 }
 
-// stop lets all users go.
-func (u *simulatedUsers) stop() {
-	u.cancel()
-	u.following.Wait()
+// cancelOrAsk sends the user's next request about the job.
+func (u *jobUser) cancelOrAsk(cancels bool) (status int, view map[string]any) {
+	switch {
+	case cancels:
+		return u.requestUntilAnswered("POST", "/v1/jobs/"+u.spec.ID+"/withdraw", nil)
+	case u.behavior.resubmits && u.random.IntN(3) == 0:
+		return u.cluster.request("POST", u.anyNode(), "/v1/jobs", wireSpec(u.spec))
+	default:
+		return u.cluster.request("GET", u.anyNode(), "/v1/jobs/"+u.spec.ID, nil)
+	}
 }
 
-func (u *simulatedUsers) isOver(id string) bool {
+// toldOver notes the job's final state. Some users submit the job once more even then.
+func (u *jobUser) toldOver(state string) {
 	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.finalStates[id] != ""
+	u.finalStates[u.spec.ID] = state
+	u.mu.Unlock()
+	if u.behavior.resubmits && u.ctx.Err() == nil && sleep(u.ctx, 10*time.Second) {
+		u.cluster.request("POST", u.anyNode(), "/v1/jobs", wireSpec(u.spec))
+	}
 }
 
-func randomBehavior(r *rand.Rand) userBehavior {
-	h := userBehavior{resubmits: r.IntN(3) == 0}
-	if r.IntN(4) == 0 {
-		h.cancelAfter = time.Duration(5+r.IntN(60)) * time.Second
+// requestUntilAnswered repeats a request until it is answered, for a minute.
+func (u *jobUser) requestUntilAnswered(method, path string, body any) (status int, view map[string]any) {
+	for start := time.Now(); ; {
+		status, view := u.cluster.request(method, u.anyNode(), path, body)
+		answered := status == http.StatusOK || status == http.StatusCreated || status == http.StatusUnprocessableEntity
+		if answered || time.Since(start) > time.Minute {
+			return status, view
+		}
+		if !sleep(u.ctx, time.Second+time.Duration(u.random.IntN(1000))*time.Millisecond) {
+			return 0, nil
+		}
 	}
-	return h
+}
+
+func (u *jobUser) anyNode() string {
+	return u.cluster.names[u.random.IntN(len(u.cluster.names))]
 }
