--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -55,8 +55,8 @@
 // Two tasks of a job end far apart, under two leaders, the second while none leads.
 func TestEndsFarApart(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		s := batchJob("j-1", 2, 20)
-		c.submit("perch-0", s)
+		spec := batchJob("j-1", 2, 20)
+		c.submit("perch-0", spec)
 		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		// One begins anew, and so ends much later than the other.
 		c.world.Kill(c.world.On("j-1/1")[0])
@@ -293,16 +293,16 @@
 			return emulator.Deliver
 		})
 		before := c.world.State.Requests("/commit")
-		u := newSimulatedUsers(c)
+		users := newSimulatedUsers(c)
 		var all []*jobs.Spec
 		for i := range 10 {
-			s := batchJob(fmt.Sprintf("j-%d", i+1), 3, float64(4+2*i))
-			all = append(all, s)
-			h := userBehavior{resubmits: i%3 == 0, cancelAtEnd: i%4 == 1}
+			spec := batchJob(fmt.Sprintf("j-%d", i+1), 3, float64(4+2*i))
+			all = append(all, spec)
+			behavior := userBehavior{resubmits: i%3 == 0, cancelAtEnd: i%4 == 1}
 			if i%4 == 2 {
-				h.cancelAfter = 25 * time.Second
+				behavior.cancelAfter = 25 * time.Second
 			}
-			u.submitAndFollow(c.newRand(), s, h)
+			users.submitAndFollow(c.newRand(), spec, behavior)
 			c.advance(2 * time.Second)
 			if i%5 == 4 {
 				c.replaceLeader()
@@ -314,9 +314,9 @@
 			t.Errorf("%d transactions were to be late, %d came", hits(), c.world.State.Requests("/commit")-before)
 		}
 		c.within(3*time.Minute, "all over", func() bool {
-			return !slices.ContainsFunc(all, func(s *jobs.Spec) bool { return c.world.Accepted(s.ID) && !u.isOver(s.ID) })
+			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return c.world.Accepted(spec.ID) && !users.isOver(spec.ID) })
 		})
-		u.stop()
+		users.stop()
 	})
 }
 
@@ -368,17 +368,17 @@
 		})
 		var all []*jobs.Spec
 		for i := range 14 {
-			s := batchJob(fmt.Sprintf("j-%d", i+1), 6, 12)
-			s.Priority = []string{jobs.BestEffort, jobs.Standard, jobs.Urgent}[i%3]
-			if s.CheckpntS = 0; i%2 == 0 {
-				s.CheckpntS, s.SaveS = 4, 1
+			spec := batchJob(fmt.Sprintf("j-%d", i+1), 6, 12)
+			spec.Priority = []string{jobs.BestEffort, jobs.Standard, jobs.Urgent}[i%3]
+			if spec.CheckpntS = 0; i%2 == 0 {
+				spec.CheckpntS, spec.SaveS = 4, 1
 			}
-			c.submit(c.names[i%3], s)
-			all = append(all, s)
+			c.submit(c.names[i%3], spec)
+			all = append(all, spec)
 			c.advance(3 * time.Second)
 		}
-		for _, s := range all {
-			c.withinDone(4*time.Minute, s.ID)
+		for _, spec := range all {
+			c.withinDone(4*time.Minute, spec.ID)
 		}
 		end()
 		if hits() < 100 {
@@ -420,24 +420,24 @@
 // jobs' last tasks, at every node: a job is done or cancelled, never both.
 func TestRequestsMeetTheEnd(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		u := newSimulatedUsers(c)
+		users := newSimulatedUsers(c)
 		var all []*jobs.Spec
 		for i := range 40 {
-			s := batchJob(fmt.Sprintf("j-%d", i+1), 1+i%3, float64(1+i%5))
-			all = append(all, s)
-			u.submitAndFollow(c.newRand(), s, userBehavior{cancelAtEnd: true, resubmits: i%2 == 0})
+			spec := batchJob(fmt.Sprintf("j-%d", i+1), 1+i%3, float64(1+i%5))
+			all = append(all, spec)
+			users.submitAndFollow(c.newRand(), spec, userBehavior{cancelAtEnd: true, resubmits: i%2 == 0})
 		}
 		c.within(3*time.Minute, "all over", func() bool {
-			return !slices.ContainsFunc(all, func(s *jobs.Spec) bool { return !u.isOver(s.ID) })
+			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return !users.isOver(spec.ID) })
 		})
 		c.advance(15 * time.Second)
-		u.stop()
+		users.stop()
 		ends := map[string]int{}
-		for _, s := range all {
-			ends[u.finalStates[s.ID]]++
+		for _, spec := range all {
+			ends[users.finalStates[spec.ID]]++
 			for _, n := range c.names { // every node says the same, for ever
-				if status, view := c.request("GET", n, "/v1/jobs/"+s.ID, nil); status != http.StatusOK || view["stance"] != u.finalStates[s.ID] {
-					t.Errorf("%s at %s: %d %v, was %s", s.ID, n, status, view["stance"], u.finalStates[s.ID])
+				if status, view := c.request("GET", n, "/v1/jobs/"+spec.ID, nil); status != http.StatusOK || view["stance"] != users.finalStates[spec.ID] {
+					t.Errorf("%s at %s: %d %v, was %s", spec.ID, n, status, view["stance"], users.finalStates[spec.ID])
 				}
 			}
 		}
@@ -452,8 +452,8 @@
 func TestOddRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		done, off, runs := batchJob("j-1", 1, 1), batchJob("j-2", 1, 300), serviceJob("j-3", 2)
-		for _, s := range []*jobs.Spec{done, off, runs} {
-			c.submit("perch-0", s)
+		for _, spec := range []*jobs.Spec{done, off, runs} {
+			c.submit("perch-0", spec)
 		}
 		c.withinDone(60*time.Second, "j-1")
 		c.cancelJob("perch-1", "j-2")
@@ -478,17 +478,17 @@
 		lacks := wireSpec(batchJob("j-4", 1, 1))
 		delete(lacks, "ramGb")
 		never := func(change func(*jobs.Spec)) map[string]any {
-			s := serviceJob("j-5", 2)
-			change(s)
-			return wireSpec(s)
+			spec := serviceJob("j-5", 2)
+			change(spec)
+			return wireSpec(spec)
 		}
 		cannot := map[string]map[string]any{
-			"too large":                 never(func(s *jobs.Spec) { s.RAMGB = 33 }),
-			"no such team":              never(func(s *jobs.Spec) { s.Team = "green" }),
-			"no such zone":              never(func(s *jobs.Spec) { s.Zone = "z" }),
-			"scattered in one zone":     never(func(s *jobs.Spec) { s.Zone = "a" }),
-			"scattered in the same":     never(func(s *jobs.Spec) { s.OneZone = true }),
-			"a gang scattered the same": never(func(s *jobs.Spec) { s.Shape, s.OneZone = jobs.Gang, true }),
+			"too large":                 never(func(spec *jobs.Spec) { spec.RAMGB = 33 }),
+			"no such team":              never(func(spec *jobs.Spec) { spec.Team = "green" }),
+			"no such zone":              never(func(spec *jobs.Spec) { spec.Zone = "z" }),
+			"scattered in one zone":     never(func(spec *jobs.Spec) { spec.Zone = "a" }),
+			"scattered in the same":     never(func(spec *jobs.Spec) { spec.OneZone = true }),
+			"a gang scattered the same": never(func(spec *jobs.Spec) { spec.Shape, spec.OneZone = jobs.Gang, true }),
 		}
 		for name, body := range cannot {
 			if status, view := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusUnprocessableEntity {
@@ -517,13 +517,13 @@
 		c.world.State.Down(false)
 		c.advance(2 * time.Second)
 		// Accepted by an earlier version, it stays accepted.
-		kept := never(func(s *jobs.Spec) { s.ID, s.Zone = "j-8", "a" })
+		kept := never(func(spec *jobs.Spec) { spec.ID, spec.Zone = "j-8", "a" })
 		c.world.Submitted("j-8")
 		c.world.State.Put("job/j-8", []byte(`{"stance":"queued","tasks":2}`))
 		if status, view := c.request("POST", "perch-1", "/v1/jobs", kept); status != http.StatusOK || view["stance"] != jobs.Queued {
 			t.Errorf("accepted earlier: %d %v", status, view)
 		}
-		if keys := c.world.State.Keys("job/"); slices.ContainsFunc(keys, func(k string) bool { return strings.HasSuffix(k, "j-4") || strings.HasSuffix(k, "j-5") }) {
+		if keys := c.world.State.Keys("job/"); slices.ContainsFunc(keys, func(key string) bool { return strings.HasSuffix(key, "j-4") || strings.HasSuffix(key, "j-5") }) {
 			t.Errorf("accepted: %v", keys)
 		}
 	})
--- a/internal/controller/connection_limit_test.go
+++ b/internal/controller/connection_limit_test.go
@@ -16,7 +16,7 @@
 // use make way.
 func TestIdleConnectionsMakeWay(t *testing.T) {
 	const most = 4
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,16 +24,16 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/quick", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("/long", func(http.ResponseWriter, *http.Request) { busy <- true; <-release })
-	c := newConnLimiter(most)
-	srv := &http.Server{Handler: mux, ConnState: c.connStateChanged}
-	go func() { _ = srv.Serve(netutil.LimitListener(yieldingListener{ln}, most)) }()
-	defer srv.Close()
+	limiter := newConnLimiter(most)
+	server := &http.Server{Handler: mux, ConnState: limiter.connStateChanged}
+	go func() { _ = server.Serve(netutil.LimitListener(yieldingListener{listener}, most)) }()
+	defer server.Close()
 	get := func(path string) error {
 		// Each client has a connection of its own, and keeps it.
 		client := &http.Client{Transport: &http.Transport{}}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ln.Addr().String()+path, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+listener.Addr().String()+path, nil)
 		if err != nil {
 			return err
 		}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -141,10 +141,10 @@
 				c.submit("perch-0", batchJob("j-2", 3, 60))
 				c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 3) == 3 })
 				c.world.CloudDown(true)
-				w := c.world.Worker(c.world.On("j-1/0")[0])
-				w.Hang(true)
+				worker := c.world.Worker(c.world.On("j-1/0")[0])
+				worker.Hang(true)
 				c.advance(hang)
-				w.Hang(false)
+				worker.Hang(false)
 				c.world.CloudDown(false)
 				c.within(60*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 				c.withinDone(200*time.Second, "j-2")
@@ -255,10 +255,10 @@
 			}
 			return emulator.Deliver
 		})
-		s := batchJob("j-1", 8, 10)
-		c.world.Upload(s)
+		spec := batchJob("j-1", 8, 10)
+		c.world.Upload(spec)
 		accepted := func() bool {
-			status, _ := c.request("POST", "perch-1", "/v1/jobs", wireSpec(s))
+			status, _ := c.request("POST", "perch-1", "/v1/jobs", wireSpec(spec))
 			return status == 200 || status == 201
 		}
 		c.within(30*time.Second, "accepted", accepted)
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -51,9 +51,9 @@
 				if begun := c.world.Starts() - before; begun != gone || len(c.world.Running()) != tasks {
 					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.Running()), tasks)
 				}
-				p := c.takeoverProgress()
-				if p.Phase != reconcile.Settled || p.Heard != p.Expected || p.Expected != len(c.world.Machines()) {
-					t.Errorf("take-over %+v with %d machines", p, len(c.world.Machines()))
+				progress := c.takeoverProgress()
+				if progress.Phase != reconcile.Settled || progress.Heard != progress.Expected || progress.Expected != len(c.world.Machines()) {
+					t.Errorf("take-over %+v with %d machines", progress, len(c.world.Machines()))
 				}
 			})
 		})
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -77,18 +77,18 @@
 	}
 	kill := func(c *cluster) {
 		for i := range 4 {
-			if on := c.world.On(fmt.Sprint("j-1/", i)); len(on) > 0 {
-				c.world.Kill(on[0])
+			if machines := c.world.On(fmt.Sprint("j-1/", i)); len(machines) > 0 {
+				c.world.Kill(machines[0])
 				return
 			}
 		}
 	}
 	hang := func(c *cluster) {
-		if on := c.world.On("j-1/2"); len(on) > 0 {
-			w := c.world.Worker(on[0])
-			w.Hang(true)
+		if machines := c.world.On("j-1/2"); len(machines) > 0 {
+			worker := c.world.Worker(machines[0])
+			worker.Hang(true)
 			c.advance(6 * time.Second)
-			w.Hang(false)
+			worker.Hang(false)
 		}
 	}
 	lateOrders := func(c *cluster) {
@@ -177,9 +177,9 @@
 		c.submit("perch-0", low)
 		c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
 		c.advance(25 * time.Second)
-		s := serviceJob("j-2", 2)
-		s.Spread = false
-		c.submit("perch-0", s)
+		spec := serviceJob("j-2", 2)
+		spec.Spread = false
+		c.submit("perch-0", spec)
 		c.within(15*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		c.within(10*time.Second, "the gang is gone", func() bool { return c.tasksOnMachines("j-1", 4) == 0 })
 		c.cancelJob("perch-0", "j-2")
@@ -199,9 +199,9 @@
 				low.Priority = jobs.BestEffort
 				c.submit("perch-0", low)
 				c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
-				s := serviceJob("j-2", 2)
-				s.Spread = false
-				c.submit("perch-0", s)
+				spec := serviceJob("j-2", 2)
+				spec.Spread = false
+				c.submit("perch-0", spec)
 				c.advance(after)
 				old := c.leader()
 				c.crash(old)
@@ -241,11 +241,11 @@
 // The beginnings of a large gang take many transactions. A leader that ends after
 // some of them leaves a part, which is taken back: the gang starts whole or not at all.
 func TestLargeGangHalfWritten(t *testing.T) {
-	kb, writes, ops := 2.0, 35.0, 4
-	tweak := func(s *settings.Settings) {
-		s.Deployment.State.Next = &settings.NextState{ValueKB: &kb, WriteRPS: &writes, TxnOps: &ops}
+	valueKB, writes, ops := 2.0, 35.0, 4
+	adjust := func(set *settings.Settings) {
+		set.Deployment.State.Next = &settings.NextState{ValueKB: &valueKB, WriteRPS: &writes, TxnOps: &ops}
 	}
-	runCluster(t, tweak, func(c *cluster) {
+	runCluster(t, adjust, func(c *cluster) {
 		c.world.State.Limit(emulator.Limits{ValueBytes: 2 << 10, TxnOps: 4, Writes: 70})
 		large := gangJob("j-1", 300, 12)
 		large.CPUs, large.RAMGB, large.OneZone = 0.125, 0.125, false
@@ -255,8 +255,8 @@
 		written := 0
 		for range 6000 {
 			written = 0
-			for _, a := range c.loggedAssignments() {
-				if strings.HasPrefix(a, "j-1/") {
+			for _, assignment := range c.loggedAssignments() {
+				if strings.HasPrefix(assignment, "j-1/") {
 					written++
 				}
 			}
--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -292,18 +292,18 @@
 func TestLossDaysAreVaried(t *testing.T) {
 	var kinds, beside []string
 	for seed := range uint64(100) {
-		r := rand.New(rand.NewPCG(seed, 24))
-		kinds = append(kinds, lossKinds[r.IntN(len(lossKinds))].name)
-		beside = append(beside, concurrentEvents[r.IntN(len(concurrentEvents))].name)
+		random := rand.New(rand.NewPCG(seed, 24))
+		kinds = append(kinds, lossKinds[random.IntN(len(lossKinds))].name)
+		beside = append(beside, concurrentEvents[random.IntN(len(concurrentEvents))].name)
 	}
-	for _, k := range lossKinds {
-		if !slices.Contains(kinds, k.name) {
-			t.Errorf("no day loses %s", k.name)
+	for _, kind := range lossKinds {
+		if !slices.Contains(kinds, kind.name) {
+			t.Errorf("no day loses %s", kind.name)
 		}
 	}
-	for _, c := range concurrentEvents {
-		if !slices.Contains(beside, c.name) {
-			t.Errorf("beside no loss: %s", c.name)
+	for _, event := range concurrentEvents {
+		if !slices.Contains(beside, event.name) {
+			t.Errorf("beside no loss: %s", event.name)
 		}
 	}
 }
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -51,14 +51,14 @@
 	c := &cluster{t: t, names: []string{"perch-0"}}
 	net := emulator.NewNet()
 	net.Attach("state", "10.2.0.1:1", emulator.NewState())
-	n := New(c.settings("perch-0"), Environment{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
-	n.machineTypes.current.Store(&testMachineTypes)
-	n.memory.exceeded.Store(true)
-	n.cache.BeSure() // as Work does where there are no peers
+	controller := New(c.settings("perch-0"), Environment{HTTP: net.From("perch-0"), Memory: func() uint64 { return 0 }})
+	controller.machineTypes.current.Store(&testMachineTypes)
+	controller.memory.exceeded.Store(true)
+	controller.cache.BeSure() // as RunDuties does where there are no peers
 	body, _ := json.Marshal(wireSpec(batchJob("j-1", 1, 10)))
-	rec := httptest.NewRecorder()
-	n.Handler().ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
-	if rec.Code != http.StatusServiceUnavailable || rec.Header().Get("Retry-After") == "" || !strings.Contains(rec.Body.String(), "memory") {
-		t.Errorf("%d %v %s", rec.Code, rec.Header(), rec.Body)
+	recorder := httptest.NewRecorder()
+	controller.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
+	if recorder.Code != http.StatusServiceUnavailable || recorder.Header().Get("Retry-After") == "" || !strings.Contains(recorder.Body.String(), "memory") {
+		t.Errorf("%d %v %s", recorder.Code, recorder.Header(), recorder.Body)
 	}
 }
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -104,9 +104,9 @@
 		low.Priority, low.Spot = jobs.BestEffort, false
 		c.submit("perch-0", low)
 		c.within(30*time.Second, "low is running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
-		s := serviceJob("j-3", 1)
-		s.CPUs, s.Spread = 3, false
-		c.submit("perch-0", s) // takes its place
+		spec := serviceJob("j-3", 1)
+		spec.CPUs, spec.Spread = 3, false
+		c.submit("perch-0", spec) // takes its place
 		c.within(30*time.Second, "service up", func() bool { return c.tasksOnMachines("j-3", 1) == 1 })
 		c.world.Capacity(2)
 		c.within(40*time.Second, "low is back elsewhere", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
@@ -227,8 +227,8 @@
 					c.within(60*time.Second, "service whole outside", func() bool {
 						up := 0
 						for i := range 4 {
-							for _, m := range c.world.On(fmt.Sprintf("j-1/%d", i)) {
-								if c.world.ZoneOf(m) != zone {
+							for _, machine := range c.world.On(fmt.Sprintf("j-1/%d", i)) {
+								if c.world.ZoneOf(machine) != zone {
 									up++
 								}
 							}
@@ -316,8 +316,8 @@
 // Every poll for every job is answered, however many there are: all together
 // cost the state service a few reads, out of a budget that all nodes share.
 func TestEveryPollIsAnswered(t *testing.T) {
-	tweak := func(s *settings.Settings) { s.Deployment.State.RPS = 30 }
-	runCluster(t, tweak, func(c *cluster) {
+	adjust := func(set *settings.Settings) { set.Deployment.State.RPS = 30 }
+	runCluster(t, adjust, func(c *cluster) {
 		var ids []string
 		for i := range 20 {
 			id := fmt.Sprintf("j-%d", i+1)
--- a/internal/controller/operator_endpoints_test.go
+++ b/internal/controller/operator_endpoints_test.go
@@ -64,12 +64,12 @@
 			return string(raw)
 		}
 		leader := c.leader()
-		var s Status
-		if err := json.Unmarshal([]byte(get(leader, "/status")), &s); err != nil {
+		var status Status
+		if err := json.Unmarshal([]byte(get(leader, "/status")), &status); err != nil {
 			t.Fatal(err)
 		}
-		if !s.Leading || s.View == nil || len(s.View.Machines) == 0 || len(s.View.Classes) != 2 {
-			t.Errorf("status of the leader: %+v", s)
+		if !status.Leading || status.View == nil || len(status.View.Machines) == 0 || len(status.View.Classes) != 2 {
+			t.Errorf("status of the leader: %+v", status)
 		}
 		for _, n := range c.names {
 			if n != leader && !strings.Contains(get(n, "/status"), `"leader":"`+leader+`"`) {
@@ -88,15 +88,15 @@
 
 func TestUserMistakes(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		change := func(field string, v any) map[string]any {
-			m := wireSpec(batchJob("j-9", 2, 5))
-			m[field] = v
-			return m
+		change := func(field string, value any) map[string]any {
+			body := wireSpec(batchJob("j-9", 2, 5))
+			body[field] = value
+			return body
 		}
 		drop := func(field string) map[string]any {
-			m := wireSpec(batchJob("j-9", 2, 5))
-			delete(m, field)
-			return m
+			body := wireSpec(batchJob("j-9", 2, 5))
+			delete(body, field)
+			return body
 		}
 		for _, tc := range []struct {
 			name string
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -17,8 +17,8 @@
 // answered before it gives up, with what it asked for or with 503 at once, the same leader
 // goes on, and no worker loses its lease.
 func TestOverloadBySlowState(t *testing.T) {
-	tweak := func(s *settings.Settings) { s.Deployment.Limits.MaxSockets = 256 }
-	runCluster(t, tweak, func(c *cluster) {
+	adjust := func(set *settings.Settings) { set.Deployment.Limits.MaxSockets = 256 }
+	runCluster(t, adjust, func(c *cluster) {
 		c.world.Net.Lateness = 700 * time.Millisecond // of what the rule below calls slow
 		c.runServiceAndBatch()
 		leader, starts := c.leader(), c.world.Starts()
@@ -68,7 +68,7 @@
 // in the first of them no order is sent to a machine that has nothing to be told.
 func TestAllWorkersReconnect(t *testing.T) {
 	const machines = 40
-	noLimit := func(s *settings.Settings) { s.Deployment.Teams = []settings.Team{{Name: "red"}, {Name: "blue"}} }
+	noLimit := func(set *settings.Settings) { set.Deployment.Teams = []settings.Team{{Name: "red"}, {Name: "blue"}} }
 	runCluster(t, noLimit, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 4*machines, 300))
 		c.within(90*time.Second, "all tasks run", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
@@ -90,8 +90,8 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		d := c.settings("perch-0").Derive()
-		c.advance(2 * d.Report)
+		derived := c.settings("perch-0").Derive()
+		c.advance(2 * derived.Report)
 		heard := 0
 		reported.Range(func(any, any) bool { heard++; return true })
 		if heard < machines {
@@ -100,7 +100,7 @@
 		if n := orders.Load(); n > machines/4 {
 			t.Errorf("%d orders to %d machines that have nothing to be told", n, machines)
 		}
-		c.advance(d.Lease + d.Report)
+		c.advance(derived.Lease + derived.Report)
 		end()
 		if n := c.world.Starts() - starts; n != 0 || c.tasksOnMachines("j-1", 4*machines) != 4*machines {
 			t.Errorf("%d tasks began anew, %d of %d run", n, c.tasksOnMachines("j-1", 4*machines), 4*machines)
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -22,19 +22,19 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-		s, err := c.processes[name].controller.gate.Recovery(ctx)
+		status, err := c.processes[name].controller.gate.Recovery(ctx)
 		cancel()
 		if err == nil {
-			return s
+			return status
 		}
 	}
 	return leader.RecoveryStatus{}
 }
 
 // withinRecovered waits until the leader says that nothing is missing any more.
-func (c *cluster) withinRecovered(d time.Duration) {
+func (c *cluster) withinRecovered(timeout time.Duration) {
 	c.t.Helper()
-	c.within(d, "records whole", func() bool {
+	c.within(timeout, "records whole", func() bool {
 		return c.recoveryStatus().Phase == leader.Whole && c.world.State.Value(jobs.RecoveryStatusKey) == nil
 	})
 	c.advance(2 * time.Second) // within a control interval, all nodes have heard of it
@@ -44,9 +44,9 @@
 func (c *cluster) checkRecords(state string, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
-		var rec jobs.Record
-		if err := json.Unmarshal(c.world.State.Value("job/"+id), &rec); err != nil || rec.State != state {
-			c.t.Errorf("record of %s: %+v, %v; want %s", id, rec, err, state)
+		var record jobs.Record
+		if err := json.Unmarshal(c.world.State.Value("job/"+id), &record); err != nil || record.State != state {
+			c.t.Errorf("record of %s: %+v, %v; want %s", id, record, err, state)
 		}
 	}
 }
@@ -54,14 +54,14 @@
 // checkStateEverywhere checks what every node says of a job.
 func (c *cluster) checkStateEverywhere(id string, want ...string) {
 	c.t.Helper()
-	for _, n := range c.names {
-		status, view := c.request("GET", n, "/v1/jobs/"+id, nil)
+	for _, name := range c.names {
+		status, view := c.request("GET", name, "/v1/jobs/"+id, nil)
 		got := fmt.Sprint(status)
 		if status == http.StatusOK {
 			got = view["stance"].(string)
 		}
 		if !strings.Contains(strings.Join(want, " "), got) {
-			c.t.Errorf("%s says of %s: %s, want %v", n, id, got, want)
+			c.t.Errorf("%s says of %s: %s, want %v", name, id, got, want)
 		}
 	}
 }
@@ -100,8 +100,8 @@
 
 // describedHeldJobs counts the held jobs of which the description is known.
 func (c *cluster) describedHeldJobs() (n int) {
-	for _, h := range c.recoveryStatus().HeldJobs {
-		if h.Described {
+	for _, job := range c.recoveryStatus().HeldJobs {
+		if job.Described {
 			n++
 		}
 	}
@@ -112,20 +112,20 @@
 func (c *cluster) takeSnapshot() *snapshot.Snapshot {
 	c.t.Helper()
 	client := kvstore.New("10.2.0.1:1", c.world.Net.From("tool"), time.Second, kvstore.Budget{Requests: 100})
-	s, err := snapshot.Take(c.ctx, client, c.settings(c.names[0]).ClusterID(), time.Now())
+	taken, err := snapshot.Take(c.ctx, client, c.settings(c.names[0]).ClusterID(), time.Now())
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return s
+	return taken
 }
 
 // importSnapshot hands a snapshot to the leader.
-func (c *cluster) importSnapshot(s *snapshot.Snapshot) (leader.Imported, error) {
-	in := leader.Import{Cluster: s.Manifest.Cluster, Revision: s.Manifest.Revision}
-	for _, r := range s.Records {
-		if strings.HasPrefix(r.Key, jobs.RecordPrefix) {
-			in.Jobs = append(in.Jobs, leader.SnapshotFact{ID: jobs.IDOf(r.Key), Record: r.Value})
+func (c *cluster) importSnapshot(taken *snapshot.Snapshot) (leader.Imported, error) {
+	request := leader.Import{Cluster: taken.Manifest.Cluster, Revision: taken.Manifest.Revision}
+	for _, record := range taken.Records {
+		if strings.HasPrefix(record.Key, jobs.RecordPrefix) {
+			request.Jobs = append(request.Jobs, leader.SnapshotFact{ID: jobs.IDOf(record.Key), Record: record.Value})
 		}
 	}
-	return c.processes[c.leader()].controller.gate.Import(c.ctx, in)
+	return c.processes[c.leader()].controller.gate.Import(c.ctx, request)
 }
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -51,9 +51,9 @@
 
 func heapMB() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc) / (1 << 20)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
 // TestRecoveryAtScale measures what a snapshot and the comparison of all records cost, by
@@ -73,15 +73,15 @@
 		t.Logf("%d jobs, %s: %v, %d requests, %.1f MB more held", count, what, took.Round(time.Millisecond), wire.requests.Load()-requests, heapMB()-before)
 	}
 
-	var s *snapshot.Snapshot
+	var taken *snapshot.Snapshot
 	measure("snapshot", func() {
-		if s, err = snapshot.Take(t.Context(), client, "c", time.Now()); err != nil {
+		if taken, err = snapshot.Take(t.Context(), client, "c", time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	})
 	var path string
 	measure("file written", func() {
-		if path, err = snapshot.Write(t.TempDir(), s); err != nil {
+		if path, err = snapshot.Write(t.TempDir(), taken); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -89,11 +89,11 @@
 		t.Logf("%d jobs, %s: %.1f MB", count, filepath.Ext(path), float64(info.Size())/(1<<20))
 	}
 	measure("file read", func() {
-		if again, err := snapshot.Read(path); err != nil || len(again.Records) != len(s.Records) {
+		if again, err := snapshot.Read(path); err != nil || len(again.Records) != len(taken.Records) {
 			t.Fatal(err)
 		}
 	})
-	s = nil
+	taken = nil
 
 	cache := jobs.NewCache(client, time.Millisecond, time.Millisecond, time.Minute, 100)
 	measure("all records read by a node", func() {
@@ -119,10 +119,10 @@
 		for after, more := "", true; more; {
 			var page []jobs.Lost
 			page, more = cache.Lost(after, maxLostJobsPerResponse)
-			for _, l := range page {
-				after = l.ID
-				if l.State == jobs.Queued { // the others are written a page at a time
-					view.Add(l.ID, recovery.Says(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: l.Tasks}))
+			for _, lost := range page {
+				after = lost.ID
+				if lost.State == jobs.Queued { // the others are written a page at a time
+					view.Add(lost.ID, recovery.Says(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
 				}
 			}
 		}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -66,7 +66,7 @@
 
 // audited has all records compared so often.
 func audited(seconds float64) func(*settings.Settings) {
-	return func(s *settings.Settings) { s.Operator.AuditS = seconds }
+	return func(set *settings.Settings) { set.Operator.AuditS = seconds }
 }
 
 // The service is put back to before a job was done, another cancelled, and a third
@@ -126,7 +126,7 @@
 					c.start(old)
 					c.withinRecovered(5 * time.Minute)
 				})
-				if s := c.recoveryStatus(); len(s.Evidence) == 0 {
+				if status := c.recoveryStatus(); len(status.Evidence) == 0 {
 					t.Error("nothing was noticed")
 				}
 				c.checkRecords(jobs.Done, "j-3")
@@ -256,7 +256,7 @@
 		c.within(time.Minute, "running", func() bool {
 			return c.tasksOnMachines("j-2", 2)+c.tasksOnMachines("j-3", 2)+c.tasksOnMachines("j-4", 2) == 6
 		})
-		s := c.takeSnapshot()
+		taken := c.takeSnapshot()
 		c.withinDone(time.Minute, "j-4") // after the snapshot, as is the rest
 		c.cancelJob("perch-1", "j-3")
 		c.submit("perch-1", batchJob("j-5", 1, 400))
@@ -269,12 +269,12 @@
 			c.start(n)
 		}
 		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
-		foreign := *s
+		foreign := *taken
 		foreign.Manifest.Cluster = "another"
 		if _, err := c.importSnapshot(&foreign); !errors.Is(err, recovery.ErrRefused) {
 			t.Errorf("a snapshot of another deployment: %v", err)
 		}
-		count, err := c.importSnapshot(s)
+		count, err := c.importSnapshot(taken)
 		if err != nil || count.Missing != 4 {
 			t.Errorf("imported: %+v, %v", count, err)
 		}
@@ -283,8 +283,8 @@
 		// Of j-4, workers still list every task as done.
 		c.checkRecords(jobs.Done, "j-1", "j-4")
 		held := map[string]bool{}
-		for _, h := range c.recoveryStatus().HeldJobs {
-			held[h.Job] = h.Described
+		for _, job := range c.recoveryStatus().HeldJobs {
+			held[job.Job] = job.Described
 		}
 		if want := map[string]bool{"j-2": true, "j-3": true, "j-5": false}; fmt.Sprint(held) != fmt.Sprint(want) {
 			t.Errorf("held, and described: %v, want %v", held, want)
@@ -304,7 +304,7 @@
 		if n := c.tasksOnMachines("j-2", 2); n != 2 || c.world.Starts() != starts {
 			t.Errorf("%d of 2 tasks run on, %d began", n, c.world.Starts()-starts)
 		}
-		if again, err := c.importSnapshot(s); err != nil || again.Missing+again.Ended+again.Described != 0 {
+		if again, err := c.importSnapshot(taken); err != nil || again.Missing+again.Ended+again.Described != 0 {
 			t.Errorf("imported once more: %+v, %v", again, err)
 		}
 	})
@@ -312,10 +312,10 @@
 
 // With runUncertainAfterS, an uncertain job runs after that time, if it is described.
 func TestUncertainJobRunsAfterATime(t *testing.T) {
-	runCluster(t, func(s *settings.Settings) { s.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
+	runCluster(t, func(set *settings.Settings) { set.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
 		c.world.Capacity(0)
 		c.submit("perch-0", batchJob("j-1", 1, 10))
-		s := c.takeSnapshot()
+		taken := c.takeSnapshot()
 		c.advance(15 * time.Second)
 		c.crash(c.names...)
 		c.world.State.Lose(true, emulator.WithPrefix(""))
@@ -323,7 +323,7 @@
 			c.start(n)
 		}
 		c.advance(10 * time.Second)
-		if _, err := c.importSnapshot(s); err != nil {
+		if _, err := c.importSnapshot(taken); err != nil {
 			t.Error(err)
 		}
 		c.within(2*time.Minute, "held", func() bool { return c.recoveryStatus().Held == 1 })
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -22,18 +22,20 @@
 	"ospreyslip/internal/workers"
 )
 
-// What the real paths cost, through HTTP on loopback: one node that leads, the state
-// service's stand-in, a cloud that gives out machines at once, and workers that hold one
-// connection each and do at once what they are told. The other side's part is in the
-// figures; it is kept small.
+// What the real paths cost, through HTTP on loopback: one controller that leads, an emulated
+// key-value store, a cloud whose machines are there already, and workers that hold one
+// connection each and do at once what they are told. The other side's part is in the figures;
+// it is kept small.
 
+// loopbackCluster is one controller that leads, and a fleet of workers.
 type loopbackCluster struct {
-	tb      testing.TB
-	addr    string
-	fleet   []*fakeWorker
-	counter int
+	tb        testing.TB
+	addr      string // where the controller serves users and workers
+	fleet     []*fakeWorker
+	submitted int
 }
 
+// fakeWorker is a worker's connection, and what it reports.
 type fakeWorker struct {
 	conn       net.Conn
 	reader     *bufio.Reader
@@ -41,26 +43,43 @@
 	buf        []byte
 }
 
-// newLoopbackCluster starts a node and a fleet of so many machines, each with four tasks.
+// newLoopbackCluster starts a controller and a fleet of so many machines, each with four tasks.
 func newLoopbackCluster(tb testing.TB, machines int) *loopbackCluster {
+	tb.Helper()
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
-	l := &loopbackCluster{tb: tb}
+	cluster := &loopbackCluster{tb: tb}
+	cluster.startController(func() { slog.SetDefault(old) })
+	for number := range machines {
+		cluster.addWorker(number)
+	}
+	job := batchJob("j-000001", 4*machines, 10000)
+	if status := cluster.dial().requestJob(tb, "POST", "/v1/jobs", job); status != http.StatusCreated {
+		tb.Fatalf("submit: %d", status)
+	}
+	cluster.reportUntilFull()
+	return cluster
+}
+
+// serve serves HTTP on loopback for as long as the benchmark lasts, and returns the address.
+func (l *loopbackCluster) serve(handler http.Handler) string {
+	l.tb.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		l.tb.Fatal(err)
+	}
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(listener) }()
+	l.tb.Cleanup(func() { server.Close() })
+	return listener.Addr().String()
+}
+
+func (l *loopbackCluster) settings() *settings.Settings {
 	store := emulator.NewState()
 	store.Limit(emulator.Limits{ValueBytes: 32 << 10, TxnOps: 12, Writes: 1 << 30})
-	serve := func(h http.Handler) string {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			tb.Fatal(err)
-		}
-		srv := &http.Server{Handler: h}
-		go func() { _ = srv.Serve(ln) }()
-		tb.Cleanup(func() { srv.Close() })
-		return ln.Addr().String()
-	}
-	set := &settings.Settings{
+	return &settings.Settings{
 		Operator: settings.DefaultOperator(), Node: "perch-0", Zone: "a", Listen: "127.0.0.1:0", ClusterListen: "127.0.0.1:0",
-		Endpoints: settings.Endpoints{Cloud: serve(http.HandlerFunc(l.cloud)), State: serve(store)},
+		Endpoints: settings.Endpoints{Cloud: l.serve(http.HandlerFunc(l.cloud)), State: l.serve(store)},
 		Deployment: settings.Deployment{
 			Nodes: 1, Zones: []string{"a", "b", "c"}, Teams: []settings.Team{{Name: "blue"}},
 			Workers: settings.Workers{ReportS: 300, LeaseS: 2000, CancelS: 4000},
@@ -68,53 +87,65 @@
 			Cloud:   settings.Cloud{RPS: 1000, ListLagS: 4}, Limits: settings.Limits{Cores: 1, MemoryMB: 2000, MaxSockets: 8000},
 		},
 	}
+}
+
+// startController starts the controller, ends it with the benchmark, and waits until it leads.
+func (l *loopbackCluster) startController(afterEnd func()) {
+	l.tb.Helper()
 	listening := make(chan string, 2)
-	n := New(set, Environment{Listen: func(addr string) (net.Listener, error) {
-		ln, err := listenForUsers(addr)
+	controller := New(l.settings(), Environment{Listen: func(addr string) (net.Listener, error) {
+		listener, err := listenForUsers(addr)
 		if err == nil {
-			listening <- ln.Addr().String()
+			listening <- listener.Addr().String()
 		}
-		return ln, err
+		return listener, err
 	}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = n.Run(ctx) }()
-	tb.Cleanup(func() {
+	go func() { defer close(done); _ = controller.Run(ctx) }()
+	l.tb.Cleanup(func() {
 		cancel()
-		for _, w := range l.fleet {
-			w.conn.Close()
+		for _, worker := range l.fleet {
+			worker.conn.Close()
 		}
 		<-done
-		slog.SetDefault(old)
+		afterEnd()
 	})
 	l.addr = <-listening
-	for deadline := time.Now().Add(20 * time.Second); n.machineTypes.types() == nil || n.gate.Seen() == 0; time.Sleep(10 * time.Millisecond) {
+	leads := func() bool { return controller.machineTypes.types() != nil && controller.gate.Seen() != 0 }
+	for deadline := time.Now().Add(20 * time.Second); !leads(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatal("the node does not lead")
+			l.tb.Fatal("the node does not lead")
 		}
 	}
-	for i := range machines {
-		w := l.dial()
-		w.lastReport = workers.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "127.0.0.1:9", Type: "c4", Zone: string(rune('a' + i%3)), Session: 1, Tasks: []workers.Task{}}
-		l.fleet = append(l.fleet, w)
-		w.sendReport(tb)
-	}
-	job := batchJob("j-000001", 4*machines, 10000)
-	if status := l.dial().requestJob(tb, "POST", "/v1/jobs", job); status != http.StatusCreated {
-		tb.Fatalf("submit: %d", status)
+}
+
+// addWorker connects a worker, which reports for the first time.
+func (l *loopbackCluster) addWorker(number int) {
+	l.tb.Helper()
+	worker := l.dial()
+	worker.lastReport = workers.Report{
+		Machine: fmt.Sprintf("m-%06d", number), Addr: "127.0.0.1:9", Type: "c4", Zone: string(rune('a' + number%3)), Session: 1, Tasks: []workers.Task{},
 	}
+	l.fleet = append(l.fleet, worker)
+	worker.sendReport(l.tb)
+}
+
+// reportUntilFull has all workers report until each has four tasks.
+func (l *loopbackCluster) reportUntilFull() {
+	l.tb.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; {
 		idle := 0
-		for _, w := range l.fleet {
-			if w.sendReport(tb); len(w.lastReport.Tasks) < 4 {
+		for _, worker := range l.fleet {
+			if worker.sendReport(l.tb); len(worker.lastReport.Tasks) < 4 {
 				idle++
 			}
 		}
 		if idle == 0 {
-			return l
+			return
 		}
 		if time.Now().After(deadline) {
-			tb.Fatalf("%d of %d machines are not full", idle, machines)
+			l.tb.Fatalf("%d of %d machines are not full", idle, len(l.fleet))
 		}
 	}
 }
@@ -131,7 +162,9 @@
 	}
 }
 
+// dial opens a connection, as a worker or a user.
 func (l *loopbackCluster) dial() *fakeWorker {
+	l.tb.Helper()
 	conn, err := net.Dial("tcp", l.addr)
 	if err != nil {
 		l.tb.Fatal(err)
@@ -170,10 +203,12 @@
 	return status, out
 }
 
-func (w *fakeWorker) requestJob(tb testing.TB, method, path string, s *jobs.Spec) int {
+// requestJob sends a user's request, with a job if there is one, and returns the status.
+func (w *fakeWorker) requestJob(tb testing.TB, method, path string, spec *jobs.Spec) int {
+	tb.Helper()
 	var raw []byte
-	if s != nil {
-		raw, _ = json.Marshal(wireSpec(s))
+	if spec != nil {
+		raw, _ = json.Marshal(wireSpec(spec))
 	}
 	status, _ := w.send(tb, method, path, raw)
 	return status
@@ -181,48 +216,49 @@
 
 // sendReport sends a report and does what the answer says.
 func (w *fakeWorker) sendReport(tb testing.TB) {
+	tb.Helper()
 	w.lastReport.Seq++
 	raw, _ := json.Marshal(w.lastReport)
 	status, body := w.send(tb, "POST", "/v1/report", raw)
 	if status != http.StatusOK {
 		tb.Fatalf("report: %d", status)
 	}
-	var a workers.Answer
-	if err := json.Unmarshal(body, &a); err != nil {
+	var answer workers.Answer
+	if err := json.Unmarshal(body, &answer); err != nil {
 		tb.Fatal(err)
 	}
-	w.lastReport.Token = a.Token
-	for _, c := range a.Calls {
-		if c.Op == workers.OpRun {
-			w.lastReport.Tasks = append(w.lastReport.Tasks, workers.Task{Task: c.Task, Attempt: c.Attempt, State: workers.Running})
+	w.lastReport.Token = answer.Token
+	for _, command := range answer.Calls {
+		if command.Op == workers.OpRun {
+			w.lastReport.Tasks = append(w.lastReport.Tasks, workers.Task{Task: command.Task, Attempt: command.Attempt, State: workers.Running})
 		}
 	}
 }
 
 func BenchmarkReport(b *testing.B) {
-	l := newLoopbackCluster(b, 400)
+	loop := newLoopbackCluster(b, 400)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		l.fleet[i%len(l.fleet)].sendReport(b)
+		loop.fleet[i%len(loop.fleet)].sendReport(b)
 		i++
 	}
 }
 
 func BenchmarkPoll(b *testing.B) {
-	l := newLoopbackCluster(b, 10)
+	loop := newLoopbackCluster(b, 10)
 	// Many at a time, as users come: what one read of the state service costs is shared.
 	const users = 64
 	var all []*fakeWorker
 	for range users {
-		all = append(all, l.dial())
+		all = append(all, loop.dial())
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		var wait sync.WaitGroup
-		for _, w := range all {
+		for _, worker := range all {
 			wait.Go(func() {
-				if status := w.requestJob(b, "GET", "/v1/jobs/j-000001", nil); status != http.StatusOK {
+				if status := worker.requestJob(b, "GET", "/v1/jobs/j-000001", nil); status != http.StatusOK {
 					b.Errorf("poll: %d", status)
 				}
 			})
@@ -233,12 +269,12 @@
 }
 
 func BenchmarkSubmit(b *testing.B) {
-	l := newLoopbackCluster(b, 10)
-	w := l.dial()
+	loop := newLoopbackCluster(b, 10)
+	worker := loop.dial()
 	b.ReportAllocs()
 	for b.Loop() {
-		l.counter++
-		if status := w.requestJob(b, "POST", "/v1/jobs", batchJob(fmt.Sprintf("j-%06d", 100+l.counter), 1, 10)); status != http.StatusCreated {
+		loop.submitted++
+		if status := worker.requestJob(b, "POST", "/v1/jobs", batchJob(fmt.Sprintf("j-%06d", 100+loop.submitted), 1, 10)); status != http.StatusCreated {
 			b.Fatalf("submit: %d", status)
 		}
 	}
@@ -246,28 +282,28 @@
 
 // A worker that has found its leader: a new connection and a report.
 func BenchmarkReconnect(b *testing.B) {
-	l := newLoopbackCluster(b, 400)
+	loop := newLoopbackCluster(b, 400)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		w := l.fleet[i%len(l.fleet)]
+		worker := loop.fleet[i%len(loop.fleet)]
 		i++
-		w.conn.Close()
-		c := l.dial()
-		w.conn, w.reader = c.conn, c.reader
-		w.sendReport(b)
+		worker.conn.Close()
+		fresh := loop.dial()
+		worker.conn, worker.reader = fresh.conn, fresh.reader
+		worker.sendReport(b)
 	}
 }
 
 // A node that does not lead sends a worker on.
 func BenchmarkRedirect(b *testing.B) {
-	l := newLoopbackCluster(b, 10)
-	w := l.dial()
+	loop := newLoopbackCluster(b, 10)
+	worker := loop.dial()
 	old := workers.Report{Machine: "m-900000", Addr: "127.0.0.1:9", Type: "c4", Zone: "a", Session: 1, Token: 1 << 40, Tasks: []workers.Task{}}
 	raw, _ := json.Marshal(old)
 	b.ReportAllocs()
 	for b.Loop() {
-		if status, _ := w.send(b, "POST", "/v1/report", raw); status == http.StatusOK {
+		if status, _ := worker.send(b, "POST", "/v1/report", raw); status == http.StatusOK {
 			b.Fatal("answered")
 		}
 	}
@@ -275,27 +311,27 @@
 
 // What idle connections of workers hold, in the node and on this side.
 func BenchmarkIdleConnections(b *testing.B) {
-	l := newLoopbackCluster(b, 2)
-	measure := func() (m runtime.MemStats) {
+	loop := newLoopbackCluster(b, 2)
+	measure := func() (stats runtime.MemStats) {
 		runtime.GC()
-		runtime.ReadMemStats(&m)
-		return m
+		runtime.ReadMemStats(&stats)
+		return stats
 	}
 	before := measure()
 	const conns = 2000
-	w := l.fleet[0]
+	worker := loop.fleet[0]
 	for b.Loop() {
 		for range conns {
-			c := l.dial()
-			w.conn, w.reader = c.conn, c.reader
-			w.sendReport(b)
-			l.fleet = append(l.fleet, &fakeWorker{conn: c.conn})
+			fresh := loop.dial()
+			worker.conn, worker.reader = fresh.conn, fresh.reader
+			worker.sendReport(b)
+			loop.fleet = append(loop.fleet, &fakeWorker{conn: fresh.conn})
 		}
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m) // as it is, before anything is collected
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats) // as it is, before anything is collected
 		after := measure()
-		b.ReportMetric(float64(m.StackInuse-before.StackInuse)/conns, "stack-B/conn")
-		b.ReportMetric(float64(m.Sys-before.Sys)/conns, "sys-B/conn")
+		b.ReportMetric(float64(stats.StackInuse-before.StackInuse)/conns, "stack-B/conn")
+		b.ReportMetric(float64(stats.Sys-before.Sys)/conns, "sys-B/conn")
 		b.ReportMetric(float64(after.StackInuse-before.StackInuse)/conns, "collected-stack-B/conn")
 		b.ReportMetric(float64(after.HeapInuse-before.HeapInuse)/conns, "collected-heap-B/conn")
 		if b.N >= 1 {
--- a/internal/controller/rollback_detection_test.go
+++ b/internal/controller/rollback_detection_test.go
@@ -29,8 +29,8 @@
 		}
 		end()
 		c.advance(10 * time.Second)
-		if s := c.recoveryStatus(); len(s.Evidence) > 0 || s.Phase == "" {
-			t.Errorf("a loss was noticed where there was none: %+v", s.Evidence)
+		if status := c.recoveryStatus(); len(status.Evidence) > 0 || status.Phase == "" {
+			t.Errorf("a loss was noticed where there was none: %+v", status.Evidence)
 		}
 	})
 }
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -14,16 +14,16 @@
 
 // Many tasks in one job: completions are kept in chunks that fit a value.
 func TestManyTasks(t *testing.T) {
-	tweak := func(s *settings.Settings) { s.Deployment.State.ValueKB, s.Deployment.State.TxnOps = 1, 4 }
-	runCluster(t, tweak, func(c *cluster) {
+	adjust := func(set *settings.Settings) { set.Deployment.State.ValueKB, set.Deployment.State.TxnOps = 1, 4 }
+	runCluster(t, adjust, func(c *cluster) {
 		c.world.State.Limit(emulator.Limits{ValueBytes: 1 << 10, TxnOps: 4, Writes: 1000}) // fewer than there are machines
 		c.submit("perch-0", batchJob("j-1", 2500, 0.5))
 		c.advance(45 * time.Second)
 		c.crash(c.leader())
 		c.advance(20 * time.Second)
-		for _, k := range c.world.State.Keys("") {
-			if n := len(c.world.State.Value(k)); n > 1024 {
-				t.Errorf("%s has %d bytes", k, n)
+		for _, key := range c.world.State.Keys("") {
+			if n := len(c.world.State.Value(key)); n > 1024 {
+				t.Errorf("%s has %d bytes", key, n)
 			}
 		}
 		c.withinDone(20*time.Minute, "j-1")
@@ -36,9 +36,9 @@
 // The state service's limits fall without notice: in a burst, in an outage, in a
 // change of leader. Nothing that was written before, or is on its way, is too large.
 func TestLimitsFall(t *testing.T) {
-	kb, writes, ops := 2.0, 35.0, 4
-	tweak := func(s *settings.Settings) {
-		s.Deployment.State.Next = &settings.NextState{ValueKB: &kb, WriteRPS: &writes, TxnOps: &ops}
+	valueKB, writes, ops := 2.0, 35.0, 4
+	adjust := func(set *settings.Settings) {
+		set.Deployment.State.Next = &settings.NextState{ValueKB: &valueKB, WriteRPS: &writes, TxnOps: &ops}
 	}
 	lower := emulator.Limits{ValueBytes: 2 << 10, TxnOps: 4, Writes: 2 * 35} // a burst may come on top
 	for _, tc := range []struct {
@@ -58,7 +58,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			runCluster(t, tweak, func(c *cluster) {
+			runCluster(t, adjust, func(c *cluster) {
 				c.runServiceAndBatch()
 				c.submit("perch-0", batchJob("j-3", 300, 5))
 				c.submit("perch-1", batchJob("j-4", 100, 5))
@@ -97,21 +97,21 @@
 
 // Small values: what the records need not say is left out of them.
 func TestSmallValues(t *testing.T) {
-	kb := 2.0
-	tweak := func(s *settings.Settings) { s.Deployment.State.Next = &settings.NextState{ValueKB: &kb} }
-	runCluster(t, tweak, func(c *cluster) {
+	valueKB := 2.0
+	adjust := func(set *settings.Settings) { set.Deployment.State.Next = &settings.NextState{ValueKB: &valueKB} }
+	runCluster(t, adjust, func(c *cluster) {
 		c.world.State.Limit(emulator.Limits{ValueBytes: 2 << 10, TxnOps: 12, Writes: 1000})
-		s := batchJob("j-1", 2, 5)
+		spec := batchJob("j-1", 2, 5)
 		for i := range 300 {
-			s.Types = append(s.Types, fmt.Sprint("of-another-cloud-", i))
+			spec.Types = append(spec.Types, fmt.Sprint("of-another-cloud-", i))
 		}
-		s.Types = append(s.Types, "c4")
-		c.submit("perch-0", s)
+		spec.Types = append(spec.Types, "c4")
+		c.submit("perch-0", spec)
 		c.withinDone(60*time.Second, "j-1")
 
 		// One that was accepted when values could be larger, and is cancelled now.
 		old := batchJob("j-2", 2, 500)
-		old.Types = s.Types
+		old.Types = spec.Types
 		raw, _ := json.Marshal(jobs.Record{State: jobs.Queued, Tasks: 2, Spec: old})
 		c.world.State.Put("job/j-2", raw)
 		c.world.Submitted("j-2")
@@ -134,9 +134,9 @@
 		another.Name, another.Price, another.SpotPrice = fmt.Sprint("dear-", i), 100, 50
 		types = append(types, another)
 	}
-	kb := 2.0
-	tweak := func(s *settings.Settings) { s.Deployment.State.Next = &settings.NextState{ValueKB: &kb} }
-	runClusterWith(t, types, tweak, func(c *cluster) {
+	valueKB := 2.0
+	adjust := func(set *settings.Settings) { set.Deployment.State.Next = &settings.NextState{ValueKB: &valueKB} }
+	runClusterWith(t, types, adjust, func(c *cluster) {
 		c.advance(20 * time.Second)
 		c.world.CloudDown(true)
 		c.crash(c.names...)
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -133,21 +133,21 @@
 
 // handleMessage passes a message of another controller to its handler, and sends the
 // response to a request. An error ends the connection.
-func (h *Hub) handleMessage(ctx context.Context, conn net.Conn, m message) error {
-	if _, known := h.links[m.from]; !known {
-		return &UnknownPeerError{m.from}
+func (h *Hub) handleMessage(ctx context.Context, conn net.Conn, received message) error {
+	if _, known := h.links[received.from]; !known {
+		return &UnknownPeerError{received.from}
 	}
 	switch {
-	case m.leaderUpdate != nil:
-		h.OnLeaderUpdate(m.from, *m.leaderUpdate)
-	case m.promiseRequest != nil:
-		response := h.OnPromiseRequest(ctx, m.from, m.promiseRequest.PromiseRequest)
-		return h.writeMessage(conn, encodePromiseResponse(h.node, promiseResponse{m.promiseRequest.number, response}))
-	case m.lossNotice != nil && h.OnLossNotice != nil:
-		h.OnLossNotice(m.from, *m.lossNotice)
-	case m.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
-		response := h.OnLostJobsRequest(m.lostJobsRequest.LostJobsRequest)
-		return h.writeMessage(conn, encodeLostJobsResponse(h.node, lostJobsResponse{m.lostJobsRequest.number, response}))
+	case received.leaderUpdate != nil:
+		h.OnLeaderUpdate(received.from, *received.leaderUpdate)
+	case received.promiseRequest != nil:
+		response := h.OnPromiseRequest(ctx, received.from, received.promiseRequest.PromiseRequest)
+		return h.writeMessage(conn, encodePromiseResponse(h.node, promiseResponse{received.promiseRequest.number, response}))
+	case received.lossNotice != nil && h.OnLossNotice != nil:
+		h.OnLossNotice(received.from, *received.lossNotice)
+	case received.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
+		response := h.OnLostJobsRequest(received.lostJobsRequest.LostJobsRequest)
+		return h.writeMessage(conn, encodeLostJobsResponse(h.node, lostJobsResponse{received.lostJobsRequest.number, response}))
 	}
 	return nil
 }
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -89,12 +89,12 @@
 
 // deliverResponse hands a response to who waits for it. Nothing else may come on a
 // connection that this controller opened.
-func (h *Hub) deliverResponse(m message) error {
+func (h *Hub) deliverResponse(received message) error {
 	switch {
-	case m.promiseResponse != nil:
-		h.promiseResponses.deliver(m.promiseResponse.number, m.promiseResponse.PromiseResponse)
-	case m.lostJobsResponse != nil:
-		h.lostJobResponses.deliver(m.lostJobsResponse.number, m.lostJobsResponse.LostJobsResponse)
+	case received.promiseResponse != nil:
+		h.promiseResponses.deliver(received.promiseResponse.number, received.promiseResponse.PromiseResponse)
+	case received.lostJobsResponse != nil:
+		h.lostJobResponses.deliver(received.lostJobsResponse.number, received.lostJobsResponse.LostJobsResponse)
 	default:
 		return errUnexpectedResponse
 	}
--- a/internal/peer/wire_decode.go
+++ b/internal/peer/wire_decode.go
@@ -13,38 +13,38 @@
 
 // decode reads a message without its size prefix. FlatBuffers has no verifier in Go: what is
 // out of bounds panics, and that is turned into an ErrMalformedMessage.
-func decode(raw []byte) (m message, err error) {
+func decode(raw []byte) (decoded message, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%w: %v", ErrMalformedMessage, r)
 		}
 	}()
 	envelope := wire.GetRootAsMessage(raw, 0)
-	m.from = string(envelope.From())
+	decoded.from = string(envelope.From())
 	var body flatbuffers.Table
 	if !envelope.Body(&body) {
-		return m, errNoBody
+		return decoded, errNoBody
 	}
 	// A length is only a number in the message: a broken one must not make this process set
 	// memory aside for it. Each row takes at least one offset.
 	maxRows := len(raw) / flatbuffers.SizeUOffsetT
 	switch envelope.BodyType() {
 	case wire.BodyProgress:
-		m.leaderUpdate, err = decodeLeaderUpdate(body, maxRows)
+		decoded.leaderUpdate, err = decodeLeaderUpdate(body, maxRows)
 	case wire.BodyAsk:
-		m.promiseRequest = decodePromiseRequest(body)
+		decoded.promiseRequest = decodePromiseRequest(body)
 	case wire.BodyPromise:
-		m.promiseResponse, err = decodePromiseResponse(body, maxRows)
+		decoded.promiseResponse, err = decodePromiseResponse(body, maxRows)
 	case wire.BodyLostAsk:
-		m.lostJobsRequest = decodeLostJobsRequest(body)
+		decoded.lostJobsRequest = decodeLostJobsRequest(body)
 	case wire.BodyLostPage:
-		m.lostJobsResponse, err = decodeLostJobsResponse(body, maxRows)
+		decoded.lostJobsResponse, err = decodeLostJobsResponse(body, maxRows)
 	case wire.BodyLossNotice:
-		m.lossNotice = decodeLossNotice(body)
+		decoded.lossNotice = decodeLossNotice(body)
 	default:
-		return m, &unknownBodyError{envelope.BodyType()}
+		return decoded, &unknownBodyError{envelope.BodyType()}
 	}
-	return m, err
+	return decoded, err
 }
 
 func decodeLeaderUpdate(body flatbuffers.Table, maxRows int) (*LeaderUpdate, error) {
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -55,8 +55,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, promiseRequest{}, promiseResponse{})); d != "" {
-				t.Error(d)
+			if diff := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, promiseRequest{}, promiseResponse{})); diff != "" {
+				t.Error(diff)
 			}
 			// Whatever a broken sender does must end in an error or in some
 			// message, never in a panic.
@@ -93,8 +93,8 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		opts := []cmp.Option{cmp.AllowUnexported(message{}, lostJobsRequest{}, lostJobsResponse{}), cmp.Comparer(bytes.Equal)}
-		if d := cmp.Diff(c.want, got, opts...); d != "" {
-			t.Errorf("%s: %s", name, d)
+		if diff := cmp.Diff(c.want, got, opts...); diff != "" {
+			t.Errorf("%s: %s", name, diff)
 		}
 		for n := range body {
 			_, _ = decode(body[:n])
@@ -113,11 +113,11 @@
 		response.Jobs = append(response.Jobs, LostJob{ID: fmt.Sprintf("j-%03d", i), Record: make([]byte, 30<<10)})
 	}
 	raw := encodeLostJobsResponse("perch-0", response)
-	m, err := decode(raw[4:])
+	decoded, err := decode(raw[4:])
 	if err != nil || len(raw) > maxMessage {
 		t.Fatalf("%d bytes, %v", len(raw), err)
 	}
-	if got := m.lostJobsResponse; !got.More || len(got.Jobs) == 0 || len(got.Jobs) == 100 || got.Jobs[0].ID != "j-000" {
+	if got := decoded.lostJobsResponse; !got.More || len(got.Jobs) == 0 || len(got.Jobs) == 100 || got.Jobs[0].ID != "j-000" {
 		t.Errorf("%d jobs, more %v", len(got.Jobs), got.More)
 	}
 }
