--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -100,7 +100,7 @@
 	done = make(chan struct{})
 	go func() {
 		defer close(done)
-		n.Work(ctx, o.world.Network.Listen(name, clusterAddr(name)))
+		n.RunDuties(ctx, o.world.Network.Listen(name, clusterAddr(name)))
 		o.world.Network.Attach(name, userAddr(name), nil)
 	}()
 	return done
@@ -249,27 +249,27 @@
 		return nil, ctx.Err()
 	}, time.Second)
 	noticed := make(chan struct{})
-	answering.Progress = func(from string, p peer.Progress) {
-		note("progress from %s: served %v, uncertain %v, known %d, put back %v, restoring %v", from, p.Served, p.Uncertain, p.Known, p.PutBack, p.Restoring)
-		for id, c := range p.Counts {
+	answering.OnLeaderUpdate = func(from string, p peer.LeaderUpdate) {
+		note("progress from %s: served %v, uncertain %v, known %d, put back %v, restoring %v", from, p.StoreAvailable, p.ComparingRecords, p.KnownJobs, p.RecordsRolledBack, p.RestoringRecords)
+		for id, c := range p.JobCounts {
 			note("counts of %s: done %d, running %d", id, c.Done, c.Running)
 		}
 		for _, c := range p.Changes {
 			note("change of %s: %s, %d tasks", c.ID, c.State, c.Tasks)
 		}
 	}
-	answering.Promise = func(_ context.Context, from string, token, seen uint64) peer.Promise {
-		note("asked for a promise by %s: token %d, seen %d", from, token, seen)
-		return peer.Promise{Given: true, Complete: true, Cancellations: []jobs.Cancellation{{Job: "j-000007", Revision: 431}, {Job: "j-8", Revision: 1 << 40}}}
+	answering.OnPromiseRequest = func(_ context.Context, from string, request peer.PromiseRequest) peer.PromiseResponse {
+		note("asked for a promise by %s: token %d, seen %d", from, request.FencingToken, request.SeenRevision)
+		return peer.PromiseResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-000007", Revision: 431}, {Job: "j-8", Revision: 1 << 40}}}
 	}
-	answering.Lost = func(q peer.LostJobsRequest) peer.LostJobsResponse {
+	answering.OnLostJobsRequest = func(q peer.LostJobsRequest) peer.LostJobsResponse {
 		note("asked for lost jobs: round %d, after %q", q.ComparisonRound, q.AfterID)
 		return peer.LostJobsResponse{
 			Compared: true, More: true, KnownJobs: 12, LossNoticed: true, NewestRevision: 433, ReliesOnNoPromise: true,
 			Jobs: []peer.LostJob{{ID: "j-3", State: "queued", Tasks: 4, Record: []byte(`{"stance":"queued","tasks":4}`)}, {ID: "j-4", State: "done", Tasks: 1}},
 		}
 	}
-	answering.Noticed = func(from string, l detection.Evidence) {
+	answering.OnLossNotice = func(from string, l detection.Evidence) {
 		note("loss noticed by %s: %q %q", from, l.Kind, l.Key)
 		close(noticed)
 	}
@@ -277,13 +277,13 @@
 	ended := make(chan struct{}, 2)
 	go func() { asking.Run(ctx, own); ended <- struct{}{} }()
 	go func() { answering.Run(ctx, links); ended <- struct{}{} }()
-	asking.Publish(peer.Progress{
-		Served: true, Uncertain: true, Known: 9, PutBack: true, Restoring: true,
-		Counts:  map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}},
-		Changes: []peer.JobChange{{ID: "j-3", State: "queued", Tasks: 4}, {ID: "j-000004", State: "aborted", Tasks: 1}},
+	asking.Broadcast(peer.LeaderUpdate{
+		StoreAvailable: true, ComparingRecords: true, KnownJobs: 9, RecordsRolledBack: true, RestoringRecords: true,
+		JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}},
+		Changes:   []peer.JobChange{{ID: "j-3", State: "queued", Tasks: 4}, {ID: "j-000004", State: "aborted", Tasks: 1}},
 	})
-	promise := asking.AllPromise(ctx, 41, 430)
-	note("promise: given %v, complete %v", promise.Given, promise.Complete)
+	promise := asking.RequestPromises(ctx, peer.PromiseRequest{FencingToken: 41, SeenRevision: 430})
+	note("promise: given %v, complete %v", promise.Granted, promise.CancellationsComplete)
 	for _, c := range promise.Cancellations {
 		note("cancellation of %s at %d", c.Job, c.Revision)
 	}
@@ -292,7 +292,7 @@
 	for _, j := range page.Jobs {
 		note("lost job %s: %s, %d tasks, %s", j.ID, j.State, j.Tasks, j.Record)
 	}
-	asking.NotifyLoss("perch-1", detection.Evidence{Kind: detection.RecordRemoved, Key: "job/j-3"})
+	asking.SendLossNotice("perch-1", detection.Evidence{Kind: detection.RecordRemoved, Key: "job/j-3"})
 	<-noticed
 	cancel()
 	<-ended
--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,206 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"runtime"
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"golang.org/x/net/netutil"
+	"golang.org/x/sync/errgroup"
+
+	"ospreyslip/internal/cloud"
+	"ospreyslip/internal/election"
+	"ospreyslip/internal/jobs/jobapi"
+	"ospreyslip/internal/jobs/jobcache"
+	"ospreyslip/internal/kvstore"
+	"ospreyslip/internal/leader"
+	"ospreyslip/internal/peer"
+	"ospreyslip/internal/settings"
+	"ospreyslip/internal/workers"
+)
+
+const (
+	// cloudRequestShare is the share of the cloud's request rate that the leader uses.
+	cloudRequestShare = 0.8
+	// gcPercent is by how many percent the heap may grow between two collections: memory,
+	// within its limit, is cheaper here than processor time.
+	gcPercent = 300
+)
+
+// Controller is one controller process.
+type Controller struct {
+	settings *settings.Settings
+	derived  settings.Derived
+	listen   listeners
+
+	// Clients of the services that the controller uses.
+	store   *kvstore.Client
+	cloud   *cloud.Client
+	workers *workers.Client
+
+	// What every controller knows, whether it leads or not.
+	cache        *jobcache.Cache
+	jobCounts    *leader.Counts
+	machineTypes *machineTypeCatalog
+
+	// Leadership, and the exchange with the other controllers.
+	elector        *election.Elector
+	gate           *leader.Handle
+	peers          *peer.Hub
+	losses         *lossReporter
+	currency       *currencyMonitor
+	leaderRecovery *recoveryFollower
+
+	// Admission of requests.
+	readiness *readiness
+	memory    *memoryLimit
+}
+
+// listeners are how a controller accepts connections.
+type listeners struct {
+	users, cluster func(addr string) (net.Listener, error)
+	// operators gets the connections of the cluster listener that speak HTTP.
+	operators *connQueue
+}
+
+// Environment is what a controller process gets from the machine. Its zero value means the
+// real network and the memory of this process; tests put others in place.
+type Environment struct {
+	// HTTP sends requests to the key-value store, the cloud and the workers.
+	HTTP http.RoundTripper
+	// Dial opens connections to other controllers.
+	Dial peer.Dial
+	// Listen opens the listener for users and workers, and that for the cluster.
+	Listen func(addr string) (net.Listener, error)
+	// Memory returns how much memory this process holds, in bytes.
+	Memory func() uint64
+}
+
+// New makes a controller from checked settings. It opens no connection and starts no
+// goroutine before Run.
+func New(set *settings.Settings, env Environment) *Controller {
+	startedAt := time.Now()
+	derived := set.Derive()
+	env = env.withDefaults()
+	c := &Controller{settings: set, derived: derived, jobCounts: leader.NewCounts(), gate: &leader.Handle{}}
+	c.listen = newListeners(env)
+	c.workers = workers.NewClient(env.transport(2, derived.Host.WorkerConns, derived.Workers.RequestTimeout), derived.Workers.RequestTimeout)
+	c.store = kvstore.New(set.Endpoints.Store, env.transport(derived.Host.StoreConns, 0, derived.Store.RequestTimeout), derived.Store.RequestTimeout, storeBudget(set, false))
+	c.cloud = cloud.NewClient(set.Endpoints.Cloud, env.transport(derived.Host.CloudConns, 0, derived.Cloud.RequestTimeout), derived.Cloud.RequestTimeout,
+		set.Deployment.Cloud.RPS*cloudRequestShare)
+	c.cache = jobcache.New(c.store, jobcache.Options{ReadGap: derived.API.PollReadInterval, IdleReadInterval: derived.Workers.CancelDeadline / 4, SuspectFor: derived.Workers.CancelDeadline, CancellationsKept: derived.API.CancellationHistory})
+	c.elector = election.NewElector(set.Node, c.store, election.Timing{
+		LeaseDuration: derived.Election.LeaseDuration, RenewPeriod: derived.Election.RenewInterval, ValidFor: derived.Election.LeaseValidity, WatchTimeout: derived.Store.WatchTimeout, RetryPeriod: derived.Election.RenewInterval,
+	})
+	c.peers = peer.NewHub(set.Node, set.Peers, env.Dial, derived.Election.RenewInterval)
+
+	c.memory = &memoryLimit{limitBytes: uint64(derived.Host.RefuseBytes), inUseBytes: env.Memory}
+	c.readiness = &readiness{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache}
+	c.machineTypes = &machineTypeCatalog{derived: derived, store: c.store, cloud: c.cloud}
+	c.losses = newLossReporter(set.Node, derived, c.cache, c.elector, c.gate, c.peers)
+	c.currency = &currencyMonitor{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache, peers: c.peers, losses: c.losses}
+	c.leaderRecovery = &recoveryFollower{derived: derived, cache: c.cache}
+	c.connectParts()
+	return c
+}
+
+// connectParts has the parts tell each other what concerns them.
+func (c *Controller) connectParts() {
+	c.cache.OnLoss = c.losses.notice
+	c.elector.ReportLoss = c.leadershipKeyLost
+	c.peers.OnHTTP = c.listen.operators.enqueue
+	c.peers.OnPromiseRequest = c.answerPromiseRequest
+	c.peers.OnLeaderUpdate = c.followLeader
+	c.peers.OnLostJobsRequest = newLostJobsResponder(c.derived, c.cache, c.elector).respond
+	c.peers.OnLossNotice = c.receiveLossNotice
+	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 { // else some could not be asked
+		c.elector.RequestPeerLeases = c.requestPromises
+		c.elector.NoPeerReliesOnGrants = c.currency.noPeerRelies
+	}
+}
+
+// Run serves until the context ends, or until a listener fails. It sets limits of the whole
+// process: there can be one controller in a process that calls it.
+func (c *Controller) Run(ctx context.Context) error {
+	// One thread at a time is all that a share of a core can use.
+	runtime.GOMAXPROCS(1)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(c.derived.Host.GCBytes)
+
+	users, err := c.listen.users(c.settings.Bind)
+	if err != nil {
+		return fmt.Errorf("bind: %w", err)
+	}
+	cluster, err := c.listen.cluster(c.settings.ClusterListen)
+	if err != nil {
+		return fmt.Errorf("cluster_listen: %w", err)
+	}
+	slog.Info("serving", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind)
+	group, ctx := errgroup.WithContext(ctx)
+	c.serveUsers(ctx, group, users)
+	group.Go(func() error { c.RunDuties(ctx, cluster); return nil })
+	return group.Wait()
+}
+
+// serveUsers serves users and workers, in goroutines of the group, until the context ends.
+func (c *Controller) serveUsers(ctx context.Context, group *errgroup.Group, listener net.Listener) {
+	limiter := newConnLimiter(c.derived.Host.ServedConns)
+	server := &http.Server{
+		Handler:           c.Handler(),
+		ConnState:         limiter.connStateChanged,
+		ReadHeaderTimeout: c.derived.API.RequestTimeout * 2,
+		ReadTimeout:       c.derived.API.RequestTimeout * 4,
+		IdleTimeout:       c.derived.Host.IdleTimeout,
+		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+	}
+	group.Go(func() error {
+		err := server.Serve(netutil.LimitListener(yieldingListener{listener}, c.derived.Host.ServedConns))
+		if errors.Is(err, http.ErrServerClosed) {
+			return nil
+		}
+		return err
+	})
+	group.Go(func() error {
+		<-ctx.Done()
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.derived.API.RequestTimeout)
+		defer cancel()
+		return server.Shutdown(shutdownCtx)
+	})
+}
+
+// Handler returns what serves users and workers.
+func (c *Controller) Handler() http.Handler {
+	mux := http.NewServeMux()
+	users := &jobapi.API{
+		Settings: c.settings, Derived: c.derived, Store: c.store, Cache: c.cache,
+		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, Room: c.memory.hasRoom,
+	}
+	users.Register(mux)
+	heartbeats := &workers.Handler{HandleHeartbeat: c.gate.HandleHeartbeat, Leader: c.otherLeader}
+	heartbeats.Register(mux)
+	return mux
+}
+
+// RunDuties runs the goroutines of the process until the context ends, and waits for them.
+// The cluster listener, for controllers and operators, is closed then.
+func (c *Controller) RunDuties(ctx context.Context, cluster net.Listener) {
+	var duties sync.WaitGroup
+	duties.Go(func() { c.peers.Run(ctx, cluster) })
+	duties.Go(func() { c.serveOperators(ctx) })
+	duties.Go(func() { c.machineTypes.refresh(ctx) })
+	duties.Go(func() { c.cache.Run(ctx) })
+	duties.Go(func() { c.losses.report(ctx) })
+	duties.Go(func() { c.currency.confirmAfterStart(ctx) })
+	duties.Go(func() { c.currency.confirmAfterOutages(ctx) })
+	duties.Go(func() { c.cache.RunAudits(ctx, c.derived.Store.AuditInterval, c.derived.Store.AuditPagePause) })
+	duties.Go(func() { c.memory.watch(ctx, c.derived.Election.RenewInterval) })
+	duties.Go(func() { c.campaign(ctx) })
+	duties.Wait()
+}
--- a/internal/controller/restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -12,8 +12,8 @@
 // All controllers end together and come back. What runs goes on untouched, and only what is
 // truly gone is begun once more. The stand-in judges all rules besides.
 
-// wideLimits lets both teams use far more than they are guaranteed.
-func wideLimits(s *settings.Settings) {
+// wideQuotas lets both teams use far more than they are guaranteed.
+func wideQuotas(s *settings.Settings) {
 	s.Deployment.Teams = []settings.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 200}, {Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 200}}
 }
 
@@ -21,7 +21,7 @@
 func (c *cluster) fillFleet(arrays int) (tasks int) {
 	c.t.Helper()
 	for i := range arrays {
-		spec := batch(fmt.Sprintf("j-%d", 100+i), 4, 4000)
+		spec := batchJob(fmt.Sprintf("j-%d", 100+i), 4, 4000)
 		if i%2 == 0 {
 			spec.Team = "red"
 		}
@@ -29,40 +29,21 @@
 	}
 	tasks = 4 * arrays
 	c.within(2*time.Minute, "fleet full", func() bool { return len(c.world.RunningTasks()) == tasks })
-	c.run(10 * time.Second)
+	c.advance(10 * time.Second)
 	return tasks
 }
 
-// restartAll ends all controllers and starts them again after a pause.
-func (c *cluster) restartAll(pause time.Duration) {
-	c.crash(c.names...)
-	c.run(pause)
-	for _, n := range c.names {
-		c.start(n)
-	}
-}
-
-// takeover is what the leader says of its take-over.
-func (c *cluster) takeover() reconcile.Progress {
-	for _, name := range c.names {
-		if s := c.nodes[name].node.gate.Status(c.ctx); s != nil {
-			return s.Takeover
-		}
-	}
-	return reconcile.Progress{}
-}
-
 // Shorter than the lease, no task is begun, stopped or lost; beyond it, each task that the
 // lease has ended is begun exactly once, though both teams are beyond their guarantees and
 // each would have the other's tasks stopped.
 func TestRestartOfAllControllers(t *testing.T) {
 	for _, pause := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 8 * time.Second, 24 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
-			inCluster(t, wideLimits, func(c *cluster) {
+			runCluster(t, wideQuotas, func(c *cluster) {
 				tasks := c.fillFleet(20)
 				before := c.world.TaskStarts()
 				c.restartAll(pause)
-				c.run(time.Minute)
+				c.advance(time.Minute)
 				gone := 0
 				if pause > 20*time.Second {
 					gone = tasks
@@ -70,51 +51,32 @@
 				if begun := c.world.TaskStarts() - before; begun != gone || len(c.world.RunningTasks()) != tasks {
 					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.RunningTasks()), tasks)
 				}
-				p := c.takeover()
-				if p.Phase != reconcile.FailoverDone || p.Reported != p.Expected || p.Expected != len(c.world.Machines()) {
-					t.Errorf("take-over %+v with %d machines", p, len(c.world.Machines()))
+				progress := c.takeoverProgress()
+				if progress.Phase != reconcile.FailoverDone || progress.Reported != progress.Expected || progress.Expected != len(c.world.Machines()) {
+					t.Errorf("take-over %+v with %d machines", progress, len(c.world.Machines()))
 				}
 			})
 		})
 	}
 }
 
-// untilLed starts nodes and returns how long it takes until one leads.
-func (c *cluster) untilLed(names ...string) time.Duration {
-	c.t.Helper()
-	for _, n := range names {
-		c.start(n)
-	}
-	began := time.Now()
-	for time.Since(began) < 30*time.Second {
-		for _, n := range names {
-			if c.nodes[n].node.keeper.IsLeader() {
-				return time.Since(began)
-			}
-		}
-		c.run(10 * time.Millisecond)
-	}
-	c.t.Error("nobody leads")
-	return 0
-}
-
 // Beyond the term's lease, restarted nodes need not wait out what their earlier lives may have
 // promised: all have begun anew, and tell each other so. Where one does not answer, they wait.
 func TestTakeOverAfterARestart(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		lease := c.nodes[c.names[0]].node.d.Election.LeaseDuration
+		lease := c.processes[c.names[0]].controller.derived.Election.LeaseDuration
 		for range 5 {
 			c.crash(c.names...)
-			c.run(2 * lease)
-			if took := c.untilLed(c.names...); took > lease/4 {
+			c.advance(2 * lease)
+			if took := c.timeUntilLeader(c.names...); took > lease/4 {
 				t.Errorf("led after %v with all nodes up, a term lease is %v", took, lease)
 			}
-			c.run(5 * time.Second)
+			c.advance(5 * time.Second)
 		}
 		c.crash(c.names...)
-		c.run(2 * lease)
-		if took := c.untilLed(c.names[:2]...); took < lease*9/10 {
+		c.advance(2 * lease)
+		if took := c.timeUntilLeader(c.names[:2]...); took < lease*9/10 {
 			t.Errorf("led after %v, though one node may rely on promises", took)
 		}
 		c.start(c.names[2])
@@ -124,12 +86,12 @@
 // The holder lives on promises, cut off from the state service alone, when the others are
 // restarted: they are told that it relies on what their earlier lives have promised.
 func TestRestartWhileTheHolderReliesOnPromises(t *testing.T) {
-	inCluster(t, nil, func(c *cluster) {
+	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		old, lease := c.leader(), c.nodes[c.names[0]].node.d.Election.LeaseDuration
+		old, lease := c.leader(), c.processes[c.names[0]].controller.derived.Election.LeaseDuration
 		c.world.Store.SetOutage(true)
-		c.run(2 * lease)
-		if !c.nodes[old].node.keeper.IsLeader() {
+		c.advance(2 * lease)
+		if !c.processes[old].controller.elector.IsLeader() {
 			t.Fatal("the holder does not live on promises")
 		}
 		var others []string
@@ -147,14 +109,14 @@
 		for range 3000 {
 			led := 0
 			for _, n := range c.names {
-				if c.nodes[n].node.keeper.IsLeader() {
+				if c.processes[n].controller.elector.IsLeader() {
 					led++
 				}
 			}
 			if led > 1 {
 				t.Fatal("two nodes lead")
 			}
-			c.run(10 * time.Millisecond)
+			c.advance(10 * time.Millisecond)
 		}
 		c.world.Store.SetRefused(old, false)
 		c.within(time.Minute, "a leader", func() bool { return c.leader() != "" })
--- /dev/null
+++ b/internal/controller/loss_combinations_test.go
@@ -0,0 +1,309 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"ospreyslip/internal/emulator"
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader/recoverer"
+	"ospreyslip/internal/peer"
+	"ospreyslip/internal/settings"
+)
+
+// lossKind is one way in which the key-value store loses what it holds.
+type lossKind struct {
+	name string
+	lose func(c *cluster, r *rand.Rand, before emulator.StoreBackup)
+}
+
+// loseKeys loses the keys that match, with a trace in the watch or without.
+func loseKeys(match func(r *rand.Rand) func(string) bool) func(*cluster, *rand.Rand, emulator.StoreBackup) {
+	return func(c *cluster, r *rand.Rand, _ emulator.StoreBackup) {
+		lost := c.world.Store.LoseKeys(r.IntN(2) == 0, match(r))
+		c.world.Tracef("LOST %v", lost)
+	}
+}
+
+// matching is a match that needs no random numbers.
+func matching(match func(string) bool) func(*rand.Rand) func(string) bool {
+	return func(*rand.Rand) func(string) bool { return match }
+}
+
+var lossKinds = []lossKind{
+	{"one job", loseKeys(func(r *rand.Rand) func(string) bool {
+		n := r.IntN(20)
+		return func(key string) bool {
+			if strings.HasPrefix(key, "job/") {
+				n--
+			}
+			return n == -1
+		}
+	})},
+	{"a range of jobs", loseKeys(func(r *rand.Rand) func(string) bool {
+		return emulator.WithPrefix(fmt.Sprintf("job/j-%d", 1+r.IntN(2)))
+	})},
+	{"a third of all keys", loseKeys(func(r *rand.Rand) func(string) bool {
+		return func(key string) bool { return key != "term/holder" && r.IntN(3) == 0 }
+	})},
+	{"all jobs", loseKeys(matching(emulator.WithPrefix("job/")))},
+	{"the log", loseKeys(matching(emulator.WithPrefix("book/")))},
+	{"the term", loseKeys(matching(emulator.WithPrefix("term/")))},
+	{"everything", loseKeys(matching(emulator.WithPrefix("")))},
+	{"what is newest", func(c *cluster, _ *rand.Rand, before emulator.StoreBackup) {
+		c.world.Store.Restore(before)
+		c.world.Tracef("PUT BACK")
+	}},
+}
+
+// concurrentEvents are what happens at the time of a loss.
+var concurrentEvents = []struct {
+	name string
+	do   func(c *cluster, r *rand.Rand, lose func())
+}{
+	{"nothing", func(_ *cluster, _ *rand.Rand, lose func()) { lose() }},
+	{"the leader ends just before", leaderEndsBefore},
+	{"the leader ends just after", leaderEndsAfter},
+	{"it ends while records are written", leaderEndsInRecovery},
+	{"an outage follows", outageAfter},
+	{"in an outage", inOutage},
+	{"a machine is lost", machineLost},
+	{"answers to transactions are lost", answersLost},
+}
+
+func leaderEndsBefore(c *cluster, random *rand.Rand, lose func()) {
+	old := c.leader()
+	if old == "" {
+		lose()
+		return
+	}
+	c.crash(old)
+	c.advance(time.Duration(random.IntN(3000)) * time.Millisecond)
+	lose()
+	c.advance(time.Duration(random.IntN(10)) * time.Second)
+	c.start(old)
+}
+
+func leaderEndsAfter(c *cluster, random *rand.Rand, lose func()) {
+	lose()
+	c.advance(time.Duration(random.IntN(4000)) * time.Millisecond)
+	old := c.leader()
+	if old == "" {
+		return
+	}
+	c.crash(old)
+	c.advance(time.Duration(random.IntN(10)) * time.Second)
+	c.start(old)
+}
+
+func leaderEndsInRecovery(c *cluster, _ *rand.Rand, lose func()) {
+	lose()
+	c.advance(25 * time.Second)
+	if old := c.leader(); old != "" {
+		c.crash(old)
+		c.advance(time.Second)
+		c.start(old)
+	}
+}
+
+func outageAfter(c *cluster, random *rand.Rand, lose func()) {
+	lose()
+	c.advance(time.Duration(random.IntN(2000)) * time.Millisecond)
+	c.world.Store.SetOutage(true)
+	c.advance(time.Duration(5+random.IntN(12)) * time.Second)
+	c.world.Store.SetOutage(false)
+}
+
+func inOutage(c *cluster, random *rand.Rand, lose func()) {
+	c.world.Store.SetOutage(true)
+	c.advance(time.Duration(random.IntN(8)) * time.Second)
+	lose()
+	c.advance(time.Duration(random.IntN(4)) * time.Second)
+	c.world.Store.SetOutage(false)
+}
+
+func machineLost(c *cluster, random *rand.Rand, lose func()) {
+	lose()
+	if machines := c.world.Machines(); len(machines) > 0 {
+		c.world.KillMachine(machines[random.IntN(len(machines))])
+	}
+}
+
+func answersLost(c *cluster, random *rand.Rand, lose func()) {
+	end := c.world.Network.AddFaults(func(_, to, path string) emulator.Fault {
+		if to == "state" && path == "/commit" && random.IntN(2) == 0 {
+			return emulator.DropResponse
+		}
+		return emulator.Deliver
+	})
+	c.advance(2 * time.Second)
+	lose()
+	c.advance(4 * time.Second)
+	end()
+}
+
+// lossOutcome is what came of one day with a loss.
+type lossOutcome struct {
+	lossKind, concurrentEvent string
+	recoveredAfter            time.Duration // since the loss; 0 if it was not noticed, or the recovery is not over
+	heldJobs                  int
+	unfinished                int // jobs that are not over at the end, but for services
+	unfinishedJobs            []string
+	wronglyDone               []string
+}
+
+// playLossScenario has users at work while the store loses something in the middle of it.
+func playLossScenario(c *cluster, seed uint64, outcome *lossOutcome) {
+	random := rand.New(rand.NewPCG(seed, 24))
+	kind, event := lossKinds[random.IntN(len(lossKinds))], concurrentEvents[random.IntN(len(concurrentEvents))]
+	outcome.lossKind, outcome.concurrentEvent = kind.name, event.name
+	users := newSimulatedUsers(c)
+	for number := range 24 {
+		c.advance(time.Duration(random.IntN(3000)) * time.Millisecond)
+		own := rand.New(rand.NewPCG(seed, uint64(number)))
+		users.submitAndFollow(own, randomJob(random, number), randomBehavior(random))
+	}
+	before := c.world.Store.Backup()
+	c.advance(time.Duration(1+random.IntN(20)) * time.Second)
+	lostAt := time.Now()
+	event.do(c, random, func() {
+		kind.lose(c, random, before)
+		lostAt = time.Now()
+	})
+	for range 200 {
+		c.advance(time.Second)
+		status := c.recoveryStatus()
+		if status.Phase == recoverer.Whole && len(status.Evidence) > 0 && outcome.recoveredAfter == 0 {
+			outcome.recoveredAfter = time.Since(lostAt)
+		}
+	}
+	users.stop()
+	outcome.heldJobs = c.recoveryStatus().Held
+	outcome.judgeRecords(c)
+}
+
+// judgeRecords compares the records with the truth, which is what the machines have done.
+func (o *lossOutcome) judgeRecords(c *cluster) {
+	for _, key := range c.world.Store.Keys("job/") {
+		var record jobs.Record
+		if json.Unmarshal(c.world.Store.Value(key), &record) != nil {
+			continue
+		}
+		id := jobs.JobIDFromKey(key)
+		if !record.Finished() && (record.Spec == nil || record.Spec.RunsToCompletion()) {
+			o.unfinished++
+			o.unfinishedJobs = append(o.unfinishedJobs, fmt.Sprintf("%s %s; %s", id, c.world.Store.Value(key), c.queueSummary()))
+		}
+		spec := c.world.Spec(id)
+		if record.State == jobs.Done && !c.world.AllTasksDone(id) || record.State == jobs.Done && spec != nil && !spec.RunsToCompletion() {
+			o.wronglyDone = append(o.wronglyDone, id+" is called done")
+		}
+	}
+}
+
+// runLossScenario plays one day in a cluster of its own. The outcome is filled in as it comes.
+func runLossScenario(t *testing.T, seed uint64, adapt func(*Controller), outcome *lossOutcome) {
+	t.Helper()
+	runCluster(t, func(set *settings.Settings) {
+		set.Operator.AuditS = 15 // what is lost without a trace is found by nothing else
+	}, func(c *cluster) {
+		c.adaptController = adapt
+		if adapt != nil { // also for those that run already
+			for _, name := range c.names {
+				adapt(c.processes[name].controller)
+			}
+		}
+		playLossScenario(c, seed, outcome)
+	})
+}
+
+// Whatever is lost, whatever happens at the time: no rule is broken, no job is given an end
+// that it has not had, and work goes on. OSPREYSLIP_SEEDS=100:200 plays other days; with
+// OSPREYSLIP_LOSSES=FILE the outcome of each is written there, a line of JSON a day.
+func TestLossesMeet(t *testing.T) {
+	write := outcomeWriter(t)
+	for _, seed := range seedsToPlay(t) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			var outcome lossOutcome
+			defer func() { // a broken rule ends the test at once
+				write(seed, outcome, t.Failed())
+				if t.Failed() {
+					t.Logf("%s lost; %s", outcome.lossKind, outcome.concurrentEvent)
+				}
+			}()
+			runLossScenario(t, seed, withoutKnowledgeSource(t), &outcome)
+			for _, wrong := range outcome.wronglyDone {
+				t.Errorf("%s, though it is not", wrong)
+			}
+			if outcome.unfinished > 0 && outcome.heldJobs == 0 {
+				t.Errorf("%d jobs are not over: %v", outcome.unfinished, outcome.unfinishedJobs)
+			}
+		})
+	}
+}
+
+// withoutKnowledgeSource leaves out a source of knowledge, to measure what it is worth:
+// OSPREYSLIP_WITHOUT=peers.
+func withoutKnowledgeSource(t *testing.T) func(*Controller) {
+	t.Helper()
+	switch without := os.Getenv("OSPREYSLIP_WITHOUT"); without {
+	case "":
+		return nil
+	case "peers":
+		return func(controller *Controller) {
+			controller.peers.OnLostJobsRequest = func(peer.LostJobsRequest) peer.LostJobsResponse {
+				return peer.LostJobsResponse{Compared: true}
+			}
+		}
+	default:
+		t.Fatalf("OSPREYSLIP_WITHOUT: %q is no source that can be left out", without)
+	}
+	return nil
+}
+
+// outcomeWriter returns what writes the outcome of each day, if a file is named.
+func outcomeWriter(t *testing.T) func(seed uint64, outcome lossOutcome, failed bool) {
+	t.Helper()
+	path := os.Getenv("OSPREYSLIP_LOSSES")
+	if path == "" {
+		return func(uint64, lossOutcome, bool) {}
+	}
+	return func(seed uint64, outcome lossOutcome, failed bool) {
+		file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		defer file.Close()
+		_ = json.NewEncoder(file).Encode(map[string]any{
+			"seed": seed, "lost": outcome.lossKind, "beside": outcome.concurrentEvent, "wholeAfterS": outcome.recoveredAfter.Seconds(),
+			"held": outcome.heldJobs, "open": outcome.unfinished, "wrong": len(outcome.wronglyDone), "failed": failed,
+		})
+	}
+}
+
+// The kinds of losses, and what happens at their time, are each drawn by some of the days that run.
+func TestLossDaysAreVaried(t *testing.T) {
+	var kinds, beside []string
+	for seed := range uint64(100) {
+		random := rand.New(rand.NewPCG(seed, 24))
+		kinds = append(kinds, lossKinds[random.IntN(len(lossKinds))].name)
+		beside = append(beside, concurrentEvents[random.IntN(len(concurrentEvents))].name)
+	}
+	for _, kind := range lossKinds {
+		if !slices.Contains(kinds, kind.name) {
+			t.Errorf("no day loses %s", kind.name)
+		}
+	}
+	for _, event := range concurrentEvents {
+		if !slices.Contains(beside, event.name) {
+			t.Errorf("beside no loss: %s", event.name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/operator_listener.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+)
+
+// connQueue is a net.Listener whose connections were accepted by somebody else.
+type connQueue struct {
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
+}
+
+func newConnQueue() *connQueue {
+	return &connQueue{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
+
+// enqueue blocks until the connection is accepted, or closes it if the queue is closed.
+func (q *connQueue) enqueue(conn net.Conn) {
+	select {
+	case q.conns <- conn:
+	case <-q.closed:
+		conn.Close()
+	}
+}
+
+func (q *connQueue) Accept() (net.Conn, error) {
+	select {
+	case conn := <-q.conns:
+		return conn, nil
+	case <-q.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (q *connQueue) Close() error {
+	q.once.Do(func() { close(q.closed) })
+	return nil
+}
+
+func (q *connQueue) Addr() net.Addr { return &net.TCPAddr{} }
+
+// serveOperators serves the operators' connections until the context ends.
+func (c *Controller) serveOperators(ctx context.Context) {
+	server := &http.Server{Handler: c.operatorHandler(), ReadHeaderTimeout: c.derived.API.RequestTimeout, IdleTimeout: time.Minute}
+	stop := context.AfterFunc(ctx, func() { server.Close() })
+	defer stop()
+	_ = server.Serve(c.listen.operators) // it ends only when the server is closed
+}
+
+// operatorHandler serves operators on the cluster listener.
+func (c *Controller) operatorHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
+		ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
+		defer cancel()
+		writeJSON(w, http.StatusOK, c.status(ctx))
+	})
+	c.registerRecoveryHandlers(mux)
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(&metricsCollector{c})
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
+	return mux
+}
--- /dev/null
+++ b/internal/controller/recovery_handlers.go
@@ -0,0 +1,114 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/leader"
+	"ospreyslip/internal/leader/recoverer"
+	"ospreyslip/internal/recovery"
+)
+
+// registerRecoveryHandlers registers what serves operators in a recovery: its state, the import of
+// parts of a snapshot, and decisions about held jobs.
+func (c *Controller) registerRecoveryHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("GET /recovery", c.showRecovery)
+	mux.HandleFunc("POST /recovery/import", c.importSnapshot)
+	mux.HandleFunc("POST /recovery/settle", c.settle)
+}
+
+func (c *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
+	defer cancel()
+	status, err := c.gate.Recovery(ctx)
+	if errors.Is(err, leader.ErrNotLeading) {
+		writeJSON(w, http.StatusMisdirectedRequest, recoverer.Status{Following: c.elector.Leader()})
+		return
+	}
+	if err != nil {
+		writeError(w, http.StatusServiceUnavailable, err)
+		return
+	}
+	writeJSON(w, http.StatusOK, status)
+}
+
+// maxRequestBytes bounds what one request may make this process hold in memory.
+const maxRequestBytes = 1 << 20
+
+func (c *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
+	var request recoverer.Import
+	if !readJSON(w, r, &request) {
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
+	defer cancel()
+	imported, err := c.gate.Import(ctx, request)
+	if err != nil {
+		writeError(w, httpStatusOf(err), err)
+		return
+	}
+	writeJSON(w, http.StatusOK, imported)
+}
+
+// errInvalidJobID refuses a request with a job's ID that there can not be.
+var errInvalidJobID = errors.New("job must be of the form j-000412")
+
+// SettleRequest is the body of POST /recovery/settle, and of its response: an operator's
+// decision about a job that is held because its outcome is unknown.
+type SettleRequest struct {
+	Job string              `json:"job"`
+	As  recovery.Settlement `json:"as"`
+}
+
+func (c *Controller) settle(w http.ResponseWriter, r *http.Request) {
+	var request SettleRequest
+	if !readJSON(w, r, &request) {
+		return
+	}
+	if !jobs.ValidID(request.Job) {
+		writeError(w, http.StatusBadRequest, errInvalidJobID)
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
+	defer cancel()
+	if err := c.gate.Settle(ctx, request.Job, request.As); err != nil {
+		writeError(w, httpStatusOf(err), err)
+		return
+	}
+	writeJSON(w, http.StatusOK, request)
+}
+
+// httpStatusOf returns the HTTP status for an error of the leader.
+func httpStatusOf(err error) int {
+	switch {
+	case errors.Is(err, leader.ErrNotLeading):
+		return http.StatusMisdirectedRequest
+	case errors.Is(err, recoverer.ErrNotHeld):
+		return http.StatusNotFound
+	case errors.Is(err, recovery.ErrRefused):
+		return http.StatusConflict
+	}
+	return http.StatusServiceUnavailable
+}
+
+// readJSON decodes a request's body. It responds by itself, and returns false, if that fails.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(into); err != nil {
+		writeError(w, http.StatusBadRequest, err)
+		return false
+	}
+	return true
+}
+
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(body)
+}
+
+func writeError(w http.ResponseWriter, status int, err error) {
+	writeJSON(w, status, map[string]string{"error": err.Error()})
+}
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -21,13 +21,13 @@
 	"ospreyslip/internal/snapshot"
 )
 
-// direct hands requests to a handler without a network, and counts them.
-type direct struct {
+// handlerTransport hands requests to a handler without a network, and counts them.
+type handlerTransport struct {
 	handler  http.Handler
 	requests atomic.Int64
 }
 
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	d.requests.Add(1)
 	return respond(d.handler, r), nil
 }
@@ -35,7 +35,7 @@
 // storedJobs puts so many jobs into a state service: one of eight is unfinished.
 func storedJobs(count int) *emulator.KVStore {
 	store := emulator.NewKVStore()
-	spec := batch("j-0", 12, 300)
+	spec := batchJob("j-0", 12, 300)
 	for i := range count {
 		id := fmt.Sprintf("j-%08d", i)
 		rec := jobs.Record{State: jobs.Done, Tasks: 12}
@@ -52,9 +52,9 @@
 
 func heapMB() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc) / (1 << 20)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
 // TestRecoveryAtScale measures what a snapshot and the comparison of all records cost, by
@@ -65,7 +65,7 @@
 		count = 2000
 	}
 	store := storedJobs(count)
-	wire := &direct{handler: store}
+	wire := &handlerTransport{handler: store}
 	client := kvstore.New("state:1", wire, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
 	measure := func(what string, do func()) {
 		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
@@ -74,15 +74,15 @@
 		t.Logf("%d jobs, %s: %v, %d requests, %.1f MB more held", count, what, took.Round(time.Millisecond), wire.requests.Load()-requests, heapMB()-before)
 	}
 
-	var s *snapshot.Snapshot
+	var taken *snapshot.Snapshot
 	measure("snapshot", func() {
-		if s, err = snapshot.Take(t.Context(), client, "c", time.Now()); err != nil {
+		if taken, err = snapshot.Take(t.Context(), client, "c", time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	})
 	var path string
 	measure("file written", func() {
-		if path, err = snapshot.WriteFile(t.TempDir(), s); err != nil {
+		if path, err = snapshot.WriteFile(t.TempDir(), taken); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -90,11 +90,11 @@
 		t.Logf("%d jobs, %s: %.1f MB", count, filepath.Ext(path), float64(info.Size())/(1<<20))
 	}
 	measure("file read", func() {
-		if again, err := snapshot.ReadFile(path); err != nil || len(again.Records) != len(s.Records) {
+		if again, err := snapshot.ReadFile(path); err != nil || len(again.Records) != len(taken.Records) {
 			t.Fatal(err)
 		}
 	})
-	s = nil
+	taken = nil
 
 	cache := jobcache.New(client, jobcache.Options{ReadGap: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
 	measure("all records read by a node", func() {
@@ -119,11 +119,11 @@
 	measure("unfinished jobs joined and decided", func() {
 		for after, more := "", true; more; {
 			var page []jobcache.LostJob
-			page, more = cache.LostPage(after, lostRows)
-			for _, l := range page {
-				after = l.ID
-				if l.State == jobs.Queued { // the others are written a page at a time
-					view.Merge(l.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: l.Tasks}))
+			page, more = cache.LostPage(after, maxLostJobsPerResponse)
+			for _, lost := range page {
+				after = lost.ID
+				if lost.State == jobs.Queued { // the others are written a page at a time
+					view.Merge(lost.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
 				}
 			}
 		}
--- /dev/null
+++ b/internal/peer/wire_test.go
@@ -0,0 +1,123 @@
+package peer
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ospreyslip/internal/jobs"
+	"ospreyslip/internal/recovery/detection"
+)
+
+// Controllers of the version before this one send and read these very bytes, side
+// by side with this one while an upgrade goes on.
+func TestProductionMessages(t *testing.T) {
+	raw, err := os.ReadFile("testdata/production.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}}}
+	ours := map[string][]byte{
+		"progress": encodeLeaderUpdate("perch-0", progress), "ask": encodePromiseRequest("perch-1", promiseRequest{7, PromiseRequest{41, 0}}), "promise": encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}),
+	}
+	for line := range strings.Lines(string(raw)) {
+		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if got := hex.EncodeToString(ours[kind]); got != digits {
+			t.Errorf("%s is sent as\n%s, production sends\n%s", kind, got, digits)
+		}
+	}
+}
+
+func TestMessages(t *testing.T) {
+	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-1": {Done: 3, Running: 2}, "j-2": {Running: 1}}}
+	progress.RestoringRecords = true
+	progress.Changes = []JobChange{{ID: "j-3", State: jobs.Queued, Tasks: 4}, {ID: "j-000004", State: jobs.Cancelled, Tasks: 1}}
+	told := PromiseResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-1", Revision: 431}, {Job: "j-000002", Revision: 1 << 40}}}
+	for _, tc := range []struct {
+		name string
+		raw  []byte
+		want message
+	}{
+		{"progress", encodeLeaderUpdate("perch-0", progress), message{from: "perch-0", leaderUpdate: &progress}},
+		{"ask", encodePromiseRequest("perch-1", promiseRequest{7, PromiseRequest{41, 430}}), message{from: "perch-1", promiseRequest: &promiseRequest{7, PromiseRequest{41, 430}}}},
+		{"promise", encodePromiseResponse("perch-2", promiseResponse{7, told}), message{from: "perch-2", promiseResponse: &promiseResponse{7, told}}},
+		{"promise of production", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
+		{"promise with too many", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			body := tc.raw[4:] // behind its size
+			got, err := decode(body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, promiseRequest{}, promiseResponse{})); diff != "" {
+				t.Error(diff)
+			}
+			// Whatever a broken sender does must end in an error or in some
+			// message, never in a panic.
+			for n := range body {
+				_, _ = decode(body[:n])
+				broken := append([]byte(nil), body...)
+				broken[n] ^= 0xff
+				_, _ = decode(broken)
+			}
+		})
+	}
+	if _, err := decode(nil); err == nil {
+		t.Error("an empty message was taken")
+	}
+}
+
+// Requests and responses for lost jobs, and loss notices, come out as they went in, and no
+// broken ones end a process.
+func TestLostMessages(t *testing.T) {
+	response := lostJobsResponse{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoPromise: true, Jobs: []LostJob{
+		{ID: "j-1", State: "done", Tasks: 4}, {ID: "j-2", State: "queued", Tasks: 1, Record: []byte(`{"stance":"queued"}`)},
+	}}}
+	for name, c := range map[string]struct {
+		raw  []byte
+		want message
+	}{
+		"request":  {encodeLostJobsRequest("perch-0", lostJobsRequest{9, LostJobsRequest{41, "j-1"}}), message{from: "perch-0", lostJobsRequest: &lostJobsRequest{9, LostJobsRequest{41, "j-1"}}}},
+		"notice":   {encodeLossNotice("perch-1", detection.Evidence{Kind: detection.RecordMissing, Key: "job/j-1"}), message{from: "perch-1", lossNotice: &detection.Evidence{Kind: detection.RecordMissing, Key: "job/j-1"}}},
+		"response": {encodeLostJobsResponse("perch-1", response), message{from: "perch-1", lostJobsResponse: &response}},
+	} {
+		body := c.raw[4:]
+		got, err := decode(body)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		opts := []cmp.Option{cmp.AllowUnexported(message{}, lostJobsRequest{}, lostJobsResponse{}), cmp.Comparer(bytes.Equal)}
+		if diff := cmp.Diff(c.want, got, opts...); diff != "" {
+			t.Errorf("%s: %s", name, diff)
+		}
+		for n := range body {
+			_, _ = decode(body[:n])
+			broken := append([]byte(nil), body...)
+			broken[n] ^= 0xff
+			_, _ = decode(broken)
+		}
+	}
+}
+
+// A response stays within a message, however large the records are; the rest comes with the
+// next.
+func TestLargePage(t *testing.T) {
+	response := lostJobsResponse{1, LostJobsResponse{Compared: true}}
+	for i := range 100 {
+		response.Jobs = append(response.Jobs, LostJob{ID: fmt.Sprintf("j-%03d", i), Record: make([]byte, 30<<10)})
+	}
+	raw := encodeLostJobsResponse("perch-0", response)
+	decoded, err := decode(raw[4:])
+	if err != nil || len(raw) > maxMessage {
+		t.Fatalf("%d bytes, %v", len(raw), err)
+	}
+	if got := decoded.lostJobsResponse; !got.More || len(got.Jobs) == 0 || len(got.Jobs) == 100 || got.Jobs[0].ID != "j-000" {
+		t.Errorf("%d jobs, more %v", len(got.Jobs), got.More)
+	}
+}
