--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -447,6 +447,14 @@
 	})
 }
 
+// requireKnown submits a job again, and wants its present state in the answer.
+func (c *cluster) requireKnown(node string, spec *jobs.Spec, state string) {
+	c.t.Helper()
+	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(spec)); status != http.StatusOK || view["stance"] != state {
+		c.t.Errorf("%s submitted again at %s: %d %v", spec.ID, node, status, view)
+	}
+}
+
 // Users repeat submissions of jobs that run, are done or are cancelled, cancel what is
 // done, and send what can never run; also while the state service is out.
 func TestOddRequests(t *testing.T) {
@@ -460,14 +468,9 @@
 		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 2) == 2 })
 		c.advance(4 * time.Second)
 		for i, n := range c.names {
-			for _, tc := range []struct {
-				s    *jobs.Spec
-				want string
-			}{{done, jobs.Done}, {off, jobs.Cancelled}, {runs, jobs.Running}} {
-				if status, view := c.request("POST", n, "/v1/jobs", wireSpec(tc.s)); status != http.StatusOK || view["stance"] != tc.want {
-					t.Errorf("%s submitted again at %s: %d %v", tc.s.ID, n, status, view)
-				}
-			}
+			c.requireKnown(n, done, jobs.Done)
+			c.requireKnown(n, off, jobs.Cancelled)
+			c.requireKnown(n, runs, jobs.Running)
 			if status, view := c.request("POST", n, "/v1/jobs/j-1/withdraw", nil); status != http.StatusOK || view["stance"] != jobs.Done {
 				t.Errorf("a done job cancelled: %d %v", status, view)
 			}
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -207,44 +207,51 @@
 	for _, leads := range []bool{false, true} {
 		for _, fault := range []emulator.Fault{emulator.DropRequest, emulator.DeliverLate, emulator.RefuseConnection} {
 			t.Run(fmt.Sprintf("leads=%v fault=%d", leads, fault), func(t *testing.T) {
-				runCluster(t, nil, func(c *cluster) {
-					c.submit("perch-0", serviceJob("j-1", 4))
-					c.submit("perch-0", batchJob("j-2", 12, 60))
-					c.within(60*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 4) == 4 && c.tasksOnMachines("j-2", 12) >= 4 })
-					node := c.leader()
-					if !leads {
-						node = c.names[(slices.Index(c.names, node)+1)%3]
-					}
-					zone := c.world.ZoneOf(c.world.MachinesOf("j-1/0")[0])
-					within := func(host string) bool { return host == node || c.world.ZoneOf(host) == zone }
-					c.world.Network.Lateness = 40 * time.Second
-					c.world.Network.SetFaults(func(from, to, _ string) emulator.Fault {
-						if from != "user" && within(from) != within(to) {
-							return fault
-						}
-						return emulator.Deliver
-					})
-					c.within(60*time.Second, "service whole outside", func() bool {
-						up := 0
-						for i := range 4 {
-							for _, machine := range c.world.MachinesOf(fmt.Sprintf("j-1/%d", i)) {
-								if c.world.ZoneOf(machine) != zone {
-									up++
-								}
-							}
-						}
-						return up >= 2 // at most half may be in one zone, and two zones are left
-					})
-					c.advance(30 * time.Second)
-					c.world.Network.SetFaults(nil)
-					c.withinDone(4*time.Minute, "j-2")
-					c.within(30*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
-				})
+				runCluster(t, nil, func(c *cluster) { c.cutZone(leads, fault) })
 			})
 		}
 	}
 }
 
+// cutZone cuts a zone off with one controller, by a fault of each message across the cut.
+func (c *cluster) cutZone(leads bool, fault emulator.Fault) {
+	c.submit("perch-0", serviceJob("j-1", 4))
+	c.submit("perch-0", batchJob("j-2", 12, 60))
+	c.within(60*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 4) == 4 && c.tasksOnMachines("j-2", 12) >= 4 })
+	node := c.leader()
+	if !leads {
+		node = c.names[(slices.Index(c.names, node)+1)%3]
+	}
+	zone := c.world.ZoneOf(c.world.MachinesOf("j-1/0")[0])
+	within := func(host string) bool { return host == node || c.world.ZoneOf(host) == zone }
+	c.world.Network.Lateness = 40 * time.Second
+	c.world.Network.SetFaults(func(from, to, _ string) emulator.Fault {
+		if from != "user" && within(from) != within(to) {
+			return fault
+		}
+		return emulator.Deliver
+	})
+	c.within(60*time.Second, "service whole outside", func() bool {
+		return c.replicasOutside(zone) >= 2 // at most half may be in one zone, and two zones are left
+	})
+	c.advance(30 * time.Second)
+	c.world.Network.SetFaults(nil)
+	c.withinDone(4*time.Minute, "j-2")
+	c.within(30*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
+}
+
+// replicasOutside is how many replicas of j-1, of four, are on machines of other zones.
+func (c *cluster) replicasOutside(zone string) (count int) {
+	for i := range 4 {
+		for _, machine := range c.world.MachinesOf(fmt.Sprintf("j-1/%d", i)) {
+			if c.world.ZoneOf(machine) != zone {
+				count++
+			}
+		}
+	}
+	return count
+}
+
 // Processes are back within a fraction of a second, also in the middle of an
 // election and of an outage with its promises.
 func TestBackAtOnce(t *testing.T) {
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -174,6 +174,7 @@
 
 // send sends a request and returns the answer's status and body.
 func (w *fakeWorker) send(tb testing.TB, method, path string, body []byte) (int, []byte) {
+	tb.Helper()
 	w.buf = fmt.Appendf(w.buf[:0], "%s %s HTTP/1.1\r\nHost: n\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", method, path, len(body))
 	w.buf = append(w.buf, body...)
 	if _, err := w.conn.Write(w.buf); err != nil {
--- a/internal/jobs/jobapi/api_test.go
+++ b/internal/jobs/jobapi/api_test.go
@@ -30,6 +30,7 @@
 }
 
 func withAPI(t *testing.T, scenario func(*users)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		world, store := emulator.NewNetwork(), emulator.NewKVStore()
 		world.Attach("state", "state:1", store)
--- a/internal/jobs/jobcache/scenario_test.go
+++ b/internal/jobs/jobcache/scenario_test.go
@@ -26,6 +26,7 @@
 
 // withCache runs a scenario with a cache that is kept up to date.
 func withCache(t *testing.T, run func(*scenario)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		world, store := emulator.NewNetwork(), emulator.NewKVStore()
 		world.Attach("state", "state:1", store)
--- a/internal/leader/log_compatibility_test.go
+++ b/internal/leader/log_compatibility_test.go
@@ -26,6 +26,7 @@
 // an upgrade: the order of segments, which of them overrule which, and the fields that it knows.
 // It describes what is on machines and what is done as durableRecords does.
 func readAsVersion030(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
+	t.Helper()
 	type segmentRecord struct {
 		Number uint64
 		Begun  []struct {
@@ -91,6 +92,7 @@
 // readProductionRecords reads the records that a production deployment wrote on a day on which it
 // lost its leader, the jobs in them, and what was on its machines at that moment.
 func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
+	t.Helper()
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -110,6 +110,7 @@
 
 // refuseAll is a cloud that must not be asked for anything.
 func refuseAll(t *testing.T) http.HandlerFunc {
+	t.Helper()
 	return func(_ http.ResponseWriter, r *http.Request) { t.Errorf("request to the cloud: %s", r.URL.Path) }
 }
 
