--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -258,14 +258,14 @@
 			note("change of %s: %s, %d tasks", c.ID, c.State, c.Tasks)
 		}
 	}
-	answering.OnPromiseRequest = func(_ context.Context, from string, request peer.PromiseRequest) peer.PromiseResponse {
+	answering.OnLeaseGrantRequest = func(_ context.Context, from string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
 		note("asked for a promise by %s: token %d, seen %d", from, request.FencingToken, request.SeenRevision)
-		return peer.PromiseResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-000007", Revision: 431}, {Job: "j-8", Revision: 1 << 40}}}
+		return peer.LeaseGrantResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-000007", Revision: 431}, {Job: "j-8", Revision: 1 << 40}}}
 	}
 	answering.OnLostJobsRequest = func(q peer.LostJobsRequest) peer.LostJobsResponse {
 		note("asked for lost jobs: round %d, after %q", q.ComparisonRound, q.AfterID)
 		return peer.LostJobsResponse{
-			Compared: true, More: true, KnownJobs: 12, LossNoticed: true, NewestRevision: 433, ReliesOnNoPromise: true,
+			Compared: true, More: true, KnownJobs: 12, LossNoticed: true, NewestRevision: 433, ReliesOnNoGrant: true,
 			Jobs: []peer.LostJob{{ID: "j-3", State: "queued", Tasks: 4, Record: []byte(`{"stance":"queued","tasks":4}`)}, {ID: "j-4", State: "done", Tasks: 1}},
 		}
 	}
@@ -282,13 +282,13 @@
 		JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}},
 		Changes:   []peer.JobChange{{ID: "j-3", State: "queued", Tasks: 4}, {ID: "j-000004", State: "aborted", Tasks: 1}},
 	})
-	promise := asking.RequestPromises(ctx, peer.PromiseRequest{FencingToken: 41, SeenRevision: 430})
+	promise := asking.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: 41, SeenRevision: 430})
 	note("promise: given %v, complete %v", promise.Granted, promise.CancellationsComplete)
 	for _, c := range promise.Cancellations {
 		note("cancellation of %s at %d", c.Job, c.Revision)
 	}
 	page, err := asking.RequestLostJobs(ctx, "perch-1", peer.LostJobsRequest{ComparisonRound: 5, AfterID: "j-2"})
-	note("lost jobs: ready %v, more %v, known %d, noticed %v, newest %d, relies on nothing %v, %v", page.Compared, page.More, page.KnownJobs, page.LossNoticed, page.NewestRevision, page.ReliesOnNoPromise, err)
+	note("lost jobs: ready %v, more %v, known %d, noticed %v, newest %d, relies on nothing %v, %v", page.Compared, page.More, page.KnownJobs, page.LossNoticed, page.NewestRevision, page.ReliesOnNoGrant, err)
 	for _, j := range page.Jobs {
 		note("lost job %s: %s, %d tasks, %s", j.ID, j.State, j.Tasks, j.Record)
 	}
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -31,8 +31,8 @@
 	for _, tc := range []unseenCancellation{
 		{name: "all go on", lasts: true},
 		{name: "promises of an earlier version", adapt: func(n *Controller) {
-			n.peers.OnPromiseRequest = func(ctx context.Context, _ string, request peer.PromiseRequest) peer.PromiseResponse {
-				return peer.PromiseResponse{Granted: n.elector.GrantPeerLease(ctx, request.FencingToken)}
+			n.peers.OnLeaseGrantRequest = func(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
+				return peer.LeaseGrantResponse{Granted: n.elector.GrantPeerLease(ctx, request.FencingToken)}
 			}
 		}},
 		{name: "the leader confirmed", lasts: true, leader: true},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -116,12 +116,12 @@
 	c.cache.OnLoss = c.losses.notice
 	c.elector.ReportLoss = c.leadershipKeyLost
 	c.peers.OnHTTP = c.listen.operators.enqueue
-	c.peers.OnPromiseRequest = c.answerPromiseRequest
+	c.peers.OnLeaseGrantRequest = c.answerLeaseGrantRequest
 	c.peers.OnLeaderUpdate = c.followLeader
 	c.peers.OnLostJobsRequest = newLostJobsResponder(c.derived, c.cache, c.elector).respond
 	c.peers.OnLossNotice = c.receiveLossNotice
 	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 { // else some could not be asked
-		c.elector.RequestPeerLeases = c.requestPromises
+		c.elector.RequestPeerLeases = c.requestLeaseGrants
 		c.elector.NoPeerReliesOnGrants = c.currency.noPeerRelies
 	}
 }
--- a/internal/controller/currency.go
+++ b/internal/controller/currency.go
@@ -79,7 +79,7 @@
 	newestRevision uint64 // the newest revision of the store that one of them has read
 	lossNoticedBy  string // the name of one that has noticed a loss; empty if none has
 	allCurrent     bool   // each has found the newest changes that it knows in the records, just now
-	noneRelies     bool   // each, since its process started, relies on no promise
+	noneRelies     bool   // each, since its process started, relies on no grant
 }
 
 // queryPeers asks all other controllers what they know, in parallel. It fails unless all
@@ -102,7 +102,7 @@
 	others := peerKnowledge{allCurrent: true, noneRelies: true}
 	for i, summary := range summaries {
 		others.allCurrent = others.allCurrent && summary.Compared
-		others.noneRelies = others.noneRelies && summary.ReliesOnNoPromise
+		others.noneRelies = others.noneRelies && summary.ReliesOnNoGrant
 		if summary.LossNoticed {
 			others.lossNoticedBy = names[i]
 		}
@@ -113,7 +113,7 @@
 }
 
 // noPeerRelies tells whether every other controller has answered this process that it relies
-// on no promise.
+// on no grant.
 func (m *currencyMonitor) noPeerRelies(ctx context.Context) bool {
 	others, err := m.queryPeers(ctx)
 	return err == nil && others.noneRelies
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -105,24 +105,24 @@
 	}
 }
 
-// answerPromiseRequest answers a leader that can not reach the key-value store. The promise
+// answerLeaseGrantRequest answers a leader that can not reach the key-value store. The grant
 // comes before the cancellations are collected: what this controller tells users afterwards
 // is newer than the request.
-func (c *Controller) answerPromiseRequest(ctx context.Context, _ string, request peer.PromiseRequest) peer.PromiseResponse {
-	response := peer.PromiseResponse{Granted: c.elector.GrantPeerLease(ctx, request.FencingToken)}
+func (c *Controller) answerLeaseGrantRequest(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
+	response := peer.LeaseGrantResponse{Granted: c.elector.GrantPeerLease(ctx, request.FencingToken)}
 	if response.Granted && request.SeenRevision > 0 {
 		response.Cancellations, response.CancellationsComplete = c.cache.CancellationsAfter(request.SeenRevision)
 	}
 	return response
 }
 
-// requestPromises asks all other controllers for promises and tells whether all are granted.
+// requestLeaseGrants asks all other controllers for lease grants and tells whether all are given.
 // The leader's observed state of the jobs counts as renewed only if every controller, this
 // one too, has said which cancellations it has told users of and the leader has not seen:
 // that none reaches the store now says nothing of what was told before.
-func (c *Controller) requestPromises(ctx context.Context, fencingToken uint64) bool {
+func (c *Controller) requestLeaseGrants(ctx context.Context, fencingToken uint64) bool {
 	askedAt, seenRevision := time.Now(), c.gate.SeenRevision()
-	joined := c.peers.RequestPromises(ctx, peer.PromiseRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
+	joined := c.peers.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
 	own, complete := c.cache.CancellationsAfter(seenRevision)
 	if joined.Granted && joined.CancellationsComplete && complete && seenRevision > 0 {
 		c.gate.ApplyPeerCancellations(ctx, append(joined.Cancellations, own...), askedAt)
--- a/internal/controller/lost_jobs_responder.go
+++ b/internal/controller/lost_jobs_responder.go
@@ -54,11 +54,11 @@
 		r.cache.RequestRollbackCheck()
 	}
 	return peer.LostJobsResponse{
-		Compared:          checkedLately,
-		KnownJobs:         r.cache.JobCount(),
-		NewestRevision:    r.cache.NewestRevision(),
-		LossNoticed:       r.cache.Readiness.LossSuspected() || r.cache.LostCount() > 0,
-		ReliesOnNoPromise: r.elector.ReliesOnNoGrant(),
+		Compared:        checkedLately,
+		KnownJobs:       r.cache.JobCount(),
+		NewestRevision:  r.cache.NewestRevision(),
+		LossNoticed:     r.cache.Readiness.LossSuspected() || r.cache.LostCount() > 0,
+		ReliesOnNoGrant: r.elector.ReliesOnNoGrant(),
 	}
 }
 
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -72,7 +72,7 @@
 }
 
 // highestIssuedToken is the highest fencing token ever issued, by the stored one and by what this node
-// knows. The latter is higher if the store has lost the token's key or was put back: no token
+// knows. The latter is higher if the store has lost the token's key or was rolled back: no token
 // may be issued twice.
 func (e *Elector) highestIssuedToken(stored uint64) uint64 {
 	if known := e.grantor.highestToken(); stored < known {
@@ -84,7 +84,7 @@
 }
 
 // dropSucceededHolder treats a holder that others have succeeded as absent. Its key is there
-// because the store was put back to an earlier state; the lease that it was tied to is over, so
+// because the store was rolled back to an earlier state; the lease that it was tied to is over, so
 // that nothing else would ever remove it.
 func (e *Elector) dropSucceededHolder(stored *storedElection) {
 	switch {
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -48,7 +48,7 @@
 func (s *storedElection) heldBy(node string) bool { return s.holder != nil && s.holder.Node == node }
 
 // readStored reads the keys of the election. It reports a loss if the revision is below one that
-// was read before: then the store was put back to an earlier state.
+// was read before: then the store was rolled back to an earlier state.
 func (e *Elector) readStored(ctx context.Context) (storedElection, error) {
 	asked := e.newestRevision.Baseline()
 	keyValues, revision, err := e.store.List(ctx, keyPrefix)
--- a/internal/emulator/restart/trial.go
+++ b/internal/emulator/restart/trial.go
@@ -39,7 +39,7 @@
 	if allRunning {
 		allRunningMs = time.Since(serving).Milliseconds()
 	}
-	if err := x.sleep(ctx, x.setup.Lease+settleTime); err != nil { // whatever else the take-over does
+	if err := x.sleep(ctx, x.setup.Lease+settleTime); err != nil { // whatever else the failover does
 		return Result{}, err
 	}
 	after := x.countNow()
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -140,9 +140,9 @@
 	switch {
 	case received.leaderUpdate != nil:
 		h.OnLeaderUpdate(received.from, *received.leaderUpdate)
-	case received.promiseRequest != nil:
-		response := h.OnPromiseRequest(ctx, received.from, received.promiseRequest.PromiseRequest)
-		return h.writeMessage(conn, encodePromiseResponse(h.node, promiseResponse{received.promiseRequest.number, response}))
+	case received.leaseGrantRequest != nil:
+		response := h.OnLeaseGrantRequest(ctx, received.from, received.leaseGrantRequest.LeaseGrantRequest)
+		return h.writeMessage(conn, encodeLeaseGrantResponse(h.node, leaseGrantResponse{received.leaseGrantRequest.number, response}))
 	case received.lossNotice != nil && h.OnLossNotice != nil:
 		h.OnLossNotice(received.from, *received.lossNotice)
 	case received.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -30,16 +30,16 @@
 	OnLeaderUpdate func(from string, update LeaderUpdate)
 	// OnHTTP takes over a connection on which somebody speaks HTTP, and closes it; nil refuses.
 	OnHTTP func(net.Conn)
-	// OnPromiseRequest decides on a promise request.
-	OnPromiseRequest func(ctx context.Context, from string, request PromiseRequest) PromiseResponse
+	// OnLeaseGrantRequest decides on a request for a lease grant.
+	OnLeaseGrantRequest func(ctx context.Context, from string, request LeaseGrantRequest) LeaseGrantResponse
 	// OnLostJobsRequest responds to a request for lost jobs; nil leaves it without a response.
 	OnLostJobsRequest func(LostJobsRequest) LostJobsResponse
 	// OnLossNotice takes in another controller's evidence of lost records; nil drops it.
 	OnLossNotice func(from string, loss detection.Evidence)
 
-	requestNumber    atomic.Uint64 // of the last request; a response carries the number of its request
-	promiseResponses pendingResponses[PromiseResponse]
-	lostJobResponses pendingResponses[LostJobsResponse]
+	requestNumber       atomic.Uint64 // of the last request; a response carries the number of its request
+	leaseGrantResponses pendingResponses[LeaseGrantResponse]
+	lostJobResponses    pendingResponses[LostJobsResponse]
 }
 
 // NewHub makes the hub of the controller named node. A connection that has failed is tried
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -10,19 +10,19 @@
 const (
 	maxMessage       = 1 << 20
 	maxChanges       = maxMessage / 256 // in one LeaderUpdate
-	maxCancellations = maxMessage / 128 // in one PromiseResponse
+	maxCancellations = maxMessage / 128 // in one LeaseGrantResponse
 	maxLostJobsBytes = maxMessage / 4   // in one LostJobsResponse
 )
 
 // message is one decoded message; exactly one of the fields after from is set.
 type message struct {
-	from             string // name of the controller that sent it
-	leaderUpdate     *LeaderUpdate
-	promiseRequest   *promiseRequest
-	promiseResponse  *promiseResponse
-	lostJobsRequest  *lostJobsRequest
-	lostJobsResponse *lostJobsResponse
-	lossNotice       *detection.Evidence
+	from               string // name of the controller that sent it
+	leaderUpdate       *LeaderUpdate
+	leaseGrantRequest  *leaseGrantRequest
+	leaseGrantResponse *leaseGrantResponse
+	lostJobsRequest    *lostJobsRequest
+	lostJobsResponse   *lostJobsResponse
+	lossNotice         *detection.Evidence
 }
 
 // LeaderUpdate is what a leader broadcasts with every round of its loop.
@@ -52,17 +52,17 @@
 	Tasks int
 }
 
-// PromiseRequest is how a leader that can not reach the key-value store asks another
+// LeaseGrantRequest is how a leader that can not reach the key-value store asks another
 // controller not to take over leadership for a while.
-type PromiseRequest struct {
+type LeaseGrantRequest struct {
 	FencingToken uint64 // of the asking leader
 	// SeenRevision is up to which revision of the store the leader has seen all changes of
 	// jobs; 0 if it does not say.
 	SeenRevision uint64
 }
 
-// PromiseResponse is the response to a PromiseRequest.
-type PromiseResponse struct {
+// LeaseGrantResponse is the response to a LeaseGrantRequest.
+type LeaseGrantResponse struct {
 	// Granted tells that the controller does not take over leadership for a while.
 	Granted bool
 	// CancellationsComplete tells that Cancellations are all that the controller may have told
@@ -95,10 +95,10 @@
 	LossNoticed bool
 	// NewestRevision is the newest revision of the store that it has read.
 	NewestRevision uint64
-	// ReliesOnNoPromise tells that the controller, since its process started, neither leads
-	// nor may come to act by a lease that it took: no promise to it has to be kept. A version
+	// ReliesOnNoGrant tells that the controller, since its process started, neither leads
+	// nor may come to act by a lease that it took: no grant to it has to be kept. A version
 	// that does not know the field leaves it false.
-	ReliesOnNoPromise bool
+	ReliesOnNoGrant bool
 }
 
 // LostJob is a job of which a controller knows more than its record says.
@@ -111,13 +111,13 @@
 
 // The numbered forms add to a request the number that its response repeats.
 type (
-	promiseRequest struct {
+	leaseGrantRequest struct {
 		number uint64
-		PromiseRequest
+		LeaseGrantRequest
 	}
-	promiseResponse struct {
+	leaseGrantResponse struct {
 		number uint64
-		PromiseResponse
+		LeaseGrantResponse
 	}
 	lostJobsRequest struct {
 		number uint64
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -38,28 +38,28 @@
 	}
 }
 
-// RequestPromises asks every other controller for a promise and joins the responses: the
-// promise is granted only if each of them grants it before the context ends.
-func (h *Hub) RequestPromises(ctx context.Context, request PromiseRequest) PromiseResponse {
-	responses := make(chan PromiseResponse, len(h.links))
+// RequestLeaseGrants asks every other controller for a lease grant and joins the responses: the
+// grant counts only if each of them grants it before the context ends.
+func (h *Hub) RequestLeaseGrants(ctx context.Context, request LeaseGrantRequest) LeaseGrantResponse {
+	responses := make(chan LeaseGrantResponse, len(h.links))
 	for _, link := range h.links {
 		number := h.requestNumber.Add(1)
-		defer h.promiseResponses.expect(number, responses)()
-		if !link.enqueue(encodePromiseRequest(h.node, promiseRequest{number, request})) {
-			return PromiseResponse{} // a queue that is stuck will bring no response in time
+		defer h.leaseGrantResponses.expect(number, responses)()
+		if !link.enqueue(encodeLeaseGrantRequest(h.node, leaseGrantRequest{number, request})) {
+			return LeaseGrantResponse{} // a queue that is stuck will bring no response in time
 		}
 	}
-	joined := PromiseResponse{Granted: true, CancellationsComplete: true}
+	joined := LeaseGrantResponse{Granted: true, CancellationsComplete: true}
 	for range h.links {
 		select {
 		case response := <-responses:
 			if !response.Granted {
-				return PromiseResponse{}
+				return LeaseGrantResponse{}
 			}
 			joined.CancellationsComplete = joined.CancellationsComplete && response.CancellationsComplete
 			joined.Cancellations = append(joined.Cancellations, response.Cancellations...)
 		case <-ctx.Done():
-			return PromiseResponse{}
+			return LeaseGrantResponse{}
 		}
 	}
 	return joined
@@ -91,8 +91,8 @@
 // connection that this controller opened.
 func (h *Hub) deliverResponse(received message) error {
 	switch {
-	case received.promiseResponse != nil:
-		h.promiseResponses.deliver(received.promiseResponse.number, received.promiseResponse.PromiseResponse)
+	case received.leaseGrantResponse != nil:
+		h.leaseGrantResponses.deliver(received.leaseGrantResponse.number, received.leaseGrantResponse.LeaseGrantResponse)
 	case received.lostJobsResponse != nil:
 		h.lostJobResponses.deliver(received.lostJobsResponse.number, received.lostJobsResponse.LostJobsResponse)
 	default:
--- a/internal/peer/wire_decode.go
+++ b/internal/peer/wire_decode.go
@@ -32,9 +32,9 @@
 	case wire.BodyProgress:
 		decoded.leaderUpdate, err = decodeLeaderUpdate(body, maxRows)
 	case wire.BodyAsk:
-		decoded.promiseRequest = decodePromiseRequest(body)
+		decoded.leaseGrantRequest = decodeLeaseGrantRequest(body)
 	case wire.BodyPromise:
-		decoded.promiseResponse, err = decodePromiseResponse(body, maxRows)
+		decoded.leaseGrantResponse, err = decodeLeaseGrantResponse(body, maxRows)
 	case wire.BodyLostAsk:
 		decoded.lostJobsRequest = decodeLostJobsRequest(body)
 	case wire.BodyLostPage:
@@ -76,19 +76,19 @@
 	return update, nil
 }
 
-func decodePromiseRequest(body flatbuffers.Table) *promiseRequest {
+func decodeLeaseGrantRequest(body flatbuffers.Table) *leaseGrantRequest {
 	var table wire.Ask
 	table.Init(body.Bytes, body.Pos)
-	return &promiseRequest{table.Number(), PromiseRequest{FencingToken: table.Token(), SeenRevision: table.Seen()}}
+	return &leaseGrantRequest{table.Number(), LeaseGrantRequest{FencingToken: table.Token(), SeenRevision: table.Seen()}}
 }
 
-func decodePromiseResponse(body flatbuffers.Table, maxRows int) (*promiseResponse, error) {
+func decodeLeaseGrantResponse(body flatbuffers.Table, maxRows int) (*leaseGrantResponse, error) {
 	var table wire.Promise
 	table.Init(body.Bytes, body.Pos)
 	if table.CancellationsLength() > maxRows {
 		return nil, errTooManyRows
 	}
-	response := &promiseResponse{table.Number(), PromiseResponse{Granted: table.Given(), CancellationsComplete: table.Complete()}}
+	response := &leaseGrantResponse{table.Number(), LeaseGrantResponse{Granted: table.Given(), CancellationsComplete: table.Complete()}}
 	var row wire.Cancellation
 	for i := range table.CancellationsLength() {
 		if table.Cancellations(&row, i) {
@@ -111,12 +111,12 @@
 		return nil, errTooManyRows
 	}
 	response := &lostJobsResponse{table.Number(), LostJobsResponse{
-		Compared:          table.Ready(),
-		More:              table.More(),
-		KnownJobs:         int(table.Known()),
-		LossNoticed:       table.Noticed(),
-		NewestRevision:    table.Newest(),
-		ReliesOnNoPromise: table.ReliesOnNothing(),
+		Compared:        table.Ready(),
+		More:            table.More(),
+		KnownJobs:       int(table.Known()),
+		LossNoticed:     table.Noticed(),
+		NewestRevision:  table.Newest(),
+		ReliesOnNoGrant: table.ReliesOnNothing(),
 	}}
 	var row wire.LostJob
 	for i := range table.JobsLength() {
--- a/internal/peer/wire_encode.go
+++ b/internal/peer/wire_encode.go
@@ -85,7 +85,7 @@
 	return endVector(b, rows)
 }
 
-func encodePromiseRequest(from string, request promiseRequest) []byte {
+func encodeLeaseGrantRequest(from string, request leaseGrantRequest) []byte {
 	b := flatbuffers.NewBuilder(messageBytes)
 	wire.AskStart(b)
 	wire.AskAddNumber(b, request.number)
@@ -94,9 +94,9 @@
 	return finishMessage(b, from, wire.BodyAsk, wire.AskEnd(b))
 }
 
-// encodePromiseResponse writes a response. Cancellations that are too many for one message
+// encodeLeaseGrantResponse writes a response. Cancellations that are too many for one message
 // are left out, and not called complete.
-func encodePromiseResponse(from string, response promiseResponse) []byte {
+func encodeLeaseGrantResponse(from string, response leaseGrantResponse) []byte {
 	if len(response.Cancellations) > maxCancellations {
 		response.CancellationsComplete, response.Cancellations = false, nil
 	}
@@ -157,7 +157,7 @@
 	wire.LostPageAddKnown(b, uint64(max(0, response.KnownJobs)))
 	wire.LostPageAddNoticed(b, response.LossNoticed)
 	wire.LostPageAddNewest(b, response.NewestRevision)
-	wire.LostPageAddReliesOnNothing(b, response.ReliesOnNoPromise)
+	wire.LostPageAddReliesOnNothing(b, response.ReliesOnNoGrant)
 	return finishMessage(b, from, wire.BodyLostPage, wire.LostPageEnd(b))
 }
 
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -23,7 +23,7 @@
 	}
 	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}}}
 	ours := map[string][]byte{
-		"progress": encodeLeaderUpdate("perch-0", progress), "ask": encodePromiseRequest("perch-1", promiseRequest{7, PromiseRequest{41, 0}}), "promise": encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}),
+		"progress": encodeLeaderUpdate("perch-0", progress), "ask": encodeLeaseGrantRequest("perch-1", leaseGrantRequest{7, LeaseGrantRequest{41, 0}}), "promise": encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}),
 	}
 	for line := range strings.Lines(string(raw)) {
 		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -37,17 +37,17 @@
 	progress := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-1": {Done: 3, Running: 2}, "j-2": {Running: 1}}}
 	progress.RestoringRecords = true
 	progress.Changes = []JobChange{{ID: "j-3", State: jobs.Queued, Tasks: 4}, {ID: "j-000004", State: jobs.Cancelled, Tasks: 1}}
-	told := PromiseResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-1", Revision: 431}, {Job: "j-000002", Revision: 1 << 40}}}
+	told := LeaseGrantResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-1", Revision: 431}, {Job: "j-000002", Revision: 1 << 40}}}
 	for _, tc := range []struct {
 		name string
 		raw  []byte
 		want message
 	}{
 		{"progress", encodeLeaderUpdate("perch-0", progress), message{from: "perch-0", leaderUpdate: &progress}},
-		{"ask", encodePromiseRequest("perch-1", promiseRequest{7, PromiseRequest{41, 430}}), message{from: "perch-1", promiseRequest: &promiseRequest{7, PromiseRequest{41, 430}}}},
-		{"promise", encodePromiseResponse("perch-2", promiseResponse{7, told}), message{from: "perch-2", promiseResponse: &promiseResponse{7, told}}},
-		{"promise of production", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{Granted: true}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
-		{"promise with too many", encodePromiseResponse("perch-2", promiseResponse{7, PromiseResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", promiseResponse: &promiseResponse{7, PromiseResponse{Granted: true}}}},
+		{"ask", encodeLeaseGrantRequest("perch-1", leaseGrantRequest{7, LeaseGrantRequest{41, 430}}), message{from: "perch-1", leaseGrantRequest: &leaseGrantRequest{7, LeaseGrantRequest{41, 430}}}},
+		{"promise", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, told}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, told}}},
+		{"promise of production", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}}},
+		{"promise with too many", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			body := tc.raw[4:] // behind its size
@@ -55,7 +55,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, promiseRequest{}, promiseResponse{})); diff != "" {
+			if diff := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, leaseGrantRequest{}, leaseGrantResponse{})); diff != "" {
 				t.Error(diff)
 			}
 			// Whatever a broken sender does must end in an error or in some
@@ -76,7 +76,7 @@
 // Requests and responses for lost jobs, and loss notices, come out as they went in, and no
 // broken ones end a process.
 func TestLostMessages(t *testing.T) {
-	response := lostJobsResponse{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoPromise: true, Jobs: []LostJob{
+	response := lostJobsResponse{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoGrant: true, Jobs: []LostJob{
 		{ID: "j-1", State: "done", Tasks: 4}, {ID: "j-2", State: "queued", Tasks: 1, Record: []byte(`{"stance":"queued"}`)},
 	}}}
 	for name, c := range map[string]struct {
--- a/internal/recovery/detection/watermark.go
+++ b/internal/recovery/detection/watermark.go
@@ -5,7 +5,7 @@
 // Watermark is the highest value seen of a number that only grows, such as the revision of
 // the state service or the fencing token. Requests for such a number may overlap, and their
 // answers come in any order, so each answer is judged by what was known when its request was
-// sent: its Baseline. A number below its baseline proves that the service was put back. The
+// sent: its Baseline. A number below its baseline proves that the store was rolled back. The
 // zero value has seen nothing. It may be used by several goroutines.
 type Watermark struct {
 	mu     sync.Mutex
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -17,14 +17,14 @@
 }
 
 const (
-	maxCopies  = 5  // copies begun, as changes were no longer kept or the service was put back
+	maxCopies  = 5  // copies begun, as changes were no longer kept or the store was rolled back
 	maxWatches = 50 // watches in one copy, until it is as of one revision
 	watchRetry = 100 * time.Millisecond
 )
 
 // Take copies all records. It lists them, and then follows the changes until every key is
 // as of the same revision. If that cannot be done, as the changes in between are no longer
-// kept or the service was put back, it begins anew, a few times. now is the time of day that
+// kept or the store was rolled back, it begins anew, a few times. now is the time of day that
 // the manifest gives.
 func Take(ctx context.Context, from Store, cluster string, now time.Time) (*Snapshot, error) {
 	var failed error
