--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -71,11 +71,11 @@
 	leader.fencing.Current = token
 	*leader.tasks = *tasks.NewManager(leader.tasks.Deps, token<<24)
 	leader.Derived.Store.ValueBytes, leader.Derived.Store.TxnOps = store.maxValueBytes, store.maxOps
-	leader.writer = writer.New(leader.writerDeps())
+	leader.writer = writer.New(writerDeps(leader))
 	for i, spec := range specs {
 		leader.state.Jobs[spec.ID] = cluster.NewJob(spec.ID, spec, uint64(i+1), 0, now)
 	}
-	leader.loader().Restore(leader.readLog(store.pairs()), nil, now)
+	newLoader(leader).Restore(leader.readLog(store.pairs()), nil, now)
 	return leader
 }
 
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -101,6 +101,6 @@
 			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
 	}
-	next.loader().Restore(log, ended, now)
+	newLoader(next).Restore(log, ended, now)
 	return next
 }
--- a/internal/leader/handle.go
+++ b/internal/leader/handle.go
@@ -40,7 +40,7 @@
 		duties.Wait()
 		deps.Counts.clear()
 	}()
-	after, err := l.loader().Load(ctx)
+	after, err := newLoader(l).Load(ctx)
 	if err != nil {
 		slog.Info("records not read, resigning", "term", term.FencingToken, "reason", err)
 		return
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -86,12 +86,12 @@
 	}
 	l.detector = liveness.New(detectorConfig(deps.Derived, l.productionTasks))
 	l.planner = planner.New(plannerConfig(deps), l.state, l.runTimes, l.catalog.Type, planConstraints{l})
-	l.tasks = tasks.NewManager(l.taskDeps(), term.FencingToken<<attemptBits)
-	l.dispatcher = dispatch.New(l.dispatchDeps())
+	l.tasks = tasks.NewManager(taskDeps(l), term.FencingToken<<attemptBits)
+	l.dispatcher = dispatch.New(dispatchDeps(l))
 	l.scaler = newScaler(l)
-	l.recovery = recoverer.New(l.recoveryConfig())
-	l.jobs = jobtracker.New(l.trackerDeps())
-	l.writer = writer.New(l.writerDeps())
+	l.recovery = recoverer.New(recoveryConfig(l))
+	l.jobs = jobtracker.New(trackerDeps(l))
+	l.writer = writer.New(writerDeps(l))
 	return l
 }
 
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -79,7 +79,7 @@
 			}
 			segments = append(segments, kvstore.KeyValue{Key: fmt.Sprint(assignmentlog.Prefix, i), Value: value, Revision: 1})
 		}
-		next.loader().Restore(next.readLog(segments), nil, now)
+		newLoader(next).Restore(next.readLog(segments), nil, now)
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
 			t.Fatalf("%d wait, %d are placed", job.Pending.Count, len(job.Assignments))
 		}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -15,7 +15,7 @@
 // leader: what the recovery is given, and what other goroutines ask of it.
 
 // recoveryConfig is what the recovery of this leader works with.
-func (l *Leader) recoveryConfig() recoverer.Config {
+func recoveryConfig(l *Leader) recoverer.Config {
 	return recoverer.Config{
 		Settings: l.Settings, Derived: l.Derived, Node: l.Node, Term: l.term, AttemptBits: attemptBits,
 		Store: l.Store, Cache: l.Cache, Peers: l.Peers,
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	stored := []kvstore.KeyValue{{Key: assignmentlog.Prefix + "0", Value: value, Revision: 1}}
-	l.loader().Restore(l.readLog(stored), nil, now)
+	newLoader(l).Restore(l.readLog(stored), nil, now)
 }
 
 // newHeartbeat is a heartbeat of machine m-1 in a session of its worker, under the term's token.
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -22,7 +22,7 @@
 // A part never gets the leader itself, only an interface that it defines.
 
 // taskDeps is what the manager of assignments works with.
-func (l *Leader) taskDeps() tasks.Deps {
+func taskDeps(l *Leader) tasks.Deps {
 	return tasks.Deps{
 		Derived: l.Derived, Catalog: l.catalog, Fencing: l.fencing, Log: l.log, Planner: l.planner,
 		RunTimes: l.runTimes, Host: taskHost{l},
@@ -44,7 +44,7 @@
 }
 
 // dispatchDeps is what the dispatcher of commands works with.
-func (l *Leader) dispatchDeps() dispatch.Deps {
+func dispatchDeps(l *Leader) dispatch.Deps {
 	return dispatch.Deps{
 		Derived: l.Derived, Client: l.Workers, State: l.state, Catalog: l.catalog, Fencing: l.fencing,
 		Detector: l.detector, Failover: l.failover, Planner: l.planner, Tasks: l.tasks, Host: dispatchHost{l},
@@ -70,7 +70,7 @@
 }
 
 // trackerDeps is what the tracker of jobs works with.
-func (l *Leader) trackerDeps() jobtracker.Deps {
+func trackerDeps(l *Leader) jobtracker.Deps {
 	return jobtracker.Deps{
 		Derived: l.Derived, Store: l.Store, Cache: l.Cache, Counts: l.Counts, State: l.state, Fencing: l.fencing,
 		Planner: l.planner, Tasks: l.tasks, Scaler: l.scaler, Recovery: l.recovery, Post: l.post,
@@ -78,7 +78,7 @@
 }
 
 // writerDeps is what the writer of records works with.
-func (l *Leader) writerDeps() writer.Deps {
+func writerDeps(l *Leader) writer.Deps {
 	return writer.Deps{
 		Derived: l.Derived, Store: l.Store, Term: l.term, State: l.state, Fencing: l.fencing, Log: l.log,
 		Jobs: l.jobs, Tasks: l.tasks, Recovery: l.recovery, Host: writerHost{l},
@@ -100,8 +100,8 @@
 	h.l.postAfter(ctx, delay, apply)
 }
 
-// loader is what fills the parts with what the records say.
-func (l *Leader) loader() *loader.Loader {
+// newLoader makes what fills the parts with what the records say.
+func newLoader(l *Leader) *loader.Loader {
 	return &loader.Loader{
 		Derived: l.Derived, LogConfig: logConfig(l.Derived), Store: l.Store, Cache: l.Cache, State: l.state,
 		Fencing: l.fencing, Detector: l.detector, Failover: l.failover, Log: l.log, Planner: l.planner, Jobs: l.jobs,
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -19,7 +19,7 @@
 	cost := func(size int) float64 {
 		l, reports, now := newFullFleet(t, size)
 		l.planner.Requested = false
-		l.dispatcher = dispatch.New(l.dispatchDeps())
+		l.dispatcher = dispatch.New(dispatchDeps(l))
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, reports[20], now) })
 		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
