--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -385,7 +385,7 @@
 // takeoverProgress returns how far the leader's failover is; zero if nobody leads.
 func (c *cluster) takeoverProgress() reconcile.Progress {
 	for _, name := range c.names {
-		if status := c.processes[name].controller.gate.Status(c.ctx); status != nil {
+		if status := c.processes[name].controller.leaderHandle.Status(c.ctx); status != nil {
 			return status.Takeover
 		}
 	}
@@ -414,7 +414,7 @@
 // queueSummary is what the leader tells of all classes, for messages of tests that fail.
 func (c *cluster) queueSummary() string {
 	for _, name := range c.names {
-		if status := c.processes[name].controller.gate.Status(c.ctx); status != nil {
+		if status := c.processes[name].controller.leaderHandle.Status(c.ctx); status != nil {
 			return fmt.Sprintf("%+v, %d to write", status.Classes, status.WriteQueue)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,7 +52,7 @@
 
 	// Leadership, and the exchange with the other controllers.
 	elector        *election.Elector
-	gate           *leader.Handle
+	leaderHandle   *leader.Handle
 	peers          *peer.Hub
 	losses         *lossReporter
 	currency       *currencyMonitor
@@ -89,7 +89,7 @@
 	startedAt := time.Now()
 	derived := set.Derive()
 	env = env.withDefaults()
-	c := &Controller{settings: set, derived: derived, jobCounts: leader.NewCounts(), gate: &leader.Handle{}}
+	c := &Controller{settings: set, derived: derived, jobCounts: leader.NewCounts(), leaderHandle: &leader.Handle{}}
 	c.listen = newListeners(env)
 	c.workers = workers.NewClient(env.transport(2, derived.Host.WorkerConns, derived.Workers.RequestTimeout), derived.Workers.RequestTimeout)
 	c.store = kvstore.New(set.Endpoints.Store, env.transport(derived.Host.StoreConns, 0, derived.Store.RequestTimeout), derived.Store.RequestTimeout, storeBudget(set, false))
@@ -104,7 +104,7 @@
 	c.memory = &memoryLimit{limitBytes: uint64(derived.Host.RefuseBytes), inUseBytes: env.Memory}
 	c.readiness = &readiness{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache}
 	c.machineTypes = &machineTypeCatalog{derived: derived, store: c.store, cloud: c.cloud}
-	c.losses = newLossReporter(set.Node, derived, c.cache, c.elector, c.gate, c.peers)
+	c.losses = newLossReporter(set.Node, derived, c.cache, c.elector, c.leaderHandle, c.peers)
 	c.currency = &currencyMonitor{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache, peers: c.peers, losses: c.losses}
 	c.leaderRecovery = &recoveryFollower{derived: derived, cache: c.cache}
 	c.connectParts()
@@ -183,7 +183,7 @@
 		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, Room: c.memory.hasRoom,
 	}
 	users.Register(mux)
-	heartbeats := &workers.Handler{HandleHeartbeat: c.gate.HandleHeartbeat, Leader: c.otherLeader}
+	heartbeats := &workers.Handler{HandleHeartbeat: c.leaderHandle.HandleHeartbeat, Leader: c.otherLeader}
 	heartbeats.Register(mux)
 	return mux
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -32,7 +32,7 @@
 	c.elector.Run(ctx, func(ctx context.Context, term election.Term) {
 		c.store.SetRateLimits(storeBudget(c.settings, true))
 		defer c.store.SetRateLimits(storeBudget(c.settings, false))
-		c.gate.Lead(ctx, deps, term)
+		c.leaderHandle.Lead(ctx, deps, term)
 	})
 }
 
@@ -68,20 +68,20 @@
 	if !loss.Kind.AffectsLog() {
 		loss.Kind = detection.ReportedByPeer
 	}
-	c.gate.ReportLoss(loss)
+	c.leaderHandle.ReportLoss(loss)
 }
 
 // broadcastUpdate sends the leader's update to the other controllers. The leader calls it.
 func (c *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	c.readiness.leaderHeard()
-	c.cache.Readiness.SetRolledBack(c.gate.StoreRolledBack())
-	phase := c.gate.RecoveryPhase()
+	c.cache.Readiness.SetRolledBack(c.leaderHandle.StoreRolledBack())
+	phase := c.leaderHandle.RecoveryPhase()
 	c.peers.Broadcast(peer.LeaderUpdate{
 		JobCounts:         counts,
 		StoreAvailable:    !c.store.Failing(),
 		ComparingRecords:  phase == recoverer.Comparing,
 		RestoringRecords:  phase == recoverer.Restoring,
-		RecordsRolledBack: c.gate.StoreRolledBack(),
+		RecordsRolledBack: c.leaderHandle.StoreRolledBack(),
 		KnownJobs:         c.cache.JobCount(),
 		Changes:           changes,
 	})
@@ -121,11 +121,11 @@
 // one too, has said which cancellations it has told users of and the leader has not seen:
 // that none reaches the store now says nothing of what was told before.
 func (c *Controller) requestLeaseGrants(ctx context.Context, fencingToken uint64) bool {
-	askedAt, seenRevision := time.Now(), c.gate.SeenRevision()
+	askedAt, seenRevision := time.Now(), c.leaderHandle.SeenRevision()
 	joined := c.peers.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
 	own, complete := c.cache.CancellationsAfter(seenRevision)
 	if joined.Granted && joined.CancellationsComplete && complete && seenRevision > 0 {
-		c.gate.ApplyPeerCancellations(ctx, append(joined.Cancellations, own...), askedAt)
+		c.leaderHandle.ApplyPeerCancellations(ctx, append(joined.Cancellations, own...), askedAt)
 	}
 	return joined.Granted
 }
--- a/internal/controller/loss_reporter.go
+++ b/internal/controller/loss_reporter.go
@@ -18,12 +18,12 @@
 
 // lossReporter hands evidence of lost records to the leader, here or elsewhere.
 type lossReporter struct {
-	node    string
-	derived settings.Derived
-	cache   *jobcache.Cache
-	elector *election.Elector
-	gate    *leader.Handle
-	peers   *peer.Hub
+	node         string
+	derived      settings.Derived
+	cache        *jobcache.Cache
+	elector      *election.Elector
+	leaderHandle *leader.Handle
+	peers        *peer.Hub
 
 	noticed    chan detection.Evidence
 	reportedAt time.Time // when another leader was last told; owned by report's goroutine
@@ -31,7 +31,7 @@
 
 func newLossReporter(node string, derived settings.Derived, cache *jobcache.Cache, elector *election.Elector, gate *leader.Handle, peers *peer.Hub) *lossReporter {
 	return &lossReporter{
-		node: node, derived: derived, cache: cache, elector: elector, gate: gate, peers: peers,
+		node: node, derived: derived, cache: cache, elector: elector, leaderHandle: gate, peers: peers,
 		noticed: make(chan detection.Evidence, lossQueueSize),
 	}
 }
@@ -60,7 +60,7 @@
 // reportLoss hands evidence to the leader. Another controller is told once a leadership lease
 // at most: it compares all records anyway.
 func (r *lossReporter) reportLoss(loss detection.Evidence) {
-	if r.gate.ReportLoss(loss) {
+	if r.leaderHandle.ReportLoss(loss) {
 		return
 	}
 	r.cache.Readiness.SuspectLossUntil(time.Now().Add(r.derived.Workers.CancelDeadline))
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -58,7 +58,7 @@
 	if status.View == nil {
 		return
 	}
-	if recovery, err := m.controller.gate.Recovery(ctx); err == nil {
+	if recovery, err := m.controller.leaderHandle.Recovery(ctx); err == nil {
 		collectRecovery(gauge, recovery)
 	}
 	collectLeader(gauge, status.View)
--- a/internal/controller/recovery_handlers.go
+++ b/internal/controller/recovery_handlers.go
@@ -23,7 +23,7 @@
 func (c *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
 	defer cancel()
-	status, err := c.gate.Recovery(ctx)
+	status, err := c.leaderHandle.Recovery(ctx)
 	if errors.Is(err, leader.ErrNotLeading) {
 		writeJSON(w, http.StatusMisdirectedRequest, recoverer.Status{Following: c.elector.Leader()})
 		return
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
 	defer cancel()
-	imported, err := c.gate.Import(ctx, request)
+	imported, err := c.leaderHandle.Import(ctx, request)
 	if err != nil {
 		writeError(w, httpStatusOf(err), err)
 		return
@@ -74,7 +74,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.derived.API.RequestTimeout)
 	defer cancel()
-	if err := c.gate.Settle(ctx, request.Job, request.As); err != nil {
+	if err := c.leaderHandle.Settle(ctx, request.Job, request.As); err != nil {
 		writeError(w, httpStatusOf(err), err)
 		return
 	}
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-		status, err := c.processes[name].controller.gate.Recovery(ctx)
+		status, err := c.processes[name].controller.leaderHandle.Recovery(ctx)
 		cancel()
 		if err == nil {
 			return status
@@ -95,7 +95,7 @@
 
 // settleJob decides a held job at the leader.
 func (c *cluster) settleJob(id string, as recovery.Settlement) error {
-	return c.processes[c.leader()].controller.gate.Settle(c.ctx, id, as)
+	return c.processes[c.leader()].controller.leaderHandle.Settle(c.ctx, id, as)
 }
 
 // describedHeldJobs counts the held jobs of which the description is known.
@@ -127,5 +127,5 @@
 			request.Jobs = append(request.Jobs, recoverer.SnapshotFact{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
 		}
 	}
-	return c.processes[c.leader()].controller.gate.Import(c.ctx, request)
+	return c.processes[c.leader()].controller.leaderHandle.Import(c.ctx, request)
 }
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -112,7 +112,9 @@
 		afterEnd()
 	})
 	l.addr = <-listening
-	leads := func() bool { return controller.machineTypes.types() != nil && controller.gate.SeenRevision() != 0 }
+	leads := func() bool {
+		return controller.machineTypes.types() != nil && controller.leaderHandle.SeenRevision() != 0
+	}
 	for deadline := time.Now().Add(20 * time.Second); !leads(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			l.tb.Fatal("the node does not lead")
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,6 +19,6 @@
 func (c *Controller) status(ctx context.Context) Status {
 	return Status{
 		Node: c.settings.Node, Zone: c.settings.Zone, Leader: c.elector.Leader(), Leading: c.elector.IsLeader(),
-		View: c.gate.Status(ctx),
+		View: c.leaderHandle.Status(ctx),
 	}
 }
