--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -76,7 +76,7 @@
 	s := &scaleOut{market: market, available: map[capacity]int{}, provisioned: map[MachinePool]int{}}
 	for pool, count := range booting {
 		if machineType := findType(pool.Type, market.Types); machineType != nil && count > 0 {
-			s.available[capacity{pool, machineResources(machineType)}] += count
+			s.available[capacity{pool, placement.MachineTotal(machineType)}] += count
 		}
 	}
 	return s
@@ -139,7 +139,7 @@
 		return machine, false
 	}
 	s.provisioned[best.pool]++
-	machine = capacity{best.pool, machineResources(best.machineType)}
+	machine = capacity{best.pool, placement.MachineTotal(best.machineType)}
 	s.available[machine]++
 	return machine, true
 }
@@ -191,7 +191,7 @@
 
 // tasksPerMachine is how many of a job's tasks an empty machine takes, one at least.
 func tasksPerMachine(machineType *jobs.MachineType, spec *jobs.Spec) int {
-	free, request, count := machineResources(machineType), placement.TaskRequest(spec), 0
+	free, request, count := placement.MachineTotal(machineType), placement.TaskRequest(spec), 0
 	for free.Fits(request) && count < jobs.MaxTasks {
 		free = free.AddTimes(request, -1)
 		count++
@@ -199,10 +199,6 @@
 	return max(count, 1)
 }
 
-func machineResources(machineType *jobs.MachineType) placement.Resources {
-	return placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
-}
-
 func findType(name string, types []jobs.MachineType) *jobs.MachineType {
 	for i := range types {
 		if types[i].Name == name {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -14,13 +14,6 @@
 	"ospreyslip/internal/settings"
 )
 
-// Shares of the key-value store's rates that the leader may use. The other controllers share
-// the rest evenly. The leader writes most of what is written.
-const (
-	leaderRequestShare = 0.5
-	leaderWriteShare   = 0.64
-)
-
 // campaign takes part in the election until the context ends, and leads while elected.
 func (c *Controller) campaign(ctx context.Context) {
 	deps := leader.Deps{
@@ -40,10 +33,10 @@
 // controllers together stay within what the store takes.
 func storeBudget(set *settings.Settings, leading bool) kvstore.RateLimits {
 	all := set.Deployment.Store.Effective()
-	budget := kvstore.RateLimits{RequestsPerSecond: leaderRequestShare * all.RPS, WritesPerSecond: leaderWriteShare * all.WriteRPS}
+	budget := kvstore.RateLimits{RequestsPerSecond: settings.LeaderRequestShare * all.RPS, WritesPerSecond: settings.LeaderWriteShare * all.WriteRPS}
 	if others := float64(set.Deployment.Nodes - 1); !leading && others > 0 {
-		budget.RequestsPerSecond = (1 - leaderRequestShare) * all.RPS / others
-		budget.WritesPerSecond = (1 - leaderWriteShare) * all.WriteRPS / others
+		budget.RequestsPerSecond = (1 - settings.LeaderRequestShare) * all.RPS / others
+		budget.WritesPerSecond = (1 - settings.LeaderWriteShare) * all.WriteRPS / others
 	}
 	return budget
 }
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -53,7 +53,7 @@
 	if machineType == nil {
 		return true
 	}
-	total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+	total := placement.MachineTotal(machineType)
 	free := total.AddTimes(machine.Used, -1)
 	for request := range requests {
 		if free.Fits(request) {
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -86,9 +86,6 @@
 // Queued is how many workers have something to be told at once.
 func (d *Dispatcher) Queued() int { return len(d.queue) + len(d.unresponsive) }
 
-// InFlight is how many command requests are under way.
-func (d *Dispatcher) InFlight() int { return d.inFlight }
-
 // enqueue queues a worker that has something to be told. Those that may not answer have a queue
 // of their own: a zone that is cut off must not keep the others waiting behind requests that
 // time out.
--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -25,8 +25,8 @@
 			s.Notify(lost) // from an earlier leader's records: it has not reported to this one
 		}
 		s.Send(ctx, now)
-		if s.InFlight() != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", s.InFlight())
+		if s.inFlight != 2 {
+			t.Errorf("%d of 4 orders at a time to machines that may not answer", s.inFlight)
 		}
 		s.Notify(machine)
 		s.Send(ctx, now)
--- a/internal/leader/dispatch/token.go
+++ b/internal/leader/dispatch/token.go
@@ -61,7 +61,8 @@
 		}
 	}
 	if raise {
-		d.Fencing.RaisePending, d.Fencing.RaisedAt = true, now // once, however long the write takes
+		d.Fencing.RequestRaise()
+		d.Fencing.RaisedAt = now // once, however long the write takes
 	}
 }
 
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -98,11 +98,12 @@
 	return !l.writer.StoreUnavailable() && now.Sub(l.PeerLeasesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
 
-// post has an outcome applied by the event loop, unless the context ends before.
+// post has an outcome applied by the event loop, unless the context or the loop ends before.
 func (l *Leader) post(ctx context.Context, apply func(now time.Time)) {
 	select {
 	case l.inbox.events <- apply:
 	case <-ctx.Done():
+	case <-l.inbox.quit:
 	}
 }
 
--- a/internal/leader/planner/capacity.go
+++ b/internal/leader/planner/capacity.go
@@ -59,7 +59,7 @@
 		}
 		c.index.Remove(offer)
 		offer.Type, offer.Zone, offer.Spot = machine.Type, machine.Zone, machine.Spot
-		offer.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+		offer.Total = placement.MachineTotal(machineType)
 		offer.FetchGBPS = machineType.FetchGBPS
 		offer.Free = offer.Total.AddTimes(machine.Used, -1)
 	}
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -98,7 +98,7 @@
 
 // IsDue tells whether a plan is requested and it is time for one.
 func (p *Planner) IsDue(now time.Time) bool {
-	return p.Requested && now.Sub(p.lastStarted) >= max(p.config.ControlInterval/plansPerInterval, time.Duration(float64(p.lastTook)*(1/MaxTimeShare)))
+	return p.Requested && now.Sub(p.lastStarted) >= max(p.config.ControlInterval/plansPerInterval, cluster.ScaleDuration(p.lastTook, 1/MaxTimeShare))
 }
 
 // Enqueue notes that a job has pending tasks, if it has.
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -16,14 +16,12 @@
 	"ospreyslip/internal/kvstore"
 	"ospreyslip/internal/leader/transaction"
 	"ospreyslip/internal/recovery"
+	"ospreyslip/internal/settings"
 )
 
 // recoveryShare is the part of the leader's writes that lost records may take.
 const recoveryShare = 0.25
 
-// leaderWriteShare is the part of all writes that the leader has, as the controller parts them.
-const leaderWriteShare = 0.64
-
 // writeRank orders lost jobs for writing: first those of which a record says less than users
 // were told, as each node would tell it; then what must not run, what waits to run, and what
 // is over by itself. A job that was queued outside of a comparison has the first rank.
@@ -170,7 +168,7 @@
 // rate takes for it.
 func (w *writeBack) commit(ctx context.Context, batch []lostRecord, now time.Time) {
 	w.commits.inFlight = true
-	perSecond := recoveryShare * leaderWriteShare * w.cfg.Settings.Deployment.Store.Effective().WriteRPS
+	perSecond := recoveryShare * settings.LeaderWriteShare * w.cfg.Settings.Deployment.Store.Effective().WriteRPS
 	w.commits.notBefore = now.Add(time.Duration(float64(len(batch)) / perSecond * float64(time.Second)))
 	guards := []kvstore.Guard{w.commits.termGuard()}
 	var writes []kvstore.Write
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -20,23 +20,13 @@
 		Settings: l.Settings, Derived: l.Derived, Node: l.Node, Term: l.term, AttemptBits: attemptBits,
 		Store: l.Store, Cache: l.Cache, Peers: l.Peers,
 		Valid:         func() bool { return l.IsLeader() },
-		Post:          l.postUnlessEnded,
+		Post:          l.post,
 		Leader:        recoveryCalls{l},
 		State:         l.state,
 		AssignmentLog: func() *assignmentlog.Log { return l.log },
 	}
 }
 
-// postUnlessEnded hands an outcome to the leader's goroutine, unless the context or that
-// goroutine ends first.
-func (l *Leader) postUnlessEnded(ctx context.Context, outcome func(now time.Time)) {
-	select {
-	case l.inbox.events <- outcome:
-	case <-ctx.Done():
-	case <-l.inbox.quit:
-	}
-}
-
 // recoverRecords does what is due about lost records.
 func (l *Leader) recoverRecords(ctx context.Context, now time.Time) {
 	l.recovery.EndAdoptions(now)
@@ -58,7 +48,7 @@
 	for _, machine := range l.state.Machines.All {
 		for _, assignment := range machine.Assignments {
 			if assignment.Start.InDoubtToken != 0 {
-				assignment.Start.InDoubtToken = l.fencing.Current - 1 // an order under any earlier token may still arrive
+				assignment.Start.InDoubtToken = l.fencing.Current - 1 // a command under any earlier token may still arrive
 			}
 		}
 	}
@@ -85,10 +75,7 @@
 	if l == nil {
 		return false
 	}
-	select {
-	case l.inbox.events <- func(now time.Time) { l.recovery.ReportLoss(loss, now) }:
-	case <-l.inbox.quit:
-	}
+	l.post(context.Background(), func(now time.Time) { l.recovery.ReportLoss(loss, now) })
 	return true
 }
 
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -32,7 +32,7 @@
 		if !takesWork {
 			continue
 		}
-		total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+		total := placement.MachineTotal(machineType)
 		rooms = append(rooms, autoscaler.MachineForecast{
 			MachinePool: kindOf(m), AvailableFromS: from.Seconds(), Free: total.AddTimes(m.Used, -1), Releases: s.forecastLeaves(m, now),
 		})
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -21,6 +21,20 @@
 // This file connects the parts of a leader: what each is given, and what it may ask of the others.
 // A part never gets the leader itself, only an interface that it defines.
 
+// loopHost is the event loop as the parts see it whose requests come back to it.
+type loopHost struct{ l *Leader }
+
+// IsLeader tells whether leadership is held at this moment.
+func (h loopHost) IsLeader() bool { return h.l.IsLeader() }
+
+// Post has a function called on the event loop.
+func (h loopHost) Post(ctx context.Context, apply func(now time.Time)) { h.l.post(ctx, apply) }
+
+// PostAfter does so after a while.
+func (h loopHost) PostAfter(ctx context.Context, delay time.Duration, apply func()) {
+	h.l.postAfter(ctx, delay, apply)
+}
+
 // taskDeps is what the manager of assignments works with.
 func taskDeps(l *Leader) tasks.Deps {
 	return tasks.Deps{
@@ -47,28 +61,21 @@
 func dispatchDeps(l *Leader) dispatch.Deps {
 	return dispatch.Deps{
 		Derived: l.Derived, Client: l.Workers, State: l.state, Catalog: l.catalog, Fencing: l.fencing,
-		Detector: l.detector, Failover: l.failover, Planner: l.planner, Tasks: l.tasks, Host: dispatchHost{l},
+		Detector: l.detector, Failover: l.failover, Planner: l.planner, Tasks: l.tasks, Host: dispatchHost{loopHost{l}},
 	}
 }
 
 // dispatchHost is the leader as its dispatcher sees it.
-type dispatchHost struct{ l *Leader }
+type dispatchHost struct{ loopHost }
 
 var _ dispatch.Host = dispatchHost{}
 
-func (h dispatchHost) IsLeader() bool              { return h.l.IsLeader() }
 func (h dispatchHost) IsCancelled(job string) bool { return h.l.isCancelled(job) }
 
 func (h dispatchHost) LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool {
 	return h.l.recovery.LeaveAlone(machine, task)
 }
 
-func (h dispatchHost) Post(ctx context.Context, apply func(now time.Time)) { h.l.post(ctx, apply) }
-
-func (h dispatchHost) PostAfter(ctx context.Context, delay time.Duration, apply func()) {
-	h.l.postAfter(ctx, delay, apply)
-}
-
 // trackerDeps is what the tracker of jobs works with.
 func trackerDeps(l *Leader) jobtracker.Deps {
 	return jobtracker.Deps{
@@ -81,24 +88,17 @@
 func writerDeps(l *Leader) writer.Deps {
 	return writer.Deps{
 		Derived: l.Derived, Store: l.Store, Term: l.term, State: l.state, Fencing: l.fencing, Log: l.log,
-		Jobs: l.jobs, Tasks: l.tasks, Recovery: l.recovery, Host: writerHost{l},
+		Jobs: l.jobs, Tasks: l.tasks, Recovery: l.recovery, Host: writerHost{loopHost{l}},
 	}
 }
 
 // writerHost is the leader as its writer sees it.
-type writerHost struct{ l *Leader }
+type writerHost struct{ loopHost }
 
 var _ writer.Host = writerHost{}
 
-func (h writerHost) IsLeader() bool { return h.l.IsLeader() }
-func (h writerHost) TokenRaised()   { h.l.tokenRaised() }
-func (h writerHost) Resign()        { h.l.loop.resigns = true }
-
-func (h writerHost) Post(ctx context.Context, apply func(now time.Time)) { h.l.post(ctx, apply) }
-
-func (h writerHost) PostAfter(ctx context.Context, delay time.Duration, apply func()) {
-	h.l.postAfter(ctx, delay, apply)
-}
+func (h writerHost) TokenRaised() { h.l.tokenRaised() }
+func (h writerHost) Resign()      { h.l.loop.resigns = true }
 
 // newLoader makes what fills the parts with what the records say.
 func newLoader(l *Leader) *loader.Loader {
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -10,6 +10,11 @@
 // TaskRequest returns the resources that one task of a job requests.
 func TaskRequest(spec *jobs.Spec) Resources { return Resources{spec.CPUs, spec.GPUs, spec.RAMGB} }
 
+// MachineTotal is what a machine of a type has.
+func MachineTotal(machineType *jobs.MachineType) Resources {
+	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
+}
+
 // AddTimes returns a + factor·other; a factor of -1 subtracts.
 func (a Resources) AddTimes(other Resources, factor float64) Resources {
 	return Resources{a.CPUs + factor*other.CPUs, a.GPUs + factor*other.GPUs, a.RAMGB + factor*other.RAMGB}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -100,6 +100,13 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
+// Shares of the key-value store's rates that the leader may use. The other controllers share the
+// rest evenly. The leader writes most of what is written.
+const (
+	LeaderRequestShare = 0.5
+	LeaderWriteShare   = 0.64
+)
+
 // Effective returns limits that hold now and later: as there is no notice of the
 // change, everything is written within the smaller ones from the first moment.
 func (s StoreLimits) Effective() StoreLimits {
