--- a/internal/leader/announcement_test.go
+++ b/internal/leader/announcement_test.go
@@ -11,12 +11,12 @@
 	"ospreyslip/internal/workers"
 )
 
-// At a take-over all workers connect by themselves. Only machines from which something
-// is wanted are sent a command at once: here those with room, and one with a task of a
-// cancelled job. Of the others, those that have not reported after a heartbeat interval get
-// one as well, whatever that costs: a worker may reach no controller by itself.
+// After a failover all workers send heartbeats without being asked. The new leader sends commands at
+// once only to machines that it needs: here one with free capacity and one with a task of a
+// cancelled job. A machine that has not reported after AnnounceDelay gets a command too, at any
+// cost, because its worker may be unable to reach a controller.
 func TestAnnouncedAtTakeOver(t *testing.T) {
-	leader, reports, now := newFullFleet(t, 12) // of each machine, one task takes all CPUs
+	leader, reports, now := newFullFleet(t, 12) // one task uses all CPUs of each machine
 	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimatedRuntimeS: 30}
 	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
@@ -27,7 +27,7 @@
 		leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[r.Machine], now)
 	}
 
-	// The record of a cancelled job has no description, so that it is not among the jobs.
+	// The record of a cancelled job has no spec, so the successor does not load the job.
 	spec, live := *leader.state.Jobs["j-7"].Spec, *small
 	next := newSuccessor(leader, writeLog(leader), now, &spec, &live)
 	seen := map[string]bool{}
@@ -42,7 +42,7 @@
 		return ids
 	}
 	if got := notifyPending(); fmt.Sprint(got) != "[m-900000 m-900001]" {
-		t.Errorf("ordered at once: %v", got)
+		t.Errorf("notified at once: %v", got)
 	}
 	interval := func(at time.Time) {
 		for range cluster.TickGroups {
@@ -54,7 +54,7 @@
 	}
 	interval(now.Add(next.Derived.Workers.AnnounceDelay))
 	if got := notifyPending(); len(got) != 0 {
-		t.Errorf("ordered before a report period was over: %v", got)
+		t.Errorf("notified before the announce delay was over: %v", got)
 	}
 	for _, r := range reports[:10] {
 		r.FencingToken = 6
@@ -63,6 +63,6 @@
 	}
 	interval(now.Add(next.Derived.Workers.AnnounceDelay + time.Second))
 	if got := notifyPending(); fmt.Sprint(got) != "[m-000010 m-000011]" {
-		t.Errorf("ordered after a report period: %v", got)
+		t.Errorf("notified after the announce delay: %v", got)
 	}
 }
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -30,7 +30,7 @@
 	maxOps        int // writes in a transaction
 }
 
-// apply carries out a transaction, or returns the guards that failed.
+// apply executes a transaction, or returns the keys of the guards that failed.
 func (s *segmentStore) apply(batch *transaction.Batch) (failed []string) {
 	for _, g := range batch.Guards {
 		if s.keys[g.Key].Revision != g.Revision {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// pairs returns all segments, in no order.
+// pairs returns all segments in no particular order.
 func (s *segmentStore) pairs() (out []kvstore.KeyValue) {
 	for _, p := range s.keys {
 		out = append(out, p)
@@ -61,8 +61,8 @@
 	return out
 }
 
-// newLeaderFromLog makes a leader under a token that has read the stored segments, with the given
-// jobs and the limits of the store.
+// newLeaderFromLog returns a leader with the given fencing token and jobs and the store's limits. It
+// has loaded the stored segments.
 func newLeaderFromLog(store *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	leader, m, _, now := newTestLeader()
 	leader.tasks.EndAllOn(m, "not of this test")
@@ -79,8 +79,8 @@
 	return leader
 }
 
-// durableRecords describes what a leader knows to be in the assignment log, sorted: the durable
-// assignments, and the completions of tasks.
+// durableRecords returns descriptions of what a leader knows to be durable in the assignment log:
+// the assignments and the completed tasks, sorted.
 func durableRecords(l *Leader) (out []string) {
 	for _, m := range l.state.Machines.All {
 		for _, a := range m.Assignments {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// logHistory is what befalls an assignment log, one transaction after the other.
+// logHistory runs a random sequence of transactions and failures on an assignment log.
 type logHistory struct {
 	t      *testing.T
 	random *rand.Rand
@@ -111,21 +111,21 @@
 	token  uint64
 }
 
-// replaceLeader has the next leader go on with the log.
+// replaceLeader starts the next leader, which continues the log.
 func (h *logHistory) replaceLeader() {
 	h.token++
 	h.leader = newLeaderFromLog(h.store, h.token, h.specs)
 }
 
-// write sends a transaction, of which the answer may be lost, and tells whether what is durable
-// is known: it was executed, or nothing was durable before.
+// write executes a transaction, whose response may be lost. It reports whether the leader knows what
+// is durable: the transaction was executed, or nothing was durable before.
 func (h *logHistory) write(batch *transaction.Batch) (known bool) {
 	before := durableRecords(h.leader)
 	switch failed := h.store.apply(batch); {
-	case h.random.IntN(8) == 0: // its answer is lost
+	case h.random.IntN(8) == 0: // the response is lost
 		batch.Failed()
 		h.leader.log.MarkOutcomeUnknown()
-		if h.random.IntN(2) == 0 { // and so is the leader
+		if h.random.IntN(2) == 0 { // and the leader fails
 			h.replaceLeader()
 		}
 	case len(failed) > 0:
@@ -140,37 +140,37 @@
 	return before == nil
 }
 
-// requireKeysWithoutGaps fails if the segments are not numbered from 0.
+// requireKeysWithoutGaps fails the test if the segments' keys are not numbered from 0 without gaps.
 func (h *logHistory) requireKeysWithoutGaps(step int) {
 	h.t.Helper()
 	for i := range len(h.store.keys) {
 		if _, ok := h.store.keys[fmt.Sprint(assignmentlog.Prefix, i)]; !ok {
-			h.t.Fatalf("step %d: of %d segments, none is called %d", step, len(h.store.keys), i)
+			h.t.Fatalf("step %d: none of %d segments has number %d", step, len(h.store.keys), i)
 		}
 	}
 }
 
-// requireReadable fails if version 0.3.0 or the next leader reads something else than is durable.
+// requireReadable fails the test if version 0.3.0 or the next leader reads anything other than what
+// is durable.
 func (h *logHistory) requireReadable(step int) {
 	h.t.Helper()
 	durable := durableRecords(h.leader)
 	if d := cmp.Diff(durable, readAsVersion030(h.t, h.store.pairs(), h.leader.Derived.Store.ChunkTasks)); d != "" {
-		h.t.Fatalf("step %d, what production reads: %s", step, d)
+		h.t.Fatalf("step %d: version 0.3.0 reads the log differently: %s", step, d)
 	}
 	next := newLeaderFromLog(h.store, h.token+1, h.specs)
 	if d := cmp.Diff(durable, durableRecords(next)); d != "" {
-		h.t.Fatalf("step %d, what the next leader reads: %s", step, d)
+		h.t.Fatalf("step %d: the next leader reads the log differently: %s", step, d)
 	}
 	for _, a := range next.state.Jobs["j-3"].Assignments {
 		if a.GangAttempt != 7 {
-			h.t.Fatalf("step %d: %s has lost its gang", step, a.TaskName())
+			h.t.Fatalf("step %d: %s has lost its gang attempt", step, a.TaskName())
 		}
 	}
 }
 
-// Whatever the history, the sizes of segments, old and new, and the fate of single
-// transactions: a new leader finds what was durable, no end undone and nothing lost,
-// after each of them.
+// A new leader reads exactly what is durable after any sequence of transactions: no end is undone
+// and no assignment is lost. Segment sizes change on the way, responses are lost, and leaders fail.
 func TestLogOverMixedSegmentSizes(t *testing.T) {
 	const limitsFallAt, steps = 60, 240
 	for seed := range uint64(5) {
@@ -188,7 +188,7 @@
 			h.replaceLeader()
 			for step := range steps {
 				if step == limitsFallAt {
-					// As production wrote them, the segments are full by now. The limits fall.
+					// The segments are as full as in production by now. The store's limits shrink.
 					h.store.maxValueBytes, h.store.maxOps = 2<<10, 4
 					h.replaceLeader()
 				}
@@ -210,7 +210,7 @@
 	}
 }
 
-// startAndEndTasks assigns some tasks to machines and ends some assignments, drawn at random.
+// startAndEndTasks assigns a random number of tasks to random machines and ends random assignments.
 func startAndEndTasks(leader *Leader, random *rand.Rand) {
 	now := time.Now()
 	for range random.IntN(12) {
@@ -242,7 +242,8 @@
 	}
 }
 
-// sortedMachineIDs returns the ids of all machines, so that a draw from them can be repeated.
+// sortedMachineIDs returns the IDs of all machines in a fixed order, so that random draws from them
+// are reproducible.
 func sortedMachineIDs(l *Leader) (ids []string) {
 	for id := range l.state.Machines.ByID {
 		ids = append(ids, id)
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -6,16 +6,16 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Counts hands the leader's display counts to the users' side.
+// Counts holds the task counts of each job that users are shown. It is safe for concurrent use.
 type Counts struct {
 	mu sync.RWMutex
 	m  map[string]jobs.Counts
 }
 
-// NewCounts makes an empty table.
+// NewCounts returns an empty Counts.
 func NewCounts() *Counts { return &Counts{m: map[string]jobs.Counts{}} }
 
-// Get returns a job's counts.
+// Get returns a job's counts and reports whether there are any.
 func (c *Counts) Get(id string) (jobs.Counts, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -23,28 +23,28 @@
 	return v, ok
 }
 
-// Set shows a job's counts.
+// Set stores a job's counts.
 func (c *Counts) Set(id string, v jobs.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.m[id] = v
 }
 
-// Drop forgets a job.
+// Drop removes a job's counts.
 func (c *Counts) Drop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.m, id)
 }
 
-// Replace takes in the counts that a leader has published.
+// Replace replaces all counts with those that a leader has broadcast, and keeps the map.
 func (c *Counts) Replace(machine map[string]jobs.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.m = machine
 }
 
-// nonZero returns the counts that say more than that nothing has happened.
+// nonZero returns the counts of all jobs whose counts are not zero.
 func (c *Counts) nonZero() map[string]jobs.Counts {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -8,17 +8,17 @@
 	"ospreyslip/internal/workers"
 )
 
-// How many heartbeats and outcomes wait for the event loop before their senders do.
+// Capacities of the event loop's channels. A sender blocks while its channel is full.
 const (
 	heartbeatQueue = 16
 	eventQueue     = 64
 )
 
-// inbox is what other goroutines hand to the event loop.
+// inbox carries heartbeats and events from other goroutines to the event loop.
 type inbox struct {
 	heartbeats chan heartbeatRequest
-	events     chan func(now time.Time) // outcomes of I/O and questions, called by the event loop
-	quit       chan struct{}            // closed when the event loop has ended
+	events     chan func(now time.Time) // I/O results and queries; the event loop calls each function
+	quit       chan struct{}            // closed after the event loop has ended
 }
 
 func newInbox() inbox {
@@ -29,23 +29,24 @@
 	}
 }
 
-// heartbeatRequest is a heartbeat that waits for its answer; nil if there is none to give.
+// heartbeatRequest is a heartbeat whose sender waits for a response. The response is nil if the
+// leader must not answer.
 type heartbeatRequest struct {
 	heartbeat *workers.Heartbeat
 	reply     chan *workers.HeartbeatResponse
 }
 
-// loopState is what the event loop itself remembers.
+// loopState is the event loop's own state.
 type loopState struct {
-	tickGroup       int       // of the ticks in a control interval
-	nextLeaseExpiry time.Time // no worker's lease ends before
-	broadcastAt     time.Time // when other controllers were last told what has changed
+	tickGroup       int       // the machine group that the latest tick checked
+	nextLeaseExpiry time.Time // no worker's lease expires before this time
+	broadcastAt     time.Time // time of the latest update to the other controllers
 	probesInFlight  int
-	mayResign       bool // because no machine is heard of
-	resigns         bool // the term is given up
+	mayResign       bool // whether the leader may resign if it receives no heartbeats
+	resigns         bool // the leader gives up the term
 }
 
-// run is the event loop. It ends with the context, or when the leader resigns.
+// run executes the event loop until ctx ends or the leader resigns.
 func (l *Leader) run(ctx context.Context) {
 	ticker := time.NewTicker(l.Derived.Leader.ControlInterval / cluster.TickGroups)
 	defer ticker.Stop()
@@ -68,7 +69,8 @@
 	}
 }
 
-// drainInbox takes in what else has come, before the leader decides once for all of it.
+// drainInbox handles everything that is already queued, so that the leader plans once for all of
+// it.
 func (l *Leader) drainInbox() {
 	for {
 		select {
@@ -82,8 +84,8 @@
 	}
 }
 
-// act carries out what follows from all that was taken in: a plan, the next transaction, and
-// commands that cannot wait.
+// act makes a plan if one is due, starts the next transaction and sends the commands that cannot
+// wait for a heartbeat.
 func (l *Leader) act(ctx context.Context, now time.Time) {
 	if l.planner.IsDue(now) && l.mayBegin(now) {
 		l.plan(now)
@@ -92,13 +94,14 @@
 	l.dispatcher.Send(ctx, now)
 }
 
-// mayBegin tells whether new work can be made durable. While it cannot, a plan would stop tasks
-// to make room that nothing can be placed in.
+// mayBegin reports whether new work can be made durable. While it cannot, a plan would preempt
+// tasks to free capacity in which nothing can be placed.
 func (l *Leader) mayBegin(now time.Time) bool {
 	return !l.writer.StoreUnavailable() && now.Sub(l.PeerLeasesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
 
-// post has an outcome applied by the event loop, unless the context or the loop ends before.
+// post queues apply for the event loop. It blocks while the queue is full, and drops apply if ctx
+// or the event loop ends first.
 func (l *Leader) post(ctx context.Context, apply func(now time.Time)) {
 	select {
 	case l.inbox.events <- apply:
@@ -107,7 +110,7 @@
 	}
 }
 
-// postAfter does so after a while.
+// postAfter returns at once and posts apply after delay.
 func (l *Leader) postAfter(ctx context.Context, delay time.Duration, apply func()) {
 	go func() {
 		select {
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -10,7 +10,7 @@
 	"ospreyslip/internal/settings"
 )
 
-// finishFailover notes when every machine that the records name is accounted for.
+// finishFailover ends the failover once every machine that the records name is accounted for.
 func (l *Leader) finishFailover(now time.Time) {
 	if !l.failover.TryFinish(now) {
 		return
@@ -22,20 +22,20 @@
 	l.planner.Requested = true
 }
 
-// mayPreempt tells whether others may be stopped for a job. After a failover, machines that
-// are about to report may have room enough: only what would wait for too long does not wait
-// for them.
+// mayPreempt reports whether tasks of other jobs may be preempted for job. After a failover,
+// machines that have not reported yet may have free capacity, so a job preempts only after it
+// has waited for preemptionBound.
 func (l *Leader) mayPreempt(job *cluster.Job, now time.Time) bool {
 	if !l.failover.AwaitsCapacity(now) {
-		return true // which is so but for the first seconds of a term
+		return true // the common case: it differs only in the first seconds of a term
 	}
 	return l.failover.MayPreempt(now, job.Scheduling.LastServedAt, l.preemptionBound(job))
 }
 
-// preemptionBound is for how long a job waits after a failover before others are stopped for
-// it. Production does not wait: its users notice each second. What a guarantee covers waits part
-// of the time in which it should start, other work until the machines that have not reported
-// are late.
+// preemptionBound returns how long a job waits after a failover before tasks of other jobs are
+// preempted for it. Production does not wait, because its users notice each second. A job with a
+// wait objective or within a guarantee waits for planner.PatienceShare of the time in which it
+// should start. Other jobs wait until the machines that have not reported are overdue.
 func (l *Leader) preemptionBound(job *cluster.Job) time.Duration {
 	if job.Spec.Priority == jobs.Prod {
 		return 0
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -11,9 +11,9 @@
 	"ospreyslip/internal/settings"
 )
 
-// In a take-over, while machines that are well have not reported, others are stopped for
-// production at once, for a class with an aim to start or a guarantee when half of that time is
-// over, and else when the machines are late.
+// During a failover, while healthy machines have not reported yet, production preempts at once. A
+// job with a wait objective or a guarantee preempts after half of the time in which it should start,
+// any other job when the machines are overdue.
 func TestPreemptionInATakeover(t *testing.T) {
 	leader, _, _, now := newTestLeader()
 	leader.Settings.Deployment.Objectives = []settings.Objective{
@@ -31,30 +31,31 @@
 		j     *cluster.Job
 		bound time.Duration
 	}{
-		"a class with an aim":       {waiting("web", jobs.Urgent, false), time.Second},
-		"covered by a guarantee":    {waiting("sums", jobs.Standard, true), 3 * time.Second},
-		"nothing that it should be": {waiting("sums", jobs.Urgent, false), leader.Derived.Detection.HeartbeatOverdue},
+		"wait objective":     {waiting("web", jobs.Urgent, false), time.Second},
+		"within a guarantee": {waiting("sums", jobs.Standard, true), 3 * time.Second},
+		"no objective":       {waiting("sums", jobs.Urgent, false), leader.Derived.Detection.HeartbeatOverdue},
 	} {
-		c.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders as well
+		c.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders, too
 		if leader.mayPreempt(c.j, now.Add(c.bound-time.Millisecond)) || !leader.mayPreempt(c.j, now.Add(c.bound)) {
-			t.Errorf("%s: others are stopped for it at another time than after %v", what, c.bound)
+			t.Errorf("%s: preemption is not allowed exactly from %v on", what, c.bound)
 		}
 	}
 	if !leader.mayPreempt(waiting("web", jobs.Prod, false), now) {
-		t.Error("production waits")
+		t.Error("production may not preempt at once")
 	}
 	leader.Settings.Operator.TakeoverPatience = 0
 	if !leader.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
-		t.Error("operators want others to be stopped at once")
+		t.Error("preemption is delayed although TakeoverPatience is 0")
 	}
 	leader.Settings.Operator.TakeoverPatience = 1
 	leader.failover.MachineReported("m-2")
 	if !leader.mayPreempt(waiting("sums", jobs.Urgent, false), now) {
-		t.Error("all machines have reported: there is no other room")
+		t.Error("preemption is delayed although all machines have reported")
 	}
 }
 
-// Whatever awaits room has nothing stopped for it, and is still placed where there is room.
+// A job whose preemption is deferred preempts no task and stays unmet while nothing is free. It is
+// still placed where there is free capacity.
 func TestNothingIsStoppedForWhatAwaitsRoom(t *testing.T) {
 	for _, awaits := range []bool{false, true} {
 		var index placement.CapacityIndex
@@ -65,13 +66,13 @@
 		high := &jobs.Spec{ID: "j-2", Shape: jobs.Batch, Priority: jobs.Urgent, Tasks: 1, CPUs: 4, RAMGB: 1}
 		out := placement.Plan(placement.Input{UsedByTeam: map[string]placement.Resources{}, Index: &index, Jobs: []*placement.Job{{Spec: high, TasksByZone: map[string]int{}, Pending: 1, PreemptionDeferred: awaits, DeadlineS: placement.NoDeadline}}})
 		if stopped := len(out.Preemptions) > 0; stopped == awaits || len(out.Unmet) > 0 != awaits {
-			t.Errorf("awaits room %v: stopped %v, unmet %v", awaits, out.Preemptions, out.Unmet)
+			t.Errorf("preemption deferred %v: preempted %v, unmet %v", awaits, out.Preemptions, out.Unmet)
 		}
 	}
 }
 
-// A new leader's take-over is settled when the machines that its records name have reported or
-// their leases are over. What runs as stored is told nothing; what is gone is begun elsewhere.
+// A failover is done when all machines that the records name have reported or their leases have
+// expired. Tasks that run as recorded get no commands; lost tasks are to be started elsewhere.
 func TestTakeoverIsFollowed(t *testing.T) {
 	l, reports, now := newFullFleet(t, 4)
 	next := newSuccessor(l, writeLog(l), now, l.state.Jobs["j-7"].Spec)
@@ -79,23 +80,23 @@
 	for i, r := range reports[:3] {
 		r.FencingToken = 6
 		r.Seq += 10
-		if i == 2 { // its lease ran out meanwhile
+		if i == 2 { // its lease has expired in the meantime
 			r.AgentEpoch, r.Tasks = r.AgentEpoch+1, nil
 		}
 		if answer := next.answerHeartbeat(r, now.Add(time.Second)); answer == nil || len(answer.Commands) > 0 {
-			t.Errorf("%s is told %+v", r.Machine, answer)
+			t.Errorf("%s: response %+v, want one without commands", r.Machine, answer)
 		}
 	}
 	next.finishFailover(now.Add(time.Second))
 	if p := next.failover.Progress(now.Add(time.Second)); p.Phase != reconcile.AwaitingHeartbeats || p.Expected != 4 || p.Reported != 3 {
-		t.Errorf("one is missing: %+v", p)
+		t.Errorf("one machine has not reported: %+v", p)
 	}
 	over := now.Add(2 * next.Derived.Workers.LeaseExpiry)
 	next.expireLeases(over)
 	next.finishFailover(over)
 	p := next.failover.Progress(over)
 	if p.Phase != reconcile.FailoverDone || p.Reported != 3 || p.NeverReported != 1 || len(p.Commands) > 0 {
-		t.Errorf("its lease is over: %+v", p)
+		t.Errorf("the last lease has expired: %+v", p)
 	}
 	gone := 0
 	for _, a := range next.state.Jobs["j-7"].Assignments {
@@ -104,6 +105,6 @@
 		}
 	}
 	if gone < 2 {
-		t.Errorf("%d tasks are to be begun anew", gone)
+		t.Errorf("%d tasks are to be started again, want at least 2", gone)
 	}
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -11,7 +11,7 @@
 	"ospreyslip/internal/workers"
 )
 
-// detectFailures probes the machines that look dead, and carries out verdicts.
+// detectFailures probes suspect machines and carries out the detector's verdicts.
 func (l *Leader) detectFailures(ctx context.Context, now time.Time) {
 	probes, verdicts := l.detector.Tick(now, l.Derived.Host.CommandsInFlight-l.loop.probesInFlight)
 	for _, id := range probes {
@@ -28,21 +28,21 @@
 	}
 }
 
-// probe asks a worker what it shows.
+// probe requests a worker's state in a new goroutine and posts the result to the event loop.
 func (l *Leader) probe(ctx context.Context, machine *cluster.Machine) {
 	l.loop.probesInFlight++
-	addr := machine.Addr // a heartbeat may change it meanwhile
+	addr := machine.Addr // copied, because a heartbeat may change it during the probe
 	go func() {
 		heartbeat, err := l.Workers.Probe(ctx, addr)
 		l.post(ctx, func(now time.Time) { l.probeReturned(machine, heartbeat, err, now) })
 	}()
 }
 
-// probeReturned takes in the outcome of a probe.
+// probeReturned handles the result of a probe.
 func (l *Leader) probeReturned(machine *cluster.Machine, heartbeat *workers.Heartbeat, err error, now time.Time) {
 	l.loop.probesInFlight--
 	if workers.OutOfSockets(err) {
-		l.detector.ProbeNotSent(machine.ID, now) // it never left this process
+		l.detector.ProbeNotSent(machine.ID, now) // it proves nothing about the machine
 		return
 	}
 	if err != nil {
@@ -50,19 +50,19 @@
 		return
 	}
 	machine.Commands.UndeliveredAnswers = 0
-	// The answer shows the tasks as they are now, though it renews no lease.
+	// The answer shows the current tasks, but does not renew the worker's lease.
 	l.detector.ProbeDone(machine.ID, true, dispatch.HeartbeatSeq(heartbeat), now)
 	l.tasks.Observe(machine, heartbeat, now)
 }
 
-// declareDead carries out a verdict. A machine that did not answer is released: once the cloud has
-// taken it, its tasks are certainly gone, which is sooner than the end of a long lease. One that
-// answers keeps its tasks meanwhile.
+// declareDead carries out a verdict. A machine that did not answer its probe is released: once the
+// cloud has terminated it, its tasks are certainly gone, which is sooner than the expiry of a long
+// lease. A machine that answers keeps its tasks for the time being.
 func (l *Leader) declareDead(ctx context.Context, machine *cluster.Machine, reason liveness.Reason, now time.Time) {
 	slog.Info("machine judged dead", "machine", machine.ID, "zone", machine.Zone, "term", l.fencing.Current, "reason", string(reason), "tasks", len(machine.Assignments))
 	machine.Health.Dead = true
 	for _, a := range machine.Assignments {
-		// A gang that runs may well run on. One that gathers would hold its room until the
+		// A running gang may continue. A gathering gang would hold its capacity until its
 		// workers give up waiting.
 		if a.Outcome == cluster.Open && a.Job.IsGang() && a.ObservedState != workers.StateRunning {
 			l.tasks.StopGang(a.Job, 0)
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -20,10 +20,10 @@
 	"ospreyslip/internal/workers"
 )
 
-// largestFleet is half as many machines again as the largest fleet that is served, some 4,000.
+// largestFleet is 1.5 times the number of machines of the largest supported fleet, some 4,000.
 const largestFleet = 6000
 
-// discardLogs discards what is logged until the test ends: thousands of machines log much.
+// discardLogs discards log output until the test ends, because thousands of machines log a lot.
 func discardLogs(tb testing.TB) {
 	tb.Helper()
 	old := slog.Default()
@@ -31,7 +31,7 @@
 	tb.Cleanup(func() { slog.SetDefault(old) })
 }
 
-// newFullFleet makes a leader with machines each of which runs one task that fills it, and the last
+// newFullFleet returns a leader with size machines, each filled by one running task, and the last
 // heartbeat of each worker.
 func newFullFleet(tb testing.TB, size int) (*Leader, []*workers.Heartbeat, time.Time) {
 	tb.Helper()
@@ -40,7 +40,7 @@
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
 	leader.MachineTypes = func() []jobs.MachineType { return types }
 	leader.catalog.Types = leader.MachineTypes
-	leader.tasks.EndAllOn(m, "not of this fleet")
+	leader.tasks.EndAllOn(m, "test setup")
 	leader.state.Machines.Remove(m)
 	leader.detector.Forget(m.ID)
 	leader.state.Jobs = map[string]*cluster.Job{}
@@ -62,16 +62,16 @@
 	return leader, reports, now
 }
 
-// repeatHeartbeat sends the leader a worker's next heartbeat, with nothing new in it.
+// repeatHeartbeat sends the leader a worker's next heartbeat with unchanged content.
 func repeatHeartbeat(l *Leader, r *workers.Heartbeat, now time.Time) {
 	r.Seq++
 	if a := l.answerHeartbeat(r, now); a == nil || len(a.Commands) != 0 {
-		panic("a report without news was not simply answered")
+		panic("an unchanged heartbeat got no response, or one with commands")
 	}
 }
 
-// writeLog writes all that waits in a leader's assignment log, and returns the segments as they
-// stand in the key-value store then.
+// writeLog writes everything that is queued in a leader's assignment log, and returns the segments
+// that the key-value store holds afterwards.
 func writeLog(l *Leader) []kvstore.KeyValue {
 	segments := map[string]kvstore.KeyValue{}
 	for rev := uint64(1); l.log.HasWork(); rev++ {
@@ -85,8 +85,8 @@
 	return slices.Collect(maps.Values(segments))
 }
 
-// newSuccessor makes the leader of the next term, which has read the segments and the given jobs
-// but has had no heartbeat. All other jobs that the segments name are cancelled.
+// newSuccessor returns the leader of the next term. It has loaded the segments and the given jobs,
+// but has received no heartbeat. All other jobs that the segments name are cancelled.
 func newSuccessor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
 	next := newLeader(l.Deps, election.Term{FencingToken: 6})
 	next.jobs.Loaded(now, next.jobs.SeenRevision())
@@ -95,7 +95,7 @@
 		next.state.Jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
 	}
 	log := next.readLog(segments)
-	ended := map[string]kvstore.KeyValue{} // of the others, the records say that they are cancelled
+	ended := map[string]kvstore.KeyValue{} // records of the cancelled jobs
 	for id := range assignmentlog.JobsNamed(log) {
 		if next.state.Jobs[id] == nil {
 			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -15,8 +15,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// newLeaderWithGang makes a leader with two machines and a gang of three: two tasks are assigned
-// to the first machine, one to the second, and nothing is durable yet.
+// newLeaderWithGang returns a leader with two machines and a gang of three tasks. Two tasks are
+// assigned to the first machine and one to the second; no assignment is durable yet.
 func newLeaderWithGang() (leader *Leader, job *cluster.Job, now time.Time) {
 	leader, m, old, now := newTestLeader()
 	for _, a := range m.Assignments {
@@ -32,14 +32,14 @@
 	leader.state.Jobs[job.ID] = job
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
 		if a := leader.tasks.Assign(job, job.TakePendingTask(), leader.state.Machines.ByID[id], now); a.Index != i {
-			panic("tasks are not given out in order")
+			panic("tasks are not assigned in order")
 		}
 	}
 	return leader, job, now
 }
 
-// makeBeginsDurable makes the assignments of some tasks of a job durable, as if they had been
-// written to a segment of their own, and drops whatever else is queued for the log.
+// makeBeginsDurable makes the assignments of some tasks of a job durable, as if written to a segment
+// of their own, and drops everything else that is queued for the log.
 func makeBeginsDurable(l *Leader, j *cluster.Job, tasks ...int) {
 	l.readLog(nil) // drops what is queued
 	for _, n := range tasks {
@@ -53,8 +53,8 @@
 // lastHeartbeatSeq numbers the heartbeats of commandsAfterHeartbeat.
 var lastHeartbeatSeq uint64 = 10
 
-// commandsAfterHeartbeat sends the leader the next heartbeat of a machine, with the tasks that its
-// worker shows, and describes the commands in the answer, sorted.
+// commandsAfterHeartbeat sends the leader a machine's next heartbeat with the given tasks, and
+// returns sorted descriptions of the commands in the response.
 func commandsAfterHeartbeat(l *Leader, machine string, now time.Time, tasks ...workers.TaskStatus) []string {
 	lastHeartbeatSeq++
 	r := newHeartbeat(1, lastHeartbeatSeq, tasks...)
@@ -68,18 +68,18 @@
 	return got
 }
 
-// gangTaskStatus is a task of a gang as its worker shows it.
+// gangTaskStatus returns the status of a gang's task as its worker reports it.
 func gangTaskStatus(j *cluster.Job, n int, state, cause string) workers.TaskStatus {
 	return workers.TaskStatus{Name: workers.TaskName(j.ID, n), Attempt: j.Assignments[n].GangAttempt, State: state, Cause: cause}
 }
 
-// No task of a gang is sent before all beginnings are durable. All have the same
-// number, so that two on one machine are told apart by their names.
+// No task of a gang is started before the assignments of all its tasks are durable. All tasks share
+// one gang attempt number, so two tasks on one machine are distinguished by name.
 func TestGangGoesTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 2)
 	if d := cmp.Diff([]string(nil), commandsAfterHeartbeat(leader, "m-1", now)); d != "" {
-		t.Errorf("before all were written: %s", d)
+		t.Errorf("before all assignments are durable: %s", d)
 	}
 	makeBeginsDurable(leader, job, 1)
 	if d := cmp.Diff([]string{"run j-2/0", "run j-2/1"}, commandsAfterHeartbeat(leader, "m-1", now)); d != "" {
@@ -89,25 +89,25 @@
 		t.Error(d)
 	}
 	if a, b := job.Assignments[0], job.Assignments[1]; a.Attempt == b.Attempt || a.GangAttempt != b.GangAttempt || a.GangAttempt == a.Attempt {
-		t.Errorf("attempts %d and %d of gang %d and %d", a.Attempt, b.Attempt, a.GangAttempt, b.GangAttempt)
+		t.Errorf("attempts %d and %d of gang attempts %d and %d", a.Attempt, b.Attempt, a.GangAttempt, b.GangAttempt)
 	}
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateGathering, ""), gangTaskStatus(job, 1, workers.StateFetching, ""))
 	if a, b := job.Assignments[0], job.Assignments[1]; a.ObservedState != workers.StateGathering || b.ObservedState != workers.StateFetching {
-		t.Errorf("seen %q and %q", a.ObservedState, b.ObservedState)
+		t.Errorf("observed states %q and %q", a.ObservedState, b.ObservedState)
 	}
-	// A mate that no one has put there, as by a copy of a command, has no part in it.
+	// A task that is not assigned to the machine, such as from a copy of a command, is stopped.
 	if d := cmp.Diff([]string{"stop j-2/0"}, commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 0, workers.StateGathering, ""), gangTaskStatus(job, 2, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
-	// One of the two ends: the other is still there.
+	// The end of one of the two tasks does not end the other.
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseNoRoom), gangTaskStatus(job, 1, workers.StateFetching, ""))
 	if job.Assignments[0].Outcome != cluster.Retry || job.Assignments[1].Outcome != cluster.Open {
-		t.Error("an end was taken for that of another task")
+		t.Error("the end of one task was applied to another task")
 	}
 }
 
-// When one is lost, the others are told to stop at once, and nothing begins before
-// the last of them is off and its end durable.
+// When one task of a gang is lost, the others are stopped at once. No task is started again before
+// the last one has ended and its end is durable.
 func TestGangEndsTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 1, 2)
@@ -115,7 +115,7 @@
 	commandsAfterHeartbeat(leader, "m-2", now)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
-	leader.tasks.EndAllOn(leader.state.Machines.ByID["m-2"], "its lease is over")
+	leader.tasks.EndAllOn(leader.state.Machines.ByID["m-2"], "lease expired")
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))); d != "" {
 		t.Error(d)
 	}
@@ -123,23 +123,23 @@
 	leader.planner.Enqueue(job)
 	leader.plan(now)
 	if len(job.Assignments) != 2 {
-		t.Error("a task was begun while the others may still run")
+		t.Error("a task was assigned while others of the gang may still run")
 	}
 	first := job.Assignments[0].GangAttempt
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseMatesGone), gangTaskStatus(job, 1, workers.StateEnded, workers.CauseMatesGone))
 	leader.tasks.Remove(job.Assignments[0])
 	leader.plan(now)
 	if len(job.Assignments) != 1 {
-		t.Error("begun before the last end was durable")
+		t.Error("a task was assigned before the last end was durable")
 	}
 	leader.tasks.Remove(job.Assignments[1])
 	if a := leader.tasks.Assign(job, job.TakePendingTask(), leader.state.Machines.ByID["m-1"], now); a.GangAttempt == first || job.Pending.Count != 2 {
-		t.Errorf("the next attempt is %d, the last was %d; %d wait", a.GangAttempt, first, job.Pending.Count)
+		t.Errorf("the next gang attempt is %d, the last was %d; %d tasks are pending", a.GangAttempt, first, job.Pending.Count)
 	}
 }
 
-// A machine that does not answer is given up while a gang gathers: its mates would
-// hold their room until the workers give up waiting.
+// When a machine is declared dead while a gang gathers, the other tasks are stopped. They would
+// otherwise hold their capacity until the workers give up waiting.
 func TestGangGathersNoMore(t *testing.T) {
 	l, j, now := newLeaderWithGang()
 	makeBeginsDurable(l, j, 0, 1, 2)
@@ -150,8 +150,8 @@
 	}
 }
 
-// If one is done, all are: also when the end of another, by the loss of its mates,
-// came first, and whatever becomes of the rest.
+// When one task of a gang is done, all are, whatever becomes of the rest. That holds even if another
+// task was reported as ended by the loss of a gang member before.
 func TestGangDone(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 1, 2)
@@ -159,23 +159,23 @@
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseMatesGone), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	if job.Completions.Count != 0 || job.End.Complete {
-		t.Fatal("done by a loss")
+		t.Fatal("the loss of a gang member completed the job")
 	}
 	done := gangTaskStatus(job, 2, workers.StateEnded, workers.CauseDone)
 	if d := cmp.Diff([]string(nil), commandsAfterHeartbeat(leader, "m-2", now, done)); d != "" {
-		t.Errorf("before the job's end is durable: %s", d)
+		t.Errorf("commands before the job's end is durable: %s", d)
 	}
 	if job.Completions.Count != 3 || !job.End.Complete || leader.jobs.CompletedCount() != 1 {
-		t.Errorf("%d done, final %v, %d to be written", job.Completions.Count, job.End.Complete, leader.jobs.CompletedCount())
+		t.Errorf("%d tasks done, job complete %v, %d completed jobs to be written", job.Completions.Count, job.End.Complete, leader.jobs.CompletedCount())
 	}
 	b := leader.writer.Compose()
 	if a := job.Assignments[2]; !a.Log.EndInFlight || len(b.Writes) < 2 {
-		t.Error("the end of the task is not in the transaction that says that the job is done")
+		t.Error("the task's end is not in the transaction that completes the job")
 	}
 }
 
-// A gang that is stopped to save runs on in its heartbeats until all have saved: its
-// machine hears all the same.
+// The tasks of a gang that is stopped with time to save a checkpoint are reported as running until
+// all have saved. Their machine must not be taken for one that does not receive its commands.
 func TestGangSaves(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 1, 2)
@@ -188,9 +188,9 @@
 		}
 	}
 	if !leader.acceptsWork(leader.state.Machines.ByID["m-1"], now) {
-		t.Error("a machine whose tasks save is taken for one that does not hear")
+		t.Error("a machine whose tasks are saving accepts no work")
 	}
 	if a := job.Assignments[2]; !a.Stop.Requested || a.Stop.GraceS != 3 || !leader.state.Machines.ByID["m-2"].Commands.NotifyPending {
-		t.Error("a mate on another machine is not told at once, with time to save")
+		t.Error("the task on the other machine is not stopped at once with time to save")
 	}
 }
--- a/internal/leader/handle.go
+++ b/internal/leader/handle.go
@@ -13,22 +13,22 @@
 	"ospreyslip/internal/workers"
 )
 
-// ErrNotLeading means that this node does not lead, so that another has to be asked.
+// ErrNotLeading means that this controller is not the leader. The caller has to ask another one.
 var ErrNotLeading = errors.New("this node does not lead")
 
-// Handle is by what the rest of a controller reaches the leader, while this node has one. Its
-// methods may be called by any goroutine, but for Lead.
+// Handle gives the rest of a controller access to its leader while it leads. All methods but Lead
+// may be called from any goroutine.
 type Handle struct {
 	leader   atomic.Pointer[Leader]
-	resigned time.Time // when the last leader gave up its term; owned by the goroutine that leads
+	resigned time.Time // when the last leader here resigned; owned by the goroutine that calls Lead
 }
 
-// leasesBetweenResignations is for how many worker leases a leader that no worker reaches stays
-// after another one of this node has resigned for that.
+// leasesBetweenResignations is the number of worker leases that must pass after a leader of this
+// controller has resigned before another one may resign because no worker reaches it.
 const leasesBetweenResignations = 4
 
-// Lead does one term's work until the context ends, or the leader gives up its term. It returns
-// when all goroutines of the term have ended that are its duties.
+// Lead runs one term until ctx ends or the leader resigns. It returns after the goroutines that
+// follow the job records and poll the cloud have ended.
 func (h *Handle) Lead(ctx context.Context, deps Deps, term election.Term) {
 	l := newLeader(deps, term)
 	ctx, stop := context.WithCancel(ctx)
@@ -42,13 +42,13 @@
 	}()
 	after, err := newLoader(l).Load(ctx)
 	if err != nil {
-		slog.Info("records not read, resigning", "term", term.FencingToken, "reason", err)
+		slog.Info("cannot load records, resigning", "term", term.FencingToken, "reason", err)
 		return
 	}
 	duties.Go(func() { l.jobs.Follow(ctx, after) })
 	duties.Go(func() { l.scaler.PollList(ctx) })
-	// A leader that no worker reaches makes way for one that may be reached. It does so once in a
-	// while only: if all machines are really gone, nobody can be.
+	// A leader that no worker reaches resigns, because workers may reach another controller. It
+	// does so only from time to time: if all machines are gone, no controller can be reached.
 	l.loop.mayResign = time.Since(h.resigned) > leasesBetweenResignations*deps.Derived.Workers.Lease && len(deps.Settings.Peers) > 0
 	h.leader.Store(l)
 	l.run(ctx)
@@ -57,8 +57,8 @@
 	}
 }
 
-// HandleHeartbeat hands a heartbeat over and returns the answer. Nil means that this node has no
-// right, or no time, to answer.
+// HandleHeartbeat passes a heartbeat to the leader and returns the response. It returns nil if
+// there is no leader here, if the leader must not answer, or if ctx ends first.
 func (h *Handle) HandleHeartbeat(ctx context.Context, heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	l := h.leader.Load()
 	if l == nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// SeenRevision is up to which revision the leader has seen all changes of job records; 0 if there is
-// no leader here.
+// SeenRevision returns the revision up to which the leader has seen all changes to job records, or
+// 0 if there is no leader here.
 func (h *Handle) SeenRevision() uint64 {
 	if l := h.leader.Load(); l != nil {
 		return l.jobs.SeenRevision()
@@ -91,16 +91,17 @@
 	return 0
 }
 
-// ApplyPeerCancellations hands over all cancellations that users may have been told of by a moment
-// and that are newer than what the leader has seen.
+// ApplyPeerCancellations passes the leader all cancellations that users may have been told of by
+// the time by and that are newer than what the leader has seen.
 func (h *Handle) ApplyPeerCancellations(ctx context.Context, cancellations []jobs.Cancellation, by time.Time) {
 	if l := h.leader.Load(); l != nil {
 		l.post(ctx, func(time.Time) { l.jobs.ApplyPeerCancellations(cancellations, by) })
 	}
 }
 
-// call has a question answered by the leader's event loop. It fails with ErrNotLeading, or as the
-// context does.
+// call runs answer on the leader's event loop and returns the value that answer passes to reply.
+// It returns ErrNotLeading if there is no leader here or its event loop ends, and ctx.Err() if ctx
+// ends first.
 func call[T any](ctx context.Context, handle *Handle, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
 	l := handle.leader.Load()
 	if l == nil {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -11,7 +11,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// answerHeartbeat answers a worker, or returns nil if this node has no right to.
+// answerHeartbeat handles a worker's heartbeat and returns the response, or nil if this controller
+// must not answer it.
 func (l *Leader) answerHeartbeat(heartbeat *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
 	if heartbeat.FencingToken > l.fencing.Current {
 		l.recovery.CheckToken(heartbeat.FencingToken)
@@ -28,14 +29,14 @@
 		if !l.mayRenewLease(machine, seq, now) {
 			return nil
 		}
-		// Whoever gets an answer has its lease renewed by it.
+		// Every response renews the worker's lease.
 		machine.Worker.LeaseUntil, machine.Worker.NewestHeartbeat = now.Add(l.Derived.Workers.LeaseExpiry), seq
 	}
 	l.failover.HeartbeatAnswered(now)
 	if heartbeat.FencingToken < l.fencing.OfTerm {
-		// Sent before the worker heard of this term, or a copy of such a heartbeat that was under
-		// way for any length of time. It proves nothing; the answer brings the token, and with it
-		// a heartbeat that does.
+		// The worker sent this heartbeat before it knew of this term, or it is a copy of such a
+		// heartbeat with an arbitrary delay. It proves nothing. The response carries the current
+		// token, so that the worker's next heartbeat does.
 		return l.dispatcher.AnswerStale(heartbeat)
 	}
 	l.failover.MachineReported(heartbeat.Machine)
@@ -46,22 +47,24 @@
 	return l.dispatcher.Answer(machine)
 }
 
-// mayRenewLease tells whether a machine that is known may be answered.
+// mayRenewLease reports whether a heartbeat of a known machine may be answered, which renews its
+// worker's lease.
 func (l *Leader) mayRenewLease(machine *cluster.Machine, seq liveness.HeartbeatSeq, now time.Time) bool {
 	if machine.Phase == cluster.Releasing {
-		// Its release may take as long as an outage of the cloud. Unanswered, its tasks end with
-		// its lease; answered, they would run on, those of jobs cancelled meanwhile as well.
+		// A cloud outage can delay the release for as long as it lasts. Without a response the
+		// machine's tasks end with its lease. With one they would keep running, including those
+		// of jobs that have been cancelled since.
 		return false
 	}
 	if l.dispatcher.MayStartCancelled(machine, now) {
 		return false
 	}
-	// One from before a lease that has expired, or a late copy, renews nothing.
+	// A heartbeat from before an expired lease, or a late copy of one, renews nothing.
 	newest := machine.Worker.NewestHeartbeat
 	return seq.Session >= machine.Worker.Session && seq != newest && !seq.Before(newest)
 }
 
-// addReportedMachine adds a machine that was not known before its worker reported.
+// addReportedMachine adds a machine that this leader first learns of from a heartbeat.
 func (l *Leader) addReportedMachine(heartbeat *workers.Heartbeat, seq liveness.HeartbeatSeq, now time.Time) *cluster.Machine {
 	machine := cluster.NewMachine(heartbeat.Machine, now)
 	machine.Type, machine.Zone, machine.Spot, machine.Addr = heartbeat.Type, heartbeat.Zone, heartbeat.Spot, heartbeat.Addr
@@ -71,7 +74,7 @@
 	return machine
 }
 
-// takeInHeartbeat takes in a heartbeat of this term.
+// takeInHeartbeat applies a heartbeat that shows this term's fencing token.
 func (l *Leader) takeInHeartbeat(machine *cluster.Machine, heartbeat *workers.Heartbeat, seq liveness.HeartbeatSeq, now time.Time) {
 	if machine.Phase == cluster.Booting {
 		l.scaler.MachineUp(machine, now)
@@ -88,7 +91,7 @@
 	l.updateOffer(machine, now)
 }
 
-// isCancelled tells whether a job is known to be cancelled.
+// isCancelled reports whether a job is known to be cancelled.
 func (l *Leader) isCancelled(id string) bool {
 	if job := l.state.Jobs[id]; job != nil {
 		return job.End.Cancelled
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -12,9 +12,9 @@
 	"ospreyslip/internal/workers"
 )
 
-// A heartbeat that was held up on the way must not turn the observed state back: here the
-// task is being stopped, and an old heartbeat that does not show it yet would have
-// it placed elsewhere while it is still saving.
+// A delayed heartbeat must not revert the observed state. Here a task is being stopped, and an older
+// heartbeat does not show the task yet. If it were applied, the task would be placed elsewhere while
+// it is still saving its checkpoint.
 func TestOldReportsChangeNothing(t *testing.T) {
 	leader, machine, j, now := newTestLeader()
 	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
@@ -25,41 +25,41 @@
 	leader.answerHeartbeat(newHeartbeat(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
 	leader.answerHeartbeat(newHeartbeat(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
-		t.Error("an old report ended a task that is still saving")
+		t.Error("an old heartbeat ended a task that is still saving")
 	}
 	if machine.Worker.Seq != 5 || machine.Used.CPUs != 1 {
-		t.Errorf("picture at %d, %v CPUs taken", machine.Worker.Seq, machine.Used.CPUs)
+		t.Errorf("observed state of heartbeat %d, %v CPUs used", machine.Worker.Seq, machine.Used.CPUs)
 	}
-	// A heartbeat of an earlier session says nothing at all.
+	// A heartbeat of an earlier agent epoch proves nothing.
 	leader.answerHeartbeat(newHeartbeat(2, 1), now)
 	if leader.answerHeartbeat(newHeartbeat(1, 9), now) != nil {
-		t.Error("answered a session that is over")
+		t.Error("answered a heartbeat of an earlier agent epoch")
 	}
 }
 
-// A task's end is cleared once its completion is durable, and in answers only:
-// a run in an answer that is still on its way could follow a clear sent directly.
+// An ended task is cleared only after its completion is durable, and only in heartbeat responses. A
+// clear that is sent directly could be followed by a run from a response that is still in flight.
 func TestClearFollowsTheRecord(t *testing.T) {
 	leader, m, _, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
 	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
 	if calls := leader.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(calls) > 0 {
-		t.Errorf("before the completion is durable: %v", describeCommands(calls))
+		t.Errorf("commands before the completion is durable: %v", describeCommands(calls))
 	}
 	for _, a := range m.Assignments {
-		leader.tasks.Remove(a) // as after the write
+		leader.tasks.Remove(a) // as after the commit
 	}
 	if calls := leader.dispatcher.CommandsFor(m, false); len(calls) > 0 {
-		t.Errorf("by order: %v", describeCommands(calls))
+		t.Errorf("commands outside of a heartbeat response: %v", describeCommands(calls))
 	}
 	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
 
-// What nobody has assigned is stopped: another attempt of a job that is known, a job that
-// is over, what is no job's task at all. A task of a job that nobody knows is left alone:
-// its record may have been lost.
+// Orphaned tasks are stopped: another attempt of a known job's task, a task of a job that is over,
+// and a task whose name does not name a job. A task of an unknown job is left alone, because the
+// job's record may have been lost.
 func TestUnassignedTasksAreStopped(t *testing.T) {
 	l, _, _, now := newTestLeader()
 	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
@@ -77,27 +77,26 @@
 	}
 }
 
-// Who does not hold the term, has an old view of users' wishes, or meets a
-// worker that has seen a higher token, has no right to answer.
+// A controller must not answer a heartbeat if it does not hold the term, if its view of the job
+// records is stale, or if the worker has seen a higher fencing token.
 func TestNoRightToAnswer(t *testing.T) {
 	l, _, _, now := newTestLeader()
 	higher := newHeartbeat(1, 2)
 	higher.FencingToken = 6
 	if l.answerHeartbeat(higher, now) != nil {
-		t.Error("answered under a lower token than the worker has seen")
+		t.Error("answered with a lower token than the worker has seen")
 	}
 	if l.answerHeartbeat(newHeartbeat(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
-		t.Error("answered with a picture in which cancellations may be missing")
+		t.Error("answered with a stale view in which cancellations may be missing")
 	}
 	l.IsLeader = func() bool { return false }
 	if l.answerHeartbeat(newHeartbeat(1, 4), now) != nil {
-		t.Error("answered without the term")
+		t.Error("answered without holding the term")
 	}
 }
 
-// What a new leader hears first may be a copy of a heartbeat that was sent to an
-// earlier one, at any time. It proves nothing: not that the machine is there, not
-// that a task is not.
+// The first heartbeat that a new leader receives may be a copy, of any age, of one that was sent to
+// an earlier leader. It proves neither that the machine exists nor that a task is not on it.
 func TestReportsBeforeTheTerm(t *testing.T) {
 	leader, machine, job, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
@@ -105,26 +104,26 @@
 	old.FencingToken = 4
 	until := leader.Derived.Detection.SuspectAfter + time.Second
 	if a := leader.answerHeartbeat(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
-		t.Errorf("answered %+v, want the token and no commands", a)
+		t.Errorf("response %+v, want the token and no commands", a)
 	}
 	lease := machine.Worker.LeaseUntil
 	if leader.answerHeartbeat(old, now.Add(until+time.Second)) != nil || machine.Worker.LeaseUntil != lease {
-		t.Error("a copy of it renewed the lease once more")
+		t.Error("a copy of the heartbeat renewed the lease again")
 	}
 	if machine.Worker.Seq == 9 || job.Assignments[0] == nil || leader.detector.Schedulable("m-1", now.Add(until)) {
-		t.Error("an old report counted as news")
+		t.Error("a heartbeat of an earlier term was applied")
 	}
 	other := newHeartbeat(1, 3)
 	other.Machine, other.FencingToken = "m-2", 4
 	if leader.answerHeartbeat(other, now); leader.state.Machines.ByID["m-2"] != nil {
-		t.Error("a machine was taken in by an old report of it")
+		t.Error("a heartbeat of an earlier term added a machine")
 	}
 }
 
-// An answer to a heartbeat from before the term renews the worker's lease. It stops what is
-// cancelled there: were this leader to end before the next heartbeat, as in an outage that
-// follows a change of leaders, such a task would outlast the time of its cancellation.
-// (Found on the bench: ran_cancelled, by 0.5.0 with leaders that changed every ten seconds.)
+// The response to a heartbeat of an earlier term renews the worker's lease, so it has to stop tasks
+// of cancelled jobs. Otherwise such a task outlasts its cancel deadline if this leader fails before
+// the next heartbeat, as in an outage after a failover. Version 0.5.0 had this fault (ran_cancelled)
+// when the leader changed every ten seconds.
 func TestOldReportsOfCancelledTasks(t *testing.T) {
 	l, machine, j, now := newTestLeader()
 	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
@@ -138,30 +137,30 @@
 	old.FencingToken = 4
 	a := l.answerHeartbeat(old, now.Add(time.Second))
 	if a == nil || a.FencingToken != 5 || len(a.Commands) != 1 {
-		t.Fatalf("answered %+v, want one stop", a)
+		t.Fatalf("response %+v, want one stop command", a)
 	}
 	if c := a.Commands[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
-		t.Errorf("call %+v, want j-1/0 to stop at once", c)
+		t.Errorf("command %+v, want j-1/0 to stop at once", c)
 	}
 	if machine.Worker.Seq == 9 {
-		t.Error("an old report counted as news")
+		t.Error("a heartbeat of an earlier term was applied")
 	}
 }
 
-// A machine that was judged dead comes back while the cloud does not take it back.
-// Were its heartbeats answered, its tasks would run on, even those of cancelled jobs.
+// A machine that was declared dead reports again before the cloud has released it. If its heartbeats
+// were answered, its tasks would keep running, even those of cancelled jobs.
 func TestReturningMachinesAreNotAnswered(t *testing.T) {
 	l, m, _, now := newTestLeader()
 	l.answerHeartbeat(newHeartbeat(1, 2), now)
 	lease := m.Worker.LeaseUntil
 	m.Phase = cluster.Releasing
 	if l.answerHeartbeat(newHeartbeat(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
-		t.Error("its lease was renewed")
+		t.Error("the lease of a machine that is being released was renewed")
 	}
 }
 
-// A copy of a heartbeat that was answered renews no lease, wakes no dead machine
-// and sets no floor.
+// A copy of an answered heartbeat renews no lease, does not bring a dead machine back, and sets no
+// watermark.
 func TestCopiesOfReports(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
@@ -170,47 +169,47 @@
 	machine.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
 		if leader.answerHeartbeat(newHeartbeat(1, seq), now.Add(5*time.Second)) != nil {
-			t.Errorf("a copy of report %d was answered", seq)
+			t.Errorf("a copy of heartbeat %d was answered", seq)
 		}
 	}
 	if machine.Worker.LeaseUntil != lease || !machine.Health.Dead || machine.Worker.HeartbeatAt != now {
-		t.Error("a copy counted as a report")
+		t.Error("a copy of a heartbeat was applied")
 	}
-	// An answer to a command may overtake a heartbeat: that one is no copy.
+	// A command's response may overtake a heartbeat. That heartbeat is not a copy.
 	leader.tasks.Observe(machine, newHeartbeat(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if leader.answerHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || machine.Worker.Seq != 9 {
-		t.Error("a report that an answer overtook was not answered, or turned the picture back")
+		t.Error("an overtaken heartbeat was not answered, or reverted the observed state")
 	}
 }
 
-// Heartbeats of a machine arrive, our answers do not: what they ask for never
-// happens. It must not look healthy for ever.
+// The heartbeats of a machine arrive, but the responses to them are lost, so that its worker never
+// executes a command. Such a machine must not look healthy forever.
 func TestAnswersUnheeded(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
 	for seq := uint64(2); seq < 2+dispatch.MaxUndelivered+1; seq++ {
 		if calls := leader.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(calls) != 1 {
-			t.Fatalf("report %d: %v", seq, describeCommands(calls))
+			t.Fatalf("heartbeat %d: %v", seq, describeCommands(calls))
 		}
 	}
 	if leader.acceptsWork(machine, now) {
-		t.Error("a machine that does not hear is given work")
+		t.Error("a machine that receives no responses accepts work")
 	}
 	if calls, _ := leader.detector.Tick(now, 1); len(calls) != 1 {
-		t.Error("it is not called")
+		t.Error("the machine is not probed")
 	}
 	leader.probeReturned(machine, newHeartbeat(1, 20), nil, now)
 	if !leader.acceptsWork(machine, now) {
-		t.Error("it answers calls, but is given no work")
+		t.Error("a machine that answers probes accepts no work")
 	}
 	leader.answerHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	leader.answerHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if machine.Commands.UndeliveredAnswers != 0 || !leader.acceptsWork(machine, now) {
-		t.Error("a machine that does what it is told is suspected")
+		t.Error("a machine that executes its commands is suspect")
 	}
 }
 
-// A machine that will be taken keeps what may still complete in time. What can not
-// begins anew elsewhere at once: it would be found lost only after the notice.
+// A spot machine with a termination notice keeps the tasks that may complete in time. Other tasks
+// are started elsewhere at once; otherwise their loss would be noticed only after the notice period.
 func TestNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -219,9 +218,9 @@
 		inS   float64
 		moved bool
 	}{
-		{"just begun", jobs.Batch, 1, 10, true},
+		{"just started", jobs.Batch, 1, 10, true},
 		{"nearly over", jobs.Batch, 29, 20, false},
-		{"just begun, long notice", jobs.Batch, 1, 60, false},
+		{"just started, long notice", jobs.Batch, 1, 60, false},
 		{"a service", jobs.Service, 100, 10, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -236,13 +235,13 @@
 			leader.jobs.Loaded(now, leader.jobs.SeenRevision())
 			leader.answerHeartbeat(r, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
-				t.Errorf("stopped: %v", a.Stop.Requested)
+				t.Errorf("stop requested: %v", a.Stop.Requested)
 			}
-			// Not heard of after the notice, it is taken, and given back at once.
+			// A machine that is silent after the notice period is gone and is released at once.
 			leader.catalog.Types = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
 			leader.scale(t.Context(), machine.Health.NoticeUntil.Add(time.Millisecond))
 			if machine.Phase != cluster.Releasing {
-				t.Error("not given back when its notice was over")
+				t.Error("not released after the notice period")
 			}
 		})
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader is the leader: one goroutine owns what is known of jobs and
-// machines, and everything it decides is durable before a worker hears of it.
+// Package leader implements the elected leader of the cluster. One goroutine owns the state of all
+// jobs and machines, and every decision is durable before a worker is told of it.
 package leader
 
 import (
@@ -28,28 +28,28 @@
 	"ospreyslip/internal/workers"
 )
 
-// Deps is what a leader works with.
+// Deps holds the dependencies of a leader.
 type Deps struct {
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Store    *kvstore.Client
 	Cloud    *cloud.Client
 	Workers  *workers.Client
-	IsLeader func() bool // holds the term at this moment
-	// PeerLeasesRequestedAt is when the peer leases were asked for that keep the term in an outage;
-	// they came from all other nodes.
+	IsLeader func() bool // reports whether this controller holds the term now
+	// PeerLeasesRequestedAt returns when the last peer leases were requested that all peers
+	// granted. They keep the term during an outage of the store.
 	PeerLeasesRequestedAt func() time.Time
-	TokenRaised           func(token uint64) // told of a token raised within the term
+	TokenRaised           func(token uint64) // called after the token is raised within the term
 	Broadcast             func(map[string]jobs.Counts, []peer.JobChange)
 	MachineTypes          func() []jobs.MachineType
 	Counts                *Counts
-	Cache                 *jobcache.Cache // what this node knows of all jobs
+	Cache                 *jobcache.Cache // what this controller knows of all jobs
 	Peers                 recoverer.PeerClient
 	Node                  string
 }
 
-// Leader is one term's work. One goroutine, the event loop, owns all of it but the inbox and what
-// is atomic; Gate hands it what others ask for.
+// Leader does the work of one term. One goroutine, the event loop, owns all of it but the inbox
+// and atomic values. Other goroutines reach it through Handle.
 type Leader struct {
 	Deps
 	term    election.Term
@@ -74,7 +74,7 @@
 	loop loopState
 }
 
-// newLeader makes a leader that knows of nothing yet.
+// newLeader returns a leader that has not loaded any records yet.
 func newLeader(deps Deps, term election.Term) *Leader {
 	l := &Leader{
 		Deps: deps, term: term, state: cluster.NewState(), inbox: newInbox(),
@@ -95,7 +95,7 @@
 	return l
 }
 
-// detectorConfig is what the failure detector goes by.
+// detectorConfig returns the configuration of the failure detector.
 func detectorConfig(derived settings.Derived, importance func(machine string) int) liveness.Config {
 	return liveness.Config{
 		SuspectAfter: derived.Detection.SuspectAfter, LeaseExpiry: derived.Workers.LeaseExpiry,
@@ -105,12 +105,12 @@
 	}
 }
 
-// logConfig is the limits of the assignment log.
+// logConfig returns the limits of the assignment log.
 func logConfig(derived settings.Derived) assignmentlog.Config {
 	return assignmentlog.Config{ChunkTasks: derived.Store.ChunkTasks, MaxOps: derived.Store.TxnOps, ValueBytes: derived.Store.ValueBytes}
 }
 
-// plannerConfig is what plans go by.
+// plannerConfig returns the configuration of the planner.
 func plannerConfig(deps Deps) planner.Config {
 	return planner.Config{
 		Teams: deps.Settings.Deployment.Teams, Objectives: deps.Settings.Deployment.Objectives,
@@ -119,8 +119,10 @@
 	}
 }
 
-// attemptBits is how many attempts a token has numbers for: no other term uses them.
+// attemptBits is the number of low bits of an attempt number that count attempts. The bits above
+// hold the fencing token, so that no two terms use the same number.
 const attemptBits = 24
 
-// smallZone is the size of a zone that the operators' gap between verdicts is for.
+// smallZone is the number of machines in a zone for which the operators' verdict interval allows
+// one verdict. Larger zones have proportionally more.
 const smallZone = 20
--- a/internal/leader/log_compatibility_test.go
+++ b/internal/leader/log_compatibility_test.go
@@ -22,9 +22,9 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// readAsVersion030 reads the assignment log as version 0.3.0 does, which may lead at any time of
-// an upgrade: the order of segments, which of them overrule which, and the fields that it knows.
-// It describes what is on machines and what is done as durableRecords does.
+// readAsVersion030 reads the assignment log as version 0.3.0 does: with its order and precedence of
+// segments and the fields that it knows. A controller of that version may lead at any time during an
+// upgrade. The result describes assignments and completed tasks in the form of durableRecords.
 func readAsVersion030(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
 	t.Helper()
 	type segmentRecord struct {
@@ -89,8 +89,8 @@
 	return out
 }
 
-// readProductionRecords reads the records that a production deployment wrote on a day on which it
-// lost its leader, the jobs in them, and what was on its machines at that moment.
+// readProductionRecords returns the records that a production deployment wrote on a day on which its
+// leader failed, the jobs in them, and the tasks that were on its machines at that moment.
 func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
@@ -122,8 +122,8 @@
 	return pairs, specs, world
 }
 
-// What production wrote is read, and continued within the limits to come; what is
-// written then, production reads as it was meant.
+// The leader reads the records that a production deployment wrote, and continues the assignment log
+// within the store's upcoming lower limits. Version 0.3.0 reads the result as it was meant.
 func TestContinuesProduction(t *testing.T) {
 	discardLogs(t)
 	pairs, specs, world := readProductionRecords(t)
@@ -138,11 +138,11 @@
 	for _, line := range world {
 		task, m, on := strings.Cut(line, " on ")
 		if a := leader.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
-			t.Errorf("%s, and the book does not say so", line)
+			t.Errorf("%s is missing in the assignment log", line)
 		}
 	}
 	if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
-		t.Errorf("production reads it otherwise: %s", d)
+		t.Errorf("version 0.3.0 reads the log differently: %s", d)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	for step := range 150 {
@@ -153,9 +153,9 @@
 		}
 		leader.writer.Committed(b, store.revision)
 		if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
-			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
+			t.Fatalf("step %d: version 0.3.0 reads the log differently: %s", step, d)
 		}
-		if step%40 == 39 { // and leads for a while: its segments are as large as it likes
+		if step%40 == 39 { // a leader with the old limits writes larger segments for a while
 			store.maxValueBytes, store.maxOps = 32<<10, 12
 			leader = newLeaderFromLog(store, uint64(6+step), specs)
 			for range 5 {
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -16,12 +16,12 @@
 	"ospreyslip/internal/workers"
 )
 
-// lostFleetSize is the number of machines of the test below.
+// lostFleetSize is the number of machines in TestAdoptionAtScale.
 const lostFleetSize = 4000
 
-// The assignment log of 4,000 machines is lost with the leader. The next one, which reads
-// the jobs and no task, adopts what each worker reports: nothing is stopped, nothing begun
-// meanwhile, and at the end of the leases all is accounted for.
+// The assignment log of 4,000 machines is lost together with the leader. The next leader loads the
+// jobs but no assignments, and adopts the tasks that the workers report. It stops no task and starts
+// none meanwhile, and every task is accounted for once the leases have expired.
 func TestAdoptionAtScale(t *testing.T) {
 	l, reports, now := newFullFleet(t, lostFleetSize)
 	spec := *l.state.Jobs["j-7"].Spec
@@ -33,7 +33,7 @@
 	next.state.Jobs[spec.ID] = job
 	next.recovery.ReportLoss(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
 	if !next.recovery.AwaitsWorkers(job, now) {
-		t.Fatal("tasks would be placed before those that run are known")
+		t.Fatal("tasks would be placed before the running ones are known")
 	}
 	began := time.Now()
 	for _, r := range reports {
@@ -41,26 +41,26 @@
 		r.Seq++
 		answer := next.answerHeartbeat(r, now)
 		if answer == nil {
-			t.Fatalf("%s is not answered", r.Machine)
+			t.Fatalf("the heartbeat of %s is not answered", r.Machine)
 		}
 		for _, c := range answer.Commands {
 			if c.Op != workers.OpClear {
-				t.Fatalf("%s is told: %s %s", r.Machine, c.Op, c.Task)
+				t.Fatalf("%s gets the command %s %s", r.Machine, c.Op, c.Task)
 			}
 		}
 	}
-	t.Logf("%d reports with adoption: %v", len(reports), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d heartbeats with adoption: %v", len(reports), time.Since(began).Round(time.Millisecond))
 	if len(job.Assignments) != lostFleetSize || job.Pending.Count != spec.Tasks-lostFleetSize {
-		t.Errorf("%d of %d tasks adopted, %d wait", len(job.Assignments), lostFleetSize, job.Pending.Count)
+		t.Errorf("%d of %d tasks adopted, %d pending", len(job.Assignments), lostFleetSize, job.Pending.Count)
 	}
 	next.recovery.EndAdoptions(now.Add(next.Derived.Workers.LeaseExpiry))
 	if next.recovery.Status().Adopting > 0 || job.Spec.Shape != jobs.Batch {
-		t.Error("still waiting after every lease has ended")
+		t.Error("still adopting tasks after every lease has expired")
 	}
 }
 
-// The segment that said that a task's first attempt is over was lost: the log has two of it.
-// The task waits again only when both are off their machines, and then once.
+// The segment that recorded the end of a task's first attempt is lost, so the log shows two attempts
+// of one task. The task is pending again only after both have ended, and then only once.
 func TestTaskTwiceInALogWithAHole(t *testing.T) {
 	for _, firstEnds := range []int{0, 1} {
 		l, _, j, now := newTestLeader()
@@ -81,18 +81,18 @@
 		}
 		newLoader(next).Restore(next.readLog(segments), nil, now)
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
-			t.Fatalf("%d wait, %d are placed", job.Pending.Count, len(job.Assignments))
+			t.Fatalf("%d tasks pending, %d placed", job.Pending.Count, len(job.Assignments))
 		}
 		both := []*cluster.Assignment{next.state.Machines.ByID["m-1"].Assignments[1], next.state.Machines.ByID["m-2"].Assignments[2]}
 		for i, a := range []*cluster.Assignment{both[firstEnds], both[1-firstEnds]} {
 			next.tasks.End(a, cluster.Retry)
 			next.tasks.Remove(a)
 			if want := 1 + i; job.Pending.Count != want {
-				t.Errorf("after %d of two has ended, %d tasks wait, want %d", i+1, job.Pending.Count, want)
+				t.Errorf("after the end of %d of two attempts: %d tasks pending, want %d", i+1, job.Pending.Count, want)
 			}
 		}
 		if len(job.Assignments) != 0 {
-			t.Errorf("%d still placed", len(job.Assignments))
+			t.Errorf("%d tasks still placed", len(job.Assignments))
 		}
 	}
 }
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -6,7 +6,7 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// plan places pending tasks on the state as it is.
+// plan makes a plan for the present state, and applies its preemptions and placements.
 func (l *Leader) plan(now time.Time) {
 	defer func() { l.planner.Finished(time.Since(now)) }()
 	plan := l.planner.Plan(now)
@@ -18,12 +18,12 @@
 	}
 }
 
-// acceptsWork tells whether work may go to a machine.
+// acceptsWork reports whether tasks may be placed on a machine.
 func (l *Leader) acceptsWork(machine *cluster.Machine, now time.Time) bool {
 	return machine.Phase == cluster.Up && !machine.Health.Dead && !machine.Health.Draining && machine.Worker.Session != 0 && machine.Worker.Token <= l.fencing.Current && l.detector.Schedulable(machine.ID, now)
 }
 
-// updateOffer offers a machine to placement while it takes work.
+// updateOffer makes a machine available for placement if it accepts work, and withdraws it if not.
 func (l *Leader) updateOffer(machine *cluster.Machine, now time.Time) {
 	if !l.acceptsWork(machine, now) {
 		l.planner.Capacity.Withdraw(machine)
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -12,9 +12,9 @@
 	"ospreyslip/internal/leader/transaction"
 )
 
-// A machine of an earlier leader takes work from its first heartbeat on. What waits has
-// to be planned for then: it found no room before, and nothing else may happen for
-// long. (Found with real processes: a job waited until the next one came.)
+// A machine from an earlier term accepts work from its first heartbeat to this leader on. That
+// heartbeat has to request a plan, because pending jobs found no capacity before and no other event
+// may follow for a long time. Without it, a job waited until the next job was submitted.
 func TestPlansWhenAMachineReports(t *testing.T) {
 	leader, _, _, now := newTestLeader()
 	leader.catalog.Types = func() []jobs.MachineType {
@@ -23,21 +23,21 @@
 	restoreMachine(t, leader, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
 	leader.plan(now)
 	if leader.planner.Requested {
-		t.Fatal("a plan is wanted before anything has happened")
+		t.Fatal("a plan is requested before any event")
 	}
 	r := newHeartbeat(1, 7)
 	r.Machine = "m-9"
 	if leader.answerHeartbeat(r, now); !leader.planner.Requested {
-		t.Error("no plan when it takes work")
+		t.Error("no plan requested when a machine starts to accept work")
 	}
 	leader.plan(now)
 	r.Seq++
 	if leader.answerHeartbeat(r, now); leader.planner.Requested {
-		t.Error("a plan after a report without news")
+		t.Error("a plan requested by an unchanged heartbeat")
 	}
 }
 
-// A transaction that is rejected as it is says nothing of an outage: planning goes on.
+// A transaction that the store rejects as invalid is no sign of an outage, so planning continues.
 func TestRejectedIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _, _, now := newTestLeader()
@@ -45,12 +45,12 @@
 		l.inbox.events = make(chan func(time.Time), 1)
 		l.writer.Returned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.mayBegin(now) {
-			t.Error("plans while nothing can be made durable")
+			t.Error("planning continues while nothing can be made durable")
 		}
 		l.readLog(nil)
 		l.writer.Returned(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
 		if !l.mayBegin(now) {
-			t.Error("plans no more")
+			t.Error("planning stopped after a rejected transaction")
 		}
 		synctest.Wait()
 	})
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -13,8 +13,8 @@
 	"ospreyslip/internal/liveness"
 )
 
-// A probe that fails since this process has no socket left says nothing of its machine: it
-// is made again, and confirms no death. One that its machine does not answer does.
+// A probe that fails because this process is out of sockets proves nothing about the machine: it is
+// repeated and confirms no death. A probe that the machine does not answer confirms its death.
 func TestCallWithoutASocket(t *testing.T) {
 	noSocket := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	for _, tc := range []struct {
@@ -33,14 +33,14 @@
 			now = now.Add(3 * time.Second) // m-1 is silent
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 2}, now)
 			if calls, _ := l.detector.Tick(now, 9); len(calls) != 1 || calls[0] != m.ID {
-				t.Fatalf("calls: %v", calls)
+				t.Fatalf("probes: %v", calls)
 			}
 			l.probeReturned(m, nil, tc.err, now)
 			now = now.Add(500 * time.Millisecond)
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 3}, now)
 			calls, verdicts := l.detector.Tick(now, 9)
 			if dead := len(verdicts) > 0; dead != tc.dead || (len(calls) == 1) == tc.dead {
-				t.Errorf("calls again: %v, verdicts: %v", calls, verdicts)
+				t.Errorf("repeated probes: %v, verdicts: %v", calls, verdicts)
 			}
 		})
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -11,10 +11,10 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// This file connects the recovery of lost records, package recoverer, with the rest of the
-// leader: what the recovery is given, and what other goroutines ask of it.
+// This file connects package recoverer, which recovers lost records, with the rest of the leader:
+// the recovery's configuration and the requests of other goroutines to it.
 
-// recoveryConfig is what the recovery of this leader works with.
+// recoveryConfig returns the configuration of the leader's recovery.
 func recoveryConfig(l *Leader) recoverer.Config {
 	return recoverer.Config{
 		Settings: l.Settings, Derived: l.Derived, Node: l.Node, Term: l.term, AttemptBits: attemptBits,
@@ -27,7 +27,7 @@
 	}
 }
 
-// recoverRecords does what is due about lost records.
+// recoverRecords does the recovery work that is due at a tick.
 func (l *Leader) recoverRecords(ctx context.Context, now time.Time) {
 	l.recovery.EndAdoptions(now)
 	if l.loop.tickGroup == 0 {
@@ -36,8 +36,9 @@
 	l.recovery.Advance(ctx, now)
 }
 
-// tokenRaised takes in that a raise is durable. If it was for a token that was lost, this
-// term begins with the raised one: reports and numbers below it are of earlier terms.
+// tokenRaised applies a raise of the fencing token that is now durable. If the raise replaces a
+// token that the store has lost, this term begins with the raised token: heartbeats and attempt
+// numbers below it belong to earlier terms.
 func (l *Leader) tokenRaised() {
 	l.TokenRaised(l.fencing.Current)
 	if l.fencing.RaiseAbove < l.fencing.OfTerm {
@@ -48,13 +49,14 @@
 	for _, machine := range l.state.Machines.All {
 		for _, assignment := range machine.Assignments {
 			if assignment.Start.InDoubtToken != 0 {
-				assignment.Start.InDoubtToken = l.fencing.Current - 1 // a command under any earlier token may still arrive
+				// A command under any earlier token may still arrive.
+				assignment.Start.InDoubtToken = l.fencing.Current - 1
 			}
 		}
 	}
 }
 
-// RecoveryPhase is how far the recovery of the leader on duty here is; Whole if there is none.
+// RecoveryPhase returns the recovery phase of this controller's leader, or Whole if there is none.
 func (h *Handle) RecoveryPhase() recoverer.Phase {
 	if l := h.leader.Load(); l != nil {
 		return l.recovery.Phase()
@@ -62,14 +64,15 @@
 	return recoverer.Whole
 }
 
-// StoreRolledBack tells whether records may say less than users were told, as far as the leader on
-// duty here knows.
+// StoreRolledBack reports whether this controller's leader knows that records may lack changes that
+// were acknowledged to users.
 func (h *Handle) StoreRolledBack() bool {
 	l := h.leader.Load()
 	return l != nil && l.recovery.RolledBack()
 }
 
-// ReportLoss hands evidence of a loss to the leader on duty, and tells whether there is one.
+// ReportLoss passes evidence of lost records to this controller's leader, and reports whether there
+// is one.
 func (h *Handle) ReportLoss(loss detection.Evidence) bool {
 	l := h.leader.Load()
 	if l == nil {
@@ -79,14 +82,15 @@
 	return true
 }
 
-// Recovery returns the state of the recovery, from the leader on duty here. It fails with
-// ErrNotLeading if there is none.
+// Recovery returns the recovery status of this controller's leader. It returns ErrNotLeading if
+// there is none.
 func (h *Handle) Recovery(ctx context.Context) (recoverer.Status, error) {
 	return call(ctx, h, func(l *Leader, _ time.Time, reply func(recoverer.Status)) { reply(l.recovery.Status()) })
 }
 
-// Settle decides a held job as an operator says, unless that contradicts proof. It returns when
-// the job's record is durable, and fails with ErrNotLeading or as recoverer.Recoverer.Settle does.
+// Settle applies an operator's decision about a held job, unless proof contradicts it. It returns
+// when the job's record is durable. It fails with ErrNotLeading, an error of ctx, or one that
+// recoverer.Recoverer.Settle documents.
 func (h *Handle) Settle(ctx context.Context, id string, as recovery.Settlement) error {
 	outcome, err := call(ctx, h, func(l *Leader, now time.Time, reply func(error)) {
 		l.recovery.Settle(ctx, id, as, now, reply)
@@ -94,8 +98,8 @@
 	return errors.Join(err, outcome)
 }
 
-// Import takes in a part of a snapshot. It fails with ErrNotLeading or as
-// recoverer.Recoverer.Import does.
+// Import imports a part of a snapshot. It fails with ErrNotLeading, an error of ctx, or one that
+// recoverer.Recoverer.Import documents.
 func (h *Handle) Import(ctx context.Context, in recoverer.Import) (recoverer.Imported, error) {
 	type answer struct {
 		recoverer.Imported
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -7,7 +7,7 @@
 	"ospreyslip/internal/leader/scaler"
 )
 
-// newScaler makes the scaler of a leader, with what it needs of the other parts.
+// newScaler returns the scaler of a leader, connected to the leader's other parts.
 func newScaler(l *Leader) *scaler.Scaler {
 	return scaler.New(scaler.Deps{
 		Settings: l.Settings,
@@ -21,7 +21,7 @@
 	})
 }
 
-// scale releases and rents machines, if it is time for that.
+// scale provisions and releases machines when that is due.
 func (l *Leader) scale(ctx context.Context, now time.Time) {
 	if l.scaler.IsDue(now) {
 		l.scaler.Reconcile(ctx, now, l.planner.Unmet)
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -31,9 +31,9 @@
 	return peer.LostJobsResponse{}, peer.ErrNoResponse
 }
 
-// newTestLeader makes a leader of a term with token 5, with a machine m-1 that has reported and a
-// job j-1 of two tasks, the first of which is durably assigned to the machine. No goroutine of the
-// leader runs, and its cloud and key-value store do not answer.
+// newTestLeader returns a leader whose term has fencing token 5. Machine m-1 has reported, and the
+// first of two tasks of job j-1 is durably assigned to it. No goroutine of the leader runs, and its
+// cloud and key-value store do not answer.
 func newTestLeader() (*Leader, *cluster.Machine, *cluster.Job, time.Time) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
@@ -61,12 +61,12 @@
 	return leader, m, j, now
 }
 
-// readLog begins the assignment log anew with stored segments, and drops what is queued for it.
+// readLog reloads the assignment log from stored segments and drops what is queued for it.
 func (l *Leader) readLog(stored []kvstore.KeyValue) []assignmentlog.StoredSegment {
 	return l.log.Load(logConfig(l.Derived), stored)
 }
 
-// restoreMachine has the leader restore a machine from a segment of the assignment log.
+// restoreMachine makes the leader restore a machine from a segment of the assignment log.
 func restoreMachine(t *testing.T, l *Leader, record assignmentlog.MachineRecord, now time.Time) {
 	t.Helper()
 	value, err := json.Marshal(assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{record}})
@@ -77,12 +77,12 @@
 	newLoader(l).Restore(l.readLog(stored), nil, now)
 }
 
-// newHeartbeat is a heartbeat of machine m-1 in a session of its worker, under the term's token.
+// newHeartbeat returns a heartbeat of machine m-1 with the given agent epoch and the term's token.
 func newHeartbeat(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
 	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: 5, Tasks: tasks}
 }
 
-// describeCommands returns the operation and the task of each command.
+// describeCommands returns the operation and the task name of each command.
 func describeCommands(calls []workers.Command) (out []string) {
 	for _, c := range calls {
 		out = append(out, c.Op+" "+c.Task)
@@ -90,12 +90,12 @@
 	return out
 }
 
-// roundTripFunc is a network as one function that answers requests.
+// roundTripFunc implements http.RoundTripper by a function.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// silentNetwork is one on which no request is answered.
+// silentNetwork is a transport on which no request is answered.
 var silentNetwork = roundTripFunc(func(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -10,22 +10,22 @@
 	"ospreyslip/internal/reconcile"
 )
 
-// Status is the leader's view, for operators.
+// Status is the leader's view of the cluster, for operators.
 type Status struct {
 	Term       uint64          `json:"term"`
 	Token      uint64          `json:"token"`
-	PictureS   float64         `json:"pictureS"` // age of the picture of users' wishes
+	PictureS   float64         `json:"pictureS"` // age of the view of the job records
 	Held       bool            `json:"held"`
 	Disrupted  bool            `json:"disrupted"`
-	WriteQueue int             `json:"writeQueue"` // records that wait to be written
+	WriteQueue int             `json:"writeQueue"` // number of records that wait to be written
 	Machines   []MachineStatus `json:"machines"`
 	Classes    []ClassStatus   `json:"classes"`
 	Teams      []TeamStatus    `json:"teams"`
-	// Takeover is how far this leader is with finding out what runs.
+	// Takeover is the progress of the failover to this leader.
 	Takeover reconcile.Progress `json:"takeover"`
 }
 
-// MachineStatus is one machine.
+// MachineStatus is the status of one machine.
 type MachineStatus struct {
 	ID      string  `json:"id"`
 	Type    string  `json:"type"`
@@ -34,11 +34,11 @@
 	State   string  `json:"state"`
 	Session uint64  `json:"session"`
 	Tasks   int     `json:"tasks"`
-	CPUs    float64 `json:"cpus"` // taken by tasks that are, or may be, there
+	CPUs    float64 `json:"cpus"` // used by tasks that are, or may be, on the machine
 	Doubt   bool    `json:"doubt"`
 }
 
-// ClassStatus is the queue of one class.
+// ClassStatus sums up the unfinished jobs of one class.
 type ClassStatus struct {
 	Class   string `json:"class"`
 	Jobs    int    `json:"jobs"`
@@ -47,14 +47,15 @@
 	Done    int    `json:"done"`
 }
 
-// TeamStatus is what one team uses.
+// TeamStatus is the resource usage of one team.
 type TeamStatus struct {
 	Team string  `json:"team"`
 	CPUs float64 `json:"cpus"`
 	GPUs float64 `json:"gpus"`
 }
 
-// Status returns the view of the leader on duty, or nil if there is none here.
+// Status returns the view of this controller's leader. It returns nil if there is none, or if ctx
+// ends first.
 func (h *Handle) Status(ctx context.Context) *Status {
 	status, err := call(ctx, h, func(l *Leader, now time.Time, reply func(*Status)) { reply(l.status(now)) })
 	if err != nil {
@@ -119,7 +120,7 @@
 	return statuses
 }
 
-// stateOf is the state of a machine as operators see it.
+// stateOf returns the state of a machine as operators see it.
 func (l *Leader) stateOf(machine *cluster.Machine, now time.Time) string {
 	switch {
 	case machine.Phase == cluster.Booting:
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -10,11 +10,11 @@
 	"ospreyslip/internal/reconcile"
 )
 
-// tick does what is due without anything having happened.
+// tick does the work that depends on time rather than on events.
 func (l *Leader) tick(ctx context.Context, now time.Time) {
-	// A process that stood still for longer than its term finds all machines idle and silent when
-	// it goes on, while its successor is at work on them: it must not release them before its
-	// elector has noticed.
+	// A process that was paused for longer than its term sees all machines as idle and silent when
+	// it resumes, although its successor is using them. It must not release them before its
+	// elector notices that the term is over.
 	if !l.IsLeader() {
 		return
 	}
@@ -29,13 +29,13 @@
 	l.broadcastUpdate(now)
 }
 
-// lookAtMachines goes through one group of the machines, so that each has its turn once in a
-// control interval.
+// lookAtMachines checks one group of machines, so that each machine is checked once per control
+// interval.
 func (l *Leader) lookAtMachines(now time.Time) {
 	l.loop.tickGroup = (l.loop.tickGroup + 1) % cluster.TickGroups
 	for machine := range l.state.Machines.Groups[l.loop.tickGroup] {
 		l.dispatcher.AnnounceToSilent(machine, now)
-		l.updateOffer(machine, now) // what has fallen silent takes no work
+		l.updateOffer(machine, now) // a machine that has fallen silent accepts no work
 		if machine.ExpireAvoidance(now) {
 			l.planner.Requested = true
 		}
@@ -45,9 +45,9 @@
 	}
 }
 
-// expireLeases ends what a worker's own lease has ended by now. Leases only grow longer, and each
-// is set to the same time from then on: none that is set after a look at all of them ends before
-// the first of these.
+// expireLeases ends all assignments on machines whose worker's lease has expired. Leases are only
+// extended, always to LeaseExpiry from the present time. So none expires before the earliest expiry
+// that the last scan found, or LeaseExpiry after that scan, and no scan is needed until then.
 func (l *Leader) expireLeases(now time.Time) {
 	if now.Before(l.loop.nextLeaseExpiry) {
 		return
@@ -65,7 +65,7 @@
 		}
 		l.tasks.EndAllOn(machine, string(decision.Reason))
 		l.failover.MachineGone(machine.ID)
-		// Whatever still comes from the old session is out of date.
+		// Anything that still arrives from the expired agent epoch is out of date.
 		if worker.Session != 0 {
 			worker.Session, worker.Seq, worker.Tasks = worker.Session+1, 0, nil
 			machine.Commands.InDoubtSince = time.Time{}
@@ -81,7 +81,7 @@
 	return b
 }
 
-// drainStragglers drains machines that run tasks much slower than others.
+// drainStragglers drains machines that run tasks much more slowly than other machines.
 func (l *Leader) drainStragglers(now time.Time) {
 	for _, machine := range l.state.Machines.All {
 		if machine.Phase == cluster.Up && len(machine.Assignments) > 0 && l.tasks.DrainStraggler(machine, now) {
@@ -90,8 +90,9 @@
 	}
 }
 
-// resignIfUnreached makes way for a leader that workers may reach. What is known to be lost is
-// durable first: the next leader would wait a whole lease for it once more.
+// resignIfUnreached resigns if no worker reaches this leader, because workers may reach another
+// controller. It waits until known task losses are durable: the next leader would otherwise wait a
+// whole lease for each of them again.
 func (l *Leader) resignIfUnreached() {
 	if l.detector.FullDisruption() && l.loop.mayResign && l.writer.IsIdle() {
 		slog.Info("resigning", "term", l.fencing.Current, "reason", "no machine of any zone reports here")
@@ -99,7 +100,8 @@
 	}
 }
 
-// broadcastUpdate tells other controllers from time to time what has changed.
+// broadcastUpdate sends the other controllers task counts and job changes, every half control
+// interval at most.
 func (l *Leader) broadcastUpdate(now time.Time) {
 	if now.Sub(l.loop.broadcastAt) > l.Derived.Leader.ControlInterval/2 {
 		l.loop.broadcastAt = now
@@ -107,7 +109,7 @@
 	}
 }
 
-// productionTasks is how many production tasks a machine has.
+// productionTasks returns the number of production tasks on a machine.
 func (l *Leader) productionTasks(id string) int {
 	if machine := l.state.Machines.ByID[id]; machine != nil {
 		return tasks.ProductionTasks(machine)
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -19,7 +19,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// The leader marks a machine that the estimator finds slow, so that no more work is placed on it.
+// The leader marks a machine that the estimator finds to be a straggler, so that no more tasks are
+// placed on it.
 func TestStragglersAreMarked(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		l, m, j, now := newTestLeader()
@@ -32,13 +33,13 @@
 		}
 		l.drainStragglers(now)
 		if m.Offer.Straggler != slow {
-			t.Errorf("slow: %v, odds %.1f", m.Offer.Straggler, l.runTimes.StragglerLogOdds(m, now))
+			t.Errorf("straggler: %v, log odds %.1f", m.Offer.Straggler, l.runTimes.StragglerLogOdds(m, now))
 		}
 	}
 }
 
-// What the cloud lists no more is mostly gone: it is probed at once, unless it
-// has reported since the list was asked for, or never was in a list.
+// A machine that the cloud no longer lists is probably gone and is probed at once, unless it has
+// reported since the list was requested or was never listed.
 func TestUnlistedMachinesAreCalled(t *testing.T) {
 	leader, _, _, now := newTestLeader()
 	for _, id := range []string{"m-2", "m-3"} {
@@ -58,9 +59,9 @@
 	}
 }
 
-// A leader that stood still for longer than its term must not act on what it
-// finds when it goes on: all machines look idle for long, while the next leader
-// has work on them. It gave a hundred of them back.
+// A leader that was paused for longer than its term must not act on its state when it resumes. All
+// machines look long idle to it, while the next leader has tasks on them. Such a leader once
+// released a hundred of them.
 func TestStoodStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, machine, j, now := newTestLeader()
@@ -81,9 +82,9 @@
 		ctx, stop := context.WithCancel(t.Context())
 		leader.tick(ctx, now.Add(leader.Derived.Workers.Lease))
 		if machine.Phase != cluster.Up {
-			t.Error("a machine was given back")
+			t.Error("a machine was released")
 		}
-		// What had begun before is not sent any more either.
+		// A release that began before is not sent to the cloud any more either.
 		leader.scaler.Release(ctx, machine)
 		synctest.Wait()
 		if asked > 0 {
@@ -93,34 +94,34 @@
 	})
 }
 
-// The answer to a command tells of a worker's next session before its old lease is over by
-// the leader's clock: the last heartbeat was long under way. What begins in the new session
-// is not taken for lost with the old one, or it would run twice. (Found by TestTroublesMeet,
-// seed 1255.)
+// The response to a command shows a worker's next agent epoch before the old lease has expired by
+// the leader's clock, because the last heartbeat was delayed. A task that starts in the new epoch
+// must not be taken for lost when the old lease expires, or it would run twice. (Seed 1255 of
+// internal/controller/fault_combinations_test.go.)
 func TestNewSessionSeenByAnOrder(t *testing.T) {
 	leader, m, j, now := newTestLeader()
 	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	leader.tasks.Observe(m, newHeartbeat(2, 1), at(19))
 	if old.Outcome == cluster.Open {
-		t.Fatal("the old session's task goes on")
+		t.Fatal("the task of the old agent epoch is still open")
 	}
 	a := leader.tasks.Assign(j, 1, m, at(19.1))
 	a.Log.Durable, a.Start.Sent = true, true
 	leader.tasks.Observe(m, newHeartbeat(2, 2, workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}), at(19.2))
-	leader.expireLeases(at(21)) // by which the old lease is over, by any clock
+	leader.expireLeases(at(21)) // the old lease has expired by any clock
 	if a.Outcome != cluster.Open {
-		t.Error("lost with the old lease, while the new session runs on")
+		t.Error("a task of the new agent epoch was ended with the old lease")
 	}
 	leader.expireLeases(at(40))
 	if a.Outcome == cluster.Open {
-		t.Error("no lease lasts for ever")
+		t.Error("the task is still open after the new lease has expired")
 	}
 }
 
-// A look at all machines for leases that are over is due only when one can be. Whatever
-// comes in between (heartbeats, new machines, new sessions), each lease ends in the first
-// tick after its time.
+// All machines are scanned for expired leases only when a lease can have expired. Whatever happens
+// in between (heartbeats, new machines, new agent epochs), each lease ends in the first tick after
+// its expiry.
 func TestLeasesEndInTime(t *testing.T) {
 	leader, _, _, start := newTestLeader()
 	leader.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
@@ -141,7 +142,7 @@
 		leader.expireLeases(now)
 		for _, m := range leader.state.Machines.All {
 			if m.Phase == cluster.Up && now.After(m.Worker.LeaseUntil) {
-				t.Fatalf("%v: the lease of %s was over %v ago", now.Sub(start), m.ID, now.Sub(m.Worker.LeaseUntil))
+				t.Fatalf("%v: the lease of %s expired %v ago", now.Sub(start), m.ID, now.Sub(m.Worker.LeaseUntil))
 			}
 		}
 	}
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -18,24 +18,25 @@
 	"ospreyslip/internal/workers"
 )
 
-// This file connects the parts of a leader: what each is given, and what it may ask of the others.
-// A part never gets the leader itself, only an interface that it defines.
+// This file connects the parts of a leader: the dependencies of each part and its access to the
+// other parts. No part is given the Leader itself, only an interface that the part defines.
 
-// loopHost is the event loop as the parts see it whose requests come back to it.
+// loopHost gives parts with asynchronous requests access to the event loop, which handles the
+// results.
 type loopHost struct{ l *Leader }
 
-// IsLeader tells whether leadership is held at this moment.
+// IsLeader reports whether this controller holds the term now.
 func (h loopHost) IsLeader() bool { return h.l.IsLeader() }
 
-// Post has a function called on the event loop.
+// Post queues apply for the event loop.
 func (h loopHost) Post(ctx context.Context, apply func(now time.Time)) { h.l.post(ctx, apply) }
 
-// PostAfter does so after a while.
+// PostAfter posts apply after delay.
 func (h loopHost) PostAfter(ctx context.Context, delay time.Duration, apply func()) {
 	h.l.postAfter(ctx, delay, apply)
 }
 
-// taskDeps is what the manager of assignments works with.
+// taskDeps returns the dependencies of the task manager.
 func taskDeps(l *Leader) tasks.Deps {
 	return tasks.Deps{
 		Derived: l.Derived, Catalog: l.catalog, Fencing: l.fencing, Log: l.log, Planner: l.planner,
@@ -43,7 +44,7 @@
 	}
 }
 
-// taskHost is the leader as its manager of assignments sees it.
+// taskHost implements tasks.Host.
 type taskHost struct{ l *Leader }
 
 var _ tasks.Host = taskHost{}
@@ -57,7 +58,7 @@
 	return h.l.recovery.AwaitsWorkers(job, now)
 }
 
-// dispatchDeps is what the dispatcher of commands works with.
+// dispatchDeps returns the dependencies of the command dispatcher.
 func dispatchDeps(l *Leader) dispatch.Deps {
 	return dispatch.Deps{
 		Derived: l.Derived, Client: l.Workers, State: l.state, Catalog: l.catalog, Fencing: l.fencing,
@@ -65,7 +66,7 @@
 	}
 }
 
-// dispatchHost is the leader as its dispatcher sees it.
+// dispatchHost implements dispatch.Host.
 type dispatchHost struct{ loopHost }
 
 var _ dispatch.Host = dispatchHost{}
@@ -76,7 +77,7 @@
 	return h.l.recovery.LeaveAlone(machine, task)
 }
 
-// trackerDeps is what the tracker of jobs works with.
+// trackerDeps returns the dependencies of the job tracker.
 func trackerDeps(l *Leader) jobtracker.Deps {
 	return jobtracker.Deps{
 		Derived: l.Derived, Store: l.Store, Cache: l.Cache, Counts: l.Counts, State: l.state, Fencing: l.fencing,
@@ -84,7 +85,7 @@
 	}
 }
 
-// writerDeps is what the writer of records works with.
+// writerDeps returns the dependencies of the record writer.
 func writerDeps(l *Leader) writer.Deps {
 	return writer.Deps{
 		Derived: l.Derived, Store: l.Store, Term: l.term, State: l.state, Fencing: l.fencing, Log: l.log,
@@ -92,7 +93,7 @@
 	}
 }
 
-// writerHost is the leader as its writer sees it.
+// writerHost implements writer.Host.
 type writerHost struct{ loopHost }
 
 var _ writer.Host = writerHost{}
@@ -100,7 +101,7 @@
 func (h writerHost) TokenRaised() { h.l.tokenRaised() }
 func (h writerHost) Resign()      { h.l.loop.resigns = true }
 
-// newLoader makes what fills the parts with what the records say.
+// newLoader returns the loader that fills the leader's parts from the records.
 func newLoader(l *Leader) *loader.Loader {
 	return &loader.Loader{
 		Derived: l.Derived, LogConfig: logConfig(l.Derived), Store: l.Store, Cache: l.Cache, State: l.state,
@@ -109,7 +110,7 @@
 	}
 }
 
-// planConstraints is the leader as its planner sees it.
+// planConstraints implements planner.Constraints.
 type planConstraints struct{ l *Leader }
 
 var _ planner.Constraints = planConstraints{}
@@ -126,7 +127,7 @@
 	c.l.recovery.AddHeldUsage(usedByTeam)
 }
 
-// scalerHost is the leader as its scaler sees it.
+// scalerHost implements scaler.Host.
 type scalerHost struct{ l *Leader }
 
 func (h scalerHost) Term() uint64 { return h.l.fencing.OfTerm }
@@ -160,7 +161,7 @@
 
 func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
 
-// recoveryCalls is the leader as its recovery sees it.
+// recoveryCalls implements recoverer.Leader.
 type recoveryCalls struct{ l *Leader }
 
 var _ recoverer.Leader = recoveryCalls{}
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -13,8 +13,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// A heartbeat without news costs the same in a fleet of any size, and asks for no
-// plan, no write and no command. Counted, not timed.
+// An unchanged heartbeat costs the same number of allocations in a fleet of any size, and causes no
+// plan, no write and no command.
 func TestWorkPerReport(t *testing.T) {
 	cost := func(size int) float64 {
 		l, reports, now := newFullFleet(t, size)
@@ -23,12 +23,12 @@
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, reports[20], now) })
 		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
-			t.Errorf("a report without news, in a fleet of %d, has more to come of it", size)
+			t.Errorf("an unchanged heartbeat in a fleet of %d causes a plan, a write or a command", size)
 		}
 		return n
 	}
 	if few, many := cost(25), cost(largestFleet); few != many {
-		t.Errorf("%v allocations a report in a fleet of 25, %v in one of %d", few, many, largestFleet)
+		t.Errorf("%v allocations per heartbeat in a fleet of 25, %v in one of %d", few, many, largestFleet)
 	}
 }
 
@@ -40,7 +40,8 @@
 	}
 }
 
-// BenchmarkPlan places one job's tasks that find no room, and one that does.
+// BenchmarkPlan plans for 100 pending tasks of one job. One of them fits on the idle machine, the
+// others find no capacity.
 func BenchmarkPlan(b *testing.B) {
 	leader, reports, now := newFullFleet(b, largestFleet)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
@@ -60,7 +61,7 @@
 	}
 }
 
-// BenchmarkPlanFull plans for a hundred jobs that wait for room on full machines.
+// BenchmarkPlanFull plans for a hundred jobs that wait for capacity while all machines are full.
 func BenchmarkPlanFull(b *testing.B) {
 	l, _, now := newFullFleet(b, 400)
 	for i := range 100 {
@@ -75,8 +76,8 @@
 	}
 }
 
-// BenchmarkPlanGang looks for room for a gang of 16 in three zones in vain, and for
-// work that could make room for it.
+// BenchmarkPlanGang searches three zones in vain for capacity for a gang of 16 tasks, and for tasks
+// whose preemption would free it.
 func BenchmarkPlanGang(b *testing.B) {
 	l, _, now := newFullFleet(b, largestFleet)
 	spec := &jobs.Spec{ID: "j-8", Class: "joint", Team: "red", Shape: jobs.Gang, Priority: jobs.Urgent, Tasks: 16, CPUs: 5, RAMGB: 8, EstimatedRuntimeS: 30, Image: "img", OneZone: true}
@@ -91,8 +92,8 @@
 	}
 }
 
-// A tick in which nothing waits and nothing has happened sets no memory aside for any
-// machine, in a control interval in which each has its turn.
+// A tick without pending tasks and events allocates no memory per machine. The test runs over control
+// intervals, in each of which every machine is checked.
 func TestWorkPerTick(t *testing.T) {
 	cost := func(size int) float64 {
 		l, _, now := newFullFleet(t, size)
@@ -104,23 +105,22 @@
 		})
 	}
 	if few, many := cost(25), cost(largestFleet); many > few+5 {
-		t.Errorf("%v allocations a tick in a fleet of 25, %v in one of %d", few, many, largestFleet)
+		t.Errorf("%v allocations per tick in a fleet of 25, %v in one of %d", few, many, largestFleet)
 	}
 }
 
-// BenchmarkTick looks after all machines while nothing happens, a fleet that is
-// planned for anew among it.
+// BenchmarkTick runs ticks over all machines without events, including a run of the scaler in each.
 func BenchmarkTick(b *testing.B) {
 	l, _, now := newFullFleet(b, largestFleet)
 	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
-	l.scaler.DeferRentals(now.Add(time.Hour)) // nothing is rented
+	l.scaler.DeferRentals(now.Add(time.Hour)) // no machine is provisioned
 	for b.Loop() {
 		l.tick(b.Context(), now)
 		l.scaler.Reconcile(b.Context(), now, l.planner.Unmet) // in each tick, as if it were due
 	}
 }
 
-// BenchmarkTakeOver reads a log of all machines.
+// BenchmarkTakeOver loads an assignment log that names all machines.
 func BenchmarkTakeOver(b *testing.B) {
 	leader, _, now := newFullFleet(b, largestFleet)
 	segments := writeLog(leader)
