--- a/internal/leader/announcement_test.go
+++ b/internal/leader/announcement_test.go
@@ -15,8 +15,8 @@
 // once only to machines that it needs: here one with free capacity and one with a task of a
 // cancelled job. A machine that has not reported after AnnounceDelay gets a command too, at any
 // cost, because its worker may be unable to reach a controller.
-func TestAnnouncedAtTakeOver(t *testing.T) {
-	leader, reports, now := newFullFleet(t, 12) // one task uses all CPUs of each machine
+func TestFailoverNotifiesNeededAndSilentMachines(t *testing.T) {
+	leader, heartbeats, now := newFullFleet(t, 12) // one task uses all CPUs of each machine
 	small := &jobs.Spec{ID: "j-8", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 12, CPUs: 1, RAMGB: 1, EstimatedRuntimeS: 30}
 	cancelled := &jobs.Spec{ID: "j-9", Class: "sums", Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 4, RAMGB: 1, EstimatedRuntimeS: 30}
 	for i, spec := range []*jobs.Spec{small, cancelled} {
@@ -56,7 +56,7 @@
 	if got := notifyPending(); len(got) != 0 {
 		t.Errorf("notified before the announce delay was over: %v", got)
 	}
-	for _, r := range reports[:10] {
+	for _, r := range heartbeats[:10] {
 		r.FencingToken = 6
 		r.Seq++
 		next.answerHeartbeat(r, now)
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -171,7 +171,7 @@
 
 // A new leader reads exactly what is durable after any sequence of transactions: no end is undone
 // and no assignment is lost. Segment sizes change on the way, responses are lost, and leaders fail.
-func TestLogOverMixedSegmentSizes(t *testing.T) {
+func TestAssignmentLogWithMixedSegmentSizes(t *testing.T) {
 	const limitsFallAt, steps = 60, 240
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -8,18 +8,18 @@
 
 // Counts holds the task counts of each job that users are shown. It is safe for concurrent use.
 type Counts struct {
-	mu sync.RWMutex
-	m  map[string]jobs.Counts
+	mu    sync.RWMutex
+	byJob map[string]jobs.Counts
 }
 
 // NewCounts returns an empty Counts.
-func NewCounts() *Counts { return &Counts{m: map[string]jobs.Counts{}} }
+func NewCounts() *Counts { return &Counts{byJob: map[string]jobs.Counts{}} }
 
 // Get returns a job's counts and reports whether there are any.
 func (c *Counts) Get(id string) (jobs.Counts, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	v, ok := c.m[id]
+	v, ok := c.byJob[id]
 	return v, ok
 }
 
@@ -27,29 +27,29 @@
 func (c *Counts) Set(id string, v jobs.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.m[id] = v
+	c.byJob[id] = v
 }
 
 // Drop removes a job's counts.
 func (c *Counts) Drop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.m, id)
+	delete(c.byJob, id)
 }
 
 // Replace replaces all counts with those that a leader has broadcast, and keeps the map.
-func (c *Counts) Replace(machine map[string]jobs.Counts) {
+func (c *Counts) Replace(counts map[string]jobs.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.m = machine
+	c.byJob = counts
 }
 
 // nonZero returns the counts of all jobs whose counts are not zero.
 func (c *Counts) nonZero() map[string]jobs.Counts {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	out := make(map[string]jobs.Counts, len(c.m))
-	for id, v := range c.m {
+	out := make(map[string]jobs.Counts, len(c.byJob))
+	for id, v := range c.byJob {
 		if v != (jobs.Counts{}) {
 			out[id] = v
 		}
@@ -60,5 +60,5 @@
 func (c *Counts) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.m)
+	clear(c.byJob)
 }
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -10,22 +10,22 @@
 
 // Capacities of the event loop's channels. A sender blocks while its channel is full.
 const (
-	heartbeatQueue = 16
-	eventQueue     = 64
+	heartbeatQueueSize = 16
+	eventQueueSize     = 64
 )
 
 // inbox carries heartbeats and events from other goroutines to the event loop.
 type inbox struct {
 	heartbeats chan heartbeatRequest
 	events     chan func(now time.Time) // I/O results and queries; the event loop calls each function
-	quit       chan struct{}            // closed after the event loop has ended
+	done       chan struct{}            // closed after the event loop has ended
 }
 
 func newInbox() inbox {
 	return inbox{
-		heartbeats: make(chan heartbeatRequest, heartbeatQueue),
-		events:     make(chan func(time.Time), eventQueue),
-		quit:       make(chan struct{}),
+		heartbeats: make(chan heartbeatRequest, heartbeatQueueSize),
+		events:     make(chan func(time.Time), eventQueueSize),
+		done:       make(chan struct{}),
 	}
 }
 
@@ -43,7 +43,7 @@
 	broadcastAt     time.Time // time of the latest update to the other controllers
 	probesInFlight  int
 	mayResign       bool // whether the leader may resign if it receives no heartbeats
-	resigns         bool // the leader gives up the term
+	resigning       bool // the leader gives up the term
 }
 
 // run executes the event loop until ctx ends or the leader resigns.
@@ -62,10 +62,10 @@
 			l.tick(ctx, time.Now())
 		}
 		l.drainInbox()
-		if ctx.Err() != nil || l.loop.resigns {
+		if ctx.Err() != nil || l.loop.resigning {
 			return
 		}
-		l.act(ctx, time.Now())
+		l.planWriteAndSend(ctx, time.Now())
 	}
 }
 
@@ -84,19 +84,19 @@
 	}
 }
 
-// act makes a plan if one is due, starts the next transaction and sends the commands that cannot
-// wait for a heartbeat.
-func (l *Leader) act(ctx context.Context, now time.Time) {
-	if l.planner.IsDue(now) && l.mayBegin(now) {
+// planWriteAndSend makes a plan if one is due, starts the next transaction and sends the commands
+// that cannot wait for a heartbeat.
+func (l *Leader) planWriteAndSend(ctx context.Context, now time.Time) {
+	if l.planner.IsDue(now) && l.canPersistWork(now) {
 		l.plan(now)
 	}
 	l.writer.WriteNext(ctx, now)
 	l.dispatcher.Send(ctx, now)
 }
 
-// mayBegin reports whether new work can be made durable. While it cannot, a plan would preempt
+// canPersistWork reports whether new work can be made durable. While it cannot, a plan would preempt
 // tasks to free capacity in which nothing can be placed.
-func (l *Leader) mayBegin(now time.Time) bool {
+func (l *Leader) canPersistWork(now time.Time) bool {
 	return !l.writer.StoreUnavailable() && now.Sub(l.PeerLeasesRequestedAt()) > l.Derived.Election.LeaseDuration
 }
 
@@ -106,11 +106,11 @@
 	select {
 	case l.inbox.events <- apply:
 	case <-ctx.Done():
-	case <-l.inbox.quit:
+	case <-l.inbox.done:
 	}
 }
 
-// postAfter returns at once and posts apply after delay.
+// postAfter returns at once and posts apply after delay, unless ctx ends first.
 func (l *Leader) postAfter(ctx context.Context, delay time.Duration, apply func()) {
 	go func() {
 		select {
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -24,29 +24,29 @@
 
 // mayPreempt reports whether tasks of other jobs may be preempted for job. After a failover,
 // machines that have not reported yet may have free capacity, so a job preempts only after it
-// has waited for preemptionBound.
+// has waited for preemptionDelay.
 func (l *Leader) mayPreempt(job *cluster.Job, now time.Time) bool {
 	if !l.failover.AwaitsCapacity(now) {
 		return true // the common case: it differs only in the first seconds of a term
 	}
-	return l.failover.MayPreempt(now, job.Scheduling.LastServedAt, l.preemptionBound(job))
+	return l.failover.MayPreempt(now, job.Scheduling.LastServedAt, l.preemptionDelay(job))
 }
 
-// preemptionBound returns how long a job waits after a failover before tasks of other jobs are
+// preemptionDelay returns how long a job waits after a failover before tasks of other jobs are
 // preempted for it. Production does not wait, because its users notice each second. A job with a
 // wait objective or within a guarantee waits for planner.PatienceShare of the time in which it
 // should start. Other jobs wait until the machines that have not reported are overdue.
-func (l *Leader) preemptionBound(job *cluster.Job) time.Duration {
+func (l *Leader) preemptionDelay(job *cluster.Job) time.Duration {
 	if job.Spec.Priority == jobs.Prod {
 		return 0
 	}
-	bound := l.Derived.Detection.HeartbeatOverdue
+	delay := l.Derived.Detection.HeartbeatOverdue
 	for _, objective := range l.Settings.Deployment.Objectives {
-		toStart := objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class
-		byGuarantee := objective.Kind == settings.ObjectiveGuarantee && job.Scheduling.WithinGuarantee && job.Spec.Shape == jobs.Batch
-		if toStart || byGuarantee {
-			bound = min(bound, cluster.ScaleDuration(time.Second, planner.PatienceShare*objective.WithinS))
+		hasWaitObjective := objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class
+		hasGuarantee := objective.Kind == settings.ObjectiveGuarantee && job.Scheduling.WithinGuarantee && job.Spec.Shape == jobs.Batch
+		if hasWaitObjective || hasGuarantee {
+			delay = min(delay, cluster.ScaleDuration(time.Second, planner.PatienceShare*objective.WithinS))
 		}
 	}
-	return cluster.ScaleDuration(bound, l.Settings.Operator.TakeoverPatience)
+	return cluster.ScaleDuration(delay, l.Settings.Operator.TakeoverPatience)
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -34,12 +34,12 @@
 	addr := machine.Addr // copied, because a heartbeat may change it during the probe
 	go func() {
 		heartbeat, err := l.Workers.Probe(ctx, addr)
-		l.post(ctx, func(now time.Time) { l.probeReturned(machine, heartbeat, err, now) })
+		l.post(ctx, func(now time.Time) { l.handleProbeResult(machine, heartbeat, err, now) })
 	}()
 }
 
-// probeReturned handles the result of a probe.
-func (l *Leader) probeReturned(machine *cluster.Machine, heartbeat *workers.Heartbeat, err error, now time.Time) {
+// handleProbeResult handles the result of a probe.
+func (l *Leader) handleProbeResult(machine *cluster.Machine, heartbeat *workers.Heartbeat, err error, now time.Time) {
 	l.loop.probesInFlight--
 	if workers.OutOfSockets(err) {
 		l.detector.ProbeNotSent(machine.ID, now) // it proves nothing about the machine
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -48,7 +48,7 @@
 	spec := &jobs.Spec{ID: "j-7", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: size + 100, CPUs: 4, RAMGB: 8, EstimatedRuntimeS: 30, Spot: true, Image: "img"}
 	j := cluster.NewJob(spec.ID, spec, 1, 0, now)
 	leader.state.Jobs[j.ID] = j
-	var reports []*workers.Heartbeat
+	var heartbeats []*workers.Heartbeat
 	for i := range size {
 		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
 		leader.answerHeartbeat(r, now)
@@ -57,9 +57,9 @@
 		r.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
 		r.Seq++
 		leader.answerHeartbeat(r, now)
-		reports = append(reports, r)
+		heartbeats = append(heartbeats, r)
 	}
-	return leader, reports, now
+	return leader, heartbeats, now
 }
 
 // repeatHeartbeat sends the leader a worker's next heartbeat with unchanged content.
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -75,7 +75,7 @@
 
 // No task of a gang is started before the assignments of all its tasks are durable. All tasks share
 // one gang attempt number, so two tasks on one machine are distinguished by name.
-func TestGangGoesTogether(t *testing.T) {
+func TestGangStartsTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 2)
 	if d := cmp.Diff([]string(nil), commandsAfterHeartbeat(leader, "m-1", now)); d != "" {
@@ -140,7 +140,7 @@
 
 // When a machine is declared dead while a gang gathers, the other tasks are stopped. They would
 // otherwise hold their capacity until the workers give up waiting.
-func TestGangGathersNoMore(t *testing.T) {
+func TestGatheringGangStopsWhenMachineDies(t *testing.T) {
 	l, j, now := newLeaderWithGang()
 	makeBeginsDurable(l, j, 0, 1, 2)
 	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 1, workers.StateGathering, ""))
@@ -152,7 +152,7 @@
 
 // When one task of a gang is done, all are, whatever becomes of the rest. That holds even if another
 // task was reported as ended by the loss of a gang member before.
-func TestGangDone(t *testing.T) {
+func TestGangCompletesTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 1, 2)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
@@ -176,7 +176,7 @@
 
 // The tasks of a gang that is stopped with time to save a checkpoint are reported as running until
 // all have saved. Their machine must not be taken for one that does not receive its commands.
-func TestGangSaves(t *testing.T) {
+func TestGangSavesBeforeItEnds(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
 	makeBeginsDurable(leader, job, 0, 1, 2)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
--- a/internal/leader/handle.go
+++ b/internal/leader/handle.go
@@ -32,27 +32,27 @@
 func (h *Handle) Lead(ctx context.Context, deps Deps, term election.Term) {
 	l := newLeader(deps, term)
 	ctx, stop := context.WithCancel(ctx)
-	var duties sync.WaitGroup
+	var goroutines sync.WaitGroup
 	defer func() {
 		h.leader.CompareAndSwap(l, nil)
 		stop()
-		close(l.inbox.quit)
-		duties.Wait()
+		close(l.inbox.done)
+		goroutines.Wait()
 		deps.Counts.clear()
 	}()
-	after, err := newLoader(l).Load(ctx)
+	loadedRevision, err := newLoader(l).Load(ctx)
 	if err != nil {
 		slog.Info("cannot load records, resigning", "term", term.FencingToken, "reason", err)
 		return
 	}
-	duties.Go(func() { l.jobs.Follow(ctx, after) })
-	duties.Go(func() { l.scaler.PollList(ctx) })
+	goroutines.Go(func() { l.jobs.Follow(ctx, loadedRevision) })
+	goroutines.Go(func() { l.scaler.PollList(ctx) })
 	// A leader that no worker reaches resigns, because workers may reach another controller. It
 	// does so only from time to time: if all machines are gone, no controller can be reached.
 	l.loop.mayResign = time.Since(h.resigned) > leasesBetweenResignations*deps.Derived.Workers.Lease && len(deps.Settings.Peers) > 0
 	h.leader.Store(l)
 	l.run(ctx)
-	if l.loop.resigns {
+	if l.loop.resigning {
 		h.resigned = time.Now()
 	}
 }
@@ -67,7 +67,7 @@
 	request := heartbeatRequest{heartbeat, make(chan *workers.HeartbeatResponse, 1)}
 	select {
 	case l.inbox.heartbeats <- request:
-	case <-l.inbox.quit:
+	case <-l.inbox.done:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -75,7 +75,7 @@
 	select {
 	case response := <-request.reply:
 		return response
-	case <-l.inbox.quit:
+	case <-l.inbox.done:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -99,10 +99,10 @@
 	}
 }
 
-// call runs answer on the leader's event loop and returns the value that answer passes to reply.
-// It returns ErrNotLeading if there is no leader here or its event loop ends, and ctx.Err() if ctx
-// ends first.
-func call[T any](ctx context.Context, handle *Handle, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
+// callEventLoop runs answer on the leader's event loop and returns the value that answer passes to
+// reply. It returns ErrNotLeading if there is no leader here or its event loop ends, and ctx.Err()
+// if ctx ends first.
+func callEventLoop[T any](ctx context.Context, handle *Handle, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
 	l := handle.leader.Load()
 	if l == nil {
 		return out, ErrNotLeading
@@ -110,7 +110,7 @@
 	replies := make(chan T, 1)
 	select {
 	case l.inbox.events <- func(now time.Time) { answer(l, now, func(reply T) { replies <- reply }) }:
-	case <-l.inbox.quit:
+	case <-l.inbox.done:
 		return out, ErrNotLeading
 	case <-ctx.Done():
 		return out, ctx.Err()
@@ -118,7 +118,7 @@
 	select {
 	case out = <-replies:
 		return out, nil
-	case <-l.inbox.quit:
+	case <-l.inbox.done:
 		return out, ErrNotLeading
 	case <-ctx.Done():
 		return out, ctx.Err()
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -43,7 +43,7 @@
 	if machine == nil {
 		machine = l.addReportedMachine(heartbeat, seq, now)
 	}
-	l.takeInHeartbeat(machine, heartbeat, seq, now)
+	l.applyHeartbeat(machine, heartbeat, seq, now)
 	return l.dispatcher.Answer(machine)
 }
 
@@ -74,8 +74,8 @@
 	return machine
 }
 
-// takeInHeartbeat applies a heartbeat that shows this term's fencing token.
-func (l *Leader) takeInHeartbeat(machine *cluster.Machine, heartbeat *workers.Heartbeat, seq liveness.HeartbeatSeq, now time.Time) {
+// applyHeartbeat applies a heartbeat that shows a fencing token of this term.
+func (l *Leader) applyHeartbeat(machine *cluster.Machine, heartbeat *workers.Heartbeat, seq liveness.HeartbeatSeq, now time.Time) {
 	if machine.Phase == cluster.Booting {
 		l.scaler.MachineUp(machine, now)
 	}
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -15,7 +15,7 @@
 // A delayed heartbeat must not revert the observed state. Here a task is being stopped, and an older
 // heartbeat does not show the task yet. If it were applied, the task would be placed elsewhere while
 // it is still saving its checkpoint.
-func TestOldReportsChangeNothing(t *testing.T) {
+func TestDelayedHeartbeatsChangeNothing(t *testing.T) {
 	leader, machine, j, now := newTestLeader()
 	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
@@ -39,18 +39,18 @@
 
 // An ended task is cleared only after its completion is durable, and only in heartbeat responses. A
 // clear that is sent directly could be followed by a run from a response that is still in flight.
-func TestClearFollowsTheRecord(t *testing.T) {
+func TestClearAfterDurableCompletion(t *testing.T) {
 	leader, m, _, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
 	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
-	if calls := leader.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(calls) > 0 {
-		t.Errorf("commands before the completion is durable: %v", describeCommands(calls))
+	if commands := leader.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(commands) > 0 {
+		t.Errorf("commands before the completion is durable: %v", describeCommands(commands))
 	}
 	for _, a := range m.Assignments {
 		leader.tasks.Remove(a) // as after the commit
 	}
-	if calls := leader.dispatcher.CommandsFor(m, false); len(calls) > 0 {
-		t.Errorf("commands outside of a heartbeat response: %v", describeCommands(calls))
+	if commands := leader.dispatcher.CommandsFor(m, false); len(commands) > 0 {
+		t.Errorf("commands outside of a heartbeat response: %v", describeCommands(commands))
 	}
 	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
@@ -60,7 +60,7 @@
 // Orphaned tasks are stopped: another attempt of a known job's task, a task of a job that is over,
 // and a task whose name does not name a job. A task of an unknown job is left alone, because the
 // job's record may have been lost.
-func TestUnassignedTasksAreStopped(t *testing.T) {
+func TestOrphanedTasksAreStopped(t *testing.T) {
 	l, _, _, now := newTestLeader()
 	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
 	l.answerHeartbeat(newHeartbeat(1, 2), now)
@@ -79,7 +79,7 @@
 
 // A controller must not answer a heartbeat if it does not hold the term, if its view of the job
 // records is stale, or if the worker has seen a higher fencing token.
-func TestNoRightToAnswer(t *testing.T) {
+func TestHeartbeatsThatMustNotBeAnswered(t *testing.T) {
 	l, _, _, now := newTestLeader()
 	higher := newHeartbeat(1, 2)
 	higher.FencingToken = 6
@@ -97,7 +97,7 @@
 
 // The first heartbeat that a new leader receives may be a copy, of any age, of one that was sent to
 // an earlier leader. It proves neither that the machine exists nor that a task is not on it.
-func TestReportsBeforeTheTerm(t *testing.T) {
+func TestHeartbeatsOfEarlierTerms(t *testing.T) {
 	leader, machine, job, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
 	old := newHeartbeat(1, 9)
@@ -124,7 +124,7 @@
 // of cancelled jobs. Otherwise such a task outlasts its cancel deadline if this leader fails before
 // the next heartbeat, as in an outage after a failover. Version 0.5.0 had this fault (ran_cancelled)
 // when the leader changed every ten seconds.
-func TestOldReportsOfCancelledTasks(t *testing.T) {
+func TestEarlierTermHeartbeatStopsCancelledTasks(t *testing.T) {
 	l, machine, j, now := newTestLeader()
 	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
 	l.state.Jobs[live.ID] = live
@@ -149,7 +149,7 @@
 
 // A machine that was declared dead reports again before the cloud has released it. If its heartbeats
 // were answered, its tasks would keep running, even those of cancelled jobs.
-func TestReturningMachinesAreNotAnswered(t *testing.T) {
+func TestReleasingMachinesAreNotAnswered(t *testing.T) {
 	l, m, _, now := newTestLeader()
 	l.answerHeartbeat(newHeartbeat(1, 2), now)
 	lease := m.Worker.LeaseUntil
@@ -161,7 +161,7 @@
 
 // A copy of an answered heartbeat renews no lease, does not bring a dead machine back, and sets no
 // watermark.
-func TestCopiesOfReports(t *testing.T) {
+func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
 	leader.answerHeartbeat(newHeartbeat(1, 2), now)
 	leader.answerHeartbeat(newHeartbeat(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
@@ -184,20 +184,20 @@
 
 // The heartbeats of a machine arrive, but the responses to them are lost, so that its worker never
 // executes a command. Such a machine must not look healthy forever.
-func TestAnswersUnheeded(t *testing.T) {
+func TestLostHeartbeatResponses(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
 	for seq := uint64(2); seq < 2+dispatch.MaxUndelivered+1; seq++ {
-		if calls := leader.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(calls) != 1 {
-			t.Fatalf("heartbeat %d: %v", seq, describeCommands(calls))
+		if commands := leader.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(commands) != 1 {
+			t.Fatalf("heartbeat %d: %v", seq, describeCommands(commands))
 		}
 	}
 	if leader.acceptsWork(machine, now) {
 		t.Error("a machine that receives no responses accepts work")
 	}
-	if calls, _ := leader.detector.Tick(now, 1); len(calls) != 1 {
+	if probes, _ := leader.detector.Tick(now, 1); len(probes) != 1 {
 		t.Error("the machine is not probed")
 	}
-	leader.probeReturned(machine, newHeartbeat(1, 20), nil, now)
+	leader.handleProbeResult(machine, newHeartbeat(1, 20), nil, now)
 	if !leader.acceptsWork(machine, now) {
 		t.Error("a machine that answers probes accepts no work")
 	}
@@ -210,7 +210,7 @@
 
 // A spot machine with a termination notice keeps the tasks that may complete in time. Other tasks
 // are started elsewhere at once; otherwise their loss would be noticed only after the notice period.
-func TestNotice(t *testing.T) {
+func TestSpotTerminationNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		shape string
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -100,7 +100,7 @@
 	return liveness.Config{
 		SuspectAfter: derived.Detection.SuspectAfter, LeaseExpiry: derived.Workers.LeaseExpiry,
 		HoldTimeout: derived.Detection.MaxHold, VerdictInterval: derived.Detection.VerdictInterval,
-		MachinesPerVerdict: smallZone, HeartbeatOverdue: derived.Detection.HeartbeatOverdue,
+		MachinesPerVerdict: machinesPerVerdict, HeartbeatOverdue: derived.Detection.HeartbeatOverdue,
 		GroupSuspectAfter: derived.Detection.ZoneSilenceLimit, Importance: importance,
 	}
 }
@@ -123,6 +123,6 @@
 // hold the fencing token, so that no two terms use the same number.
 const attemptBits = 24
 
-// smallZone is the number of machines in a zone for which the operators' verdict interval allows
-// one verdict. Larger zones have proportionally more.
-const smallZone = 20
+// machinesPerVerdict is the number of machines in a zone for which the operators' verdict interval
+// allows one verdict. Larger zones have proportionally more.
+const machinesPerVerdict = 20
--- a/internal/leader/log_compatibility_test.go
+++ b/internal/leader/log_compatibility_test.go
@@ -57,15 +57,15 @@
 		segments = append(segments, segment)
 	}
 	slices.SortFunc(segments, func(a, b segmentRecord) int { return cmp.Compare(a.Number, b.Number) })
-	here, done := map[uint64]string{}, map[string]bool{}
+	placed, done := map[uint64]string{}, map[string]bool{}
 	for _, segment := range segments {
 		for _, b := range segment.Begun {
 			for _, tk := range b.Tasks {
-				here[tk.A] = fmt.Sprint(tk.J, "/", tk.N, " ", tk.A, " on ", b.M, " ", b.Session)
+				placed[tk.A] = fmt.Sprint(tk.J, "/", tk.N, " ", tk.A, " on ", b.M, " ", b.Session)
 			}
 		}
 		for _, a := range segment.Over {
-			delete(here, a)
+			delete(placed, a)
 		}
 		for _, d := range segment.Done {
 			bits, err := base64.StdEncoding.DecodeString(d.B)
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	for _, s := range here {
+	for _, s := range placed {
 		out = append(out, s)
 	}
 	for s := range done {
@@ -91,7 +91,7 @@
 
 // readProductionRecords returns the records that a production deployment wrote on a day on which its
 // leader failed, the jobs in them, and the tasks that were on its machines at that moment.
-func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
+func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, runningTasks []string) {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
 	if err != nil {
@@ -116,17 +116,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(raw, &world); err != nil {
+	if err := json.Unmarshal(raw, &runningTasks); err != nil {
 		t.Fatal(err)
 	}
-	return pairs, specs, world
+	return pairs, specs, runningTasks
 }
 
 // The leader reads the records that a production deployment wrote, and continues the assignment log
 // within the store's upcoming lower limits. Version 0.3.0 reads the result as it was meant.
-func TestContinuesProduction(t *testing.T) {
+func TestContinuesProductionLog(t *testing.T) {
 	discardLogs(t)
-	pairs, specs, world := readProductionRecords(t)
+	pairs, specs, runningTasks := readProductionRecords(t)
 	store := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 2 << 10, maxOps: 4}
 	for _, p := range pairs {
 		if strings.HasPrefix(p.Key, assignmentlog.Prefix) {
@@ -135,7 +135,7 @@
 		store.revision = max(store.revision, p.Revision)
 	}
 	leader := newLeaderFromLog(store, 5, specs)
-	for _, line := range world {
+	for _, line := range runningTasks {
 		task, m, on := strings.Cut(line, " on ")
 		if a := leader.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
 			t.Errorf("%s is missing in the assignment log", line)
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -23,7 +23,7 @@
 // jobs but no assignments, and adopts the tasks that the workers report. It stops no task and starts
 // none meanwhile, and every task is accounted for once the leases have expired.
 func TestAdoptionAtScale(t *testing.T) {
-	l, reports, now := newFullFleet(t, lostFleetSize)
+	l, heartbeats, now := newFullFleet(t, lostFleetSize)
 	spec := *l.state.Jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
 	next.jobs.Loaded(now, next.jobs.SeenRevision())
@@ -36,7 +36,7 @@
 		t.Fatal("tasks would be placed before the running ones are known")
 	}
 	began := time.Now()
-	for _, r := range reports {
+	for _, r := range heartbeats {
 		r.FencingToken = 6
 		r.Seq++
 		answer := next.answerHeartbeat(r, now)
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	t.Logf("%d heartbeats with adoption: %v", len(reports), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d heartbeats with adoption: %v", len(heartbeats), time.Since(began).Round(time.Millisecond))
 	if len(job.Assignments) != lostFleetSize || job.Pending.Count != spec.Tasks-lostFleetSize {
 		t.Errorf("%d of %d tasks adopted, %d pending", len(job.Assignments), lostFleetSize, job.Pending.Count)
 	}
@@ -61,7 +61,7 @@
 
 // The segment that recorded the end of a task's first attempt is lost, so the log shows two attempts
 // of one task. The task is pending again only after both have ended, and then only once.
-func TestTaskTwiceInALogWithAHole(t *testing.T) {
+func TestTwoAttemptsAfterSegmentLoss(t *testing.T) {
 	for _, firstEnds := range []int{0, 1} {
 		l, _, j, now := newTestLeader()
 		next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -15,7 +15,7 @@
 // A machine from an earlier term accepts work from its first heartbeat to this leader on. That
 // heartbeat has to request a plan, because pending jobs found no capacity before and no other event
 // may follow for a long time. Without it, a job waited until the next job was submitted.
-func TestPlansWhenAMachineReports(t *testing.T) {
+func TestHeartbeatRequestsPlan(t *testing.T) {
 	leader, _, _, now := newTestLeader()
 	leader.catalog.Types = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
@@ -38,18 +38,18 @@
 }
 
 // A transaction that the store rejects as invalid is no sign of an outage, so planning continues.
-func TestRejectedIsNoOutage(t *testing.T) {
+func TestRejectedTransactionIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _, _, now := newTestLeader()
 		discardLogs(t)
 		l.inbox.events = make(chan func(time.Time), 1)
 		l.writer.Returned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
-		if l.mayBegin(now) {
+		if l.canPersistWork(now) {
 			t.Error("planning continues while nothing can be made durable")
 		}
 		l.readLog(nil)
 		l.writer.Returned(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
-		if !l.mayBegin(now) {
+		if !l.canPersistWork(now) {
 			t.Error("planning stopped after a rejected transaction")
 		}
 		synctest.Wait()
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -15,7 +15,7 @@
 
 // A probe that fails because this process is out of sockets proves nothing about the machine: it is
 // repeated and confirms no death. A probe that the machine does not answer confirms its death.
-func TestCallWithoutASocket(t *testing.T) {
+func TestProbeWithoutSocket(t *testing.T) {
 	noSocket := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	for _, tc := range []struct {
 		name string
@@ -32,15 +32,15 @@
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 1}, now)
 			now = now.Add(3 * time.Second) // m-1 is silent
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 2}, now)
-			if calls, _ := l.detector.Tick(now, 9); len(calls) != 1 || calls[0] != m.ID {
-				t.Fatalf("probes: %v", calls)
+			if probes, _ := l.detector.Tick(now, 9); len(probes) != 1 || probes[0] != m.ID {
+				t.Fatalf("probes: %v", probes)
 			}
-			l.probeReturned(m, nil, tc.err, now)
+			l.handleProbeResult(m, nil, tc.err, now)
 			now = now.Add(500 * time.Millisecond)
 			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 3}, now)
-			calls, verdicts := l.detector.Tick(now, 9)
-			if dead := len(verdicts) > 0; dead != tc.dead || (len(calls) == 1) == tc.dead {
-				t.Errorf("repeated probes: %v, verdicts: %v", calls, verdicts)
+			probes, verdicts := l.detector.Tick(now, 9)
+			if dead := len(verdicts) > 0; dead != tc.dead || (len(probes) == 1) == tc.dead {
+				t.Errorf("repeated probes: %v, verdicts: %v", probes, verdicts)
 			}
 		})
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -21,7 +21,7 @@
 		Store: l.Store, Cache: l.Cache, Peers: l.Peers,
 		Valid:         func() bool { return l.IsLeader() },
 		Post:          l.post,
-		Leader:        recoveryCalls{l},
+		Leader:        recoveryHost{l},
 		State:         l.state,
 		AssignmentLog: func() *assignmentlog.Log { return l.log },
 	}
@@ -36,10 +36,10 @@
 	l.recovery.Advance(ctx, now)
 }
 
-// tokenRaised applies a raise of the fencing token that is now durable. If the raise replaces a
+// applyTokenRaise applies a raise of the fencing token that is now durable. If the raise replaces a
 // token that the store has lost, this term begins with the raised token: heartbeats and attempt
 // numbers below it belong to earlier terms.
-func (l *Leader) tokenRaised() {
+func (l *Leader) applyTokenRaise() {
 	l.TokenRaised(l.fencing.Current)
 	if l.fencing.RaiseAbove < l.fencing.OfTerm {
 		return
@@ -85,28 +85,28 @@
 // Recovery returns the recovery status of this controller's leader. It returns ErrNotLeading if
 // there is none.
 func (h *Handle) Recovery(ctx context.Context) (recoverer.Status, error) {
-	return call(ctx, h, func(l *Leader, _ time.Time, reply func(recoverer.Status)) { reply(l.recovery.Status()) })
+	return callEventLoop(ctx, h, func(l *Leader, _ time.Time, reply func(recoverer.Status)) { reply(l.recovery.Status()) })
 }
 
 // Settle applies an operator's decision about a held job, unless proof contradicts it. It returns
 // when the job's record is durable. It fails with ErrNotLeading, an error of ctx, or one that
 // recoverer.Recoverer.Settle documents.
-func (h *Handle) Settle(ctx context.Context, id string, as recovery.Settlement) error {
-	outcome, err := call(ctx, h, func(l *Leader, now time.Time, reply func(error)) {
-		l.recovery.Settle(ctx, id, as, now, reply)
+func (h *Handle) Settle(ctx context.Context, id string, settlement recovery.Settlement) error {
+	outcome, err := callEventLoop(ctx, h, func(l *Leader, now time.Time, reply func(error)) {
+		l.recovery.Settle(ctx, id, settlement, now, reply)
 	})
 	return errors.Join(err, outcome)
 }
 
 // Import imports a part of a snapshot. It fails with ErrNotLeading, an error of ctx, or one that
 // recoverer.Recoverer.Import documents.
-func (h *Handle) Import(ctx context.Context, in recoverer.Import) (recoverer.Imported, error) {
+func (h *Handle) Import(ctx context.Context, part recoverer.Import) (recoverer.Imported, error) {
 	type answer struct {
 		recoverer.Imported
 		err error
 	}
-	out, err := call(ctx, h, func(l *Leader, now time.Time, reply func(answer)) {
-		count, err := l.recovery.Import(in, now)
+	out, err := callEventLoop(ctx, h, func(l *Leader, now time.Time, reply func(answer)) {
+		count, err := l.recovery.Import(part, now)
 		reply(answer{count, err})
 	})
 	return out.Imported, errors.Join(err, out.err)
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -77,14 +77,14 @@
 	newLoader(l).Restore(l.readLog(stored), nil, now)
 }
 
-// newHeartbeat returns a heartbeat of machine m-1 with the given agent epoch and the term's token.
-func newHeartbeat(session, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
-	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: 5, Tasks: tasks}
+// newHeartbeat returns a heartbeat of machine m-1 with the given agent epoch and fencing token 5.
+func newHeartbeat(agentEpoch, seq uint64, tasks ...workers.TaskStatus) *workers.Heartbeat {
+	return &workers.Heartbeat{Machine: "m-1", Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: agentEpoch, Seq: seq, FencingToken: 5, Tasks: tasks}
 }
 
 // describeCommands returns the operation and the task name of each command.
-func describeCommands(calls []workers.Command) (out []string) {
-	for _, c := range calls {
+func describeCommands(commands []workers.Command) (out []string) {
+	for _, c := range commands {
 		out = append(out, c.Op+" "+c.Task)
 	}
 	return out
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -57,7 +57,7 @@
 // Status returns the view of this controller's leader. It returns nil if there is none, or if ctx
 // ends first.
 func (h *Handle) Status(ctx context.Context) *Status {
-	status, err := call(ctx, h, func(l *Leader, now time.Time, reply func(*Status)) { reply(l.status(now)) })
+	status, err := callEventLoop(ctx, h, func(l *Leader, now time.Time, reply func(*Status)) { reply(l.status(now)) })
 	if err != nil {
 		return nil
 	}
@@ -78,7 +78,7 @@
 	statuses := []MachineStatus{}
 	for _, machine := range l.state.Machines.All {
 		statuses = append(statuses, MachineStatus{
-			ID: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, State: l.stateOf(machine, now),
+			ID: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, State: l.machineState(machine, now),
 			Session: machine.Worker.Session, Tasks: len(machine.Assignments), CPUs: machine.Used.CPUs,
 			Doubt: !machine.Commands.InDoubtSince.IsZero(),
 		})
@@ -120,8 +120,8 @@
 	return statuses
 }
 
-// stateOf returns the state of a machine as operators see it.
-func (l *Leader) stateOf(machine *cluster.Machine, now time.Time) string {
+// machineState returns the state of a machine as operators see it.
+func (l *Leader) machineState(machine *cluster.Machine, now time.Time) string {
 	switch {
 	case machine.Phase == cluster.Booting:
 		return "booting"
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -21,17 +21,17 @@
 	l.expireLeases(now)
 	l.finishFailover(now)
 	l.dispatcher.ResolveInDoubt(now)
-	l.lookAtMachines(now)
+	l.checkMachineGroup(now)
 	l.detectFailures(ctx, now)
 	l.scale(ctx, now)
 	l.recoverRecords(ctx, now)
-	l.resignIfUnreached()
+	l.resignIfUnreachable()
 	l.broadcastUpdate(now)
 }
 
-// lookAtMachines checks one group of machines, so that each machine is checked once per control
+// checkMachineGroup checks one group of machines, so that each machine is checked once per control
 // interval.
-func (l *Leader) lookAtMachines(now time.Time) {
+func (l *Leader) checkMachineGroup(now time.Time) {
 	l.loop.tickGroup = (l.loop.tickGroup + 1) % cluster.TickGroups
 	for machine := range l.state.Machines.Groups[l.loop.tickGroup] {
 		l.dispatcher.AnnounceToSilent(machine, now)
@@ -40,7 +40,7 @@
 			l.planner.Requested = true
 		}
 	}
-	if l.loop.tickGroup == 0 && l.mayBegin(now) {
+	if l.loop.tickGroup == 0 && l.canPersistWork(now) {
 		l.drainStragglers(now)
 	}
 }
@@ -90,13 +90,13 @@
 	}
 }
 
-// resignIfUnreached resigns if no worker reaches this leader, because workers may reach another
+// resignIfUnreachable resigns if no worker reaches this leader, because workers may reach another
 // controller. It waits until known task losses are durable: the next leader would otherwise wait a
 // whole lease for each of them again.
-func (l *Leader) resignIfUnreached() {
+func (l *Leader) resignIfUnreachable() {
 	if l.detector.FullDisruption() && l.loop.mayResign && l.writer.IsIdle() {
 		slog.Info("resigning", "term", l.fencing.Current, "reason", "no machine of any zone reports here")
-		l.loop.resigns = true
+		l.loop.resigning = true
 	}
 }
 
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -40,7 +40,7 @@
 
 // A machine that the cloud no longer lists is probably gone and is probed at once, unless it has
 // reported since the list was requested or was never listed.
-func TestUnlistedMachinesAreCalled(t *testing.T) {
+func TestUnlistedMachinesAreProbed(t *testing.T) {
 	leader, _, _, now := newTestLeader()
 	for _, id := range []string{"m-2", "m-3"} {
 		r := newHeartbeat(1, 1)
@@ -53,8 +53,8 @@
 	r.Machine = "m-2"
 	leader.answerHeartbeat(r, asked.Add(time.Millisecond))
 	leader.scaler.ApplyList(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
-	calls, _ := leader.detector.Tick(asked.Add(3*time.Millisecond), 10)
-	if d := cmp.Diff([]string{"m-1"}, calls); d != "" {
+	probes, _ := leader.detector.Tick(asked.Add(3*time.Millisecond), 10)
+	if d := cmp.Diff([]string{"m-1"}, probes); d != "" {
 		t.Error(d)
 	}
 }
@@ -62,14 +62,14 @@
 // A leader that was paused for longer than its term must not act on its state when it resumes. All
 // machines look long idle to it, while the next leader has tasks on them. Such a leader once
 // released a hundred of them.
-func TestStoodStill(t *testing.T) {
+func TestPausedLeaderReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, machine, j, now := newTestLeader()
 		types := []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}}
 		leader.catalog.Types = func() []jobs.MachineType { return types }
-		asked := 0
+		requests := 0
 		leader.Cloud = cloud.NewClient("cloud", roundTripFunc(func(*http.Request) (*http.Response, error) {
-			asked++
+			requests++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
 		leader.Broadcast, leader.inbox.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
@@ -87,8 +87,8 @@
 		// A release that began before is not sent to the cloud any more either.
 		leader.scaler.Release(ctx, machine)
 		synctest.Wait()
-		if asked > 0 {
-			t.Errorf("%d requests to the cloud", asked)
+		if requests > 0 {
+			t.Errorf("%d requests to the cloud", requests)
 		}
 		stop()
 	})
@@ -98,7 +98,7 @@
 // the leader's clock, because the last heartbeat was delayed. A task that starts in the new epoch
 // must not be taken for lost when the old lease expires, or it would run twice. (Seed 1255 of
 // internal/controller/fault_combinations_test.go.)
-func TestNewSessionSeenByAnOrder(t *testing.T) {
+func TestNewAgentEpochInCommandResponse(t *testing.T) {
 	leader, m, j, now := newTestLeader()
 	old := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
@@ -122,7 +122,7 @@
 // All machines are scanned for expired leases only when a lease can have expired. Whatever happens
 // in between (heartbeats, new machines, new agent epochs), each lease ends in the first tick after
 // its expiry.
-func TestLeasesEndInTime(t *testing.T) {
+func TestLeasesExpireOnTime(t *testing.T) {
 	leader, _, _, start := newTestLeader()
 	leader.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
 	rnd := rand.New(rand.NewPCG(7, 0))
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -98,8 +98,8 @@
 
 var _ writer.Host = writerHost{}
 
-func (h writerHost) TokenRaised() { h.l.tokenRaised() }
-func (h writerHost) Resign()      { h.l.loop.resigns = true }
+func (h writerHost) TokenRaised() { h.l.applyTokenRaise() }
+func (h writerHost) Resign()      { h.l.loop.resigning = true }
 
 // newLoader returns the loader that fills the leader's parts from the records.
 func newLoader(l *Leader) *loader.Loader {
@@ -144,8 +144,8 @@
 	return h.l.recovery.MayHaveUnknownTasks(machine)
 }
 
-func (h scalerHost) IsZoneSilent(zone string, now time.Time, while time.Duration) bool {
-	return h.l.detector.ZoneFellSilent(zone, now, while)
+func (h scalerHost) IsZoneSilent(zone string, now time.Time, within time.Duration) bool {
+	return h.l.detector.ZoneFellSilent(zone, now, within)
 }
 
 func (h scalerHost) SuspectMachine(id string) { h.l.detector.Suspect(id) }
@@ -161,37 +161,37 @@
 
 func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
 
-// recoveryCalls implements recoverer.Leader.
-type recoveryCalls struct{ l *Leader }
+// recoveryHost implements recoverer.Leader.
+type recoveryHost struct{ l *Leader }
 
-var _ recoverer.Leader = recoveryCalls{}
+var _ recoverer.Leader = recoveryHost{}
 
-func (c recoveryCalls) Tokens() recoverer.Tokens {
+func (c recoveryHost) Tokens() recoverer.Tokens {
 	return recoverer.Tokens{Current: c.l.fencing.Current, OfTerm: c.l.fencing.OfTerm, Floor: c.l.fencing.RaiseAbove}
 }
 
-func (c recoveryCalls) RequestTokenRaise() { c.l.fencing.RequestRaise() }
+func (c recoveryHost) RequestTokenRaise() { c.l.fencing.RequestRaise() }
 
-func (c recoveryCalls) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
+func (c recoveryHost) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
 
-func (c recoveryCalls) Resign() { c.l.loop.resigns = true }
+func (c recoveryHost) Resign() { c.l.loop.resigning = true }
 
-func (c recoveryCalls) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
+func (c recoveryHost) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
 
-func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
+func (c recoveryHost) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
 
-func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
+func (c recoveryHost) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
 
-func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
+func (c recoveryHost) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
 
-func (c recoveryCalls) JobChanged(change kvstore.Change, now time.Time) {
+func (c recoveryHost) JobChanged(change kvstore.Change, now time.Time) {
 	c.l.jobs.Apply(change, now)
 }
 
-func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
+func (c recoveryHost) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
 
-func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
+func (c recoveryHost) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
 
-func (c recoveryCalls) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
+func (c recoveryHost) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
 
-func (c recoveryCalls) RequestPlan() { c.l.planner.Requested = true }
+func (c recoveryHost) RequestPlan() { c.l.planner.Requested = true }
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -15,13 +15,13 @@
 
 // An unchanged heartbeat costs the same number of allocations in a fleet of any size, and causes no
 // plan, no write and no command.
-func TestWorkPerReport(t *testing.T) {
+func TestHeartbeatCostIndependentOfFleetSize(t *testing.T) {
 	cost := func(size int) float64 {
-		l, reports, now := newFullFleet(t, size)
+		l, heartbeats, now := newFullFleet(t, size)
 		l.planner.Requested = false
 		l.dispatcher = dispatch.New(dispatchDeps(l))
 		l.readLog(nil)
-		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, reports[20], now) })
+		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, heartbeats[20], now) })
 		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
 			t.Errorf("an unchanged heartbeat in a fleet of %d causes a plan, a write or a command", size)
 		}
@@ -32,22 +32,22 @@
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
-	l, reports, now := newFullFleet(b, largestFleet)
+func BenchmarkHeartbeat(b *testing.B) {
+	l, heartbeats, now := newFullFleet(b, largestFleet)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		repeatHeartbeat(l, reports[i%len(reports)], now)
+		repeatHeartbeat(l, heartbeats[i%len(heartbeats)], now)
 	}
 }
 
 // BenchmarkPlan plans for 100 pending tasks of one job. One of them fits on the idle machine, the
 // others find no capacity.
 func BenchmarkPlan(b *testing.B) {
-	leader, reports, now := newFullFleet(b, largestFleet)
+	leader, heartbeats, now := newFullFleet(b, largestFleet)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
 	leader.answerHeartbeat(idle, now)
 	leader.planner.Enqueue(leader.state.Jobs["j-7"])
-	_ = reports
+	_ = heartbeats
 	for b.Loop() {
 		leader.plan(now)
 		m := leader.state.Machines.ByID[idle.Machine]
@@ -94,7 +94,7 @@
 
 // A tick without pending tasks and events allocates no memory per machine. The test runs over control
 // intervals, in each of which every machine is checked.
-func TestWorkPerTick(t *testing.T) {
+func TestTickCostIndependentOfFleetSize(t *testing.T) {
 	cost := func(size int) float64 {
 		l, _, now := newFullFleet(t, size)
 		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
@@ -120,8 +120,8 @@
 	}
 }
 
-// BenchmarkTakeOver loads an assignment log that names all machines.
-func BenchmarkTakeOver(b *testing.B) {
+// BenchmarkFailover loads an assignment log that names all machines.
+func BenchmarkFailover(b *testing.B) {
 	leader, _, now := newFullFleet(b, largestFleet)
 	segments := writeLog(leader)
 	spec, _ := json.Marshal(leader.state.Jobs["j-7"].Spec)
