--- a/internal/leader/log_compatibility_test.go
+++ b/internal/leader/log_compatibility_test.go
@@ -22,9 +22,9 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// readAsVersion030 reads the assignment log as version 0.3.0 does, which may lead at any time of
-// an upgrade: the order of segments, which of them overrule which, and the fields that it knows.
-// It describes what is on machines and what is done as durableRecords does.
+// readAsVersion030 reads the assignment log as version 0.3.0 does: with its order and precedence of
+// segments and the fields that it knows. A controller of that version may lead at any time during an
+// upgrade. The result describes assignments and completed tasks in the form of durableRecords.
 func readAsVersion030(t *testing.T, pairs []kvstore.KeyValue, chunkTasks int) (out []string) {
 	t.Helper()
 	type segmentRecord struct {
@@ -57,15 +57,15 @@
 		segments = append(segments, segment)
 	}
 	slices.SortFunc(segments, func(a, b segmentRecord) int { return cmp.Compare(a.Number, b.Number) })
-	here, done := map[uint64]string{}, map[string]bool{}
+	placed, done := map[uint64]string{}, map[string]bool{}
 	for _, segment := range segments {
 		for _, b := range segment.Begun {
 			for _, tk := range b.Tasks {
-				here[tk.A] = fmt.Sprint(tk.J, "/", tk.N, " ", tk.A, " on ", b.M, " ", b.Session)
+				placed[tk.A] = fmt.Sprint(tk.J, "/", tk.N, " ", tk.A, " on ", b.M, " ", b.Session)
 			}
 		}
 		for _, a := range segment.Over {
-			delete(here, a)
+			delete(placed, a)
 		}
 		for _, d := range segment.Done {
 			bits, err := base64.StdEncoding.DecodeString(d.B)
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	for _, s := range here {
+	for _, s := range placed {
 		out = append(out, s)
 	}
 	for s := range done {
@@ -89,9 +89,9 @@
 	return out
 }
 
-// readProductionRecords reads the records that a production deployment wrote on a day on which it
-// lost its leader, the jobs in them, and what was on its machines at that moment.
-func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, world []string) {
+// readProductionRecords returns the records that a production deployment wrote on a day on which its
+// leader failed, the jobs in them, and the tasks that were on its machines at that moment.
+func readProductionRecords(t *testing.T) (pairs []kvstore.KeyValue, specs []*jobs.Spec, runningTasks []string) {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production/state.jsonl")
 	if err != nil {
@@ -116,17 +116,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(raw, &world); err != nil {
+	if err := json.Unmarshal(raw, &runningTasks); err != nil {
 		t.Fatal(err)
 	}
-	return pairs, specs, world
+	return pairs, specs, runningTasks
 }
 
-// What production wrote is read, and continued within the limits to come; what is
-// written then, production reads as it was meant.
-func TestContinuesProduction(t *testing.T) {
+// The leader reads the records that a production deployment wrote, and continues the assignment log
+// within the store's upcoming lower limits. Version 0.3.0 reads the result as it was meant.
+func TestContinuesProductionLog(t *testing.T) {
 	discardLogs(t)
-	pairs, specs, world := readProductionRecords(t)
+	pairs, specs, runningTasks := readProductionRecords(t)
 	store := &segmentStore{t: t, keys: map[string]kvstore.KeyValue{}, maxValueBytes: 2 << 10, maxOps: 4}
 	for _, p := range pairs {
 		if strings.HasPrefix(p.Key, assignmentlog.Prefix) {
@@ -135,14 +135,14 @@
 		store.revision = max(store.revision, p.Revision)
 	}
 	leader := newLeaderFromLog(store, 5, specs)
-	for _, line := range world {
+	for _, line := range runningTasks {
 		task, m, on := strings.Cut(line, " on ")
 		if a := leader.state.Machines.ByID[m]; on && (a == nil || !slices.ContainsFunc(slices.Collect(maps.Values(a.Assignments)), func(a *cluster.Assignment) bool { return a.TaskName() == task })) {
-			t.Errorf("%s, and the book does not say so", line)
+			t.Errorf("%s is missing in the assignment log", line)
 		}
 	}
 	if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
-		t.Errorf("production reads it otherwise: %s", d)
+		t.Errorf("version 0.3.0 reads the log differently: %s", d)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	for step := range 150 {
@@ -153,9 +153,9 @@
 		}
 		leader.writer.Committed(b, store.revision)
 		if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
-			t.Fatalf("step %d: production reads it otherwise: %s", step, d)
+			t.Fatalf("step %d: version 0.3.0 reads the log differently: %s", step, d)
 		}
-		if step%40 == 39 { // and leads for a while: its segments are as large as it likes
+		if step%40 == 39 { // a leader with the old limits writes larger segments for a while
 			store.maxValueBytes, store.maxOps = 32<<10, 12
 			leader = newLeaderFromLog(store, uint64(6+step), specs)
 			for range 5 {
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -18,24 +18,25 @@
 	"ospreyslip/internal/workers"
 )
 
-// This file connects the parts of a leader: what each is given, and what it may ask of the others.
-// A part never gets the leader itself, only an interface that it defines.
+// This file connects the parts of a leader: the dependencies of each part and its access to the
+// other parts. No part is given the Leader itself, only an interface that the part defines.
 
-// loopHost is the event loop as the parts see it whose requests come back to it.
+// loopHost gives parts with asynchronous requests access to the event loop, which handles the
+// results.
 type loopHost struct{ l *Leader }
 
-// IsLeader tells whether leadership is held at this moment.
+// IsLeader reports whether this controller holds the term now.
 func (h loopHost) IsLeader() bool { return h.l.IsLeader() }
 
-// Post has a function called on the event loop.
+// Post queues apply for the event loop.
 func (h loopHost) Post(ctx context.Context, apply func(now time.Time)) { h.l.post(ctx, apply) }
 
-// PostAfter does so after a while.
+// PostAfter posts apply after delay.
 func (h loopHost) PostAfter(ctx context.Context, delay time.Duration, apply func()) {
 	h.l.postAfter(ctx, delay, apply)
 }
 
-// taskDeps is what the manager of assignments works with.
+// taskDeps returns the dependencies of the task manager.
 func taskDeps(l *Leader) tasks.Deps {
 	return tasks.Deps{
 		Derived: l.Derived, Catalog: l.catalog, Fencing: l.fencing, Log: l.log, Planner: l.planner,
@@ -43,7 +44,7 @@
 	}
 }
 
-// taskHost is the leader as its manager of assignments sees it.
+// taskHost implements tasks.Host.
 type taskHost struct{ l *Leader }
 
 var _ tasks.Host = taskHost{}
@@ -57,7 +58,7 @@
 	return h.l.recovery.AwaitsWorkers(job, now)
 }
 
-// dispatchDeps is what the dispatcher of commands works with.
+// dispatchDeps returns the dependencies of the command dispatcher.
 func dispatchDeps(l *Leader) dispatch.Deps {
 	return dispatch.Deps{
 		Derived: l.Derived, Client: l.Workers, State: l.state, Catalog: l.catalog, Fencing: l.fencing,
@@ -65,7 +66,7 @@
 	}
 }
 
-// dispatchHost is the leader as its dispatcher sees it.
+// dispatchHost implements dispatch.Host.
 type dispatchHost struct{ loopHost }
 
 var _ dispatch.Host = dispatchHost{}
@@ -76,7 +77,7 @@
 	return h.l.recovery.LeaveAlone(machine, task)
 }
 
-// trackerDeps is what the tracker of jobs works with.
+// trackerDeps returns the dependencies of the job tracker.
 func trackerDeps(l *Leader) jobtracker.Deps {
 	return jobtracker.Deps{
 		Derived: l.Derived, Store: l.Store, Cache: l.Cache, Counts: l.Counts, State: l.state, Fencing: l.fencing,
@@ -84,7 +85,7 @@
 	}
 }
 
-// writerDeps is what the writer of records works with.
+// writerDeps returns the dependencies of the record writer.
 func writerDeps(l *Leader) writer.Deps {
 	return writer.Deps{
 		Derived: l.Derived, Store: l.Store, Term: l.term, State: l.state, Fencing: l.fencing, Log: l.log,
@@ -92,15 +93,15 @@
 	}
 }
 
-// writerHost is the leader as its writer sees it.
+// writerHost implements writer.Host.
 type writerHost struct{ loopHost }
 
 var _ writer.Host = writerHost{}
 
-func (h writerHost) TokenRaised() { h.l.tokenRaised() }
-func (h writerHost) Resign()      { h.l.loop.resigns = true }
+func (h writerHost) TokenRaised() { h.l.applyTokenRaise() }
+func (h writerHost) Resign()      { h.l.loop.resigning = true }
 
-// newLoader makes what fills the parts with what the records say.
+// newLoader returns the loader that fills the leader's parts from the records.
 func newLoader(l *Leader) *loader.Loader {
 	return &loader.Loader{
 		Derived: l.Derived, LogConfig: logConfig(l.Derived), Store: l.Store, Cache: l.Cache, State: l.state,
@@ -109,7 +110,7 @@
 	}
 }
 
-// planConstraints is the leader as its planner sees it.
+// planConstraints implements planner.Constraints.
 type planConstraints struct{ l *Leader }
 
 var _ planner.Constraints = planConstraints{}
@@ -126,7 +127,7 @@
 	c.l.recovery.AddHeldUsage(usedByTeam)
 }
 
-// scalerHost is the leader as its scaler sees it.
+// scalerHost implements scaler.Host.
 type scalerHost struct{ l *Leader }
 
 func (h scalerHost) Term() uint64 { return h.l.fencing.OfTerm }
@@ -143,8 +144,8 @@
 	return h.l.recovery.MayHaveUnknownTasks(machine)
 }
 
-func (h scalerHost) IsZoneSilent(zone string, now time.Time, while time.Duration) bool {
-	return h.l.detector.ZoneFellSilent(zone, now, while)
+func (h scalerHost) IsZoneSilent(zone string, now time.Time, within time.Duration) bool {
+	return h.l.detector.ZoneFellSilent(zone, now, within)
 }
 
 func (h scalerHost) SuspectMachine(id string) { h.l.detector.Suspect(id) }
@@ -160,37 +161,37 @@
 
 func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
 
-// recoveryCalls is the leader as its recovery sees it.
-type recoveryCalls struct{ l *Leader }
+// recoveryHost implements recoverer.Leader.
+type recoveryHost struct{ l *Leader }
 
-var _ recoverer.Leader = recoveryCalls{}
+var _ recoverer.Leader = recoveryHost{}
 
-func (c recoveryCalls) Tokens() recoverer.Tokens {
+func (c recoveryHost) Tokens() recoverer.Tokens {
 	return recoverer.Tokens{Current: c.l.fencing.Current, OfTerm: c.l.fencing.OfTerm, Floor: c.l.fencing.RaiseAbove}
 }
 
-func (c recoveryCalls) RequestTokenRaise() { c.l.fencing.RequestRaise() }
+func (c recoveryHost) RequestTokenRaise() { c.l.fencing.RequestRaise() }
 
-func (c recoveryCalls) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
+func (c recoveryHost) RaiseTokenAbove(floor uint64) { c.l.fencing.RequestRaiseAbove(floor) }
 
-func (c recoveryCalls) Resign() { c.l.loop.resigns = true }
+func (c recoveryHost) Resign() { c.l.loop.resigning = true }
 
-func (c recoveryCalls) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
+func (c recoveryHost) NextAttempt() uint64 { return c.l.tasks.NextAttempt() }
 
-func (c recoveryCalls) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
+func (c recoveryHost) ReserveAttempts(upTo uint64) { c.l.tasks.ReserveAttempts(upTo) }
 
-func (c recoveryCalls) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
+func (c recoveryHost) CancelJob(job *cluster.Job, revision uint64) { c.l.jobs.Cancel(job, revision) }
 
-func (c recoveryCalls) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
+func (c recoveryHost) CompleteElsewhere(job *cluster.Job) { c.l.jobs.CompleteElsewhere(job) }
 
-func (c recoveryCalls) JobChanged(change kvstore.Change, now time.Time) {
+func (c recoveryHost) JobChanged(change kvstore.Change, now time.Time) {
 	c.l.jobs.Apply(change, now)
 }
 
-func (c recoveryCalls) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
+func (c recoveryHost) QueueJob(job *cluster.Job) { c.l.planner.Enqueue(job) }
 
-func (c recoveryCalls) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
+func (c recoveryHost) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
 
-func (c recoveryCalls) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
+func (c recoveryHost) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
 
-func (c recoveryCalls) RequestPlan() { c.l.planner.Requested = true }
+func (c recoveryHost) RequestPlan() { c.l.planner.Requested = true }
