--- a/internal/leader/cluster/assignment.go
+++ b/internal/leader/cluster/assignment.go
@@ -6,32 +6,33 @@
 	"ospreyslip/internal/workers"
 )
 
-// Outcome is how an assignment ended.
+// Outcome is the outcome of an assignment.
 type Outcome int
 
 // The outcomes.
 const (
-	Open    Outcome = iota // the task is, or may be, on the machine
-	Retry                  // off the machine and not done: it is to be placed again
-	Success                // done
+	Open    Outcome = iota // not ended: the task is, or may be, on the machine
+	Retry                  // ended: the task is off the machine, not done, and to be placed again
+	Success                // ended: the task is done
 )
 
-// Assignment is a task on a machine, from the decision until its end is durable.
+// Assignment is the assignment of a task to a machine, from the placement decision until the end of
+// the assignment is durable.
 type Assignment struct {
 	Job         *Job
-	Index       int // of the task in its job
-	Attempt     uint64
-	GangAttempt uint64 // shared by all tasks of a gang's attempt; 0 for other tasks
-	Session     uint64 // of the worker, when the task was assigned
+	Index       int    // of the task in its job
+	Attempt     uint64 // unique number of this assignment
+	GangAttempt uint64 // shared by all tasks of one attempt of a gang; 0 for other tasks
+	Session     uint64 // agent epoch of the worker when the task was assigned
 	Machine     *Machine
 
-	Restored      bool // from the records: this leader did not see the task start
+	Restored      bool // from records or an adopted task: this leader did not see the task start
 	Outcome       Outcome
-	CountsAsUsed  bool      // in the machine's room, the team's quota and the job's zones
-	ObservedState string    // of the task in the newest observation, empty if it was absent
-	CreatedAt     time.Time // when this leader made or found the assignment
-	RunningSince  time.Time // when the task was seen to start running, else CreatedAt
-	Overdue       bool      // placed ahead of others, as its job had got nothing for too long
+	CountsAsUsed  bool      // counted in the planner's capacity
+	ObservedState string    // of the task in the worker's newest message; empty if not listed
+	CreatedAt     time.Time // when this leader created or restored the assignment
+	RunningSince  time.Time // when the task was first seen running; before that, CreatedAt
+	Overdue       bool      // placed ahead of other jobs because the job was starved
 
 	Start Start
 	Stop  Stop
@@ -40,42 +41,43 @@
 	taskName string
 }
 
-// Start is what is known of the start command of an assignment.
+// Start is the state of an assignment's start command.
 type Start struct {
-	Sent            bool   // one went out and is not known to have failed
-	RequestInFlight bool   // it went out in a request that has not returned
-	InDoubtToken    uint64 // one sent under this token may still arrive; 0 if none may
+	Sent            bool   // a start command was sent and is not known to have failed
+	RequestInFlight bool   // it was sent in a direct request that has not returned
+	InDoubtToken    uint64 // fencing token of a start command that may still arrive; 0 if there is none
 }
 
-// Stop is the request that a task ends before it is done.
+// Stop is a request to stop a task before it is done.
 type Stop struct {
 	Requested bool
-	GraceS    float64 // time to save, in seconds
+	GraceS    float64 // time to save a checkpoint, in seconds
 }
 
-// LogState is what the assignment log has of an assignment.
+// LogState is the state of an assignment in the assignment log.
 type LogState struct {
-	Segment      *Segment // where the assignment stands; nil until it is written
-	Durable      bool     // written: the worker may hear of it
-	EndQueued    bool     // waits to be written as over
-	EndInFlight  bool     // being written as over, with the outcome unknown
-	MoveInFlight bool     // being written on another segment, with the outcome unknown
+	Segment      *Segment // the segment that holds the assignment; nil until it is written
+	Durable      bool     // written, so that the start command may be sent
+	EndQueued    bool     // the end waits to be written
+	EndInFlight  bool     // the end is being written, with the outcome unknown
+	MoveInFlight bool     // being written to another segment, with the outcome unknown
 }
 
-// TaskRef is how a worker names a task. The tasks of a gang share their attempt, so that the
-// attempt alone does not name one.
+// TaskRef identifies a task in messages from and to workers. The tasks of a gang share their
+// attempt, so the attempt alone does not identify one.
 type TaskRef struct {
 	Task    string
 	Attempt uint64
 }
 
-// RefOf returns how a worker names one of the tasks that it shows.
+// RefOf returns the reference of a task that a worker lists.
 func RefOf(task *workers.TaskStatus) TaskRef { return TaskRef{task.Name, task.Attempt} }
 
-// CommandRef returns how a worker names the task of a command.
+// CommandRef returns the reference of the task that a command is for.
 func CommandRef(command *workers.Command) TaskRef { return TaskRef{command.Task, command.Attempt} }
 
-// TaskName is the task's name on the wire. It is kept, as each heartbeat is compared with it.
+// TaskName returns the task's name on the wire. The name is cached because it is compared with
+// every heartbeat.
 func (a *Assignment) TaskName() string {
 	if a.taskName == "" {
 		a.taskName = workers.TaskName(a.Job.ID, a.Index)
@@ -83,7 +85,8 @@
 	return a.taskName
 }
 
-// WireAttempt is the attempt by which workers know the task: that of its gang, if it has one.
+// WireAttempt returns the attempt number that is sent to workers: that of the gang for a task of a
+// gang, and the assignment's own otherwise.
 func (a *Assignment) WireAttempt() uint64 {
 	if a.GangAttempt != 0 {
 		return a.GangAttempt
@@ -91,10 +94,10 @@
 	return a.Attempt
 }
 
-// Ref is how the worker names the task.
+// Ref returns the reference of the assigned task.
 func (a *Assignment) Ref() TaskRef { return TaskRef{a.TaskName(), a.WireAttempt()} }
 
-// FindTask returns a task that a worker shows, or nil.
+// FindTask returns the task in the heartbeat that ref identifies, or nil.
 func FindTask(heartbeat *workers.Heartbeat, ref TaskRef) *workers.TaskStatus {
 	for i := range heartbeat.Tasks {
 		if RefOf(&heartbeat.Tasks[i]) == ref {
--- a/internal/leader/cluster/catalog.go
+++ b/internal/leader/cluster/catalog.go
@@ -10,9 +10,9 @@
 
 // Catalog looks up machine types in the cloud's catalog.
 type Catalog struct {
-	// Types returns the current types; nil while the catalog is not known.
+	// Types returns the current machine types, or nil while the catalog is not known.
 	Types func() []jobs.MachineType
-	// DefaultBootTime is for types whose boot time is not known.
+	// DefaultBootTime is the boot time of types that do not state one.
 	DefaultBootTime time.Duration
 }
 
@@ -26,7 +26,7 @@
 	return &types[i]
 }
 
-// BootTime is how long a machine of a type usually takes to come up.
+// BootTime returns how long a machine of the type usually takes to boot.
 func (c *Catalog) BootTime(typeName string) time.Duration {
 	if machineType := c.Type(typeName); machineType != nil && machineType.BootS > 0 {
 		return time.Duration(machineType.BootS * float64(time.Second))
@@ -34,7 +34,8 @@
 	return c.DefaultBootTime
 }
 
-// ShortestBootTime is the boot time of the type that boots fastest.
+// ShortestBootTime returns the shortest boot time of all types. Without types it is the maximum
+// duration.
 func (c *Catalog) ShortestBootTime() time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, machineType := range c.Types() {
--- a/internal/leader/cluster/catalog_test.go
+++ b/internal/leader/cluster/catalog_test.go
@@ -17,20 +17,20 @@
 	}{
 		{"c4", true, 10 * time.Second},
 		{"c8", true, 2500 * time.Millisecond},
-		{"g1", true, 20 * time.Second}, // without a boot time
+		{"g1", true, 20 * time.Second}, // has no boot time of its own
 		{"x1", false, 20 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			machineType := catalog.Type(tc.name)
 			if (machineType != nil) != tc.known || tc.known && machineType.Name != tc.name {
-				t.Errorf("found: %+v", machineType)
+				t.Errorf("Type returned %+v", machineType)
 			}
 			if got := catalog.BootTime(tc.name); got != tc.boot {
-				t.Errorf("boots in %v", got)
+				t.Errorf("BootTime returned %v", got)
 			}
 		})
 	}
 	if got := catalog.ShortestBootTime(); got != 2500*time.Millisecond {
-		t.Errorf("shortest boot time %v", got)
+		t.Errorf("ShortestBootTime returned %v", got)
 	}
 }
--- a/internal/leader/cluster/completions.go
+++ b/internal/leader/cluster/completions.go
@@ -5,42 +5,42 @@
 	"strings"
 )
 
-// Completions is which tasks of a job are done, and how much of that is durable. For the
-// assignment log the tasks are parted into chunks of a fixed size.
+// Completions records which tasks of a job are done, and which of these completions are durable.
+// The assignment log stores them in chunks of a fixed number of tasks.
 type Completions struct {
-	Count  int // of done tasks
+	Count  int // number of tasks that are done
 	Chunks map[int]*Chunk
-	bits   []uint64 // one a task
+	bits   []uint64 // bit set of the tasks that are done
 }
 
-// Chunk is what the assignment log has of the completions of one range of tasks.
+// Chunk is the state of the completions of one range of tasks in the assignment log.
 type Chunk struct {
-	Segment  *Segment // where it was last written
+	Segment  *Segment // the segment to which the chunk was last written
 	Dirty    bool     // queued to be written
-	Saved    bool     // every completion so far is durable
-	Moving   bool     // being written on another segment, with the outcome unknown
-	TooLarge bool     // no segment can hold it
+	Saved    bool     // all completions so far are durable, or in the transaction in flight
+	Moving   bool     // being written to another segment, with the outcome unknown
+	TooLarge bool     // does not fit into any segment
 }
 
-// ChunkRef names a chunk of a job's completions.
+// ChunkRef identifies a chunk of a job's completions.
 type ChunkRef struct {
 	Job   *Job
 	Index int
 }
 
-// wordBits is how many tasks one word of the completions covers.
+// wordBits is the number of tasks per word of the bit set.
 const wordBits = 64
 
 func newCompletions(tasks int) Completions {
 	return Completions{bits: make([]uint64, (tasks+wordBits-1)/wordBits), Chunks: map[int]*Chunk{}}
 }
 
-// IsTaskDone tells whether a task is done.
+// IsTaskDone reports whether a task is done.
 func (j *Job) IsTaskDone(index int) bool {
 	return j.Completions.bits[index/wordBits]&(1<<(index%wordBits)) != 0
 }
 
-// MarkTaskDone notes that a task is done, and tells whether that is new.
+// MarkTaskDone marks a task as done and reports whether it was not done before.
 func (j *Job) MarkTaskDone(index int) (isNew bool) {
 	if j.IsTaskDone(index) {
 		return false
@@ -53,16 +53,16 @@
 	return true
 }
 
-// GrowTo makes room for more tasks in a job of which only the end is recorded, so that the
-// number of its tasks is not.
+// GrowTo raises the number of tasks of a job of which only the end is recorded. The number of tasks
+// is not part of such a record.
 func (j *Job) GrowTo(tasks int) {
 	j.Spec.Tasks = tasks
 	missing := (tasks+wordBits-1)/wordBits - len(j.Completions.bits)
 	j.Completions.bits = append(j.Completions.bits, make([]uint64, missing)...)
 }
 
-// EncodeChunk returns the completions of a chunk as stored: bits, least significant first,
-// in base64, without trailing zero bytes. The size is in tasks.
+// EncodeChunk returns the stored form of a chunk of size tasks: a little-endian bit set without
+// trailing zero bytes, in base64.
 func (j *Job) EncodeChunk(chunk, size int) string {
 	bits := j.Completions.bits
 	from, to := chunk*size/wordBits, min((chunk+1)*size/wordBits, len(bits))
@@ -75,8 +75,8 @@
 	return base64.StdEncoding.EncodeToString([]byte(strings.TrimRight(string(raw), "\x00")))
 }
 
-// DecodeChunk marks the tasks as done that a stored chunk names. The size is in tasks. What
-// is not base64 is an error, and nothing is marked then.
+// DecodeChunk marks the tasks as done that are set in the stored form of a chunk of size tasks. If
+// encoded is not valid base64, it returns an error and marks no task.
 func (j *Job) DecodeChunk(chunk, size int, encoded string) error {
 	raw, err := base64.StdEncoding.DecodeString(encoded)
 	if err != nil {
--- a/internal/leader/cluster/doc.go
+++ b/internal/leader/cluster/doc.go
@@ -1,6 +1,6 @@
-// Package cluster is the leader's observed state of the cluster: its jobs, machines and
-// assignments of tasks to machines. It holds data and the operations that keep one record
-// consistent; decisions and I/O are elsewhere.
+// Package cluster holds the leader's observed state of the cluster: jobs, machines, and the
+// assignments of tasks to machines. It has the data and the operations that keep each object
+// consistent. It makes no decisions and does no I/O.
 //
-// Nothing here is safe for concurrent use: all of it belongs to the leader's event loop.
+// The package is not safe for concurrent use: all calls are made on the leader's event loop.
 package cluster
--- a/internal/leader/cluster/duration.go
+++ b/internal/leader/cluster/duration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ScaleDuration returns a duration times a ratio.
+// ScaleDuration returns d multiplied by ratio.
 func ScaleDuration(d time.Duration, ratio float64) time.Duration {
 	return time.Duration(float64(d) * ratio)
 }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -8,66 +8,66 @@
 	"ospreyslip/internal/workers"
 )
 
-// Job is an unfinished job, or an ended one of which tasks may still be on machines.
+// Job is an unfinished job, or one that is over but may still have tasks on machines.
 type Job struct {
 	ID              string
 	Spec            *jobs.Spec
 	Revision        uint64 // of its record in the key-value store
-	SubmissionOrder uint64 // revision at which its record was created: earlier jobs go first
-	AcceptedMs      int64  // wall clock of the acceptance, in milliseconds
+	SubmissionOrder uint64 // revision at which the record was created; orders jobs by submission
+	AcceptedMs      int64  // wall-clock time of acceptance, in Unix milliseconds
 
 	End         JobEnd
 	Completions Completions
-	Assignments map[int]*Assignment // by task index: where a task is, or may be
+	Assignments map[int]*Assignment // by task index
 	Pending     PendingTasks
-	Running     int            // tasks that their machines showed as running
-	Zones       map[string]int // tasks on machines, by zone
+	Running     int            // number of tasks whose observed state is running
+	Zones       map[string]int // number of tasks on machines, by zone
 	Scheduling  SchedulingState
 	Gang        GangAttempt
 	Adoption    Adoption
 
-	// PublishedCounts is what users were last shown of the job.
+	// PublishedCounts holds the counts last published to users.
 	PublishedCounts jobs.Counts
-	// RunTimeLogs is run times of completed tasks, as logarithms of seconds, ascending.
+	// RunTimeLogs holds run times of completed tasks as logarithms of seconds, in ascending order.
 	RunTimeLogs []float64
 }
 
-// JobEnd is whether and how a job is over.
+// JobEnd is the state of a job's end.
 type JobEnd struct {
 	Cancelled         bool
-	CancelSeenAt      time.Time // when this leader learnt of the cancellation
-	Recorded          string    // the end in the job's record, where this leader found the job over
-	Complete          bool      // all tasks are done: that is written, or waits to be
-	CompletionDurable bool      // the job's record says done
+	CancelSeenAt      time.Time // when this leader learned of the cancellation
+	Recorded          string    // state in the record of a job that was over when the term began
+	Complete          bool      // all tasks are done; the job's record may not say so yet
+	CompletionDurable bool      // the job's record says that it is done
 }
 
-// PendingTasks is the tasks of a job that wait for a machine.
+// PendingTasks holds the tasks of a job that wait for a machine.
 type PendingTasks struct {
 	Count   int
-	next    int   // each task from this index on was never placed
-	retries []int // tasks that were placed before, and lost or stopped
+	next    int   // no task from this index on has been taken
+	retries []int // tasks to be placed again after they were lost or stopped
 }
 
-// SchedulingState is what the queue remembers of a job between plans.
+// SchedulingState is the scheduling state that a job keeps between plans.
 type SchedulingState struct {
-	LastServedAt        time.Time // when a task was last found to run on, or the job was accepted
-	WithinGuarantee     bool      // the job fits within what its team is guaranteed
-	GuaranteedSince     time.Time // since when it does
-	GangPendingSince    time.Time // since when all tasks of a gang wait
-	PreemptingForGangAt time.Time // when tasks were last stopped to make room for the whole gang
-	ConsecutiveFailures int       // failed attempts since one succeeded, on any machine
-	BackoffUntil        time.Time // no task is placed before
+	LastServedAt        time.Time // when a task last completed or ran for long; initially the acceptance
+	WithinGuarantee     bool      // the job fits within its team's guarantee
+	GuaranteedSince     time.Time // when WithinGuarantee last became true
+	GangPendingSince    time.Time // when all tasks of the gang last became pending
+	PreemptingForGangAt time.Time // when tasks were last preempted to make room for the whole gang
+	ConsecutiveFailures int       // failed attempts since the last success, on any machine
+	BackoffUntil        time.Time // no task is placed before this time
 }
 
-// Adoption is the recovery of a job's tasks that the assignment log may lack: none is placed,
-// and those that workers show are taken over, until each worker must have reported.
+// Adoption is the recovery of a job's tasks that the assignment log may lack. Until every worker
+// must have reported, no task of the job is placed, and tasks that workers list are adopted.
 type Adoption struct {
 	Until      time.Time
-	GangParts  map[int]GangPart      // tasks of a gang of which not all are known yet
-	duplicates map[int][]*Assignment // earlier assignments of a task, where the log lacks their ends
+	GangParts  map[int]GangPart      // tasks of a gang whose tasks are not all known yet, by task index
+	duplicates map[int][]*Assignment // additional restored assignments of a task, whose ends the log lacks
 }
 
-// NewJob makes a job all of whose tasks are pending.
+// NewJob returns a job with all tasks pending.
 func NewJob(id string, spec *jobs.Spec, revision uint64, acceptedMs int64, now time.Time) *Job {
 	return &Job{
 		ID: id, Spec: spec, Revision: revision, SubmissionOrder: revision, AcceptedMs: acceptedMs,
@@ -78,14 +78,14 @@
 	}
 }
 
-// HasRetries tells whether any of the pending tasks was placed before.
+// HasRetries reports whether any of the pending tasks was placed before.
 func (p *PendingTasks) HasRetries() bool { return len(p.retries) > 0 }
 
-// IsOver tells whether no task of the job is to be started any more.
+// IsOver reports whether the job is cancelled or complete, so that none of its tasks may be started.
 func (j *Job) IsOver() bool { return j.End.Cancelled || j.End.Complete }
 
-// TakePendingTask removes a task from the pending ones and returns its index. There must be
-// one. Tasks that were placed before go first.
+// TakePendingTask removes one of the pending tasks, of which there must be at least one, and returns
+// its index. Tasks that were placed before come first.
 func (j *Job) TakePendingTask() int {
 	pending := &j.Pending
 	pending.Count--
@@ -101,7 +101,7 @@
 	return pending.next - 1
 }
 
-// RequeueTask makes a task pending again that is off its machine and not done.
+// RequeueTask makes a task pending again. The task must be off its machine and not done.
 func (j *Job) RequeueTask(index int) {
 	j.Pending.Count++
 	if index < j.Pending.next {
@@ -109,9 +109,9 @@
 	}
 }
 
-// RestoreAssignment adds an assignment from the assignment log. There may be two of one task
-// if the segment was lost that said that the first was over: both have to be off their
-// machines before the task is placed again.
+// RestoreAssignment adds an assignment from the assignment log. The log has several assignments of
+// one task if a segment with the end of an earlier one was lost. The task is placed again only when
+// all of them are off their machines.
 func (j *Job) RestoreAssignment(assignment *Assignment) {
 	if earlier := j.Assignments[assignment.Index]; earlier != nil {
 		if j.Adoption.duplicates == nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// RemoveAssignment drops an assignment whose end is durable. It tells whether the task is on
-// no machine any more.
+// RemoveAssignment removes an assignment whose end is durable. It reports whether the task is now
+// off all machines.
 func (j *Job) RemoveAssignment(assignment *Assignment) (offAllMachines bool) {
 	if duplicates := j.Adoption.duplicates[assignment.Index]; len(duplicates) > 0 {
 		left := slices.DeleteFunc(duplicates, func(other *Assignment) bool { return other == assignment })
@@ -148,8 +148,8 @@
 	return true
 }
 
-// MayAdopt tells whether a task that a worker shows may be one of the job's that the log
-// lacks. A task that ended without being done needs no adoption.
+// MayAdopt reports whether a task that a worker lists may be a task of the job that the log lacks.
+// A task that ended without completing needs no adoption.
 func (j *Job) MayAdopt(index int, task *workers.TaskStatus) bool {
 	if j.IsOver() || index >= j.Spec.Tasks || j.IsTaskDone(index) || j.Assignments[index] != nil {
 		return false
--- a/internal/leader/cluster/job_test.go
+++ b/internal/leader/cluster/job_test.go
@@ -21,7 +21,7 @@
 	job.RequeueTask(0)
 	taken = append(taken, job.TakePendingTask(), job.TakePendingTask())
 	if d := cmp.Diff([]int{0, 3, 0, 4}, taken); d != "" || job.Pending.Count != 0 {
-		t.Errorf("%d pending, taken: %s", job.Pending.Count, d)
+		t.Errorf("%d tasks pending; difference in the tasks taken: %s", job.Pending.Count, d)
 	}
 }
 
@@ -33,7 +33,7 @@
 		}
 		for i, n := range order {
 			if off := job.RemoveAssignment(restored[n]); off != (i == 2) || off != (job.Assignments[0] == nil) {
-				t.Errorf("order %v: off all machines after %d: %v", order, i+1, off)
+				t.Errorf("removal order %v: off all machines after %d removals: %v", order, i+1, off)
 			}
 		}
 	}
@@ -55,11 +55,11 @@
 		for chunk, want := range tc.encoded {
 			got := job.EncodeChunk(chunk, 64)
 			if err := decoded.DecodeChunk(chunk, 64, got); err != nil || got != want {
-				t.Errorf("%v: chunk %d is %q, want %q; %v", tc.done, chunk, got, want, err)
+				t.Errorf("tasks %v: chunk %d is encoded as %q, want %q; decoding error: %v", tc.done, chunk, got, want, err)
 			}
 		}
 		if d := cmp.Diff(job.Completions.bits, decoded.Completions.bits); d != "" || decoded.Completions.Count != len(tc.done) {
-			t.Errorf("%v: %d decoded: %s", tc.done, decoded.Completions.Count, d)
+			t.Errorf("tasks %v: %d decoded; difference: %s", tc.done, decoded.Completions.Count, d)
 		}
 	}
 }
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -11,17 +11,17 @@
 	"ospreyslip/internal/workers"
 )
 
-// Phase is where a machine is between its rental and its release.
+// Phase is the phase of a machine's life from its provisioning to its release.
 type Phase int
 
 // The phases.
 const (
-	Booting   Phase = iota // rented, not heard of
+	Booting   Phase = iota // provisioned, but its worker has not reported
 	Up                     // its worker has reported
 	Releasing              // being released to the cloud
 )
 
-// Machine is a rented machine as the leader sees it.
+// Machine is the leader's state of a provisioned machine.
 type Machine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
@@ -33,64 +33,64 @@
 	Rental   Rental
 
 	Assignments map[uint64]*Assignment // by attempt
-	Used        placement.Resources    // taken by the assignments that count
-	Offer       *placement.Machine     // as placement sees it
-	TickGroup   int                    // in which of the ticks of a control interval it is looked at
+	Used        placement.Resources    // used by the assignments with CountsAsUsed
+	Offer       *placement.Machine     // the machine as input for placement
+	TickGroup   int                    // the tick of each control interval in which it is checked
 
 	images []image // cached on the machine, the most recently used last
 	index  int     // in MachineSet.All
 }
 
-// WorkerState is what the machine's worker has shown.
+// WorkerState is the state reported by the machine's worker.
 type WorkerState struct {
-	Session         uint64                // the worker's epoch, which begins anew when its lease expires
-	Seq             uint64                // of the newest message, heartbeats and answers alike
-	Token           uint64                // highest fencing token that the worker has seen
+	Session         uint64                // agent epoch; a new one begins when the lease expires
+	Seq             uint64                // of the newest message: a heartbeat or a response to a request
+	Token           uint64                // the highest fencing token that the worker has seen
 	Tasks           []workers.TaskStatus  // of the newest message
-	NewestHeartbeat liveness.HeartbeatSeq // answers to commands and probes not counted
-	HeartbeatAt     time.Time             // when the last heartbeat came; zero under a new leader
-	LeaseUntil      time.Time             // a worker unheard until then has ended its tasks
+	NewestHeartbeat liveness.HeartbeatSeq // responses to commands and probes are not counted
+	HeartbeatAt     time.Time             // when the last heartbeat arrived; zero if none has in this term
+	LeaseUntil      time.Time             // a worker silent until then has ended its tasks
 }
 
-// CommandState is the delivery of commands to the machine's worker.
+// CommandState is the state of the delivery of commands to the machine's worker.
 type CommandState struct {
-	NotifyPending      bool // there is something to be told at once
+	NotifyPending      bool // a command request is to be sent at once
 	RequestInFlight    bool
-	RetryAfter         time.Time          // no request goes out before
-	FailedRequests     int                // requests in a row without an answer
-	InDoubtSince       time.Time          // since when a request's outcome is unknown; zero if none is
-	StartedByRequest   map[TaskRef]uint64 // tasks that a request has started, with its token
+	RetryAfter         time.Time          // no request is sent before this time
+	FailedRequests     int                // consecutive failed requests
+	InDoubtSince       time.Time          // since when a request is in doubt; zero if none is
+	StartedByRequest   map[TaskRef]uint64 // tasks started by a direct request, with its fencing token
 	NeedsHigherToken   bool               // ended tasks wait for the worker to see a higher token
-	LastAnswer         []workers.Command  // the commands of the last answer to a heartbeat
-	UndeliveredAnswers int                // answers in a row of which nothing was carried out
+	LastAnswer         []workers.Command  // the commands of the last response to a heartbeat
+	UndeliveredAnswers int                // consecutive responses of which no command was executed
 }
 
-// Health is what speaks against giving work to a machine.
+// Health is the state that can exclude a machine from new work.
 type Health struct {
-	Dead        bool // judged dead
-	Draining    bool // takes no new tasks until it is released
-	SlowLogOdds float64
-	NoticeUntil time.Time       // when the cloud takes the machine away, as announced
-	FailedJobs  map[string]bool // jobs that failed here since one succeeded
+	Dead        bool            // declared dead by the failure detector
+	Draining    bool            // gets no new tasks until it is released
+	SlowLogOdds float64         // log odds, by completed tasks, that the machine is a straggler
+	NoticeUntil time.Time       // when the cloud reclaims the machine, by its notice; zero without one
+	FailedJobs  map[string]bool // jobs that failed on the machine since a task last completed there
 
-	avoid map[string]time.Time // jobs that are not placed here until then
+	avoid map[string]time.Time // until when a job is not placed on the machine
 }
 
-// Rental is what is known of the machine from the cloud.
+// Rental is the state of the machine in the cloud.
 type Rental struct {
-	KnownSince         time.Time // when this leader learnt of the machine, or the list's start of it
+	KnownSince         time.Time // when this leader learned of the machine, or its listed start
 	IdleSince          time.Time
-	ListedAt           time.Time // when the newest list that has the machine was asked for
-	ListedRunningSince time.Time // since when the list has it as running
+	ListedAt           time.Time // when the newest list that contains the machine was requested
+	ListedRunningSince time.Time // when the machine was first listed as running
 }
 
-// image is one that a machine caches.
+// image is an image in a machine's cache.
 type image struct {
 	name string
 	gb   float64
 }
 
-// NewMachine makes a machine of which nothing but its id is known.
+// NewMachine returns a machine of which only the ID is known, and which is known and idle since now.
 func NewMachine(id string, now time.Time) *Machine {
 	return &Machine{
 		ID: id, TickGroup: tickGroup(id), Assignments: map[uint64]*Assignment{},
@@ -103,14 +103,14 @@
 	}
 }
 
-// tickGroup spreads machines evenly over the ticks of a control interval.
+// tickGroup distributes machines evenly over the ticks of a control interval, by a hash of the ID.
 func tickGroup(id string) int {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(id))
 	return int(sum.Sum32() % TickGroups)
 }
 
-// FindAssignment returns the assignment of a task that the worker shows, or nil.
+// FindAssignment returns the assignment of a task that the worker lists, or nil.
 func (m *Machine) FindAssignment(task TaskRef) *Assignment {
 	if a := m.Assignments[task.Attempt]; a != nil {
 		if a.GangAttempt == 0 && a.TaskName() == task.Task {
@@ -126,8 +126,9 @@
 	return nil
 }
 
-// CacheImage notes that a machine has a job's image. Of its images it keeps the most recently
-// used ones that fit into the given capacity; 0 means that the capacity is not known.
+// CacheImage records that the machine has the image of a job in its cache. It keeps the most
+// recently used images that fit into capacityGB. If that is 0, the capacity is unknown and no image
+// is evicted.
 func (m *Machine) CacheImage(spec *jobs.Spec, capacityGB float64) {
 	m.images = slices.DeleteFunc(m.images, func(i image) bool { return i.name == spec.Image })
 	m.images = append(m.images, image{spec.Image, spec.ImageGB})
@@ -145,13 +146,13 @@
 	}
 }
 
-// AvoidJobUntil keeps a job off the machine for a while.
+// AvoidJobUntil excludes a job from placement on the machine until the given time.
 func (m *Machine) AvoidJobUntil(job string, until time.Time) {
 	m.Health.avoid[job], m.Offer.AvoidJobs[job] = until, true
 }
 
-// ExpireAvoidance lets jobs back that are no longer to be kept off, and tells whether there
-// were any.
+// ExpireAvoidance ends the exclusions of jobs whose time has passed, and reports whether there were
+// any.
 func (m *Machine) ExpireAvoidance(now time.Time) (expired bool) {
 	for job, until := range m.Health.avoid {
 		if now.After(until) {
--- a/internal/leader/cluster/machine_set.go
+++ b/internal/leader/cluster/machine_set.go
@@ -1,17 +1,17 @@
 package cluster
 
-// TickGroups is how many ticks there are in a control interval. What need not be looked at on
-// each tick, of thousands of machines, has its turn in one of them.
+// TickGroups is the number of ticks in a control interval. With thousands of machines, checks that
+// need not run on every tick run for one group of machines per tick.
 const TickGroups = 8
 
-// MachineSet holds the leader's machines, with one group for each tick of a control interval.
+// MachineSet is the set of the leader's machines, with one group for each tick of a control interval.
 type MachineSet struct {
 	ByID   map[string]*Machine
 	All    []*Machine
 	Groups [TickGroups]map[*Machine]bool
 }
 
-// NewMachineSet makes an empty set.
+// NewMachineSet returns an empty set.
 func NewMachineSet() MachineSet {
 	set := MachineSet{ByID: map[string]*Machine{}}
 	for i := range set.Groups {
@@ -20,7 +20,7 @@
 	return set
 }
 
-// Add adds a machine whose id is not in the set yet.
+// Add adds a machine. The set must not contain one with the same ID.
 func (s *MachineSet) Add(m *Machine) {
 	m.index = len(s.All)
 	s.All = append(s.All, m)
@@ -28,7 +28,7 @@
 	s.Groups[m.TickGroup][m] = true
 }
 
-// Remove drops a machine that is in the set.
+// Remove removes a machine. The set must contain it.
 func (s *MachineSet) Remove(m *Machine) {
 	last := s.All[len(s.All)-1]
 	s.All[m.index], last.index = last, m.index
@@ -37,5 +37,5 @@
 	delete(s.Groups[m.TickGroup], m)
 }
 
-// Contains tells whether this machine, not only one of the same id, is in the set.
+// Contains reports whether the set contains this very machine, not just one with the same ID.
 func (s *MachineSet) Contains(m *Machine) bool { return s.ByID[m.ID] == m }
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -3,13 +3,13 @@
 import "slices"
 
 const (
-	maxRunTimes = 256 // run times that are kept of a job
+	maxRunTimes = 256 // limit of run times kept per job
 
-	// MinRunTimes is how many run times of a job tell how much they vary.
+	// MinRunTimes is the least number of run times of a job from which a variance is computed.
 	MinRunTimes = 4
 )
 
-// RecordRunTime keeps the run time of a completed task, as the logarithm of seconds.
+// RecordRunTime records the run time of a completed task, as the logarithm of seconds.
 func (j *Job) RecordRunTime(logSeconds float64) {
 	if len(j.RunTimeLogs) < maxRunTimes {
 		i, _ := slices.BinarySearch(j.RunTimeLogs, logSeconds)
@@ -17,9 +17,9 @@
 	}
 }
 
-// MedianRunTime is the median run time of all tasks that have begun, as the logarithm of
-// seconds. Before half of them are done it is not known: the quick ones are done first, and
-// by them the rest would all look slow.
+// MedianRunTime returns the median run time of all tasks that have started, as the logarithm of
+// seconds. It is not known before half of them are done: fast tasks complete first, so a median of
+// these alone would make all other tasks look slow.
 func (j *Job) MedianRunTime() (logSeconds float64, known bool) {
 	begun := len(j.RunTimeLogs) + j.Running
 	if len(j.RunTimeLogs) < MinRunTimes/2 || 2*len(j.RunTimeLogs) < begun {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -1,13 +1,13 @@
 package cluster
 
-// State is the leader's observed state of the whole cluster. It is one object for a whole
-// term, which the leader's parts share.
+// State is the leader's observed state of the cluster. The parts of the leader share one State for
+// the duration of a term.
 type State struct {
-	Jobs     map[string]*Job // unfinished, or with tasks that may be on machines
+	Jobs     map[string]*Job // unfinished jobs, and jobs with tasks that may be on machines
 	Machines MachineSet
 }
 
-// NewState makes the state of an empty cluster.
+// NewState returns the state of an empty cluster.
 func NewState() *State {
 	return &State{Jobs: map[string]*Job{}, Machines: NewMachineSet()}
 }
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -7,13 +7,15 @@
 	"ospreyslip/internal/placement"
 )
 
-// A command request, even an empty one, shows a worker the token of the term: what it shows becomes
-// conclusive, and it sends a heartbeat within half a second, to the new leader. After a failover
-// that costs a connection for each machine, in the seconds in which all workers connect by
-// themselves. So only those machines get one at once of which something is wanted: room for work,
-// or the end of a task. The others have a heartbeat interval to report by themselves.
+// A command request, even an empty one, carries the token of the term to a worker. The worker then
+// sends a heartbeat to the new leader within half a second, and its heartbeats count as sent in this
+// term. The request costs one connection per machine, in the very seconds after a failover in which
+// all workers connect on their own. The leader therefore sends a request at once only to machines
+// that it needs: those that may have room for pending tasks or run a task that must stop. The other
+// machines have a heartbeat interval to report on their own.
 
-// AnnounceTerm notifies the machines with assignments that cannot wait, in the order given.
+// AnnounceTerm notifies the machines in the segments that may have room for a pending task or run
+// a task that must stop. It follows the order of the segments.
 func (d *Dispatcher) AnnounceTerm(segments []*cluster.Segment) {
 	requests := d.pendingRequests()
 	for _, segment := range segments {
@@ -26,7 +28,8 @@
 	}
 }
 
-// AnnounceToSilent notifies a machine that has not reported to this leader by itself.
+// AnnounceToSilent notifies a machine that has not reported to this leader on its own within the
+// announce delay.
 func (d *Dispatcher) AnnounceToSilent(machine *cluster.Machine, now time.Time) {
 	worker := &machine.Worker
 	isSilent := machine.Phase == cluster.Up && worker.HeartbeatAt.IsZero() && worker.Token < d.Fencing.OfTerm
@@ -35,7 +38,7 @@
 	}
 }
 
-// pendingRequests returns what the tasks of unfinished jobs take, each amount once.
+// pendingRequests returns the distinct resource requests of the tasks of unfinished jobs.
 func (d *Dispatcher) pendingRequests() map[placement.Resources]bool {
 	requests := map[placement.Resources]bool{}
 	for _, job := range d.State.Jobs {
@@ -46,8 +49,8 @@
 	return requests
 }
 
-// mayHaveRoom tells whether a machine has room for one more task, as far as the records tell. One
-// of unknown type may have.
+// mayHaveRoom reports whether the machine has room for any of the requests according to the
+// records. A machine of unknown type may have room.
 func (d *Dispatcher) mayHaveRoom(machine *cluster.Machine, requests map[placement.Resources]bool) bool {
 	machineType := d.Catalog.Type(machine.Type)
 	if machineType == nil {
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -8,17 +8,18 @@
 	"ospreyslip/internal/workers"
 )
 
-// Answer is the answer to a heartbeat that was taken in: the commands for the worker.
+// Answer returns the response to a heartbeat that has been processed, with the commands for the
+// worker, and remembers these commands for CheckDelivery.
 func (d *Dispatcher) Answer(machine *cluster.Machine) *workers.HeartbeatResponse {
 	commands := d.CommandsFor(machine, true)
 	machine.Commands.LastAnswer = commands
 	return &workers.HeartbeatResponse{FencingToken: d.TokenFor(machine), Commands: commands}
 }
 
-// AnswerStale is the answer to a heartbeat that shows a token of an earlier term. Any answer renews
-// the worker's lease: were it without stops for the tasks of cancelled jobs, and this leader to
-// end before the next heartbeat, they would run for a whole lease more, and one leader after the
-// other could give them that. To stop them is right however old the heartbeat is.
+// AnswerStale returns the response to a heartbeat with a fencing token of an earlier term. It stops
+// the tasks of cancelled jobs. Any response renews the worker's lease, so without these stops the
+// tasks would run for another whole lease if this leader ended before the next heartbeat, and each
+// of its successors could extend that again. Stopping them is correct however old the heartbeat is.
 func (d *Dispatcher) AnswerStale(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	commands := []workers.Command{}
 	for i := range heartbeat.Tasks {
@@ -32,11 +33,14 @@
 	return &workers.HeartbeatResponse{FencingToken: d.Fencing.OfTerm, Commands: commands}
 }
 
-// CommandsFor returns what the worker should do, from the difference between what it shows and
-// what is assigned to it. An ended task is cleared by answers only: there is one heartbeat in
-// flight, so that no start in an earlier answer can follow the clear. A task that was started by
-// a direct command is cleared when the worker has seen a higher token: it then refuses a late
-// copy of that command, which would start the task once more.
+// CommandsFor returns the commands for the machine's worker, derived from the difference between
+// the tasks that the worker lists and the machine's assignments. inAnswer is set for the response
+// to a heartbeat, and unset for a direct command request.
+//
+// Only responses clear an ended task: a worker has one heartbeat in flight, so no start in an
+// earlier response can arrive after the clear. A task started by a direct command is cleared only
+// once the worker has seen a higher token. From then on the worker refuses a late copy of that
+// command, which would otherwise start the task again.
 func (d *Dispatcher) CommandsFor(machine *cluster.Machine, inAnswer bool) []workers.Command {
 	commands := []workers.Command{}
 	if machine.Phase == cluster.Releasing {
@@ -53,20 +57,20 @@
 		case reconcile.Start:
 			a.Start.Sent, a.Start.RequestInFlight = true, !inAnswer
 			commands = append(commands, d.count(runCommand(a), decision))
-		default: // it goes on, or has to wait
+		default: // the task continues, or its command has to wait
 		}
 	}
 	return d.addOrphanCommands(machine, commands, inAnswer)
 }
 
-// addOrphanCommands adds what the worker should do with tasks that are not assigned to it.
+// addOrphanCommands appends the commands for the orphaned tasks that the worker lists.
 func (d *Dispatcher) addOrphanCommands(machine *cluster.Machine, commands []workers.Command, inAnswer bool) []workers.Command {
 	var held heldAcknowledgements
 	for i := range machine.Worker.Tasks {
-		task := &machine.Worker.Tasks[i] // not copied: a heartbeat without news allocates nothing more
+		task := &machine.Worker.Tasks[i] // not copied: that would allocate on each unchanged heartbeat
 		ref := cluster.RefOf(task)
 		if machine.FindAssignment(ref) != nil {
-			continue // its end is not durable yet
+			continue // still assigned, if only because its end is not durable yet
 		}
 		job, _, _ := workers.SplitTask(task.Name)
 		orphan := reconcile.OrphanedTask{
@@ -90,7 +94,7 @@
 	return commands
 }
 
-// count counts a command to a worker, for the progress of a failover.
+// count counts a command in the failover progress and returns it.
 func (d *Dispatcher) count(command workers.Command, decision reconcile.Decision) workers.Command {
 	d.Failover.CountCommand(command.Op, decision.Reason)
 	return command
@@ -104,7 +108,7 @@
 	return workers.Command{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// mayRunAgain tells whether an ended task's job is still to be worked on.
+// mayRunAgain reports whether the job of an ended task is unfinished.
 func (d *Dispatcher) mayRunAgain(task *workers.TaskStatus) bool {
 	id, _, ok := workers.SplitTask(task.Name)
 	job := d.State.Jobs[id]
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -7,16 +7,17 @@
 	"ospreyslip/internal/workers"
 )
 
-// MaxUndelivered is how many answers in a row may go undelivered.
+// MaxUndelivered is the number of consecutive undelivered heartbeat responses at which a machine
+// is marked unreachable.
 const MaxUndelivered = 2
 
-// CheckDelivery finds machines whose heartbeats arrive while the answers do not: what an answer
-// asked for has not happened by the next heartbeat. Such a machine would look healthy for ever,
-// and task after task would be given to it in vain.
+// CheckDelivery detects machines whose heartbeats arrive while the responses to them are lost: the
+// next heartbeat shows that no command of the last response was executed. Without this check such
+// a machine would look healthy forever, and tasks would be assigned to it in vain.
 func (d *Dispatcher) CheckDelivery(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
 	commands := &machine.Commands
 	if heartbeat.AgentEpoch > machine.Worker.Session || len(commands.LastAnswer) == 0 {
-		return // nothing to be learnt
+		return // a new agent epoch or no commands: the heartbeat proves nothing about delivery
 	}
 	if anyCarriedOut(machine, heartbeat) {
 		commands.UndeliveredAnswers = 0
@@ -31,7 +32,8 @@
 	}
 }
 
-// anyCarriedOut tells whether any command of the last answer shows in a heartbeat.
+// anyCarriedOut reports whether the heartbeat shows that any command of the last response was
+// executed.
 func anyCarriedOut(machine *cluster.Machine, heartbeat *workers.Heartbeat) bool {
 	for _, command := range machine.Commands.LastAnswer {
 		ref := cluster.CommandRef(&command)
@@ -42,7 +44,8 @@
 	return false
 }
 
-// isCarriedOut tells whether a command was, by how the worker shows its task; nil if it does not.
+// isCarriedOut reports whether a command was executed, given the task's status in the next
+// heartbeat. task is nil if the worker does not list it.
 func isCarriedOut(op string, task *workers.TaskStatus, assignment *cluster.Assignment) bool {
 	switch {
 	case op == workers.OpRun:
@@ -50,7 +53,7 @@
 	case op == workers.OpClear:
 		return task == nil
 	case assignment != nil && assignment.Job.IsGang() && task != nil && task.State == workers.StateRunning:
-		return true // it runs on, in its heartbeat, until all have saved
+		return true // the worker lists it as running until all tasks of the gang have saved
 	case task == nil:
 		return true
 	}
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -1,9 +1,9 @@
-// Package dispatch tells workers what they should do: in the answers to their heartbeats, and by
-// direct commands where that cannot wait. It keeps track of commands whose outcome is unknown,
-// and of machines that do not carry out what they are told.
+// Package dispatch sends commands to workers: in the responses to their heartbeats, and in direct
+// requests where a command cannot wait for the next heartbeat. It tracks commands whose outcome is
+// unknown, and machines that do not execute their commands.
 //
-// Nothing here is safe for concurrent use; it belongs to the leader's event loop. Commands are
-// sent by goroutines that hand their outcome back to it.
+// The package is not safe for concurrent use: all calls are made on the leader's event loop. Each
+// command request is sent by a goroutine that posts its outcome back to the event loop.
 package dispatch
 
 import (
@@ -23,22 +23,22 @@
 	"ospreyslip/internal/workers"
 )
 
-// Host is what a dispatcher needs of the other parts of the leader.
+// Host provides what a dispatcher needs from the other parts of the leader.
 type Host interface {
-	// IsLeader tells whether leadership is held at this moment.
+	// IsLeader reports whether this controller holds the leadership lease now.
 	IsLeader() bool
-	// IsCancelled tells whether a job is known to be cancelled.
+	// IsCancelled reports whether the job is known to be cancelled.
 	IsCancelled(job string) bool
-	// LeaveAlone tells whether a task that no assignment accounts for must not be stopped, as
-	// its job, or its assignment, may have been lost.
+	// LeaveAlone reports whether an orphaned task must be neither stopped nor cleared because
+	// the record of its job or its assignment may have been lost.
 	LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool
-	// Post has a function called on the event loop. It is called by any goroutine.
+	// Post runs a function on the event loop. It may be called by any goroutine.
 	Post(ctx context.Context, apply func(now time.Time))
-	// PostAfter does so after a while.
+	// PostAfter runs a function on the event loop after a delay.
 	PostAfter(ctx context.Context, delay time.Duration, apply func())
 }
 
-// Deps is what a dispatcher works with.
+// Deps holds the dependencies of a dispatcher.
 type Deps struct {
 	Derived  settings.Derived
 	Client   *workers.Client
@@ -52,30 +52,30 @@
 	Host     Host
 }
 
-// Dispatcher is the commands to workers, queued and under way.
+// Dispatcher sends commands to workers and limits the requests in flight.
 type Dispatcher struct {
 	Deps
-	queue        []*cluster.Machine        // have something to be told at once
-	unresponsive []*cluster.Machine        // the same, but they may not answer
-	inFlight     int                       // command requests under way
-	inDoubt      map[*cluster.Machine]bool // a superset of those with Commands.InDoubtSince
+	queue        []*cluster.Machine        // machines to be sent a command request
+	unresponsive []*cluster.Machine        // the same for machines that may not respond
+	inFlight     int                       // command requests in flight
+	inDoubt      map[*cluster.Machine]bool // includes every machine whose Commands.InDoubtSince is set
 }
 
-// New makes a dispatcher with nothing to send.
+// New returns a dispatcher with empty queues.
 func New(deps Deps) *Dispatcher {
 	return &Dispatcher{Deps: deps, inDoubt: map[*cluster.Machine]bool{}}
 }
 
 const (
-	// unresponsiveShare: one in so many of the command requests under way may go to machines
-	// that may not answer.
+	// unresponsiveShare divides the limit of command requests in flight: the quotient is the
+	// limit for machines that may not respond.
 	unresponsiveShare = 2
 
-	maxRetryDoublings = 8 // of the pause after a command request that failed
-	leasesPerRetry    = 4 // pauses are at most one part in so many of a lease
+	maxRetryDoublings = 8 // of the delay after a failed command request
+	leasesPerRetry    = 4 // the retry delay is at most the worker's lease divided by this
 )
 
-// Notify notes that a worker has something to be told at once.
+// Notify queues a command request to the machine's worker, unless one is queued already.
 func (d *Dispatcher) Notify(machine *cluster.Machine) {
 	if !machine.Commands.NotifyPending {
 		machine.Commands.NotifyPending = true
@@ -83,12 +83,12 @@
 	}
 }
 
-// Queued is how many workers have something to be told at once.
+// Queued returns the number of queue entries, each for a machine to be sent a command request.
 func (d *Dispatcher) Queued() int { return len(d.queue) + len(d.unresponsive) }
 
-// enqueue queues a worker that has something to be told. Those that may not answer have a queue
-// of their own: a zone that is cut off must not keep the others waiting behind requests that
-// time out.
+// enqueue queues a machine that has a notification pending. Machines that may not respond have a
+// queue of their own, so that requests to a partitioned zone, which time out, do not delay requests
+// to the other machines.
 func (d *Dispatcher) enqueue(machine *cluster.Machine) {
 	switch {
 	case !machine.Commands.NotifyPending:
@@ -99,8 +99,8 @@
 	}
 }
 
-// Send tells workers at once what cannot wait for their next heartbeat. A few requests are under
-// way at a time: after a failover every worker has to be told.
+// Send starts command requests to queued machines up to the limit of requests in flight. The limit
+// bounds the burst after a failover, when every worker may have to be sent a request.
 func (d *Dispatcher) Send(ctx context.Context, now time.Time) {
 	limit := d.Derived.Host.CommandsInFlight
 	d.sendFrom(ctx, now, &d.queue, limit)
@@ -112,7 +112,7 @@
 		machine := (*queue)[0]
 		*queue = (*queue)[1:]
 		if !machine.Commands.NotifyPending || machine.Commands.RequestInFlight {
-			continue // nothing any more, or looked at again when that request has returned
+			continue // nothing left to send, or queued again when the request in flight returns
 		}
 		if wait := machine.Commands.RetryAfter.Sub(now); wait > 0 {
 			d.Host.PostAfter(ctx, wait, func() { d.enqueue(machine) })
@@ -125,8 +125,8 @@
 	}
 }
 
-// mayCommand tells whether commands may go to a machine. While the outcome of earlier ones is
-// unknown none does.
+// mayCommand reports whether command requests may be sent to the machine. None is sent while the
+// outcome of an earlier one is unknown.
 func (d *Dispatcher) mayCommand(machine *cluster.Machine, now time.Time) bool {
 	worker := &machine.Worker
 	return machine.Phase == cluster.Up && worker.Session != 0 && machine.Addr != "" &&
@@ -149,7 +149,7 @@
 		}
 	}
 	request := workers.CommandRequest{FencingToken: token, AgentEpoch: machine.Worker.Session, Commands: commands}
-	addr := machine.Addr // a heartbeat may change it meanwhile
+	addr := machine.Addr // read here, as a heartbeat may change it while the goroutine runs
 	go func() {
 		heartbeat, executed, err := d.Client.SendCommands(ctx, addr, request)
 		d.Host.Post(ctx, func(now time.Time) {
@@ -158,15 +158,15 @@
 	}()
 }
 
-// commandResponse is what a worker answered to commands.
+// commandResponse is the result of a command request.
 type commandResponse struct {
 	heartbeat *workers.Heartbeat
 	executed  bool
 	err       error
 }
 
-// neverSent tells whether the commands can certainly not be executed any more: the worker refused
-// them, or there was no connection. A connection attempt that was given up does not complete later.
+// neverSent reports whether the commands were not executed and never will be: the worker refused
+// them, or no connection was established. An abandoned connection attempt does not complete later.
 func (r *commandResponse) neverSent() bool {
 	var dial *net.OpError
 	if errors.As(r.err, &dial) && dial.Op == "dial" {
@@ -175,10 +175,10 @@
 	return !r.executed && r.err == nil
 }
 
-// returned takes in the outcome of commands. If nobody knows whether they arrived, the starts
-// among them are in doubt: they may be executed at any later time while token and session match.
-// They are not sent again, nor are their tasks placed elsewhere, until a heartbeat shows them or
-// the worker has seen a higher token.
+// returned processes the outcome of a command request. If it is unknown whether the request arrived,
+// the start commands in it are in doubt: the worker may execute them at any later time as long as
+// their token and agent epoch match its own. They are not sent again, and their tasks are not placed
+// elsewhere, until a heartbeat lists the tasks or the worker has seen a higher token.
 func (d *Dispatcher) returned(machine *cluster.Machine, request workers.CommandRequest, response commandResponse, now time.Time) {
 	machine.Commands.RequestInFlight = false
 	d.inFlight--
@@ -201,7 +201,7 @@
 	}
 }
 
-// settleStarts notes what is known of the starts in a request that has returned.
+// settleStarts updates the assignments whose start commands were in a request that has returned.
 func (d *Dispatcher) settleStarts(machine *cluster.Machine, request workers.CommandRequest, response *commandResponse, now time.Time) {
 	neverSent := response.neverSent()
 	for _, command := range request.Commands {
@@ -221,7 +221,7 @@
 	}
 }
 
-// retryLater has a worker told again after a pause that grows with each failure.
+// retryLater schedules another command request after a delay that doubles with each failure.
 func (d *Dispatcher) retryLater(machine *cluster.Machine, now time.Time) {
 	commands := &machine.Commands
 	pause := d.Derived.Leader.ControlInterval << min(commands.FailedRequests, maxRetryDoublings)
@@ -230,7 +230,7 @@
 	commands.NotifyPending = true
 }
 
-// HeartbeatSeq is where a heartbeat stands in the order of a worker's messages.
+// HeartbeatSeq returns the position of a heartbeat in the sequence of a worker's messages.
 func HeartbeatSeq(heartbeat *workers.Heartbeat) liveness.HeartbeatSeq {
 	return liveness.HeartbeatSeq{Session: heartbeat.AgentEpoch, Seq: heartbeat.Seq}
 }
--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -10,8 +10,8 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// A zone that is cut off has commands time out by the hundred. They must not keep
-// the commands waiting that can arrive.
+// While a zone is partitioned, hundreds of command requests to it time out. They must not delay
+// requests to reachable machines.
 func TestCommandsThatCanArriveGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -22,16 +22,16 @@
 		for i := range 20 {
 			lost := cluster.NewMachine(fmt.Sprint("m-9", i), now)
 			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
-			s.Notify(lost) // from an earlier leader's records: it has not reported to this one
+			s.Notify(lost) // known from records only: it has not reported to this leader
 		}
 		s.Send(ctx, now)
 		if s.inFlight != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", s.inFlight)
+			t.Errorf("%d of 4 requests in flight go to machines that may not respond, want 2", s.inFlight)
 		}
 		s.Notify(machine)
 		s.Send(ctx, now)
 		if !machine.Commands.RequestInFlight {
-			t.Error("a machine that reports waits behind those that do not")
+			t.Error("the request to a machine that reports waits for those to machines that do not")
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/leader/dispatch/scenario_test.go
+++ b/internal/leader/dispatch/scenario_test.go
@@ -19,8 +19,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// fakeHost is the other parts of a leader: it leads, no job is cancelled, and what is posted is
-// dropped.
+// fakeHost stands in for the other parts of a leader. It holds the leadership lease, no job is
+// cancelled, and posted functions are dropped.
 type fakeHost struct{}
 
 func (fakeHost) IsLeader() bool                                        { return true }
@@ -34,7 +34,7 @@
 func (fakeHost) RemoveIfSettled(*cluster.Job)                          {}
 func (fakeHost) MayHaveUnknownTasks(*cluster.Job, time.Time) bool      { return false }
 
-// silentNetwork is one on which nothing is answered.
+// silentNetwork is an HTTP transport that blocks each request until its context is done.
 type silentNetwork struct{}
 
 func (silentNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -42,7 +42,7 @@
 	return nil, r.Context().Err()
 }
 
-// scenario is a dispatcher under token 5 with one job, whose tasks fill a machine each.
+// scenario is a dispatcher with fencing token 5 and one job, each of whose tasks fills a machine.
 type scenario struct {
 	*Dispatcher
 	job *cluster.Job
@@ -75,7 +75,7 @@
 	return &scenario{d, job, now}
 }
 
-// addMachine adds a machine that has reported, with a task of the job that its worker may hear of.
+// addMachine adds a machine that has reported, and assigns a task of the job to it durably.
 func (s *scenario) addMachine(id string) (*cluster.Machine, *cluster.Assignment) {
 	machine := cluster.NewMachine(id, s.now)
 	machine.Phase = cluster.Up
--- a/internal/leader/dispatch/token.go
+++ b/internal/leader/dispatch/token.go
@@ -7,13 +7,13 @@
 	"ospreyslip/internal/workers"
 )
 
-// The token is raised within a term so that commands that are still on their way are refused from
-// then on. A worker that sees a higher token sends one heartbeat more for it: with thousands of
-// workers that is a sixth of all heartbeats. So a machine is told of it only if something there
-// waits for it; the others go on with the one that they know, which is as good, as it is of this
-// term.
+// The leader raises the fencing token within a term so that workers refuse commands that are still
+// in flight. A worker that sees a higher token sends an extra heartbeat; with thousands of workers
+// these would be a sixth of all heartbeats. A raised token is therefore sent only to machines where
+// something waits for it. The others keep the token that they know, which is equally valid because
+// it belongs to the same term.
 
-// TokenFor is the token in answers and commands to a machine.
+// TokenFor returns the fencing token for responses and commands to the machine.
 func (d *Dispatcher) TokenFor(machine *cluster.Machine) uint64 {
 	if machine.Commands.NeedsHigherToken || !machine.Commands.InDoubtSince.IsZero() {
 		return d.Fencing.Current
@@ -21,16 +21,16 @@
 	return max(machine.Worker.Token, d.Fencing.OfTerm)
 }
 
-// MaxHeldAcknowledgements is how many ended tasks may stay in a machine's heartbeats for want of a
-// higher token. Each makes every heartbeat a little longer; clearing them costs two heartbeats.
+// MaxHeldAcknowledgements is the number of ended tasks awaiting a higher token at which the machine
+// is sent one. Each such task makes every heartbeat longer; clearing them costs two heartbeats.
 const MaxHeldAcknowledgements = 8
 
-// heldAcknowledgements are the ended tasks of a machine that cannot be cleared yet: they were
-// started by commands that its worker would still accept a copy of.
+// heldAcknowledgements summarizes the ended tasks of a machine that cannot be cleared yet because
+// its worker would still accept a late copy of the command that started them.
 type heldAcknowledgements struct {
 	count       int
-	urgent      bool   // a task that may run again; its worker would refuse it until then
-	newestToken uint64 // of the commands that started them
+	urgent      bool   // one may have to run again, and its worker refuses it until it is cleared
+	newestToken uint64 // the highest token of the commands that started them
 }
 
 func (h *heldAcknowledgements) add(task *workers.TaskStatus, commandToken uint64, mayRunAgain bool) {
@@ -39,13 +39,14 @@
 	h.urgent = h.urgent || mayRunAgain && task.Cause != workers.CauseDone
 }
 
-// needHigherToken tells whether the machine is to see a higher token.
+// needHigherToken reports whether the machine should be sent a higher token.
 func (h *heldAcknowledgements) needHigherToken() bool {
 	return h.urgent || h.count >= MaxHeldAcknowledgements
 }
 
-// ResolveInDoubt asks for a higher token where commands have been in doubt for long, and once in a
-// lease where an ended task waits for it to be cleared.
+// ResolveInDoubt requests a higher token if a start command has been in doubt for longer than the
+// in-doubt timeout, and at most once per worker lease if ended tasks cannot be cleared without one.
+// It clears the in-doubt state of machines on which no start command is in doubt any more.
 func (d *Dispatcher) ResolveInDoubt(now time.Time) {
 	raise := d.Fencing.AcknowledgementsHeld && now.Sub(d.Fencing.RaisedAt) > d.Derived.Workers.Lease
 	for machine := range d.inDoubt {
@@ -62,12 +63,12 @@
 	}
 	if raise {
 		d.Fencing.RequestRaise()
-		d.Fencing.RaisedAt = now // once, however long the write takes
+		d.Fencing.RaisedAt = now // the time of the request: a slow write must not cause a second one
 	}
 }
 
-// startsInDoubt tells whether starts on a machine are in doubt, and whether one has been for so
-// long that a higher token should end that.
+// startsInDoubt reports whether any start command to the machine is in doubt, and whether one has
+// been in doubt for so long that the token should be raised to invalidate it.
 func (d *Dispatcher) startsInDoubt(machine *cluster.Machine, now time.Time) (inDoubt, overdue bool) {
 	waitedLong := now.Sub(machine.Commands.InDoubtSince) > d.Derived.Workers.InDoubtTimeout &&
 		now.Sub(d.Fencing.RaisedAt) > d.Derived.Leader.ControlInterval
@@ -80,10 +81,10 @@
 	return inDoubt, overdue
 }
 
-// MayStartCancelled tells whether a command on its way may still start a task whose job is
-// cancelled. A higher token ends that, but in an outage of the key-value store there is none to
-// be had. Then the worker's lease has to end in time, and with it the session that the command
-// is for.
+// MayStartCancelled reports whether a command in flight may still start a task of a cancelled job,
+// so that the worker's lease must not be renewed. A higher token would invalidate the command, but
+// the token cannot be raised during an outage of the key-value store. The worker's lease then has to
+// expire in time: that ends the agent epoch for which the command was sent.
 func (d *Dispatcher) MayStartCancelled(machine *cluster.Machine, now time.Time) bool {
 	if machine.Commands.InDoubtSince.IsZero() {
 		return false
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -10,9 +10,10 @@
 	"ospreyslip/internal/workers"
 )
 
-// A raised token makes each worker that sees it report once more. It is shown where
-// something waits for it only: several ended tasks that were begun by commands, an ended
-// task that is to begin again, or a command in doubt. With it, what waited is cleared.
+// Each worker that sees a raised token sends an extra heartbeat. The token must therefore be sent
+// only to a machine where something waits for it: several ended tasks started by direct commands,
+// an ended task that has to run again, or a command in doubt. Once the worker has seen the token,
+// the ended tasks are cleared.
 func TestTokenByNeed(t *testing.T) {
 	s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	var reports []*workers.Heartbeat
@@ -39,7 +40,7 @@
 		machine := s.State.Machines.ByID[r.Machine]
 		s.Tasks.Observe(machine, r, s.now)
 		if machine.Worker.Seq != r.Seq {
-			t.Fatalf("%s: its report is not taken in", r.Machine)
+			t.Fatalf("%s: heartbeat was ignored", r.Machine)
 		}
 		a := s.Answer(machine)
 		r.FencingToken = a.FencingToken
@@ -55,11 +56,11 @@
 	}
 	for _, r := range reports {
 		if a := answer(r); a.FencingToken != 5 || cleared(a) > 0 {
-			t.Errorf("%s, before there is a higher token: %+v", r.Machine, a)
+			t.Errorf("%s: response before the token was raised: %+v", r.Machine, a)
 		}
 	}
 	if !s.Fencing.AcknowledgementsHeld {
-		t.Error("no higher token is asked for")
+		t.Error("AcknowledgementsHeld is not set")
 	}
 	s.Fencing.Current = 6
 	for _, want := range []struct {
@@ -68,32 +69,32 @@
 		clear int
 	}{{few, 5, 0}, {many, 6, MaxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
 		if a := answer(want.r); a.FencingToken != want.token || cleared(a) > 0 {
-			t.Errorf("%s: token %d, %d cleared at once; want %d, none", want.r.Machine, a.FencingToken, cleared(a), want.token)
+			t.Errorf("%s: token %d, %d tasks cleared before the worker has seen it; want token %d, none cleared", want.r.Machine, a.FencingToken, cleared(a), want.token)
 		}
 		if a := answer(want.r); cleared(a) != want.clear {
-			t.Errorf("%s: %d cleared under token %d, want %d", want.r.Machine, cleared(a), want.r.FencingToken, want.clear)
+			t.Errorf("%s: %d tasks cleared with token %d, want %d", want.r.Machine, cleared(a), want.r.FencingToken, want.clear)
 		}
 	}
-	// A command carries the token that its machine knows, and never one from before.
+	// A command carries the token that its worker knows, but never one of an earlier term.
 	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 5 {
-		t.Errorf("token %d where nothing waits, want 5", got)
+		t.Errorf("token %d for a machine where nothing waits for a higher one, want 5", got)
 	}
 	s.Fencing.OfTerm, s.Fencing.Current = 7, 7
 	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 7 {
-		t.Errorf("token %d, of an earlier term", got)
+		t.Errorf("token %d is of an earlier term, want 7", got)
 	}
 }
 
 func TestCommandsInDoubtAskForARaise(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		token  uint64 // of the command that got no answer
+		token  uint64 // of the command without a response
 		after  time.Duration
 		raises bool
 	}{
-		{"not for long", 5, 2 * time.Second, false},
-		{"for long", 5, 3 * time.Second, true},
-		{"refused under the present token", 4, 3 * time.Second, false},
+		{"before the timeout", 5, 2 * time.Second, false},
+		{"after the timeout", 5, 3 * time.Second, true},
+		{"superseded by the current token", 4, 3 * time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
@@ -101,7 +102,7 @@
 			request := workers.CommandRequest{FencingToken: tc.token, AgentEpoch: 1, Commands: s.CommandsFor(machine, false)}
 			s.returned(machine, request, commandResponse{err: context.DeadlineExceeded}, s.now)
 			if s.ResolveInDoubt(s.now.Add(tc.after)); s.Fencing.RaisePending != tc.raises || a.Start.InDoubtToken != tc.token {
-				t.Errorf("raise pending: %v, in doubt under token %d", s.Fencing.RaisePending, a.Start.InDoubtToken)
+				t.Errorf("raise pending: %v; in doubt with token %d", s.Fencing.RaisePending, a.Start.InDoubtToken)
 			}
 		})
 	}
--- a/internal/leader/planner/capacity.go
+++ b/internal/leader/planner/capacity.go
@@ -6,31 +6,31 @@
 	"ospreyslip/internal/placement"
 )
 
-// Capacity is what assignments use of machines and quotas, and the index of free room by which
-// placement finds machines.
+// Capacity tracks what assignments use of machines and quotas. It maintains the index of free
+// resources by which placement finds machines.
 type Capacity struct {
 	index       placement.CapacityIndex
 	usedByTeam  map[string]placement.Resources
-	tasksByRank [8]int // tasks on machines, by priority
+	tasksByRank [8]int // number of tasks on machines, by priority rank
 	machineType func(name string) *jobs.MachineType
 }
 
-// NewCapacity makes one without machines. MachineType returns nil for a type that is not known.
+// NewCapacity returns a Capacity without machines. machineType returns nil for an unknown type.
 func NewCapacity(machineType func(name string) *jobs.MachineType) *Capacity {
 	return &Capacity{usedByTeam: map[string]placement.Resources{}, machineType: machineType}
 }
 
-// UsedBy is what a team's tasks take that are, or may be, on machines.
+// UsedBy returns the resources of the team's tasks that are, or may be, on machines.
 func (c *Capacity) UsedBy(team string) placement.Resources { return c.usedByTeam[team] }
 
-// Count makes an assignment count against its machine's room, its team's quota and its job's
+// Count counts an assignment against its machine's free resources, its team's quota and its job's
 // spread over zones.
 func (c *Capacity) Count(assignment *cluster.Assignment) {
 	assignment.CountsAsUsed = true
 	c.add(assignment, 1)
 }
 
-// Release undoes Count. It does nothing for an assignment that does not count.
+// Release reverses Count. It does nothing for an assignment that is not counted.
 func (c *Capacity) Release(assignment *cluster.Assignment) {
 	if assignment.CountsAsUsed {
 		assignment.CountsAsUsed = false
@@ -48,7 +48,8 @@
 	assignment.Job.Zones[machine.Zone] += sign
 }
 
-// Offer lets placement use a machine, if its type is known, and tells whether that is new.
+// Offer makes a machine available to placement if its type is known. It reports whether the machine
+// was not available before.
 func (c *Capacity) Offer(machine *cluster.Machine) (isNew bool) {
 	offer := machine.Offer
 	changed := offer.Type != machine.Type || offer.Zone != machine.Zone || offer.Spot != machine.Spot
@@ -66,10 +67,10 @@
 	return c.index.Insert(offer)
 }
 
-// Withdraw keeps placement from using a machine.
+// Withdraw makes a machine unavailable to placement.
 func (c *Capacity) Withdraw(machine *cluster.Machine) { c.index.Remove(machine.Offer) }
 
-// usage returns a copy of what the teams use.
+// usage returns a copy of the resources in use by team.
 func (c *Capacity) usage() map[string]placement.Resources {
 	used := make(map[string]placement.Resources, len(c.usedByTeam))
 	for team, resources := range c.usedByTeam {
@@ -78,7 +79,7 @@
 	return used
 }
 
-// lowestRank is the lowest priority of which a task is on a machine.
+// lowestRank returns the lowest priority rank of any task on a machine.
 func (c *Capacity) lowestRank() (rank int) {
 	for rank < len(c.tasksByRank)-1 && c.tasksByRank[rank] == 0 {
 		rank++
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -1,8 +1,8 @@
-// Package planner decides which pending tasks go to which machines, and which running ones are
-// preempted for them. It keeps the queue of jobs with pending tasks and the capacity that is
-// in use; placement does the bin packing. A plan is returned, and carried out by the leader.
+// Package planner decides which pending tasks are placed on which machines, and which running tasks
+// are preempted for them. It keeps the queue of jobs with pending tasks and the capacity in use;
+// package placement does the bin packing. The leader carries out the plans.
 //
-// Nothing here is safe for concurrent use; it belongs to the leader's event loop.
+// The package is not safe for concurrent use: all calls are made on the leader's event loop.
 package planner
 
 import (
@@ -18,36 +18,36 @@
 	"ospreyslip/internal/workers"
 )
 
-// Config is what plans go by, from the settings.
+// Config holds the settings that plans depend on.
 type Config struct {
 	Teams           []settings.Team
 	Objectives      []settings.Objective
 	ControlInterval time.Duration
-	StarvationLimit time.Duration // a job that got nothing for so long goes first
-	CountedRunTime  time.Duration // a shorter run counts as nothing
+	StarvationLimit time.Duration // a job that has not been served for longer is starved
+	CountedRunTime  time.Duration // a job is served once one of its tasks has run for longer
 }
 
-// Constraints is what other parts of the leader know of a job.
+// Constraints provides what other parts of the leader know about jobs.
 type Constraints interface {
-	// MayPreempt tells whether tasks of others may be stopped for the job.
+	// MayPreempt reports whether tasks of other jobs may be preempted for the job.
 	MayPreempt(job *cluster.Job, now time.Time) bool
-	// MayHaveUnknownTasks tells whether tasks of the job, or of its team, may be on machines
-	// without being counted. None is placed then.
+	// MayHaveUnknownTasks reports whether tasks of the job, or of its team, may be on machines
+	// without being counted. No task of the job is placed while they may.
 	MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool
-	// AddHeldUsage adds what tasks of jobs take that are held, and have no assignments.
+	// AddHeldUsage adds the resources of the tasks of held jobs, which have no assignments.
 	AddHeldUsage(usedByTeam map[string]placement.Resources)
 }
 
-// Planner is the queue of jobs with pending tasks, and what plans need besides.
+// Planner makes plans from the queue of jobs with pending tasks and the capacity in use.
 type Planner struct {
 	Capacity *Capacity
 
-	// Requested says that a plan is to be made as soon as it is time for one.
+	// Requested is set while a plan is wanted. The plan is made once IsDue permits.
 	Requested bool
-	// GuaranteesStale says that which jobs fit within their teams' guarantees is to be found
-	// out anew.
+	// GuaranteesStale is set when the jobs within their teams' guarantees must be determined
+	// again.
 	GuaranteesStale bool
-	// Unmet is the tasks that the last plan found no room for.
+	// Unmet holds the tasks for which the last plan found no room.
 	Unmet []placement.Demand
 
 	config      Config
@@ -56,12 +56,12 @@
 	constraints Constraints
 
 	queued      map[*cluster.Job]bool
-	last        Plan // whose memory the next one takes
+	last        Plan // its memory is reused by the next plan
 	lastStarted time.Time
 	lastTook    time.Duration
 }
 
-// New makes a planner with an empty queue.
+// New returns a planner with an empty queue.
 func New(config Config, state *cluster.State, runTimes *runtimes.Estimator, machineType func(name string) *jobs.MachineType, constraints Constraints) *Planner {
 	return &Planner{
 		Capacity: NewCapacity(machineType), config: config, state: state, runTimes: runTimes, constraints: constraints,
@@ -69,52 +69,54 @@
 	}
 }
 
-// Plan is what the leader is to carry out, in this order. It is valid until the next one is made.
+// Plan lists what the leader is to do: first the preemptions, then the placements. It is valid until
+// the next plan is made.
 type Plan struct {
 	Preemptions []Preemption
 	Placements  []Placement
 }
 
-// Preemption is a task to be stopped to make room.
+// Preemption is a task to be stopped to make room for others.
 type Preemption struct {
 	Assignment *cluster.Assignment
-	GraceS     float64 // time to save a checkpoint
+	GraceS     float64 // time to save a checkpoint, in seconds
 }
 
-// Placement is one pending task of a job to be placed on a machine.
+// Placement assigns one pending task of a job to a machine.
 type Placement struct {
 	Job     *cluster.Job
 	Machine *cluster.Machine
-	Starved bool // it goes first, as the job had got nothing for too long
+	Starved bool // placed ahead of other jobs because the job was starved
 }
 
 const (
-	// MaxTimeShare bounds the part of the time that planning takes: heartbeats, renewals and
-	// cancellations have to get through as well.
+	// MaxTimeShare is the largest share of the event loop's time that planning may take, so that
+	// it does not delay heartbeats, lease renewals and cancellations.
 	MaxTimeShare = 0.2
 
-	plansPerInterval = 32 // at most
+	plansPerInterval = 32 // limit of plans per control interval
 )
 
-// IsDue tells whether a plan is requested and it is time for one.
+// IsDue reports whether a plan is requested and enough time has passed since the last one started.
 func (p *Planner) IsDue(now time.Time) bool {
 	return p.Requested && now.Sub(p.lastStarted) >= max(p.config.ControlInterval/plansPerInterval, cluster.ScaleDuration(p.lastTook, 1/MaxTimeShare))
 }
 
-// Enqueue notes that a job has pending tasks, if it has.
+// Enqueue adds the job to the queue if it has pending tasks and is not over.
 func (p *Planner) Enqueue(job *cluster.Job) {
 	if job.Pending.Count > 0 && !job.IsOver() {
 		p.queued[job] = true
 	}
 }
 
-// Forget drops a job that is settled.
+// Forget removes a settled job from the queue. Its end can change which other jobs are within their
+// teams' guarantees.
 func (p *Planner) Forget(job *cluster.Job) {
 	delete(p.queued, job)
 	p.GuaranteesStale = true
 }
 
-// Plan plans on the cluster's state as it is.
+// Plan returns a plan for the current state of the cluster.
 func (p *Planner) Plan(now time.Time) Plan {
 	p.Requested, p.lastStarted = false, now
 	if p.GuaranteesStale {
@@ -139,10 +141,11 @@
 	return p.plan(output, jobOf, running)
 }
 
-// Finished notes how long it took to make a plan and to carry it out.
+// Finished records how long it took to make a plan and to carry it out.
 func (p *Planner) Finished(took time.Duration) { p.lastTook = took }
 
-// queuedJobs is the queue as placement sees it, in the order of acceptance.
+// queuedJobs returns the queue as input for placement, in the order of acceptance, and adds its jobs
+// to jobOf. It drops jobs without pending tasks from the queue.
 func (p *Planner) queuedJobs(jobOf map[*placement.Job]*cluster.Job, now time.Time) (queue []*placement.Job) {
 	wallMs := now.UnixMilli()
 	for job := range p.queued {
@@ -150,8 +153,9 @@
 		case job.IsOver() || job.Pending.Count == 0:
 			delete(p.queued, job)
 		case job.IsGang() && len(job.Assignments) > 0:
-			// Looked at again when the last task of its attempt is removed. Were it begun
-			// with those whose ends are durable first, it would stay a part of the gang.
+			// The gang is queued again when the last task of its attempt is removed. If the
+			// next attempt began with only the tasks whose ends are durable, the gang would
+			// never be complete.
 		case now.Before(job.Scheduling.BackoffUntil), p.constraints.MayHaveUnknownTasks(job, now):
 			p.Requested = true
 		default:
@@ -166,7 +170,7 @@
 	return queue
 }
 
-// plan is placement's output in the leader's terms.
+// plan converts the output of placement into a Plan.
 func (p *Planner) plan(output placement.Output, jobOf map[*placement.Job]*cluster.Job, running runningTasks) Plan {
 	plan := Plan{Preemptions: p.last.Preemptions[:0], Placements: p.last.Placements[:0]}
 	for _, preempted := range output.Preemptions {
@@ -185,7 +189,7 @@
 	return plan
 }
 
-// runningTasks shows placement the tasks on machines, for one plan.
+// runningTasks converts the tasks on machines into input for placement, for one plan.
 type runningTasks struct {
 	jobs         map[*cluster.Job]*placement.Job
 	assignmentOf map[*placement.RunningTask]*cluster.Assignment
@@ -197,7 +201,8 @@
 	}
 }
 
-// load shows what could be stopped on a machine, and what is stopping already.
+// load sets the tasks that could be preempted on a machine, and the resources of those that are
+// already stopping.
 func (r runningTasks) load(offer *placement.Machine, assignments map[uint64]*cluster.Assignment, now time.Time) {
 	offer.Releasing, offer.Tasks = placement.Resources{}, offer.Tasks[:0]
 	for _, a := range assignments {
--- a/internal/leader/planner/planner_test.go
+++ b/internal/leader/planner/planner_test.go
@@ -10,7 +10,7 @@
 	"ospreyslip/internal/placement"
 )
 
-// noConstraints lets every job be planned for.
+// noConstraints implements Constraints without restricting any job.
 type noConstraints struct{}
 
 func (noConstraints) MayPreempt(*cluster.Job, time.Time) bool          { return true }
@@ -27,6 +27,6 @@
 	byName["cancelled"].End.Cancelled, byName["complete"].End.Complete = true, true
 	byName["all placed"].TakePendingTask()
 	if p.Plan(time.Time{}); len(p.queued) != 1 || !p.queued[byName["pending"]] {
-		t.Errorf("%d jobs are queued", len(p.queued))
+		t.Errorf("%d jobs are queued, want only the pending one", len(p.queued))
 	}
 }
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -14,29 +14,32 @@
 )
 
 const (
-	// starvedShare is the part of a job's tasks that go first when it has got nothing for too
-	// long. It would starve without; with all of them, so would the others.
+	// starvedShare is the share of a job's tasks that are placed first when the job is starved.
+	// Without any, the job would wait indefinitely; with all of them, other jobs would starve.
 	starvedShare = 1.0 / 8
 
-	// reserveShare is the part of its run time for which room is kept for a gang: what stands
-	// idle meanwhile is little next to its own work, and where many tasks end all the time it
-	// mostly suffices.
+	// reserveShare is the share of a gang's expected run time for which room is reserved for it.
+	// The capacity that idles meanwhile is small compared with the gang's own work, and where
+	// many tasks end all the time the reservation usually suffices.
 	reserveShare = 0.25
 
-	// PatienceShare is the part of the time in which work within a guarantee should start for
-	// which it waits for tasks to end by themselves.
+	// PatienceShare is the share of the time in which a job within its team's guarantee should
+	// start that is spent waiting for other tasks to end on their own before any is preempted.
 	PatienceShare = 0.5
 
-	// startMargin is the part of a control interval that it takes to tell a worker and to hear
-	// that the task runs.
+	// startMargin is the share of a control interval allowed for sending a start command and
+	// learning that the task runs.
 	startMargin = 0.25
 
-	// restartRuns is how many run times a task needs to its deadline to be stopped and begun anew.
+	// restartRuns is how many expected run times must be left to a deadline for a task to be
+	// restarted and still meet it.
 	restartRuns = 2
 )
 
-// deadlineS is how many seconds a job has left for the next objective that it can still meet,
-// given how long its tasks run. One that has not begun is due by its objective to begin, too.
+// deadlineS returns the seconds left until the job has to complete to meet the next objective that
+// it can still meet, given the expected run time of its tasks. For a job that has not started, the
+// objective for the start counts as well. The result is placement.NoDeadline without an objective,
+// and placement.DeadlineMissed if none can be met.
 func (p *Planner) deadlineS(job *cluster.Job, wallMs int64) float64 {
 	if !job.Spec.RunsToCompletion() {
 		return placement.NoDeadline
@@ -60,7 +63,7 @@
 		}
 		hasObjective = hasObjective || objective.Kind == settings.ObjectiveFinished
 	}
-	if job.Spec.DeadlineS != nil && !hasObjective { // nobody has said how much it matters
+	if job.Spec.DeadlineS != nil && !hasObjective { // no objective covers the job's own deadline
 		hasObjective = true
 		if leftS := *job.Spec.DeadlineS - ageS; leftS >= runS {
 			deadlineS = leftS
@@ -72,7 +75,7 @@
 	return deadlineS
 }
 
-// updateGuarantees finds out which jobs fit within their teams' guarantees.
+// updateGuarantees determines which unfinished jobs fit within their teams' guarantees.
 func (p *Planner) updateGuarantees(now time.Time) {
 	p.GuaranteesStale = false
 	var unfinished []*placement.Job
@@ -94,7 +97,7 @@
 	}
 }
 
-// plannedJob is a job as placement sees it.
+// plannedJob returns a job as input for placement.
 func (p *Planner) plannedJob(job *cluster.Job, now time.Time, wallMs int64) *placement.Job {
 	spec, runS := job.Spec, p.runTimes.Seconds(job.Spec)
 	planned := &placement.Job{
@@ -119,7 +122,8 @@
 	return planned
 }
 
-// applyObjectives adds how soon a job should start.
+// applyObjectives sets how soon the job should start, and whether it waits before it reclaims what
+// its team is guaranteed.
 func (p *Planner) applyObjectives(planned *placement.Job, job *cluster.Job, now time.Time, wallMs int64) {
 	for _, objective := range p.config.Objectives {
 		if objective.Kind == settings.ObjectiveGuarantee && job.Spec.Shape == jobs.Batch {
@@ -127,7 +131,7 @@
 		}
 		if objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class {
 			planned.StartWithinS = objective.WithinS - p.config.ControlInterval.Seconds()*startMargin
-			// What has run before is wanted back as soon as it was wanted at first.
+			// Tasks to be placed again have as long to restart as a first start may take.
 			if !job.Pending.HasRetries() {
 				planned.StartWithinS -= float64(wallMs-job.AcceptedMs) / 1000
 			}
@@ -135,8 +139,9 @@
 	}
 }
 
-// StarvedTasks is how many tasks of a job go first because it has got nothing for too long. A
-// task that was stopped again soon after its start is nothing.
+// StarvedTasks returns how many of the job's tasks are placed first because the job is starved: no
+// task has run for longer than CountedRunTime within the StarvationLimit. A task that is stopped soon
+// after its start does not count.
 func (p *Planner) StarvedTasks(job *cluster.Job, now time.Time) int {
 	if now.Sub(job.Scheduling.LastServedAt) <= p.config.StarvationLimit {
 		return 0
@@ -146,7 +151,7 @@
 		switch {
 		case a.Outcome != cluster.Open || a.Stop.Requested:
 		case a.Restored:
-			return 0 // for as long as an earlier leader's is there
+			return 0 // an assignment of an earlier leader counts as service while it exists
 		case a.ObservedState == workers.StateRunning && now.Sub(a.RunningSince) > p.config.CountedRunTime:
 			job.Scheduling.LastServedAt = now
 			return 0
@@ -161,8 +166,9 @@
 	return int(math.Ceil(starvedShare * float64(job.Spec.Tasks)))
 }
 
-// RestoreAge counts a job's age under earlier leaders: with each new one, its wait would begin
-// anew. What it has on machines by now may be there because it went first.
+// RestoreAge restores the time for which a job has waited under earlier leaders. Otherwise its wait
+// would start over with each new leader. If the job is starved and has no more assignments than may
+// be placed first, they may have been placed that way, and are marked so.
 func (p *Planner) RestoreAge(job *cluster.Job, age time.Duration, now time.Time) {
 	job.Scheduling.LastServedAt = now.Add(-max(0, age))
 	starved := job.Spec.RunsToCompletion() && now.Sub(job.Scheduling.LastServedAt) > p.config.StarvationLimit
--- a/internal/leader/planner/priority_test.go
+++ b/internal/leader/planner/priority_test.go
@@ -10,8 +10,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// A job whose tasks are stopped again soon after they start has got nothing: it
-// would wait for ever if each of them began its wait anew.
+// A job whose tasks are stopped soon after they start has not been served. If each such start reset
+// its waiting time, the job would starve indefinitely.
 func TestStartsThatDoNotLast(t *testing.T) {
 	accepted := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	config := Config{StarvationLimit: time.Minute, CountedRunTime: 10 * time.Second}
@@ -22,18 +22,18 @@
 	a := &cluster.Assignment{Job: job, Index: job.TakePendingTask(), ObservedState: workers.StateRunning, RunningSince: late}
 	job.Assignments[a.Index] = a
 	if n := p.StarvedTasks(job, late.Add(time.Second)); n != 1 {
-		t.Errorf("with a task that has just begun: %d go first", n)
+		t.Errorf("with a task that has just started: %d starved tasks, want 1", n)
 	}
 	a.Overdue = true
 	if n := p.StarvedTasks(job, late.Add(time.Second)); n != 0 {
-		t.Errorf("with one ahead already: %d go first", n)
+		t.Errorf("with a task already placed first: %d starved tasks, want 0", n)
 	}
 	a.Stop.Requested = true
 	if n := p.StarvedTasks(job, late.Add(time.Second)); n != 1 {
-		t.Errorf("when it has to stop again: %d go first", n)
+		t.Errorf("when that task has to stop: %d starved tasks, want 1", n)
 	}
 	a.Stop.Requested = false
 	if n := p.StarvedTasks(job, late.Add(config.CountedRunTime+time.Second)); n != 0 {
-		t.Errorf("with a task that has lasted: %d go first", n)
+		t.Errorf("with a task that has run long enough: %d starved tasks, want 0", n)
 	}
 }
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -10,8 +10,9 @@
 	"ospreyslip/internal/workers"
 )
 
-// applySpotNotice prepares for the loss of a machine within some seconds: what can save does so,
-// what may still complete goes on, and the rest begins anew elsewhere at once.
+// applySpotNotice prepares for the reclaim of a spot machine in inS seconds. Tasks that can save a
+// checkpoint in time are stopped to do so. Tasks that are likely to complete in time keep running.
+// All others are stopped at once, to restart elsewhere.
 func (m *Manager) applySpotNotice(machine *cluster.Machine, inS float64, now time.Time) {
 	if machine.Health.NoticeUntil.IsZero() {
 		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", inS)
@@ -31,7 +32,7 @@
 	m.Planner.Requested = true
 }
 
-// canSave tells whether a task can save a checkpoint within some seconds.
+// canSave reports whether the task can save a checkpoint within withinS seconds.
 func (m *Manager) canSave(assignment *cluster.Assignment, withinS float64) bool {
 	spec := assignment.Job.Spec
 	if assignment.Job.IsGang() {
@@ -40,11 +41,12 @@
 	return spec.CheckpointIntervalS > 0 && spec.CheckpointSaveS < withinS
 }
 
-// shouldRestartElsewhere tells whether a task on a machine that will be taken within some seconds
-// should begin anew elsewhere: if it stays, it most likely loses the time until then as well.
+// shouldRestartElsewhere reports whether a task on a machine that will be reclaimed in withinS
+// seconds should restart elsewhere now: if it stays and does not complete, it also loses the time
+// until then. The expected gain of staying is weighed against the expected loss.
 func (m *Manager) shouldRestartElsewhere(assignment *cluster.Assignment, withinS float64, now time.Time) bool {
 	if !assignment.Job.Spec.RunsToCompletion() {
-		return len(m.Planner.Unmet) == 0 // it never completes; while others wait it would, too
+		return len(m.Planner.Unmet) == 0 // it never completes; moving it while others wait makes it wait, too
 	}
 	ranS := 0.0
 	if assignment.ObservedState == workers.StateRunning {
@@ -55,8 +57,9 @@
 	return chance*runS < (1-chance)*withinS
 }
 
-// DrainStraggler drains a machine that runs tasks much slower than others, and stops the batch
-// work on it that would be over sooner elsewhere. It tells whether the machine is one.
+// DrainStraggler reports whether the machine is a straggler: one that runs tasks much more slowly
+// than others. It stops the machine's batch and gang tasks that would complete sooner elsewhere, and
+// drains the machine unless it runs services.
 func (m *Manager) DrainStraggler(machine *cluster.Machine, now time.Time) bool {
 	if !machine.Offer.Straggler {
 		slow, odds := m.RunTimes.IsStraggler(machine, now)
@@ -81,8 +84,8 @@
 	return true
 }
 
-// ProductionTasks is how many production tasks a machine has: their users wait, while other work
-// is only late.
+// ProductionTasks returns the number of open production tasks on the machine. An interruption of
+// these affects users, whereas other work is only delayed.
 func ProductionTasks(machine *cluster.Machine) (count int) {
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open && a.Job.Spec.Priority == jobs.Prod {
--- a/internal/leader/tasks/failure.go
+++ b/internal/leader/tasks/failure.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// freeFailures is how many failures in a row a job has before it is tried more rarely.
+	// freeFailures is the number of consecutive failures of a job that cause no backoff.
 	freeFailures = 2
-	// maxBackoffDoublings bounds how often the pause between tries is doubled.
+	// maxBackoffDoublings is how often the delay between attempts is doubled at most.
 	maxBackoffDoublings = 6
 )
 
-// recordFailure finds out whether a task that ended without being done says something against its
-// machine or its job.
+// recordFailure processes a task that ended without completing. Depending on the cause, its job may
+// back off and may be kept off the machine for a while.
 func (m *Manager) recordFailure(assignment *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
 	job, machine := assignment.Job, assignment.Machine
 	switch task.Cause {
@@ -24,7 +24,7 @@
 	case workers.CauseError:
 		m.backOff(job, now)
 		m.suspectFaulty(machine, job, now)
-	default: // no_room, busy, unknown: refused, and worth another try soon
+	default: // no_room, busy, unknown: the worker refused the task; retry soon
 		machine.AvoidJobUntil(job.ID, now.Add(m.Derived.Workers.HeartbeatInterval))
 		if task.Cause == workers.CauseUnknown {
 			job.Scheduling.BackoffUntil = now.Add(m.Derived.Workers.HeartbeatInterval)
@@ -33,8 +33,8 @@
 	slog.Debug("task ended", "task", assignment.TaskName(), "machine", machine.ID, "term", m.Fencing.Current, "reason", task.Cause)
 }
 
-// backOff tries a job ever more rarely that fails on several machines in a row: that is its
-// user's mistake.
+// backOff delays the next attempt of a job exponentially if it keeps failing. A job that fails on
+// several machines in a row is most likely at fault itself.
 func (m *Manager) backOff(job *cluster.Job, now time.Time) {
 	job.Scheduling.ConsecutiveFailures++
 	if failures := job.Scheduling.ConsecutiveFailures; failures > freeFailures {
@@ -43,13 +43,14 @@
 	}
 }
 
-// suspectFaulty keeps a job off the machine on which it failed, which is mostly the machine's
-// fault. A machine on which several jobs fail is drained.
+// suspectFaulty keeps the job off the machine on which it failed for one worker lease, as the
+// machine is usually the cause. A machine on which more than one job has failed since a task last
+// completed there is drained.
 func (m *Manager) suspectFaulty(machine *cluster.Machine, job *cluster.Job, now time.Time) {
 	machine.Health.FailedJobs[job.ID] = true
 	machine.AvoidJobUntil(job.ID, now.Add(m.Derived.Workers.Lease))
 	if len(machine.Health.FailedJobs) > 1 && !machine.Health.Draining {
-		slog.Info("machine suspected", "machine", machine.ID, "term", m.Fencing.Current, "reason", "several jobs failed on it")
+		slog.Info("machine suspected", "machine", machine.ID, "term", m.Fencing.Current, "reason", "several jobs failed on the machine")
 		machine.Health.Draining = true
 		m.Planner.Capacity.Withdraw(machine)
 	}
--- a/internal/leader/tasks/gang.go
+++ b/internal/leader/tasks/gang.go
@@ -7,7 +7,8 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// gangBeginDurable counts a durable assignment of a gang. The last one lets all of them go.
+// gangBeginDurable counts a durable assignment of a gang. Once all of them are durable it notifies
+// the workers of all tasks.
 func (m *Manager) gangBeginDurable(job *cluster.Job) {
 	if job.Gang.Durable++; job.GangVerdict() == gang.Run {
 		for _, a := range job.Assignments {
@@ -16,8 +17,8 @@
 	}
 }
 
-// leaveGang takes in that a task of a gang is off its machine. If it is not done, the others
-// have to stop.
+// leaveGang processes that a task of a gang is off its machine. Unless the job is over, the
+// remaining tasks have to stop.
 func (m *Manager) leaveGang(job *cluster.Job) {
 	if job.Gang.Assigned--; !job.IsOver() && job.GangVerdict() == gang.Abort {
 		slog.Debug("gang incomplete", "job", job.ID, "attempt", job.Gang.Number, "term", m.Fencing.Current, "left", job.Gang.Assigned)
@@ -25,8 +26,9 @@
 	}
 }
 
-// StopGang has all tasks of a gang stop at once: those that are not told within the workers'
-// limit of the first keep the others from saving. The grace is in seconds.
+// StopGang requests that all tasks of a gang stop, with graceS seconds to save a checkpoint. All
+// workers are notified at once: a task whose worker gets the command later than GangStopWindow after
+// the first keeps the whole gang from saving.
 func (m *Manager) StopGang(job *cluster.Job, graceS float64) {
 	if job.Gang.Stopping {
 		return
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -1,8 +1,8 @@
-// Package tasks carries assignments of tasks to machines through their life: from the decision
-// over what workers show of them to the moment at which their end is durable. A gang, whose tasks
-// run together or not at all, is carried through as a whole.
+// Package tasks manages the lifecycle of assignments of tasks to machines: from the placement
+// decision, through the states that workers report, until the end of the assignment is durable. The
+// tasks of a gang, which run together or not at all, are managed as a unit.
 //
-// Nothing here is safe for concurrent use; it belongs to the leader's event loop.
+// The package is not safe for concurrent use: all calls are made on the leader's event loop.
 package tasks
 
 import (
@@ -19,21 +19,21 @@
 	"ospreyslip/internal/workers"
 )
 
-// Host is what a manager needs of the other parts of the leader.
+// Host provides what a manager needs from the other parts of the leader.
 type Host interface {
-	// Notify has a worker told at once what it should do.
+	// Notify queues a command request to the machine's worker.
 	Notify(m *cluster.Machine)
-	// JobCompleted has the job's record written as done.
+	// JobCompleted queues the write of the job's record as done.
 	JobCompleted(job *cluster.Job)
 	// CountsChanged publishes how many tasks of the job are done and running.
 	CountsChanged(job *cluster.Job)
-	// RemoveIfSettled forgets the job if it is over and has no task anywhere.
+	// RemoveIfSettled drops the job from memory if it is over and has no task on any machine.
 	RemoveIfSettled(job *cluster.Job)
-	// MayHaveUnknownTasks tells whether the assignment log may lack tasks of the job.
+	// MayHaveUnknownTasks reports whether the assignment log may lack tasks of the job.
 	MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool
 }
 
-// Deps is what a manager works with.
+// Deps holds the dependencies of a manager.
 type Deps struct {
 	Derived  settings.Derived
 	Catalog  *cluster.Catalog
@@ -44,28 +44,28 @@
 	Host     Host
 }
 
-// Manager carries out what becomes of assignments.
+// Manager creates assignments, applies worker reports to them, and ends them.
 type Manager struct {
 	Deps
-	lastAttempt uint64 // the highest number of an attempt that is known
+	lastAttempt uint64 // the highest known attempt number
 }
 
-// NewManager makes a manager whose attempts are numbered from above a number.
+// NewManager returns a manager whose attempt numbers start at lastAttempt+1.
 func NewManager(deps Deps, lastAttempt uint64) *Manager {
 	return &Manager{Deps: deps, lastAttempt: lastAttempt}
 }
 
-// NextAttempt gives out the number of an attempt, which no other has or had.
+// NextAttempt returns a new attempt number, higher than all known ones.
 func (m *Manager) NextAttempt() uint64 {
 	m.lastAttempt++
 	return m.lastAttempt
 }
 
-// ReserveAttempts makes all later numbers higher than one that is in use.
+// ReserveAttempts makes all later attempt numbers higher than upTo.
 func (m *Manager) ReserveAttempts(upTo uint64) { m.lastAttempt = max(m.lastAttempt, upTo) }
 
-// Assign gives a task to a machine, as far as this leader is concerned. The worker hears of it
-// when that is durable.
+// Assign assigns a task to a machine in memory and queues the assignment for the log. The start
+// command is sent only once the assignment is durable.
 func (m *Manager) Assign(job *cluster.Job, task int, machine *cluster.Machine, now time.Time) *cluster.Assignment {
 	a := &cluster.Assignment{
 		Job: job, Index: task, Attempt: m.NextAttempt(), Session: machine.Worker.Session, Machine: machine,
@@ -73,7 +73,7 @@
 	}
 	if job.IsGang() {
 		if a.GangAttempt = job.Gang.Number; a.GangAttempt == 0 {
-			// The number of the first task is that of all; its own is another.
+			// The first number drawn is shared by the gang; the task gets another of its own.
 			a.GangAttempt, a.Attempt = a.Attempt, m.NextAttempt()
 		}
 		job.JoinGang(a)
@@ -89,7 +89,8 @@
 	return a
 }
 
-// BeginDurable lets a worker hear of an assignment. Tasks of a gang go together.
+// BeginDurable notifies the worker of an assignment that has become durable. For a gang, all
+// workers are notified once all assignments are durable.
 func (m *Manager) BeginDurable(assignment *cluster.Assignment) {
 	if assignment.Job.IsGang() {
 		m.gangBeginDurable(assignment.Job)
@@ -98,7 +99,7 @@
 	m.Host.Notify(assignment.Machine)
 }
 
-// Facts is an assignment as the reconcile package sees it.
+// Facts returns the input of reconciliation for an assignment.
 func (m *Manager) Facts(assignment *cluster.Assignment, now time.Time) reconcile.Attempt {
 	job := assignment.Job
 	return reconcile.Attempt{
@@ -107,13 +108,13 @@
 		RunsToCompletion: job.Spec.RunsToCompletion(), JobFinished: job.IsOver(), JobCancelled: job.End.Cancelled,
 		Preempted: assignment.Stop.Requested, GraceS: assignment.Stop.GraceS,
 		GangReady: assignment.MayRun(),
-		// The log may be older than it was: the task may be over, or be elsewhere.
+		// The log may lack its newest records: the task may be over, or run elsewhere.
 		RecordsIncomplete: assignment.Restored && assignment.ObservedState == "" && m.Host.MayHaveUnknownTasks(job, now),
 	}
 }
 
-// Stop stops a task, and with it the gang that it is one of. The grace is the time to save a
-// checkpoint, in seconds.
+// Stop requests that a task stops, with graceS seconds to save a checkpoint. If the task is part of
+// a gang, the whole gang stops.
 func (m *Manager) Stop(assignment *cluster.Assignment, graceS float64) {
 	if assignment.Job.IsGang() {
 		m.StopGang(assignment.Job, graceS)
@@ -123,7 +124,8 @@
 	m.EndIfUnsent(assignment)
 }
 
-// EndIfUnsent ends an assignment that no worker can have heard of. Else its worker is told.
+// EndIfUnsent ends the assignment if its worker cannot have received a start command. Otherwise it
+// notifies the worker.
 func (m *Manager) EndIfUnsent(assignment *cluster.Assignment) {
 	if assignment.ObservedState == "" && !assignment.Start.Sent && !assignment.Start.RequestInFlight && assignment.Start.InDoubtToken == 0 {
 		m.End(assignment, cluster.Retry)
@@ -132,7 +134,8 @@
 	m.Host.Notify(assignment.Machine)
 }
 
-// EndAllOn ends all assignments of a machine on which nothing can run any more.
+// EndAllOn ends all open assignments of a machine on which no task can be running any more. The
+// reason is logged.
 func (m *Manager) EndAllOn(machine *cluster.Machine, reason string) {
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open {
@@ -142,9 +145,9 @@
 	}
 }
 
-// End ends an assignment whose task is certainly off its machine. It is removed, and a task that
-// is not done pending again, once that is durable: until then a new leader would still find it
-// there.
+// End ends an assignment whose task is certainly off its machine. Only when the end is durable is
+// the assignment removed, and its task requeued if it is not done: until then a new leader would
+// still find the assignment in the log.
 func (m *Manager) End(assignment *cluster.Assignment, outcome cluster.Outcome) {
 	if assignment.Outcome != cluster.Open {
 		return
@@ -164,7 +167,7 @@
 	}
 }
 
-// completeTask marks a task as done, with all others of its gang.
+// completeTask marks the task as done; for a gang, all of its tasks.
 func (m *Manager) completeTask(assignment *cluster.Assignment) {
 	job := assignment.Job
 	if job.IsOver() || !job.MarkTaskDone(assignment.Index) {
@@ -182,14 +185,16 @@
 	}
 }
 
-// CompleteJob lets the record be written of a job all of whose tasks are done.
+// CompleteJob marks a job as complete, all of whose tasks are done, and queues the write of its
+// record.
 func (m *Manager) CompleteJob(job *cluster.Job) {
 	job.End.Complete = true
 	m.RunTimes.JobCompleted(job)
 	m.Host.JobCompleted(job)
 }
 
-// dropUnneededFetch notes that a machine fetches an image no more if no task there waits for it.
+// dropUnneededFetch removes the ended task's image from the images that the machine is fetching,
+// unless another open assignment there needs it.
 func dropUnneededFetch(ended *cluster.Assignment) {
 	machine, image := ended.Machine, ended.Job.Spec.Image
 	if machine.Offer.Images[image] {
@@ -203,7 +208,8 @@
 	delete(machine.Offer.Fetching, image)
 }
 
-// Remove drops an assignment whose end is durable. A task that is not done is pending again.
+// Remove removes an assignment whose end is durable. If its task is not done and its job is not
+// over, the task is requeued.
 func (m *Manager) Remove(assignment *cluster.Assignment) {
 	job, machine := assignment.Job, assignment.Machine
 	delete(machine.Assignments, assignment.Attempt)
@@ -223,7 +229,8 @@
 	m.Host.RemoveIfSettled(job)
 }
 
-// setObservedState notes the state in which a worker shows a task; empty if it does not.
+// setObservedState sets the state in which the worker reports the task, empty if it does not list
+// the task, and keeps the job's count of running tasks.
 func setObservedState(assignment *cluster.Assignment, state string) {
 	if assignment.ObservedState == workers.StateRunning {
 		assignment.Job.Running--
--- a/internal/leader/tasks/manager_test.go
+++ b/internal/leader/tasks/manager_test.go
@@ -14,16 +14,16 @@
 	"ospreyslip/internal/workers"
 )
 
-// fakeHost counts how often each machine is notified.
+// fakeHost counts the notifications of each machine.
 type fakeHost struct {
-	Host     // what the tests do not reach
+	Host     // nil: the tests do not call the other methods
 	notified map[string]int
 }
 
 func (h *fakeHost) Notify(m *cluster.Machine) { h.notified[m.ID]++ }
 func (*fakeHost) CountsChanged(*cluster.Job)  {}
 
-// assignAll is a manager that has assigned all tasks of a job, each to a machine of its own.
+// assignAll returns a manager that has assigned each task of a job to a machine of its own.
 func assignAll(t *testing.T, shape string, tasks int) (*Manager, *fakeHost, *cluster.Job) {
 	t.Helper()
 	host, noTypes := &fakeHost{notified: map[string]int{}}, func(string) *jobs.MachineType { return nil }
@@ -47,7 +47,7 @@
 	}{
 		"never sent":       {func(*cluster.Assignment) {}, true},
 		"sent":             {func(a *cluster.Assignment) { a.Start.Sent = true }, false},
-		"order in doubt":   {func(a *cluster.Assignment) { a.Start.InDoubtToken = 5 }, false},
+		"start in doubt":   {func(a *cluster.Assignment) { a.Start.InDoubtToken = 5 }, false},
 		"seen on a worker": {func(a *cluster.Assignment) { a.ObservedState = workers.StateFetching }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 			tc.heard(a)
 			m.Stop(a, 3)
 			if ended := a.Outcome == cluster.Retry; ended != tc.ends || a.Log.EndQueued != tc.ends || (host.notified["a"] == 0) != tc.ends {
-				t.Errorf("ended %v, notified %v", ended, host.notified)
+				t.Errorf("assignment ended: %v, notifications: %v", ended, host.notified)
 			}
 		})
 	}
@@ -69,18 +69,18 @@
 	for n, a := range job.Assignments {
 		unsent := n == 2
 		if !a.Stop.Requested || a.Stop.GraceS != 3 || (a.Outcome == cluster.Retry) != unsent || (host.notified[a.Machine.ID] == 0) != unsent {
-			t.Errorf("task %d: %+v, outcome %v, notified %v", n, a.Stop, a.Outcome, host.notified)
+			t.Errorf("task %d: stop request %+v, outcome %v, notifications: %v", n, a.Stop, a.Outcome, host.notified)
 		}
 	}
 }
 
 func TestPauseGrowsWithFailuresInARow(t *testing.T) {
 	m, _, job := assignAll(t, jobs.Batch, 1)
-	for i, want := range []time.Duration{0, 0, 2, 4, 5, 5} { // seconds; at most the time of a cancellation
+	for i, want := range []time.Duration{0, 0, 2, 4, 5, 5} { // seconds; at most the cancel deadline
 		now := time.Unix(int64(100*i), 0)
 		m.recordFailure(job.Assignments[0], &workers.TaskStatus{Cause: workers.CauseError}, now)
 		if got := max(0, job.Scheduling.BackoffUntil.Sub(now)); got != want*time.Second {
-			t.Errorf("after %d failures: %v, want %d s", i+1, got, want)
+			t.Errorf("backoff after %d failures: %v, want %d s", i+1, got, want)
 		}
 	}
 }
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -9,8 +9,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// Observe takes in what a worker shows of its machine. An old copy changes nothing: what is known
-// must not be turned back.
+// Observe applies a worker's heartbeat to its machine and assignments. An out-of-date or duplicate
+// heartbeat is ignored, as it must not overwrite newer state.
 func (m *Manager) Observe(machine *cluster.Machine, heartbeat *workers.Heartbeat, now time.Time) {
 	worker := &machine.Worker
 	isOld := heartbeat.AgentEpoch == worker.Session && worker.Seq != 0 && heartbeat.Seq <= worker.Seq
@@ -18,9 +18,9 @@
 		return
 	}
 	if heartbeat.AgentEpoch > worker.Session {
-		// The answer to a command or a probe may tell of the new session before the end of the
-		// old one is over by our clock, which counts from when a heartbeat arrived. What begins
-		// in the new one may run for a whole lease from now.
+		// The response to a command or a probe may show the new agent epoch before the lease of
+		// the old one has expired here, as it is counted from the arrival of a heartbeat. Tasks
+		// that start in the new epoch may run for a whole lease from now.
 		worker.LeaseUntil = now.Add(m.Derived.Workers.LeaseExpiry)
 		machine.Commands.InDoubtSince = time.Time{}
 		m.Planner.Requested = true
@@ -35,8 +35,8 @@
 	m.reconcileAssignments(machine, heartbeat, now)
 }
 
-// dropRefusedStarts forgets tasks that a request has started and the worker shows no more, once it
-// has seen a higher token: it refuses late copies of the request from then on.
+// dropRefusedStarts removes tasks from StartedByRequest that the worker no longer lists, once it has
+// seen a higher token than that of the request: from then on it refuses late copies of the request.
 func dropRefusedStarts(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
 	for started, token := range machine.Commands.StartedByRequest {
 		if token < machine.Worker.Token && cluster.FindTask(heartbeat, started) == nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// apply carries out what an observation means for an assignment. The task is nil if the worker
-// does not show it.
+// apply applies a reconciliation decision to an assignment. task is nil if the worker does not list
+// it.
 func (m *Manager) apply(assignment *cluster.Assignment, task *workers.TaskStatus, decision reconcile.Decision, now time.Time) {
 	if task != nil {
 		m.applyTaskState(assignment, task, now)
@@ -77,18 +77,19 @@
 			assignment.Start.InDoubtToken, assignment.Start.Sent = 0, false
 		}
 		m.End(assignment, cluster.Retry)
-	default: // it goes on, or nothing is certain
+	default: // the task continues, or its state is uncertain
 	}
 }
 
-// applyTaskState takes in the state of an assignment's task on its machine.
+// applyTaskState applies the reported state of a task to its assignment.
 func (m *Manager) applyTaskState(assignment *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
-	// A start is sent in one request only, so that one that is seen is not on its way any more.
+	// A start command is sent in one request at a time: a task that is listed has received it, so
+	// the command is no longer in doubt.
 	assignment.Start.InDoubtToken, assignment.Start.Sent = 0, true
 	if assignment.ObservedState == task.State {
 		return
 	}
-	slog.Debug("task seen", "task", task.Name, "machine", assignment.Machine.ID, "term", m.Fencing.Current, "state", task.State)
+	slog.Debug("task state changed", "task", task.Name, "machine", assignment.Machine.ID, "term", m.Fencing.Current, "state", task.State)
 	switch task.State {
 	case workers.StateRunning:
 		if assignment.ObservedState == workers.StateFetching || assignment.ObservedState == workers.StateGathering || !assignment.Restored {
@@ -102,7 +103,7 @@
 	m.Host.CountsChanged(assignment.Job)
 }
 
-// imageCacheGB is how much a machine keeps of images; 0 if that is not known.
+// imageCacheGB returns the capacity of the machine's image cache, or 0 if it is not known.
 func (m *Manager) imageCacheGB(machine *cluster.Machine) float64 {
 	if machineType := m.Catalog.Type(machine.Type); machineType != nil {
 		return machineType.CacheGB
@@ -110,7 +111,8 @@
 	return 0
 }
 
-// taskCompleted takes in that a task is done.
+// taskCompleted ends an assignment whose task has completed and resets the failure counts of its
+// job and machine.
 func (m *Manager) taskCompleted(assignment *cluster.Assignment, now time.Time) {
 	assignment.Job.Scheduling.ConsecutiveFailures, assignment.Job.Scheduling.LastServedAt = 0, now
 	clear(assignment.Machine.Health.FailedJobs)
