--- a/internal/leader/cluster/completions.go
+++ b/internal/leader/cluster/completions.go
@@ -8,9 +8,9 @@
 // Completions records which tasks of a job are done, and which of these completions are durable.
 // The assignment log stores them in chunks of a fixed number of tasks.
 type Completions struct {
-	Count  int // number of tasks that are done
-	Chunks map[int]*Chunk
-	bits   []uint64 // bit set of the tasks that are done
+	Count    int // number of tasks that are done
+	Chunks   map[int]*Chunk
+	doneBits []uint64 // bit set of the tasks that are done
 }
 
 // Chunk is the state of the completions of one range of tasks in the assignment log.
@@ -32,12 +32,12 @@
 const wordBits = 64
 
 func newCompletions(tasks int) Completions {
-	return Completions{bits: make([]uint64, (tasks+wordBits-1)/wordBits), Chunks: map[int]*Chunk{}}
+	return Completions{doneBits: make([]uint64, (tasks+wordBits-1)/wordBits), Chunks: map[int]*Chunk{}}
 }
 
 // IsTaskDone reports whether a task is done.
 func (j *Job) IsTaskDone(index int) bool {
-	return j.Completions.bits[index/wordBits]&(1<<(index%wordBits)) != 0
+	return j.Completions.doneBits[index/wordBits]&(1<<(index%wordBits)) != 0
 }
 
 // MarkTaskDone marks a task as done and reports whether it was not done before.
@@ -45,7 +45,7 @@
 	if j.IsTaskDone(index) {
 		return false
 	}
-	j.Completions.bits[index/wordBits] |= 1 << (index % wordBits)
+	j.Completions.doneBits[index/wordBits] |= 1 << (index % wordBits)
 	j.Completions.Count++
 	if j.Assignments[index] == nil {
 		j.Pending.Count--
@@ -57,14 +57,14 @@
 // is not part of such a record.
 func (j *Job) GrowTo(tasks int) {
 	j.Spec.Tasks = tasks
-	missing := (tasks+wordBits-1)/wordBits - len(j.Completions.bits)
-	j.Completions.bits = append(j.Completions.bits, make([]uint64, missing)...)
+	missingWords := (tasks+wordBits-1)/wordBits - len(j.Completions.doneBits)
+	j.Completions.doneBits = append(j.Completions.doneBits, make([]uint64, missingWords)...)
 }
 
 // EncodeChunk returns the stored form of a chunk of size tasks: a little-endian bit set without
 // trailing zero bytes, in base64.
 func (j *Job) EncodeChunk(chunk, size int) string {
-	bits := j.Completions.bits
+	bits := j.Completions.doneBits
 	from, to := chunk*size/wordBits, min((chunk+1)*size/wordBits, len(bits))
 	raw := make([]byte, 0, (to-from)*8)
 	for _, word := range bits[from:to] {
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -43,6 +43,6 @@
 }
 
 // MayRun reports whether the task may be started on its machine. A task of a gang may be started
-// only once the assignments of all its tasks are durable. Otherwise, if the leader ended after it had
-// started some tasks, these would occupy their machines until they timed out.
+// only once the assignments of all its tasks are durable. Otherwise, if the leader ended after it
+// had started some tasks, these would occupy their machines until they timed out.
 func (a *Assignment) MayRun() bool { return !a.Job.IsGang() || a.Job.GangVerdict() == gang.Run }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -28,7 +28,7 @@
 
 	// PublishedCounts holds the counts last published to users.
 	PublishedCounts jobs.Counts
-	// RunTimeLogs holds run times of completed tasks as logarithms of seconds, in ascending order.
+	// RunTimeLogs holds run times of completed tasks as logarithms of seconds, ascending.
 	RunTimeLogs []float64
 }
 
@@ -43,9 +43,9 @@
 
 // PendingTasks holds the tasks of a job that wait for a machine.
 type PendingTasks struct {
-	Count   int
-	next    int   // no task from this index on has been taken
-	retries []int // tasks to be placed again after they were lost or stopped
+	Count     int
+	nextIndex int   // no task from this index on has been taken
+	retries   []int // tasks to be placed again after they were lost or stopped
 }
 
 // SchedulingState is the scheduling state that a job keeps between plans.
@@ -64,7 +64,7 @@
 type Adoption struct {
 	Until      time.Time
 	GangParts  map[int]GangPart      // tasks of a gang whose tasks are not all known yet, by task index
-	duplicates map[int][]*Assignment // additional restored assignments of a task, whose ends the log lacks
+	duplicates map[int][]*Assignment // other restored assignments of a task, whose ends the log lacks
 }
 
 // NewJob returns a job with all tasks pending.
@@ -81,11 +81,11 @@
 // HasRetries reports whether any of the pending tasks was placed before.
 func (p *PendingTasks) HasRetries() bool { return len(p.retries) > 0 }
 
-// IsOver reports whether the job is cancelled or complete, so that none of its tasks may be started.
+// IsOver reports whether the job is cancelled or complete. None of its tasks may be started then.
 func (j *Job) IsOver() bool { return j.End.Cancelled || j.End.Complete }
 
-// TakePendingTask removes one of the pending tasks, of which there must be at least one, and returns
-// its index. Tasks that were placed before come first.
+// TakePendingTask removes one of the pending tasks, of which there must be at least one, and
+// returns its index. Tasks that were placed before come first.
 func (j *Job) TakePendingTask() int {
 	pending := &j.Pending
 	pending.Count--
@@ -94,17 +94,17 @@
 		pending.retries = pending.retries[:n-1]
 		return last
 	}
-	for j.Assignments[pending.next] != nil || j.IsTaskDone(pending.next) {
-		pending.next++
+	for j.Assignments[pending.nextIndex] != nil || j.IsTaskDone(pending.nextIndex) {
+		pending.nextIndex++
 	}
-	pending.next++
-	return pending.next - 1
+	pending.nextIndex++
+	return pending.nextIndex - 1
 }
 
 // RequeueTask makes a task pending again. The task must be off its machine and not done.
 func (j *Job) RequeueTask(index int) {
 	j.Pending.Count++
-	if index < j.Pending.next {
+	if index < j.Pending.nextIndex {
 		j.Pending.retries = append(j.Pending.retries, index)
 	}
 }
@@ -134,11 +134,11 @@
 // off all machines.
 func (j *Job) RemoveAssignment(assignment *Assignment) (offAllMachines bool) {
 	if duplicates := j.Adoption.duplicates[assignment.Index]; len(duplicates) > 0 {
-		left := slices.DeleteFunc(duplicates, func(other *Assignment) bool { return other == assignment })
+		remaining := slices.DeleteFunc(duplicates, func(other *Assignment) bool { return other == assignment })
 		if j.Assignments[assignment.Index] == assignment {
-			j.Assignments[assignment.Index], left = left[0], left[1:]
+			j.Assignments[assignment.Index], remaining = remaining[0], remaining[1:]
 		}
-		j.Adoption.duplicates[assignment.Index] = left
+		j.Adoption.duplicates[assignment.Index] = remaining
 		return false
 	}
 	if j.Assignments[assignment.Index] != assignment {
--- a/internal/leader/cluster/job_test.go
+++ b/internal/leader/cluster/job_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestTaskWithDuplicatesIsOffOnlyAfterTheLast(t *testing.T) {
+func TestTaskIsOffOnlyAfterLastDuplicateIsRemoved(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 2, 0}} {
 		job, restored := newTestJob(1), []*Assignment{{}, {}, {}}
 		for _, a := range restored {
@@ -58,7 +58,7 @@
 				t.Errorf("tasks %v: chunk %d is encoded as %q, want %q; decoding error: %v", tc.done, chunk, got, want, err)
 			}
 		}
-		if d := cmp.Diff(job.Completions.bits, decoded.Completions.bits); d != "" || decoded.Completions.Count != len(tc.done) {
+		if d := cmp.Diff(job.Completions.doneBits, decoded.Completions.doneBits); d != "" || decoded.Completions.Count != len(tc.done) {
 			t.Errorf("tasks %v: %d decoded; difference: %s", tc.done, decoded.Completions.Count, d)
 		}
 	}
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -37,8 +37,8 @@
 	Offer       *placement.Machine     // the machine as input for placement
 	TickGroup   int                    // the tick of each control interval in which it is checked
 
-	images []image // cached on the machine, the most recently used last
-	index  int     // in MachineSet.All
+	images   []image // cached on the machine, the most recently used last
+	setIndex int     // in MachineSet.All
 }
 
 // WorkerState is the state reported by the machine's worker.
@@ -48,7 +48,7 @@
 	Token           uint64                // the highest fencing token that the worker has seen
 	Tasks           []workers.TaskStatus  // of the newest message
 	NewestHeartbeat liveness.HeartbeatSeq // responses to commands and probes are not counted
-	HeartbeatAt     time.Time             // when the last heartbeat arrived; zero if none has in this term
+	HeartbeatAt     time.Time             // when the last heartbeat arrived; zero if none has this term
 	LeaseUntil      time.Time             // a worker silent until then has ended its tasks
 }
 
@@ -73,7 +73,7 @@
 	NoticeUntil time.Time       // when the cloud reclaims the machine, by its notice; zero without one
 	FailedJobs  map[string]bool // jobs that failed on the machine since a task last completed there
 
-	avoid map[string]time.Time // until when a job is not placed on the machine
+	avoidUntil map[string]time.Time // until when a job is not placed on the machine
 }
 
 // Rental is the state of the machine in the cloud.
@@ -90,13 +90,13 @@
 	gb   float64
 }
 
-// NewMachine returns a machine of which only the ID is known, and which is known and idle since now.
+// NewMachine returns a machine with the given ID that is known, and idle, since now.
 func NewMachine(id string, now time.Time) *Machine {
 	return &Machine{
 		ID: id, TickGroup: tickGroup(id), Assignments: map[uint64]*Assignment{},
 		Rental:   Rental{KnownSince: now, IdleSince: now},
 		Commands: CommandState{StartedByRequest: map[TaskRef]uint64{}},
-		Health:   Health{FailedJobs: map[string]bool{}, avoid: map[string]time.Time{}},
+		Health:   Health{FailedJobs: map[string]bool{}, avoidUntil: map[string]time.Time{}},
 		Offer: &placement.Machine{
 			ID: id, Images: map[string]bool{}, Fetching: map[string]float64{}, AvoidJobs: map[string]bool{},
 		},
@@ -148,15 +148,15 @@
 
 // AvoidJobUntil excludes a job from placement on the machine until the given time.
 func (m *Machine) AvoidJobUntil(job string, until time.Time) {
-	m.Health.avoid[job], m.Offer.AvoidJobs[job] = until, true
+	m.Health.avoidUntil[job], m.Offer.AvoidJobs[job] = until, true
 }
 
 // ExpireAvoidance ends the exclusions of jobs whose time has passed, and reports whether there were
 // any.
 func (m *Machine) ExpireAvoidance(now time.Time) (expired bool) {
-	for job, until := range m.Health.avoid {
+	for job, until := range m.Health.avoidUntil {
 		if now.After(until) {
-			delete(m.Health.avoid, job)
+			delete(m.Health.avoidUntil, job)
 			delete(m.Offer.AvoidJobs, job)
 			expired = true
 		}
--- a/internal/leader/cluster/machine_set.go
+++ b/internal/leader/cluster/machine_set.go
@@ -4,7 +4,7 @@
 // need not run on every tick run for one group of machines per tick.
 const TickGroups = 8
 
-// MachineSet is the set of the leader's machines, with one group for each tick of a control interval.
+// MachineSet is the leader's machines, with one group for each tick of a control interval.
 type MachineSet struct {
 	ByID   map[string]*Machine
 	All    []*Machine
@@ -22,7 +22,7 @@
 
 // Add adds a machine. The set must not contain one with the same ID.
 func (s *MachineSet) Add(m *Machine) {
-	m.index = len(s.All)
+	m.setIndex = len(s.All)
 	s.All = append(s.All, m)
 	s.ByID[m.ID] = m
 	s.Groups[m.TickGroup][m] = true
@@ -31,7 +31,7 @@
 // Remove removes a machine. The set must contain it.
 func (s *MachineSet) Remove(m *Machine) {
 	last := s.All[len(s.All)-1]
-	s.All[m.index], last.index = last, m.index
+	s.All[m.setIndex], last.setIndex = last, m.setIndex
 	s.All = s.All[:len(s.All)-1]
 	delete(s.ByID, m.ID)
 	delete(s.Groups[m.TickGroup], m)
--- a/internal/leader/cluster/machine_test.go
+++ b/internal/leader/cluster/machine_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestMachineSetKeepsItsIndexesInStep(t *testing.T) {
+func TestMachineSetIndexesStayConsistent(t *testing.T) {
 	set := NewMachineSet()
 	for _, id := range []string{"m-1", "m-2", "m-3", "m-4"} {
 		set.Add(NewMachine(id, time.Time{}))
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	maxRunTimes = 256 // limit of run times kept per job
+	maxRunTimesPerJob = 256 // limit of run times kept per job
 
 	// MinRunTimes is the least number of run times of a job from which a variance is computed.
 	MinRunTimes = 4
@@ -11,7 +11,7 @@
 
 // RecordRunTime records the run time of a completed task, as the logarithm of seconds.
 func (j *Job) RecordRunTime(logSeconds float64) {
-	if len(j.RunTimeLogs) < maxRunTimes {
+	if len(j.RunTimeLogs) < maxRunTimesPerJob {
 		i, _ := slices.BinarySearch(j.RunTimeLogs, logSeconds)
 		j.RunTimeLogs = slices.Insert(j.RunTimeLogs, i, logSeconds)
 	}
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -7,17 +7,17 @@
 	"ospreyslip/internal/placement"
 )
 
-// A command request, even an empty one, carries the token of the term to a worker. The worker then
-// sends a heartbeat to the new leader within half a second, and its heartbeats count as sent in this
-// term. The request costs one connection per machine, in the very seconds after a failover in which
-// all workers connect on their own. The leader therefore sends a request at once only to machines
-// that it needs: those that may have room for pending tasks or run a task that must stop. The other
-// machines have a heartbeat interval to report on their own.
+// A command request, even an empty one, carries the token of the term to a worker. The worker
+// then sends a heartbeat to the new leader within half a second, and its heartbeats count as sent
+// in this term. The request costs one connection per machine, in the very seconds after a
+// failover in which all workers connect on their own. The leader therefore sends a request at
+// once only to machines that it needs: those that may have room for pending tasks or run a task
+// that must stop. The other machines have a heartbeat interval to report on their own.
 
 // AnnounceTerm notifies the machines in the segments that may have room for a pending task or run
 // a task that must stop. It follows the order of the segments.
 func (d *Dispatcher) AnnounceTerm(segments []*cluster.Segment) {
-	requests := d.pendingRequests()
+	requests := d.pendingResourceRequests()
 	for _, segment := range segments {
 		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 			a := segment.Begun[attempt]
@@ -38,8 +38,8 @@
 	}
 }
 
-// pendingRequests returns the distinct resource requests of the tasks of unfinished jobs.
-func (d *Dispatcher) pendingRequests() map[placement.Resources]bool {
+// pendingResourceRequests returns the distinct resource requests of the tasks of unfinished jobs.
+func (d *Dispatcher) pendingResourceRequests() map[placement.Resources]bool {
 	requests := map[placement.Resources]bool{}
 	for _, job := range d.State.Jobs {
 		if !job.IsOver() {
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -27,21 +27,21 @@
 		job, _, ok := workers.SplitTask(task.Name)
 		decision := reconcile.DecideOnStaleHeartbeat(task, ok && d.Host.IsCancelled(job))
 		if decision.Action == reconcile.Stop {
-			commands = append(commands, d.count(stopCommand(task.Name, task.Attempt, 0), decision))
+			commands = append(commands, d.countCommand(newStopCommand(task.Name, task.Attempt, 0), decision))
 		}
 	}
 	return &workers.HeartbeatResponse{FencingToken: d.Fencing.OfTerm, Commands: commands}
 }
 
 // CommandsFor returns the commands for the machine's worker, derived from the difference between
-// the tasks that the worker lists and the machine's assignments. inAnswer is set for the response
-// to a heartbeat, and unset for a direct command request.
+// the tasks that the worker lists and the machine's assignments. inHeartbeatResponse is set for
+// the response to a heartbeat, and unset for a direct command request.
 //
 // Only responses clear an ended task: a worker has one heartbeat in flight, so no start in an
 // earlier response can arrive after the clear. A task started by a direct command is cleared only
 // once the worker has seen a higher token. From then on the worker refuses a late copy of that
 // command, which would otherwise start the task again.
-func (d *Dispatcher) CommandsFor(machine *cluster.Machine, inAnswer bool) []workers.Command {
+func (d *Dispatcher) CommandsFor(machine *cluster.Machine, inHeartbeatResponse bool) []workers.Command {
 	commands := []workers.Command{}
 	if machine.Phase == cluster.Releasing {
 		return commands
@@ -53,18 +53,18 @@
 		}
 		switch decision := reconcile.DecideCommand(d.Tasks.Facts(a, now)); decision.Action {
 		case reconcile.Stop:
-			commands = append(commands, d.count(stopCommand(a.TaskName(), a.WireAttempt(), decision.GraceS), decision))
+			commands = append(commands, d.countCommand(newStopCommand(a.TaskName(), a.WireAttempt(), decision.GraceS), decision))
 		case reconcile.Start:
-			a.Start.Sent, a.Start.RequestInFlight = true, !inAnswer
-			commands = append(commands, d.count(runCommand(a), decision))
+			a.Start.Sent, a.Start.RequestInFlight = true, !inHeartbeatResponse
+			commands = append(commands, d.countCommand(newRunCommand(a), decision))
 		default: // the task continues, or its command has to wait
 		}
 	}
-	return d.addOrphanCommands(machine, commands, inAnswer)
+	return d.addOrphanCommands(machine, commands, inHeartbeatResponse)
 }
 
 // addOrphanCommands appends the commands for the orphaned tasks that the worker lists.
-func (d *Dispatcher) addOrphanCommands(machine *cluster.Machine, commands []workers.Command, inAnswer bool) []workers.Command {
+func (d *Dispatcher) addOrphanCommands(machine *cluster.Machine, commands []workers.Command, inHeartbeatResponse bool) []workers.Command {
 	var held heldAcknowledgements
 	for i := range machine.Worker.Tasks {
 		task := &machine.Worker.Tasks[i] // not copied: that would allocate on each unchanged heartbeat
@@ -76,15 +76,15 @@
 		orphan := reconcile.OrphanedTask{
 			Ended: task.State == workers.StateEnded, JobCancelled: d.Host.IsCancelled(job),
 			RecordsIncomplete: d.Host.LeaveAlone(machine, task),
-			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inAnswer,
+			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inHeartbeatResponse,
 		}
 		switch decision := orphan.DecideCommand(); {
 		case decision.Action == reconcile.Stop:
-			commands = append(commands, d.count(stopCommand(task.Name, task.Attempt, 0), decision))
+			commands = append(commands, d.countCommand(newStopCommand(task.Name, task.Attempt, 0), decision))
 		case decision.Action == reconcile.Acknowledge:
-			commands = append(commands, d.count(workers.Command{Op: workers.OpClear, Task: task.Name, Attempt: task.Attempt}, decision))
+			commands = append(commands, d.countCommand(workers.Command{Op: workers.OpClear, Task: task.Name, Attempt: task.Attempt}, decision))
 		case decision.Reason == reconcile.TokenNotSuperseded:
-			held.add(task, orphan.CommandToken, d.mayRunAgain(task))
+			held.add(task, orphan.CommandToken, d.isJobUnfinished(task))
 		}
 	}
 	machine.Commands.NeedsHigherToken = held.needHigherToken()
@@ -94,22 +94,22 @@
 	return commands
 }
 
-// count counts a command in the failover progress and returns it.
-func (d *Dispatcher) count(command workers.Command, decision reconcile.Decision) workers.Command {
+// countCommand counts a command in the failover progress and returns it.
+func (d *Dispatcher) countCommand(command workers.Command, decision reconcile.Decision) workers.Command {
 	d.Failover.CountCommand(command.Op, decision.Reason)
 	return command
 }
 
-func runCommand(assignment *cluster.Assignment) workers.Command {
+func newRunCommand(assignment *cluster.Assignment) workers.Command {
 	return workers.Command{Op: workers.OpRun, Task: assignment.TaskName(), Attempt: assignment.WireAttempt()}
 }
 
-func stopCommand(task string, attempt uint64, graceS float64) workers.Command {
+func newStopCommand(task string, attempt uint64, graceS float64) workers.Command {
 	return workers.Command{Op: workers.OpStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// mayRunAgain reports whether the job of an ended task is unfinished.
-func (d *Dispatcher) mayRunAgain(task *workers.TaskStatus) bool {
+// isJobUnfinished reports whether the job of an ended task is unfinished.
+func (d *Dispatcher) isJobUnfinished(task *workers.TaskStatus) bool {
 	id, _, ok := workers.SplitTask(task.Name)
 	job := d.State.Jobs[id]
 	return ok && job != nil && !job.IsOver()
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -19,7 +19,7 @@
 	if heartbeat.AgentEpoch > machine.Worker.Session || len(commands.LastAnswer) == 0 {
 		return // a new agent epoch or no commands: the heartbeat proves nothing about delivery
 	}
-	if anyCarriedOut(machine, heartbeat) {
+	if anyExecuted(machine, heartbeat) {
 		commands.UndeliveredAnswers = 0
 		d.Detector.MarkReachable(machine.ID)
 		return
@@ -32,21 +32,21 @@
 	}
 }
 
-// anyCarriedOut reports whether the heartbeat shows that any command of the last response was
+// anyExecuted reports whether the heartbeat shows that any command of the last response was
 // executed.
-func anyCarriedOut(machine *cluster.Machine, heartbeat *workers.Heartbeat) bool {
+func anyExecuted(machine *cluster.Machine, heartbeat *workers.Heartbeat) bool {
 	for _, command := range machine.Commands.LastAnswer {
 		ref := cluster.CommandRef(&command)
-		if isCarriedOut(command.Op, cluster.FindTask(heartbeat, ref), machine.FindAssignment(ref)) {
+		if isExecuted(command.Op, cluster.FindTask(heartbeat, ref), machine.FindAssignment(ref)) {
 			return true
 		}
 	}
 	return false
 }
 
-// isCarriedOut reports whether a command was executed, given the task's status in the next
+// isExecuted reports whether a command was executed, given the task's status in the next
 // heartbeat. task is nil if the worker does not list it.
-func isCarriedOut(op string, task *workers.TaskStatus, assignment *cluster.Assignment) bool {
+func isExecuted(op string, task *workers.TaskStatus, assignment *cluster.Assignment) bool {
 	switch {
 	case op == workers.OpRun:
 		return task != nil
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -55,24 +55,24 @@
 // Dispatcher sends commands to workers and limits the requests in flight.
 type Dispatcher struct {
 	Deps
-	queue        []*cluster.Machine        // machines to be sent a command request
-	unresponsive []*cluster.Machine        // the same for machines that may not respond
-	inFlight     int                       // command requests in flight
-	inDoubt      map[*cluster.Machine]bool // includes every machine whose Commands.InDoubtSince is set
+	responsiveQueue   []*cluster.Machine        // machines to be sent a command request
+	unresponsiveQueue []*cluster.Machine        // the same for machines that may not respond
+	requestsInFlight  int                       // command requests in flight
+	machinesInDoubt   map[*cluster.Machine]bool // superset of those with Commands.InDoubtSince
 }
 
 // New returns a dispatcher with empty queues.
 func New(deps Deps) *Dispatcher {
-	return &Dispatcher{Deps: deps, inDoubt: map[*cluster.Machine]bool{}}
+	return &Dispatcher{Deps: deps, machinesInDoubt: map[*cluster.Machine]bool{}}
 }
 
 const (
-	// unresponsiveShare divides the limit of command requests in flight: the quotient is the
-	// limit for machines that may not respond.
-	unresponsiveShare = 2
+	// unresponsiveLimitDivisor divides the limit of command requests in flight: the quotient is
+	// the limit for machines that may not respond.
+	unresponsiveLimitDivisor = 2
 
-	maxRetryDoublings = 8 // of the delay after a failed command request
-	leasesPerRetry    = 4 // the retry delay is at most the worker's lease divided by this
+	maxRetryDoublings      = 8 // of the delay after a failed command request
+	retryDelayLeaseDivisor = 4 // the retry delay is at most the worker's lease divided by this
 )
 
 // Notify queues a command request to the machine's worker, unless one is queued already.
@@ -84,7 +84,7 @@
 }
 
 // Queued returns the number of queue entries, each for a machine to be sent a command request.
-func (d *Dispatcher) Queued() int { return len(d.queue) + len(d.unresponsive) }
+func (d *Dispatcher) Queued() int { return len(d.responsiveQueue) + len(d.unresponsiveQueue) }
 
 // enqueue queues a machine that has a notification pending. Machines that may not respond have a
 // queue of their own, so that requests to a partitioned zone, which time out, do not delay requests
@@ -93,9 +93,9 @@
 	switch {
 	case !machine.Commands.NotifyPending:
 	case machine.Commands.FailedRequests > 0 || machine.Worker.HeartbeatAt.IsZero():
-		d.unresponsive = append(d.unresponsive, machine)
+		d.unresponsiveQueue = append(d.unresponsiveQueue, machine)
 	default:
-		d.queue = append(d.queue, machine)
+		d.responsiveQueue = append(d.responsiveQueue, machine)
 	}
 }
 
@@ -103,12 +103,12 @@
 // bounds the burst after a failover, when every worker may have to be sent a request.
 func (d *Dispatcher) Send(ctx context.Context, now time.Time) {
 	limit := d.Derived.Host.CommandsInFlight
-	d.sendFrom(ctx, now, &d.queue, limit)
-	d.sendFrom(ctx, now, &d.unresponsive, limit/unresponsiveShare)
+	d.sendQueued(ctx, now, &d.responsiveQueue, limit)
+	d.sendQueued(ctx, now, &d.unresponsiveQueue, limit/unresponsiveLimitDivisor)
 }
 
-func (d *Dispatcher) sendFrom(ctx context.Context, now time.Time, queue *[]*cluster.Machine, limit int) {
-	for len(*queue) > 0 && d.inFlight < limit {
+func (d *Dispatcher) sendQueued(ctx context.Context, now time.Time, queue *[]*cluster.Machine, limit int) {
+	for len(*queue) > 0 && d.requestsInFlight < limit {
 		machine := (*queue)[0]
 		*queue = (*queue)[1:]
 		if !machine.Commands.NotifyPending || machine.Commands.RequestInFlight {
@@ -120,7 +120,7 @@
 		}
 		machine.Commands.NotifyPending = false
 		if d.mayCommand(machine, now) {
-			d.sendTo(ctx, machine, now)
+			d.sendCommands(ctx, machine, now)
 		}
 	}
 }
@@ -133,13 +133,13 @@
 		machine.Commands.InDoubtSince.IsZero() && !now.After(worker.LeaseUntil) && d.Host.IsLeader()
 }
 
-func (d *Dispatcher) sendTo(ctx context.Context, machine *cluster.Machine, now time.Time) {
+func (d *Dispatcher) sendCommands(ctx context.Context, machine *cluster.Machine, now time.Time) {
 	commands := d.CommandsFor(machine, false)
 	token := d.TokenFor(machine)
 	if len(commands) == 0 && machine.Worker.Token >= token {
 		return
 	}
-	d.inFlight++
+	d.requestsInFlight++
 	d.Failover.CommandSent(now)
 	machine.Commands.RequestInFlight = true
 	d.Detector.CommandSent(machine.ID)
@@ -153,7 +153,7 @@
 	go func() {
 		heartbeat, executed, err := d.Client.SendCommands(ctx, addr, request)
 		d.Host.Post(ctx, func(now time.Time) {
-			d.returned(machine, request, commandResponse{heartbeat, executed, err}, now)
+			d.handleResponse(machine, request, commandResponse{heartbeat, executed, err}, now)
 		})
 	}()
 }
@@ -165,9 +165,10 @@
 	err       error
 }
 
-// neverSent reports whether the commands were not executed and never will be: the worker refused
-// them, or no connection was established. An abandoned connection attempt does not complete later.
-func (r *commandResponse) neverSent() bool {
+// neverExecuted reports whether the commands were not executed and never will be: the worker
+// refused them, or no connection was established. An abandoned connection attempt does not
+// complete later.
+func (r *commandResponse) neverExecuted() bool {
 	var dial *net.OpError
 	if errors.As(r.err, &dial) && dial.Op == "dial" {
 		return true
@@ -175,18 +176,18 @@
 	return !r.executed && r.err == nil
 }
 
-// returned processes the outcome of a command request. If it is unknown whether the request arrived,
-// the start commands in it are in doubt: the worker may execute them at any later time as long as
-// their token and agent epoch match its own. They are not sent again, and their tasks are not placed
-// elsewhere, until a heartbeat lists the tasks or the worker has seen a higher token.
-func (d *Dispatcher) returned(machine *cluster.Machine, request workers.CommandRequest, response commandResponse, now time.Time) {
+// handleResponse processes the outcome of a command request. If it is unknown whether the request
+// arrived, the start commands in it are in doubt: the worker may execute them at any later time as
+// long as their token and agent epoch match its own. They are not sent again, and their tasks are
+// not placed elsewhere, until a heartbeat lists the tasks or the worker has seen a higher token.
+func (d *Dispatcher) handleResponse(machine *cluster.Machine, request workers.CommandRequest, response commandResponse, now time.Time) {
 	machine.Commands.RequestInFlight = false
-	d.inFlight--
+	d.requestsInFlight--
 	defer d.enqueue(machine)
-	d.settleStarts(machine, request, &response, now)
+	d.updateStarts(machine, request, &response, now)
 	if response.err != nil {
 		slog.Debug("commands not delivered", "machine", machine.ID, "term", d.Fencing.Current, "reason", response.err)
-		d.retryLater(machine, now)
+		d.scheduleRetry(machine, now)
 		d.Detector.Suspect(machine.ID)
 		return
 	}
@@ -201,9 +202,9 @@
 	}
 }
 
-// settleStarts updates the assignments whose start commands were in a request that has returned.
-func (d *Dispatcher) settleStarts(machine *cluster.Machine, request workers.CommandRequest, response *commandResponse, now time.Time) {
-	neverSent := response.neverSent()
+// updateStarts updates the assignments whose start commands were in a request that has returned.
+func (d *Dispatcher) updateStarts(machine *cluster.Machine, request workers.CommandRequest, response *commandResponse, now time.Time) {
+	neverExecuted := response.neverExecuted()
 	for _, command := range request.Commands {
 		a := machine.FindAssignment(cluster.CommandRef(&command))
 		if command.Op != workers.OpRun || a == nil {
@@ -211,21 +212,21 @@
 		}
 		a.Start.RequestInFlight = false
 		switch {
-		case neverSent:
+		case neverExecuted:
 			a.Start.Sent = a.ObservedState != ""
 		case response.err != nil && a.ObservedState == "":
 			a.Start.InDoubtToken = request.FencingToken
 			machine.Commands.InDoubtSince = now
-			d.inDoubt[machine] = true
+			d.machinesInDoubt[machine] = true
 		}
 	}
 }
 
-// retryLater schedules another command request after a delay that doubles with each failure.
-func (d *Dispatcher) retryLater(machine *cluster.Machine, now time.Time) {
+// scheduleRetry schedules another command request after a delay that doubles with each failure.
+func (d *Dispatcher) scheduleRetry(machine *cluster.Machine, now time.Time) {
 	commands := &machine.Commands
-	pause := d.Derived.Leader.ControlInterval << min(commands.FailedRequests, maxRetryDoublings)
-	commands.RetryAfter = now.Add(min(pause, d.Derived.Workers.Lease/leasesPerRetry))
+	delay := d.Derived.Leader.ControlInterval << min(commands.FailedRequests, maxRetryDoublings)
+	commands.RetryAfter = now.Add(min(delay, d.Derived.Workers.Lease/retryDelayLeaseDivisor))
 	commands.FailedRequests++
 	commands.NotifyPending = true
 }
--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -12,7 +12,7 @@
 
 // While a zone is partitioned, hundreds of command requests to it time out. They must not delay
 // requests to reachable machines.
-func TestCommandsThatCanArriveGoFirst(t *testing.T) {
+func TestUnresponsiveMachinesDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		s := newScenario(t, now)
@@ -20,13 +20,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i := range 20 {
-			lost := cluster.NewMachine(fmt.Sprint("m-9", i), now)
-			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
-			s.Notify(lost) // known from records only: it has not reported to this leader
+			unresponsive := cluster.NewMachine(fmt.Sprint("m-9", i), now)
+			unresponsive.Phase, unresponsive.Worker.Session, unresponsive.Addr, unresponsive.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
+			s.Notify(unresponsive) // known from records only: it has not reported to this leader
 		}
 		s.Send(ctx, now)
-		if s.inFlight != 2 {
-			t.Errorf("%d of 4 requests in flight go to machines that may not respond, want 2", s.inFlight)
+		if s.requestsInFlight != 2 {
+			t.Errorf("%d of 4 requests in flight go to machines that may not respond, want 2", s.requestsInFlight)
 		}
 		s.Notify(machine)
 		s.Send(ctx, now)
--- a/internal/leader/dispatch/scenario_test.go
+++ b/internal/leader/dispatch/scenario_test.go
@@ -34,10 +34,10 @@
 func (fakeHost) RemoveIfSettled(*cluster.Job)                          {}
 func (fakeHost) MayHaveUnknownTasks(*cluster.Job, time.Time) bool      { return false }
 
-// silentNetwork is an HTTP transport that blocks each request until its context is done.
-type silentNetwork struct{}
+// blockingTransport is an HTTP transport that blocks each request until its context is done.
+type blockingTransport struct{}
 
-func (silentNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+func (blockingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
@@ -66,7 +66,7 @@
 		Log: assignmentlog.New(assignmentlog.Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10}),
 	}, 100)
 	d := New(Deps{
-		Derived: derived, Client: workers.NewClient(silentNetwork{}, time.Minute), State: state, Catalog: catalog,
+		Derived: derived, Client: workers.NewClient(blockingTransport{}, time.Minute), State: state, Catalog: catalog,
 		Fencing: token, Detector: liveness.New(liveness.Config{}), Failover: reconcile.NewFailover(now, time.Second),
 		Planner: plans, Tasks: manager, Host: fakeHost{},
 	})
--- a/internal/leader/dispatch/token.go
+++ b/internal/leader/dispatch/token.go
@@ -33,10 +33,10 @@
 	newestToken uint64 // the highest token of the commands that started them
 }
 
-func (h *heldAcknowledgements) add(task *workers.TaskStatus, commandToken uint64, mayRunAgain bool) {
+func (h *heldAcknowledgements) add(task *workers.TaskStatus, commandToken uint64, isJobUnfinished bool) {
 	h.count++
 	h.newestToken = max(h.newestToken, commandToken)
-	h.urgent = h.urgent || mayRunAgain && task.Cause != workers.CauseDone
+	h.urgent = h.urgent || isJobUnfinished && task.Cause != workers.CauseDone
 }
 
 // needHigherToken reports whether the machine should be sent a higher token.
@@ -49,9 +49,9 @@
 // It clears the in-doubt state of machines on which no start command is in doubt any more.
 func (d *Dispatcher) ResolveInDoubt(now time.Time) {
 	raise := d.Fencing.AcknowledgementsHeld && now.Sub(d.Fencing.RaisedAt) > d.Derived.Workers.Lease
-	for machine := range d.inDoubt {
+	for machine := range d.machinesInDoubt {
 		if machine.Commands.InDoubtSince.IsZero() || !d.State.Machines.Contains(machine) {
-			delete(d.inDoubt, machine)
+			delete(d.machinesInDoubt, machine)
 			continue
 		}
 		inDoubt, overdue := d.startsInDoubt(machine, now)
@@ -70,21 +70,21 @@
 // startsInDoubt reports whether any start command to the machine is in doubt, and whether one has
 // been in doubt for so long that the token should be raised to invalidate it.
 func (d *Dispatcher) startsInDoubt(machine *cluster.Machine, now time.Time) (inDoubt, overdue bool) {
-	waitedLong := now.Sub(machine.Commands.InDoubtSince) > d.Derived.Workers.InDoubtTimeout &&
+	timedOut := now.Sub(machine.Commands.InDoubtSince) > d.Derived.Workers.InDoubtTimeout &&
 		now.Sub(d.Fencing.RaisedAt) > d.Derived.Leader.ControlInterval
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 {
 			inDoubt = true
-			overdue = overdue || a.Start.InDoubtToken == d.Fencing.Current && waitedLong
+			overdue = overdue || a.Start.InDoubtToken == d.Fencing.Current && timedOut
 		}
 	}
 	return inDoubt, overdue
 }
 
-// MayStartCancelled reports whether a command in flight may still start a task of a cancelled job,
-// so that the worker's lease must not be renewed. A higher token would invalidate the command, but
-// the token cannot be raised during an outage of the key-value store. The worker's lease then has to
-// expire in time: that ends the agent epoch for which the command was sent.
+// MayStartCancelled reports whether a command in flight may still start a task of a cancelled
+// job, so that the worker's lease must not be renewed. A higher token would invalidate the
+// command, but the token cannot be raised during an outage of the key-value store. The worker's
+// lease then has to expire in time: that ends the agent epoch for which the command was sent.
 func (d *Dispatcher) MayStartCancelled(machine *cluster.Machine, now time.Time) bool {
 	if machine.Commands.InDoubtSince.IsZero() {
 		return false
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -14,28 +14,28 @@
 // only to a machine where something waits for it: several ended tasks started by direct commands,
 // an ended task that has to run again, or a command in doubt. Once the worker has seen the token,
 // the ended tasks are cleared.
-func TestTokenByNeed(t *testing.T) {
+func TestHigherTokenIsSentOnlyWhereNeeded(t *testing.T) {
 	s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	var reports []*workers.Heartbeat
+	var heartbeats []*workers.Heartbeat
 	for i := range 4 {
 		machine, a := s.addMachine(fmt.Sprintf("m-%06d", i))
 		a.Start.Sent = true
 		running := workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}
-		reports = append(reports, &workers.Heartbeat{Machine: machine.ID, Addr: machine.Addr, AgentEpoch: 1, Seq: 1, FencingToken: 5, Tasks: []workers.TaskStatus{running}})
+		heartbeats = append(heartbeats, &workers.Heartbeat{Machine: machine.ID, Addr: machine.Addr, AgentEpoch: 1, Seq: 1, FencingToken: 5, Tasks: []workers.TaskStatus{running}})
 	}
-	endedByOrder := func(r *workers.Heartbeat, tasks int, cause string) {
+	addEndedTasks := func(r *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
 			s.State.Machines.ByID[r.Machine].Commands.StartedByRequest[cluster.RefOf(&task)] = s.Fencing.Current
 			r.Tasks = append(r.Tasks, task)
 		}
 	}
-	few, many, again, doubt := reports[0], reports[1], reports[2], reports[3]
-	endedByOrder(few, MaxHeldAcknowledgements-1, workers.CauseDone)
-	endedByOrder(many, MaxHeldAcknowledgements, workers.CauseDone)
-	endedByOrder(again, 1, workers.CauseStopped)
-	s.State.Machines.ByID[doubt.Machine].Commands.InDoubtSince = s.now
-	answer := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
+	belowLimit, atLimit, toRerun, inDoubt := heartbeats[0], heartbeats[1], heartbeats[2], heartbeats[3]
+	addEndedTasks(belowLimit, MaxHeldAcknowledgements-1, workers.CauseDone)
+	addEndedTasks(atLimit, MaxHeldAcknowledgements, workers.CauseDone)
+	addEndedTasks(toRerun, 1, workers.CauseStopped)
+	s.State.Machines.ByID[inDoubt.Machine].Commands.InDoubtSince = s.now
+	exchangeHeartbeat := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
 		r.Seq++
 		machine := s.State.Machines.ByID[r.Machine]
 		s.Tasks.Observe(machine, r, s.now)
@@ -46,7 +46,7 @@
 		r.FencingToken = a.FencingToken
 		return a
 	}
-	cleared := func(a *workers.HeartbeatResponse) (n int) {
+	countCleared := func(a *workers.HeartbeatResponse) (n int) {
 		for _, c := range a.Commands {
 			if c.Op == workers.OpClear {
 				n++
@@ -54,8 +54,8 @@
 		}
 		return n
 	}
-	for _, r := range reports {
-		if a := answer(r); a.FencingToken != 5 || cleared(a) > 0 {
+	for _, r := range heartbeats {
+		if a := exchangeHeartbeat(r); a.FencingToken != 5 || countCleared(a) > 0 {
 			t.Errorf("%s: response before the token was raised: %+v", r.Machine, a)
 		}
 	}
@@ -67,25 +67,25 @@
 		r     *workers.Heartbeat
 		token uint64
 		clear int
-	}{{few, 5, 0}, {many, 6, MaxHeldAcknowledgements}, {again, 6, 1}, {doubt, 6, 0}} {
-		if a := answer(want.r); a.FencingToken != want.token || cleared(a) > 0 {
-			t.Errorf("%s: token %d, %d tasks cleared before the worker has seen it; want token %d, none cleared", want.r.Machine, a.FencingToken, cleared(a), want.token)
+	}{{belowLimit, 5, 0}, {atLimit, 6, MaxHeldAcknowledgements}, {toRerun, 6, 1}, {inDoubt, 6, 0}} {
+		if a := exchangeHeartbeat(want.r); a.FencingToken != want.token || countCleared(a) > 0 {
+			t.Errorf("%s: token %d, %d tasks cleared before the worker has seen it; want token %d, none cleared", want.r.Machine, a.FencingToken, countCleared(a), want.token)
 		}
-		if a := answer(want.r); cleared(a) != want.clear {
-			t.Errorf("%s: %d tasks cleared with token %d, want %d", want.r.Machine, cleared(a), want.r.FencingToken, want.clear)
+		if a := exchangeHeartbeat(want.r); countCleared(a) != want.clear {
+			t.Errorf("%s: %d tasks cleared with token %d, want %d", want.r.Machine, countCleared(a), want.r.FencingToken, want.clear)
 		}
 	}
 	// A command carries the token that its worker knows, but never one of an earlier term.
-	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 5 {
+	if got := s.TokenFor(s.State.Machines.ByID[belowLimit.Machine]); got != 5 {
 		t.Errorf("token %d for a machine where nothing waits for a higher one, want 5", got)
 	}
 	s.Fencing.OfTerm, s.Fencing.Current = 7, 7
-	if got := s.TokenFor(s.State.Machines.ByID[few.Machine]); got != 7 {
+	if got := s.TokenFor(s.State.Machines.ByID[belowLimit.Machine]); got != 7 {
 		t.Errorf("token %d is of an earlier term, want 7", got)
 	}
 }
 
-func TestCommandsInDoubtAskForARaise(t *testing.T) {
+func TestCommandsInDoubtRequestTokenRaise(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		token  uint64 // of the command without a response
@@ -100,7 +100,7 @@
 			s := newScenario(t, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 			machine, a := s.addMachine("m-1")
 			request := workers.CommandRequest{FencingToken: tc.token, AgentEpoch: 1, Commands: s.CommandsFor(machine, false)}
-			s.returned(machine, request, commandResponse{err: context.DeadlineExceeded}, s.now)
+			s.handleResponse(machine, request, commandResponse{err: context.DeadlineExceeded}, s.now)
 			if s.ResolveInDoubt(s.now.Add(tc.after)); s.Fencing.RaisePending != tc.raises || a.Start.InDoubtToken != tc.token {
 				t.Errorf("raise pending: %v; in doubt with token %d", s.Fencing.RaisePending, a.Start.InDoubtToken)
 			}
--- a/internal/leader/planner/capacity.go
+++ b/internal/leader/planner/capacity.go
@@ -70,8 +70,8 @@
 // Withdraw makes a machine unavailable to placement.
 func (c *Capacity) Withdraw(machine *cluster.Machine) { c.index.Remove(machine.Offer) }
 
-// usage returns a copy of the resources in use by team.
-func (c *Capacity) usage() map[string]placement.Resources {
+// copyUsage returns a copy of the resources in use by team.
+func (c *Capacity) copyUsage() map[string]placement.Resources {
 	used := make(map[string]placement.Resources, len(c.usedByTeam))
 	for team, resources := range c.usedByTeam {
 		used[team] = resources
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -55,10 +55,10 @@
 	runTimes    *runtimes.Estimator
 	constraints Constraints
 
-	queued      map[*cluster.Job]bool
-	last        Plan // its memory is reused by the next plan
-	lastStarted time.Time
-	lastTook    time.Duration
+	queued        map[*cluster.Job]bool
+	previousPlan  Plan // its memory is reused by the next plan
+	lastStartedAt time.Time
+	lastDuration  time.Duration
 }
 
 // New returns a planner with an empty queue.
@@ -69,8 +69,8 @@
 	}
 }
 
-// Plan lists what the leader is to do: first the preemptions, then the placements. It is valid until
-// the next plan is made.
+// Plan lists what the leader is to do: first the preemptions, then the placements. It is valid
+// until the next plan is made.
 type Plan struct {
 	Preemptions []Preemption
 	Placements  []Placement
@@ -90,16 +90,16 @@
 }
 
 const (
-	// MaxTimeShare is the largest share of the event loop's time that planning may take, so that
-	// it does not delay heartbeats, lease renewals and cancellations.
+	// MaxTimeShare is the largest share of the event loop's time that planning may take, so
+	// that it does not delay heartbeats, lease renewals and cancellations.
 	MaxTimeShare = 0.2
 
-	plansPerInterval = 32 // limit of plans per control interval
+	maxPlansPerInterval = 32 // limit of plans per control interval
 )
 
 // IsDue reports whether a plan is requested and enough time has passed since the last one started.
 func (p *Planner) IsDue(now time.Time) bool {
-	return p.Requested && now.Sub(p.lastStarted) >= max(p.config.ControlInterval/plansPerInterval, cluster.ScaleDuration(p.lastTook, 1/MaxTimeShare))
+	return p.Requested && now.Sub(p.lastStartedAt) >= max(p.config.ControlInterval/maxPlansPerInterval, cluster.ScaleDuration(p.lastDuration, 1/MaxTimeShare))
 }
 
 // Enqueue adds the job to the queue if it has pending tasks and is not over.
@@ -118,17 +118,17 @@
 
 // Plan returns a plan for the current state of the cluster.
 func (p *Planner) Plan(now time.Time) Plan {
-	p.Requested, p.lastStarted = false, now
+	p.Requested, p.lastStartedAt = false, now
 	if p.GuaranteesStale {
 		p.updateGuarantees(now)
 	}
 	input := placement.Input{
-		Teams: p.config.Teams, UsedByTeam: p.Capacity.usage(), Index: &p.Capacity.index,
+		Teams: p.config.Teams, UsedByTeam: p.Capacity.copyUsage(), Index: &p.Capacity.index,
 		LowestRank: p.Capacity.lowestRank(),
 	}
 	p.constraints.AddHeldUsage(input.UsedByTeam)
 	jobOf := map[*placement.Job]*cluster.Job{}
-	input.Jobs = p.queuedJobs(jobOf, now)
+	input.Jobs = p.placementQueue(jobOf, now)
 	running := newRunningTasks()
 	input.LoadTasks = func(offer *placement.Machine) {
 		running.load(offer, p.state.Machines.ByID[offer.ID].Assignments, now)
@@ -138,28 +138,28 @@
 		jobOf[job].Scheduling.PreemptingForGangAt = now
 	}
 	p.Unmet = output.Unmet
-	return p.plan(output, jobOf, running)
+	return p.convertPlan(output, jobOf, running)
 }
 
 // Finished records how long it took to make a plan and to carry it out.
-func (p *Planner) Finished(took time.Duration) { p.lastTook = took }
+func (p *Planner) Finished(took time.Duration) { p.lastDuration = took }
 
-// queuedJobs returns the queue as input for placement, in the order of acceptance, and adds its jobs
-// to jobOf. It drops jobs without pending tasks from the queue.
-func (p *Planner) queuedJobs(jobOf map[*placement.Job]*cluster.Job, now time.Time) (queue []*placement.Job) {
+// placementQueue returns the queue as input for placement, in the order of acceptance, and adds its
+// jobs to jobOf. It drops jobs without pending tasks from the queue.
+func (p *Planner) placementQueue(jobOf map[*placement.Job]*cluster.Job, now time.Time) (queue []*placement.Job) {
 	wallMs := now.UnixMilli()
 	for job := range p.queued {
 		switch {
 		case job.IsOver() || job.Pending.Count == 0:
 			delete(p.queued, job)
 		case job.IsGang() && len(job.Assignments) > 0:
-			// The gang is queued again when the last task of its attempt is removed. If the
-			// next attempt began with only the tasks whose ends are durable, the gang would
-			// never be complete.
+			// The gang is queued again when the last task of its attempt is removed. If
+			// the next attempt began with only the tasks whose ends are durable, the
+			// gang would never be complete.
 		case now.Before(job.Scheduling.BackoffUntil), p.constraints.MayHaveUnknownTasks(job, now):
 			p.Requested = true
 		default:
-			planned := p.plannedJob(job, now, wallMs)
+			planned := p.placementJob(job, now, wallMs)
 			jobOf[planned] = job
 			queue = append(queue, planned)
 		}
@@ -170,9 +170,9 @@
 	return queue
 }
 
-// plan converts the output of placement into a Plan.
-func (p *Planner) plan(output placement.Output, jobOf map[*placement.Job]*cluster.Job, running runningTasks) Plan {
-	plan := Plan{Preemptions: p.last.Preemptions[:0], Placements: p.last.Placements[:0]}
+// convertPlan converts the output of placement into a Plan.
+func (p *Planner) convertPlan(output placement.Output, jobOf map[*placement.Job]*cluster.Job, running runningTasks) Plan {
+	plan := Plan{Preemptions: p.previousPlan.Preemptions[:0], Placements: p.previousPlan.Placements[:0]}
 	for _, preempted := range output.Preemptions {
 		a, graceS := running.assignmentOf[preempted.Task], 0.0
 		if !preempted.WithoutGrace {
@@ -185,7 +185,7 @@
 			Job: jobOf[assigned.Job], Machine: p.state.Machines.ByID[assigned.Machine.ID], Starved: assigned.Starved,
 		})
 	}
-	p.last = plan
+	p.previousPlan = plan
 	return plan
 }
 
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -18,22 +18,22 @@
 	// Without any, the job would wait indefinitely; with all of them, other jobs would starve.
 	starvedShare = 1.0 / 8
 
-	// reserveShare is the share of a gang's expected run time for which room is reserved for it.
-	// The capacity that idles meanwhile is small compared with the gang's own work, and where
-	// many tasks end all the time the reservation usually suffices.
-	reserveShare = 0.25
+	// reservationShare is the share of a gang's expected run time for which room is reserved
+	// for it. The capacity that idles meanwhile is small compared with the gang's own work,
+	// and where many tasks end all the time the reservation usually suffices.
+	reservationShare = 0.25
 
 	// PatienceShare is the share of the time in which a job within its team's guarantee should
 	// start that is spent waiting for other tasks to end on their own before any is preempted.
 	PatienceShare = 0.5
 
-	// startMargin is the share of a control interval allowed for sending a start command and
-	// learning that the task runs.
-	startMargin = 0.25
+	// startMarginShare is the share of a control interval allowed for sending a start command
+	// and learning that the task runs.
+	startMarginShare = 0.25
 
-	// restartRuns is how many expected run times must be left to a deadline for a task to be
-	// restarted and still meet it.
-	restartRuns = 2
+	// restartRunTimes is how many expected run times must be left to a deadline for a task to
+	// be restarted and still meet it.
+	restartRunTimes = 2
 )
 
 // deadlineS returns the seconds left until the job has to complete to meet the next objective that
@@ -44,28 +44,28 @@
 	if !job.Spec.RunsToCompletion() {
 		return placement.NoDeadline
 	}
-	ageS, runS := float64(wallMs-job.AcceptedMs)/1000, p.runTimes.Seconds(job.Spec)
+	ageS, expectedRunS := float64(wallMs-job.AcceptedMs)/1000, p.runTimes.Seconds(job.Spec)
 	deadlineS, hasObjective := float64(placement.DeadlineMissed), false
 	for _, objective := range p.config.Objectives {
 		if objective.Class != job.Spec.Class {
 			continue
 		}
 		switch leftS := objective.WithinS - ageS; {
-		case objective.Kind == settings.ObjectiveFinished && leftS >= runS:
+		case objective.Kind == settings.ObjectiveFinished && leftS >= expectedRunS:
 			deadlineS = min(deadlineS, leftS)
 		case objective.Kind == settings.ObjectiveDeadline && job.Spec.DeadlineS != nil:
 			hasObjective = true
-			if leftS := max(1, objective.DeadlineFactor)**job.Spec.DeadlineS - ageS; leftS >= runS {
+			if leftS := max(1, objective.DeadlineFactor)**job.Spec.DeadlineS - ageS; leftS >= expectedRunS {
 				deadlineS = min(deadlineS, leftS)
 			}
 		case objective.Kind == settings.ObjectiveWait && leftS >= 0 && job.Pending.Count == job.Spec.Tasks:
-			deadlineS = min(deadlineS, leftS+runS)
+			deadlineS = min(deadlineS, leftS+expectedRunS)
 		}
 		hasObjective = hasObjective || objective.Kind == settings.ObjectiveFinished
 	}
 	if job.Spec.DeadlineS != nil && !hasObjective { // no objective covers the job's own deadline
 		hasObjective = true
-		if leftS := *job.Spec.DeadlineS - ageS; leftS >= runS {
+		if leftS := *job.Spec.DeadlineS - ageS; leftS >= expectedRunS {
 			deadlineS = leftS
 		}
 	}
@@ -97,13 +97,13 @@
 	}
 }
 
-// plannedJob returns a job as input for placement.
-func (p *Planner) plannedJob(job *cluster.Job, now time.Time, wallMs int64) *placement.Job {
-	spec, runS := job.Spec, p.runTimes.Seconds(job.Spec)
+// placementJob returns a job as input for placement.
+func (p *Planner) placementJob(job *cluster.Job, now time.Time, wallMs int64) *placement.Job {
+	spec, expectedRunS := job.Spec, p.runTimes.Seconds(job.Spec)
 	planned := &placement.Job{
 		Spec: spec, AcceptanceOrder: job.SubmissionOrder, DeadlineS: p.deadlineS(job, wallMs),
 		Pending: job.Pending.Count, Guaranteed: job.Scheduling.WithinGuarantee,
-		RemainingCPUS: float64(spec.Tasks-job.Completions.Count) * runS * spec.CPUs,
+		RemainingCPUS: float64(spec.Tasks-job.Completions.Count) * expectedRunS * spec.CPUs,
 		TasksByZone:   make(map[string]int, len(job.Zones)),
 	}
 	for zone, tasks := range job.Zones {
@@ -111,10 +111,10 @@
 	}
 	p.applyObjectives(planned, job, now, wallMs)
 	if spec.Shape == jobs.Batch && spec.CheckpointIntervalS == 0 && planned.DeadlineS < placement.NoDeadline {
-		planned.NoTimeToRestart = planned.DeadlineS < restartRuns*runS
+		planned.NoTimeToRestart = planned.DeadlineS < restartRunTimes*expectedRunS
 	}
 	planned.PreemptionDeferred = !p.constraints.MayPreempt(job, now)
-	planned.ReserveRoom = job.IsGang() && now.Sub(job.Scheduling.GangPendingSince).Seconds() < reserveShare*runS
+	planned.ReserveRoom = job.IsGang() && now.Sub(job.Scheduling.GangPendingSince).Seconds() < reservationShare*expectedRunS
 	planned.Preempting = now.Sub(job.Scheduling.PreemptingForGangAt) < p.config.CountedRunTime
 	if planned.StarvedTasks = p.StarvedTasks(job, now); planned.StarvedTasks > 0 && job.IsGang() {
 		planned.StarvedTasks = job.Pending.Count
@@ -130,8 +130,8 @@
 			planned.ReclaimDeferred = now.Sub(job.Scheduling.GuaranteedSince).Seconds() < PatienceShare*objective.WithinS
 		}
 		if objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class {
-			planned.StartWithinS = objective.WithinS - p.config.ControlInterval.Seconds()*startMargin
-			// Tasks to be placed again have as long to restart as a first start may take.
+			planned.StartWithinS = objective.WithinS - p.config.ControlInterval.Seconds()*startMarginShare
+			// Tasks to be placed again may take as long to restart as a first start.
 			if !job.Pending.HasRetries() {
 				planned.StartWithinS -= float64(wallMs-job.AcceptedMs) / 1000
 			}
@@ -139,9 +139,9 @@
 	}
 }
 
-// StarvedTasks returns how many of the job's tasks are placed first because the job is starved: no
-// task has run for longer than CountedRunTime within the StarvationLimit. A task that is stopped soon
-// after its start does not count.
+// StarvedTasks returns how many of the job's tasks are placed first because the job is starved:
+// no task has run for longer than CountedRunTime within the StarvationLimit. A task that is
+// stopped soon after its start does not count.
 func (p *Planner) StarvedTasks(job *cluster.Job, now time.Time) int {
 	if now.Sub(job.Scheduling.LastServedAt) <= p.config.StarvationLimit {
 		return 0
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -10,30 +10,30 @@
 	"ospreyslip/internal/workers"
 )
 
-// applySpotNotice prepares for the reclaim of a spot machine in inS seconds. Tasks that can save a
-// checkpoint in time are stopped to do so. Tasks that are likely to complete in time keep running.
-// All others are stopped at once, to restart elsewhere.
-func (m *Manager) applySpotNotice(machine *cluster.Machine, inS float64, now time.Time) {
+// applySpotNotice prepares for the reclaim of a spot machine in reclaimInS seconds. Tasks that can
+// save a checkpoint in time are stopped to do so. Tasks that are likely to complete in time keep
+// running. All others are stopped at once, to restart elsewhere.
+func (m *Manager) applySpotNotice(machine *cluster.Machine, reclaimInS float64, now time.Time) {
 	if machine.Health.NoticeUntil.IsZero() {
-		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", inS)
+		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", reclaimInS)
 	}
 	machine.Health.Draining = true
 	m.Planner.Capacity.Withdraw(machine)
-	machine.Health.NoticeUntil = now.Add(time.Duration(inS * float64(time.Second)))
+	machine.Health.NoticeUntil = now.Add(time.Duration(reclaimInS * float64(time.Second)))
 	for _, a := range machine.Assignments {
 		switch {
 		case a.Outcome != cluster.Open || a.Stop.Requested:
-		case m.canSave(a, inS):
+		case m.canSaveCheckpoint(a, reclaimInS):
 			m.Stop(a, a.Job.Spec.CheckpointSaveS)
-		case m.shouldRestartElsewhere(a, inS, now):
+		case m.shouldRestartElsewhere(a, reclaimInS, now):
 			m.Stop(a, 0)
 		}
 	}
 	m.Planner.Requested = true
 }
 
-// canSave reports whether the task can save a checkpoint within withinS seconds.
-func (m *Manager) canSave(assignment *cluster.Assignment, withinS float64) bool {
+// canSaveCheckpoint reports whether the task can save a checkpoint within withinS seconds.
+func (m *Manager) canSaveCheckpoint(assignment *cluster.Assignment, withinS float64) bool {
 	spec := assignment.Job.Spec
 	if assignment.Job.IsGang() {
 		return gang.ShouldCheckpoint(spec.CheckpointIntervalS, spec.CheckpointSaveS, m.Derived.Workers.GangStopWindow.Seconds(), withinS)
@@ -46,20 +46,20 @@
 // until then. The expected gain of staying is weighed against the expected loss.
 func (m *Manager) shouldRestartElsewhere(assignment *cluster.Assignment, withinS float64, now time.Time) bool {
 	if !assignment.Job.Spec.RunsToCompletion() {
-		return len(m.Planner.Unmet) == 0 // it never completes; moving it while others wait makes it wait, too
+		return len(m.Planner.Unmet) == 0 // it never completes, and would have to wait while others do
 	}
 	ranS := 0.0
 	if assignment.ObservedState == workers.StateRunning {
 		ranS = now.Sub(assignment.RunningSince).Seconds()
 	}
-	runS := m.RunTimes.JobSeconds(assignment.Job)
-	chance := m.RunTimes.Of(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, runS)
-	return chance*runS < (1-chance)*withinS
+	expectedRunS := m.RunTimes.JobSeconds(assignment.Job)
+	completionChance := m.RunTimes.Of(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, expectedRunS)
+	return completionChance*expectedRunS < (1-completionChance)*withinS
 }
 
 // DrainStraggler reports whether the machine is a straggler: one that runs tasks much more slowly
-// than others. It stops the machine's batch and gang tasks that would complete sooner elsewhere, and
-// drains the machine unless it runs services.
+// than others. It stops the machine's batch and gang tasks that would complete sooner elsewhere,
+// and drains the machine unless it runs services.
 func (m *Manager) DrainStraggler(machine *cluster.Machine, now time.Time) bool {
 	if !machine.Offer.Straggler {
 		slow, odds := m.RunTimes.IsStraggler(machine, now)
@@ -69,10 +69,10 @@
 		slog.Info("straggler detected", "machine", machine.ID, "term", m.Fencing.Current, "odds", odds)
 		machine.Offer.Straggler = true
 	}
-	servesUsers := false
+	runsServices := false
 	for _, a := range machine.Assignments {
 		if !a.Job.Spec.RunsToCompletion() {
-			servesUsers = true
+			runsServices = true
 			continue
 		}
 		if a.Outcome == cluster.Open && !a.Stop.Requested && m.RunTimes.SoonerElsewhere(a, now) {
@@ -80,7 +80,7 @@
 			m.Planner.Requested = true
 		}
 	}
-	machine.Health.Draining = machine.Health.Draining || !servesUsers
+	machine.Health.Draining = machine.Health.Draining || !runsServices
 	return true
 }
 
--- a/internal/leader/tasks/failure.go
+++ b/internal/leader/tasks/failure.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// freeFailures is the number of consecutive failures of a job that cause no backoff.
-	freeFailures = 2
+	// failuresBeforeBackoff is the number of consecutive failures of a job without backoff.
+	failuresBeforeBackoff = 2
 	// maxBackoffDoublings is how often the delay between attempts is doubled at most.
 	maxBackoffDoublings = 6
 )
@@ -23,7 +23,7 @@
 	case workers.CauseStopped, workers.CauseMatesGone, workers.CauseIncomplete:
 	case workers.CauseError:
 		m.backOff(job, now)
-		m.suspectFaulty(machine, job, now)
+		m.recordFailureOnMachine(machine, job, now)
 	default: // no_room, busy, unknown: the worker refused the task; retry soon
 		machine.AvoidJobUntil(job.ID, now.Add(m.Derived.Workers.HeartbeatInterval))
 		if task.Cause == workers.CauseUnknown {
@@ -37,16 +37,16 @@
 // several machines in a row is most likely at fault itself.
 func (m *Manager) backOff(job *cluster.Job, now time.Time) {
 	job.Scheduling.ConsecutiveFailures++
-	if failures := job.Scheduling.ConsecutiveFailures; failures > freeFailures {
-		pause := m.Derived.Workers.HeartbeatInterval << min(failures-freeFailures, maxBackoffDoublings)
-		job.Scheduling.BackoffUntil = now.Add(min(pause, m.Derived.Workers.CancelDeadline))
+	if failures := job.Scheduling.ConsecutiveFailures; failures > failuresBeforeBackoff {
+		delay := m.Derived.Workers.HeartbeatInterval << min(failures-failuresBeforeBackoff, maxBackoffDoublings)
+		job.Scheduling.BackoffUntil = now.Add(min(delay, m.Derived.Workers.CancelDeadline))
 	}
 }
 
-// suspectFaulty keeps the job off the machine on which it failed for one worker lease, as the
-// machine is usually the cause. A machine on which more than one job has failed since a task last
-// completed there is drained.
-func (m *Manager) suspectFaulty(machine *cluster.Machine, job *cluster.Job, now time.Time) {
+// recordFailureOnMachine keeps the job off the machine on which it failed for one worker lease, as
+// the machine is usually the cause. A machine on which more than one job has failed since a task
+// last completed there is drained.
+func (m *Manager) recordFailureOnMachine(machine *cluster.Machine, job *cluster.Job, now time.Time) {
 	machine.Health.FailedJobs[job.ID] = true
 	machine.AvoidJobUntil(job.ID, now.Add(m.Derived.Workers.Lease))
 	if len(machine.Health.FailedJobs) > 1 && !machine.Health.Draining {
--- a/internal/leader/tasks/gang.go
+++ b/internal/leader/tasks/gang.go
@@ -7,9 +7,9 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// gangBeginDurable counts a durable assignment of a gang. Once all of them are durable it notifies
-// the workers of all tasks.
-func (m *Manager) gangBeginDurable(job *cluster.Job) {
+// countDurableGangAssignment counts a durable assignment of a gang. Once all of them are durable it
+// notifies the workers of all tasks.
+func (m *Manager) countDurableGangAssignment(job *cluster.Job) {
 	if job.Gang.Durable++; job.GangVerdict() == gang.Run {
 		for _, a := range job.Assignments {
 			m.Host.Notify(a.Machine)
@@ -17,9 +17,9 @@
 	}
 }
 
-// leaveGang processes that a task of a gang is off its machine. Unless the job is over, the
+// removeFromGang processes that a task of a gang is off its machine. Unless the job is over, the
 // remaining tasks have to stop.
-func (m *Manager) leaveGang(job *cluster.Job) {
+func (m *Manager) removeFromGang(job *cluster.Job) {
 	if job.Gang.Assigned--; !job.IsOver() && job.GangVerdict() == gang.Abort {
 		slog.Debug("gang incomplete", "job", job.ID, "attempt", job.Gang.Number, "term", m.Fencing.Current, "left", job.Gang.Assigned)
 		m.StopGang(job, 0)
@@ -27,8 +27,8 @@
 }
 
 // StopGang requests that all tasks of a gang stop, with graceS seconds to save a checkpoint. All
-// workers are notified at once: a task whose worker gets the command later than GangStopWindow after
-// the first keeps the whole gang from saving.
+// workers are notified at once: a task whose worker gets the command later than GangStopWindow
+// after the first keeps the whole gang from saving.
 func (m *Manager) StopGang(job *cluster.Job, graceS float64) {
 	if job.Gang.Stopping {
 		return
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -73,7 +73,7 @@
 	}
 	if job.IsGang() {
 		if a.GangAttempt = job.Gang.Number; a.GangAttempt == 0 {
-			// The first number drawn is shared by the gang; the task gets another of its own.
+			// The gang shares the first number; its first task needs another of its own.
 			a.GangAttempt, a.Attempt = a.Attempt, m.NextAttempt()
 		}
 		job.JoinGang(a)
@@ -93,7 +93,7 @@
 // workers are notified once all assignments are durable.
 func (m *Manager) BeginDurable(assignment *cluster.Assignment) {
 	if assignment.Job.IsGang() {
-		m.gangBeginDurable(assignment.Job)
+		m.countDurableGangAssignment(assignment.Job)
 		return
 	}
 	m.Host.Notify(assignment.Machine)
@@ -163,7 +163,7 @@
 	m.Host.CountsChanged(assignment.Job)
 	m.Planner.Requested = true
 	if assignment.Job.IsGang() {
-		m.leaveGang(assignment.Job)
+		m.removeFromGang(assignment.Job)
 	}
 }
 
--- a/internal/leader/tasks/manager_test.go
+++ b/internal/leader/tasks/manager_test.go
@@ -40,9 +40,9 @@
 	return m, host, job
 }
 
-func TestStopEndsOnlyWhatNoWorkerCanHaveHeardOf(t *testing.T) {
+func TestStopEndsOnlyUnsentAssignments(t *testing.T) {
 	for name, tc := range map[string]struct {
-		heard func(a *cluster.Assignment)
+		setup func(a *cluster.Assignment)
 		ends  bool
 	}{
 		"never sent":       {func(*cluster.Assignment) {}, true},
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			m, host, job := assignAll(t, jobs.Batch, 1)
 			a := job.Assignments[0]
-			tc.heard(a)
+			tc.setup(a)
 			m.Stop(a, 3)
 			if ended := a.Outcome == cluster.Retry; ended != tc.ends || a.Log.EndQueued != tc.ends || (host.notified["a"] == 0) != tc.ends {
 				t.Errorf("assignment ended: %v, notifications: %v", ended, host.notified)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestPauseGrowsWithFailuresInARow(t *testing.T) {
+func TestBackoffGrowsWithConsecutiveFailures(t *testing.T) {
 	m, _, job := assignAll(t, jobs.Batch, 1)
 	for i, want := range []time.Duration{0, 0, 2, 4, 5, 5} { // seconds; at most the cancel deadline
 		now := time.Unix(int64(100*i), 0)
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -13,14 +13,14 @@
 // heartbeat is ignored, as it must not overwrite newer state.
 func (m *Manager) Observe(machine *cluster.Machine, heartbeat *workers.Heartbeat, now time.Time) {
 	worker := &machine.Worker
-	isOld := heartbeat.AgentEpoch == worker.Session && worker.Seq != 0 && heartbeat.Seq <= worker.Seq
-	if heartbeat.AgentEpoch < worker.Session || isOld {
+	isStale := heartbeat.AgentEpoch == worker.Session && worker.Seq != 0 && heartbeat.Seq <= worker.Seq
+	if heartbeat.AgentEpoch < worker.Session || isStale {
 		return
 	}
 	if heartbeat.AgentEpoch > worker.Session {
-		// The response to a command or a probe may show the new agent epoch before the lease of
-		// the old one has expired here, as it is counted from the arrival of a heartbeat. Tasks
-		// that start in the new epoch may run for a whole lease from now.
+		// The response to a command or a probe may show the new agent epoch before the
+		// lease of the old one has expired here, as it is counted from the arrival of a
+		// heartbeat. Tasks that start in the new epoch may run for a whole lease from now.
 		worker.LeaseUntil = now.Add(m.Derived.Workers.LeaseExpiry)
 		machine.Commands.InDoubtSince = time.Time{}
 		m.Planner.Requested = true
@@ -35,8 +35,9 @@
 	m.reconcileAssignments(machine, heartbeat, now)
 }
 
-// dropRefusedStarts removes tasks from StartedByRequest that the worker no longer lists, once it has
-// seen a higher token than that of the request: from then on it refuses late copies of the request.
+// dropRefusedStarts removes tasks from StartedByRequest that the worker no longer lists, once it
+// has seen a higher token than that of the request: from then on it refuses late copies of the
+// request.
 func dropRefusedStarts(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
 	for started, token := range machine.Commands.StartedByRequest {
 		if token < machine.Worker.Token && cluster.FindTask(heartbeat, started) == nil {
@@ -54,13 +55,13 @@
 		if a.Session == heartbeat.AgentEpoch {
 			observation.Task = cluster.FindTask(heartbeat, a.Ref())
 		}
-		m.apply(a, observation.Task, reconcile.DecideOnHeartbeat(m.Facts(a, now), observation), now)
+		m.applyDecision(a, observation.Task, reconcile.DecideOnHeartbeat(m.Facts(a, now), observation), now)
 	}
 }
 
-// apply applies a reconciliation decision to an assignment. task is nil if the worker does not list
-// it.
-func (m *Manager) apply(assignment *cluster.Assignment, task *workers.TaskStatus, decision reconcile.Decision, now time.Time) {
+// applyDecision applies a reconciliation decision to an assignment. task is nil if the worker does
+// not list it.
+func (m *Manager) applyDecision(assignment *cluster.Assignment, task *workers.TaskStatus, decision reconcile.Decision, now time.Time) {
 	if task != nil {
 		m.applyTaskState(assignment, task, now)
 	}
@@ -83,8 +84,8 @@
 
 // applyTaskState applies the reported state of a task to its assignment.
 func (m *Manager) applyTaskState(assignment *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
-	// A start command is sent in one request at a time: a task that is listed has received it, so
-	// the command is no longer in doubt.
+	// A start command is sent in one request at a time: a task that is listed has received it,
+	// so the command is no longer in doubt.
 	assignment.Start.InDoubtToken, assignment.Start.Sent = 0, true
 	if assignment.ObservedState == task.State {
 		return
