--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -10,9 +10,9 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// A zone that is cut off has commands time out by the hundred. They must not keep
-// the commands waiting that can arrive.
-func TestCommandsThatCanArriveGoFirst(t *testing.T) {
+// While a zone is partitioned, hundreds of command requests to it time out. They must not delay
+// requests to reachable machines.
+func TestUnresponsiveMachinesDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		s := newScenario(t, now)
@@ -20,18 +20,18 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i := range 20 {
-			lost := cluster.NewMachine(fmt.Sprint("m-9", i), now)
-			lost.Phase, lost.Worker.Session, lost.Addr, lost.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
-			s.Notify(lost) // from an earlier leader's records: it has not reported to this one
+			unresponsive := cluster.NewMachine(fmt.Sprint("m-9", i), now)
+			unresponsive.Phase, unresponsive.Worker.Session, unresponsive.Addr, unresponsive.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
+			s.Notify(unresponsive) // known from records only: it has not reported to this leader
 		}
 		s.Send(ctx, now)
-		if s.inFlight != 2 {
-			t.Errorf("%d of 4 orders at a time to machines that may not answer", s.inFlight)
+		if s.requestsInFlight != 2 {
+			t.Errorf("%d of 4 requests in flight go to machines that may not respond, want 2", s.requestsInFlight)
 		}
 		s.Notify(machine)
 		s.Send(ctx, now)
 		if !machine.Commands.RequestInFlight {
-			t.Error("a machine that reports waits behind those that do not")
+			t.Error("the request to a machine that reports waits for those to machines that do not")
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/leader/dispatch/scenario_test.go
+++ b/internal/leader/dispatch/scenario_test.go
@@ -19,8 +19,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// fakeHost is the other parts of a leader: it leads, no job is cancelled, and what is posted is
-// dropped.
+// fakeHost stands in for the other parts of a leader. It holds the leadership lease, no job is
+// cancelled, and posted functions are dropped.
 type fakeHost struct{}
 
 func (fakeHost) IsLeader() bool                                        { return true }
@@ -34,15 +34,15 @@
 func (fakeHost) RemoveIfSettled(*cluster.Job)                          {}
 func (fakeHost) MayHaveUnknownTasks(*cluster.Job, time.Time) bool      { return false }
 
-// silentNetwork is one on which nothing is answered.
-type silentNetwork struct{}
+// blockingTransport is an HTTP transport that blocks each request until its context is done.
+type blockingTransport struct{}
 
-func (silentNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+func (blockingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// scenario is a dispatcher under token 5 with one job, whose tasks fill a machine each.
+// scenario is a dispatcher with fencing token 5 and one job, each of whose tasks fills a machine.
 type scenario struct {
 	*Dispatcher
 	job *cluster.Job
@@ -66,7 +66,7 @@
 		Log: assignmentlog.New(assignmentlog.Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10}),
 	}, 100)
 	d := New(Deps{
-		Derived: derived, Client: workers.NewClient(silentNetwork{}, time.Minute), State: state, Catalog: catalog,
+		Derived: derived, Client: workers.NewClient(blockingTransport{}, time.Minute), State: state, Catalog: catalog,
 		Fencing: token, Detector: liveness.New(liveness.Config{}), Failover: reconcile.NewFailover(now, time.Second),
 		Planner: plans, Tasks: manager, Host: fakeHost{},
 	})
@@ -75,7 +75,7 @@
 	return &scenario{d, job, now}
 }
 
-// addMachine adds a machine that has reported, with a task of the job that its worker may hear of.
+// addMachine adds a machine that has reported, and assigns a task of the job to it durably.
 func (s *scenario) addMachine(id string) (*cluster.Machine, *cluster.Assignment) {
 	machine := cluster.NewMachine(id, s.now)
 	machine.Phase = cluster.Up
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -10,29 +10,30 @@
 	"ospreyslip/internal/workers"
 )
 
-// applySpotNotice prepares for the loss of a machine within some seconds: what can save does so,
-// what may still complete goes on, and the rest begins anew elsewhere at once.
-func (m *Manager) applySpotNotice(machine *cluster.Machine, inS float64, now time.Time) {
+// applySpotNotice prepares for the reclaim of a spot machine in reclaimInS seconds. Tasks that can
+// save a checkpoint in time are stopped to do so. Tasks that are likely to complete in time keep
+// running. All others are stopped at once, to restart elsewhere.
+func (m *Manager) applySpotNotice(machine *cluster.Machine, reclaimInS float64, now time.Time) {
 	if machine.Health.NoticeUntil.IsZero() {
-		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", inS)
+		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", reclaimInS)
 	}
 	machine.Health.Draining = true
 	m.Planner.Capacity.Withdraw(machine)
-	machine.Health.NoticeUntil = now.Add(time.Duration(inS * float64(time.Second)))
+	machine.Health.NoticeUntil = now.Add(time.Duration(reclaimInS * float64(time.Second)))
 	for _, a := range machine.Assignments {
 		switch {
 		case a.Outcome != cluster.Open || a.Stop.Requested:
-		case m.canSave(a, inS):
+		case m.canSaveCheckpoint(a, reclaimInS):
 			m.Stop(a, a.Job.Spec.CheckpointSaveS)
-		case m.shouldRestartElsewhere(a, inS, now):
+		case m.shouldRestartElsewhere(a, reclaimInS, now):
 			m.Stop(a, 0)
 		}
 	}
 	m.Planner.Requested = true
 }
 
-// canSave tells whether a task can save a checkpoint within some seconds.
-func (m *Manager) canSave(assignment *cluster.Assignment, withinS float64) bool {
+// canSaveCheckpoint reports whether the task can save a checkpoint within withinS seconds.
+func (m *Manager) canSaveCheckpoint(assignment *cluster.Assignment, withinS float64) bool {
 	spec := assignment.Job.Spec
 	if assignment.Job.IsGang() {
 		return gang.ShouldCheckpoint(spec.CheckpointIntervalS, spec.CheckpointSaveS, m.Derived.Workers.GangStopWindow.Seconds(), withinS)
@@ -40,23 +41,25 @@
 	return spec.CheckpointIntervalS > 0 && spec.CheckpointSaveS < withinS
 }
 
-// shouldRestartElsewhere tells whether a task on a machine that will be taken within some seconds
-// should begin anew elsewhere: if it stays, it most likely loses the time until then as well.
+// shouldRestartElsewhere reports whether a task on a machine that will be reclaimed in withinS
+// seconds should restart elsewhere now: if it stays and does not complete, it also loses the time
+// until then. The expected gain of staying is weighed against the expected loss.
 func (m *Manager) shouldRestartElsewhere(assignment *cluster.Assignment, withinS float64, now time.Time) bool {
 	if !assignment.Job.Spec.RunsToCompletion() {
-		return len(m.Planner.Unmet) == 0 // it never completes; while others wait it would, too
+		return len(m.Planner.Unmet) == 0 // it never completes, and would have to wait while others do
 	}
 	ranS := 0.0
 	if assignment.ObservedState == workers.StateRunning {
 		ranS = now.Sub(assignment.RunningSince).Seconds()
 	}
-	runS := m.RunTimes.JobSeconds(assignment.Job)
-	chance := m.RunTimes.Of(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, runS)
-	return chance*runS < (1-chance)*withinS
+	expectedRunS := m.RunTimes.JobSeconds(assignment.Job)
+	completionChance := m.RunTimes.Of(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, expectedRunS)
+	return completionChance*expectedRunS < (1-completionChance)*withinS
 }
 
-// DrainStraggler drains a machine that runs tasks much slower than others, and stops the batch
-// work on it that would be over sooner elsewhere. It tells whether the machine is one.
+// DrainStraggler reports whether the machine is a straggler: one that runs tasks much more slowly
+// than others. It stops the machine's batch and gang tasks that would complete sooner elsewhere,
+// and drains the machine unless it runs services.
 func (m *Manager) DrainStraggler(machine *cluster.Machine, now time.Time) bool {
 	if !machine.Offer.Straggler {
 		slow, odds := m.RunTimes.IsStraggler(machine, now)
@@ -66,10 +69,10 @@
 		slog.Info("straggler detected", "machine", machine.ID, "term", m.Fencing.Current, "odds", odds)
 		machine.Offer.Straggler = true
 	}
-	servesUsers := false
+	runsServices := false
 	for _, a := range machine.Assignments {
 		if !a.Job.Spec.RunsToCompletion() {
-			servesUsers = true
+			runsServices = true
 			continue
 		}
 		if a.Outcome == cluster.Open && !a.Stop.Requested && m.RunTimes.SoonerElsewhere(a, now) {
@@ -77,12 +80,12 @@
 			m.Planner.Requested = true
 		}
 	}
-	machine.Health.Draining = machine.Health.Draining || !servesUsers
+	machine.Health.Draining = machine.Health.Draining || !runsServices
 	return true
 }
 
-// ProductionTasks is how many production tasks a machine has: their users wait, while other work
-// is only late.
+// ProductionTasks returns the number of open production tasks on the machine. An interruption of
+// these affects users, whereas other work is only delayed.
 func ProductionTasks(machine *cluster.Machine) (count int) {
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open && a.Job.Spec.Priority == jobs.Prod {
