--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -9,32 +9,32 @@
 	"ospreyslip/internal/placement"
 )
 
-// MachineForecast is a machine as the forecast sees it. Moments are in seconds from now.
+// MachineForecast is the expected availability of one machine. Times are in seconds from now.
 type MachineForecast struct {
 	MachinePool
-	AvailableFromS float64             // when Free may be used: later than now if the machine boots
-	Free           placement.Resources // free at that moment
-	Releases       []Release           // what running tasks will free
+	AvailableFromS float64             // when Free becomes usable: later than now if the machine is booting
+	Free           placement.Resources // free at AvailableFromS
+	Releases       []Release           // resources that running tasks will release
 }
 
-// Release is what a running task is expected to free, and when.
+// Release is the expected release of a running task's resources.
 type Release struct {
 	AtS       float64
 	Resources placement.Resources
 }
 
-// PendingTasks are tasks of a batch job without a machine.
+// PendingTasks are tasks of a batch job that have no machine.
 type PendingTasks struct {
 	Spec      *jobs.Spec
 	Count     int
-	RunS      float64 // seconds that one of them runs
-	DeadlineS float64 // moment at which the last of them should have ended
+	RunS      float64 // expected run time of one task, in seconds
+	DeadlineS float64 // time by which the last task should have ended, in seconds from now
 }
 
-// ForecastLateTasks simulates how the machines there are work off a queue, in its order, and
-// returns for each entry how many of its tasks would miss the deadline. Provisioning for these,
-// and not for all that are pending, keeps machines from idling after a burst that the present
-// ones would have worked off in time. The machines are changed.
+// ForecastLateTasks simulates how the existing machines work off the queue in its order, and
+// returns for each entry how many of its tasks would miss the deadline. Provisioning for these
+// tasks only, rather than for all pending ones, avoids machines that idle after a burst that the
+// existing ones would have worked off in time. It modifies machines.
 func ForecastLateTasks(machines []MachineForecast, queue []PendingTasks) []int {
 	for i := range machines {
 		slices.SortFunc(machines[i].Releases, compareReleases)
@@ -46,7 +46,8 @@
 	return late
 }
 
-// placePending places tasks where they can start first, and returns how many would be late.
+// placePending places each task where it can start first, and returns how many tasks would be
+// late.
 func placePending(machines []MachineForecast, pending PendingTasks) (late int) {
 	request := placement.TaskRequest(pending.Spec)
 	var starts startHeap
@@ -62,7 +63,7 @@
 	heap.Init(&starts)
 	for n := range pending.Count {
 		if len(starts) == 0 || starts[0].atS+pending.RunS > pending.DeadlineS {
-			return pending.Count - n // the others would start no earlier
+			return pending.Count - n // the remaining tasks would start no earlier
 		}
 		machine := &machines[starts[0].machine]
 		machine.placeTask(request, starts[0].atS, pending.RunS)
@@ -72,7 +73,7 @@
 	return 0
 }
 
-// earliestStart is when a machine has room for a request: infinitely late if it never will.
+// earliestStart returns when the machine has room for a request, or +Inf if it never will.
 func (m *MachineForecast) earliestStart(request placement.Resources) float64 {
 	free, atS := m.Free, m.AvailableFromS
 	if free.Fits(request) {
@@ -87,8 +88,9 @@
 	return math.Inf(1)
 }
 
-// placeTask puts a task on the machine. Nothing starts there before it any more, even in what
-// else is free: the forecast is a little too cautious, for the sake of one moment a machine.
+// placeTask places a task on the machine. No other task starts there before it any more, even in
+// resources that are free. The forecast is thus slightly too cautious, but needs only one time per
+// machine.
 func (m *MachineForecast) placeTask(request placement.Resources, startS, runS float64) {
 	for len(m.Releases) > 0 && !m.Free.Fits(request) {
 		m.Free = m.Free.AddTimes(m.Releases[0].Resources, 1)
@@ -101,7 +103,7 @@
 	m.Releases = slices.Insert(m.Releases, i, end)
 }
 
-// compareReleases orders releases by time. Of two at the same time either may come first.
+// compareReleases orders releases by time; the order of simultaneous releases is unspecified.
 func compareReleases(a, b Release) int {
 	if a.AtS < b.AtS {
 		return -1
@@ -109,13 +111,13 @@
 	return 1
 }
 
-// possibleStart is when one more task could start on a machine.
+// possibleStart is the earliest time at which one more task could start on a machine.
 type possibleStart struct {
 	atS     float64
-	machine int // index
+	machine int // index into the machines of the forecast
 }
 
-// startHeap is a [heap.Interface], the earliest start first.
+// startHeap is a [heap.Interface] with the earliest start at the root.
 type startHeap []possibleStart
 
 func (h startHeap) Len() int { return len(h) }
--- a/internal/autoscaler/forecast_test.go
+++ b/internal/autoscaler/forecast_test.go
@@ -18,19 +18,19 @@
 		queue    []PendingTasks
 		want     []int
 	}{
-		{"no machine at all", nil, []PendingTasks{{task(1, true), 3, 10, 100}}, []int{3}},
-		{"two waves in time, the third is late",
+		{"no machine", nil, []PendingTasks{{task(1, true), 3, 10, 100}}, []int{3}},
+		{"two rounds of tasks are in time, the third is late",
 			[]MachineForecast{{Free: cpus(2)}}, []PendingTasks{{task(1, true), 6, 10, 25}}, []int{2}},
-		{"running tasks make room soon enough",
+		{"running tasks release resources in time",
 			[]MachineForecast{{Releases: []Release{{12, cpus(4)}}}}, []PendingTasks{{task(4, true), 1, 10, 25}}, []int{0}},
-		{"or not", []MachineForecast{{Releases: []Release{{18, cpus(4)}}}}, []PendingTasks{{task(4, true), 1, 10, 25}}, []int{1}},
-		{"a service never leaves: its machine does not fit",
+		{"running tasks release resources too late", []MachineForecast{{Releases: []Release{{18, cpus(4)}}}}, []PendingTasks{{task(4, true), 1, 10, 25}}, []int{1}},
+		{"resources of a service are never released",
 			[]MachineForecast{{Free: cpus(3)}}, []PendingTasks{{task(4, true), 1, 10, 25}}, []int{1}},
-		{"the queue's order counts",
+		{"tasks are placed in the order of the queue",
 			[]MachineForecast{{Free: cpus(1)}}, []PendingTasks{{task(1, true), 1, 20, 25}, {task(1, true), 1, 5, 24}}, []int{0, 1}},
-		{"not on a spot machine",
+		{"spot machine not allowed",
 			[]MachineForecast{{MachinePool: MachinePool{Spot: true}, Free: cpus(4)}}, []PendingTasks{{task(1, false), 1, 10, 25}}, []int{1}},
-		{"a booting machine counts from when it is up",
+		{"a booting machine is available once it has booted",
 			[]MachineForecast{{AvailableFromS: 20, Free: cpus(4)}}, []PendingTasks{{task(4, true), 1, 10, 29}, {task(4, true), 1, 10, 31}}, []int{1, 0}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/autoscaler/machine_pool.go
+++ b/internal/autoscaler/machine_pool.go
@@ -1,12 +1,13 @@
 package autoscaler
 
-// MachinePool is a set of machines that the cloud provides alike: of one type, in one zone,
-// with one pricing model. It is the unit in which machines are provisioned.
+// MachinePool is a set of interchangeable machines: one type, one zone, one pricing model.
+// Machines are provisioned by pool.
 type MachinePool struct {
 	Type, Zone string
-	Spot       bool // spot (preemptible) instances, which the cloud may take back
+	Spot       bool // spot (preemptible) machines, which the cloud may reclaim
 }
 
-// MaxMachinesPerRequest is how many machines the cloud provisions for one request, from the
-// protocol. Plans are made by it, as the number of requests is limited, too.
+// MaxMachinesPerRequest is the number of machines that the cloud provisions for one request, as
+// defined by the protocol. Plans take it into account because the number of requests is limited,
+// too.
 const MaxMachinesPerRequest = 50
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -9,24 +9,24 @@
 	"ospreyslip/internal/placement"
 )
 
-// Demand is a number of a job's tasks for which machines are to be provisioned.
+// Demand is a number of tasks of one job for which machines are to be provisioned.
 type Demand struct {
 	Spec        *jobs.Spec
-	TasksByZone map[string]int // tasks that the job has already; not changed
+	TasksByZone map[string]int // tasks that the job already has in each zone; not modified
 	Count       int
 }
 
-// Market is what a plan may choose from.
+// Market describes the machines that a plan may provision.
 type Market struct {
 	Types         []jobs.MachineType
-	MachineCounts map[MachinePool]int         // machines there are, to spread new ones over zones
-	OutOfCapacity func(pool MachinePool) bool // the cloud had none a short while ago
+	MachineCounts map[MachinePool]int         // existing machines, so that new ones are spread over zones
+	OutOfCapacity func(pool MachinePool) bool // reports whether the cloud recently had no machine of the pool
 }
 
-// PlanScaleOut returns how many machines of which pool to provision. Each task of the demands,
-// in their order, goes to a booting machine if one has room, then to one that is to be
-// provisioned already, and for the rest to one of the pool that costs least for each task of
-// its job. A demand that no pool can serve is left out.
+// PlanScaleOut returns how many machines of each pool to provision. It places the tasks of the
+// demands in order: each goes to a booting machine if one has room, otherwise to a machine that
+// the plan already provisions, and otherwise to a new machine of the pool with the lowest price
+// per task of its job. Demands that no pool can serve are left out.
 func PlanScaleOut(demands []Demand, booting map[MachinePool]int, market Market) map[MachinePool]int {
 	plan := newScaleOut(booting, market)
 	for _, demand := range demands {
@@ -46,7 +46,8 @@
 	return plan.provisioned
 }
 
-// LargestFirst returns the pools of a plan in a fixed order, those with most machines first.
+// LargestFirst returns the pools of a plan in a deterministic order, those with most machines
+// first.
 func LargestFirst(plan map[MachinePool]int) []MachinePool {
 	pools := make([]MachinePool, 0, len(plan))
 	for pool := range plan {
@@ -58,15 +59,15 @@
 	return pools
 }
 
-// scaleOut is a plan in the making.
+// scaleOut is a plan under construction.
 type scaleOut struct {
 	market      Market
-	available   map[capacity]int // machines that boot or are to be provisioned
+	available   map[capacity]int // number of machines that are booting or to be provisioned, by free resources
 	provisioned map[MachinePool]int
 }
 
-// capacity is what is free on a machine. Most machines are alike, so that they are counted by
-// it, not listed.
+// capacity identifies machines of one pool with the same free resources. Most machines are alike,
+// so they are counted by capacity rather than listed.
 type capacity struct {
 	MachinePool
 	free placement.Resources
@@ -82,7 +83,7 @@
 	return s
 }
 
-// fullestFit returns the machine with the least room in which a task fits.
+// fullestFit returns the machine with the least free resources on which a task fits.
 func (s *scaleOut) fullestFit(spec *jobs.Spec, tasksByZone map[string]int) (best capacity, found bool) {
 	request := placement.TaskRequest(spec)
 	for candidate := range s.available {
@@ -97,7 +98,7 @@
 	return best, found
 }
 
-// compareCapacity orders machines by what is free on them, the fullest first.
+// compareCapacity orders machines by free resources, the fullest first.
 func compareCapacity(a, b capacity) int {
 	return cmp.Or(
 		cmp.Compare(a.free.CPUs, b.free.CPUs),
@@ -108,7 +109,7 @@
 	)
 }
 
-// placeTask takes a task's request off what is free on a machine.
+// placeTask subtracts a task's request from the free resources of a machine.
 func (s *scaleOut) placeTask(spec *jobs.Spec, machine capacity) {
 	if s.available[machine]--; s.available[machine] == 0 {
 		delete(s.available, machine)
@@ -116,8 +117,8 @@
 	s.available[capacity{machine.MachinePool, machine.free.AddTimes(placement.TaskRequest(spec), -1)}]++
 }
 
-// provision adds a machine of the pool that costs least for a job with so many tasks left, if
-// any pool allows the job.
+// provision adds a machine of the pool with the lowest price per task for a job with left tasks to
+// place. ok is false if no pool allows the job.
 func (s *scaleOut) provision(spec *jobs.Spec, tasksByZone map[string]int, left int) (machine capacity, ok bool) {
 	var best poolOption
 	for i := range s.market.Types {
@@ -144,13 +145,13 @@
 	return machine, true
 }
 
-// poolOption is a pool of which a machine could be provisioned.
+// poolOption is a pool from which a machine could be provisioned.
 type poolOption struct {
 	pool         MachinePool
 	machineType  *jobs.MachineType
-	taskPrice    float64 // of a machine, for each task that it would take
-	requestBegun bool    // a request for machines of the pool is planned that may ask for more
-	machineCount int     // machines there are, or are to be provisioned
+	taskPrice    float64 // price of a machine per task that it would run
+	requestBegun bool    // the last planned request for the pool asks for fewer than MaxMachinesPerRequest
+	machineCount int     // machines that exist or are to be provisioned
 }
 
 func (s *scaleOut) option(machineType *jobs.MachineType, pool MachinePool, tasks int) poolOption {
@@ -167,9 +168,9 @@
 	}
 }
 
-// compare orders options by their price. Of pools at the same price, one without a request
-// that may ask for more comes first, then that with fewest machines: new machines are spread
-// over the zones.
+// compare orders options by price per task. At the same price, a pool without a partly filled
+// request comes first, then the pool with fewest machines, which spreads new machines over the
+// zones.
 func (o poolOption) compare(other poolOption) int {
 	return cmp.Or(
 		cmp.Compare(o.taskPrice, other.taskPrice),
@@ -178,7 +179,7 @@
 	)
 }
 
-// poolsOf returns the pools of a machine type.
+// poolsOf returns the pools of a machine type: one per zone and pricing model.
 func poolsOf(machineType *jobs.MachineType) []MachinePool {
 	pools := make([]MachinePool, 0, 2*len(machineType.Zones))
 	for _, zone := range machineType.Zones {
@@ -189,7 +190,7 @@
 	return pools
 }
 
-// tasksPerMachine is how many of a job's tasks an empty machine takes, one at least.
+// tasksPerMachine returns how many of a job's tasks fit on an empty machine, at least 1.
 func tasksPerMachine(machineType *jobs.MachineType, spec *jobs.Spec) int {
 	free, request, count := placement.MachineTotal(machineType), placement.TaskRequest(spec), 0
 	for free.Fits(request) && count < jobs.MaxTasks {
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// falseFirst is a comparison that sorts false before true.
+// falseFirst compares two booleans, sorting false before true.
 func falseFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -30,21 +30,21 @@
 		refused func(MachinePool) bool
 		want    map[MachinePool]int
 	}{
-		{"one task: the machine that costs least as a whole", []Demand{demandFor(1, nil)}, nil, never,
+		{"one task: lowest price per machine", []Demand{demandFor(1, nil)}, nil, never,
 			map[MachinePool]int{{"small", "a", true}: 1}},
-		{"many tasks: the machine that costs least a task", []Demand{demandFor(8, nil)}, nil, never,
+		{"many tasks: lowest price per task", []Demand{demandFor(8, nil)}, nil, never,
 			map[MachinePool]int{{"large", "a", true}: 1}},
-		{"no spot machine for work that may not use one", []Demand{demandFor(1, func(s *jobs.Spec) { s.Spot = false })}, nil, never,
+		{"spot machines not allowed", []Demand{demandFor(1, func(s *jobs.Spec) { s.Spot = false })}, nil, never,
 			map[MachinePool]int{{"small", "a", false}: 1}},
-		{"what boots is used first", []Demand{demandFor(3, nil)},
+		{"booting machines are used first", []Demand{demandFor(3, nil)},
 			map[MachinePool]int{{"small", "b", true}: 1}, never,
 			map[MachinePool]int{{"small", "a", true}: 1}},
-		{"what was refused is left alone", []Demand{demandFor(1, nil)}, nil,
+		{"pools out of capacity are skipped", []Demand{demandFor(1, nil)}, nil,
 			func(pool MachinePool) bool { return pool.Spot && pool.Zone == "a" },
 			map[MachinePool]int{{"small", "b", true}: 1}},
-		{"replicas in two zones", []Demand{demandFor(2, func(s *jobs.Spec) { s.Spread, s.Spot = true, false })}, nil, never,
+		{"replicas spread over two zones", []Demand{demandFor(2, func(s *jobs.Spec) { s.Spread, s.Spot = true, false })}, nil, never,
 			map[MachinePool]int{{"small", "a", false}: 1, {"small", "b", false}: 1}},
-		{"nothing allows it", []Demand{demandFor(1, func(s *jobs.Spec) { s.Types = []string{"huge"} })}, nil, never,
+		{"no machine type allowed", []Demand{demandFor(1, func(s *jobs.Spec) { s.Types = []string{"huge"} })}, nil, never,
 			map[MachinePool]int{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,31 +1,32 @@
-// Package gang decides what becomes of an attempt of a gang: a job whose tasks run at the same
-// time or not at all (gang scheduling). It does no I/O and reads no clock. The leader says what
-// is known of the attempt's tasks, and carries the decision out.
+// Package gang decides what to do with an attempt to run a gang, which is a job whose tasks run
+// either all at the same time or not at all (gang scheduling). It does no I/O and reads no clock.
+// The leader reports what is known of the attempt's tasks and carries out the decision.
 package gang
 
-// Attempt is what is known of one attempt to run a gang.
+// Attempt is the known state of one attempt to run a gang.
 type Attempt struct {
-	Size     int  // number of the gang's tasks
-	Placed   int  // tasks that are, or may be, on their machines
-	Durable  int  // tasks whose start is in the records
-	Stopping bool // all tasks have been told to stop, or are to be
+	Size     int  // number of tasks in the gang
+	Placed   int  // number of tasks that are, or may be, on their machines
+	Durable  int  // number of tasks whose start is in the records
+	Stopping bool // all tasks have been told to stop, or are to be told
 }
 
-// Decision is what to do about an attempt.
+// Decision is the action to take on an attempt.
 type Decision int
 
-// The decisions.
+// Decisions about an attempt.
 const (
-	AwaitRecords Decision = iota // no task may start until the start of all is durable
-	Run                          // every task may start, or go on
-	Abort                        // tasks are missing: those that are left have to stop
-	AwaitStop                    // those that are left are stopping
-	Retry                        // no task is left: the next attempt may begin
+	AwaitRecords Decision = iota // no task may start until the start of every task is durable
+	Run                          // every task may start or continue
+	Abort                        // tasks are missing, so the remaining ones must stop
+	AwaitStop                    // the remaining tasks are stopping
+	Retry                        // no task is left, so the next attempt may start
 )
 
-// Decide decides about an attempt. One that has lost a task is over: tasks that ran have
-// fallen back to their last checkpoint, and others hold room in vain. The next attempt begins
-// only when the last task is certainly off its machine, so that no task runs twice.
+// Decide returns the decision about an attempt. An attempt that has lost a task is over: the tasks
+// that ran have fallen back to their last checkpoint, and the others occupy capacity to no
+// purpose. The next attempt starts only when the last task is certainly off its machine, so that
+// no task runs twice.
 func Decide(attempt Attempt) Decision {
 	switch {
 	case attempt.Placed == 0:
@@ -40,10 +41,10 @@
 	return Run
 }
 
-// ShouldCheckpoint tells whether a gang that loses a machine in leftS seconds should be stopped
-// now so that its progress is saved. A checkpoint takes saveS seconds, and all tasks have to be
-// told to stop within peerS seconds of the first, half of which is allowed for. A gang without
-// a checkpoint interval saves nothing.
+// ShouldCheckpoint reports whether a gang that loses a machine in leftS seconds should be stopped
+// now to save its progress. A checkpoint takes saveS seconds. All tasks must be told to stop
+// within peerS seconds of the first, and half of that time is allowed for it. A gang without a
+// checkpoint interval saves nothing.
 func ShouldCheckpoint(checkpointS, saveS, peerS, leftS float64) bool {
 	return checkpointS > 0 && saveS+peerS/2 < leftS
 }
--- a/internal/liveness/config.go
+++ b/internal/liveness/config.go
@@ -4,23 +4,26 @@
 	"time"
 )
 
-// Config holds the detector's timers, all of which the settings package derives.
+// Config holds the detector's timers, which package settings derives, and its rate limit.
 type Config struct {
-	SuspectAfter time.Duration // a machine without a heartbeat for so long is suspect
-	LeaseExpiry  time.Duration // the same for a machine that has not reported to this leader: its worker's lease has expired then
-	HoldTimeout  time.Duration // one watermark holds all verdicts for so long at most
+	SuspectAfter time.Duration // silence after which a machine is suspect
+	// LeaseExpiry replaces SuspectAfter for a machine that has not reported to this leader: by
+	// then its worker's lease has expired.
+	LeaseExpiry time.Duration
+	HoldTimeout time.Duration // longest time for which one watermark holds all verdicts
 
-	// In each VerdictInterval a zone may have one verdict for every MachinesPerVerdict machines
-	// in it, and one at least. No interval stops all verdicts.
+	// Each zone may have one verdict per VerdictInterval for every MachinesPerVerdict machines in
+	// it, and at least one. A VerdictInterval of zero stops all verdicts after the first in a
+	// zone.
 	VerdictInterval    time.Duration
 	MachinesPerVerdict int
 
-	// A machine is suspect before SuspectAfter, too, if its heartbeat is overdue for
+	// A machine becomes suspect before SuspectAfter if it has sent no heartbeat for
 	// HeartbeatOverdue, or if no machine of its zone has sent one for GroupSuspectAfter. Zero
-	// disables either.
+	// disables the check.
 	HeartbeatOverdue, GroupSuspectAfter time.Duration
 
-	// Importance says how much depends on a machine: the more, the sooner it is probed and
-	// judged. With nil all machines are equal.
+	// Importance returns how much depends on a machine: machines with higher values are probed and
+	// judged first. If it is nil, all machines are equal.
 	Importance func(id string) int
 }
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -4,24 +4,25 @@
 	"time"
 )
 
-// Detector knows all machines that take work, and decides which are dead. One goroutine owns
-// it. Its caller reports heartbeats, commands and the outcomes of probes, and calls Tick every
-// few hundred milliseconds. Methods given the id of an unknown machine do nothing.
+// Detector tracks all machines that take work and decides which of them are dead. It must be used
+// from one goroutine. The caller reports heartbeats, commands and the outcomes of probes, and
+// calls Tick every few hundred milliseconds. Methods other than Heartbeat and Restore, which add
+// machines, do nothing if the machine is unknown.
 type Detector struct {
 	cfg            Config
 	byID           map[string]*machine
-	machines       []*machine // the same machines: a tick goes through all of them
+	machines       []*machine // the values of byID, in a slice because every tick iterates over all of them
 	zones          map[string]*zone
 	fullDisruption bool
 	lastHeartbeat  time.Time // of any machine
 }
 
-// New makes a detector that knows no machine.
+// New returns a detector without machines.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg, byID: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
-// Restore adds a machine that an earlier leader knew. It has not reported to this leader: it
+// Restore adds a machine known from an earlier leader. As it has not reported to this leader, it
 // becomes suspect only when its worker's lease must have expired.
 func (d *Detector) Restore(id, zone string, now time.Time) {
 	if _, ok := d.byID[id]; !ok {
@@ -29,7 +30,7 @@
 	}
 }
 
-// Forget drops a machine that is gone.
+// Forget removes a machine that no longer exists.
 func (d *Detector) Forget(id string) {
 	forgotten := d.byID[id]
 	if forgotten == nil {
@@ -42,9 +43,9 @@
 	d.machines = d.machines[:len(d.machines)-1]
 }
 
-// Heartbeat takes in a heartbeat, of a machine that may be new or in another zone than before.
-// A copy that was held up on the way changes nothing: it does not show that the machine is
-// alive now.
+// Heartbeat records a heartbeat of a machine, which may be new or may have moved to another zone.
+// It ignores a heartbeat that is not newer than the machine's newest message, since a delayed copy
+// does not show that the machine is alive now.
 func (d *Detector) Heartbeat(id, zone string, seq HeartbeatSeq, now time.Time) {
 	reporter := d.byID[id]
 	if reporter == nil {
@@ -70,39 +71,39 @@
 	}
 }
 
-// CommandSent notes that a command was sent: if it arrives, it raises the worker's counter,
-// whether or not the answer arrives here.
+// CommandSent records that a command was sent. If the command arrives, it increments the worker's
+// counter, whether or not its answer is received.
 func (d *Detector) CommandSent(id string) {
 	if m := d.byID[id]; m != nil {
 		m.commandsSince++
 	}
 }
 
-// CommandAnswered takes in the counter in a worker's answer to a command. An answer is no
-// heartbeat: a worker that answers but sends none that arrive becomes suspect all the same.
+// CommandAnswered records the sequence in a worker's answer to a command. An answer does not count
+// as a heartbeat: a worker that answers but whose heartbeats do not arrive still becomes suspect.
 func (d *Detector) CommandAnswered(id string, seq HeartbeatSeq) {
 	if m := d.byID[id]; m != nil {
 		m.advance(seq)
 	}
 }
 
-// Suspect takes in a sign that a machine is gone, such as that the cloud no longer lists it. It
-// is probed at the next tick; only the probe can confirm its death.
+// Suspect records a sign that a machine is gone, for example that the cloud no longer lists it.
+// The machine is probed at the next tick; only the probe can confirm its death.
 func (d *Detector) Suspect(id string) {
 	if m := d.byID[id]; m != nil && m.synced {
 		m.suspected = true
 	}
 }
 
-// MarkUnreachable takes in that a machine's heartbeats arrive, but that our answers do not
-// reach it. Heartbeats do not make it alive any more, until MarkReachable.
+// MarkUnreachable records that a machine's heartbeats arrive, but that the leader's answers do not
+// reach it. Its heartbeats no longer prove that it is alive until MarkReachable is called.
 func (d *Detector) MarkUnreachable(id string) {
 	if m := d.byID[id]; m != nil {
 		m.unreachable = true
 	}
 }
 
-// MarkReachable takes in that an answer or a command has reached a machine.
+// MarkReachable records that an answer or a command has reached a machine.
 func (d *Detector) MarkReachable(id string) {
 	if m := d.byID[id]; m != nil && m.unreachable {
 		m.unreachable = false
@@ -110,14 +111,14 @@
 	}
 }
 
-// IsDead tells whether the verdict on a machine was given, and not revoked by a heartbeat.
+// IsDead reports whether a verdict on the machine has been given and not been revoked since.
 func (d *Detector) IsDead(id string) bool {
 	m := d.byID[id]
 	return m != nil && m.dead
 }
 
-// Schedulable tells whether tasks may be placed on a machine: it has reported to this leader
-// and is neither suspect, dead nor lagging.
+// Schedulable reports whether tasks may be placed on a machine: it has reported to this leader and
+// is neither suspect, dead nor lagging.
 func (d *Detector) Schedulable(id string, now time.Time) bool {
 	m := d.byID[id]
 	return m != nil && m.synced && !m.dead && !m.lagging && m.deathReason == "" && !d.isSuspect(m, now)
@@ -131,8 +132,8 @@
 	return m
 }
 
-// zoneNamed returns a zone, which it adds if need be. Zones are never dropped: that one fell
-// silent is remembered when its last machine is gone.
+// zoneNamed returns the named zone, and adds it if it does not exist. Zones are never removed, so
+// that a zone is known to have fallen silent even when its last machine has been removed.
 func (d *Detector) zoneNamed(name string) *zone {
 	found := d.zones[name]
 	if found == nil {
--- a/internal/liveness/disruption.go
+++ b/internal/liveness/disruption.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// FullDisruption tells whether every zone is silent, so that there are no verdicts.
+// FullDisruption reports whether every zone is silent, in which case no verdicts are given.
 func (d *Detector) FullDisruption() bool { return d.fullDisruption }
 
-// detectDisruption notes when all zones, or single ones, have fallen silent.
+// detectDisruption records when all machines, or all machines of a zone, have fallen silent.
 func (d *Detector) detectDisruption(now time.Time) {
 	if !d.fullDisruption && (d.areAllSilent(now) || d.isGroupSilent(len(d.machines), d.lastHeartbeat, now)) {
 		d.fullDisruption = true
@@ -20,7 +20,7 @@
 	}
 }
 
-// areAllSilent tells whether there are machines, and all of them are silent.
+// areAllSilent reports whether there are machines and all of them are silent.
 func (d *Detector) areAllSilent(now time.Time) bool {
 	for _, m := range d.machines {
 		if !d.isSilent(m, now) {
@@ -30,19 +30,19 @@
 	return len(d.machines) > 0
 }
 
-// endDisruption gives all machines a fresh start: what was silent for lack of any connection
-// must not be suspect at once.
+// endDisruption treats all machines as if they had just sent a heartbeat, since a machine that was
+// silent because the leader had no connection must not become suspect at once.
 func (d *Detector) endDisruption(now time.Time) {
 	d.fullDisruption = false
 	for _, zone := range d.zones {
-		if !zone.lastHeartbeat.IsZero() { // a zone that never sent one cannot fall silent
+		if !zone.lastHeartbeat.IsZero() { // a zone that has never sent a heartbeat cannot fall silent
 			zone.lastHeartbeat = now
 		}
 	}
 	for _, member := range d.machines {
 		member.lastHeartbeat, member.deathReason, member.suspected = now, "", false
 	}
-	// limiterOf sets the rate by the zone's size at its next verdict.
+	// limiterOf adjusts the rate to the zone's size at the next verdict.
 	d.setVerdictRates(1, d.cfg.VerdictInterval, now)
 }
 
--- a/internal/liveness/heartbeat_seq.go
+++ b/internal/liveness/heartbeat_seq.go
@@ -1,10 +1,10 @@
 package liveness
 
-// HeartbeatSeq orders the messages of one worker: by its sessions, and within a session by a
-// counter that each heartbeat and each command raises by one.
+// HeartbeatSeq orders the messages of one worker by agent epoch (Session) and, within an epoch, by
+// a counter that the worker increments for each heartbeat and each command.
 type HeartbeatSeq struct{ Session, Seq uint64 }
 
-// Before tells whether s is older than other.
+// Before reports whether s is older than other.
 func (s HeartbeatSeq) Before(other HeartbeatSeq) bool {
 	return s.Session < other.Session || s.Session == other.Session && s.Seq < other.Seq
 }
--- a/internal/liveness/machine.go
+++ b/internal/liveness/machine.go
@@ -4,59 +4,59 @@
 	"time"
 )
 
-// machine is what the detector knows of one machine.
+// machine is the detector's state of one machine.
 type machine struct {
 	id    string
-	index int // into Detector.machines
+	index int // index into Detector.machines
 	zone  *zone
 
 	lastHeartbeat time.Time
 	synced        bool         // it has sent a heartbeat to this leader
-	newestSeq     HeartbeatSeq // of the newest heartbeat or answer
-	commandsSince uint64       // commands, probes among them, sent since newestSeq
+	newestSeq     HeartbeatSeq // sequence of the newest heartbeat or answer received
+	commandsSince uint64       // commands and probes sent since newestSeq was received
 
-	suspected   bool // there is a sign that it is gone, whatever its last heartbeat says
-	unreachable bool // its heartbeats arrive, but nothing reaches it
+	suspected   bool // there is a sign that it is gone, however recent its last heartbeat is
+	unreachable bool // its heartbeats arrive, but messages to it do not
 
 	probing        bool // a probe is in flight
 	probeNotBefore time.Time
 
-	deathReason Reason    // set once a probe has confirmed the death: the verdict is due
-	confirmedAt time.Time // when that was
-	dead        bool      // the verdict was given
+	deathReason Reason    // set once a probe has confirmed the death and a verdict is due
+	confirmedAt time.Time // when the death was confirmed
+	dead        bool      // the verdict has been given
 
-	// watermark is the counter that a heartbeat must reach before verdicts are given again;
-	// zero while the machine holds none up. It holds them until holdExpires at most.
+	// watermark is the sequence that a heartbeat must reach before any verdict is given again;
+	// zero if this machine holds back none. It expires at holdExpires.
 	watermark   HeartbeatSeq
 	holdExpires time.Time
-	// lagging is set when a hold has expired on the machine: its heartbeats lag for a reason of
-	// its own, so that it must not hold up verdicts on others again.
+	// lagging is set when a hold caused by this machine has expired. Its heartbeats then lag for a
+	// reason of its own, so it must not hold back verdicts on other machines again.
 	lagging bool
 }
 
-// hasWatermark tells whether the machine has set a watermark that no heartbeat has reached.
+// hasWatermark reports whether the machine has a watermark that no heartbeat has reached yet.
 func (m *machine) hasWatermark() bool { return m.watermark != (HeartbeatSeq{}) }
 
-// advance takes in the counter of a newer message. Commands sent from now on are counted from
-// it.
+// advance records the sequence of a message if it is the newest so far, and restarts the count of
+// commands sent since then.
 func (m *machine) advance(seq HeartbeatSeq) {
 	if m.newestSeq.Before(seq) {
 		m.newestSeq, m.commandsSince = seq, 0
 	}
 }
 
-// confirmDeath makes a verdict due.
+// confirmDeath marks the machine as confirmed dead, which makes a verdict due.
 func (m *machine) confirmDeath(reason Reason, now time.Time) {
 	m.deathReason, m.confirmedAt = reason, now
 }
 
-// revoke takes back a death, confirmed or given as a verdict.
+// revoke withdraws a death, whether only confirmed or already given as a verdict.
 func (m *machine) revoke() { m.dead, m.deathReason = false, "" }
 
-// zone is what the machines of one zone have in common.
+// zone is the state that the machines of one zone share.
 type zone struct {
 	machineCount  int
-	lastHeartbeat time.Time       // of any machine that was in it
-	silentSince   time.Time       // set when the whole zone fell silent, until the next heartbeat
-	limiter       *verdictLimiter // nil before the first verdict
+	lastHeartbeat time.Time       // of any machine in the zone, removed ones included
+	silentSince   time.Time       // when the whole zone fell silent; cleared by its next heartbeat
+	limiter       *verdictLimiter // nil before the first verdict in the zone
 }
--- a/internal/liveness/probe.go
+++ b/internal/liveness/probe.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// ProbeNotSent takes in that a probe failed for want of something at the caller: it says
-// nothing of the machine, and is made again a little later.
+// ProbeNotSent records that the caller could not send a probe for lack of a local resource. This
+// says nothing about the machine, which is probed again a little later.
 func (d *Detector) ProbeNotSent(id string, now time.Time) {
 	if m := d.byID[id]; m != nil && m.probing {
 		m.probing = false
@@ -13,8 +13,8 @@
 	}
 }
 
-// ProbeDone takes in the outcome of a probe that Tick asked for, and the counter in its answer,
-// if there was one.
+// ProbeDone records the outcome of a probe requested by Tick, and the sequence in its answer if
+// there was one.
 func (d *Detector) ProbeDone(id string, answered bool, seq HeartbeatSeq, now time.Time) {
 	target := d.byID[id]
 	if target == nil || !target.probing {
@@ -22,10 +22,10 @@
 	}
 	target.probing = false
 	if !d.isSuspect(target, now) {
-		return // a heartbeat came meanwhile
+		return // a heartbeat has arrived in the meantime
 	}
 	if !answered {
-		target.watermark = HeartbeatSeq{} // no heartbeat will come that it could wait for
+		target.watermark = HeartbeatSeq{} // no heartbeat will arrive to reach it
 		target.confirmDeath(ProbeFailed, now)
 		return
 	}
@@ -34,23 +34,23 @@
 	if !d.isSilent(target, now) {
 		target.advance(seq)
 		target.probeNotBefore = now.Add(d.cfg.HoldTimeout / 2)
-		return // alive, whatever the sign against it was
+		return // alive, whatever the reason for the suspicion
 	}
 	d.judgeSilentWorker(target, seq, now)
 }
 
-// judgeSilentWorker decides about a worker that answers with a counter, but whose heartbeats
-// do not arrive.
+// judgeSilentWorker handles the answer of a worker whose heartbeats do not arrive: it either sets
+// a watermark or confirms the death.
 func (d *Detector) judgeSilentWorker(target *machine, seq HeartbeatSeq, now time.Time) {
-	// Each of our commands that arrived has raised the counter by one, this probe too. What
-	// is beyond them are heartbeats that we have missed.
+	// Every command that arrived, this probe included, has incremented the counter by one.
+	// Anything beyond that is heartbeats that were sent but not received.
 	expected := HeartbeatSeq{target.newestSeq.Session, target.newestSeq.Seq + target.commandsSince}
 	heartbeatsMissed := target.synced && expected.Before(seq)
 	target.advance(seq)
 	switch {
 	case heartbeatsMissed && !target.lagging:
-		// The watermark is set once for a hold: raised by the answer to each probe, which the
-		// probe itself has raised, the hold would never end.
+		// The watermark is not raised during a hold. Each probe increments the counter in its own
+		// answer, so raising it with every answer would extend the hold forever.
 		if !target.hasWatermark() {
 			target.watermark = seq
 			target.holdExpires = now.Add(d.cfg.HoldTimeout)
--- a/internal/liveness/silence.go
+++ b/internal/liveness/silence.go
@@ -4,13 +4,12 @@
 	"time"
 )
 
-// isSuspect tells whether a machine is to be probed, and stays to be judged.
+// isSuspect reports whether a machine is to be probed or judged.
 func (d *Detector) isSuspect(m *machine, now time.Time) bool {
 	return m.suspected || m.unreachable || d.isSilent(m, now)
 }
 
-// isSilent tells whether a machine's heartbeats have been missing for so long that it may be
-// judged dead.
+// isSilent reports whether a machine has sent no heartbeat for so long that it may be judged dead.
 func (d *Detector) isSilent(m *machine, now time.Time) bool {
 	limit := d.cfg.SuspectAfter
 	if !m.synced {
@@ -19,8 +18,8 @@
 	return now.Sub(m.lastHeartbeat) > limit
 }
 
-// missedHeartbeat tells whether a heartbeat that should have come did not, or none from the
-// whole zone. That is reason enough for a probe, and for nothing else.
+// missedHeartbeat reports whether a machine's heartbeat is overdue or its whole zone is silent.
+// This justifies a probe but not a verdict.
 func (d *Detector) missedHeartbeat(m *machine, now time.Time) bool {
 	if !m.synced {
 		return false
@@ -29,19 +28,19 @@
 	return overdue || d.isGroupSilent(m.zone.machineCount, m.zone.lastHeartbeat, now)
 }
 
-// minGroupSize is how many machines a group needs for its silence to say more than that of
-// each: those of a few may happen to fall together.
+// minGroupSize is the number of machines that a group needs before its silence says more than that
+// of each machine: with only a few, heartbeats may be missing at the same time by chance.
 const minGroupSize = 4
 
-// isGroupSilent tells whether a group of machines has been silent for so long that a common
-// cause is likely: all of them are gone, or what connects them to this leader is.
+// isGroupSilent reports whether a group of machines has been silent for so long that a common
+// cause is likely: all of them are gone, or their connection to this leader is.
 func (d *Detector) isGroupSilent(size int, lastHeartbeat, now time.Time) bool {
 	return d.cfg.GroupSuspectAfter > 0 && size >= minGroupSize && !lastHeartbeat.IsZero() &&
 		now.Sub(lastHeartbeat) > d.cfg.GroupSuspectAfter
 }
 
-// ZoneFellSilent tells whether a zone fell silent as a whole within the given time, with no
-// heartbeat from it since, even if all its machines have been released meanwhile.
+// ZoneFellSilent reports whether a whole zone fell silent within the given time before now and has
+// sent no heartbeat since, even if all its machines have been released in the meantime.
 func (d *Detector) ZoneFellSilent(zone string, now time.Time, within time.Duration) bool {
 	z := d.zones[zone]
 	return z != nil && !z.silentSince.IsZero() && now.Sub(z.silentSince) < within
--- a/internal/liveness/tick.go
+++ b/internal/liveness/tick.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Reason says why a machine was judged dead.
+// Reason is why a machine was judged dead.
 type Reason string
 
-// The reasons of verdicts. Operators know them by these texts.
+// Reasons of verdicts. Operators rely on their texts.
 const (
-	// ProbeFailed: the worker did not answer.
+	// ProbeFailed means that the worker did not answer the probe.
 	ProbeFailed Reason = "call failed"
-	// NoHeartbeatMissed: the worker answers, but its counter shows that it has sent no
-	// heartbeat since the last that arrived.
+	// NoHeartbeatMissed means that the worker answers, but that its counter shows no heartbeat
+	// sent since the last one received.
 	NoHeartbeatMissed Reason = "no report missed"
-	// HeartbeatsLost: the worker answers and sends heartbeats, which have not arrived within a
-	// hold.
+	// HeartbeatsLost means that the worker answers and sends heartbeats, but that none arrived
+	// before its hold expired.
 	HeartbeatsLost Reason = "reports stay away"
 )
 
-// Verdict is a machine's confirmed death.
+// Verdict is the decision that a machine is dead.
 type Verdict struct {
 	Machine string
 	Reason  Reason
 }
 
-// Tick returns the machines to probe now, maxProbes at most, and the verdicts to carry out,
-// those first on which most depends. Each probe must be followed by a call of ProbeDone or
+// Tick returns the machines to probe now, at most maxProbes, and the verdicts to carry out, both
+// in descending order of importance. The caller must follow each probe with a call of ProbeDone or
 // ProbeNotSent.
 func (d *Detector) Tick(now time.Time, maxProbes int) (probes []string, verdicts []Verdict) {
 	d.detectDisruption(now)
@@ -52,8 +52,8 @@
 	return probes, verdicts
 }
 
-// expireHolds ends the holds that have lasted for long enough, and tells whether another one
-// is left.
+// expireHolds removes the watermarks whose hold has expired, and reports whether another one still
+// holds verdicts.
 func (d *Detector) expireHolds(now time.Time) (onHold bool) {
 	for _, member := range d.machines {
 		switch {
@@ -61,7 +61,7 @@
 		case now.Before(member.holdExpires):
 			onHold = true
 		default:
-			// The heartbeat has had time enough: that it lags says nothing about other
+			// The heartbeat had enough time to arrive, so its delay says nothing about other
 			// machines.
 			member.watermark, member.lagging = HeartbeatSeq{}, true
 		}
@@ -69,14 +69,14 @@
 	return onHold
 }
 
-// VerdictsOnHold tells whether a watermark holds all verdicts.
+// VerdictsOnHold reports whether a watermark holds all verdicts.
 func (d *Detector) VerdictsOnHold(now time.Time) bool {
 	return slices.ContainsFunc(d.machines, func(m *machine) bool {
 		return m.hasWatermark() && now.Before(m.holdExpires)
 	})
 }
 
-// suspects returns the machines that are to be probed or judged.
+// suspects returns the ids of the machines to probe or judge.
 func (d *Detector) suspects(now time.Time) (ids []string) {
 	for _, member := range d.machines {
 		member.suspected = member.suspected || d.missedHeartbeat(member, now)
@@ -87,7 +87,7 @@
 	return ids
 }
 
-// sortByImportance puts the machines on which most depends first, equal ones by their ids.
+// sortByImportance sorts ids by descending importance, and equally important ones by id.
 func (d *Detector) sortByImportance(ids []string) {
 	importance := make(map[string]int, len(ids))
 	for _, id := range ids {
@@ -100,12 +100,12 @@
 	})
 }
 
-// takeVerdictTurn tells whether a verdict on a machine may be given now, and uses up a turn of
-// its zone's rate limit if so.
+// takeVerdictTurn reports whether a verdict on a machine may be given now, and if so consumes
+// one token of its zone's rate limit.
 //
-// A leader that has just lost its connection finds machine after machine silent before it finds
-// all of them silent. So a heartbeat of any machine has to follow the confirmation, as a proof
-// that this leader still receives some.
+// A leader that has just lost its connection sees machines fall silent one by one before all of
+// them are silent. A heartbeat of any machine must therefore follow the confirmation, as proof
+// that this leader still receives heartbeats.
 func (d *Detector) takeVerdictTurn(suspect *machine, now time.Time) bool {
 	return !d.fullDisruption && d.lastHeartbeat.After(suspect.confirmedAt) && d.limiterOf(suspect.zone, now).allow(now)
 }
--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -12,17 +12,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each trace in testdata tells what happens to machines and, behind each tick, what must come of
-// it. Times are in seconds; the timers are those below. (groups) in its comments switches on the
-// suspicion of whole zones.
+// Each trace in testdata lists the events of a few machines and, after each tick, its expected
+// outcome. Times are in seconds; traceConfig has the timers. "(groups)" in a trace's comments
+// enables the suspicion of whole zones.
 //
-//	0    heartbeat m-1 a 1/5     zone a, session 1, counter 5
+//	0    heartbeat m-1 a 1/5     zone a, agent epoch 1, counter 5
 //	2    restore m-1 a           known from an earlier leader
-//	3    command m-1             a command was sent, its answer is lost
-//	3    answered m-1 1/7        the counter in a command's answer
+//	3    command m-1             a command was sent, and its answer was lost
+//	3    answered m-1 1/7        the sequence in a command's answer
 //	4    suspect m-1             there is a sign that it is gone
-//	4    unreachable m-1         our answers do not reach it
-//	4    importance m-1 2        so much depends on it
+//	4    unreachable m-1         the leader's answers do not reach it
+//	4    importance m-1 2        how much depends on it
 //	4    forget m-1              it was released
 //	4    probe m-1 failed        outcome of a probe
 //	4    probe m-1 1/6
@@ -77,13 +77,13 @@
 	}
 }
 
-// tracePlayer plays the events of a trace to a detector.
+// tracePlayer applies the events of a trace to a detector.
 type tracePlayer struct {
 	detector   *Detector
 	importance map[string]int
 }
 
-// event plays any event but a tick.
+// event applies any event other than a tick.
 func (p *tracePlayer) event(t *testing.T, where, event string, args []string, now time.Time) {
 	t.Helper()
 	id := args[0]
@@ -119,7 +119,7 @@
 	}
 }
 
-// tick plays a tick and returns what came of it, as traces say it.
+// tick runs a tick and returns its outcome in the notation of the traces.
 func (p *tracePlayer) tick(now time.Time) string {
 	var got []string
 	probes, verdicts := p.detector.Tick(now, 100)
--- a/internal/liveness/verdict_limiter.go
+++ b/internal/liveness/verdict_limiter.go
@@ -6,16 +6,16 @@
 	"golang.org/x/time/rate"
 )
 
-// verdictLimiter is the rate limiter of a zone's verdicts: so many in an interval, and never
-// more at once than come due in a part of it.
+// verdictLimiter limits the rate of verdicts in one zone: a number of verdicts per interval, with
+// a burst of at most a fraction of them.
 type verdictLimiter struct{ limiter *rate.Limiter }
 
-// burstShare is the part of an interval's verdicts that may come at once: ticks come a few
-// times in an interval, and in a large zone many verdicts are due at each.
+// burstShare is the fraction of an interval's verdicts that may be given at once. There are a few
+// ticks per interval, and in a large zone many verdicts are due at each.
 const burstShare = 1.0 / 3
 
-// newVerdictLimiter makes a limiter that is ready for its first verdicts. No interval means no
-// verdicts but one.
+// newVerdictLimiter returns a limiter with a full burst available. With an interval of zero it
+// allows a single verdict.
 func newVerdictLimiter(verdicts int, interval time.Duration) *verdictLimiter {
 	return &verdictLimiter{newRateLimiter(verdicts, interval)}
 }
@@ -28,11 +28,11 @@
 	return rate.NewLimiter(rate.Limit(float64(verdicts)/interval.Seconds()), burst)
 }
 
-// allow tells whether one verdict may be given, and uses up its turn if so.
+// allow reports whether a verdict may be given, and if so consumes a token.
 func (l *verdictLimiter) allow(now time.Time) bool { return l.limiter.AllowN(now, 1) }
 
-// setRate changes the rate; no interval stops all verdicts. A limiter that has no turn left
-// begins the new rate without any: a full burst at each change of the rate would add up to
+// setRate changes the rate; an interval of zero stops all verdicts. If the limiter has no token
+// left, the new rate starts without any: a full burst at each change of the rate would add up to
 // more than either rate allows.
 func (l *verdictLimiter) setRate(verdicts int, interval time.Duration, now time.Time) {
 	next := newRateLimiter(verdicts, interval)
@@ -46,8 +46,8 @@
 	l.limiter = next
 }
 
-// limiterOf returns a zone's limiter, set to the zone's present size: much the same share of a
-// zone may be judged dead in a given time, however large it is.
+// limiterOf returns a zone's limiter, adjusted to the current size of the zone, so that about the
+// same fraction of a zone can be judged dead in a given time whatever its size.
 func (d *Detector) limiterOf(zone *zone, now time.Time) *verdictLimiter {
 	verdicts := max(1, zone.machineCount/max(1, d.cfg.MachinesPerVerdict))
 	if zone.limiter == nil {
--- a/internal/liveness/verdict_limiter_test.go
+++ b/internal/liveness/verdict_limiter_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// A limiter whose rate is changed while it is exhausted must not let a burst through.
+// Changing the rate of an exhausted limiter must not make a burst available.
 func TestSetRateAddsNoBurst(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	limiter := newVerdictLimiter(1, time.Second)
 	if !limiter.allow(now) || limiter.allow(now) {
-		t.Fatal("a new limiter gives one turn")
+		t.Fatal("a new limiter must allow exactly one verdict")
 	}
 	limiter.setRate(1, 2*time.Second, now)
 	if limiter.allow(now) {
-		t.Error("exhausted before, so the new one starts empty")
+		t.Error("exhausted limiter allows a verdict right after a change of rate")
 	}
 	now = now.Add(2 * time.Second)
 	limiter.setRate(1, time.Second, now)
 	if !limiter.allow(now) || limiter.allow(now) {
-		t.Error("not exhausted before, so the new one gives its turn, once")
+		t.Error("limiter with a token left must allow exactly one verdict after a change of rate")
 	}
 	limiter.setRate(1, 0, now)
 	if limiter.allow(now.Add(time.Hour)) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// A large zone is given up no faster, as a share of it, than a small one.
+// A large zone must not be judged dead faster, as a fraction of its machines, than a small one.
 func TestVerdictRateFollowsZoneSize(t *testing.T) {
 	for _, size := range []int{10, 100, 700} {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -48,10 +48,10 @@
 			most = max(most, len(verdicts))
 		}
 		if share := float64(judged) / float64(size); share < 0.5 || share > 0.7 {
-			t.Errorf("%d machines: %d judged in six seconds", size, judged)
+			t.Errorf("%d machines: %d verdicts in six seconds", size, judged)
 		}
 		if most > size/20+1 {
-			t.Errorf("%d machines: %d judged at once", size, most)
+			t.Errorf("%d machines: %d verdicts in one tick", size, most)
 		}
 	}
 }
--- a/internal/placement/bin_packing.go
+++ b/internal/placement/bin_packing.go
@@ -7,31 +7,31 @@
 	"ospreyslip/internal/jobs"
 )
 
-// slowFetchFactor is how much longer than at the nominal rate a fetch may take, from the
+// slowFetchFactor is the factor by which a fetch may exceed its nominal time, as defined by the
 // protocol.
 const slowFetchFactor = 4.0 / 3
 
-// startsTooLate tells whether a job that first has to fetch its image for fetchS seconds may
-// miss its objective for a start, if it has one.
+// startsTooLate reports whether a job that first has to fetch its image for fetchS seconds may
+// miss its start objective. It returns false for a job without one.
 func (j *Job) startsTooLate(fetchS float64) bool {
 	return j.StartWithinS > 0 && fetchS*slowFetchFactor > j.StartWithinS
 }
 
-// bestFit returns the machine on which a task of the job should run, or nil.
+// bestFit returns the machine on which a task of the job should run, or nil if there is none.
 //
-// Batch jobs are packed: the machine that is left with the smallest free share wins, then the
-// one that has the image sooner; a job without time to restart prefers any machine to a spot
-// machine. For services and gangs the start counts: the time to fetch the image comes first,
-// since a gang starts with its last image.
+// Batch jobs are packed: the machine with the smallest free share after the placement is chosen,
+// then the one that has the image sooner. A job without time to restart prefers any other machine
+// to a spot machine. For services and gangs an early start matters most, so the time to fetch the
+// image is compared first; a gang starts only when its last image has arrived.
 //
-// With cachedOnly a machine must have the image, and the result is nil if another machine
-// would be filled better: an image is no reason to open an emptier machine.
+// With cachedOnly the machine must have the image, and the result is nil if a machine without it
+// would be filled better: a cached image does not justify opening an emptier machine.
 func (p *planner) bestFit(job *Job, cachedOnly bool) *Machine {
 	request, image := TaskRequest(job.Spec), job.Spec.Image
 	startCounts := job.Spec.Shape != jobs.Batch
 	var best *Machine
 	var bestScore [3]float64
-	leastLeftover := math.Inf(1) // of all machines that fit, with the image or not
+	leastLeftover := math.Inf(1) // over all machines that fit, with or without the image
 	for _, pool := range p.Index.pools {
 		if !p.poolAllowed(job, pool) || !TopologyAllows(job.Spec, job.TasksByZone, pool.zone) {
 			continue
@@ -56,8 +56,8 @@
 			if best == nil || slices.Compare(score[:], bestScore[:]) < 0 {
 				best, bestScore = machine, score
 			}
-			// The machines of a pool come fullest first: once one needs no fetch, or a batch
-			// task is left with more than on the best, no later one is better.
+			// A pool is iterated fullest first. Once a machine needs no fetch, or a batch task
+			// leaves more free than on the best machine, no later machine is better.
 			return fetchS > 0 && (startCounts || leftover == bestScore[1])
 		})
 	}
@@ -67,8 +67,8 @@
 	return best
 }
 
-// freeShareAfter sums up, over the kinds of resources that a machine has, the share that stays
-// free once a task with the request is on it.
+// freeShareAfter returns the sum, over the resource types of a machine, of the share that remains
+// free once a task with the given request is placed on it.
 func freeShareAfter(machine *Machine, request Resources) float64 {
 	rest := machine.Free.AddTimes(request, -1)
 	share := 0.0
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -5,9 +5,9 @@
 )
 
 // CapacityIndex holds the machines that take work, ordered by their free resources, so that the
-// cost of finding a machine does not grow with the number of machines. Its zero value is empty
-// and ready for use. Type, Zone, Spot and Free of a machine must not be changed while it is in
-// the index, but by SetFree.
+// cost of finding a machine does not grow with the number of machines. The zero value is empty and
+// ready for use. While a machine is in the index, its Type, Zone and Spot must not be changed, and
+// its Free only by SetFree.
 type CapacityIndex struct{ pools []*pool }
 
 // pool holds the machines of one type, zone and pricing model in the order of lessFree.
@@ -15,14 +15,14 @@
 	machineType, zone string
 	spot              bool
 	machines          *btree.BTreeG[*Machine]
-	searchKey         Machine // reused by eachWithCPUs as the lower bound of a search
+	searchKey         Machine // reused by eachWithCPUs as the lower bound of its searches
 }
 
-// btreeDegree makes a node of a tree fill a few cache lines.
+// btreeDegree is the degree at which a tree node fills a few cache lines.
 const btreeDegree = 16
 
-// lessFree orders machines by what is free on them, the fullest first. The name makes the order
-// total: the tree takes machines that compare equal for the same one.
+// lessFree orders machines by free resources, the fullest first. Comparing the IDs last makes the
+// order total: the tree treats machines that compare equal as one.
 func lessFree(a, b *Machine) bool {
 	switch {
 	case a.Free.CPUs != b.Free.CPUs:
@@ -35,7 +35,7 @@
 	return a.ID < b.ID
 }
 
-// Insert adds a machine. It returns false, and does nothing, if the machine is in the index.
+// Insert adds a machine. It returns false and does nothing if the machine is already in the index.
 func (x *CapacityIndex) Insert(machine *Machine) bool {
 	if machine.pool != nil {
 		return false
@@ -56,7 +56,7 @@
 	return true
 }
 
-// Remove drops a machine from the index, if it is there.
+// Remove removes a machine from the index, if it is there.
 func (x *CapacityIndex) Remove(machine *Machine) {
 	if machine.pool != nil {
 		machine.pool.machines.Delete(machine)
@@ -64,7 +64,7 @@
 	}
 }
 
-// SetFree changes what is free on a machine, whether or not it is in the index.
+// SetFree sets the free resources of a machine, whether or not it is in the index.
 func (x *CapacityIndex) SetFree(machine *Machine, free Resources) {
 	if machine.pool == nil {
 		machine.Free = free
@@ -75,18 +75,18 @@
 	machine.pool.machines.ReplaceOrInsert(machine)
 }
 
-// eachWithCPUs calls next with the machines that have enough free CPUs for a request, the
-// fullest first, until it returns false. That other resources suffice is for next to check.
+// eachWithCPUs calls next for each machine with enough free CPUs for a request, the fullest first,
+// until next returns false. It does not check the other resources.
 func (p *pool) eachWithCPUs(request Resources, next func(*Machine) bool) {
 	leastCPUs := request.CPUs - roundingTolerance
 	if roomiest, ok := p.machines.Max(); !ok || roomiest.Free.CPUs < leastCPUs {
-		return // the usual case: all machines are full
+		return // the common case: all machines are full
 	}
 	p.searchKey.Free.CPUs = leastCPUs
 	p.machines.AscendGreaterOrEqual(&p.searchKey, next)
 }
 
-// each calls visit with all machines, the fullest first.
+// each calls visit for every machine, the fullest first.
 func (p *pool) each(visit func(*Machine)) {
 	p.machines.Ascend(func(machine *Machine) bool {
 		visit(machine)
@@ -94,8 +94,8 @@
 	})
 }
 
-// emptiest returns the machine with most free CPUs of those accepted, or nil. Of equals it is
-// one of the pool that came first.
+// emptiest returns the accepted machine with most free CPUs, or nil if none is accepted. Among
+// equals it returns one from the pool that was added first.
 func (x *CapacityIndex) emptiest(accept func(*Machine) bool) (best *Machine) {
 	for _, pool := range x.pools {
 		pool.machines.Descend(func(machine *Machine) bool {
--- a/internal/placement/capacity_index_test.go
+++ b/internal/placement/capacity_index_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What a task costs to place must not grow with the fleet: most machines are
-// full, and they must not be looked at. Counted, not timed.
+// The cost of placing a task must not grow with the number of machines: most machines are full,
+// and a search must not visit them. Visits are counted rather than timed.
 func TestBestFitLooksAtFewMachines(t *testing.T) {
 	looked := func(machines int) (n int) {
 		index := &CapacityIndex{}
@@ -22,6 +22,6 @@
 		return n
 	}
 	if few, many := looked(25), looked(2500); few != many {
-		t.Errorf("%d machines looked at in a fleet of 25, %d in one of 2500", few, many)
+		t.Errorf("search visited %d of 25 machines, but %d of 2500", few, many)
 	}
 }
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -4,8 +4,9 @@
 	"ospreyslip/internal/jobs"
 )
 
-// TopologyAllows tells whether a job that has tasks in some zones may have one more in this
-// one: by the zone limit of a job that is spread, and by the one zone of a job that wants that.
+// TopologyAllows reports whether a job with the given number of tasks in each zone may have one
+// more in zone. A job that is spread has a limit per zone, and a job with OneZone keeps all its
+// tasks in the same zone.
 func TopologyAllows(spec *jobs.Spec, tasksByZone map[string]int, zone string) bool {
 	if spec.OneZone {
 		for other, tasks := range tasksByZone {
@@ -17,13 +18,13 @@
 	return tasksByZone[zone] < spec.ZoneLimit()
 }
 
-// poolAllowed tells whether the job may use machines of a pool, and whether the plan looks at
-// its zone just now.
+// poolAllowed reports whether the job may use machines of a pool, and the planner is not currently
+// restricted to another zone.
 func (p *planner) poolAllowed(job *Job, pool *pool) bool {
 	return job.Spec.Allows(pool.machineType, pool.zone, pool.spot) && (p.onlyZone == "" || p.onlyZone == pool.zone)
 }
 
-// withinQuota returns how many of count tasks the job's team may still run by its quota.
+// withinQuota returns how many of count further tasks the quota of the job's team allows.
 func (p *planner) withinQuota(job *Job, count int) int {
 	team := findTeam(p.Teams, job.Spec.Team)
 	used, request := p.UsedByTeam[team.Name], TaskRequest(job.Spec)
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -6,9 +6,9 @@
 	"ospreyslip/internal/jobs"
 )
 
-// scheduleGang places all tasks of a gang, or preempts others for all that find no room, or
-// does neither. A gang that waits reserves nothing but the room for which it preempts, and,
-// when it has starved or has come just now, what Job.ReserveRoom describes.
+// scheduleGang either places all tasks of a gang, or preempts tasks of other jobs for all tasks
+// that do not fit, or does neither. A waiting gang reserves only the capacity for which it
+// preempts and, if it is starved or Job.ReserveRoom is set, the capacity described there.
 func (p *planner) scheduleGang(entry queueEntry, out *Output) {
 	job := entry.Job
 	if !p.gangSchedulable(entry) {
@@ -38,8 +38,8 @@
 	out.Unmet = append(out.Unmet, Demand{job, job.Pending})
 }
 
-// gangSchedulable tells whether a gang's entry has anything to place, and its team the quota
-// for all of it.
+// gangSchedulable reports whether the entry has anything to place, and the quota of its team
+// covers the whole gang.
 func (p *planner) gangSchedulable(entry queueEntry) bool {
 	job := entry.Job
 	if job.roomReserved || job.Pending == 0 || entry.starved && job.StarvedTasks == 0 {
@@ -48,8 +48,8 @@
 	return p.withinQuota(job, job.Pending) >= job.Pending
 }
 
-// candidateZones returns the zones of which each may hold all of a gang, if it has to be in
-// one; else one empty name, which stands for all zones together.
+// candidateZones returns the zones to try for a gang that must run in a single zone. For any other
+// gang it returns one empty name, which stands for all zones together.
 func (p *planner) candidateZones(spec *jobs.Spec) (zones []string) {
 	if !spec.OneZone {
 		return []string{""}
@@ -63,9 +63,9 @@
 	return zones
 }
 
-// placeWhatFits puts as many tasks of a gang on machines as have room, in one zone if one is
-// named. It returns the machines, and how many seconds the slowest of them needs to fetch the
-// image.
+// placeWhatFits places as many tasks of a gang as fit, in the named zone or in any zone if the
+// name is empty. It returns their machines and the time in seconds that the slowest of them needs
+// to fetch the image.
 func (p *planner) placeWhatFits(job *Job, zone string) (machines []*Machine, fetchS float64) {
 	p.onlyZone = zone
 	for len(machines) < job.Pending {
@@ -80,8 +80,9 @@
 	return machines, fetchS
 }
 
-// zoneWithSoonestStart returns the index of the zone with room for all tasks where the last of
-// them has its image first, or -1, and how many seconds that takes.
+// zoneWithSoonestStart returns the index of the zone that has room for all tasks and where the
+// last image arrives first, and the time in seconds until then. The index is -1 if there is no
+// such zone.
 func (p *planner) zoneWithSoonestStart(job *Job, zones []string) (best int, bestFetchS float64) {
 	best = -1
 	for i, zone := range zones {
@@ -97,7 +98,7 @@
 	return best, bestFetchS
 }
 
-// placeGang places all tasks in a zone that has room for them.
+// placeGang places all tasks of a gang in a zone that has room for them.
 func (p *planner) placeGang(entry queueEntry, zone string, out *Output) {
 	job := entry.Job
 	machines, _ := p.placeWhatFits(job, zone)
@@ -107,16 +108,17 @@
 	job.Pending, job.StarvedTasks = 0, 0
 }
 
-// preemptGangWhereCached is preemptForGang on machines that have the image.
+// preemptGangWhereCached is preemptForGang restricted to machines that have the image.
 func (p *planner) preemptGangWhereCached(job *Job, zones []string, out *Output) bool {
 	p.requireImage = true
 	defer func() { p.requireImage = false }()
 	return p.preemptForGang(job, zones, out)
 }
 
-// preemptForGang preempts others for the tasks that find no room, in the zone where the fewest
-// have to stop, if that makes room for all tasks. What is free there is reserved until they
-// have stopped. It returns false, and changes nothing, if no zone will do.
+// preemptForGang preempts tasks of other jobs for the tasks of a gang that do not fit. It picks
+// the zone with the fewest victims among those where this makes room for the whole gang, and
+// reserves the free capacity there until the victims have stopped. If there is no such zone, it
+// returns false and changes nothing.
 func (p *planner) preemptForGang(job *Job, zones []string, out *Output) bool {
 	if !p.preemptionPossible(job) {
 		return false
--- a/internal/placement/guarantee.go
+++ b/internal/placement/guarantee.go
@@ -4,8 +4,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// MarkGuaranteed sets Guaranteed of the jobs that fit into their team's guarantee (its fair
-// share) together with the team's earlier jobs. The jobs must be in order of acceptance.
+// MarkGuaranteed sets Guaranteed for each job that fits into its team's guarantee (its fair share)
+// together with the team's earlier jobs. The jobs must be in order of acceptance.
 func MarkGuaranteed(teams []settings.Team, jobsByAge []*Job) {
 	requested := map[string]Resources{}
 	for _, job := range jobsByAge {
@@ -17,7 +17,7 @@
 	}
 }
 
-// findTeam returns a team's settings; a team that is not configured has no guarantee and no
+// findTeam returns the settings of a team. A team that is not configured has no guarantee and no
 // quota.
 func findTeam(teams []settings.Team, name string) settings.Team {
 	for _, team := range teams {
@@ -28,12 +28,12 @@
 	return settings.Team{Name: name}
 }
 
-// mayReclaim tells whether a job may preempt tasks of teams that run beyond their guarantee.
-// Tasks end all the time, and guaranteed jobs go first where they do: a claim that can wait
-// for that costs nobody the work of a task.
+// mayReclaim reports whether a job may preempt tasks of teams that exceed their guarantee. Tasks
+// end all the time and guaranteed jobs are first to use the capacity that they release, so a job
+// that can wait for it costs no other task its progress.
 func (p *planner) mayReclaim(job *Job) bool { return job.Guaranteed && !job.ReclaimDeferred }
 
-// exceedsGuarantee tells whether a team uses more than it is guaranteed.
+// exceedsGuarantee reports whether a team uses more than its guarantee.
 func (p *planner) exceedsGuarantee(name string) bool {
 	team, used := findTeam(p.Teams, name), p.UsedByTeam[name]
 	return used.CPUs > team.GuaranteedCPUs+roundingTolerance || used.GPUs > team.GuaranteedGPUs+roundingTolerance
--- a/internal/placement/guarantee_test.go
+++ b/internal/placement/guarantee_test.go
@@ -9,7 +9,7 @@
 	"ospreyslip/internal/settings"
 )
 
-// A job is within the guarantee together with the team's earlier jobs.
+// A job is guaranteed only if it fits into the guarantee together with the team's earlier jobs.
 func TestMarkGuaranteed(t *testing.T) {
 	teams := []settings.Team{{Name: "red", GuaranteedCPUs: 4}, {Name: "blue"}}
 	all := []*Job{newJob("j-1", 2, 1, nil), newJob("j-2", 3, 1, nil), newJob("j-3", 2, 1, nil), newJob("j-4", 1, 1, func(s *jobs.Spec) { s.Team = "blue" })}
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -5,52 +5,54 @@
 	"ospreyslip/internal/settings"
 )
 
-// Job is an unfinished job: one with tasks to place, or one whose running tasks may be
-// preempted, of which only Spec and Guaranteed are used.
+// Job is an unfinished job. Either it has tasks to place, or its running tasks may be preempted;
+// in the latter case only Spec and Guaranteed are used.
 type Job struct {
 	Spec            *jobs.Spec
-	AcceptanceOrder uint64         // rises with the time of acceptance
-	DeadlineS       float64        // seconds left to the next objective it can meet, or NoDeadline, or DeadlineMissed
+	AcceptanceOrder uint64         // increases with the time of acceptance
+	DeadlineS       float64        // seconds left until the next deadline it can meet, or NoDeadline or DeadlineMissed
 	RemainingCPUS   float64        // CPU seconds that its unfinished tasks will take
-	Pending         int            // tasks to place
-	StarvedTasks    int            // of these, how many go first because the job has got no machine for too long
-	TasksByZone     map[string]int // tasks that are, or may be, in a zone
+	Pending         int            // number of tasks to place
+	StarvedTasks    int            // pending tasks that go first: the job has been given no machine for too long
+	TasksByZone     map[string]int // number of tasks that are, or may be, in each zone
 	Guaranteed      bool           // within its team's guarantee
-	StartWithinS    float64        // seconds left to its objective for a start; 0 without one
+	StartWithinS    float64        // seconds left to meet its start objective; 0 if it has none
 
-	// ReclaimDeferred holds back a job within its team's guarantee from preempting those that
-	// borrowed it: enough may still come free in time by itself.
+	// ReclaimDeferred keeps a job within its team's guarantee from preempting tasks of teams that
+	// have borrowed the capacity: enough may still become free in time without preemption.
 	ReclaimDeferred bool
-	// NoTimeToRestart is set for a job that misses its deadline if it loses a machine: it is
-	// kept off spot machines where others have room.
+	// NoTimeToRestart is set for a job that misses its deadline if it loses a machine. It is kept
+	// off spot machines as long as others have room.
 	NoTimeToRestart bool
-	// PreemptionDeferred is set while machines that are about to report, after a failover, may
-	// have room for the job: nothing is preempted for it until they have.
+	// PreemptionDeferred is set while machines that are about to report after a failover may have
+	// room for the job. Nothing is preempted for it in the meantime.
 	PreemptionDeferred bool
-	// Preempting is set for a gang for which tasks are being stopped. It goes ahead of all but
-	// production: jobs ahead of it would take the room task by task as it comes free, and be
-	// preempted for the gang again.
+	// Preempting is set for a gang for which tasks are being stopped. It precedes all jobs but
+	// production: jobs ahead of it would take the released capacity task by task, and would then
+	// be preempted for the gang again.
 	Preempting bool
-	// ReserveRoom is set for a gang that has not waited for long. It goes ahead of its equals,
-	// and what comes free in the zone where most of it fits is reserved until there is enough.
+	// ReserveRoom is set for a gang that has not waited for long. It precedes its equals, and
+	// capacity that becomes free in the zone where most of it fits is reserved until the whole
+	// gang fits.
 	ReserveRoom bool
 
-	// roomReserved is set by the plan once machines are reserved for a gang, be it for victims
-	// on their way out or for a while: its second entry in the queue must not do it again.
+	// roomReserved is set once the plan has reserved machines for a gang, either for as long as
+	// victims take to stop or for a limited time. The second queue entry of the gang must not
+	// reserve machines again.
 	roomReserved bool
 }
 
-// Input is what a plan is made from. Plan uses up all of it but the index: the maps and the
-// jobs are changed.
+// Input is the input of Plan, which modifies its maps and jobs but restores the index.
 type Input struct {
 	Teams      []settings.Team
-	UsedByTeam map[string]Resources // of all tasks that are, or may be, on a machine
+	UsedByTeam map[string]Resources // requests of all tasks that are, or may be, on a machine
 	Index      *CapacityIndex
 	Jobs       []*Job
-	// LowestRank is the lowest rank of any task that is on a machine. A job of no higher rank
-	// need not look for victims.
+	// LowestRank is the lowest rank of any task that is on a machine. For a job of no higher rank
+	// there are no victims of lower rank to search for.
 	LowestRank int
-	// LoadTasks sets Tasks and Releasing of a machine. It is called only where a preemption is
-	// looked for, once a machine and plan; nil leaves the two as they are.
+	// LoadTasks sets Tasks and Releasing of a machine. It is called at most once per machine and
+	// plan, and only for machines that are considered for preemption or for a gang's reservation.
+	// If it is nil, the two fields stay as they are.
 	LoadTasks func(*Machine)
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -6,37 +6,37 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Assignment puts a job's next task on a machine.
+// Assignment places the next task of a job on a machine.
 type Assignment struct {
 	Job     *Job
 	Machine *Machine
-	Starved bool // it went ahead of the queue because the job had starved
+	Starved bool // placed ahead of the queue because the job was starved
 }
 
 // Preemption stops a task on its machine to make room for another.
 type Preemption struct {
 	Machine      *Machine
 	Task         *RunningTask
-	WithoutGrace bool // no time for a checkpoint: what the room is for should start at once
+	WithoutGrace bool // no time for a checkpoint, because the task that needs the room should start at once
 }
 
-// Demand is the number of a job's tasks that found no room, though their team's quota allows
-// them.
+// Demand is the number of a job's tasks for which there is no room although the team's quota
+// allows them.
 type Demand struct {
 	Job   *Job
 	Count int
 }
 
-// Output is a plan: what the caller is to carry out.
+// Output is a plan for the caller to carry out.
 type Output struct {
-	Assignments []Assignment // of each job in the order of its tasks
+	Assignments []Assignment // for each job in the order of its tasks
 	Preemptions []Preemption
 	Preempting  []*Job   // gangs for which victims have been found
 	Unmet       []Demand // in the order of the queue
 }
 
-// Plan decides which tasks to place and which to preempt. It leaves the index as it found it;
-// the other parts of the input are changed. Equal inputs give equal plans.
+// Plan decides which tasks to place and which to preempt. It restores the index but modifies the
+// rest of its input. Equal inputs give equal plans.
 func Plan(input Input) Output {
 	p := &planner{Input: input, originalFree: map[*Machine]Resources{}, tasksLoaded: map[*Machine]bool{}}
 	queue := make([]queueEntry, 0, len(p.Jobs))
@@ -55,8 +55,8 @@
 	return out
 }
 
-// scheduleAll schedules the entries of a queue in its order. Jobs that are interchangeable
-// first share the machines that have their images.
+// scheduleAll schedules the entries of a queue in order. Interchangeable jobs first share the
+// machines that have their images.
 func (p *planner) scheduleAll(queue []queueEntry, out *Output) {
 	for len(queue) > 0 {
 		if queue[0].Spec.Shape == jobs.Gang {
@@ -77,7 +77,7 @@
 	}
 }
 
-// scheduleJob places a job's tasks where there is room and preempts others for the rest.
+// scheduleJob places a job's tasks where there is room, and preempts other tasks for the rest.
 func (p *planner) scheduleJob(entry queueEntry, out *Output) {
 	job, unplaced := entry.Job, p.placeTasks(entry, out, false)
 	left := p.withinQuota(job, unplaced)
@@ -88,8 +88,8 @@
 	left -= roomFor
 	job.Pending -= roomFor
 	if entry.starved {
-		// A task that is larger than the room that others leave now and then would starve
-		// for ever: a machine drains for it.
+		// A task larger than the capacity that other tasks release from time to time would starve
+		// forever, so a machine is drained for it.
 		p.reserveEmptiest(job, left)
 		return
 	}
@@ -98,9 +98,9 @@
 	}
 }
 
-// placeTasks puts tasks of a job on machines with room and returns how many are left of those
-// that the entry stands for. With cachedOnly it uses only machines that have the job's image,
-// and these only while none without it would be filled better.
+// placeTasks places tasks of a job on machines with room, and returns how many of the entry's
+// tasks are left. With cachedOnly it uses only machines that have the job's image, and only as
+// long as no machine without it would be filled better.
 func (p *planner) placeTasks(entry queueEntry, out *Output, cachedOnly bool) (left int) {
 	job := entry.Job
 	left = job.Pending
@@ -109,7 +109,7 @@
 	}
 	for left > 0 {
 		if p.withinQuota(job, 1) == 0 {
-			break // no machine would help
+			break // the quota is used up, so no machine would help
 		}
 		machine := p.bestFit(job, cachedOnly)
 		if machine == nil {
@@ -132,8 +132,8 @@
 }
 
 // preemptWhereCached makes room for a service on a machine that has its image, if fetching the
-// image to the free machine would take too long. It returns false if that machine will do, or
-// if there are no victims.
+// image to the free machine would take too long. It returns false if the free machine will do or
+// there are no victims.
 func (p *planner) preemptWhereCached(job *Job, free *Machine, out *Output) bool {
 	return job.Spec.Shape == jobs.Service && job.startsTooLate(free.imageFetchS(job.Spec)) && p.preemptFor(job, 1, out, true) > 0
 }
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// newMachine is a machine of 4 CPUs whose name says its zone, and its pricing model: "a1",
-// "b2", and "s" in front for spot.
+// newMachine returns a machine with 4 CPUs. Its name encodes the zone and the pricing model: "a1",
+// "b2", and a leading "s" for a spot machine.
 func newMachine(id string, free float64) *Machine {
 	zone := strings.TrimPrefix(id, "s")[:1]
 	return &Machine{
@@ -21,7 +21,7 @@
 	}
 }
 
-// newJob is a batch job of team red with an image of 1 GB.
+// newJob returns a batch job of team red with an image of 1 GB.
 func newJob(id string, tasks int, cpus float64, change func(*jobs.Spec)) *Job {
 	s := &jobs.Spec{ID: id, Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks, CPUs: cpus, RAMGB: 1, Image: "img", ImageGB: 1, Spot: true}
 	if change != nil {
@@ -30,7 +30,7 @@
 	return &Job{Spec: s, DeadlineS: 1e9, TasksByZone: map[string]int{}, Pending: tasks}
 }
 
-// running puts task n of a job on a machine.
+// running puts task n of a job on a machine, as running for ran seconds.
 func running(m *Machine, j *Job, n int, ran float64) {
 	m.Tasks = append(m.Tasks, &RunningTask{Job: j, Index: n, LostRunS: ran})
 	m.Free = m.Free.AddTimes(TaskRequest(j.Spec), -1)
@@ -38,7 +38,7 @@
 	j.Pending--
 }
 
-// scenario is an input whose machines are not in an index yet.
+// scenario is an input whose machines are not in the index yet.
 type scenario struct {
 	Input
 	Machines []*Machine
@@ -54,23 +54,23 @@
 		setup func(in *scenario)
 		want  string
 	}{
-		{"the fullest machine that fits", func(in *scenario) {
+		{"batch task: the fullest machine that fits", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 2), newMachine("a3", 1)}
 			in.Jobs = []*Job{newJob("j-1", 1, 2, nil)}
 		}, "j-1/0>a2"},
-		{"a service goes where its image is", func(in *scenario) {
+		{"service: the machine that has its image", func(in *scenario) {
 			m := newMachine("a1", 4)
 			m.Images["img"] = true
 			in.Machines = []*Machine{m, newMachine("a2", 2)}
 			in.Jobs = []*Job{newJob("j-1", 1, 2, prod)}
 		}, "j-1/0>a1"},
-		{"or where it comes fastest", func(in *scenario) {
+		{"service: the machine that fetches its image fastest", func(in *scenario) {
 			slow := newMachine("a1", 2)
 			slow.FetchGBPS = 0.5
 			in.Machines = []*Machine{slow, newMachine("a2", 4)}
 			in.Jobs = []*Job{newJob("j-1", 1, 2, prod)}
 		}, "j-1/0>a2"},
-		{"or, if it would come too late, in the place of lower priority", func(in *scenario) {
+		{"service: preempts lower priority where the image is cached if a fetch takes too long", func(in *scenario) {
 			has := newMachine("a2", 4)
 			has.Images["img"] = true
 			low := newJob("j-2", 1, 4, nil)
@@ -80,11 +80,11 @@
 			late.StartWithinS, early.StartWithinS = 1, 5
 			in.Jobs = []*Job{late, early}
 		}, "end j-2/0@a2 j-3/0>a1"},
-		{"a gang, in the zone that has room for all of it", func(in *scenario) {
+		{"gang: the zone with room for all tasks", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 4), newMachine("b2", 2)}
 			in.Jobs = []*Job{newJob("j-1", 3, 2, gang)}
 		}, "j-1/0>b2 j-1/1>b1 j-1/2>b1"},
-		{"none of it, where there is room for a part; others get that", func(in *scenario) {
+		{"gang: not placed in part, so others get the room", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 4)}
 			in.Jobs = []*Job{newJob("j-1", 3, 2, gang), newJob("j-2", 1, 4, nil)}
 		}, "j-2/0>a1 unmet j-1 3"},
@@ -92,41 +92,41 @@
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 2)}
 			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 2, 2, gang)}
 		}, "j-2/0>a2 j-2/1>a1 unmet j-1 4"},
-		{"a gang starts with its last image", func(in *scenario) {
+		{"gang: the zone where its image is cached", func(in *scenario) {
 			has := newMachine("b1", 4)
 			has.Images["img"] = true
 			in.Machines = []*Machine{newMachine("a1", 4), has}
 			in.Jobs = []*Job{newJob("j-1", 2, 2, gang)}
 		}, "j-1/0>b1 j-1/1>b1"},
-		{"apart: at most half of a gang in one zone", func(in *scenario) {
+		{"spread gang: at most half of it in one zone", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 2)}
 			in.Jobs = []*Job{newJob("j-1", 3, 1, func(s *jobs.Spec) { s.Shape, s.Spread = jobs.Gang, true })}
 		}, "j-1/0>b1 j-1/1>b1 j-1/2>a1"},
-		{"its team's limit holds for all of it", func(in *scenario) {
+		{"gang: its team's quota must cover all tasks", func(in *scenario) {
 			in.UsedByTeam["red"] = Resources{CPUs: 5}
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 4)}
 			in.Jobs = []*Job{newJob("j-1", 2, 2, gang)}
 		}, ""},
-		{"room is made for all of a gang, and what is free kept for it", func(in *scenario) {
+		{"gang: preempts for all tasks and keeps free capacity reserved", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-9", 1, 4, low), 0, 5)
 			in.Machines = []*Machine{m, newMachine("a2", 4)}
 			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 1, 4, func(s *jobs.Spec) { s.Team = "blue" })}
 		}, "end j-9/0@a1 unmet j-2 1"},
-		{"or none is, where it would not do", func(in *scenario) {
+		{"gang: preempts nothing if not all tasks would fit", func(in *scenario) {
 			m, n := newMachine("a1", 4), newMachine("b1", 4)
 			running(m, newJob("j-8", 1, 4, low), 0, 5)
 			running(n, newJob("j-9", 1, 4, low), 0, 5)
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{newJob("j-1", 3, 2, gang)}
 		}, "unmet j-1 3"},
-		{"while room is made for it, it goes ahead", func(in *scenario) {
+		{"gang: goes first while tasks are being stopped for it", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4)}
 			g, covered := newJob("j-1", 2, 2, gang), newJob("j-2", 1, 4, nil)
 			g.Preempting, covered.Guaranteed = true, true
 			in.Jobs = []*Job{covered, g}
 		}, "j-1/0>a1 j-1/1>a1 unmet j-2 1"},
-		{"if its image would come too late, in the place of lower priority", func(in *scenario) {
+		{"gang: preempts lower priority where the image is cached if a fetch takes too long", func(in *scenario) {
 			has := newMachine("b1", 4)
 			has.Images["img"] = true
 			running(has, newJob("j-9", 1, 4, low), 0, 5)
@@ -135,7 +135,7 @@
 			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "end j-9/0@b1"},
-		{"but not in the place of a gang", func(in *scenario) {
+		{"gang: does not preempt another gang for an earlier start", func(in *scenario) {
 			has := newMachine("b1", 4)
 			has.Images["img"] = true
 			running(has, newJob("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
@@ -144,7 +144,7 @@
 			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "j-1/0>a1 j-1/1>a1"},
-		{"others stop before a gang does", func(in *scenario) {
+		{"preempts other tasks rather than a gang", func(in *scenario) {
 			m, n := newMachine("a1", 4), newMachine("a2", 4)
 			g := newJob("j-8", 4, 4, func(s *jobs.Spec) { gang(s); low(s) })
 			running(m, g, 0, 1)
@@ -153,63 +153,63 @@
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{newJob("j-1", 1, 4, prod)}
 		}, "end j-9/0@a2"},
-		{"a gang that has just come, too, and machines are rented for it", func(in *scenario) {
+		{"new gang: reserves capacity and is reported as unmet", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
 			running(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
 			g := newJob("j-1", 2, 2, gang)
 			g.ReserveRoom = true
 			in.Jobs = []*Job{newJob("j-2", 1, 2, nil), g}
 		}, "unmet j-1 2 unmet j-2 1"},
-		{"a gang that has waited for too long keeps room from others", func(in *scenario) {
+		{"starved gang: reserves capacity", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
 			running(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
 			g := newJob("j-1", 2, 2, gang)
 			g.StarvedTasks = 2
 			in.Jobs = []*Job{g, newJob("j-2", 1, 2, nil)}
 		}, "unmet j-1 2 unmet j-2 1"},
-		{"but not for what its zone will never hold", func(in *scenario) {
+		{"starved gang: reserves nothing if its zone can never hold it", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
 			running(in.Machines[0], newJob("j-9", 1, 2, prod), 0, 5)
 			g := newJob("j-1", 2, 2, gang)
 			g.StarvedTasks = 2
 			in.Jobs = []*Job{g, newJob("j-2", 1, 2, nil)}
 		}, "j-2/0>a1 unmet j-1 2"},
-		{"spread: half in one zone, rounded up", func(in *scenario) {
+		{"spread: at most half in one zone, rounded up", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("b1", 4)}
 			in.Jobs = []*Job{newJob("j-1", 5, 1, func(s *jobs.Spec) { s.Spread = true })}
 		}, "j-1/0>a1 j-1/1>a1 j-1/2>a1 j-1/3>b1 j-1/4>b1"},
-		{"spread: what may still be in a zone counts", func(in *scenario) {
+		{"spread: tasks that may still be in a zone count", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4)}
 			j := newJob("j-1", 2, 1, func(s *jobs.Spec) { s.Spread = true })
 			j.TasksByZone["a"] = 1
 			j.Pending = 1
 			in.Jobs = []*Job{j}
 		}, "unmet j-1 1"},
-		{"one zone for all tasks", func(in *scenario) {
+		{"all tasks in one zone", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 2), newMachine("b1", 4)}
 			in.Jobs = []*Job{newJob("j-1", 4, 1, func(s *jobs.Spec) { s.OneZone = true })}
 		}, "j-1/0>a1 j-1/1>a1 unmet j-1 2"},
-		{"types, zone and spot as allowed", func(in *scenario) {
+		{"respects allowed machine types, zone and spot", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("sa1", 4), newMachine("b1", 4), newMachine("a1", 4)}
 			in.Jobs = []*Job{
 				newJob("j-1", 1, 1, func(s *jobs.Spec) { s.Spot, s.Zone = false, "a" }),
 				newJob("j-2", 1, 1, func(s *jobs.Spec) { s.Types = []string{"g8"} }),
 			}
 		}, "j-1/0>a1 unmet j-2 1"},
-		{"no time to begin twice: on spot only where nothing else has room", func(in *scenario) {
+		{"no time to restart: spot machine only if no other has room", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("sa1", 2), newMachine("b1", 4)}
 			j := newJob("j-1", 3, 2, nil)
 			j.NoTimeToRestart = true
 			in.Jobs = []*Job{j}
 		}, "j-1/0>b1 j-1/1>b1 j-1/2>sa1"},
-		{"of two that wait alike, the one whose image a machine has", func(in *scenario) {
+		{"of interchangeable jobs, the one whose image is cached goes first", func(in *scenario) {
 			m := newMachine("a1", 4)
 			m.Images["b"] = true
 			in.Machines = []*Machine{m}
 			image := func(name string) func(*jobs.Spec) { return func(s *jobs.Spec) { s.Image = name } }
 			in.Jobs = []*Job{newJob("j-1", 1, 4, image("a")), newJob("j-2", 1, 4, image("b"))}
 		}, "j-2/0>a1 unmet j-1 1"},
-		{"but never before what is more important", func(in *scenario) {
+		{"a cached image does not outrank importance", func(in *scenario) {
 			m := newMachine("a1", 4)
 			m.Images["b"] = true
 			in.Machines = []*Machine{m}
@@ -217,12 +217,12 @@
 			first.Guaranteed = true
 			in.Jobs = []*Job{second, first}
 		}, "j-1/0>a1 unmet j-2 1"},
-		{"the team's limit stops placing and asking", func(in *scenario) {
+		{"beyond its team's quota a job is neither placed nor unmet", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 4), newMachine("a3", 4)}
 			in.UsedByTeam["red"] = Resources{CPUs: 6}
 			in.Jobs = []*Job{newJob("j-1", 5, 1, nil)}
 		}, "j-1/0>a1 j-1/1>a1"},
-		{"production before age, the guarantee before priority", func(in *scenario) {
+		{"production before age, guarantee before priority", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
 			old := newJob("j-1", 1, 1, func(s *jobs.Spec) { s.Priority = jobs.Urgent })
 			covered := newJob("j-2", 1, 1, nil)
@@ -231,7 +231,7 @@
 			live.AcceptanceOrder = 9
 			in.Jobs = []*Job{old, covered, live}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
-		{"in an overload the small job first, and the lost cause last", func(in *scenario) {
+		{"overload: small job first, job with missed deadlines last", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
 			lost, large, small := newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, nil), newJob("j-3", 1, 1, nil)
 			lost.DeadlineS, lost.RemainingCPUS = DeadlineMissed, 1
@@ -239,7 +239,7 @@
 			small.DeadlineS, small.RemainingCPUS = 60, 30
 			in.Jobs = []*Job{lost, large, small}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
-		{"higher priority stops lower, that which has run least", func(in *scenario) {
+		{"preempts the lower-priority tasks that have run least", func(in *scenario) {
 			m := newMachine("a1", 4)
 			low := newJob("j-1", 4, 1, nil)
 			for n := range 4 {
@@ -248,26 +248,26 @@
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 2, prod)}
 		}, "end j-1/0@a1 end j-1/1@a1"},
-		{"but not what had waited too long, unless for production", func(in *scenario) {
+		{"only production preempts a task that was starved", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
 			m.Tasks[0].Starved = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 4, nil), newJob("j-3", 1, 2, prod)}
 		}, "end j-1/0@a1 unmet j-2 1"},
-		{"for other work it may save first", func(in *scenario) {
+		{"batch job: victims get time for a checkpoint", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 4, nil)}
 		}, "stop j-1/0@a1"},
-		{"equal priority of the same team is left alone", func(in *scenario) {
+		{"does not preempt equal priority of the same team", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, nil), 0, 1)
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 2, nil)}
 		}, "unmet j-2 1"},
-		{"a guarantee takes back what another team has borrowed", func(in *scenario) {
+		{"guaranteed job preempts a team beyond its guarantee", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
@@ -275,7 +275,7 @@
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "stop j-1/0@a1"},
-		{"but not while room may come by itself in time", func(in *scenario) {
+		{"guaranteed job does not preempt while reclaiming is deferred", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
@@ -283,7 +283,7 @@
 			j.Guaranteed, j.ReclaimDeferred = true, true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
-		{"but no production service", func(in *scenario) {
+		{"guaranteed job does not preempt a production service", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority, s.Shape = "blue", jobs.Prod, jobs.Service }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
@@ -291,7 +291,7 @@
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
-		{"but not what is the other's own", func(in *scenario) {
+		{"guaranteed job does not preempt a team within its guarantee", func(in *scenario) {
 			m := newMachine("a1", 4)
 			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team = "blue" }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 4}
@@ -299,25 +299,25 @@
 			j.Guaranteed = true
 			in.Machines, in.Jobs = []*Machine{m}, []*Job{j}
 		}, "unmet j-2 1"},
-		{"room that is being made is waited for, and kept from others", func(in *scenario) {
+		{"waits for capacity being released and keeps it from others", func(in *scenario) {
 			m := newMachine("a1", 1)
 			m.Releasing = Resources{CPUs: 3, RAMGB: 3}
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 4, prod), newJob("j-3", 1, 1, nil)}
 		}, "unmet j-3 1"},
-		{"a slow machine is for services only", func(in *scenario) {
+		{"straggler is used for services only", func(in *scenario) {
 			m := newMachine("a1", 4)
 			m.Straggler = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
-		{"a machine that a job should avoid", func(in *scenario) {
+		{"machine that the job should avoid", func(in *scenario) {
 			m := newMachine("a1", 4)
 			m.AvoidJobs["j-1"] = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-1", 1, 1, nil)}
 		}, "unmet j-1 1"},
-		{"what got nothing for too long goes before what a guarantee covers, for a few tasks", func(in *scenario) {
+		{"starved tasks go before guaranteed jobs, the rest of the job does not", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1), newMachine("a3", 1)}
 			poor := newJob("j-1", 4, 1, func(s *jobs.Spec) { s.Priority = jobs.BestEffort })
 			poor.StarvedTasks, poor.AcceptanceOrder = 1, 9
@@ -325,13 +325,13 @@
 			covered.Guaranteed = true
 			in.Jobs = []*Job{covered, poor}
 		}, "j-1/0>a1 j-2/0>a2 j-2/1>a3 unmet j-2 1 unmet j-1 3"},
-		{"but production goes before it", func(in *scenario) {
+		{"production goes before starved tasks", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1)}
 			poor := newJob("j-1", 1, 1, nil)
 			poor.StarvedTasks = 1
 			in.Jobs = []*Job{poor, newJob("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
-		{"a large task that waited too long gets a machine kept for it", func(in *scenario) {
+		{"a machine is reserved for a starved large task", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 2)}
 			large := newJob("j-1", 1, 4, nil)
 			large.StarvedTasks = 1
@@ -368,13 +368,13 @@
 	}
 }
 
-// A plan is a proposal: it leaves the index as it was.
+// A plan must leave the index unchanged.
 func TestPlanLeavesTheIndex(t *testing.T) {
 	m := newMachine("a1", 4)
 	index := &CapacityIndex{}
 	index.Insert(m)
 	Plan(Input{UsedByTeam: map[string]Resources{}, Index: index, Jobs: []*Job{newJob("j-1", 3, 1, nil)}})
 	if m.Free.CPUs != 4 {
-		t.Errorf("%v CPUs are free after a plan, not 4", m.Free.CPUs)
+		t.Errorf("%v CPUs are free after planning, want 4", m.Free.CPUs)
 	}
 }
--- a/internal/placement/planner_state.go
+++ b/internal/placement/planner_state.go
@@ -4,28 +4,28 @@
 	"slices"
 )
 
-// planner is one plan in the making: its input, and what it has changed so far.
+// planner is a plan under construction: its input and the changes made so far.
 //
-// A gang's placement is tried out: between trial being set and unset each change adds its
-// reversal to undo, so that rollBack restores the state from before the trial.
+// Gangs are placed tentatively: while trial is set, each change appends its reversal to
+// undo, so that rollBack can restore the state from before the changes.
 type planner struct {
 	Input
 
-	originalFree map[*Machine]Resources // of each machine whose free resources the plan has changed
-	tasksLoaded  map[*Machine]bool      // Input.LoadTasks was called for it
-	onlyZone     string                 // while set, machines of other zones are passed over
-	requireImage bool                   // while set, machines without the job's image are passed over
+	originalFree map[*Machine]Resources // original free resources of each machine that the plan has changed
+	tasksLoaded  map[*Machine]bool      // machines for which Input.LoadTasks was called
+	onlyZone     string                 // if set, machines of other zones are skipped
+	requireImage bool                   // if set, machines without the job's image are skipped
 	trial        bool
 	undo         []func()
 }
 
-// placeTask counts a task on a machine and takes its request off what is free there.
+// placeTask counts a task on a machine and subtracts its request from the free resources there.
 func (p *planner) placeTask(job *Job, machine *Machine) {
 	p.setFree(machine, machine.Free.AddTimes(TaskRequest(job.Spec), -1))
 	p.countTask(job, machine)
 }
 
-// countTask counts a task in its job's zone and in its team's usage.
+// countTask counts a task in its zone and in its team's usage.
 func (p *planner) countTask(job *Job, machine *Machine) {
 	job.TasksByZone[machine.Zone]++
 	p.UsedByTeam[job.Spec.Team] = p.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), 1)
@@ -37,7 +37,7 @@
 	}
 }
 
-// setFree changes what is free on a machine until the plan is done.
+// setFree changes the free resources of a machine until the end of the plan.
 func (p *planner) setFree(machine *Machine, free Resources) {
 	if _, ok := p.originalFree[machine]; !ok {
 		p.originalFree[machine] = machine.Free
@@ -48,7 +48,7 @@
 	p.Index.SetFree(machine, free)
 }
 
-// rollBack undoes what a trial has changed, the last change first.
+// rollBack undoes the recorded changes, the most recent first.
 func (p *planner) rollBack() {
 	for _, undo := range slices.Backward(p.undo) {
 		undo()
@@ -56,7 +56,7 @@
 	p.undo = p.undo[:0]
 }
 
-// loadTasks has a machine's tasks set, once in a plan.
+// loadTasks calls Input.LoadTasks for a machine, at most once per plan.
 func (p *planner) loadTasks(machine *Machine) {
 	if p.LoadTasks != nil && !p.tasksLoaded[machine] {
 		p.tasksLoaded[machine] = true
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -9,26 +9,26 @@
 	"ospreyslip/internal/settings"
 )
 
-// mayPreempt tells whether a running task may be stopped to make room for a job.
+// mayPreempt reports whether a running task may be stopped to make room for a job.
 func (p *planner) mayPreempt(job *Job, task *RunningTask) bool {
 	victim := task.Job
 	if task.Starved && job.Spec.Priority != jobs.Prod {
-		return false // it waited for too long to lose its place at once
+		return false // it has waited too long to lose its machine at once
 	}
 	if victim.Spec.Rank() < job.Spec.Rank() {
 		return true
 	}
-	// A team gets its guarantee from what another runs beyond its own, but not at
-	// the cost of a production service: its users notice at once, and a batch
-	// job can wait for the next task to end.
+	// A team reclaims its guarantee from teams that exceed theirs, but not at the cost of a
+	// production service: its users notice at once, whereas a batch job can wait for the next task
+	// to end.
 	if victim.Spec.Priority == jobs.Prod && job.Spec.Priority != jobs.Prod {
 		return false
 	}
 	return p.mayReclaim(job) && !victim.Guaranteed && victim.Spec.Team != job.Spec.Team && p.exceedsGuarantee(victim.Spec.Team)
 }
 
-// preemptionPossible tells whether a job may have victims anywhere. The search for them goes
-// through all machines, and mostly nothing that runs is of lower rank.
+// preemptionPossible reports whether there may be victims for a job anywhere. It avoids the
+// search, which visits all machines, in the common case that no running task is of lower rank.
 func (p *planner) preemptionPossible(job *Job) bool {
 	if job.PreemptionDeferred {
 		return false
@@ -38,18 +38,18 @@
 	})
 }
 
-// victimSearch is what victims are searched for.
+// victimSearch describes the job that needs victims and where to search for them.
 type victimSearch struct {
 	job     *Job
-	request Resources // of one task
-	// withImage restricts the search to machines that have the job's image. It is meant to
-	// start the job sooner, for which no gang is stopped.
+	request Resources // request of one task
+	// withImage restricts the search to machines that have the job's image. Such a search only
+	// serves an earlier start of the job, for which no gang is stopped.
 	withImage bool
 }
 
-// preemptFor preempts others for up to count tasks of a job, the cheapest victims first, and
-// returns for how many tasks that makes room. The room is reserved in this plan; later plans
-// find it in Releasing and stop nothing more for the same tasks.
+// preemptFor preempts tasks for up to count tasks of a job, the cheapest victims first, and
+// returns the number of tasks that will have room. That room is reserved for the rest of this
+// plan. Later plans find it in Releasing and stop nothing more for the same tasks.
 func (p *planner) preemptFor(job *Job, count int, out *Output, withImage bool) (made int) {
 	if !p.preemptionPossible(job) {
 		return 0
@@ -74,8 +74,8 @@
 	return made
 }
 
-// preemptionOptions returns a heap of the machines on which one more task would have room
-// without some of those that run there.
+// preemptionOptions returns a heap of the machines where preempting some of the running tasks
+// would make room for one more.
 func (p *planner) preemptionOptions(search victimSearch) *preemptionHeap {
 	var options preemptionHeap
 	for _, pool := range p.Index.pools {
@@ -96,9 +96,10 @@
 	return &options
 }
 
-// cheapestVictims returns the tasks that cost least to stop on a machine, lowest rank first, so
-// that one more task fits. There are none to stop where it will fit into what is already being
-// released. It returns false if the task would not fit even without all that may be preempted.
+// cheapestVictims returns the tasks on a machine that are cheapest to stop, lowest rank first, so
+// that one more task fits. There are no victims if the task will fit into resources that are
+// already being released. It returns false if the task does not fit even without all tasks that
+// may be preempted.
 func (p *planner) cheapestVictims(search victimSearch, machine *Machine) (option preemptionOption, ok bool) {
 	if !machine.accepts(search.job) {
 		return option, false
@@ -128,8 +129,8 @@
 	return option, false
 }
 
-// preempt stops an option's victims, and reserves the machine for the task for which they
-// stop.
+// preempt stops the victims of an option and reserves the machine for the task that needs their
+// room.
 func (p *planner) preempt(search victimSearch, option preemptionOption, out *Output) {
 	machine := option.machine
 	if tasks, releasing := machine.Tasks, machine.Releasing; p.trial {
@@ -142,22 +143,22 @@
 		machine.Tasks = slices.DeleteFunc(machine.Tasks, func(task *RunningTask) bool { return task == victim })
 		machine.Releasing = machine.Releasing.AddTimes(TaskRequest(victim.Job.Spec), 1)
 	}
-	// The task's request comes out of what is free, and for the rest out of what will be
-	// released. Nothing else is placed on the machine in this plan: with what is free gone,
-	// the task would have to wait for more to end.
+	// The request is covered by the free resources first, and for the rest by those about to be
+	// released. Nothing else is placed on the machine in this plan: a task that took the free
+	// resources would make this one wait for more tasks to end.
 	machine.Releasing = machine.Free.AddTimes(machine.Releasing, 1).AddTimes(search.request, -1)
 	p.setFree(machine, Resources{})
 	p.countTask(search.job, machine)
 }
 
-// preemptionOption is what one more task on a machine would cost there.
+// preemptionOption is the set of victims that makes room for one more task on a machine.
 type preemptionOption struct {
 	machine *Machine
 	victims []*RunningTask
-	cost    float64 // sum of the victims' preemptionCost
+	cost    float64 // sum of preemptionCost over the victims
 }
 
-// preemptionHeap is a [heap.Interface], the cheapest option first.
+// preemptionHeap is a [heap.Interface] with the cheapest option at the root.
 type preemptionHeap []preemptionOption
 
 func (h preemptionHeap) Len() int { return len(h) }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -6,24 +6,24 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Values of Job.DeadlineS for a job without a deadline to meet. Jobs that can meet none any
-// more come last of their rank: what they take would make others late, too.
+// Special values of Job.DeadlineS. Jobs that can no longer meet any deadline come last within
+// their rank: the capacity they take would make other jobs late, too.
 const (
-	NoDeadline     = 1e9 // the job has none
-	DeadlineMissed = 2e9 // all of its deadlines are missed
+	NoDeadline     = 1e9 // the job has no deadline
+	DeadlineMissed = 2e9 // the job has missed all its deadlines
 )
 
-// queueEntry is a job's place in the queue. A starved job has two entries: one ahead of others
-// for StarvedTasks of its tasks, and its own for the rest.
+// queueEntry is an entry of the queue. A starved job has two: one placed further ahead for its
+// StarvedTasks, and a regular one for the rest.
 type queueEntry struct {
 	*Job
 	starved bool
 }
 
-// compareEntries orders the queue: production first, then gangs for which others are being
-// stopped, then starved tasks, then what a guarantee covers, then by priority. Among equals
-// the smallest product of the time to the deadline and the remaining work goes first: by
-// deadline alone, one large job in an overload makes many small ones late.
+// compareEntries orders the queue: production first, then gangs for which tasks are being
+// preempted, then starved tasks, then guaranteed jobs, then by rank. Among equals, the entry with
+// the smallest product of time to the deadline and remaining work goes first: ordered by the
+// deadline alone, one large job makes many small ones late in an overload.
 func compareEntries(a, b queueEntry) int {
 	return cmp.Or(
 		trueFirst(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
@@ -38,7 +38,7 @@
 	)
 }
 
-// trueFirst is a comparison that sorts true before false.
+// trueFirst compares two booleans, sorting true before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -49,8 +49,8 @@
 	return 1
 }
 
-// deadlineStage sorts jobs with a deadline to meet before those without, and these before
-// those that can meet none.
+// deadlineStage returns a sort key that puts jobs with a deadline that can be met before those
+// without one, and these before jobs that have missed all their deadlines.
 func deadlineStage(job *Job) int {
 	switch {
 	case job.DeadlineS < NoDeadline:
@@ -61,13 +61,13 @@
 	return 2
 }
 
-// maxInterchangeable bounds how many jobs share machines by images, and with it how far a job
-// may fall behind one that is due later.
+// maxInterchangeable bounds how many jobs share machines by image, and thereby how far a job may
+// fall behind one with a later deadline.
 const maxInterchangeable = 8
 
-// interchangeable returns how many jobs at the head of the queue differ only in how soon they
-// are due. Where machines are scarce, each that comes free goes to the one of them whose image
-// it has: as all of them wait, fetches are what can be saved.
+// interchangeable returns how many jobs at the head of the queue differ only in their
+// deadline. When machines are scarce, each free machine goes to the one of these jobs whose image
+// it has: all of them have to wait, so the only time that can be saved is that of fetches.
 func interchangeable(queue []queueEntry) int {
 	head, count := queue[0], 1
 	if head.Spec.Shape != jobs.Batch {
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -1,8 +1,8 @@
 package placement
 
-// reserveEmptiest reserves up to count machines for a starved job: those with most room that
-// the plan has not touched. Others get nothing on them, so that they drain until a task of
-// the job fits.
+// reserveEmptiest reserves for a starved job up to count machines, those with most free CPUs that
+// the plan has not changed. No other job is placed on them, so they drain until a task of the job
+// fits.
 func (p *planner) reserveEmptiest(job *Job, count int) {
 	for range count {
 		machine := p.emptiestUntouched(job)
@@ -13,8 +13,9 @@
 	}
 }
 
-// emptiestUntouched returns the machine with most room of those that the plan has not changed
-// yet and that would take a task of the job if they were empty; nil if there is none.
+// emptiestUntouched returns the machine with most free CPUs among those that the plan has not
+// changed and that could hold a task of the job if they were empty. It returns nil if there is
+// none.
 func (p *planner) emptiestUntouched(job *Job) *Machine {
 	return p.Index.emptiest(func(machine *Machine) bool {
 		_, touched := p.originalFree[machine]
@@ -23,9 +24,9 @@
 	})
 }
 
-// reserveForGang reserves room where most of a gang fits, if all of it will fit there once
-// running tasks have ended. Otherwise the gang would wait for machines that are not
-// provisioned yet, and others would wait with it for nothing.
+// reserveForGang reserves capacity where most of a gang fits, provided that the whole gang will
+// fit there once running tasks have ended. Otherwise the gang would wait for machines that are not
+// provisioned yet, and the reservation would only delay other jobs.
 func (p *planner) reserveForGang(job *Job, zones []string) {
 	best, most := -1, -1
 	for i, zone := range zones {
@@ -53,8 +54,8 @@
 	}
 }
 
-// willFitEventually tells whether a gang fits into a zone, or anywhere if none is named, once
-// the tasks that end by themselves have ended.
+// willFitEventually reports whether a gang fits into a zone, or into all zones if the name is
+// empty, once the tasks that end by themselves have ended.
 func (p *planner) willFitEventually(job *Job, zone string) bool {
 	p.onlyZone = zone
 	request, count := TaskRequest(job.Spec), 0
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -4,13 +4,13 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Resources is what a task requests, or what a machine has.
+// Resources is an amount of resources: a task's request, or what a machine has.
 type Resources struct{ CPUs, GPUs, RAMGB float64 }
 
 // TaskRequest returns the resources that one task of a job requests.
 func TaskRequest(spec *jobs.Spec) Resources { return Resources{spec.CPUs, spec.GPUs, spec.RAMGB} }
 
-// MachineTotal is what a machine of a type has.
+// MachineTotal returns the resources of an empty machine of a type.
 func MachineTotal(machineType *jobs.MachineType) Resources {
 	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAMGB: machineType.RAMGB}
 }
@@ -23,7 +23,7 @@
 // roundingTolerance absorbs the rounding errors of sums of decimal fractions.
 const roundingTolerance = 1e-6
 
-// Fits tells whether a request fits into a.
+// Fits reports whether a request fits into a.
 func (a Resources) Fits(request Resources) bool {
 	return request.CPUs <= a.CPUs+roundingTolerance &&
 		request.GPUs <= a.GPUs+roundingTolerance &&
--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -6,8 +6,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// DecideOnHeartbeat decides what an observation proves of an attempt. From a task's absence only
-// that is concluded which no command in flight can change any more.
+// DecideOnHeartbeat decides what an observation proves about an attempt. The absence of a task
+// proves only what no command in flight can change any more.
 func DecideOnHeartbeat(attempt Attempt, observed Observation) Decision {
 	switch {
 	case observed.Session > attempt.Session:
@@ -24,9 +24,9 @@
 	return Decision{Action: Reschedule, Reason: Reason(observed.Task.Cause)}
 }
 
-// decideOnAbsence decides about an attempt that the worker does not list. The worker refuses a
-// command with a lower fencing token than the highest it has seen, so that a late command can
-// start nothing once the worker has seen a higher one.
+// decideOnAbsence decides about an attempt that the worker does not list. A worker refuses a
+// command whose fencing token is lower than the highest that it has seen, so a delayed command can
+// start nothing once the worker has seen a higher token.
 func decideOnAbsence(attempt Attempt, workerToken uint64) Decision {
 	switch {
 	case !attempt.Durable:
@@ -41,9 +41,8 @@
 	return Decision{Action: Start, Reason: Absent}
 }
 
-// DecideCommand decides which command about an attempt a worker is to be sent, if any. It never
-// decides to start an attempt that may be running, or while a command to start it may be in
-// flight.
+// DecideCommand decides which command about an attempt to send to the worker, if any. It never
+// starts an attempt that may be running, nor one for which a start command may be in flight.
 func DecideCommand(attempt Attempt) Decision {
 	present := attempt.ObservedState != ""
 	switch {
@@ -71,9 +70,9 @@
 	return Decision{Action: Start, Reason: Assigned}
 }
 
-// DecideOnStaleHeartbeat decides about a task in a heartbeat from before this leader's term. It
-// proves nothing, but the answer to it renews the worker's lease: a task of a cancelled job must
-// not go on by it.
+// DecideOnStaleHeartbeat decides about a task listed in a heartbeat from before this leader's
+// term. The heartbeat proves nothing, but its answer renews the worker's lease, and a task of a
+// cancelled job must not keep running on that lease.
 func DecideOnStaleHeartbeat(task *workers.TaskStatus, cancelled bool) Decision {
 	if cancelled && task.State != workers.StateEnded {
 		return Decision{Action: Stop, Reason: JobCancelled}
@@ -81,7 +80,7 @@
 	return Decision{Action: Wait, Reason: NoHeartbeat}
 }
 
-// DecideWithoutHeartbeat decides about an attempt on a machine that has sent no heartbeat: the
+// DecideWithoutHeartbeat decides about an attempt on a machine that has sent no heartbeat. The
 // task may be running until the worker's lease must have expired.
 func DecideWithoutHeartbeat(leaseUntil, now time.Time) Decision {
 	if now.Before(leaseUntil) {
@@ -90,9 +89,10 @@
 	return Decision{Action: Reschedule, Reason: LeaseExpired}
 }
 
-// DecideOnRecords decides about an attempt that a new leader has found, by the records alone:
-// they may have its task as done, or a later session of its worker than the attempt's. Else it
-// waits for a heartbeat, or until the worker's lease must have expired.
+// DecideOnRecords decides about an attempt that a new leader found in the records, before any
+// heartbeat. The records may show that the task is done, or that its worker has started a later
+// agent epoch. Otherwise the attempt waits for a heartbeat, or until the worker's lease must have
+// expired.
 func DecideOnRecords(attempt Attempt, taskDone bool, newestSession uint64, leaseUntil time.Time) Decision {
 	switch {
 	case taskDone:
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -9,7 +9,7 @@
 	"ospreyslip/internal/workers"
 )
 
-// stored is an attempt in session 3 whose beginning is written, of a job that goes on.
+// stored returns an attempt in agent epoch 3 whose start is durable, of an unfinished job.
 func stored(change func(*Attempt)) Attempt {
 	a := Attempt{Session: 3, Durable: true, RunsToCompletion: true, GangReady: true}
 	if change != nil {
@@ -30,19 +30,19 @@
 		picture Observation
 		want    Decision
 	}{
-		{"it runs as stored", stored(nil), Observation{3, 7, task(workers.StateRunning, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"it ended while nobody led", stored(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
+		{"runs as recorded", stored(nil), Observation{3, 7, task(workers.StateRunning, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"completed while there was no leader", stored(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
 		{"a service never completes", stored(func(a *Attempt) { a.RunsToCompletion = false }), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Reschedule, Reason: "done"}},
-		{"it failed", stored(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseError)}, Decision{Action: Reschedule, Reason: "error"}},
-		{"the lease ran out", stored(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: SessionEnded}},
-		{"a copy from an earlier session", stored(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
-		{"never begun", stored(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
-		{"never begun, and cancelled", stored(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
-		{"a command is in flight", stored(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
-		{"a command may come late", doubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
-		{"it would be refused", doubt, Observation{3, 8, nil}, Decision{Action: Start, Reason: Absent}},
-		{"it came", doubt, Observation{3, 7, task(workers.StateFetching, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"its beginning is not written", stored(func(a *Attempt) { a.Durable = false }), Observation{3, 7, nil}, Decision{Action: Wait, Reason: StartNotDurable}},
+		{"failed", stored(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseError)}, Decision{Action: Reschedule, Reason: "error"}},
+		{"a later agent epoch has started", stored(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: SessionEnded}},
+		{"delayed heartbeat of an earlier agent epoch", stored(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
+		{"never started", stored(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
+		{"never started, and cancelled", stored(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
+		{"a start command is in flight", stored(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
+		{"an earlier command may still arrive", doubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
+		{"an earlier command would be refused", doubt, Observation{3, 8, nil}, Decision{Action: Start, Reason: Absent}},
+		{"the earlier command has arrived", doubt, Observation{3, 7, task(workers.StateFetching, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"its start is not durable", stored(func(a *Attempt) { a.Durable = false }), Observation{3, 7, nil}, Decision{Action: Wait, Reason: StartNotDurable}},
 	} {
 		if got := DecideOnHeartbeat(c.attempt, c.picture); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", c.what, got.Action, got.Reason, c.want.Action, c.want.Reason)
@@ -55,18 +55,18 @@
 		change func(*Attempt)
 		want   Decision
 	}{
-		"just assigned":         {nil, Decision{Action: Start, Reason: Assigned}},
-		"runs":                  {func(a *Attempt) { a.ObservedState = workers.StateRunning }, Decision{Action: Adopt, Reason: Reported}},
-		"sent":                  {func(a *Attempt) { a.Sent = true }, Decision{Action: Wait, Reason: CommandUnanswered}},
-		"in doubt":              {func(a *Attempt) { a.InDoubtToken = 7 }, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
-		"cancelled":             {func(a *Attempt) { a.ObservedState, a.JobFinished, a.JobCancelled = workers.StateRunning, true, true }, Decision{Action: Stop, Reason: JobCancelled}},
-		"done elsewhere":        {func(a *Attempt) { a.ObservedState, a.JobFinished = workers.StateRunning, true }, Decision{Action: Stop, Reason: JobFinished}},
-		"cancelled, never sent": {func(a *Attempt) { a.JobFinished, a.JobCancelled = true, true }, Decision{Action: Wait, Reason: NotWanted}},
-		"makes room":            {func(a *Attempt) { a.ObservedState, a.Preempted, a.GraceS = workers.StateRunning, true, 4 }, Decision{Action: Stop, Reason: Preempted, GraceS: 4}},
-		"saves":                 {func(a *Attempt) { a.ObservedState, a.Preempted = workers.StateSaving, true }, Decision{Action: Wait, Reason: Checkpointing}},
-		"half of a gang":        {func(a *Attempt) { a.GangReady = false }, Decision{Action: Wait, Reason: GangIncomplete}},
-		"log has a hole":        {func(a *Attempt) { a.RecordsIncomplete = true }, Decision{Action: Wait, Reason: RecordsIncomplete}},
-		"not written":           {func(a *Attempt) { a.Durable = false }, Decision{Action: Wait, Reason: StartNotDurable}},
+		"just assigned":                     {nil, Decision{Action: Start, Reason: Assigned}},
+		"runs":                              {func(a *Attempt) { a.ObservedState = workers.StateRunning }, Decision{Action: Adopt, Reason: Reported}},
+		"sent":                              {func(a *Attempt) { a.Sent = true }, Decision{Action: Wait, Reason: CommandUnanswered}},
+		"in doubt":                          {func(a *Attempt) { a.InDoubtToken = 7 }, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
+		"cancelled":                         {func(a *Attempt) { a.ObservedState, a.JobFinished, a.JobCancelled = workers.StateRunning, true, true }, Decision{Action: Stop, Reason: JobCancelled}},
+		"job finished":                      {func(a *Attempt) { a.ObservedState, a.JobFinished = workers.StateRunning, true }, Decision{Action: Stop, Reason: JobFinished}},
+		"cancelled, never sent":             {func(a *Attempt) { a.JobFinished, a.JobCancelled = true, true }, Decision{Action: Wait, Reason: NotWanted}},
+		"preempted":                         {func(a *Attempt) { a.ObservedState, a.Preempted, a.GraceS = workers.StateRunning, true, 4 }, Decision{Action: Stop, Reason: Preempted, GraceS: 4}},
+		"preempted, writing its checkpoint": {func(a *Attempt) { a.ObservedState, a.Preempted = workers.StateSaving, true }, Decision{Action: Wait, Reason: Checkpointing}},
+		"gang incomplete":                   {func(a *Attempt) { a.GangReady = false }, Decision{Action: Wait, Reason: GangIncomplete}},
+		"records incomplete":                {func(a *Attempt) { a.RecordsIncomplete = true }, Decision{Action: Wait, Reason: RecordsIncomplete}},
+		"start not durable":                 {func(a *Attempt) { a.Durable = false }, Decision{Action: Wait, Reason: StartNotDurable}},
 	} {
 		if got := DecideCommand(stored(c.change)); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", what, got.Action, got.Reason, c.want.Action, c.want.Reason)
@@ -79,13 +79,13 @@
 		task OrphanedTask
 		want Decision
 	}{
-		"a stray":                  {OrphanedTask{WorkerToken: 7, InHeartbeatAnswer: true}, Decision{Action: Stop, Reason: Orphaned}},
-		"of a cancelled job":       {OrphanedTask{WorkerToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
-		"of a lost job":            {OrphanedTask{WorkerToken: 7, RecordsIncomplete: true}, Decision{Action: InDoubt, Reason: RecordsIncomplete}},
-		"ended":                    {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
-		"ended, by an order":       {OrphanedTask{WorkerToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndRecorded}},
-		"its order may come again": {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
-		"its order is refused":     {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"running":                     {OrphanedTask{WorkerToken: 7, InHeartbeatAnswer: true}, Decision{Action: Stop, Reason: Orphaned}},
+		"running, of a cancelled job": {OrphanedTask{WorkerToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
+		"running, records incomplete": {OrphanedTask{WorkerToken: 7, RecordsIncomplete: true}, Decision{Action: InDoubt, Reason: RecordsIncomplete}},
+		"ended":                       {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"ended, outside the answer to a heartbeat": {OrphanedTask{WorkerToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndRecorded}},
+		"ended, start command may arrive again":    {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
+		"ended, start command would be refused":    {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
 	} {
 		if got := c.task.DecideCommand(); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", what, got.Action, got.Reason, c.want.Action, c.want.Reason)
@@ -93,44 +93,44 @@
 	}
 }
 
-// A heartbeat from before the term stops what is cancelled and proves nothing else; without a
-// heartbeat only the end of the lease proves anything.
+// Without a heartbeat from this term, only the expiry of the lease and the records prove anything.
+// A heartbeat from before the term may stop a cancelled task but proves nothing.
 func TestWithoutHeartbeatOfThisTerm(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	if d := DecideOnStaleHeartbeat(task(workers.StateRunning, ""), true); d.Action != Stop {
-		t.Errorf("cancelled: %v", d)
+		t.Errorf("running task of a cancelled job in a stale heartbeat: %v", d)
 	}
 	if d := DecideOnStaleHeartbeat(task(workers.StateEnded, workers.CauseDone), false); d.Action != Wait {
-		t.Errorf("done by an old report: %v", d)
+		t.Errorf("task done in a stale heartbeat: %v", d)
 	}
 	if d := DecideWithoutHeartbeat(now.Add(time.Second), now); d.Action != Wait || d.Until != now.Add(time.Second) {
-		t.Errorf("within the lease: %v", d)
+		t.Errorf("before the lease expires: %v", d)
 	}
 	if d := DecideWithoutHeartbeat(now, now); d.Action != Reschedule || d.Reason != LeaseExpired {
-		t.Errorf("after it: %v", d)
+		t.Errorf("when the lease has expired: %v", d)
 	}
 	if d := DecideOnRecords(stored(nil), true, 3, now); d.Action != Complete {
 		t.Errorf("recorded as done: %v", d)
 	}
 	if d := DecideOnRecords(stored(nil), false, 4, now); d.Action != Reschedule {
-		t.Errorf("a later session is recorded: %v", d)
+		t.Errorf("a later agent epoch is recorded: %v", d)
 	}
 	if d := DecideOnRecords(stored(nil), false, 3, now); d.Action != Wait || d.Until != now {
-		t.Errorf("by the record alone: %v", d)
+		t.Errorf("records prove nothing: %v", d)
 	}
 }
 
-// Whatever is known: nothing is begun or given up while a command to begin it may be on its
-// way, and a task on its machine is stopped only for its job's end or when it is asked to.
+// No attempt is started or rescheduled while a start command may be in flight, and a task on its
+// machine is stopped only if its job has finished or it is preempted.
 func TestNothingHealthyIsTouched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
-			Session: 3, Durable: flag("durable"), CommandPending: flag("ordered"), Sent: flag("sent"), RunsToCompletion: flag("ends"),
+			Session: 3, Durable: flag("durable"), CommandPending: flag("command pending"), Sent: flag("sent"), RunsToCompletion: flag("runs to completion"),
 			InDoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), ObservedState: rapid.SampledFrom([]string{"", workers.StateRunning, workers.StateSaving}).Draw(t, "seen"),
-			JobFinished: flag("over"), Preempted: flag("stopping"), GangReady: flag("whole"), RecordsIncomplete: flag("incomplete"),
+			JobFinished: flag("over"), Preempted: flag("preempted"), GangReady: flag("whole"), RecordsIncomplete: flag("incomplete"),
 		}
-		shown := rapid.Uint64Range(1, 9).Draw(t, "shown")
+		shown := rapid.Uint64Range(1, 9).Draw(t, "worker token")
 		onItsWay := a.CommandPending || a.InDoubtToken != 0 && shown <= a.InDoubtToken
 		d := DecideOnHeartbeat(a, Observation{Session: 3, Token: shown})
 		if (d.Action == Reschedule || d.Action == Start) && (onItsWay || !a.Durable) {
@@ -138,10 +138,10 @@
 		}
 		c := DecideCommand(a)
 		if c.Action == Start && (a.ObservedState != "" || a.Sent || a.CommandPending || a.InDoubtToken != 0 || a.JobFinished || a.Preempted || !a.GangReady || a.RecordsIncomplete || !a.Durable) {
-			t.Fatalf("%+v begins", a)
+			t.Fatalf("%+v is started", a)
 		}
 		if c.Action == Stop && !a.JobFinished && !a.Preempted {
-			t.Fatalf("%+v stops", a)
+			t.Fatalf("%+v is stopped", a)
 		}
 	})
 }
--- a/internal/reconcile/failover.go
+++ b/internal/reconcile/failover.go
@@ -4,23 +4,24 @@
 	"time"
 )
 
-// Failover follows a new leader until every machine that the records name is accounted for: it
-// has reported, its worker's lease has expired, or it was released. One goroutine owns it.
+// Failover tracks the start of a leader's term until every machine in the records is accounted
+// for: it has reported, its worker's lease has expired, or it was released. It must be used from
+// one goroutine.
 type Failover struct {
 	startedAt      time.Time
-	overdueAfter   time.Duration // counted from loadedAt
+	overdueAfter   time.Duration // measured from loadedAt
 	loadedAt       time.Time
 	firstAnswerAt  time.Time
 	firstCommandAt time.Time
 	doneAt         time.Time
-	awaited        map[string]bool // machines that are not accounted for
+	awaited        map[string]bool // machines not yet accounted for
 	reported       int
 	neverReported  int
 	commandCounts  map[commandKey]int
 }
 
-// NewFailover makes the failover of a term that has started. A healthy machine reports within
-// overdueAfter of the moment when the records are loaded.
+// NewFailover returns the failover of a term that started at startedAt. A healthy machine reports
+// within overdueAfter of the moment at which the records are loaded.
 func NewFailover(startedAt time.Time, overdueAfter time.Duration) *Failover {
 	return &Failover{
 		startedAt: startedAt, overdueAfter: overdueAfter,
@@ -28,17 +29,17 @@
 	}
 }
 
-// ExpectMachine adds a machine of the records, unless the failover is done.
+// ExpectMachine adds a machine found in the records. It does nothing once the failover is done.
 func (f *Failover) ExpectMachine(machine string) {
 	if f.doneAt.IsZero() {
 		f.awaited[machine] = true
 	}
 }
 
-// RecordsLoaded takes in that all records are loaded, which ends the first phase.
+// RecordsLoaded records that all records have been loaded, which ends the first phase.
 func (f *Failover) RecordsLoaded(now time.Time) { f.loadedAt = now }
 
-// MachineReported takes in a heartbeat under this term's fencing token.
+// MachineReported records a heartbeat under this term's fencing token.
 func (f *Failover) MachineReported(machine string) {
 	if f.awaited[machine] {
 		delete(f.awaited, machine)
@@ -46,7 +47,7 @@
 	}
 }
 
-// MachineGone takes in that a machine can have no task any more, though it has not reported.
+// MachineGone records that a machine can no longer run any task, although it has not reported.
 func (f *Failover) MachineGone(machine string) {
 	if f.awaited[machine] {
 		delete(f.awaited, machine)
@@ -54,28 +55,29 @@
 	}
 }
 
-// HeartbeatAnswered takes in that a heartbeat was answered; the term's first is noted.
+// HeartbeatAnswered records that a heartbeat was answered. Only the first of the term counts.
 func (f *Failover) HeartbeatAnswered(now time.Time) {
 	if f.firstAnswerAt.IsZero() {
 		f.firstAnswerAt = now
 	}
 }
 
-// CommandSent takes in that a command was sent to a worker; the term's first is noted.
+// CommandSent records that a command was sent to a worker. Only the first of the term counts.
 func (f *Failover) CommandSent(now time.Time) {
 	if f.firstCommandAt.IsZero() {
 		f.firstCommandAt = now
 	}
 }
 
-// CountCommand counts a command to a worker, unless the failover is done.
+// CountCommand counts a command to a worker. It does nothing once the failover is done.
 func (f *Failover) CountCommand(op string, reason Reason) {
 	if f.doneAt.IsZero() {
 		f.commandCounts[commandKey{op, reason}]++
 	}
 }
 
-// TryFinish ends the failover if every machine is accounted for. It returns true once.
+// TryFinish ends the failover if every machine is accounted for. It returns true only for the call
+// that ends it.
 func (f *Failover) TryFinish(now time.Time) bool {
 	if f.loadedAt.IsZero() || !f.doneAt.IsZero() || len(f.awaited) > 0 {
 		return false
@@ -84,7 +86,7 @@
 	return true
 }
 
-// Phase returns how far the failover is.
+// Phase returns the current phase of the failover.
 func (f *Failover) Phase() Phase {
 	switch {
 	case f.loadedAt.IsZero():
@@ -95,15 +97,15 @@
 	return FailoverDone
 }
 
-// AwaitsCapacity tells whether machines may yet report, and with them free room for which
-// nothing needs to be preempted. Machines that are overdue do not count.
+// AwaitsCapacity reports whether machines may still report and bring free capacity, so that
+// nothing need be preempted. Overdue machines do not count.
 func (f *Failover) AwaitsCapacity(now time.Time) bool {
 	return f.Phase() == AwaitingHeartbeats && len(f.awaited) > 0 && now.Sub(f.loadedAt) < f.overdueAfter
 }
 
-// MayPreempt tells whether tasks may be preempted for a job that has waited since a moment.
-// While the failover awaits capacity only a job that has waited for bound may preempt, counted
-// from the load of the records at the earliest.
+// MayPreempt reports whether tasks may be preempted for a job that has waited since waitingSince.
+// While the failover awaits capacity, a job may preempt only once it has waited for bound,
+// measured from the loading of the records at the earliest.
 func (f *Failover) MayPreempt(now, waitingSince time.Time, bound time.Duration) bool {
 	if waitingSince.Before(f.loadedAt) {
 		waitingSince = f.loadedAt
--- a/internal/reconcile/failover_test.go
+++ b/internal/reconcile/failover_test.go
@@ -7,8 +7,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// A failover is done when every machine of the records is accounted for. Until then, or until
-// those that are left are overdue, others are preempted only for what would wait too long.
+// A failover is done when every machine in the records is accounted for. Until then, or until the
+// remaining machines are overdue, a job preempts others only once it has waited for its bound.
 func TestFailover(t *testing.T) {
 	began := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
@@ -17,7 +17,7 @@
 		failover.ExpectMachine(m)
 	}
 	if failover.Phase() != LoadingRecords || failover.TryFinish(at(1)) {
-		t.Error("settled before the records were read")
+		t.Error("failover is done before the records are loaded")
 	}
 	failover.RecordsLoaded(at(1))
 	failover.MachineReported("m-1")
@@ -26,13 +26,13 @@
 	failover.HeartbeatAnswered(at(2))
 	failover.CountCommand(workers.OpRun, Assigned)
 	if failover.Phase() != AwaitingHeartbeats || failover.MayPreempt(at(2), at(1.9), time.Second) {
-		t.Error("m-2 and m-3 may have room")
+		t.Error("job may preempt although m-2 and m-3 may still bring capacity")
 	}
 	if !failover.MayPreempt(at(2), at(0), time.Second) || failover.MayPreempt(at(1.9), at(0), time.Second) {
-		t.Error("what waits since before is bounded from when the records were read")
+		t.Error("bound of a job that waited earlier must be measured from the loading of the records")
 	}
 	if !failover.MayPreempt(at(7), at(6.9), time.Minute) {
-		t.Error("m-2 and m-3 are late: their room is not waited for")
+		t.Error("job still waits for m-2 and m-3, which are overdue")
 	}
 	if p := failover.Progress(at(7)); p.Overdue != 2 || p.Reported != 1 || p.Expected != 3 {
 		t.Errorf("%+v", p)
@@ -41,7 +41,7 @@
 	failover.MachineGone("m-3")
 	failover.MachineGone("m-2")
 	if !failover.TryFinish(at(9)) || failover.TryFinish(at(10)) {
-		t.Error("settled once, when all are accounted for")
+		t.Error("TryFinish must return true exactly once, when every machine is accounted for")
 	}
 	failover.CountCommand(workers.OpRun, Assigned)
 	p := failover.Progress(at(10))
@@ -53,6 +53,6 @@
 	}
 	failover.ExpectMachine("m-9")
 	if failover.Phase() != FailoverDone || !failover.MayPreempt(at(10), at(10), time.Hour) {
-		t.Error("a failover that is done expects nothing")
+		t.Error("a failover that is done must ignore expected machines and allow preemption")
 	}
 }
--- a/internal/reconcile/orphaned_task.go
+++ b/internal/reconcile/orphaned_task.go
@@ -1,18 +1,22 @@
 package reconcile
 
-// OrphanedTask is a task that a worker lists and that no attempt accounts for.
+// OrphanedTask is a task that a worker lists but that belongs to no known attempt.
 type OrphanedTask struct {
 	Ended             bool
 	JobCancelled      bool
-	RecordsIncomplete bool   // records may have been lost: it may have a job, or an attempt, all the same
-	CommandToken      uint64 // fencing token of the command that started it; 0 if a heartbeat's answer did, or an earlier leader
-	WorkerToken       uint64 // the highest fencing token that the worker has seen
-	InHeartbeatAnswer bool   // the decision goes into a heartbeat's answer, which no command to start it can follow
+	RecordsIncomplete bool // records may have been lost: it may belong to a job or an attempt
+	// CommandToken is the fencing token of the command that started it; 0 if it was started by the
+	// answer to a heartbeat or by an earlier leader.
+	CommandToken uint64
+	WorkerToken  uint64 // highest fencing token that the worker has seen
+	// InHeartbeatAnswer is set if the decision is sent in the answer to a heartbeat, after which
+	// no start command for the task can arrive.
+	InHeartbeatAnswer bool
 }
 
-// DecideCommand decides which command about an orphaned task its worker is to be sent, if any.
-// One that has ended is acknowledged only when no copy of the command that started it can
-// arrive any more: the worker, which would have forgotten it, would start it again.
+// DecideCommand decides which command about an orphaned task to send to its worker, if any. A task
+// that has ended is acknowledged only when no copy of the command that started it can still
+// arrive: the worker would have forgotten the task and would start it again.
 func (u OrphanedTask) DecideCommand() Decision {
 	switch {
 	case u.RecordsIncomplete:
--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -7,49 +7,51 @@
 	"time"
 )
 
-// Phase is how far a failover is.
+// Phase is a phase of a failover.
 type Phase string
 
-// The phases.
+// Phases of a failover.
 const (
 	LoadingRecords     Phase = "reading" // the records are being loaded
-	AwaitingHeartbeats Phase = "hearing" // not all machines that the records name are accounted for
-	FailoverDone       Phase = "settled" // all of them are
+	AwaitingHeartbeats Phase = "hearing" // not all machines in the records are accounted for
+	FailoverDone       Phase = "settled" // all machines are accounted for
 )
 
-// CommandCount is how often workers were sent a command for one reason.
+// CommandCount is the number of commands of one operation sent to workers for one reason.
 type CommandCount struct {
 	Op     string `json:"op"`
 	Reason Reason `json:"reason"`
 	Count  int    `json:"count"`
 }
 
-// String returns the count as logs show it.
+// String returns the count as shown in logs.
 func (c CommandCount) String() string { return fmt.Sprintf("%s (%s): %d", c.Op, c.Reason, c.Count) }
 
-// commandKey is what commands are counted by: the operation and the reason.
+// commandKey is the operation and reason by which commands are counted.
 type commandKey struct {
 	op     string
 	reason Reason
 }
 
-// Progress is a failover as operators see it, in the status and in logs. Times are in seconds
-// since the term began; 0 means not yet.
+// Progress is the state of a failover as shown to operators in the status and in logs. Times are
+// in seconds since the term began; 0 means that the event has not happened.
 type Progress struct {
-	Phase          Phase   `json:"phase"`
-	Expected       int     `json:"expected"` // machines that the records name
-	Reported       int     `json:"heard"`
-	Overdue        int     `json:"late"`  // of those that are not accounted for: healthy ones would have reported
-	NeverReported  int     `json:"never"` // accounted for without a heartbeat: the worker's lease expired, or the machine was released
+	Phase    Phase `json:"phase"`
+	Expected int   `json:"expected"` // machines in the records
+	Reported int   `json:"heard"`
+	Overdue  int   `json:"late"` // machines not accounted for by the time healthy ones would have reported
+	// NeverReported counts the machines accounted for without a heartbeat: the worker's lease
+	// expired, or the machine was released.
+	NeverReported  int     `json:"never"`
 	RecordsLoadedS float64 `json:"readS"`
-	FirstAnswerS   float64 `json:"answerS"` // first heartbeat answered
-	FirstCommandS  float64 `json:"orderS"`  // first command sent outside of such answers
+	FirstAnswerS   float64 `json:"answerS"` // first answer to a heartbeat
+	FirstCommandS  float64 `json:"orderS"`  // first command not sent in the answer to a heartbeat
 	DoneS          float64 `json:"settledS"`
-	// Commands until the failover was done, by operation and reason.
+	// Commands counts the commands sent before the failover was done, by operation and reason.
 	Commands []CommandCount `json:"commands"`
 }
 
-// Progress returns how far the failover is at a moment.
+// Progress returns the state of the failover at the given time.
 func (f *Failover) Progress(now time.Time) Progress {
 	progress := Progress{
 		Phase:          f.Phase(),
@@ -79,7 +81,7 @@
 	return all
 }
 
-// secondsSinceStart returns 0 for a moment that has not come.
+// secondsSinceStart returns the seconds from the start of the term until at, or 0 if at is zero.
 func (f *Failover) secondsSinceStart(at time.Time) float64 {
 	if at.IsZero() {
 		return 0
