--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -28,14 +28,14 @@
 // the plan already provisions, and otherwise to a new machine of the pool with the lowest price
 // per task of its job. Demands that no pool can serve are left out.
 func PlanScaleOut(demands []Demand, booting map[MachinePool]int, market Market) map[MachinePool]int {
-	plan := newScaleOut(booting, market)
+	plan := newScaleOutPlan(booting, market)
 	for _, demand := range demands {
 		tasksByZone := make(map[string]int, len(demand.TasksByZone)+1)
 		maps.Copy(tasksByZone, demand.TasksByZone)
-		for left := demand.Count; left > 0; left-- {
-			machine, ok := plan.fullestFit(demand.Spec, tasksByZone)
+		for remaining := demand.Count; remaining > 0; remaining-- {
+			machine, ok := plan.tightestFit(demand.Spec, tasksByZone)
 			if !ok {
-				if machine, ok = plan.provision(demand.Spec, tasksByZone, left); !ok {
+				if machine, ok = plan.provision(demand.Spec, tasksByZone, remaining); !ok {
 					break
 				}
 			}
@@ -59,8 +59,8 @@
 	return pools
 }
 
-// scaleOut is a plan under construction.
-type scaleOut struct {
+// scaleOutPlan is a plan under construction.
+type scaleOutPlan struct {
 	market      Market
 	available   map[capacity]int // number of machines that are booting or to be provisioned, by free resources
 	provisioned map[MachinePool]int
@@ -73,8 +73,8 @@
 	free placement.Resources
 }
 
-func newScaleOut(booting map[MachinePool]int, market Market) *scaleOut {
-	s := &scaleOut{market: market, available: map[capacity]int{}, provisioned: map[MachinePool]int{}}
+func newScaleOutPlan(booting map[MachinePool]int, market Market) *scaleOutPlan {
+	s := &scaleOutPlan{market: market, available: map[capacity]int{}, provisioned: map[MachinePool]int{}}
 	for pool, count := range booting {
 		if machineType := findType(pool.Type, market.Types); machineType != nil && count > 0 {
 			s.available[capacity{pool, placement.MachineTotal(machineType)}] += count
@@ -83,8 +83,8 @@
 	return s
 }
 
-// fullestFit returns the machine with the least free resources on which a task fits.
-func (s *scaleOut) fullestFit(spec *jobs.Spec, tasksByZone map[string]int) (best capacity, found bool) {
+// tightestFit returns the machine with the least free resources on which a task fits.
+func (s *scaleOutPlan) tightestFit(spec *jobs.Spec, tasksByZone map[string]int) (best capacity, found bool) {
 	request := placement.TaskRequest(spec)
 	for candidate := range s.available {
 		if !spec.Allows(candidate.Type, candidate.Zone, candidate.Spot) || !candidate.free.Fits(request) ||
@@ -110,23 +110,23 @@
 }
 
 // placeTask subtracts a task's request from the free resources of a machine.
-func (s *scaleOut) placeTask(spec *jobs.Spec, machine capacity) {
+func (s *scaleOutPlan) placeTask(spec *jobs.Spec, machine capacity) {
 	if s.available[machine]--; s.available[machine] == 0 {
 		delete(s.available, machine)
 	}
 	s.available[capacity{machine.MachinePool, machine.free.AddTimes(placement.TaskRequest(spec), -1)}]++
 }
 
-// provision adds a machine of the pool with the lowest price per task for a job with left tasks to
-// place. ok is false if no pool allows the job.
-func (s *scaleOut) provision(spec *jobs.Spec, tasksByZone map[string]int, left int) (machine capacity, ok bool) {
+// provision adds a machine of the pool with the lowest price per task for a job with the given
+// number of tasks remaining. ok is false if no pool allows the job.
+func (s *scaleOutPlan) provision(spec *jobs.Spec, tasksByZone map[string]int, remaining int) (machine capacity, ok bool) {
 	var best poolOption
 	for i := range s.market.Types {
 		machineType := &s.market.Types[i]
 		if !machineType.Fits(spec) {
 			continue
 		}
-		tasks := min(left, tasksPerMachine(machineType, spec))
+		tasks := min(remaining, tasksPerMachine(machineType, spec))
 		for _, pool := range poolsOf(machineType) {
 			if !spec.Allows(pool.Type, pool.Zone, pool.Spot) || !placement.TopologyAllows(spec, tasksByZone, pool.Zone) || s.market.OutOfCapacity(pool) {
 				continue
@@ -147,24 +147,24 @@
 
 // poolOption is a pool from which a machine could be provisioned.
 type poolOption struct {
-	pool         MachinePool
-	machineType  *jobs.MachineType
-	taskPrice    float64 // price of a machine per task that it would run
-	requestBegun bool    // the last planned request for the pool asks for fewer than MaxMachinesPerRequest
-	machineCount int     // machines that exist or are to be provisioned
+	pool              MachinePool
+	machineType       *jobs.MachineType
+	pricePerTask      float64 // price of a machine per task that it would run
+	hasPartialRequest bool    // the last planned request for the pool asks for fewer than MaxMachinesPerRequest
+	machineCount      int     // machines that exist or are to be provisioned
 }
 
-func (s *scaleOut) option(machineType *jobs.MachineType, pool MachinePool, tasks int) poolOption {
+func (s *scaleOutPlan) option(machineType *jobs.MachineType, pool MachinePool, tasks int) poolOption {
 	price := machineType.Price
 	if pool.Spot {
 		price = machineType.SpotPrice
 	}
 	return poolOption{
-		pool:         pool,
-		machineType:  machineType,
-		taskPrice:    price / float64(tasks),
-		requestBegun: s.provisioned[pool]%MaxMachinesPerRequest != 0,
-		machineCount: s.market.MachineCounts[pool] + s.provisioned[pool],
+		pool:              pool,
+		machineType:       machineType,
+		pricePerTask:      price / float64(tasks),
+		hasPartialRequest: s.provisioned[pool]%MaxMachinesPerRequest != 0,
+		machineCount:      s.market.MachineCounts[pool] + s.provisioned[pool],
 	}
 }
 
@@ -173,8 +173,8 @@
 // zones.
 func (o poolOption) compare(other poolOption) int {
 	return cmp.Or(
-		cmp.Compare(o.taskPrice, other.taskPrice),
-		falseFirst(o.requestBegun, other.requestBegun),
+		cmp.Compare(o.pricePerTask, other.pricePerTask),
+		falseFirst(o.hasPartialRequest, other.hasPartialRequest),
 		cmp.Compare(o.machineCount, other.machineCount),
 	)
 }
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -56,15 +56,15 @@
 	if reporter.hasWatermark() && !seq.Before(reporter.watermark) {
 		reporter.watermark = HeartbeatSeq{}
 	}
-	if current := d.zoneNamed(zone); current != reporter.zone {
+	if current := d.getOrCreateZone(zone); current != reporter.zone {
 		moveToZone(reporter, current)
 	}
-	reporter.lastHeartbeat, reporter.newestSeq, reporter.commandsSince = now, seq, 0
+	reporter.lastHeartbeat, reporter.newestSeq, reporter.commandsSinceNewestSeq = now, seq, 0
 	d.lastHeartbeat = now
 	reporter.zone.lastHeartbeat, reporter.zone.silentSince = now, time.Time{}
 	reporter.synced, reporter.lagging, reporter.suspected = true, false, false
 	if !reporter.unreachable {
-		reporter.revoke()
+		reporter.revokeDeath()
 	}
 	if d.fullDisruption {
 		d.endDisruption(now)
@@ -75,7 +75,7 @@
 // counter, whether or not its answer is received.
 func (d *Detector) CommandSent(id string) {
 	if m := d.byID[id]; m != nil {
-		m.commandsSince++
+		m.commandsSinceNewestSeq++
 	}
 }
 
@@ -107,7 +107,7 @@
 func (d *Detector) MarkReachable(id string) {
 	if m := d.byID[id]; m != nil && m.unreachable {
 		m.unreachable = false
-		m.revoke()
+		m.revokeDeath()
 	}
 }
 
@@ -125,16 +125,17 @@
 }
 
 func (d *Detector) add(id, zone string) *machine {
-	m := &machine{id: id, index: len(d.machines), zone: d.zoneNamed(zone)}
+	m := &machine{id: id, index: len(d.machines), zone: d.getOrCreateZone(zone)}
 	m.zone.machineCount++
 	d.byID[id] = m
 	d.machines = append(d.machines, m)
 	return m
 }
 
-// zoneNamed returns the named zone, and adds it if it does not exist. Zones are never removed, so
-// that a zone is known to have fallen silent even when its last machine has been removed.
-func (d *Detector) zoneNamed(name string) *zone {
+// getOrCreateZone returns the named zone, and adds it if it does not exist. Zones are never
+// removed, so that a zone is known to have fallen silent even when its last machine has been
+// removed.
+func (d *Detector) getOrCreateZone(name string) *zone {
 	found := d.zones[name]
 	if found == nil {
 		found = &zone{}
--- a/internal/liveness/disruption.go
+++ b/internal/liveness/disruption.go
@@ -9,7 +9,7 @@
 
 // detectDisruption records when all machines, or all machines of a zone, have fallen silent.
 func (d *Detector) detectDisruption(now time.Time) {
-	if !d.fullDisruption && (d.areAllSilent(now) || d.isGroupSilent(len(d.machines), d.lastHeartbeat, now)) {
+	if !d.fullDisruption && (d.allMachinesSilent(now) || d.isGroupSilent(len(d.machines), d.lastHeartbeat, now)) {
 		d.fullDisruption = true
 		d.setVerdictRates(1, 0, now)
 	}
@@ -20,8 +20,8 @@
 	}
 }
 
-// areAllSilent reports whether there are machines and all of them are silent.
-func (d *Detector) areAllSilent(now time.Time) bool {
+// allMachinesSilent reports whether there are machines and all of them are silent.
+func (d *Detector) allMachinesSilent(now time.Time) bool {
 	for _, m := range d.machines {
 		if !d.isSilent(m, now) {
 			return false
--- a/internal/liveness/heartbeat_seq.go
+++ b/internal/liveness/heartbeat_seq.go
@@ -1,7 +1,7 @@
 package liveness
 
-// HeartbeatSeq orders the messages of one worker by agent epoch (Session) and, within an epoch, by
-// a counter that the worker increments for each heartbeat and each command.
+// HeartbeatSeq orders the messages of one worker by agent epoch and, within an epoch, by a counter
+// that the worker increments for each heartbeat and each command.
 type HeartbeatSeq struct{ Session, Seq uint64 }
 
 // Before reports whether s is older than other.
--- a/internal/liveness/machine.go
+++ b/internal/liveness/machine.go
@@ -10,10 +10,10 @@
 	index int // index into Detector.machines
 	zone  *zone
 
-	lastHeartbeat time.Time
-	synced        bool         // it has sent a heartbeat to this leader
-	newestSeq     HeartbeatSeq // sequence of the newest heartbeat or answer received
-	commandsSince uint64       // commands and probes sent since newestSeq was received
+	lastHeartbeat          time.Time
+	synced                 bool         // it has sent a heartbeat to this leader
+	newestSeq              HeartbeatSeq // sequence of the newest heartbeat or answer received
+	commandsSinceNewestSeq uint64       // commands and probes sent since newestSeq was received
 
 	suspected   bool // there is a sign that it is gone, however recent its last heartbeat is
 	unreachable bool // its heartbeats arrive, but messages to it do not
@@ -41,7 +41,7 @@
 // commands sent since then.
 func (m *machine) advance(seq HeartbeatSeq) {
 	if m.newestSeq.Before(seq) {
-		m.newestSeq, m.commandsSince = seq, 0
+		m.newestSeq, m.commandsSinceNewestSeq = seq, 0
 	}
 }
 
@@ -50,8 +50,8 @@
 	m.deathReason, m.confirmedAt = reason, now
 }
 
-// revoke withdraws a death, whether only confirmed or already given as a verdict.
-func (m *machine) revoke() { m.dead, m.deathReason = false, "" }
+// revokeDeath withdraws a death, whether only confirmed or already given as a verdict.
+func (m *machine) revokeDeath() { m.dead, m.deathReason = false, "" }
 
 // zone is the state that the machines of one zone share.
 type zone struct {
--- a/internal/liveness/tick.go
+++ b/internal/liveness/tick.go
@@ -39,13 +39,13 @@
 		suspect := d.byID[id]
 		switch {
 		case suspect.deathReason != "":
-			if !onHold && d.takeVerdictTurn(suspect, now) {
+			if !onHold && d.allowVerdict(suspect, now) {
 				suspect.dead = true
 				verdicts = append(verdicts, Verdict{id, suspect.deathReason})
 			}
 		case len(probes) < maxProbes && !now.Before(suspect.probeNotBefore):
 			suspect.probing = true
-			suspect.commandsSince++
+			suspect.commandsSinceNewestSeq++
 			probes = append(probes, id)
 		}
 	}
@@ -100,12 +100,12 @@
 	})
 }
 
-// takeVerdictTurn reports whether a verdict on a machine may be given now, and if so consumes
-// one token of its zone's rate limit.
+// allowVerdict reports whether a verdict on a machine may be given now, and if so consumes one
+// token of its zone's rate limit.
 //
 // A leader that has just lost its connection sees machines fall silent one by one before all of
 // them are silent. A heartbeat of any machine must therefore follow the confirmation, as proof
 // that this leader still receives heartbeats.
-func (d *Detector) takeVerdictTurn(suspect *machine, now time.Time) bool {
+func (d *Detector) allowVerdict(suspect *machine, now time.Time) bool {
 	return !d.fullDisruption && d.lastHeartbeat.After(suspect.confirmedAt) && d.limiterOf(suspect.zone, now).allow(now)
 }
--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -32,17 +32,17 @@
 	VerdictInterval: time.Second, MachinesPerVerdict: 4,
 }
 
-func TestTraces(t *testing.T) {
+func TestDetectorTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no traces: %v", err)
 	}
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { play(t, file) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { playTrace(t, file) })
 	}
 }
 
-func play(t *testing.T, file string) {
+func playTrace(t *testing.T, file string) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -63,16 +63,16 @@
 		if len(fields) == 0 {
 			continue
 		}
-		where := fmt.Sprintf("%s:%d", file, i+1)
+		location := fmt.Sprintf("%s:%d", file, i+1)
 		atS, err := strconv.ParseFloat(fields[0], 64)
 		if err != nil {
-			t.Fatalf("%s: %v", where, err)
+			t.Fatalf("%s: %v", location, err)
 		}
 		now := start.Add(time.Duration(atS * float64(time.Second)))
 		if fields[1] != "tick" {
-			player.event(t, where, fields[1], fields[2:], now)
+			player.event(t, location, fields[1], fields[2:], now)
 		} else if d := cmp.Diff(strings.TrimSpace(want), player.tick(now)); d != "" {
-			t.Errorf("%s (-want +got):\n%s", where, d)
+			t.Errorf("%s (-want +got):\n%s", location, d)
 		}
 	}
 }
@@ -84,18 +84,18 @@
 }
 
 // event applies any event other than a tick.
-func (p *tracePlayer) event(t *testing.T, where, event string, args []string, now time.Time) {
+func (p *tracePlayer) event(t *testing.T, location, event string, args []string, now time.Time) {
 	t.Helper()
 	id := args[0]
 	switch event {
 	case "heartbeat":
-		p.detector.Heartbeat(id, args[1], parseSeq(t, where, args[2]), now)
+		p.detector.Heartbeat(id, args[1], parseSeq(t, location, args[2]), now)
 	case "restore":
 		p.detector.Restore(id, args[1], now)
 	case "command":
 		p.detector.CommandSent(id)
 	case "answered":
-		p.detector.CommandAnswered(id, parseSeq(t, where, args[1]))
+		p.detector.CommandAnswered(id, parseSeq(t, location, args[1]))
 	case "suspect":
 		p.detector.Suspect(id)
 	case "unreachable":
@@ -103,7 +103,7 @@
 	case "importance":
 		value, err := strconv.Atoi(args[1])
 		if err != nil {
-			t.Fatalf("%s: %v", where, err)
+			t.Fatalf("%s: %v", location, err)
 		}
 		p.importance[id] = value
 	case "forget":
@@ -112,10 +112,10 @@
 		if args[1] == "failed" {
 			p.detector.ProbeDone(id, false, HeartbeatSeq{}, now)
 		} else {
-			p.detector.ProbeDone(id, true, parseSeq(t, where, args[1]), now)
+			p.detector.ProbeDone(id, true, parseSeq(t, location, args[1]), now)
 		}
 	default:
-		t.Fatalf("%s: unknown event %q", where, event)
+		t.Fatalf("%s: unknown event %q", location, event)
 	}
 }
 
@@ -143,11 +143,11 @@
 	return strings.Join(got, "; ")
 }
 
-func parseSeq(t *testing.T, where, s string) HeartbeatSeq {
+func parseSeq(t *testing.T, location, s string) HeartbeatSeq {
 	t.Helper()
 	var seq HeartbeatSeq
 	if _, err := fmt.Sscanf(s, "%d/%d", &seq.Session, &seq.Seq); err != nil {
-		t.Fatalf("%s: %v", where, err)
+		t.Fatalf("%s: %v", location, err)
 	}
 	return seq
 }
--- a/internal/liveness/verdict_limiter_test.go
+++ b/internal/liveness/verdict_limiter_test.go
@@ -36,7 +36,7 @@
 		for i := range size {
 			detector.Heartbeat(fmt.Sprint("m-", i), "a", HeartbeatSeq{1, 1}, now)
 		}
-		judged, most := 0, 0
+		totalVerdicts, maxVerdicts := 0, 0
 		for step := range 60 {
 			at := now.Add(4*time.Second + time.Duration(step)*100*time.Millisecond)
 			detector.Heartbeat("m-b", "b", HeartbeatSeq{1, uint64(step + 1)}, at)
@@ -44,14 +44,14 @@
 			for _, id := range probes {
 				detector.ProbeDone(id, false, HeartbeatSeq{}, at)
 			}
-			judged += len(verdicts)
-			most = max(most, len(verdicts))
+			totalVerdicts += len(verdicts)
+			maxVerdicts = max(maxVerdicts, len(verdicts))
 		}
-		if share := float64(judged) / float64(size); share < 0.5 || share > 0.7 {
-			t.Errorf("%d machines: %d verdicts in six seconds", size, judged)
+		if share := float64(totalVerdicts) / float64(size); share < 0.5 || share > 0.7 {
+			t.Errorf("%d machines: %d verdicts in six seconds", size, totalVerdicts)
 		}
-		if most > size/20+1 {
-			t.Errorf("%d machines: %d verdicts in one tick", size, most)
+		if maxVerdicts > size/20+1 {
+			t.Errorf("%d machines: %d verdicts in one tick", size, maxVerdicts)
 		}
 	}
 }
--- a/internal/placement/bin_packing.go
+++ b/internal/placement/bin_packing.go
@@ -28,7 +28,7 @@
 // would be filled better: a cached image does not justify opening an emptier machine.
 func (p *planner) bestFit(job *Job, cachedOnly bool) *Machine {
 	request, image := TaskRequest(job.Spec), job.Spec.Image
-	startCounts := job.Spec.Shape != jobs.Batch
+	prioritizeStart := job.Spec.Shape != jobs.Batch
 	var best *Machine
 	var bestScore [3]float64
 	leastLeftover := math.Inf(1) // over all machines that fit, with or without the image
@@ -48,7 +48,7 @@
 			fetchS := machine.imageFetchS(job.Spec)
 			score := [3]float64{0, leftover, fetchS}
 			switch {
-			case startCounts:
+			case prioritizeStart:
 				score = [3]float64{fetchS, leftover, 0}
 			case job.NoTimeToRestart && machine.Spot:
 				score[0] = 1
@@ -58,7 +58,7 @@
 			}
 			// A pool is iterated fullest first. Once a machine needs no fetch, or a batch task
 			// leaves more free than on the best machine, no later machine is better.
-			return fetchS > 0 && (startCounts || leftover == bestScore[1])
+			return fetchS > 0 && (prioritizeStart || leftover == bestScore[1])
 		})
 	}
 	if cachedOnly && best != nil && bestScore[1] > leastLeftover {
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -78,11 +78,11 @@
 // eachWithCPUs calls next for each machine with enough free CPUs for a request, the fullest first,
 // until next returns false. It does not check the other resources.
 func (p *pool) eachWithCPUs(request Resources, next func(*Machine) bool) {
-	leastCPUs := request.CPUs - roundingTolerance
-	if roomiest, ok := p.machines.Max(); !ok || roomiest.Free.CPUs < leastCPUs {
+	minCPUs := request.CPUs - roundingTolerance
+	if emptiest, ok := p.machines.Max(); !ok || emptiest.Free.CPUs < minCPUs {
 		return // the common case: all machines are full
 	}
-	p.searchKey.Free.CPUs = leastCPUs
+	p.searchKey.Free.CPUs = minCPUs
 	p.machines.AscendGreaterOrEqual(&p.searchKey, next)
 }
 
--- a/internal/placement/capacity_index_test.go
+++ b/internal/placement/capacity_index_test.go
@@ -7,8 +7,8 @@
 
 // The cost of placing a task must not grow with the number of machines: most machines are full,
 // and a search must not visit them. Visits are counted rather than timed.
-func TestBestFitLooksAtFewMachines(t *testing.T) {
-	looked := func(machines int) (n int) {
+func TestSearchVisitsFewMachines(t *testing.T) {
+	countVisits := func(machines int) (n int) {
 		index := &CapacityIndex{}
 		for i := range machines {
 			m := newMachine(fmt.Sprintf("a%d", i), 0.5)
@@ -21,7 +21,7 @@
 		}
 		return n
 	}
-	if few, many := looked(25), looked(2500); few != many {
+	if few, many := countVisits(25), countVisits(2500); few != many {
 		t.Errorf("search visited %d of 25 machines, but %d of 2500", few, many)
 	}
 }
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -14,8 +14,8 @@
 	if !p.gangSchedulable(entry) {
 		return
 	}
-	p.trial = true
-	defer func() { p.trial, p.onlyZone, p.undo = false, "", nil }()
+	p.undoEnabled = true
+	defer func() { p.undoEnabled, p.onlyZone, p.undo = false, "", nil }()
 	zones := p.candidateZones(job.Spec)
 	best, fetchS := p.zoneWithSoonestStart(job, zones)
 	if best >= 0 && job.startsTooLate(fetchS) && p.preemptGangWhereCached(job, zones, out) {
@@ -63,10 +63,10 @@
 	return zones
 }
 
-// placeWhatFits places as many tasks of a gang as fit, in the named zone or in any zone if the
+// placeAsManyAsFit places as many tasks of a gang as fit, in the named zone or in any zone if the
 // name is empty. It returns their machines and the time in seconds that the slowest of them needs
 // to fetch the image.
-func (p *planner) placeWhatFits(job *Job, zone string) (machines []*Machine, fetchS float64) {
+func (p *planner) placeAsManyAsFit(job *Job, zone string) (machines []*Machine, fetchS float64) {
 	p.onlyZone = zone
 	for len(machines) < job.Pending {
 		machine := p.bestFit(job, false)
@@ -86,7 +86,7 @@
 func (p *planner) zoneWithSoonestStart(job *Job, zones []string) (best int, bestFetchS float64) {
 	best = -1
 	for i, zone := range zones {
-		machines, fetchS := p.placeWhatFits(job, zone)
+		machines, fetchS := p.placeAsManyAsFit(job, zone)
 		p.rollBack()
 		if len(machines) == job.Pending && (best < 0 || fetchS < bestFetchS) {
 			best, bestFetchS = i, fetchS
@@ -101,7 +101,7 @@
 // placeGang places all tasks of a gang in a zone that has room for them.
 func (p *planner) placeGang(entry queueEntry, zone string, out *Output) {
 	job := entry.Job
-	machines, _ := p.placeWhatFits(job, zone)
+	machines, _ := p.placeAsManyAsFit(job, zone)
 	for _, machine := range machines {
 		out.Assignments = append(out.Assignments, Assignment{job, machine, entry.starved})
 	}
@@ -125,18 +125,18 @@
 	}
 	best, fewestVictims := -1, 0
 	for i, zone := range zones {
-		var trial Output
-		machines, _ := p.placeWhatFits(job, zone)
-		roomFor := len(machines) + p.preemptFor(job, job.Pending-len(machines), &trial, p.requireImage)
-		if roomFor == job.Pending && (best < 0 || len(trial.Preemptions) < fewestVictims) {
-			best, fewestVictims = i, len(trial.Preemptions)
+		var tentative Output
+		machines, _ := p.placeAsManyAsFit(job, zone)
+		tasksWithRoom := len(machines) + p.preemptFor(job, job.Pending-len(machines), &tentative, p.requireImage)
+		if tasksWithRoom == job.Pending && (best < 0 || len(tentative.Preemptions) < fewestVictims) {
+			best, fewestVictims = i, len(tentative.Preemptions)
 		}
 		p.rollBack()
 	}
 	if best < 0 {
 		return false
 	}
-	machines, _ := p.placeWhatFits(job, zones[best])
+	machines, _ := p.placeAsManyAsFit(job, zones[best])
 	p.preemptFor(job, job.Pending-len(machines), out, p.requireImage)
 	job.roomReserved = true
 	out.Preempting = append(out.Preempting, job)
--- a/internal/placement/guarantee.go
+++ b/internal/placement/guarantee.go
@@ -6,9 +6,9 @@
 
 // MarkGuaranteed sets Guaranteed for each job that fits into its team's guarantee (its fair share)
 // together with the team's earlier jobs. The jobs must be in order of acceptance.
-func MarkGuaranteed(teams []settings.Team, jobsByAge []*Job) {
+func MarkGuaranteed(teams []settings.Team, jobsByAcceptance []*Job) {
 	requested := map[string]Resources{}
-	for _, job := range jobsByAge {
+	for _, job := range jobsByAcceptance {
 		team := findTeam(teams, job.Spec.Team)
 		total := requested[team.Name].AddTimes(TaskRequest(job.Spec), float64(job.Spec.Tasks))
 		requested[team.Name] = total
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -64,7 +64,7 @@
 			queue = queue[1:]
 			continue
 		}
-		count := interchangeable(queue)
+		count := countInterchangeable(queue)
 		if count > 1 {
 			for _, entry := range queue[:count] {
 				p.placeTasks(entry, out, true)
@@ -80,34 +80,34 @@
 // scheduleJob places a job's tasks where there is room, and preempts other tasks for the rest.
 func (p *planner) scheduleJob(entry queueEntry, out *Output) {
 	job, unplaced := entry.Job, p.placeTasks(entry, out, false)
-	left := p.withinQuota(job, unplaced)
-	if left <= 0 {
+	remaining := p.withinQuota(job, unplaced)
+	if remaining <= 0 {
 		return
 	}
-	roomFor := p.preemptFor(job, left, out, false)
-	left -= roomFor
-	job.Pending -= roomFor
+	tasksWithRoom := p.preemptFor(job, remaining, out, false)
+	remaining -= tasksWithRoom
+	job.Pending -= tasksWithRoom
 	if entry.starved {
 		// A task larger than the capacity that other tasks release from time to time would starve
 		// forever, so a machine is drained for it.
-		p.reserveEmptiest(job, left)
+		p.reserveEmptiest(job, remaining)
 		return
 	}
-	if left > 0 {
-		out.Unmet = append(out.Unmet, Demand{job, left})
+	if remaining > 0 {
+		out.Unmet = append(out.Unmet, Demand{job, remaining})
 	}
 }
 
 // placeTasks places tasks of a job on machines with room, and returns how many of the entry's
 // tasks are left. With cachedOnly it uses only machines that have the job's image, and only as
 // long as no machine without it would be filled better.
-func (p *planner) placeTasks(entry queueEntry, out *Output, cachedOnly bool) (left int) {
+func (p *planner) placeTasks(entry queueEntry, out *Output, cachedOnly bool) (remaining int) {
 	job := entry.Job
-	left = job.Pending
+	remaining = job.Pending
 	if entry.starved {
-		left = min(left, job.StarvedTasks)
+		remaining = min(remaining, job.StarvedTasks)
 	}
-	for left > 0 {
+	for remaining > 0 {
 		if p.withinQuota(job, 1) == 0 {
 			break // the quota is used up, so no machine would help
 		}
@@ -116,19 +116,19 @@
 			break
 		}
 		if p.preemptWhereCached(job, machine, out) {
-			left--
+			remaining--
 			job.Pending--
 			continue
 		}
 		p.placeTask(job, machine)
 		out.Assignments = append(out.Assignments, Assignment{job, machine, entry.starved})
-		left--
+		remaining--
 		job.Pending--
 		if entry.starved {
 			job.StarvedTasks--
 		}
 	}
-	return left
+	return remaining
 }
 
 // preemptWhereCached makes room for a service on a machine that has its image, if fetching the
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -30,8 +30,8 @@
 	return &Job{Spec: s, DeadlineS: 1e9, TasksByZone: map[string]int{}, Pending: tasks}
 }
 
-// running puts task n of a job on a machine, as running for ran seconds.
-func running(m *Machine, j *Job, n int, ran float64) {
+// addRunningTask puts task n of a job on a machine, as running for ran seconds.
+func addRunningTask(m *Machine, j *Job, n int, ran float64) {
 	m.Tasks = append(m.Tasks, &RunningTask{Job: j, Index: n, LostRunS: ran})
 	m.Free = m.Free.AddTimes(TaskRequest(j.Spec), -1)
 	j.TasksByZone[m.Zone]++
@@ -71,11 +71,11 @@
 			in.Jobs = []*Job{newJob("j-1", 1, 2, prod)}
 		}, "j-1/0>a2"},
 		{"service: preempts lower priority where the image is cached if a fetch takes too long", func(in *scenario) {
-			has := newMachine("a2", 4)
-			has.Images["img"] = true
+			cached := newMachine("a2", 4)
+			cached.Images["img"] = true
 			low := newJob("j-2", 1, 4, nil)
-			running(has, low, 0, 5)
-			in.Machines = []*Machine{newMachine("a1", 4), has}
+			addRunningTask(cached, low, 0, 5)
+			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			late, early := newJob("j-1", 1, 2, prod), newJob("j-3", 1, 2, prod)
 			late.StartWithinS, early.StartWithinS = 1, 5
 			in.Jobs = []*Job{late, early}
@@ -93,9 +93,9 @@
 			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 2, 2, gang)}
 		}, "j-2/0>a2 j-2/1>a1 unmet j-1 4"},
 		{"gang: the zone where its image is cached", func(in *scenario) {
-			has := newMachine("b1", 4)
-			has.Images["img"] = true
-			in.Machines = []*Machine{newMachine("a1", 4), has}
+			cached := newMachine("b1", 4)
+			cached.Images["img"] = true
+			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			in.Jobs = []*Job{newJob("j-1", 2, 2, gang)}
 		}, "j-1/0>b1 j-1/1>b1"},
 		{"spread gang: at most half of it in one zone", func(in *scenario) {
@@ -109,37 +109,37 @@
 		}, ""},
 		{"gang: preempts for all tasks and keeps free capacity reserved", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-9", 1, 4, low), 0, 5)
+			addRunningTask(m, newJob("j-9", 1, 4, low), 0, 5)
 			in.Machines = []*Machine{m, newMachine("a2", 4)}
 			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 1, 4, func(s *jobs.Spec) { s.Team = "blue" })}
 		}, "end j-9/0@a1 unmet j-2 1"},
 		{"gang: preempts nothing if not all tasks would fit", func(in *scenario) {
 			m, n := newMachine("a1", 4), newMachine("b1", 4)
-			running(m, newJob("j-8", 1, 4, low), 0, 5)
-			running(n, newJob("j-9", 1, 4, low), 0, 5)
+			addRunningTask(m, newJob("j-8", 1, 4, low), 0, 5)
+			addRunningTask(n, newJob("j-9", 1, 4, low), 0, 5)
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{newJob("j-1", 3, 2, gang)}
 		}, "unmet j-1 3"},
 		{"gang: goes first while tasks are being stopped for it", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4)}
-			g, covered := newJob("j-1", 2, 2, gang), newJob("j-2", 1, 4, nil)
-			g.Preempting, covered.Guaranteed = true, true
-			in.Jobs = []*Job{covered, g}
+			g, guaranteed := newJob("j-1", 2, 2, gang), newJob("j-2", 1, 4, nil)
+			g.Preempting, guaranteed.Guaranteed = true, true
+			in.Jobs = []*Job{guaranteed, g}
 		}, "j-1/0>a1 j-1/1>a1 unmet j-2 1"},
 		{"gang: preempts lower priority where the image is cached if a fetch takes too long", func(in *scenario) {
-			has := newMachine("b1", 4)
-			has.Images["img"] = true
-			running(has, newJob("j-9", 1, 4, low), 0, 5)
-			in.Machines = []*Machine{newMachine("a1", 4), has}
+			cached := newMachine("b1", 4)
+			cached.Images["img"] = true
+			addRunningTask(cached, newJob("j-9", 1, 4, low), 0, 5)
+			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			g := newJob("j-1", 2, 2, gang)
 			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
 		}, "end j-9/0@b1"},
 		{"gang: does not preempt another gang for an earlier start", func(in *scenario) {
-			has := newMachine("b1", 4)
-			has.Images["img"] = true
-			running(has, newJob("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
-			in.Machines = []*Machine{newMachine("a1", 4), has}
+			cached := newMachine("b1", 4)
+			cached.Images["img"] = true
+			addRunningTask(cached, newJob("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
+			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			g := newJob("j-1", 2, 2, gang)
 			g.StartWithinS = 1
 			in.Jobs = []*Job{g}
@@ -147,29 +147,29 @@
 		{"preempts other tasks rather than a gang", func(in *scenario) {
 			m, n := newMachine("a1", 4), newMachine("a2", 4)
 			g := newJob("j-8", 4, 4, func(s *jobs.Spec) { gang(s); low(s) })
-			running(m, g, 0, 1)
+			addRunningTask(m, g, 0, 1)
 			m.Tasks[0].GangTasks = 4
-			running(n, newJob("j-9", 1, 4, low), 0, 60)
+			addRunningTask(n, newJob("j-9", 1, 4, low), 0, 60)
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{newJob("j-1", 1, 4, prod)}
 		}, "end j-9/0@a2"},
 		{"new gang: reserves capacity and is reported as unmet", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
-			running(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
+			addRunningTask(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
 			g := newJob("j-1", 2, 2, gang)
 			g.ReserveRoom = true
 			in.Jobs = []*Job{newJob("j-2", 1, 2, nil), g}
 		}, "unmet j-1 2 unmet j-2 1"},
 		{"starved gang: reserves capacity", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
-			running(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
+			addRunningTask(in.Machines[0], newJob("j-9", 1, 2, nil), 0, 5)
 			g := newJob("j-1", 2, 2, gang)
 			g.StarvedTasks = 2
 			in.Jobs = []*Job{g, newJob("j-2", 1, 2, nil)}
 		}, "unmet j-1 2 unmet j-2 1"},
 		{"starved gang: reserves nothing if its zone can never hold it", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 4), newMachine("a2", 0)}
-			running(in.Machines[0], newJob("j-9", 1, 2, prod), 0, 5)
+			addRunningTask(in.Machines[0], newJob("j-9", 1, 2, prod), 0, 5)
 			g := newJob("j-1", 2, 2, gang)
 			g.StarvedTasks = 2
 			in.Jobs = []*Job{g, newJob("j-2", 1, 2, nil)}
@@ -225,51 +225,51 @@
 		{"production before age, guarantee before priority", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
 			old := newJob("j-1", 1, 1, func(s *jobs.Spec) { s.Priority = jobs.Urgent })
-			covered := newJob("j-2", 1, 1, nil)
-			covered.Guaranteed, covered.AcceptanceOrder = true, 5
-			live := newJob("j-3", 1, 1, prod)
-			live.AcceptanceOrder = 9
-			in.Jobs = []*Job{old, covered, live}
+			guaranteed := newJob("j-2", 1, 1, nil)
+			guaranteed.Guaranteed, guaranteed.AcceptanceOrder = true, 5
+			production := newJob("j-3", 1, 1, prod)
+			production.AcceptanceOrder = 9
+			in.Jobs = []*Job{old, guaranteed, production}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
 		{"overload: small job first, job with missed deadlines last", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
-			lost, large, small := newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, nil), newJob("j-3", 1, 1, nil)
-			lost.DeadlineS, lost.RemainingCPUS = DeadlineMissed, 1
+			missed, large, small := newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, nil), newJob("j-3", 1, 1, nil)
+			missed.DeadlineS, missed.RemainingCPUS = DeadlineMissed, 1
 			large.DeadlineS, large.RemainingCPUS = 50, 900
 			small.DeadlineS, small.RemainingCPUS = 60, 30
-			in.Jobs = []*Job{lost, large, small}
+			in.Jobs = []*Job{missed, large, small}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
 		{"preempts the lower-priority tasks that have run least", func(in *scenario) {
 			m := newMachine("a1", 4)
 			low := newJob("j-1", 4, 1, nil)
 			for n := range 4 {
-				running(m, low, n, float64(10*(n+1)))
+				addRunningTask(m, low, n, float64(10*(n+1)))
 			}
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 2, prod)}
 		}, "end j-1/0@a1 end j-1/1@a1"},
 		{"only production preempts a task that was starved", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
 			m.Tasks[0].Starved = true
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 4, nil), newJob("j-3", 1, 2, prod)}
 		}, "end j-1/0@a1 unmet j-2 1"},
 		{"batch job: victims get time for a checkpoint", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Priority = jobs.BestEffort }), 0, 1)
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 4, nil)}
 		}, "stop j-1/0@a1"},
 		{"does not preempt equal priority of the same team", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, nil), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, nil), 0, 1)
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 2, nil)}
 		}, "unmet j-2 1"},
 		{"guaranteed job preempts a team beyond its guarantee", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
 			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed = true
@@ -277,7 +277,7 @@
 		}, "stop j-1/0@a1"},
 		{"guaranteed job does not preempt while reclaiming is deferred", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority = "blue", jobs.Urgent }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
 			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed, j.ReclaimDeferred = true, true
@@ -285,7 +285,7 @@
 		}, "unmet j-2 1"},
 		{"guaranteed job does not preempt a production service", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority, s.Shape = "blue", jobs.Prod, jobs.Service }), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team, s.Priority, s.Shape = "blue", jobs.Prod, jobs.Service }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 8}
 			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed = true
@@ -293,7 +293,7 @@
 		}, "unmet j-2 1"},
 		{"guaranteed job does not preempt a team within its guarantee", func(in *scenario) {
 			m := newMachine("a1", 4)
-			running(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team = "blue" }), 0, 1)
+			addRunningTask(m, newJob("j-1", 1, 4, func(s *jobs.Spec) { s.Team = "blue" }), 0, 1)
 			in.UsedByTeam["blue"] = Resources{CPUs: 4}
 			j := newJob("j-2", 1, 2, nil)
 			j.Guaranteed = true
@@ -319,17 +319,17 @@
 		}, "unmet j-1 1"},
 		{"starved tasks go before guaranteed jobs, the rest of the job does not", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1), newMachine("a3", 1)}
-			poor := newJob("j-1", 4, 1, func(s *jobs.Spec) { s.Priority = jobs.BestEffort })
-			poor.StarvedTasks, poor.AcceptanceOrder = 1, 9
-			covered := newJob("j-2", 3, 1, nil)
-			covered.Guaranteed = true
-			in.Jobs = []*Job{covered, poor}
+			starved := newJob("j-1", 4, 1, func(s *jobs.Spec) { s.Priority = jobs.BestEffort })
+			starved.StarvedTasks, starved.AcceptanceOrder = 1, 9
+			guaranteed := newJob("j-2", 3, 1, nil)
+			guaranteed.Guaranteed = true
+			in.Jobs = []*Job{guaranteed, starved}
 		}, "j-1/0>a1 j-2/0>a2 j-2/1>a3 unmet j-2 1 unmet j-1 3"},
 		{"production goes before starved tasks", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1)}
-			poor := newJob("j-1", 1, 1, nil)
-			poor.StarvedTasks = 1
-			in.Jobs = []*Job{poor, newJob("j-2", 1, 1, prod)}
+			starved := newJob("j-1", 1, 1, nil)
+			starved.StarvedTasks = 1
+			in.Jobs = []*Job{starved, newJob("j-2", 1, 1, prod)}
 		}, "j-2/0>a1 unmet j-1 1"},
 		{"a machine is reserved for a starved large task", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 2)}
@@ -348,11 +348,11 @@
 			next := map[*Job]int{}
 			var got []string
 			for _, s := range out.Preemptions {
-				how := "stop"
+				action := "stop"
 				if s.WithoutGrace {
-					how = "end"
+					action = "end"
 				}
-				got = append(got, fmt.Sprintf("%s %s/%d@%s", how, s.Task.Job.Spec.ID, s.Task.Index, s.Machine.ID))
+				got = append(got, fmt.Sprintf("%s %s/%d@%s", action, s.Task.Job.Spec.ID, s.Task.Index, s.Machine.ID))
 			}
 			for _, a := range out.Assignments {
 				got = append(got, fmt.Sprintf("%s/%d>%s", a.Job.Spec.ID, next[a.Job], a.Machine.ID))
@@ -369,7 +369,7 @@
 }
 
 // A plan must leave the index unchanged.
-func TestPlanLeavesTheIndex(t *testing.T) {
+func TestPlanRestoresIndex(t *testing.T) {
 	m := newMachine("a1", 4)
 	index := &CapacityIndex{}
 	index.Insert(m)
--- a/internal/placement/planner_state.go
+++ b/internal/placement/planner_state.go
@@ -6,7 +6,7 @@
 
 // planner is a plan under construction: its input and the changes made so far.
 //
-// Gangs are placed tentatively: while trial is set, each change appends its reversal to
+// Gangs are placed tentatively: while undoEnabled is set, each change appends its reversal to
 // undo, so that rollBack can restore the state from before the changes.
 type planner struct {
 	Input
@@ -15,7 +15,7 @@
 	tasksLoaded  map[*Machine]bool      // machines for which Input.LoadTasks was called
 	onlyZone     string                 // if set, machines of other zones are skipped
 	requireImage bool                   // if set, machines without the job's image are skipped
-	trial        bool
+	undoEnabled  bool
 	undo         []func()
 }
 
@@ -29,7 +29,7 @@
 func (p *planner) countTask(job *Job, machine *Machine) {
 	job.TasksByZone[machine.Zone]++
 	p.UsedByTeam[job.Spec.Team] = p.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), 1)
-	if p.trial {
+	if p.undoEnabled {
 		p.undo = append(p.undo, func() {
 			job.TasksByZone[machine.Zone]--
 			p.UsedByTeam[job.Spec.Team] = p.UsedByTeam[job.Spec.Team].AddTimes(TaskRequest(job.Spec), -1)
@@ -42,7 +42,7 @@
 	if _, ok := p.originalFree[machine]; !ok {
 		p.originalFree[machine] = machine.Free
 	}
-	if before := machine.Free; p.trial {
+	if before := machine.Free; p.undoEnabled {
 		p.undo = append(p.undo, func() { p.Index.SetFree(machine, before) })
 	}
 	p.Index.SetFree(machine, free)
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -50,13 +50,13 @@
 // preemptFor preempts tasks for up to count tasks of a job, the cheapest victims first, and
 // returns the number of tasks that will have room. That room is reserved for the rest of this
 // plan. Later plans find it in Releasing and stop nothing more for the same tasks.
-func (p *planner) preemptFor(job *Job, count int, out *Output, withImage bool) (made int) {
+func (p *planner) preemptFor(job *Job, count int, out *Output, withImage bool) (tasksWithRoom int) {
 	if !p.preemptionPossible(job) {
 		return 0
 	}
 	search := victimSearch{job, TaskRequest(job.Spec), withImage}
 	options := p.preemptionOptions(search)
-	for made < count && options.Len() > 0 {
+	for tasksWithRoom < count && options.Len() > 0 {
 		option := options.cheapest()
 		machine := option.machine
 		if !machine.accepts(job) || !TopologyAllows(job.Spec, job.TasksByZone, machine.Zone) {
@@ -64,14 +64,14 @@
 			continue
 		}
 		p.preempt(search, option, out)
-		made++
+		tasksWithRoom++
 		if next, ok := p.cheapestVictims(search, machine); ok {
 			options.replaceCheapest(next)
 		} else {
 			heap.Pop(options)
 		}
 	}
-	return made
+	return tasksWithRoom
 }
 
 // preemptionOptions returns a heap of the machines where preempting some of the running tasks
@@ -133,7 +133,7 @@
 // room.
 func (p *planner) preempt(search victimSearch, option preemptionOption, out *Output) {
 	machine := option.machine
-	if tasks, releasing := machine.Tasks, machine.Releasing; p.trial {
+	if tasks, releasing := machine.Tasks, machine.Releasing; p.undoEnabled {
 		machine.Tasks = slices.Clone(tasks)
 		p.undo = append(p.undo, func() { machine.Tasks, machine.Releasing = tasks, releasing })
 	}
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -65,10 +65,10 @@
 // fall behind one with a later deadline.
 const maxInterchangeable = 8
 
-// interchangeable returns how many jobs at the head of the queue differ only in their
+// countInterchangeable returns how many jobs at the head of the queue differ only in their
 // deadline. When machines are scarce, each free machine goes to the one of these jobs whose image
 // it has: all of them have to wait, so the only time that can be saved is that of fetches.
-func interchangeable(queue []queueEntry) int {
+func countInterchangeable(queue []queueEntry) int {
 	head, count := queue[0], 1
 	if head.Spec.Shape != jobs.Batch {
 		return count
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -5,7 +5,7 @@
 // fits.
 func (p *planner) reserveEmptiest(job *Job, count int) {
 	for range count {
-		machine := p.emptiestUntouched(job)
+		machine := p.emptiestUnchanged(job)
 		if machine == nil {
 			return
 		}
@@ -13,13 +13,13 @@
 	}
 }
 
-// emptiestUntouched returns the machine with most free CPUs among those that the plan has not
+// emptiestUnchanged returns the machine with most free CPUs among those that the plan has not
 // changed and that could hold a task of the job if they were empty. It returns nil if there is
 // none.
-func (p *planner) emptiestUntouched(job *Job) *Machine {
+func (p *planner) emptiestUnchanged(job *Job) *Machine {
 	return p.Index.emptiest(func(machine *Machine) bool {
-		_, touched := p.originalFree[machine]
-		return !touched && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job) &&
+		_, changed := p.originalFree[machine]
+		return !changed && machine.Total.Fits(TaskRequest(job.Spec)) && machine.accepts(job) &&
 			(p.onlyZone == "" || machine.Zone == p.onlyZone)
 	})
 }
@@ -28,27 +28,27 @@
 // fit there once running tasks have ended. Otherwise the gang would wait for machines that are not
 // provisioned yet, and the reservation would only delay other jobs.
 func (p *planner) reserveForGang(job *Job, zones []string) {
-	best, most := -1, -1
+	best, mostPlaced := -1, -1
 	for i, zone := range zones {
-		machines, _ := p.placeWhatFits(job, zone)
+		machines, _ := p.placeAsManyAsFit(job, zone)
 		p.rollBack()
-		if len(machines) > most && p.willFitEventually(job, zone) {
-			best, most = i, len(machines)
+		if len(machines) > mostPlaced && p.willFitEventually(job, zone) {
+			best, mostPlaced = i, len(machines)
 		}
 	}
 	if best < 0 {
 		return
 	}
-	machines, _ := p.placeWhatFits(job, zones[best])
+	machines, _ := p.placeAsManyAsFit(job, zones[best])
 	request := TaskRequest(job.Spec)
-	left := job.Pending - len(machines)
-	for left > 0 {
-		machine := p.emptiestUntouched(job)
+	remaining := job.Pending - len(machines)
+	for remaining > 0 {
+		machine := p.emptiestUnchanged(job)
 		if machine == nil {
 			return
 		}
 		p.setFree(machine, Resources{})
-		for room := machine.Total; left > 0 && room.Fits(request); left-- {
+		for room := machine.Total; remaining > 0 && room.Fits(request); remaining-- {
 			room = room.AddTimes(request, -1)
 		}
 	}
--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -93,11 +93,11 @@
 // heartbeat. The records may show that the task is done, or that its worker has started a later
 // agent epoch. Otherwise the attempt waits for a heartbeat, or until the worker's lease must have
 // expired.
-func DecideOnRecords(attempt Attempt, taskDone bool, newestSession uint64, leaseUntil time.Time) Decision {
+func DecideOnRecords(attempt Attempt, taskDone bool, newestAgentEpoch uint64, leaseUntil time.Time) Decision {
 	switch {
 	case taskDone:
 		return Decision{Action: Complete, Reason: Reason(workers.CauseDone)}
-	case attempt.Session < newestSession:
+	case attempt.Session < newestAgentEpoch:
 		return Decision{Action: Reschedule, Reason: SessionEnded}
 	}
 	return Decision{Action: Wait, Reason: NoHeartbeat, Until: leaseUntil}
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -9,8 +9,8 @@
 	"ospreyslip/internal/workers"
 )
 
-// stored returns an attempt in agent epoch 3 whose start is durable, of an unfinished job.
-func stored(change func(*Attempt)) Attempt {
+// durableAttempt returns an attempt in agent epoch 3 whose start is durable, of an unfinished job.
+func durableAttempt(change func(*Attempt)) Attempt {
 	a := Attempt{Session: 3, Durable: true, RunsToCompletion: true, GangReady: true}
 	if change != nil {
 		change(&a)
@@ -23,35 +23,35 @@
 }
 
 func TestDecideOnHeartbeat(t *testing.T) {
-	doubt := stored(func(a *Attempt) { a.InDoubtToken = 7 })
+	inDoubt := durableAttempt(func(a *Attempt) { a.InDoubtToken = 7 })
 	for _, c := range []struct {
-		what    string
-		attempt Attempt
-		picture Observation
-		want    Decision
+		name        string
+		attempt     Attempt
+		observation Observation
+		want        Decision
 	}{
-		{"runs as recorded", stored(nil), Observation{3, 7, task(workers.StateRunning, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"completed while there was no leader", stored(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
-		{"a service never completes", stored(func(a *Attempt) { a.RunsToCompletion = false }), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Reschedule, Reason: "done"}},
-		{"failed", stored(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseError)}, Decision{Action: Reschedule, Reason: "error"}},
-		{"a later agent epoch has started", stored(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: SessionEnded}},
-		{"delayed heartbeat of an earlier agent epoch", stored(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
-		{"never started", stored(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
-		{"never started, and cancelled", stored(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
-		{"a start command is in flight", stored(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
-		{"an earlier command may still arrive", doubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
-		{"an earlier command would be refused", doubt, Observation{3, 8, nil}, Decision{Action: Start, Reason: Absent}},
-		{"the earlier command has arrived", doubt, Observation{3, 7, task(workers.StateFetching, "")}, Decision{Action: Adopt, Reason: Reported}},
-		{"its start is not durable", stored(func(a *Attempt) { a.Durable = false }), Observation{3, 7, nil}, Decision{Action: Wait, Reason: StartNotDurable}},
+		{"runs as recorded", durableAttempt(nil), Observation{3, 7, task(workers.StateRunning, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"completed while there was no leader", durableAttempt(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
+		{"a service never completes", durableAttempt(func(a *Attempt) { a.RunsToCompletion = false }), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Reschedule, Reason: "done"}},
+		{"failed", durableAttempt(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseError)}, Decision{Action: Reschedule, Reason: "error"}},
+		{"a later agent epoch has started", durableAttempt(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: SessionEnded}},
+		{"delayed heartbeat of an earlier agent epoch", durableAttempt(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
+		{"never started", durableAttempt(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
+		{"never started, and cancelled", durableAttempt(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
+		{"a start command is in flight", durableAttempt(func(a *Attempt) { a.CommandPending = true }), Observation{3, 9, nil}, Decision{Action: InDoubt, Reason: CommandUnanswered}},
+		{"an earlier command may still arrive", inDoubt, Observation{3, 7, nil}, Decision{Action: InDoubt, Reason: TokenNotSuperseded}},
+		{"an earlier command would be refused", inDoubt, Observation{3, 8, nil}, Decision{Action: Start, Reason: Absent}},
+		{"the earlier command has arrived", inDoubt, Observation{3, 7, task(workers.StateFetching, "")}, Decision{Action: Adopt, Reason: Reported}},
+		{"its start is not durable", durableAttempt(func(a *Attempt) { a.Durable = false }), Observation{3, 7, nil}, Decision{Action: Wait, Reason: StartNotDurable}},
 	} {
-		if got := DecideOnHeartbeat(c.attempt, c.picture); got != c.want {
-			t.Errorf("%s: %v (%s), want %v (%s)", c.what, got.Action, got.Reason, c.want.Action, c.want.Reason)
+		if got := DecideOnHeartbeat(c.attempt, c.observation); got != c.want {
+			t.Errorf("%s: %v (%s), want %v (%s)", c.name, got.Action, got.Reason, c.want.Action, c.want.Reason)
 		}
 	}
 }
 
 func TestDecideCommand(t *testing.T) {
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		change func(*Attempt)
 		want   Decision
 	}{
@@ -68,14 +68,14 @@
 		"records incomplete":                {func(a *Attempt) { a.RecordsIncomplete = true }, Decision{Action: Wait, Reason: RecordsIncomplete}},
 		"start not durable":                 {func(a *Attempt) { a.Durable = false }, Decision{Action: Wait, Reason: StartNotDurable}},
 	} {
-		if got := DecideCommand(stored(c.change)); got != c.want {
-			t.Errorf("%s: %v (%s), want %v (%s)", what, got.Action, got.Reason, c.want.Action, c.want.Reason)
+		if got := DecideCommand(durableAttempt(c.change)); got != c.want {
+			t.Errorf("%s: %v (%s), want %v (%s)", name, got.Action, got.Reason, c.want.Action, c.want.Reason)
 		}
 	}
 }
 
 func TestOrphanedTask(t *testing.T) {
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		task OrphanedTask
 		want Decision
 	}{
@@ -88,7 +88,7 @@
 		"ended, start command would be refused":    {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
 	} {
 		if got := c.task.DecideCommand(); got != c.want {
-			t.Errorf("%s: %v (%s), want %v (%s)", what, got.Action, got.Reason, c.want.Action, c.want.Reason)
+			t.Errorf("%s: %v (%s), want %v (%s)", name, got.Action, got.Reason, c.want.Action, c.want.Reason)
 		}
 	}
 }
@@ -109,20 +109,20 @@
 	if d := DecideWithoutHeartbeat(now, now); d.Action != Reschedule || d.Reason != LeaseExpired {
 		t.Errorf("when the lease has expired: %v", d)
 	}
-	if d := DecideOnRecords(stored(nil), true, 3, now); d.Action != Complete {
+	if d := DecideOnRecords(durableAttempt(nil), true, 3, now); d.Action != Complete {
 		t.Errorf("recorded as done: %v", d)
 	}
-	if d := DecideOnRecords(stored(nil), false, 4, now); d.Action != Reschedule {
+	if d := DecideOnRecords(durableAttempt(nil), false, 4, now); d.Action != Reschedule {
 		t.Errorf("a later agent epoch is recorded: %v", d)
 	}
-	if d := DecideOnRecords(stored(nil), false, 3, now); d.Action != Wait || d.Until != now {
+	if d := DecideOnRecords(durableAttempt(nil), false, 3, now); d.Action != Wait || d.Until != now {
 		t.Errorf("records prove nothing: %v", d)
 	}
 }
 
 // No attempt is started or rescheduled while a start command may be in flight, and a task on its
 // machine is stopped only if its job has finished or it is preempted.
-func TestNothingHealthyIsTouched(t *testing.T) {
+func TestHealthyTasksAreNotDisturbed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
@@ -130,11 +130,11 @@
 			InDoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), ObservedState: rapid.SampledFrom([]string{"", workers.StateRunning, workers.StateSaving}).Draw(t, "seen"),
 			JobFinished: flag("over"), Preempted: flag("preempted"), GangReady: flag("whole"), RecordsIncomplete: flag("incomplete"),
 		}
-		shown := rapid.Uint64Range(1, 9).Draw(t, "worker token")
-		onItsWay := a.CommandPending || a.InDoubtToken != 0 && shown <= a.InDoubtToken
-		d := DecideOnHeartbeat(a, Observation{Session: 3, Token: shown})
-		if (d.Action == Reschedule || d.Action == Start) && (onItsWay || !a.Durable) {
-			t.Fatalf("%+v with token %d: %v (%s)", a, shown, d.Action, d.Reason)
+		workerToken := rapid.Uint64Range(1, 9).Draw(t, "worker token")
+		commandMayArrive := a.CommandPending || a.InDoubtToken != 0 && workerToken <= a.InDoubtToken
+		d := DecideOnHeartbeat(a, Observation{Session: 3, Token: workerToken})
+		if (d.Action == Reschedule || d.Action == Start) && (commandMayArrive || !a.Durable) {
+			t.Fatalf("%+v with token %d: %v (%s)", a, workerToken, d.Action, d.Reason)
 		}
 		c := DecideCommand(a)
 		if c.Action == Start && (a.ObservedState != "" || a.Sent || a.CommandPending || a.InDoubtToken != 0 || a.JobFinished || a.Preempted || !a.GangReady || a.RecordsIncomplete || !a.Durable) {
--- a/internal/reconcile/failover.go
+++ b/internal/reconcile/failover.go
@@ -8,16 +8,16 @@
 // for: it has reported, its worker's lease has expired, or it was released. It must be used from
 // one goroutine.
 type Failover struct {
-	startedAt      time.Time
-	overdueAfter   time.Duration // measured from loadedAt
-	loadedAt       time.Time
-	firstAnswerAt  time.Time
-	firstCommandAt time.Time
-	doneAt         time.Time
-	awaited        map[string]bool // machines not yet accounted for
-	reported       int
-	neverReported  int
-	commandCounts  map[commandKey]int
+	startedAt       time.Time
+	overdueAfter    time.Duration // measured from loadedAt
+	loadedAt        time.Time
+	firstAnswerAt   time.Time
+	firstCommandAt  time.Time
+	doneAt          time.Time
+	awaitedMachines map[string]bool // machines not yet accounted for
+	reported        int
+	neverReported   int
+	commandCounts   map[commandKey]int
 }
 
 // NewFailover returns the failover of a term that started at startedAt. A healthy machine reports
@@ -25,14 +25,14 @@
 func NewFailover(startedAt time.Time, overdueAfter time.Duration) *Failover {
 	return &Failover{
 		startedAt: startedAt, overdueAfter: overdueAfter,
-		awaited: map[string]bool{}, commandCounts: map[commandKey]int{},
+		awaitedMachines: map[string]bool{}, commandCounts: map[commandKey]int{},
 	}
 }
 
 // ExpectMachine adds a machine found in the records. It does nothing once the failover is done.
 func (f *Failover) ExpectMachine(machine string) {
 	if f.doneAt.IsZero() {
-		f.awaited[machine] = true
+		f.awaitedMachines[machine] = true
 	}
 }
 
@@ -41,16 +41,16 @@
 
 // MachineReported records a heartbeat under this term's fencing token.
 func (f *Failover) MachineReported(machine string) {
-	if f.awaited[machine] {
-		delete(f.awaited, machine)
+	if f.awaitedMachines[machine] {
+		delete(f.awaitedMachines, machine)
 		f.reported++
 	}
 }
 
 // MachineGone records that a machine can no longer run any task, although it has not reported.
 func (f *Failover) MachineGone(machine string) {
-	if f.awaited[machine] {
-		delete(f.awaited, machine)
+	if f.awaitedMachines[machine] {
+		delete(f.awaitedMachines, machine)
 		f.neverReported++
 	}
 }
@@ -79,7 +79,7 @@
 // TryFinish ends the failover if every machine is accounted for. It returns true only for the call
 // that ends it.
 func (f *Failover) TryFinish(now time.Time) bool {
-	if f.loadedAt.IsZero() || !f.doneAt.IsZero() || len(f.awaited) > 0 {
+	if f.loadedAt.IsZero() || !f.doneAt.IsZero() || len(f.awaitedMachines) > 0 {
 		return false
 	}
 	f.doneAt = now
@@ -100,7 +100,7 @@
 // AwaitsCapacity reports whether machines may still report and bring free capacity, so that
 // nothing need be preempted. Overdue machines do not count.
 func (f *Failover) AwaitsCapacity(now time.Time) bool {
-	return f.Phase() == AwaitingHeartbeats && len(f.awaited) > 0 && now.Sub(f.loadedAt) < f.overdueAfter
+	return f.Phase() == AwaitingHeartbeats && len(f.awaitedMachines) > 0 && now.Sub(f.loadedAt) < f.overdueAfter
 }
 
 // MayPreempt reports whether tasks may be preempted for a job that has waited since waitingSince.
--- a/internal/reconcile/failover_test.go
+++ b/internal/reconcile/failover_test.go
@@ -10,9 +10,9 @@
 // A failover is done when every machine in the records is accounted for. Until then, or until the
 // remaining machines are overdue, a job preempts others only once it has waited for its bound.
 func TestFailover(t *testing.T) {
-	began := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	failover := NewFailover(began, 6*time.Second)
+	startedAt := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	at := func(s float64) time.Time { return startedAt.Add(time.Duration(s * float64(time.Second))) }
+	failover := NewFailover(startedAt, 6*time.Second)
 	for _, m := range []string{"m-1", "m-2", "m-3", "m-1"} {
 		failover.ExpectMachine(m)
 	}
--- a/internal/reconcile/orphaned_task.go
+++ b/internal/reconcile/orphaned_task.go
@@ -17,17 +17,17 @@
 // DecideCommand decides which command about an orphaned task to send to its worker, if any. A task
 // that has ended is acknowledged only when no copy of the command that started it can still
 // arrive: the worker would have forgotten the task and would start it again.
-func (u OrphanedTask) DecideCommand() Decision {
+func (orphan OrphanedTask) DecideCommand() Decision {
 	switch {
-	case u.RecordsIncomplete:
+	case orphan.RecordsIncomplete:
 		return Decision{Action: InDoubt, Reason: RecordsIncomplete}
-	case !u.Ended && u.JobCancelled:
+	case !orphan.Ended && orphan.JobCancelled:
 		return Decision{Action: Stop, Reason: JobCancelled}
-	case !u.Ended:
+	case !orphan.Ended:
 		return Decision{Action: Stop, Reason: Orphaned}
-	case u.CommandToken != 0 && u.CommandToken >= u.WorkerToken:
+	case orphan.CommandToken != 0 && orphan.CommandToken >= orphan.WorkerToken:
 		return Decision{Action: Wait, Reason: TokenNotSuperseded}
-	case !u.InHeartbeatAnswer:
+	case !orphan.InHeartbeatAnswer:
 		return Decision{Action: Wait, Reason: EndRecorded}
 	}
 	return Decision{Action: Acknowledge, Reason: EndRecorded}
--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -55,7 +55,7 @@
 func (f *Failover) Progress(now time.Time) Progress {
 	progress := Progress{
 		Phase:          f.Phase(),
-		Expected:       f.reported + f.neverReported + len(f.awaited),
+		Expected:       f.reported + f.neverReported + len(f.awaitedMachines),
 		Reported:       f.reported,
 		NeverReported:  f.neverReported,
 		RecordsLoadedS: f.secondsSinceStart(f.loadedAt),
@@ -65,7 +65,7 @@
 		Commands:       f.sortedCommandCounts(),
 	}
 	if !f.loadedAt.IsZero() && now.Sub(f.loadedAt) >= f.overdueAfter {
-		progress.Overdue = len(f.awaited)
+		progress.Overdue = len(f.awaitedMachines)
 	}
 	return progress
 }
