--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -41,10 +41,10 @@
 	return Run
 }
 
-// ShouldCheckpoint reports whether a gang that loses a machine in leftS seconds should be stopped
-// now to save its progress. A checkpoint takes saveS seconds. All tasks must be told to stop
-// within peerS seconds of the first, and half of that time is allowed for it. A gang without a
-// checkpoint interval saves nothing.
-func ShouldCheckpoint(checkpointS, saveS, peerS, leftS float64) bool {
-	return checkpointS > 0 && saveS+peerS/2 < leftS
+// ShouldCheckpoint reports whether a gang that loses a machine in remainingS seconds should be
+// stopped now to save its progress. A checkpoint takes saveS seconds. All tasks must be told to
+// stop within stopWindowS seconds of the first, and half of that time is allowed for it. A gang
+// without a checkpoint interval saves nothing.
+func ShouldCheckpoint(checkpointIntervalS, saveS, stopWindowS, remainingS float64) bool {
+	return checkpointIntervalS > 0 && saveS+stopWindowS/2 < remainingS
 }
--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -84,10 +84,10 @@
 }
 
 // event applies any event other than a tick.
-func (p *tracePlayer) event(t *testing.T, location, event string, args []string, now time.Time) {
+func (p *tracePlayer) event(t *testing.T, location, eventName string, args []string, now time.Time) {
 	t.Helper()
 	id := args[0]
-	switch event {
+	switch eventName {
 	case "heartbeat":
 		p.detector.Heartbeat(id, args[1], parseSeq(t, location, args[2]), now)
 	case "restore":
@@ -115,7 +115,7 @@
 			p.detector.ProbeDone(id, true, parseSeq(t, location, args[1]), now)
 		}
 	default:
-		t.Fatalf("%s: unknown event %q", location, event)
+		t.Fatalf("%s: unknown event %q", location, eventName)
 	}
 }
 
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -28,12 +28,12 @@
 func (p *planner) withinQuota(job *Job, count int) int {
 	team := findTeam(p.Teams, job.Spec.Team)
 	used, request := p.UsedByTeam[team.Name], TaskRequest(job.Spec)
-	bound := func(quota, used, perTask float64) {
+	limitBy := func(quota, used, perTask float64) {
 		if quota > 0 && perTask > 0 {
 			count = min(count, max(0, int((quota-used+roundingTolerance)/perTask)))
 		}
 	}
-	bound(team.MaxCPUs, used.CPUs, request.CPUs)
-	bound(team.MaxGPUs, used.GPUs, request.GPUs)
+	limitBy(team.MaxCPUs, used.CPUs, request.CPUs)
+	limitBy(team.MaxGPUs, used.GPUs, request.GPUs)
 	return count
 }
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -4,7 +4,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Machine is a machine that takes work.
+// Machine is a machine on which tasks may be placed.
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool // a spot (preemptible) machine
--- a/internal/reconcile/failover.go
+++ b/internal/reconcile/failover.go
@@ -21,7 +21,7 @@
 }
 
 // NewFailover returns the failover of a term that started at startedAt. A healthy machine reports
-// within overdueAfter of the moment at which the records are loaded.
+// within overdueAfter of the time at which the records are loaded.
 func NewFailover(startedAt time.Time, overdueAfter time.Duration) *Failover {
 	return &Failover{
 		startedAt: startedAt, overdueAfter: overdueAfter,
@@ -104,11 +104,11 @@
 }
 
 // MayPreempt reports whether tasks may be preempted for a job that has waited since waitingSince.
-// While the failover awaits capacity, a job may preempt only once it has waited for bound,
+// While the failover awaits capacity, a job may preempt only once it has waited for maxWait,
 // measured from the loading of the records at the earliest.
-func (f *Failover) MayPreempt(now, waitingSince time.Time, bound time.Duration) bool {
+func (f *Failover) MayPreempt(now, waitingSince time.Time, maxWait time.Duration) bool {
 	if waitingSince.Before(f.loadedAt) {
 		waitingSince = f.loadedAt
 	}
-	return !f.AwaitsCapacity(now) || now.Sub(waitingSince) >= bound
+	return !f.AwaitsCapacity(now) || now.Sub(waitingSince) >= maxWait
 }
