--- a/internal/liveness/verdict_limiter_test.go
+++ b/internal/liveness/verdict_limiter_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// A limiter whose rate is changed while it is exhausted must not let a burst through.
+// Changing the rate of an exhausted limiter must not make a burst available.
 func TestSetRateAddsNoBurst(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	limiter := newVerdictLimiter(1, time.Second)
 	if !limiter.allow(now) || limiter.allow(now) {
-		t.Fatal("a new limiter gives one turn")
+		t.Fatal("a new limiter must allow exactly one verdict")
 	}
 	limiter.setRate(1, 2*time.Second, now)
 	if limiter.allow(now) {
-		t.Error("exhausted before, so the new one starts empty")
+		t.Error("exhausted limiter allows a verdict right after a change of rate")
 	}
 	now = now.Add(2 * time.Second)
 	limiter.setRate(1, time.Second, now)
 	if !limiter.allow(now) || limiter.allow(now) {
-		t.Error("not exhausted before, so the new one gives its turn, once")
+		t.Error("limiter with a token left must allow exactly one verdict after a change of rate")
 	}
 	limiter.setRate(1, 0, now)
 	if limiter.allow(now.Add(time.Hour)) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// A large zone is given up no faster, as a share of it, than a small one.
+// A large zone must not be judged dead faster, as a fraction of its machines, than a small one.
 func TestVerdictRateFollowsZoneSize(t *testing.T) {
 	for _, size := range []int{10, 100, 700} {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -36,7 +36,7 @@
 		for i := range size {
 			detector.Heartbeat(fmt.Sprint("m-", i), "a", HeartbeatSeq{1, 1}, now)
 		}
-		judged, most := 0, 0
+		totalVerdicts, maxVerdicts := 0, 0
 		for step := range 60 {
 			at := now.Add(4*time.Second + time.Duration(step)*100*time.Millisecond)
 			detector.Heartbeat("m-b", "b", HeartbeatSeq{1, uint64(step + 1)}, at)
@@ -44,14 +44,14 @@
 			for _, id := range probes {
 				detector.ProbeDone(id, false, HeartbeatSeq{}, at)
 			}
-			judged += len(verdicts)
-			most = max(most, len(verdicts))
+			totalVerdicts += len(verdicts)
+			maxVerdicts = max(maxVerdicts, len(verdicts))
 		}
-		if share := float64(judged) / float64(size); share < 0.5 || share > 0.7 {
-			t.Errorf("%d machines: %d judged in six seconds", size, judged)
+		if share := float64(totalVerdicts) / float64(size); share < 0.5 || share > 0.7 {
+			t.Errorf("%d machines: %d verdicts in six seconds", size, totalVerdicts)
 		}
-		if most > size/20+1 {
-			t.Errorf("%d machines: %d judged at once", size, most)
+		if maxVerdicts > size/20+1 {
+			t.Errorf("%d machines: %d verdicts in one tick", size, maxVerdicts)
 		}
 	}
 }
