--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -6,16 +6,16 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// draft is a segment being put together, by the length that each part will have as text.
+// draft accumulates the content of one segment and estimates its encoded size.
 type draft struct {
 	record    SegmentRecord
 	bytes     int
 	maxBytes  int
-	machineAt map[*cluster.Machine]int // index into record.Begun of the machine's newest session
-	begun     []*cluster.Assignment    // that stand on this segment
-	ended     []*cluster.Assignment    // that are over with this segment
-	chunks    []cluster.ChunkRef       // that stand on this segment
-	taken     queue                    // from the log's queue, to go back if nothing is written
+	machineAt map[*cluster.Machine]int // index into record.Begun of the machine's newest agent epoch
+	begun     []*cluster.Assignment    // recorded in this segment
+	ended     []*cluster.Assignment    // whose end takes effect with this segment
+	chunks    []cluster.ChunkRef       // recorded in this segment
+	taken     queue                    // from the log's queue, to be requeued if the transaction fails
 }
 
 func newDraft(number uint64, maxBytes int) *draft {
@@ -25,19 +25,19 @@
 	}
 }
 
-// Bytes of the parts of a segment, but for names and numbers.
+// Encoded sizes of the parts of a segment, in bytes, excluding names and numbers.
 const (
 	segmentBytes    = len(`{"number":18446744073709551615,"begun":[],"over":[],"done":[],"dead":[]}`)
 	machineBytes    = len(`{"m":"","addr":"","type":"","zone":"","spot":true,"session":,"tasks":[]},`)
 	taskBytes       = len(`{"j":"","n":,"a":,"g":},`)
 	completionBytes = len(`{"j":"","c":,"b":""},`)
 	deathBytes      = len(`"",`)
-	usualStartBytes = 2 * (machineBytes + taskBytes) // of an assignment with its names
+	usualStartBytes = 2 * (machineBytes + taskBytes) // of an assignment including its names
 )
 
 func (d *draft) fits(bytes int) bool { return d.bytes+bytes <= d.maxBytes }
 
-// isEmpty tells whether nothing stands on the segment yet.
+// isEmpty reports whether the draft records no assignment and no chunk of completions.
 func (d *draft) isEmpty() bool { return len(d.begun)+len(d.chunks) == 0 }
 
 func (d *draft) addBegin(assignment *cluster.Assignment) {
@@ -64,7 +64,7 @@
 	d.chunks = append(d.chunks, ref)
 }
 
-// textBytes is how long a text is in JSON, without its quotes.
+// textBytes returns an upper bound on the encoded size of a JSON string, without its quotes.
 func textBytes(text string) (bytes int) {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' || c == '<' || c == '>' || c == '&' {
@@ -82,7 +82,7 @@
 	return taskBytes + textBytes(assignment.Job.ID) + digits(uint64(assignment.Index)) + digits(assignment.Attempt) + digits(assignment.GangAttempt)
 }
 
-// startSize is that of an assignment with its machine.
+// startSize returns the estimated encoded size of an assignment together with its machine.
 func startSize(assignment *cluster.Assignment) int {
 	m := assignment.Machine
 	names := textBytes(m.ID) + textBytes(m.Addr) + textBytes(m.Type) + textBytes(m.Zone)
--- a/internal/leader/assignmentlog/log.go
+++ b/internal/leader/assignmentlog/log.go
@@ -1,13 +1,15 @@
-// Package assignmentlog keeps the leader's assignment log: which tasks are, or may be, on which
-// machines, and which tasks of unfinished jobs are done.
+// Package assignmentlog implements the leader's assignment log. The log records which tasks are,
+// or may be, on which machines, and which tasks of unfinished jobs are done.
 //
-// The log is a ring of segments, each a key of the key-value store. A transaction writes what
-// is new over the oldest segment and carries over what is still true of that: so one change
-// holds the starts and ends of many machines, and what a new leader has to read is bounded.
-// Read in the order of their numbers, later segments overrule earlier ones.
+// The log is a ring of segments, each stored under one key of the key-value store. A transaction
+// overwrites the oldest segment with the new entries and carries over those of its entries that
+// are still valid. One write can thus record starts and ends on many machines, and the amount
+// that a new leader has to read is bounded. Segments are applied in the order of their numbers;
+// a later segment overrides earlier ones.
 //
-// The package does no I/O: it adds writes to a transaction, and takes in its outcome. All of it
-// belongs to the leader's event loop. docs/design.md has the reasons and the proofs.
+// The package does no I/O: it adds writes to a transaction and processes the transaction's
+// outcome. It must be used only on the leader's event loop. docs/design.md has the rationale and
+// the proofs.
 package assignmentlog
 
 import (
@@ -18,82 +20,83 @@
 	"ospreyslip/internal/leader/transaction"
 )
 
-// Prefix is that of the segments' keys. The name is that of earlier versions, which may lead
-// on the same records.
+// Prefix is the key prefix of all segments. It is kept for compatibility: an earlier version may
+// lead on the same records.
 const Prefix = "book/"
 
 const (
-	minSegments      = 16 // of a new log
-	carryShare       = 8  // a segment is meant to carry over at most one part in so many of what it can hold,
-	minCarriedStarts = 4  // or this many assignments, where segments are small
+	minSegments      = 16 // in a new log
+	carryShare       = 8  // a segment should carry over at most 1/carryShare of its capacity,
+	minCarriedStarts = 4  // or this many assignments if segments are small
 )
 
-// Config is the limits that a log is written within.
+// Config holds the limits on the segments and transactions of a log.
 type Config struct {
-	ChunkTasks int // tasks whose completions are kept together
-	MaxOps     int // changes in a transaction
-	ValueBytes int // of a value in the key-value store
+	ChunkTasks int // tasks whose completions are stored in one chunk
+	MaxOps     int // writes in a transaction
+	ValueBytes int // maximum size of a value in the key-value store
 }
 
-// maxSegmentBytes leaves a sixteenth for what the sizes do not count, and room in each
-// transaction for two segments.
+// maxSegmentBytes returns the maximum size of a segment. It reserves a sixteenth for bytes that
+// the size estimates omit, and lets each transaction hold two segments.
 func (c Config) maxSegmentBytes() int { return min(c.ValueBytes, transaction.MaxBytes/2) * 15 / 16 }
 
-// Log is the ring of segments, and what waits to be written to it.
+// Log is the ring of segments and the queue of entries to be written to it.
 type Log struct {
 	config          Config
-	segments        []*cluster.Segment // the oldest first
+	segments        []*cluster.Segment // oldest first
 	keys            map[string]bool    // of all segments
 	number          uint64             // of the newest segment
 	maxSegmentBytes int
-	carriedBytes    float64 // what segments have carried over lately, a moving average
+	carriedBytes    float64 // moving average of the bytes that a segment carries over
 
-	// The transaction under way or of unknown outcome: its segments have to be the next
-	// ones written again, so that whichever transaction comes second fails by its guards.
+	// unsettledSegments is the number of segments in the transaction that is in flight or of
+	// unknown outcome. The next transaction must write these segments first, so that whichever
+	// of the two is executed second fails its guards.
 	unsettledSegments int
 	outcomeUnknown    bool
-	rewriteSegments   int // segments that may be lost, to be written once more
+	rewriteSegments   int // segments that may be lost and are to be written again
 
 	queue  queue
 	events []Event
 }
 
-// queue is what waits to be written.
+// queue holds the entries that are to be written.
 type queue struct {
 	begins []*cluster.Assignment
 	ends   []*cluster.Assignment
 	chunks []cluster.ChunkRef
-	deaths []string // machines judged dead
+	deaths []string // machines that were judged dead
 }
 
-// EventKind is what has become durable.
+// EventKind states which change has become durable.
 type EventKind int
 
-// The kinds.
+// Kinds of events.
 const (
-	BeginDurable EventKind = iota // the worker may hear of the assignment
-	EndDurable                    // the assignment may be forgotten
+	BeginDurable EventKind = iota // the assignment may be sent to its worker
+	EndDurable                    // the assignment may be removed
 )
 
-// Event is what the leader has to act on, once a transaction is committed.
+// Event is a change that the leader has to act on after a transaction is committed.
 type Event struct {
 	Kind       EventKind
 	Assignment *cluster.Assignment
 }
 
-// New makes a log that was never written.
+// New returns a log that has never been written.
 func New(config Config) *Log {
 	log := &Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
 	log.addMissingSegments(minSegments)
 	return log
 }
 
-// QueueBegin queues a new assignment to be written.
+// QueueBegin queues a new assignment for writing.
 func (l *Log) QueueBegin(assignment *cluster.Assignment) {
 	l.queue.begins = append(l.queue.begins, assignment)
 }
 
-// QueueEnd queues an assignment that is over. It may be queued already.
+// QueueEnd queues the end of an assignment. It does nothing if the end is already queued.
 func (l *Log) QueueEnd(assignment *cluster.Assignment) {
 	if !assignment.Log.EndQueued {
 		assignment.Log.EndQueued = true
@@ -101,10 +104,10 @@
 	}
 }
 
-// QueueDeath queues a machine that was judged dead.
+// QueueDeath queues the dead verdict on a machine.
 func (l *Log) QueueDeath(machine string) { l.queue.deaths = append(l.queue.deaths, machine) }
 
-// QueueCompletion queues the completion of a task, with all others of its chunk.
+// QueueCompletion queues the chunk that contains a completed task.
 func (l *Log) QueueCompletion(job *cluster.Job, task int) {
 	l.queueChunk(cluster.ChunkRef{Job: job, Index: task / l.config.ChunkTasks})
 }
@@ -122,27 +125,27 @@
 	}
 }
 
-// RewriteAll has all segments written once more: some of them may be lost, and what the leader
-// holds is the truth.
+// RewriteAll marks all segments to be written again from memory. It is called when stored segments
+// may have been lost; the leader's entries are authoritative.
 func (l *Log) RewriteAll() { l.rewriteSegments = len(l.segments) }
 
-// HasNews tells whether there is anything new to be written.
+// HasNews reports whether new entries are queued.
 func (l *Log) HasNews() bool {
 	return len(l.queue.begins)+len(l.queue.ends)+len(l.queue.chunks)+len(l.queue.deaths) > 0
 }
 
-// HasWork tells whether anything is to be written, new or not.
+// HasWork reports whether any segment has to be written, with or without new entries.
 func (l *Log) HasWork() bool { return l.unsettledSegments > 0 || l.rewriteSegments > 0 || l.HasNews() }
 
-// QueueLength is how many begins, ends and chunks wait to be written.
+// QueueLength returns the number of queued begins, ends and chunks.
 func (l *Log) QueueLength() int {
 	return len(l.queue.begins) + len(l.queue.ends) + len(l.queue.chunks)
 }
 
-// Segments returns the ring, the oldest segment first. The caller must not change it.
+// Segments returns the ring, oldest segment first. The caller must not modify it.
 func (l *Log) Segments() []*cluster.Segment { return l.segments }
 
-// WrittenSegments is how many segments stand in the key-value store.
+// WrittenSegments returns the number of segments that exist in the key-value store.
 func (l *Log) WrittenSegments() (written int) {
 	for _, segment := range l.segments {
 		if segment.Revision != 0 {
@@ -152,33 +155,33 @@
 	return written
 }
 
-// UnsettledSegments is how many segments have to be written before all else, as an earlier
-// transaction may have written them.
+// UnsettledSegments returns the number of segments that must be written before anything else
+// because an earlier transaction may have written them.
 func (l *Log) UnsettledSegments() int { return l.unsettledSegments }
 
-// OutcomeUnknown tells whether an earlier transaction may still be executed.
+// OutcomeUnknown reports whether an earlier transaction may still be executed.
 func (l *Log) OutcomeUnknown() bool { return l.outcomeUnknown }
 
-// MarkOutcomeUnknown notes that the last transaction may have been executed, or may be later.
+// MarkOutcomeUnknown records that the last transaction may have been executed or may still be.
 func (l *Log) MarkOutcomeUnknown() { l.outcomeUnknown = true }
 
-// ShrinkSegments makes segments smaller after a transaction was rejected for its size, and was
-// certainly not executed.
+// ShrinkSegments halves the maximum segment size. It may be called only after a transaction was
+// rejected for its size and has certainly not been executed.
 func (l *Log) ShrinkSegments() {
 	l.unsettledSegments = 0
 	l.maxSegmentBytes = max(l.maxSegmentBytes/2, 2*usualStartBytes)
 }
 
-// TakeEvents returns what has become durable since the last call, in order.
+// TakeEvents returns the events since the last call, in order.
 func (l *Log) TakeEvents() []Event {
 	events := l.events
 	l.events = nil
 	return events
 }
 
-// Grow makes the ring longer where segments carry over too much, by a given number at most. An
-// unwritten segment counts as the oldest and is written next. While the outcome of a
-// transaction is unknown the ring stays: the segments that it wrote must be the next again.
+// Grow adds up to most segments to the ring while segments carry over too much. The ring does not
+// grow while the outcome of a transaction is unknown: the segments in it must be the next to be
+// written. An unwritten segment counts as the oldest and is therefore written next.
 func (l *Log) Grow(most int) {
 	limit := float64(max(l.maxSegmentBytes/carryShare, minCarriedStarts*usualStartBytes))
 	for ; l.unsettledSegments == 0 && l.carriedBytes > limit && most > 0; most-- {
@@ -191,8 +194,8 @@
 	}
 }
 
-// unwrittenSegment makes a segment with the first key that is free. Keys leave no gaps, as
-// version 0.3.0 names the next segment by the length of the ring.
+// unwrittenSegment returns a new segment under the first unused key. Keys must leave no gaps:
+// version 0.3.0 derives the key of the next segment from the length of the ring.
 func (l *Log) unwrittenSegment() *cluster.Segment {
 	for i := 0; ; i++ {
 		if key := fmt.Sprintf("%s%d", Prefix, i); !l.keys[key] {
@@ -208,7 +211,7 @@
 	}
 }
 
-// rotate makes the segments just written the newest.
+// rotate makes the segments that were just written the newest of the ring.
 func (l *Log) rotate(written int) {
 	l.number += uint64(written)
 	l.segments = append(l.segments[written:], l.segments[:written]...)
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -13,10 +13,10 @@
 	"ospreyslip/internal/leader/transaction"
 )
 
-// testConfig is the limits of the tests' logs.
+// testConfig holds the limits of the logs in the tests.
 var testConfig = Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10}
 
-// queueBegins queues the beginnings of all tasks of a new gang on one machine.
+// queueBegins queues the begins of all tasks of a new gang on one machine.
 func queueBegins(t *testing.T, log *Log, tasks int) (queued []*cluster.Assignment) {
 	t.Helper()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -32,7 +32,7 @@
 	return queued
 }
 
-// compose puts a transaction of the log's segments together, as the leader's writer does.
+// compose builds a transaction with the log's segments in the same way as the leader's writer.
 func compose(log *Log) *transaction.Batch {
 	batch := transaction.New()
 	log.Grow(testConfig.MaxOps / 2)
@@ -40,13 +40,13 @@
 	return batch
 }
 
-// A transaction writes no more segments than its news need: with each segment that it
-// drafted, the log once seemed to wait for one more.
+// A transaction writes no more segments than its entries need. The log used to request one more
+// segment with each segment that it drafted.
 func TestSegmentsByNeed(t *testing.T) {
 	log := New(testConfig)
 	begins := queueBegins(t, log, 3)
 	if b := compose(log); len(b.Writes) != 1 {
-		t.Errorf("%d segments for %d beginnings", len(b.Writes), len(begins))
+		t.Errorf("%d segments written for %d begins, want 1", len(b.Writes), len(begins))
 	}
 }
 
@@ -58,14 +58,14 @@
 		order = append(order, segment.Key)
 	}
 	if d := cmp.Diff([]string{"book/3", "book/1", "book/0"}, order); d != "" {
-		t.Errorf("in the order of their numbers: %s", d)
+		t.Errorf("segments are not in the order of their numbers (-want +got):\n%s", d)
 	}
 	for _, segment := range log.Segments() {
 		keys[segment.Key] = true
 	}
 	for i := range minSegments {
 		if !keys[fmt.Sprint(Prefix, i)] {
-			t.Errorf("of %d segments, none is called %d", len(keys), i)
+			t.Errorf("none of %d segments has key number %d", len(keys), i)
 		}
 	}
 }
@@ -76,14 +76,14 @@
 	failed := compose(log)
 	failed.Failed()
 	if log.QueueLength() != len(begins) || log.TakeEvents() != nil {
-		t.Errorf("%d queued after the failure, want %d", log.QueueLength(), len(begins))
+		t.Errorf("%d entries queued after the failure, want %d", log.QueueLength(), len(begins))
 	}
 	retry := compose(log)
 	if d := cmp.Diff(failed.Writes, retry.Writes); d != "" {
-		t.Errorf("the same is not written again: %s", d)
+		t.Errorf("retry writes differ from the failed ones (-want +got):\n%s", d)
 	}
 	retry.Committed(7)
 	if events := log.TakeEvents(); len(events) != len(begins) || events[0] != (Event{BeginDurable, begins[0]}) || log.HasWork() {
-		t.Errorf("durable: %+v, work left: %v", events, log.HasWork())
+		t.Errorf("events %+v, has work: %v", events, log.HasWork())
 	}
 }
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -11,16 +11,16 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// SegmentRecord is a segment as stored.
+// SegmentRecord is the stored form of a segment.
 type SegmentRecord struct {
 	Number uint64             `json:"number"`
 	Begun  []MachineRecord    `json:"begun,omitempty"`
-	Over   []uint64           `json:"over,omitempty"` // attempts begun on earlier segments
+	Over   []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
 	Done   []CompletionRecord `json:"done,omitempty"`
-	Dead   []string           `json:"dead,omitempty"` // machines judged since
+	Dead   []string           `json:"dead,omitempty"` // machines newly judged dead
 }
 
-// MachineRecord is the tasks that were given to one machine in one session of its worker.
+// MachineRecord lists the tasks assigned to one machine in one agent epoch.
 type MachineRecord struct {
 	Machine string       `json:"m"`
 	Addr    string       `json:"addr"`
@@ -31,8 +31,8 @@
 	Tasks   []TaskRecord `json:"tasks"`
 }
 
-// TaskRecord is one assignment. Its attempt is unique among all tasks. Workers know the tasks
-// of a gang by an attempt that they have in common.
+// TaskRecord is one assignment. Its attempt is unique among all tasks. Workers identify the tasks
+// of a gang by an attempt that they share.
 type TaskRecord struct {
 	Job     string `json:"j"`
 	Index   int    `json:"n"`
@@ -40,22 +40,22 @@
 	Gang    uint64 `json:"g,omitempty"`
 }
 
-// CompletionRecord is the completions of one chunk of a job's tasks.
+// CompletionRecord holds the completions of one chunk of a job's tasks.
 type CompletionRecord struct {
 	Job   string `json:"j"`
 	Chunk int    `json:"c"`
 	Bits  string `json:"b"`
 }
 
-// StoredSegment is a segment that was read, and its place in the ring.
+// StoredSegment is a segment of the ring together with the record that was read for it.
 type StoredSegment struct {
 	*cluster.Segment
 	Record     SegmentRecord
 	Unreadable bool
 }
 
-// Load begins anew with the segments in the key-value store, and returns them in the order in
-// which they were written. What stands on them is for the caller to take in.
+// Load resets the log to the segments in the key-value store and returns them in the order in which
+// they were written. The caller has to restore the entries that they contain.
 func (l *Log) Load(config Config, stored []kvstore.KeyValue) []StoredSegment {
 	*l = Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
 	var read []StoredSegment
@@ -78,7 +78,7 @@
 	return read
 }
 
-// JobsNamed returns the jobs of which some segments have tasks.
+// JobsNamed returns the ids of all jobs that have tasks in the segments.
 func JobsNamed(segments []StoredSegment) map[string]bool {
 	named := map[string]bool{}
 	for _, segment := range segments {
--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/leader/transaction"
 )
 
-// AddSegments writes as many segments as the log needs and the transaction has room for, the
-// oldest first. Those of a transaction of unknown outcome are written whatever there is.
+// AddSegments adds as many segments to the transaction as the log needs and the transaction can
+// hold, oldest first. Segments of a transaction of unknown outcome are always added.
 func (l *Log) AddSegments(batch *transaction.Batch, maxOps int) {
 	segments := 0
 	for ; segments < len(l.segments) && len(batch.Writes) < maxOps; segments++ {
@@ -27,8 +27,9 @@
 	batch.OnCommit(func(uint64) { l.rotate(segments) })
 }
 
-// addSegment writes the i-th oldest segment: what is still true of it, then what is new, as far
-// as there is room for it. In front of an oversized segment it adds one.
+// addSegment adds the segment at a position counted from the oldest. The segment gets its own
+// entries that are still valid, then as many queued entries as fit. If the segment is oversized,
+// addSegment inserts a new one before it and writes that one.
 func (l *Log) addSegment(batch *transaction.Batch, position int, withNews bool) {
 	if position >= l.unsettledSegments && l.isOversized(l.segments[position]) {
 		l.segments = slices.Insert(l.segments, position, l.unwrittenSegment())
@@ -51,8 +52,8 @@
 	})
 }
 
-// leaveOutEnded ends the assignments that stand on this segment only: once it is written anew
-// without them, nothing else needs to be said.
+// leaveOutEnded ends the assignments that are recorded only in this segment. Rewriting the segment
+// without them is sufficient to record their ends.
 func (l *Log) leaveOutEnded(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
@@ -62,8 +63,8 @@
 	}
 }
 
-// carryOver adds what is still true of a segment, or as much of it as fits into a draft of so
-// many bytes.
+// carryOver adds the entries of a segment that are still valid, while the draft stays within
+// maxBytes.
 func (l *Log) carryOver(batch *transaction.Batch, draft *draft, segment *cluster.Segment, maxBytes int) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		a := segment.Begun[attempt]
@@ -81,16 +82,16 @@
 		bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
 		switch size := chunkSize(ref, bits); {
 		case segmentBytes+size > l.maxSegmentBytes:
-			chunk.Saved = false // no segment holds it any more: see addChunks
+			chunk.Saved = false // no segment can hold it any more: see addChunks
 		case draft.bytes+size <= maxBytes:
 			draft.addChunk(ref, bits)
 		}
 	}
 }
 
-// isOversized tells whether what stands on a segment may be more than can be written at a time:
-// it is from before the key-value store's limits fell, or were to fall. What is over by now
-// counts as well: should the transaction fail, its end may have to wait for the next.
+// isOversized reports whether the entries of a segment may exceed what one write can hold. This
+// happens when the limits of the key-value store are lowered, or are set to be lowered. Ended
+// assignments count too: if the transaction fails, their ends may have to wait for the next one.
 func (l *Log) isOversized(segment *cluster.Segment) bool {
 	if segment.Bytes <= l.maxSegmentBytes {
 		return false
@@ -110,13 +111,13 @@
 	return d.bytes > l.maxSegmentBytes*7/8
 }
 
-// moveFromOversized moves a part of the first oversized segment behind the i-th to a draft. The
-// oversized segment is written over only when the rest fits: until then it stays the oldest,
-// so that the ends of what was moved, which are on later segments, outlast it.
+// moveFromOversized moves part of the first oversized segment after position to the draft. The
+// oversized segment is overwritten only once the rest of it fits. Until then it stays the oldest,
+// so that the ends of the moved entries, which are in later segments, outlive it.
 func (l *Log) moveFromOversized(batch *transaction.Batch, draft *draft, position int) {
 	for _, segment := range l.segments[position+1 : min(position+1+l.config.MaxOps, len(l.segments))] {
 		if len(segment.Begun)+len(segment.Completions) == 0 {
-			continue // never written, or the outcome is unknown
+			continue // never written, or of unknown outcome
 		}
 		if l.isOversized(segment) {
 			l.movePart(batch, draft, segment)
@@ -128,7 +129,8 @@
 func (l *Log) movePart(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
 	begun, chunks := len(draft.begun), len(draft.chunks)
 	if l.carryOver(batch, draft, segment, draft.maxBytes/2); draft.isEmpty() {
-		l.carryOver(batch, draft, segment, draft.maxBytes) // what takes more than half of a segment
+		// A single entry may take more than half of a segment.
+		l.carryOver(batch, draft, segment, draft.maxBytes)
 	}
 	for _, a := range draft.begun[begun:] {
 		a.Log.MoveInFlight = true
@@ -138,7 +140,7 @@
 	}
 }
 
-// addNews adds what is queued, as far as it fits. Completions go before the ends that rest on
+// addNews adds queued entries as far as they fit. Completions precede the ends that depend on
 // them.
 func (l *Log) addNews(batch *transaction.Batch, draft *draft) {
 	l.addDeaths(draft)
@@ -161,7 +163,7 @@
 	for len(l.queue.chunks) > 0 {
 		ref := l.queue.chunks[0]
 		chunk := ref.Job.Completions.Chunks[ref.Index]
-		if !ref.Job.IsOver() { // else the record of the job's end takes its place
+		if !ref.Job.IsOver() { // otherwise the record of the job's end replaces the chunk
 			bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
 			size := chunkSize(ref, bits)
 			switch {
@@ -173,8 +175,8 @@
 			}
 			draft.addChunk(ref, bits)
 			draft.taken.chunks = append(draft.taken.chunks, ref)
-			// As far as this transaction goes: queueChunk takes it back if it fails, or
-			// if more tasks complete meanwhile.
+			// This holds if the transaction succeeds. queueChunk resets it if the transaction
+			// fails or more tasks complete in the meantime.
 			chunk.Saved = true
 		}
 		chunk.Dirty = false
@@ -182,8 +184,8 @@
 	}
 }
 
-// giveUpChunk takes a chunk off the queue that no segment holds. Its tasks' ends wait for that
-// of the job: their workers keep saying that they are done.
+// giveUpChunk dequeues a chunk that is too large for any segment. The ends of its tasks wait for
+// the end of the job; until then the workers keep reporting the tasks as done.
 func (l *Log) giveUpChunk(ref cluster.ChunkRef, size int) {
 	chunk := ref.Job.Completions.Chunks[ref.Index]
 	if !chunk.TooLarge {
@@ -197,7 +199,7 @@
 	later := l.queue.ends[:0]
 	for _, a := range l.queue.ends {
 		switch {
-		case a.Log.EndInFlight: // its segment is written anew, without it
+		case a.Log.EndInFlight: // the segment is rewritten without it
 			a.Log.EndQueued = false
 		case draft.fits(endSize(a)) && l.endMayBeWritten(batch, a):
 			a.Log.EndInFlight, a.Log.EndQueued = true, false
@@ -226,14 +228,14 @@
 	}
 }
 
-// endMayBeWritten tells whether an assignment is over and its end may be written: the
-// completion of its task has to be durable with it.
+// endMayBeWritten reports whether an assignment has ended and its end may be written. The
+// completion of its task must be durable no later than the end.
 func (l *Log) endMayBeWritten(batch *transaction.Batch, assignment *cluster.Assignment) bool {
 	return assignment.Outcome == cluster.Retry || assignment.Outcome == cluster.Success && l.completionSaved(batch, assignment)
 }
 
-// completionSaved tells whether a completion is durable, or goes into the transaction that is
-// being put together.
+// completionSaved reports whether the completion of the assignment's task is durable or part of the
+// transaction that is being composed.
 func (l *Log) completionSaved(batch *transaction.Batch, assignment *cluster.Assignment) bool {
 	job := assignment.Job
 	if job.End.Cancelled || job.End.CompletionDurable || batch.Sets(jobs.RecordKey(job.ID)) {
@@ -243,7 +245,7 @@
 	return chunk != nil && chunk.Saved
 }
 
-// requeue queues what a transaction that failed should have written.
+// requeue puts the entries of a failed transaction back into the queue.
 func (l *Log) requeue(draft *draft) {
 	l.queue.begins = append(draft.taken.begins, l.queue.begins...)
 	l.queue.deaths = append(draft.taken.deaths, l.queue.deaths...)
@@ -262,7 +264,7 @@
 	}
 }
 
-// segmentWritten takes in that a segment was written.
+// segmentWritten updates the entries of a segment after it was written.
 func (l *Log) segmentWritten(segment *cluster.Segment, draft *draft, revision uint64) {
 	segment.Revision = revision
 	clear(segment.Begun)
--- a/internal/leader/jobtracker/follow.go
+++ b/internal/leader/jobtracker/follow.go
@@ -11,22 +11,22 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// recordWatch is how far the records of jobs have been followed. It belongs to the goroutine that
+// recordWatch is the progress of the watch on the records of jobs. It belongs to the goroutine that
 // runs Follow.
 type recordWatch struct {
 	after         uint64 // all changes up to this revision have been seen
-	revision      uint64 // that the store had at some moment after revisionAsked
+	revision      uint64 // a revision that the store had after revisionAsked
 	revisionAsked time.Time
 	newest        detection.Watermark
 }
 
-// isProven tells whether all changes up to revisionAsked have been seen. Only what reaches a
-// revision read at some moment is as new as that: a watch may lag, or be empty because the store
-// does not serve this node.
+// isProven reports whether all changes up to revisionAsked have been seen. The watch must have
+// reached a revision that was read at or after that time. An answer of the watch alone proves
+// nothing: a watch may lag, or be empty because the store does not serve this controller.
 func (w *recordWatch) isProven() bool { return w.after >= w.revision && !w.revisionAsked.IsZero() }
 
-// Follow watches the records of jobs from a revision on until the context ends, and hands their
-// changes to the event loop. It runs on a goroutine of its own.
+// Follow watches the records of jobs from a revision on until the context ends, and posts their
+// changes to the event loop. It blocks and runs on its own goroutine.
 func (t *Tracker) Follow(ctx context.Context, after uint64) {
 	watch := &recordWatch{after: after}
 	for ctx.Err() == nil {
@@ -34,7 +34,7 @@
 		baseline := watch.newest.Baseline()
 		revision, changes, err := t.readChanges(ctx, watch.after, rolledBack)
 		if err != nil {
-			slog.Debug("watch failed", "term", t.Fencing.OfTerm, "reason", err)
+			slog.Debug("failed to watch job records", "term", t.Fencing.OfTerm, "reason", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(t.Derived.Election.RenewInterval):
@@ -47,9 +47,9 @@
 	}
 }
 
-// readRevision reads the store's revision, once the one that was read last is reached. It tells
-// whether the store was rolled back meanwhile: then revisions are given out again, and nothing
-// can be concluded from those before.
+// readRevision reads the store's revision once the watch has reached the one read before. It
+// reports whether the store was rolled back in the meantime. The store then reuses revisions, and
+// the earlier ones prove nothing.
 func (t *Tracker) readRevision(ctx context.Context, watch *recordWatch) (rolledBack bool) {
 	if watch.revision > watch.after {
 		return false
@@ -69,8 +69,8 @@
 	return rolledBack
 }
 
-// readChanges waits for changes of job records, or lists all records where changes may have been
-// missed.
+// readChanges waits for changes of job records. If changes may have been missed, it lists all
+// records instead.
 func (t *Tracker) readChanges(ctx context.Context, after uint64, rolledBack bool) (uint64, []kvstore.Change, error) {
 	revision, changes, err := t.Store.Watch(ctx, jobs.RecordPrefix, after, t.Derived.Store.WatchTimeout)
 	if !rolledBack && !t.Recovery.TakeRelist() && !errors.Is(err, kvstore.ErrCompacted) {
@@ -86,7 +86,7 @@
 	return revision, changes, nil
 }
 
-// postChanges hands changes to the event loop.
+// postChanges posts changes to the event loop.
 func (t *Tracker) postChanges(ctx context.Context, watch *recordWatch, changes []kvstore.Change) {
 	seen, proven, asked := watch.after, watch.isProven(), watch.revisionAsked
 	t.Post(ctx, func(now time.Time) {
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -1,8 +1,7 @@
-// Package jobtracker keeps the leader's jobs in step with their records in the key-value store:
-// jobs that are accepted are queued, and the tasks end of those that are cancelled or done
-// elsewhere.
+// Package jobtracker keeps the leader's jobs consistent with their records in the key-value store.
+// It queues accepted jobs, and ends the tasks of jobs that are cancelled or completed elsewhere.
 //
-// A Tracker belongs to the leader's event loop, but for SeenRevision and Follow.
+// A Tracker must be used only on the leader's event loop, except for SeenRevision and Follow.
 package jobtracker
 
 import (
@@ -28,17 +27,17 @@
 	"ospreyslip/internal/settings"
 )
 
-// Counts is where users are shown how many tasks of a job are done and running.
+// Counts publishes to users how many tasks of a job are done and running.
 type Counts interface {
 	Set(job string, counts jobs.Counts)
 	Drop(job string)
 }
 
-// Deps is what a tracker works with.
+// Deps holds the dependencies of a Tracker.
 type Deps struct {
 	Derived  settings.Derived
 	Store    *kvstore.Client
-	Cache    *jobcache.Cache // what this node knows of all jobs
+	Cache    *jobcache.Cache // what this controller knows of all jobs
 	Counts   Counts
 	State    *cluster.State
 	Fencing  *fencing.Token
@@ -46,44 +45,45 @@
 	Tasks    *tasks.Manager
 	Scaler   *scaler.Scaler
 	Recovery *recoverer.Recoverer
-	// Post has a function called on the event loop, unless the context ends before.
+	// Post runs a function on the event loop unless the context ends first.
 	Post func(ctx context.Context, apply func(now time.Time))
 }
 
-// Tracker is what the leader knows of the records of jobs, and as of when.
+// Tracker holds the leader's knowledge of the job records and how recent it is.
 type Tracker struct {
 	Deps
-	asOf           time.Time         // all that users were told by then is in the jobs
-	seenRevision   atomic.Uint64     // all changes up to this revision are
-	cancelledLater map[string]uint64 // jobs known to be cancelled at a revision that is not seen yet
-	completed      []*cluster.Job    // whose records are to be written as done
-	changes        []peer.JobChange  // of records, since TakeChanges
+	asOf           time.Time         // the jobs include all that users were told by then
+	seenRevision   atomic.Uint64     // all changes up to this revision are applied
+	cancelledLater map[string]uint64 // job ids, each cancelled at a revision not yet seen
+	completed      []*cluster.Job    // records to be written as done
+	changes        []peer.JobChange  // of records, since the last TakeChanges
 }
 
-// New makes a tracker that has seen nothing.
+// New returns a Tracker that has seen no records.
 func New(deps Deps) *Tracker { return &Tracker{Deps: deps, cancelledLater: map[string]uint64{}} }
 
-// SeenRevision is up to which revision all changes are seen. It may be called by any goroutine.
+// SeenRevision returns the revision up to which all changes are applied. It is safe for concurrent
+// use.
 func (t *Tracker) SeenRevision() uint64 { return t.seenRevision.Load() }
 
-// Age is for how long users may have been told of changes that the leader does not know.
+// Age returns for how long users may have been told of changes that the leader does not know.
 func (t *Tracker) Age(now time.Time) time.Duration { return now.Sub(t.asOf) }
 
-// Loaded notes that all records were read that were there at a moment, and all changes up to a
-// revision are seen.
+// Loaded sets the state after the initial read: all records that existed at asOf, and all changes up
+// to revision, have been applied.
 func (t *Tracker) Loaded(asOf time.Time, revision uint64) {
 	t.asOf = asOf
 	t.seenRevision.Store(revision)
 }
 
-// TakeChanges returns what has changed since the last call.
+// TakeChanges returns the changes of records since the last call.
 func (t *Tracker) TakeChanges() []peer.JobChange {
 	changes := t.changes
 	t.changes = nil
 	return changes
 }
 
-// apply takes in changes of records, all up to a revision.
+// apply processes all changes of records up to a revision.
 func (t *Tracker) apply(changes []kvstore.Change, revision uint64, now time.Time) {
 	for _, change := range changes {
 		t.Apply(change, now)
@@ -92,7 +92,7 @@
 	maps.DeleteFunc(t.cancelledLater, func(_ string, at uint64) bool { return at <= revision })
 }
 
-// Apply takes in a change of a job's record.
+// Apply processes one change of a job's record.
 func (t *Tracker) Apply(change kvstore.Change, now time.Time) {
 	if change.Set == "" {
 		t.Cache.ApplyRemoval(change.Remove, change.Revision)
@@ -106,7 +106,7 @@
 	id := jobs.JobIDFromKey(change.Set)
 	t.changes = append(t.changes, peer.JobChange{ID: id, State: record.State, Tasks: record.Tasks})
 	if known, _ := t.Cache.Known(id); known.Finished() && !record.Finished() {
-		return // the record is older than what users were told: it will be written again
+		return // the record is older than what users were told and will be written again
 	}
 	if record.Held != nil {
 		t.Recovery.HoldJob(id, &record, change.Revision)
@@ -123,7 +123,7 @@
 	}
 }
 
-// addJob begins to work on a job that was accepted.
+// addJob adds a newly accepted job to the queue.
 func (t *Tracker) addJob(id string, record *jobs.Record, revision uint64, now time.Time) {
 	job := cluster.NewJob(id, record.Spec, revision, record.AcceptedAtMs, now)
 	t.State.Jobs[id] = job
@@ -143,13 +143,13 @@
 	case record.State == jobs.Done && !job.End.CompletionDurable && !job.End.Cancelled:
 		t.CompleteElsewhere(job)
 	case !record.Finished() && revision > job.Revision && !job.End.CompletionDurable:
-		job.Revision = revision // its record was lost, and is written again
+		job.Revision = revision // the record was lost and has been written again
 	}
 }
 
-// ApplyPeerCancellations takes in what users were told by a moment, while no change can be had from
-// the key-value store. What it names ends at once, and is not begun when the changes come that
-// say that it was accepted.
+// ApplyPeerCancellations applies the cancellations that peers told users of by a given time, while
+// the key-value store delivers no changes. The jobs end at once. A job whose acceptance arrives only
+// later is not started.
 func (t *Tracker) ApplyPeerCancellations(cancellations []jobs.Cancellation, by time.Time) {
 	for _, cancellation := range cancellations {
 		if cancellation.Revision <= t.seenRevision.Load() {
@@ -165,15 +165,15 @@
 	}
 }
 
-// Cancel ends the tasks of a job that was cancelled at a revision.
+// Cancel marks a job as cancelled at a revision and ends its tasks.
 func (t *Tracker) Cancel(job *cluster.Job, revision uint64) {
 	slog.Info("job cancelled", "job", job.ID, "term", t.Fencing.Current)
 	job.End.Cancelled, job.Revision, job.End.CancelSeenAt = true, revision, time.Now()
 	t.endTasksOf(job)
 }
 
-// CompleteElsewhere takes in that a job is done by what others know, while this leader had it from
-// a record that was rolled back.
+// CompleteElsewhere marks a job as done that others know to be done. This leader has read it from a
+// record that was rolled back.
 func (t *Tracker) CompleteElsewhere(job *cluster.Job) {
 	job.End.Complete = true
 	t.DropCompleted(job.ID)
@@ -189,47 +189,47 @@
 	t.RemoveIfSettled(job)
 }
 
-// QueueCompleted has a job's record written as done.
+// QueueCompleted queues a job's record to be written as done.
 func (t *Tracker) QueueCompleted(job *cluster.Job) { t.completed = append(t.completed, job) }
 
-// HasCompleted tells whether records are to be written as done.
+// HasCompleted reports whether any record is queued to be written as done.
 func (t *Tracker) HasCompleted() bool { return len(t.completed) > 0 }
 
-// CompletedCount is how many records are to be written as done.
+// CompletedCount returns the number of records that are queued to be written as done.
 func (t *Tracker) CompletedCount() int { return len(t.completed) }
 
-// TakeCompleted takes the next job off those whose records are to be written. There must be one.
+// TakeCompleted dequeues the next job whose record is to be written. The queue must not be empty.
 func (t *Tracker) TakeCompleted() *cluster.Job {
 	job := t.completed[0]
 	t.completed = t.completed[1:]
 	return job
 }
 
-// DropCompleted takes a job off those whose records are to be written, if it is one.
+// DropCompleted removes a job from the queue of records to be written, if it is in it.
 func (t *Tracker) DropCompleted(id string) {
 	t.completed = slices.DeleteFunc(t.completed, func(job *cluster.Job) bool { return job.ID == id })
 }
 
-// CompletionDurable takes in that a job's record says done.
+// CompletionDurable marks a job's record as written as done.
 func (t *Tracker) CompletionDurable(job *cluster.Job) {
 	job.End.CompletionDurable = true
 	t.RemoveIfSettled(job)
 }
 
-// RemoveIfSettled forgets a job that is over and has no task anywhere.
+// RemoveIfSettled removes a job that is over and has no task on any machine.
 func (t *Tracker) RemoveIfSettled(job *cluster.Job) {
 	if !job.IsOver() || len(job.Assignments) > 0 || t.State.Jobs[job.ID] != job {
 		return
 	}
 	if job.End.Complete && !job.End.Cancelled && !job.End.CompletionDurable {
-		return // its record is still to be written
+		return // its record has not been written yet
 	}
 	delete(t.State.Jobs, job.ID)
 	t.Planner.Forget(job)
 	t.Counts.Drop(job.ID)
 }
 
-// PublishCounts shows users a job's counts when they have changed.
+// PublishCounts publishes a job's counts to users if they have changed.
 func (t *Tracker) PublishCounts(job *cluster.Job) {
 	counts := jobs.Counts{Done: job.Completions.Count, Running: job.Running}
 	if counts != job.PublishedCounts || counts == (jobs.Counts{}) {
--- a/internal/leader/jobtracker/tracker_test.go
+++ b/internal/leader/jobtracker/tracker_test.go
@@ -15,7 +15,7 @@
 	const accepted = `{"stance":"accepted","tasks":1,"spec":{"id":"j-1","tasks":1}}`
 	for _, tc := range []struct {
 		name, told string // what users were told of the job
-		revision   uint64 // of the job's record after the older one was read
+		revision   uint64 // of the job's record after the older record was read
 	}{
 		{"accepted", accepted, 9},
 		{"done", `{"stance":"done","tasks":1}`, 4},
@@ -28,7 +28,7 @@
 			tracker.Cache.Apply(jobs.RecordKey(job.ID), []byte(tc.told), 5)
 			tracker.Apply(kvstore.Change{Set: jobs.RecordKey(job.ID), Value: []byte(accepted), Revision: 9}, time.Time{})
 			if job.Revision != tc.revision {
-				t.Errorf("record at revision %d, want %d", job.Revision, tc.revision)
+				t.Errorf("job at record revision %d, want %d", job.Revision, tc.revision)
 			}
 		})
 	}
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader reads what a new leader begins with: the records of jobs and the assignment log.
-// Nothing of it is certain before the workers have reported.
+// Package loader reads the state that a new leader starts from: the records of jobs and the
+// assignment log. This state is provisional until the workers have reported.
 package loader
 
 import (
@@ -27,12 +27,12 @@
 	"ospreyslip/internal/settings"
 )
 
-// Loader fills the leader's parts with what the records say. It is used before the event loop runs.
+// Loader restores the leader's state from the records. It is used before the event loop runs.
 type Loader struct {
 	Derived    settings.Derived
 	LogConfig  assignmentlog.Config
 	Store      *kvstore.Client
-	Cache      *jobcache.Cache // what this node knows of all jobs
+	Cache      *jobcache.Cache // what this controller knows of all jobs
 	State      *cluster.State
 	Fencing    *fencing.Token
 	Detector   *liveness.Detector
@@ -46,8 +46,9 @@
 	Recovery   *recoverer.Recoverer
 }
 
-// Load reads all records. The term is ours already, so that no earlier leader can change them any
-// more; users can, and the watch goes on after the revision that is returned.
+// Load reads all records and returns the revision after which the watch has to continue. It is
+// called once the term is won, so that no earlier leader can change the records any more; users
+// still can.
 func (l *Loader) Load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
 	l.Recovery.BeginTerm()
@@ -80,14 +81,14 @@
 	return after, nil
 }
 
-// EndedRecords is the records of jobs that are over, of which tasks may be left, by the job.
+// EndedRecords holds the records of ended jobs that may have tasks left, by job id.
 type EndedRecords map[string]kvstore.KeyValue
 
-// loadedRecords is what a new leader notes of the job records while it reads them.
+// loadedRecords collects what a new leader needs from the job records while it reads them.
 type loadedRecords struct {
 	namedInLog map[string]bool
 	ended      EndedRecords
-	over       int // jobs that are over
+	over       int // number of jobs that are over
 	counts     recoverer.RecordCounts
 }
 
@@ -96,7 +97,7 @@
 	return ended
 }
 
-// loadRecord takes in one job's record.
+// loadRecord processes the record of one job.
 func (l *Loader) loadRecord(stored kvstore.KeyValue, records *loadedRecords, now time.Time) {
 	records.counts.Read++
 	var record jobs.Record
@@ -110,7 +111,8 @@
 		l.Recovery.HoldJob(id, &record, stored.Revision)
 	}
 	switch {
-	case record.Finished(), told.Finished(): // the latter: it is older than what users were told
+	case record.Finished(), told.Finished():
+		// If only told is finished, the record is older than what users were told.
 	case record.Held != nil:
 		return
 	case record.Spec != nil:
@@ -127,11 +129,12 @@
 	}
 }
 
-// resumeJobs goes on with each job where the records say that its leader has ended.
+// resumeJobs continues each job from the state in which the previous leader left it.
 func (l *Loader) resumeJobs(now time.Time) {
 	for _, job := range l.State.Jobs {
 		if job.IsGang() && !job.IsOver() && job.GangVerdict() == gang.Abort {
-			l.Tasks.StopGang(job, 0) // its leader ended when a part of it had begun, or was over
+			// The previous leader ended while only part of the gang had begun, or was over.
+			l.Tasks.StopGang(job, 0)
 		}
 		if !job.IsOver() && job.Spec.Shape == jobs.Batch && job.Completions.Count == job.Spec.Tasks {
 			l.Tasks.CompleteJob(job)
@@ -144,9 +147,9 @@
 	}
 }
 
-// Restore takes in the assignment log. Whatever it names may be there: the tasks count until a
-// heartbeat under our token, or the end of the lease, shows otherwise. No earlier leader answered
-// a heartbeat later than the term began.
+// Restore restores the assignments in the log. Each of their tasks may be running and counts until
+// a heartbeat under this leader's fencing token, or the expiry of the worker's lease, shows
+// otherwise. No earlier leader has answered a heartbeat after this term began.
 func (l *Loader) Restore(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
 	l.restoreSegments(segments, ended, now)
 	l.forEachAssignment(func(a *cluster.Assignment) {
@@ -162,13 +165,13 @@
 			l.Tasks.End(a, cluster.Success)
 		case reconcile.Reschedule:
 			l.Tasks.End(a, cluster.Retry)
-		default: // its machine is heard first
+		default: // wait for the machine's heartbeat
 		}
 	})
 	l.Dispatcher.AnnounceTerm(l.Log.Segments())
 }
 
-// forEachAssignment goes through what stands on the segments, in the order of writing.
+// forEachAssignment calls take for all assignments in the segments, oldest segment first.
 func (l *Loader) forEachAssignment(take func(a *cluster.Assignment)) {
 	for _, segment := range l.Log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
@@ -177,7 +180,7 @@
 	}
 }
 
-// restoreSegments finds out what stands on each segment. Later segments overrule earlier ones.
+// restoreSegments determines the entries of each segment. Later segments override earlier ones.
 func (l *Loader) restoreSegments(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
 	where := map[uint64]*cluster.Segment{}
 	for _, stored := range segments {
@@ -186,7 +189,7 @@
 			machine := l.restoreMachine(begun, now)
 			for _, task := range begun.Tasks {
 				if old := where[task.Attempt]; old != nil {
-					delete(old.Begun, task.Attempt) // carried along since
+					delete(old.Begun, task.Attempt) // carried over to a later segment
 				}
 				where[task.Attempt] = segment
 				l.restoreTask(segment, machine, begun.Session, task, ended, now)
@@ -203,21 +206,21 @@
 	}
 }
 
-// restoreCompletions takes in the completions of one chunk of a job's tasks.
+// restoreCompletions restores the completions of one chunk of a job's tasks.
 func (l *Loader) restoreCompletions(segment *cluster.Segment, done assignmentlog.CompletionRecord) {
 	job := l.State.Jobs[done.Job]
 	if job == nil || done.Chunk < 0 || done.Chunk*l.Derived.Store.ChunkTasks >= job.Spec.Tasks {
 		return
 	}
 	if err := job.DecodeChunk(done.Chunk, l.Derived.Store.ChunkTasks, done.Bits); err != nil {
-		slog.Error("completions unreadable", "job", done.Job, "reason", err)
+		slog.Error("failed to decode completions", "job", done.Job, "reason", err)
 		return
 	}
 	segment.Completions[cluster.ChunkRef{Job: job, Index: done.Chunk}] = true
 	job.Completions.Chunks[done.Chunk] = &cluster.Chunk{Segment: segment, Saved: true}
 }
 
-// restoreMachine adds a machine that the log names.
+// restoreMachine returns the machine that a log record names, and adds it if it is unknown.
 func (l *Loader) restoreMachine(record assignmentlog.MachineRecord, now time.Time) *cluster.Machine {
 	machine := l.State.Machines.ByID[record.Machine]
 	if machine == nil {
@@ -232,7 +235,7 @@
 	return machine
 }
 
-// restoreTask finds out what may be on a machine; it does not count before the whole log is read.
+// restoreTask adds an assignment to its segment. It takes no effect before the whole log is read.
 func (l *Loader) restoreTask(segment *cluster.Segment, machine *cluster.Machine, session uint64, task assignmentlog.TaskRecord, ended EndedRecords, now time.Time) {
 	job := l.State.Jobs[task.Job]
 	if job == nil {
@@ -245,7 +248,7 @@
 	}
 	if task.Index < 0 || task.Index >= job.Spec.Tasks {
 		if !job.End.Cancelled {
-			slog.Error("record names a task that its job does not have", "job", task.Job, "task", task.Index)
+			slog.Error("assignment log names a task index that is out of range for its job", "job", task.Job, "task", task.Index)
 			return
 		}
 		job.GrowTo(task.Index + 1)
@@ -258,12 +261,12 @@
 	}
 }
 
-// restoreEndedJob adds a job that is over, of which a task may still be on a machine.
+// restoreEndedJob adds a job that is over but may still have a task on a machine.
 func (l *Loader) restoreEndedJob(task assignmentlog.TaskRecord, stored kvstore.KeyValue, now time.Time) *cluster.Job {
 	var record jobs.Record
 	_ = jsonv2.Unmarshal(stored.Value, &record)
 	if record.Spec == nil {
-		// Done: what is left of it on the machine ends by itself.
+		// The job is done: what is left of it on the machine ends by itself.
 		record.Spec = &jobs.Spec{ID: task.Job, Tasks: task.Index + 1, Shape: jobs.Batch}
 	}
 	job := cluster.NewJob(task.Job, record.Spec, stored.Revision, 0, now)
--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -1,8 +1,8 @@
-// Package runtimes estimates how long tasks run, from what their owners say and from what was
-// observed, and finds machines on which they run much longer than elsewhere.
+// Package runtimes estimates how long tasks run, from the estimates of their owners and from
+// observed run times. It also detects machines on which tasks run much longer than elsewhere.
 //
-// Run times are kept as logarithms: within a class they vary by factors. Nothing here is safe
-// for concurrent use; it belongs to the leader's event loop.
+// Run times are kept as logarithms because they vary by factors within a class. Nothing here is
+// safe for concurrent use: it must be used only on the leader's event loop.
 package runtimes
 
 import (
@@ -14,31 +14,31 @@
 )
 
 const (
-	minTaskWeight  = 0.05 // of one completed task in the correction of estimates
-	minJobWeight   = 0.2  // of one completed job in the variance
-	priorDeviation = 0.7  // before anything is known, run times vary by a factor of two
+	minTaskWeight  = 0.05 // minimum weight of one completed task in the correction of estimates
+	minJobWeight   = 0.2  // minimum weight of one completed job in the variance
+	priorDeviation = 0.7  // initial standard deviation of log run times: a factor of two
 	minDeviation   = priorDeviation / 4
-	minTailChance  = 1e-300 // so that its logarithm is finite
+	minTailChance  = 1e-300 // keeps its logarithm finite
 	minRunTimeS    = 1e-3
 )
 
-// Estimator knows the run times of all classes of jobs.
+// Estimator holds the run time distributions of all classes of jobs.
 type Estimator struct {
 	byClass map[string]*Distribution
 }
 
-// NewEstimator makes an estimator that has observed nothing.
+// NewEstimator returns an Estimator without observations.
 func NewEstimator() *Estimator { return &Estimator{byClass: map[string]*Distribution{}} }
 
-// Distribution is what was observed of the run times of a class.
+// Distribution describes the observed run times of a class.
 type Distribution struct {
-	Correction float64 // how far run times are off their owners' estimates, as a logarithm
-	Variance   float64 // of run times within a job
-	Tasks      float64 // observed for the correction
-	Jobs       float64 // observed for the variance
+	Correction float64 // moving average of log(run time / owner's estimate)
+	Variance   float64 // of log run times within a job
+	Tasks      float64 // number observed for the correction
+	Jobs       float64 // number observed for the variance
 }
 
-// Of returns what was observed of a class, to be read and changed by the caller.
+// Of returns the distribution of a class, which the caller may modify.
 func (e *Estimator) Of(class string) *Distribution {
 	distribution := e.byClass[class]
 	if distribution == nil {
@@ -48,8 +48,8 @@
 	return distribution
 }
 
-// Seconds is how long a task of the job will run: its owner's estimate, corrected by how far
-// the estimates of its class have been off lately.
+// Seconds returns the expected run time of a task in seconds: its owner's estimate, corrected by
+// the recent error of the estimates of its class.
 func (e *Estimator) Seconds(spec *jobs.Spec) float64 {
 	if distribution := e.byClass[spec.Class]; distribution != nil {
 		return spec.EstimatedRuntimeS * math.Exp(distribution.Correction)
@@ -57,7 +57,7 @@
 	return spec.EstimatedRuntimeS
 }
 
-// JobSeconds is the same where tasks of this very job may have been observed.
+// JobSeconds returns the same, but prefers the observed run times of the job itself if it has any.
 func (e *Estimator) JobSeconds(job *cluster.Job) float64 {
 	if median, known := job.MedianRunTime(); known {
 		return math.Exp(median)
@@ -65,7 +65,7 @@
 	return e.Seconds(job.Spec)
 }
 
-// TaskCompleted observes a completed task. Nobody may have seen it start: then it tells nothing.
+// TaskCompleted records a completed task. A task whose start was not observed is ignored.
 func (e *Estimator) TaskCompleted(assignment *cluster.Assignment, now time.Time) {
 	job, seconds := assignment.Job, now.Sub(assignment.RunningSince).Seconds()
 	startMissed := assignment.RunningSince.Equal(assignment.CreatedAt) || assignment.Restored && job.IsGang()
@@ -73,7 +73,8 @@
 		return
 	}
 	distribution, logSeconds := e.Of(job.Spec.Class), math.Log(seconds)
-	if median, known := job.MedianRunTime(); known && !job.IsGang() { // a gang is as slow as its slowest
+	// The run time of a gang is that of its slowest task and says little about one machine.
+	if median, known := job.MedianRunTime(); known && !job.IsGang() {
 		health := &assignment.Machine.Health
 		odds := health.SlowLogOdds + distribution.stragglerLogOdds(logSeconds-median)
 		health.SlowLogOdds = max(odds, -float64(len(assignment.Machine.Assignments)))
@@ -84,7 +85,7 @@
 	distribution.Correction += weight * (logSeconds - math.Log(job.Spec.EstimatedRuntimeS) - distribution.Correction)
 }
 
-// JobCompleted observes how much the run times of a completed job's tasks vary.
+// JobCompleted records the variance of run times among the tasks of a completed job.
 func (e *Estimator) JobCompleted(job *cluster.Job) {
 	count := float64(len(job.RunTimeLogs))
 	if count < cluster.MinRunTimes {
@@ -103,8 +104,8 @@
 	distribution.Variance += weight * (squares/(count-1) - distribution.Variance)
 }
 
-// ChanceToEnd is the chance that a task that has run for some time ends within so much more, by
-// how long it usually takes. All in seconds.
+// ChanceToEnd returns the probability that a task which has run for ran seconds ends within more
+// seconds, given that such a task usually takes usual seconds.
 func (d *Distribution) ChanceToEnd(ran, more, usual float64) float64 {
 	if ran <= 0 {
 		return 1 - d.tailChance(math.Log(more/usual))/2
@@ -112,11 +113,11 @@
 	return 1 - d.tailChance(math.Log((ran+more)/usual))/d.tailChance(math.Log(ran/usual))
 }
 
-// tailChance is twice the chance that a task runs for longer than a multiple of its usual time,
-// which is given as a logarithm.
+// tailChance returns twice the probability that a task exceeds a multiple of its usual run time. The
+// multiple is given as a logarithm.
 func (d *Distribution) tailChance(logMultiple float64) float64 {
 	return max(math.Erfc(logMultiple/d.deviation()/math.Sqrt2), minTailChance)
 }
 
-// deviation has a lower bound: a few tasks may agree by chance.
+// deviation has a lower bound because a few tasks may agree by chance.
 func (d *Distribution) deviation() float64 { return max(math.Sqrt(d.Variance), minDeviation) }
--- a/internal/leader/runtimes/straggler_test.go
+++ b/internal/leader/runtimes/straggler_test.go
@@ -10,22 +10,22 @@
 	"ospreyslip/internal/workers"
 )
 
-// Run times of one class vary: a task that runs for long says little of its
-// machine. Several on one machine say much, and so do tasks that are over.
+// Run times of one class vary, so one long-running task is weak evidence of a slow machine. Several
+// tasks on one machine are strong evidence, and so are completed tasks.
 func TestSlowMachinesByOdds(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		before  []float64 // how many times their usual time tasks took on the machine
-		running []float64 // how many times their usual time tasks have been running
+		before  []float64 // completed tasks: multiples of their usual run time
+		running []float64 // running tasks: multiples of their usual run time
 		slow    bool
 	}{
 		{"one long task", nil, []float64{2.5, 0.5, 0.5, 0.1}, false},
-		{"one long task after quick ones", []float64{0.8, 1.2, 1}, []float64{4}, false},
+		{"one long task after fast ones", []float64{0.8, 1.2, 1}, []float64{4}, false},
 		{"all tasks long", nil, []float64{2.5, 2.5, 2.5, 2.5}, true},
-		{"tasks over, each late", []float64{3, 3.5, 4, 4}, []float64{1}, true},
-		{"late by a little", []float64{1.4, 1.5, 1.3}, []float64{1.2, 1.2}, false},
+		{"completed tasks, each late", []float64{3, 3.5, 4, 4}, []float64{1}, true},
+		{"slightly late", []float64{1.4, 1.5, 1.3}, []float64{1.2, 1.2}, false},
 		{"a task that never ends", nil, []float64{30}, true},
-		{"no task of the job is over elsewhere", nil, nil, false},
+		{"no completed task of the job elsewhere", nil, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -46,7 +46,7 @@
 				job.Assignments[a.Index], machine.Assignments[attempt] = a, a
 				return a
 			}
-			start(0).ObservedState = "" // one more task, which has not begun and tells nothing
+			start(0).ObservedState = "" // one more task that has not started and is no evidence
 			for _, ran := range tc.before {
 				estimator.TaskCompleted(start(ran), now)
 			}
@@ -55,12 +55,12 @@
 				start(ran)
 			}
 			if tc.running == nil {
-				job.RunTimeLogs = nil // the quick ones would be over first
+				job.RunTimeLogs = nil // the fast ones would be completed first
 				start(9)
 				start(9)
 			}
 			if slow, _ := estimator.IsStraggler(machine, now); slow != tc.slow {
-				t.Errorf("slow: %v, odds %.1f", slow, estimator.StragglerLogOdds(machine, now))
+				t.Errorf("slow: %v, log odds %.1f", slow, estimator.StragglerLogOdds(machine, now))
 			}
 		})
 	}
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -10,14 +10,14 @@
 	"ospreyslip/internal/placement"
 )
 
-// defaultPatience is how many times its run and boot time a job is given that has no
-// service-level objective and no deadline.
+// defaultPatience is the time allowed to a batch job without a service-level objective or deadline,
+// as a multiple of its run time plus boot time.
 const defaultPatience = 4.0
 
-// demand is the tasks that machines should be rented for: services and gangs at once, and batch
-// tasks that would be over too late on the machines there are.
+// demand returns the tasks for which to provision machines: tasks of services and gangs immediately,
+// batch tasks only if they would be late on the present machines.
 func (s *Scaler) demand(now time.Time, unmet []placement.Demand) []autoscaler.Demand {
-	var late []int // by the order of the queue
+	var late []int // in queue order
 	missingCPUs := 0.0
 	if queue := s.batchQueue(unmet); len(queue) > 0 {
 		late, missingCPUs = autoscaler.ForecastLateTasks(s.forecastRooms(now), queue), s.missingCPUs(now)
@@ -36,7 +36,7 @@
 	return needs
 }
 
-// batchQueue is the batch tasks without a machine, as the forecast sees them.
+// batchQueue returns the batch tasks without a machine in the form that the forecast takes.
 func (s *Scaler) batchQueue(unmet []placement.Demand) (queue []autoscaler.PendingTasks) {
 	for _, d := range unmet {
 		if spec := d.Job.Spec; spec.Shape == jobs.Batch {
@@ -49,17 +49,18 @@
 	return queue
 }
 
-// batchDemand is for how many of a job's tasks to rent machines if so many would be late, and
-// so many CPUs are missing for batch work in all. It returns how many CPUs are missing then.
+// batchDemand returns for how many of a job's tasks to provision machines, given how many of them
+// would be late and how many CPUs are missing for all batch work. It also returns the number of CPUs
+// that are still missing afterwards.
 func (s *Scaler) batchDemand(demand placement.Demand, late int, missingCPUs float64) (count int, stillMissing float64) {
 	spec := demand.Job.Spec
 	count = late
-	// A new machine works off several tasks one after the other.
+	// One new machine runs several tasks one after the other.
 	waves := (s.timeLeftS(demand.Job) - s.deps.Catalog.ShortestBootTime().Seconds()) / s.host.RunTimeS(spec)
 	if waves > 1 && count > 0 {
 		count = int(math.Ceil(float64(count) / math.Floor(waves)))
 	}
-	// The forecast knows of no work that is still to come.
+	// The forecast does not include work that has yet to arrive.
 	if spec.CPUs > 0 && missingCPUs > 0 {
 		count = max(count, min(demand.Count, int(math.Ceil(missingCPUs/spec.CPUs))))
 		missingCPUs -= float64(count) * spec.CPUs
@@ -67,8 +68,8 @@
 	return count, missingCPUs
 }
 
-// timeLeftS is how many seconds a batch job has left. One without an objective to meet should
-// not wait for ever either.
+// timeLeftS returns the time that a batch job has left, in seconds. A job without an objective gets
+// a default, since it must not wait forever.
 func (s *Scaler) timeLeftS(job *placement.Job) float64 {
 	if job.DeadlineS < placement.NoDeadline {
 		return job.DeadlineS
@@ -76,8 +77,8 @@
 	return defaultPatience * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
 }
 
-// missingCPUs is how many CPUs are missing, next to the services, for the recent arrival rate
-// of batch work and for working off the backlog within the same window.
+// missingCPUs returns how many CPUs are missing, beside those that services use, to keep up with the
+// recent arrival rate of batch work or to clear the backlog within the same window.
 func (s *Scaler) missingCPUs(now time.Time) float64 {
 	missing := max(s.arrivals.at(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
 	for _, m := range s.deps.State.Machines.All {
@@ -100,7 +101,7 @@
 	return missing
 }
 
-// backlogCPUSeconds is the work of all tasks that end by themselves and are not done.
+// backlogCPUSeconds returns the work of all incomplete tasks that run to completion, in CPU seconds.
 func (s *Scaler) backlogCPUSeconds() (work float64) {
 	for _, job := range s.deps.State.Jobs {
 		if !job.IsOver() && job.Spec.RunsToCompletion() {
--- a/internal/leader/scaler/doc.go
+++ b/internal/leader/scaler/doc.go
@@ -1,12 +1,13 @@
-// Package scaler adapts the cluster's machines to the work: it rents machines when work would
-// be late without them, and releases those that are idle, dead, or never booted.
+// Package scaler scales the cluster to its work. It provisions machines if work would be late
+// without them, and releases machines that are idle, dead, or never booted.
 //
-// Scale-out goes from demand (demand.go, by a forecast of when running tasks leave room, and by
-// the arrival rate of batch work) to requests for kinds of machines (provision.go). Scale-in
-// goes through a queue with one request at a time (release.go). The cloud's list of machines
-// (list.go) shows machines that earlier leaders rented, and those that are gone.
+// Scale-out turns demand (demand.go) into provisioning requests for machine pools (provision.go).
+// The demand is derived from a forecast of when running tasks free resources and from the arrival
+// rate of batch work. Scale-in uses a queue with one request in flight (release.go). The cloud's
+// list of machines (list.go) shows machines that earlier leaders provisioned, and those that are
+// gone.
 //
-// A Scaler belongs to the leader's event loop, which calls it; it is no goroutine of its own.
-// The requests to the cloud run on goroutines that end with the context given, touch no state
-// and hand their outcome to the event loop by Deps.Post.
+// A Scaler must be used only on the leader's event loop and starts no loop of its own. Requests to
+// the cloud run on goroutines that end with the given context, access no shared state and post
+// their outcome to the event loop with Deps.Post.
 package scaler
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// overrunShare is the part of its run time for which a task is expected to run on that
-	// should be over by now.
+	// overrunShare is the expected remaining time of a task that has exceeded its run time, as a
+	// fraction of that run time.
 	overrunShare = 0.2
-	// lateBootShare is the part of its boot time for which a machine is expected to go on
-	// booting that should be up by now.
+	// lateBootShare is the expected remaining time of a machine that has exceeded its boot time,
+	// as a fraction of that boot time.
 	lateBootShare = 1.0 / 8
 )
 
-// forecastRooms is the machines that take work now or once they are up, as the forecast sees
-// them, the earliest first.
+// forecastRooms returns the machines that accept work now or will once they are up, in the form
+// that the forecast takes, earliest first.
 func (s *Scaler) forecastRooms(now time.Time) []autoscaler.MachineForecast {
 	var rooms []autoscaler.MachineForecast
 	for _, m := range s.deps.State.Machines.All {
@@ -41,7 +41,7 @@
 	return rooms
 }
 
-// takesWorkIn is how long it takes until a machine takes work, if it does.
+// takesWorkIn returns how long it takes until a machine accepts work, and whether it will.
 func (s *Scaler) takesWorkIn(machine *cluster.Machine, now time.Time) (wait time.Duration, takesWork bool) {
 	switch {
 	case s.host.IsUsable(machine, now):
@@ -53,14 +53,14 @@
 	return 0, false
 }
 
-// isBootingInTime tells whether a machine boots, and not for so long that it must not be
-// counted on.
+// isBootingInTime reports whether a machine is booting and still expected to come up soon enough
+// to be counted on.
 func (s *Scaler) isBootingInTime(machine *cluster.Machine, now time.Time) bool {
 	slow := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
 	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slow
 }
 
-// forecastLeaves is when the tasks on a machine are expected to leave it. Services never do.
+// forecastLeaves returns when the tasks on a machine are expected to end. Services never end.
 func (s *Scaler) forecastLeaves(machine *cluster.Machine, now time.Time) (leaves []autoscaler.Release) {
 	for _, a := range machine.Assignments {
 		if a.Outcome != cluster.Open || !a.Job.Spec.RunsToCompletion() {
--- a/internal/leader/scaler/list.go
+++ b/internal/leader/scaler/list.go
@@ -9,17 +9,17 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// listShare is the part of the cloud's requests that lists may take.
+// listShare is the fraction of the cloud's request rate that listing machines may use.
 const listShare = 0.25
 
-// PollList keeps asking the cloud which machines there are, until the context ends, and has
-// each list applied on the event loop. It runs on a goroutine of its own.
+// PollList lists the cloud's machines periodically until the context ends and applies each list
+// on the event loop. It blocks and runs on its own goroutine.
 func (s *Scaler) PollList(ctx context.Context) {
 	for ctx.Err() == nil {
 		askedAt := time.Now()
 		listed, requests, err := s.deps.Cloud.ListMachines(ctx)
 		if err != nil {
-			slog.Debug("machines not listed", "term", s.host.Term(), "reason", err)
+			slog.Debug("failed to list machines", "term", s.host.Term(), "reason", err)
 		} else {
 			s.deps.Post(ctx, func(now time.Time) { s.ApplyList(ctx, listed, askedAt, now) })
 		}
@@ -30,14 +30,14 @@
 	}
 }
 
-// pollInterval is the pause after a list that took so many requests.
+// pollInterval returns the pause after a list that took the given number of requests.
 func (s *Scaler) pollInterval(requests int) time.Duration {
 	requestsPerSecond := listShare * s.deps.Settings.Deployment.Cloud.RPS
 	return max(s.deps.Derived.Cloud.ListInterval, time.Duration(float64(requests)/requestsPerSecond*float64(time.Second)))
 }
 
-// ApplyList compares the cloud's list, asked for at a moment, with the machines known. The list
-// lags, so that a machine missing from it proves nothing, nor does one that is still there.
+// ApplyList compares the cloud's list with the known machines. askedAt is when the list was
+// requested. The list lags, so neither the absence nor the presence of a machine in it is proof.
 func (s *Scaler) ApplyList(ctx context.Context, listed []cloud.ListedMachine, askedAt, now time.Time) {
 	var failed []*cluster.Machine
 	for _, entry := range listed {
@@ -53,7 +53,7 @@
 			m.Rental.ListedRunningSince = now
 		}
 		if entry.State == cloud.StateFailed && m.Phase != cluster.Releasing {
-			slog.Info("machine failed", "machine", m.ID, "term", s.host.Token(), "reason", "cloud says so")
+			slog.Info("machine failed", "machine", m.ID, "term", s.host.Token(), "reason", "reported by the cloud")
 			failed = append(failed, m)
 		}
 	}
@@ -62,8 +62,8 @@
 	s.forgetReleased(now)
 }
 
-// machineOf returns the machine of an entry of the list, which is added if it is new; nil if
-// it was released lately, so that the entry is out of date.
+// machineOf returns the machine of a list entry, which it adds if the machine is new. It returns nil
+// if the machine was released recently: the entry is then out of date.
 func (s *Scaler) machineOf(entry cloud.ListedMachine, now time.Time) *cluster.Machine {
 	if m := s.deps.State.Machines.ByID[entry.ID]; m != nil {
 		return m
@@ -76,12 +76,12 @@
 	m.Rental.IdleSince = now
 	m.Type, m.Zone, m.Spot = entry.Type, entry.Zone, entry.Spot
 	s.deps.State.Machines.Add(m)
-	slog.Info("machine found in the list", "machine", m.ID, "term", s.host.Token(), "state", entry.State)
+	slog.Info("discovered machine in the cloud's list", "machine", m.ID, "term", s.host.Token(), "state", entry.State)
 	return m
 }
 
-// suspectUnlisted suspects each machine that was in an earlier list, is not in the one asked
-// for at a moment, and has not reported since: it is mostly gone.
+// suspectUnlisted suspects each machine that was in an earlier list, is missing from the list
+// requested at askedAt, and has not reported since. Such a machine is most likely gone.
 func (s *Scaler) suspectUnlisted(askedAt time.Time) {
 	for _, m := range s.deps.State.Machines.All {
 		unlisted := !m.Rental.ListedAt.IsZero() && m.Rental.ListedAt != askedAt
@@ -91,7 +91,7 @@
 	}
 }
 
-// forgetReleased drops the released machines that the list cannot show any more.
+// forgetReleased removes released machines that the list can no longer show.
 func (s *Scaler) forgetReleased(now time.Time) {
 	for id, until := range s.released {
 		if now.After(until) {
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -15,17 +15,17 @@
 	"ospreyslip/internal/placement"
 )
 
-// rentals is the requests for machines.
+// rentals holds the state of the provisioning requests.
 type rentals struct {
-	made     int                            // in this term, by which the next one is named
-	inFlight int                            // requests on their way
-	machines map[autoscaler.MachinePool]int // asked for by these
+	made     int                            // in this term; part of the next request name
+	inFlight int                            // requests without an outcome
+	machines map[autoscaler.MachinePool]int // number of machines that the requests in flight ask for
 	refusals map[autoscaler.MachinePool]refusal
 }
 
-// refusal is the exponential backoff of a kind of machine of which the cloud had too few.
+// refusal is the exponential backoff for a pool in which the cloud lacked capacity.
 type refusal struct {
-	until time.Time // it is not asked for before
+	until time.Time // no machine is requested before
 	wait  time.Duration
 }
 
@@ -33,14 +33,14 @@
 	return rentals{machines: map[autoscaler.MachinePool]int{}, refusals: map[autoscaler.MachinePool]refusal{}}
 }
 
-// backOff doubles a kind's wait within bounds, and begins it.
+// backOff doubles the wait of a pool within the bounds and starts it.
 func (r *rentals) backOff(kind autoscaler.MachinePool, now time.Time, least, most time.Duration) {
 	wait := min(max(2*r.refusals[kind].wait, least), most)
 	r.refusals[kind] = refusal{until: now.Add(wait), wait: wait}
 }
 
-// provision asks for the machines that are missing, with a few requests at a time: more would
-// only wait for each other at the cloud, and what they ask for be out of date when it comes.
+// provision requests the missing machines with a limited number of requests in flight. More requests
+// would only queue at the cloud and be out of date when they are served.
 func (s *Scaler) provision(ctx context.Context, now time.Time, unmet []placement.Demand) {
 	if s.rentals.inFlight >= s.deps.Derived.Cloud.RentalsInFlight {
 		return
@@ -61,8 +61,8 @@
 	}
 }
 
-// supply counts the machines of each kind: all that are not being released, and those of them
-// that are expected soon. Those asked for count as both.
+// supply counts the machines in each pool: all that are not being released, and those expected to be
+// up soon. Machines in requests in flight count as both.
 func (s *Scaler) supply(now time.Time) (have, coming map[autoscaler.MachinePool]int) {
 	have, coming = map[autoscaler.MachinePool]int{}, map[autoscaler.MachinePool]int{}
 	for _, m := range s.deps.State.Machines.All {
@@ -80,9 +80,9 @@
 	return have, coming
 }
 
-// isUnavailable tells whether a kind of machine is not to be asked for now: the cloud had too
-// few of it a short while ago, or its zone is cut off, so that what boots there is paid for and
-// cannot be used.
+// isUnavailable reports whether machines of a pool should not be requested now. Either the cloud
+// lacked capacity a short while ago, or the pool's zone is unreachable: a machine booted there would
+// be paid for but unusable.
 func (s *Scaler) isUnavailable(kind autoscaler.MachinePool, now time.Time) bool {
 	return now.Before(s.rentals.refusals[kind].until) || s.host.IsZoneSilent(kind.Zone, now, 2*s.deps.Derived.Workers.CancelDeadline)
 }
@@ -95,9 +95,9 @@
 	go s.requestRental(ctx, cloud.ProvisionRequest{Name: name, MachinePool: kind, Count: count})
 }
 
-// requestRental rents until the outcome is known: after anything but an answer the same
-// request, which the cloud carries out once only, goes out again. It runs on a goroutine of its
-// own.
+// requestRental sends a provisioning request until its outcome is known. After any failure but a
+// lack of capacity it sends the same request again, which the cloud executes only once. It runs on
+// its own goroutine.
 func (s *Scaler) requestRental(ctx context.Context, rental cloud.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !s.deps.Valid() {
@@ -112,7 +112,7 @@
 	s.deps.Post(ctx, func(now time.Time) { s.rentalDone(ctx, rental, ids, err, now) })
 }
 
-// rentalDone takes in the outcome of a request for machines.
+// rentalDone processes the outcome of a provisioning request.
 func (s *Scaler) rentalDone(ctx context.Context, rental cloud.ProvisionRequest, ids []string, err error, now time.Time) {
 	s.rentals.inFlight--
 	s.rentals.machines[rental.MachinePool] -= rental.Count
@@ -125,7 +125,7 @@
 	if len(ids) == 0 {
 		level = slog.LevelDebug
 	}
-	slog.Log(ctx, level, "machines rented", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(ids), "term", s.host.Token())
+	slog.Log(ctx, level, "machines provisioned", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(ids), "term", s.host.Token())
 	for _, id := range ids {
 		if s.deps.State.Machines.ByID[id] == nil {
 			m := cluster.NewMachine(id, now)
@@ -135,7 +135,7 @@
 	}
 }
 
-// MachineUp notes that a machine which was booting has sent its first heartbeat.
+// MachineUp marks a booting machine as up after its first heartbeat.
 func (s *Scaler) MachineUp(machine *cluster.Machine, now time.Time) {
 	machine.Phase = cluster.Up
 	machine.Rental.IdleSince = now
@@ -148,10 +148,10 @@
 	return autoscaler.MachinePool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// errNotLeading ends what only the leader may ask of the cloud.
-var errNotLeading = errors.New("leadership is not held")
+// errNotLeading stops a request that only the leader may send to the cloud.
+var errNotLeading = errors.New("not the leader")
 
-// retryBackOff is the waits between two sendings of one request.
+// retryBackOff returns the backoff between attempts of one request.
 func (s *Scaler) retryBackOff() *backoff.ExponentialBackOff {
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = s.deps.Derived.Workers.HeartbeatInterval / 2
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -17,14 +17,14 @@
 	"ospreyslip/internal/placement"
 )
 
-// serviceDemand is a service that waits for so many machines of its own.
+// serviceDemand returns a service with count pending tasks that each take a whole machine.
 func serviceDemand(count int) placement.Demand {
 	spec := &jobs.Spec{ID: "j-9", Shape: jobs.Service, Tasks: count, CPUs: 4}
 	return placement.Demand{Job: &placement.Job{Spec: spec, DeadlineS: placement.NoDeadline}, Count: count}
 }
 
-// What is rented counts as coming until it is known, and is booting from then on: it is not
-// rented once more.
+// Requested machines count as booting until the request returns, and booting machines after that.
+// Counting neither would provision the same machine twice.
 func TestProvisionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requests := 0
@@ -40,16 +40,16 @@
 		b.provision(t.Context(), b.now, unmet)
 		synctest.Wait()
 		if requests != 1 || b.rentals.inFlight != 0 {
-			t.Errorf("%d requests, %d on their way", requests, b.rentals.inFlight)
+			t.Errorf("%d requests sent, %d in flight, want 1 and 0", requests, b.rentals.inFlight)
 		}
 		if m := b.deps.State.Machines.ByID["m-7"]; m == nil || m.Phase != cluster.Booting || m.Type != "c4" {
-			t.Errorf("rented: %+v", m)
+			t.Errorf("provisioned machine: %+v", m)
 		}
 	})
 }
 
-// An earlier leader's rentals may not be listed yet: nothing is rented before, but in the first
-// term of all.
+// Machines of an earlier leader may not be listed yet, so provisioning is deferred, except in the
+// very first term.
 func TestDeferRentals(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -59,24 +59,24 @@
 	}{
 		{"too early", 5, 7.9, 0},
 		{"first term", 1, 1, 1},
-		{"late enough", 5, 8, 1},
+		{"at the deferred time", 5, 8, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"hosts":["m-7"]}`) })
 				b.host.term = tc.term
-				b.host.unknownTasks = true // nothing is released
+				b.host.unknownTasks = true // prevents releases
 				b.DeferRentals(after(b.now, 8))
 				b.Reconcile(t.Context(), after(b.now, tc.at), []placement.Demand{serviceDemand(1)})
 				if b.rentals.made != tc.rentals {
-					t.Errorf("%d rentals", b.rentals.made)
+					t.Errorf("%d provisioning requests made", b.rentals.made)
 				}
 			})
 		})
 	}
 }
 
-// A kind of machine that is not to be had is asked for ever more rarely, until it is had again.
+// A pool without capacity is requested at growing intervals until the cloud has capacity again.
 func TestRefusalBacksOff(t *testing.T) {
 	b, _ := newBench(t, refuseAll(t))
 	kind := autoscaler.MachinePool{Type: "c4", Zone: "a"}
@@ -86,7 +86,7 @@
 	for range 6 {
 		b.rentalDone(t.Context(), rental, nil, cloud.ErrNoCapacity, b.now)
 		if !b.isUnavailable(kind, b.now) {
-			t.Fatal("asked for again at once")
+			t.Fatal("requested again immediately")
 		}
 		waits = append(waits, b.rentals.refusals[kind].until.Sub(b.now))
 	}
@@ -95,16 +95,16 @@
 	}
 	b.rentalDone(t.Context(), rental, []string{"m-7"}, nil, b.now)
 	if b.isUnavailable(kind, b.now) {
-		t.Error("not asked for, though it is to be had")
+		t.Error("not requested although the cloud has capacity")
 	}
 	b.host.silentZones["a"] = true
 	if !b.isUnavailable(kind, b.now) {
-		t.Error("asked for in a zone that is cut off")
+		t.Error("requested in a silent zone")
 	}
 }
 
-// Batch work is rented for as far as it would be late, several waves of it to one machine; and
-// as far as CPUs are missing for the arrival rate.
+// Machines are provisioned for late batch tasks, several waves of tasks per machine, and for the
+// CPUs that the arrival rate needs.
 func TestBatchDemand(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -117,33 +117,33 @@
 		{"in time", batchDemand(100), 0, 0, 0, 0},
 		{"late, one wave", batchDemand(25), 8, 0, 8, 0},
 		{"late, three waves", batchDemand(45), 8, 0, 3, 0},
-		{"in time, but CPUs are missing", batchDemand(100), 0, 5, 3, -1},
-		{"more CPUs are missing than its tasks take", batchDemand(100), 0, 50, 8, 34},
+		{"in time, CPUs missing", batchDemand(100), 0, 5, 3, -1},
+		{"more CPUs missing than its tasks use", batchDemand(100), 0, 50, 8, 34},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, _ := newBench(t, refuseAll(t))
 			count, still := b.batchDemand(tc.demand, tc.late, tc.missingCPUs)
 			if count != tc.count || still != tc.stillCPUs {
-				t.Errorf("%d machines' tasks, %v CPUs still missing", count, still)
+				t.Errorf("machines for %d tasks, %v CPUs still missing", count, still)
 			}
 		})
 	}
 }
 
-// The arrival rate decays, and work that arrived earlier counts as it would by now.
+// The arrival rate decays. Work that arrived earlier counts as much as if it had been counted then.
 func TestArrivalRate(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rate := arrivalRate{window: 100 * time.Second}
 	rate.add(500, 0, start)
 	if got := rate.at(start); got != 5 {
-		t.Errorf("%v CPUs at first", got)
+		t.Errorf("%v CPUs initially, want 5", got)
 	}
 	if got, want := rate.at(after(start, 100)), 5/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("%v CPUs a window later, want %v", got, want)
+		t.Errorf("%v CPUs after one window, want %v", got, want)
 	}
 	found := arrivalRate{window: 100 * time.Second}
 	found.add(500, 100*time.Second, after(start, 100))
 	if got, want := found.at(after(start, 100)), rate.at(after(start, 100)); math.Abs(got-want) > 1e-9 {
-		t.Errorf("found by a new leader it counts as %v CPUs, want %v", got, want)
+		t.Errorf("old work added by a new leader counts as %v CPUs, want %v", got, want)
 	}
 }
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -13,15 +13,15 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// releaseQueue is the machines to be released. There is one request at a time: what comes
-// meanwhile goes into the next, so that a zone that is lost does not take more requests than
-// the cloud answers.
+// releaseQueue holds the machines to be released. At most one request is in flight, and machines
+// that are added meanwhile go into the next one. This keeps the loss of a zone from taking more
+// requests than the cloud answers.
 type releaseQueue struct {
 	waiting  []string
 	inFlight bool
 }
 
-// next takes the machines of the next request out of the queue; none while one is on its way.
+// next dequeues the machines of the next request. It returns nil while a request is in flight.
 func (q *releaseQueue) next() []string {
 	if len(q.waiting) == 0 || q.inFlight {
 		return nil
@@ -32,7 +32,7 @@
 	return ids
 }
 
-// machinesToRelease is the machines that are not needed any more, by their ids.
+// machinesToRelease returns the machines that are no longer needed, sorted by id.
 func (s *Scaler) machinesToRelease(now time.Time) []*cluster.Machine {
 	var unneeded []*cluster.Machine
 	for _, m := range s.deps.State.Machines.All {
@@ -58,8 +58,8 @@
 	return isReclaimed(machine, now) || s.isUnneeded(machine, now)
 }
 
-// bootTimedOut tells whether a machine that was not heard of is to be given up. One that the
-// list has as running may have tasks that no record names: it has a lease to report.
+// bootTimedOut reports whether to give up on a machine that has never reported. If the list shows it
+// as running, it may have tasks that no record names, and gets the time of a lease to report.
 func (s *Scaler) bootTimedOut(machine *cluster.Machine, now time.Time) bool {
 	runningSince := machine.Rental.ListedRunningSince
 	if !runningSince.IsZero() && now.Sub(runningSince) < s.deps.Derived.Workers.LeaseExpiry {
@@ -69,16 +69,16 @@
 	return now.Sub(machine.Rental.KnownSince) > timeout
 }
 
-// isReclaimed tells whether the cloud has taken a machine away as announced: it was not heard
-// of since. Its release makes that certain, which frees its tasks before the failure detector
-// or its lease would.
+// isReclaimed reports whether the cloud has reclaimed a machine as announced, since the machine has
+// not reported after the notice period. Its release confirms that and frees its tasks before
+// the failure detector or the worker's lease would.
 func isReclaimed(machine *cluster.Machine, now time.Time) bool {
 	notice := machine.Health.NoticeUntil
 	return !notice.IsZero() && now.After(notice) && !machine.Worker.HeartbeatAt.After(notice)
 }
 
-// isUnneeded tells whether a machine without tasks is to be released. One that the cloud has
-// announced to take away is left to it, and to the lag of its list.
+// isUnneeded reports whether to release a machine that has no tasks. A machine that the cloud has
+// announced to reclaim is left to the cloud until its list must show the machine as gone.
 func (s *Scaler) isUnneeded(machine *cluster.Machine, now time.Time) bool {
 	if len(machine.Assignments) > 0 {
 		return false
@@ -91,8 +91,8 @@
 	return machine.Health.Dead || notice.IsZero() || now.After(notice.Add(s.deps.Derived.Cloud.ListLag))
 }
 
-// idleTimeout is how long an idle machine is kept. The cheaper it is, by the price of the
-// ordinary kind, the longer keeping it costs less than booting another.
+// idleTimeout returns how long to keep an idle machine. The cheaper a spot machine is compared with
+// an on-demand one, the longer keeping it costs less than booting another.
 func (s *Scaler) idleTimeout(machine *cluster.Machine) time.Duration {
 	keep := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.IdleBootTimes)
 	if machineType := s.deps.Catalog.Type(machine.Type); machine.Spot && machineType != nil && machineType.SpotPrice > 0 {
@@ -101,9 +101,9 @@
 	return keep
 }
 
-// Release gives machines back to the cloud. From now on nothing is placed on them; when the
-// cloud has answered, all that was on them is gone, whatever state they were in. Without a
-// machine it sends what still waits.
+// Release queues machines to be released to the cloud. Nothing is placed on them from now on. Once
+// the cloud has answered, all tasks on them are gone, whatever state they were in. Without
+// arguments, Release sends what is already queued.
 func (s *Scaler) Release(ctx context.Context, machines ...*cluster.Machine) {
 	for _, m := range machines {
 		if m.Phase == cluster.Releasing {
@@ -119,8 +119,8 @@
 	}
 }
 
-// requestRelease sends a request until the cloud has answered, or leadership is not held. It
-// runs on a goroutine of its own.
+// requestRelease sends a request until the cloud has answered or leadership is not held. It runs
+// on its own goroutine.
 func (s *Scaler) requestRelease(ctx context.Context, ids []string) {
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		if !s.deps.Valid() {
@@ -131,19 +131,19 @@
 	s.deps.Post(ctx, func(now time.Time) { s.releaseDone(ctx, ids, err, now) })
 }
 
-// releaseDone takes in the outcome of a request to release machines.
+// releaseDone processes the outcome of a release request.
 func (s *Scaler) releaseDone(ctx context.Context, ids []string, err error, now time.Time) {
 	s.releases.inFlight = false
 	if err != nil {
-		// Leadership was not held at that moment. If it is lost, nobody gets here; if a late
-		// renewal restores it, the next Reconcile releases them all the same.
+		// Leadership was not held at that moment. If it is lost, this code does not run. If a late
+		// renewal restores it, the next Reconcile sends the release again.
 		s.releases.waiting = append(ids, s.releases.waiting...)
 		return
 	}
 	for _, id := range ids {
 		if m := s.deps.State.Machines.ByID[id]; m != nil {
 			s.host.RemoveMachine(m)
-			// Heartbeats, too, may arrive long after their machine is gone.
+			// Heartbeats may also arrive long after their machine is gone.
 			s.released[id] = now.Add(4 * s.deps.Derived.Workers.CancelDeadline)
 		}
 	}
@@ -151,8 +151,8 @@
 	s.Release(ctx)
 }
 
-// WasReleased tells whether the cloud has taken a machine back lately: what still comes from
-// it is out of date.
+// WasReleased reports whether the cloud has recently taken a machine back. Messages that still
+// arrive from it are out of date.
 func (s *Scaler) WasReleased(id string) bool {
 	_, released := s.released[id]
 	return released
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -16,13 +16,12 @@
 	"ospreyslip/internal/settings"
 )
 
-// fakeHost is the other parts of a leader, as far as a test needs them. Tasks run for as long
-// as their owners estimate.
+// fakeHost stands in for the rest of the leader. Tasks run for as long as their owners estimate.
 type fakeHost struct {
 	term          uint64
 	machines      *cluster.MachineSet
-	unknownTasks  bool            // on all machines
-	silentZones   map[string]bool // for any time
+	unknownTasks  bool            // applies to all machines
+	silentZones   map[string]bool // reported as silent for any duration
 	suspected     []string
 	withdrawn     []string
 	plansAskedFor int
@@ -50,7 +49,7 @@
 
 func (h *fakeHost) RequestPlan() { h.plansAskedFor++ }
 
-// handlerTransport answers requests by a handler in this process.
+// handlerTransport answers requests with an in-process handler.
 type handlerTransport struct{ http.Handler }
 
 func (h handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -62,7 +61,7 @@
 	return rec.Result(), nil
 }
 
-// bench is a scaler and the ends that a test holds of it.
+// bench is a scaler with its fake dependencies.
 type bench struct {
 	*Scaler
 	host    *fakeHost
@@ -71,7 +70,7 @@
 	events  chan func(time.Time) // posted to the event loop
 }
 
-// newBench makes a scaler with an idle machine, m-1, and a cloud with the answers of a handler.
+// newBench returns a scaler with one idle machine, m-1, and a cloud whose answers a handler gives.
 func newBench(t *testing.T, answer http.HandlerFunc) (*bench, *cluster.Machine) {
 	t.Helper()
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
@@ -108,24 +107,26 @@
 	return m
 }
 
-// refuseAll is a cloud that must not be asked for anything.
+// refuseAll returns a cloud handler that fails the test on any request.
 func refuseAll(t *testing.T) http.HandlerFunc {
 	t.Helper()
-	return func(_ http.ResponseWriter, r *http.Request) { t.Errorf("request to the cloud: %s", r.URL.Path) }
+	return func(_ http.ResponseWriter, r *http.Request) {
+		t.Errorf("unexpected request to the cloud: %s", r.URL.Path)
+	}
 }
 
 func after(start time.Time, seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// batchDemand is eight pending tasks of a batch job, of two CPUs and ten seconds each, with so many
-// seconds to its deadline.
+// batchDemand returns eight pending tasks of a batch job, of two CPUs and ten seconds each, with the
+// given number of seconds to the deadline.
 func batchDemand(deadlineS float64) placement.Demand {
 	spec := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Tasks: 8, CPUs: 2, EstimatedRuntimeS: 10}
 	return placement.Demand{Job: &placement.Job{Spec: spec, DeadlineS: deadlineS}, Count: spec.Tasks}
 }
 
-// Without a valid lease nothing is asked of the cloud, whatever was under way.
+// Without a valid lease no request reaches the cloud, whatever was in flight.
 func TestNoRequestsWithoutLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, m := newBench(t, refuseAll(t))
@@ -136,21 +137,21 @@
 	})
 }
 
-// The scaler runs at a pace, and not before the catalog is known.
+// The scaler runs at intervals, and not before the catalog is known.
 func TestIsDue(t *testing.T) {
 	b, _ := newBench(t, refuseAll(t))
-	b.now = time.Now() // how long a run took is measured
+	b.now = time.Now() // the scaler measures the duration of a run
 	b.deps.State.Machines.Remove(b.deps.State.Machines.ByID["m-1"])
 	if !b.IsDue(b.now) {
-		t.Error("not due at first")
+		t.Error("first run is not due")
 	}
 	b.Reconcile(t.Context(), b.now, nil)
 	if b.IsDue(b.now) {
-		t.Error("due again at once")
+		t.Error("due again immediately")
 	}
 	later := b.now.Add(time.Minute)
 	if !b.IsDue(later) {
-		t.Error("never due again")
+		t.Error("not due again after a minute")
 	}
 	b.deps.Catalog.Types = func() []jobs.MachineType { return nil }
 	if b.IsDue(later) {
--- a/internal/leader/transaction/batch.go
+++ b/internal/leader/transaction/batch.go
@@ -1,5 +1,4 @@
-// Package transaction puts a guarded transaction of the leader together, with what follows
-// from each of its outcomes.
+// Package transaction builds the leader's guarded transactions, with callbacks for each outcome.
 package transaction
 
 import (
@@ -9,13 +8,13 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// MaxBytes is how much a transaction may write: the protocol's limit for a request, less a
-// quarter for guards and punctuation.
+// MaxBytes is the maximum size of the keys and values in a transaction: the protocol's limit for a
+// request, less a quarter for guards and punctuation.
 const MaxBytes = 64 << 10 * 3 / 4
 
-// Batch is a transaction with what follows from it. The leader has one at a time: what comes
-// meanwhile goes into the next, so that a scarce write rate makes batches larger, not queues
-// longer. It is used by one goroutine.
+// Batch is a guarded transaction and the callbacks for its outcomes. The leader has one transaction
+// in flight; later changes go into the next one, so that a low write rate leads to larger
+// transactions instead of longer queues. A Batch is not safe for concurrent use.
 type Batch struct {
 	Guards []kvstore.Guard
 	Writes []kvstore.Write
@@ -26,16 +25,16 @@
 	learn     map[string]func(revision uint64) // by key
 }
 
-// New makes an empty transaction.
+// New returns an empty transaction.
 func New() *Batch { return &Batch{learn: map[string]func(uint64){}} }
 
-// Guard makes the transaction fail unless a key still has the revision.
+// Guard makes the transaction fail unless a key has the given revision.
 func (b *Batch) Guard(key string, revision uint64) {
 	b.Guards = append(b.Guards, kvstore.Guard{Key: key, Revision: revision})
 }
 
-// Set writes a key, guarded by its revision as known. Learn is called if the guard fails, with
-// the revision that was found instead.
+// Set adds a write of a key, guarded by its last known revision. If that guard fails, learn is
+// called with the revision that was found instead.
 func (b *Batch) Set(key string, revision uint64, value json.RawMessage, learn func(revision uint64)) {
 	b.Guard(key, revision)
 	b.Writes = append(b.Writes, kvstore.Write{Set: key, Value: value})
@@ -43,34 +42,34 @@
 	b.learn[key] = learn
 }
 
-// Sets tells whether the transaction sets a key.
+// Sets reports whether the transaction writes a key.
 func (b *Batch) Sets(key string) bool {
 	_, ok := b.learn[key]
 	return ok
 }
 
-// OnCommit adds what follows if the transaction is executed.
+// OnCommit registers a function to be called if the transaction is executed.
 func (b *Batch) OnCommit(f func(revision uint64)) { b.onCommit = append(b.onCommit, f) }
 
-// OnFailure adds what follows if it is not, or nobody knows.
+// OnFailure registers a function to be called if the transaction fails or its outcome is unknown.
 func (b *Batch) OnFailure(f func()) { b.onFailure = append(b.onFailure, f) }
 
-// Committed carries out what follows from an execution at a revision, in the order added.
+// Committed calls the OnCommit functions in the order in which they were registered.
 func (b *Batch) Committed(revision uint64) {
 	for _, f := range b.onCommit {
 		f(revision)
 	}
 }
 
-// Failed carries out what follows from a failure, the latest first: what goes back to the
-// head of a queue is in order then.
+// Failed calls the OnFailure functions in reverse order, so that entries that are put back at the
+// head of a queue keep their order.
 func (b *Batch) Failed() {
 	for _, f := range slices.Backward(b.onFailure) {
 		f()
 	}
 }
 
-// Learn takes in the revision of a key whose guard has failed.
+// Learn passes on the present revision of a key whose guard failed.
 func (b *Batch) Learn(key string, revision uint64) {
 	if learn := b.learn[key]; learn != nil {
 		learn(revision)
--- a/internal/leader/transaction/batch_test.go
+++ b/internal/leader/transaction/batch_test.go
@@ -14,8 +14,8 @@
 	}{
 		{"committed", func(b *Batch) { b.Committed(9) }, []string{"commit 1", "commit 2"}},
 		{"failed", (*Batch).Failed, []string{"fail 2", "fail 1"}},
-		{"a guard failed", func(b *Batch) { b.Learn("2", 9) }, []string{"learn 2"}},
-		{"a guard alone failed", func(b *Batch) { b.Learn("0", 9) }, nil},
+		{"guard of a written key failed", func(b *Batch) { b.Learn("2", 9) }, []string{"learn 2"}},
+		{"guard of an unwritten key failed", func(b *Batch) { b.Learn("0", 9) }, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ran []string
--- a/internal/leader/writer/conflict.go
+++ b/internal/leader/writer/conflict.go
@@ -12,7 +12,7 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// readConflicts reads the keys that were not as expected, each until it can be read.
+// readConflicts reads the keys whose guards failed and retries each until it can be read.
 func (w *Writer) readConflicts(ctx context.Context, batch *transaction.Batch, keys []string) {
 	for _, key := range keys {
 		for {
@@ -33,7 +33,7 @@
 	w.Host.Post(ctx, func(time.Time) { w.inFlight = false })
 }
 
-// ApplyConflict takes in what a key is whose guard has failed.
+// ApplyConflict processes the present value of a key whose guard failed.
 func (w *Writer) ApplyConflict(batch *transaction.Batch, key string, found kvstore.KeyValue) {
 	if jobs.JobIDFromKey(key) != key {
 		w.applyRecord(key, found)
@@ -43,16 +43,17 @@
 	w.Recovery.CheckSegment(key, found)
 }
 
-// applyRecord takes in the record of a job that was to be written as done.
+// applyRecord processes the record of a job whose completion was to be written.
 func (w *Writer) applyRecord(key string, found kvstore.KeyValue) {
 	id := jobs.JobIDFromKey(key)
 	job := w.State.Jobs[id]
 	if job == nil {
-		w.Jobs.DropCompleted(id) // settled meanwhile: its end is written by others
+		// The job was settled in the meantime, and its end is written elsewhere.
+		w.Jobs.DropCompleted(id)
 		return
 	}
 	if found.Revision == 0 {
-		// Lost: it is written in place of what is not there any more.
+		// The record was lost: the next attempt creates it again.
 		job.Revision = 0
 		w.Recovery.ReportLoss(detection.Evidence{Kind: detection.RecordMissing, Key: key}, time.Now())
 		return
@@ -62,7 +63,7 @@
 		return
 	}
 	if !record.Finished() {
-		job.Revision = found.Revision // it was lost and is back
+		job.Revision = found.Revision // the record was lost and has been written again
 		return
 	}
 	w.Jobs.DropCompleted(id)
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -1,9 +1,9 @@
-// Package writer makes durable what the leader has decided: the assignment log, the ends of jobs
-// and raises of the fencing token. There is one transaction at a time, guarded by the term and by
-// the revision of each key that it touches. docs/design.md has the reasons.
+// Package writer makes the leader's decisions durable: the assignment log, the ends of jobs and
+// raises of the fencing token. At most one transaction is in flight. It is guarded by the term and
+// by the revision of each key that it writes. docs/design.md has the rationale.
 //
-// A Writer belongs to the leader's event loop. Transactions are sent by goroutines that hand their
-// outcome back to it.
+// A Writer must be used only on the leader's event loop. Transactions are sent by goroutines that
+// post the outcome back to the event loop.
 package writer
 
 import (
@@ -28,21 +28,21 @@
 	"ospreyslip/internal/settings"
 )
 
-// Host is what a writer needs of the other parts of the leader.
+// Host is the interface to the rest of the leader.
 type Host interface {
-	// IsLeader tells whether leadership is held at this moment.
+	// IsLeader reports whether leadership is held at this moment.
 	IsLeader() bool
-	// TokenRaised takes in that a higher token is durable.
+	// TokenRaised is called when a higher fencing token is durable.
 	TokenRaised()
 	// Resign gives up the term.
 	Resign()
-	// Post has a function called on the event loop. It is called by any goroutine.
+	// Post runs a function on the event loop. It may be called from any goroutine.
 	Post(ctx context.Context, apply func(now time.Time))
-	// PostAfter does so after a while.
+	// PostAfter runs a function on the event loop after a delay.
 	PostAfter(ctx context.Context, delay time.Duration, apply func())
 }
 
-// Deps is what a writer works with.
+// Deps holds the dependencies of a Writer.
 type Deps struct {
 	Derived  settings.Derived
 	Store    *kvstore.Client
@@ -56,7 +56,7 @@
 	Host     Host
 }
 
-// Writer is the transaction under way, and when the next one may be sent.
+// Writer sends the leader's transactions, one at a time.
 type Writer struct {
 	Deps
 	inFlight         bool
@@ -64,23 +64,24 @@
 	startedAt        time.Time
 }
 
-// New makes a writer with nothing under way.
+// New returns a Writer without a transaction in flight.
 func New(deps Deps) *Writer { return &Writer{Deps: deps} }
 
-// retriesPerRenewal is how often a transaction that failed is tried in the time between two renewals
+// retriesPerRenewal is how many times a failed transaction is retried within one renewal interval
 // of the term's lease.
 const retriesPerRenewal = 4
 
-// StoreUnavailable tells whether the last transaction was not executed, as far as is known.
+// StoreUnavailable reports whether the last transaction was not executed, as far as is known.
 func (w *Writer) StoreUnavailable() bool { return w.storeUnavailable }
 
-// IsIdle tells whether nothing of the log is under way or waits to be written.
+// IsIdle reports whether no transaction is in flight and the log has nothing to write.
 func (w *Writer) IsIdle() bool { return !w.inFlight && !w.Log.HasWork() }
 
-// QueueLength is how many records wait to be written.
+// QueueLength returns the number of records that wait to be written.
 func (w *Writer) QueueLength() int { return w.Jobs.CompletedCount() + w.Log.QueueLength() }
 
-// WriteNext starts the next transaction, if there is anything to write and it is time for one.
+// WriteNext starts the next transaction if there is anything to write and the flush interval has
+// elapsed.
 func (w *Writer) WriteNext(ctx context.Context, now time.Time) {
 	hasWork := w.Fencing.RaisePending || w.Jobs.HasCompleted() || w.Log.HasWork()
 	if w.inFlight || !hasWork || now.Sub(w.startedAt) < w.Derived.Leader.FlushInterval || !w.Host.IsLeader() {
@@ -98,18 +99,18 @@
 	}()
 }
 
-// Compose puts the next transaction together.
+// Compose builds the next transaction.
 func (w *Writer) Compose() *transaction.Batch {
 	b := transaction.New()
 	maxOps := w.Derived.Store.TxnOps
 	w.Log.Grow(maxOps / 2)
-	// The segments of a transaction of unknown outcome come before all else.
+	// The segments of a transaction of unknown outcome come before anything else.
 	left := maxOps - w.Log.UnsettledSegments()
 	if w.Fencing.RaisePending && left > 0 {
 		w.addToken(b)
 		left--
 	}
-	// Then ends of jobs, in half of the room if there is anything else.
+	// Ends of jobs take at most half of the remaining writes if the log has new entries.
 	limit := len(b.Writes) + left
 	if w.Log.UnsettledSegments() == 0 && w.Log.HasNews() {
 		limit = len(b.Writes) + max(1, left/2)
@@ -122,7 +123,7 @@
 	return b
 }
 
-// addToken writes a higher token.
+// addToken adds a write of a higher fencing token.
 func (w *Writer) addToken(batch *transaction.Batch) {
 	next := w.Fencing.Next()
 	w.Fencing.RaisePending = false
@@ -135,31 +136,31 @@
 	})
 	value := json.RawMessage(strconv.FormatUint(next, 10))
 	batch.Set(election.TokenKey, w.Fencing.Revision, value, func(revision uint64) {
-		// Ours, from an attempt whose outcome was unknown; or the key was lost.
+		// Either an earlier attempt of unknown outcome wrote the token, or the key was lost.
 		w.Fencing.Current, w.Fencing.Revision = next, revision
 		w.Host.TokenRaised()
 	})
 }
 
-// addCompletion writes the record of a job that is done.
+// addCompletion adds a write of the record of a completed job.
 func (w *Writer) addCompletion(batch *transaction.Batch, job *cluster.Job) {
 	if job.End.Cancelled {
-		return // its user was faster
+		return // the user cancelled the job first
 	}
 	record := jobs.Record{Tasks: job.Spec.Tasks, Spec: job.Spec}
 	value := record.FinalForm(jobs.Done, w.Derived.Store.ValueBytes)
 	batch.Set(jobs.RecordKey(job.ID), job.Revision, value, func(uint64) {})
 	batch.OnFailure(func() { w.Jobs.QueueCompleted(job) })
 	batch.OnCommit(func(uint64) {
-		slog.Debug("job done", "job", job.ID, "term", w.Fencing.Current)
+		slog.Debug("job completed", "job", job.ID, "term", w.Fencing.Current)
 		w.Jobs.CompletionDurable(job)
 	})
 }
 
-// Returned takes in the outcome of a transaction.
+// Returned processes the outcome of a transaction.
 func (w *Writer) Returned(ctx context.Context, batch *transaction.Batch, revision uint64, failed []string, err error) {
-	// What was too large is no outage: were it taken for one, and nothing were left to be written,
-	// nothing would be planned any more.
+	// A transaction that is too large is not an outage. If it counted as one and nothing remained
+	// to be written, the leader would never plan again.
 	w.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failed) == 0 {
 		w.inFlight = false
@@ -172,17 +173,17 @@
 		return
 	}
 	if slices.Contains(failed, election.HolderKey) {
-		// The term is over. The elector notices by itself; nothing is written.
+		// The term is over. The elector detects that by itself; nothing may be written.
 		slog.Info("term lost", "term", w.Fencing.Current, "reason", "holder key changed")
 		return
 	}
-	// An earlier transaction of ours was executed after all, or a user ended a job. Only keys that
-	// others never write under our term are written again.
-	slog.Debug("guards failed", "term", w.Fencing.Current, "keys", failed)
+	// Either an earlier transaction of this leader was executed after all, or a user cancelled a
+	// job. Only keys that nobody else writes during this term are written again.
+	slog.Debug("transaction guards failed", "term", w.Fencing.Current, "keys", failed)
 	go w.readConflicts(ctx, batch, failed)
 }
 
-// notWritten takes in that a transaction was not executed, or nobody knows.
+// notWritten handles a transaction that was not executed or whose outcome is unknown.
 func (w *Writer) notWritten(ctx context.Context, batch *transaction.Batch, err error) {
 	slog.Debug("records not written", "term", w.Fencing.Current, "reason", err)
 	if !errors.Is(err, kvstore.ErrNotExecuted) {
@@ -197,7 +198,7 @@
 	w.Host.PostAfter(ctx, w.Derived.Election.RenewInterval/retriesPerRenewal, func() { w.inFlight = false })
 }
 
-// Committed takes in that a transaction was executed.
+// Committed processes a transaction that was executed.
 func (w *Writer) Committed(batch *transaction.Batch, revision uint64) {
 	batch.Committed(revision)
 	for _, event := range w.Log.TakeEvents() {
@@ -210,8 +211,9 @@
 	}
 }
 
-// rejected looks for a transaction that the key-value store takes: its limits are lower than the
-// settings say. The same one would be rejected for ever, and with it all that waits behind it.
+// rejected handles a transaction that the key-value store rejects because its limits are lower than
+// the settings say. The same transaction would be rejected forever and block all later writes, so
+// the next one is made smaller.
 func (w *Writer) rejected(batch *transaction.Batch, err error) {
 	largest := 0
 	for _, write := range batch.Writes {
@@ -219,8 +221,8 @@
 	}
 	slog.Error("transaction rejected", "term", w.Fencing.Current, "writes", len(batch.Writes), "bytes", batch.Bytes, "largest", largest, "reason", err)
 	if w.Log.OutcomeUnknown() {
-		// An earlier one may still be executed, and its segments have to be written again. The end
-		// of the term is what makes sure that it is not.
+		// An earlier transaction may still be executed, so its segments must be written again. Only
+		// the end of the term guarantees that it is not executed.
 		w.Host.Resign()
 		return
 	}
--- a/internal/leader/writer/writer_test.go
+++ b/internal/leader/writer/writer_test.go
@@ -13,8 +13,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// Whatever a leader writes is guarded by its term, and each key by its own revision: a
-// copy that is carried out late, after newer ones or under the next leader, fails.
+// Every write of a leader is guarded by its term and by the revision of its key. A delayed copy of a
+// transaction therefore fails if newer writes or another leader came first.
 func TestEveryWriteIsGuarded(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	derived := settings.Derived{Store: settings.StoreBudget{TxnOps: 12, ValueBytes: 32 << 10, ChunkTasks: 64}}
@@ -36,10 +36,10 @@
 	}
 	for _, write := range b.Writes {
 		if _, guarded := revisions[write.Set]; !guarded || write.Remove != "" {
-			t.Errorf("%s%s is written unguarded", write.Set, write.Remove)
+			t.Errorf("write of %s%s is not guarded", write.Set, write.Remove)
 		}
 	}
 	if len(b.Writes) < 3 {
-		t.Errorf("%d writes", len(b.Writes))
+		t.Errorf("%d writes, want at least 3", len(b.Writes))
 	}
 }
