--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -6,8 +6,8 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// draft accumulates the content of one segment and estimates its encoded size.
-type draft struct {
+// segmentDraft accumulates the content of one segment and estimates its encoded size.
+type segmentDraft struct {
 	record    SegmentRecord
 	bytes     int
 	maxBytes  int
@@ -15,11 +15,11 @@
 	begun     []*cluster.Assignment    // recorded in this segment
 	ended     []*cluster.Assignment    // whose end takes effect with this segment
 	chunks    []cluster.ChunkRef       // recorded in this segment
-	taken     queue                    // from the log's queue, to be requeued if the transaction fails
+	dequeued  queue                    // from the log's queue, to be requeued if the transaction fails
 }
 
-func newDraft(number uint64, maxBytes int) *draft {
-	return &draft{
+func newSegmentDraft(number uint64, maxBytes int) *segmentDraft {
+	return &segmentDraft{
 		record: SegmentRecord{Number: number}, bytes: segmentBytes, maxBytes: maxBytes,
 		machineAt: map[*cluster.Machine]int{},
 	}
@@ -27,20 +27,20 @@
 
 // Encoded sizes of the parts of a segment, in bytes, excluding names and numbers.
 const (
-	segmentBytes    = len(`{"number":18446744073709551615,"begun":[],"over":[],"done":[],"dead":[]}`)
-	machineBytes    = len(`{"m":"","addr":"","type":"","zone":"","spot":true,"session":,"tasks":[]},`)
-	taskBytes       = len(`{"j":"","n":,"a":,"g":},`)
-	completionBytes = len(`{"j":"","c":,"b":""},`)
-	deathBytes      = len(`"",`)
-	usualStartBytes = 2 * (machineBytes + taskBytes) // of an assignment including its names
+	segmentBytes      = len(`{"number":18446744073709551615,"begun":[],"over":[],"done":[],"dead":[]}`)
+	machineBytes      = len(`{"m":"","addr":"","type":"","zone":"","spot":true,"session":,"tasks":[]},`)
+	taskBytes         = len(`{"j":"","n":,"a":,"g":},`)
+	completionBytes   = len(`{"j":"","c":,"b":""},`)
+	deathBytes        = len(`"",`)
+	typicalStartBytes = 2 * (machineBytes + taskBytes) // of an assignment including its names
 )
 
-func (d *draft) fits(bytes int) bool { return d.bytes+bytes <= d.maxBytes }
+func (d *segmentDraft) fits(bytes int) bool { return d.bytes+bytes <= d.maxBytes }
 
 // isEmpty reports whether the draft records no assignment and no chunk of completions.
-func (d *draft) isEmpty() bool { return len(d.begun)+len(d.chunks) == 0 }
+func (d *segmentDraft) isEmpty() bool { return len(d.begun)+len(d.chunks) == 0 }
 
-func (d *draft) addBegin(assignment *cluster.Assignment) {
+func (d *segmentDraft) addBegin(assignment *cluster.Assignment) {
 	i, ok := d.machineAt[assignment.Machine]
 	if !ok || d.record.Begun[i].Session != assignment.Session {
 		i = len(d.record.Begun)
@@ -58,7 +58,7 @@
 	d.begun = append(d.begun, assignment)
 }
 
-func (d *draft) addChunk(ref cluster.ChunkRef, bits string) {
+func (d *segmentDraft) addChunk(ref cluster.ChunkRef, bits string) {
 	d.record.Done = append(d.record.Done, CompletionRecord{ref.Job.ID, ref.Index, bits})
 	d.bytes += chunkSize(ref, bits)
 	d.chunks = append(d.chunks, ref)
--- a/internal/leader/assignmentlog/log.go
+++ b/internal/leader/assignmentlog/log.go
@@ -26,7 +26,7 @@
 
 const (
 	minSegments      = 16 // in a new log
-	carryShare       = 8  // a segment should carry over at most 1/carryShare of its capacity,
+	carryDivisor     = 8  // a segment should carry over at most 1/carryDivisor of its capacity,
 	minCarriedStarts = 4  // or this many assignments if segments are small
 )
 
@@ -46,7 +46,7 @@
 	config          Config
 	segments        []*cluster.Segment // oldest first
 	keys            map[string]bool    // of all segments
-	number          uint64             // of the newest segment
+	newestNumber    uint64             // of the newest segment
 	maxSegmentBytes int
 	carriedBytes    float64 // moving average of the bytes that a segment carries over
 
@@ -55,7 +55,7 @@
 	// of the two is executed second fails its guards.
 	unsettledSegments int
 	outcomeUnknown    bool
-	rewriteSegments   int // segments that may be lost and are to be written again
+	segmentsToRewrite int // segments that may be lost and are to be written again
 
 	queue  queue
 	events []Event
@@ -87,7 +87,7 @@
 // New returns a log that has never been written.
 func New(config Config) *Log {
 	log := &Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
-	log.addMissingSegments(minSegments)
+	log.addUnwrittenSegments(minSegments)
 	return log
 }
 
@@ -127,15 +127,17 @@
 
 // RewriteAll marks all segments to be written again from memory. It is called when stored segments
 // may have been lost; the leader's entries are authoritative.
-func (l *Log) RewriteAll() { l.rewriteSegments = len(l.segments) }
+func (l *Log) RewriteAll() { l.segmentsToRewrite = len(l.segments) }
 
-// HasNews reports whether new entries are queued.
-func (l *Log) HasNews() bool {
+// HasNewEntries reports whether new entries are queued.
+func (l *Log) HasNewEntries() bool {
 	return len(l.queue.begins)+len(l.queue.ends)+len(l.queue.chunks)+len(l.queue.deaths) > 0
 }
 
 // HasWork reports whether any segment has to be written, with or without new entries.
-func (l *Log) HasWork() bool { return l.unsettledSegments > 0 || l.rewriteSegments > 0 || l.HasNews() }
+func (l *Log) HasWork() bool {
+	return l.unsettledSegments > 0 || l.segmentsToRewrite > 0 || l.HasNewEntries()
+}
 
 // QueueLength returns the number of queued begins, ends and chunks.
 func (l *Log) QueueLength() int {
@@ -169,7 +171,7 @@
 // rejected for its size and has certainly not been executed.
 func (l *Log) ShrinkSegments() {
 	l.unsettledSegments = 0
-	l.maxSegmentBytes = max(l.maxSegmentBytes/2, 2*usualStartBytes)
+	l.maxSegmentBytes = max(l.maxSegmentBytes/2, 2*typicalStartBytes)
 }
 
 // TakeEvents returns the events since the last call, in order.
@@ -182,9 +184,9 @@
 // Grow adds up to most segments to the ring while segments carry over too much. The ring does not
 // grow while the outcome of a transaction is unknown: the segments in it must be the next to be
 // written. An unwritten segment counts as the oldest and is therefore written next.
-func (l *Log) Grow(most int) {
-	limit := float64(max(l.maxSegmentBytes/carryShare, minCarriedStarts*usualStartBytes))
-	for ; l.unsettledSegments == 0 && l.carriedBytes > limit && most > 0; most-- {
+func (l *Log) Grow(maxAdded int) {
+	limit := float64(max(l.maxSegmentBytes/carryDivisor, minCarriedStarts*typicalStartBytes))
+	for ; l.unsettledSegments == 0 && l.carriedBytes > limit && maxAdded > 0; maxAdded-- {
 		unwritten := 0
 		for unwritten < len(l.segments) && l.segments[unwritten].Revision == 0 {
 			unwritten++
@@ -205,7 +207,7 @@
 	}
 }
 
-func (l *Log) addMissingSegments(count int) {
+func (l *Log) addUnwrittenSegments(count int) {
 	for range count {
 		l.segments = append(l.segments, l.unwrittenSegment())
 	}
@@ -213,8 +215,8 @@
 
 // rotate makes the segments that were just written the newest of the ring.
 func (l *Log) rotate(written int) {
-	l.number += uint64(written)
+	l.newestNumber += uint64(written)
 	l.segments = append(l.segments[written:], l.segments[:written]...)
 	l.unsettledSegments, l.outcomeUnknown = 0, false
-	l.rewriteSegments = max(0, l.rewriteSegments-written)
+	l.segmentsToRewrite = max(0, l.segmentsToRewrite-written)
 }
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -42,7 +42,7 @@
 
 // A transaction writes no more segments than its entries need. The log used to request one more
 // segment with each segment that it drafted.
-func TestSegmentsByNeed(t *testing.T) {
+func TestWritesNoMoreSegmentsThanNeeded(t *testing.T) {
 	log := New(testConfig)
 	begins := queueBegins(t, log, 3)
 	if b := compose(log); len(b.Writes) != 1 {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestLoadOrdersSegmentsAndLeavesNoGapInTheKeys(t *testing.T) {
+func TestLoadOrdersSegmentsAndFillsKeyGaps(t *testing.T) {
 	log, order, keys := New(testConfig), []string{}, map[string]bool{}
 	for _, segment := range log.Load(testConfig, []kvstore.KeyValue{
 		{Key: "book/0", Value: []byte(`{"number":12}`)}, {Key: "book/3", Value: []byte(`{"number":10}`)}, {Key: "book/1", Value: []byte(`{"number":11}`)},
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestFailedBatchIsQueuedAgain(t *testing.T) {
+func TestFailedTransactionIsRequeued(t *testing.T) {
 	log := New(testConfig)
 	begins := queueBegins(t, log, 3)
 	failed := compose(log)
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -70,10 +70,10 @@
 		read = append(read, segment)
 	}
 	slices.SortFunc(read, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
-	l.addMissingSegments(minSegments - len(read))
+	l.addUnwrittenSegments(minSegments - len(read))
 	for _, segment := range read {
 		l.segments = append(l.segments, segment.Segment)
-		l.number = max(l.number, segment.Record.Number)
+		l.newestNumber = max(l.newestNumber, segment.Record.Number)
 	}
 	return read
 }
--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -17,7 +17,7 @@
 	segments := 0
 	for ; segments < len(l.segments) && len(batch.Writes) < maxOps; segments++ {
 		required := segments < l.unsettledSegments
-		wanted := l.HasNews() || l.rewriteSegments > segments
+		wanted := l.HasNewEntries() || l.segmentsToRewrite > segments
 		if !required && (!wanted || batch.Bytes+l.maxSegmentBytes > transaction.MaxBytes) {
 			break
 		}
@@ -30,18 +30,18 @@
 // addSegment adds the segment at a position counted from the oldest. The segment gets its own
 // entries that are still valid, then as many queued entries as fit. If the segment is oversized,
 // addSegment inserts a new one before it and writes that one.
-func (l *Log) addSegment(batch *transaction.Batch, position int, withNews bool) {
+func (l *Log) addSegment(batch *transaction.Batch, position int, withNewEntries bool) {
 	if position >= l.unsettledSegments && l.isOversized(l.segments[position]) {
 		l.segments = slices.Insert(l.segments, position, l.unwrittenSegment())
 	}
 	segment := l.segments[position]
-	d := newDraft(l.number+uint64(position)+1, min(l.maxSegmentBytes, transaction.MaxBytes-batch.Bytes))
-	l.leaveOutEnded(batch, d, segment)
+	d := newSegmentDraft(l.newestNumber+uint64(position)+1, min(l.maxSegmentBytes, transaction.MaxBytes-batch.Bytes))
+	l.dropEnded(batch, d, segment)
 	l.carryOver(batch, d, segment, math.MaxInt)
 	l.carriedBytes += (float64(d.bytes-segmentBytes) - l.carriedBytes) / float64(len(l.segments))
 	l.moveFromOversized(batch, d, position)
-	if withNews {
-		l.addNews(batch, d)
+	if withNewEntries {
+		l.addQueued(batch, d)
 	}
 	raw, _ := json.Marshal(d.record)
 	batch.Set(segment.Key, segment.Revision, raw, func(revision uint64) { segment.Revision = revision })
@@ -52,9 +52,9 @@
 	})
 }
 
-// leaveOutEnded ends the assignments that are recorded only in this segment. Rewriting the segment
+// dropEnded ends the assignments that are recorded only in this segment. Rewriting the segment
 // without them is sufficient to record their ends.
-func (l *Log) leaveOutEnded(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
+func (l *Log) dropEnded(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
 			a.Log.EndInFlight = true
@@ -65,7 +65,7 @@
 
 // carryOver adds the entries of a segment that are still valid, while the draft stays within
 // maxBytes.
-func (l *Log) carryOver(batch *transaction.Batch, draft *draft, segment *cluster.Segment, maxBytes int) {
+func (l *Log) carryOver(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment, maxBytes int) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		a := segment.Begun[attempt]
 		switch {
@@ -96,7 +96,7 @@
 	if segment.Bytes <= l.maxSegmentBytes {
 		return false
 	}
-	d := newDraft(0, math.MaxInt)
+	d := newSegmentDraft(0, math.MaxInt)
 	for _, a := range segment.Begun {
 		if !a.Log.MoveInFlight {
 			d.addBegin(a)
@@ -114,7 +114,7 @@
 // moveFromOversized moves part of the first oversized segment after position to the draft. The
 // oversized segment is overwritten only once the rest of it fits. Until then it stays the oldest,
 // so that the ends of the moved entries, which are in later segments, outlive it.
-func (l *Log) moveFromOversized(batch *transaction.Batch, draft *draft, position int) {
+func (l *Log) moveFromOversized(batch *transaction.Batch, draft *segmentDraft, position int) {
 	for _, segment := range l.segments[position+1 : min(position+1+l.config.MaxOps, len(l.segments))] {
 		if len(segment.Begun)+len(segment.Completions) == 0 {
 			continue // never written, or of unknown outcome
@@ -126,7 +126,7 @@
 	}
 }
 
-func (l *Log) movePart(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
+func (l *Log) movePart(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment) {
 	begun, chunks := len(draft.begun), len(draft.chunks)
 	if l.carryOver(batch, draft, segment, draft.maxBytes/2); draft.isEmpty() {
 		// A single entry may take more than half of a segment.
@@ -140,26 +140,26 @@
 	}
 }
 
-// addNews adds queued entries as far as they fit. Completions precede the ends that depend on
+// addQueued adds queued entries as far as they fit. Completions precede the ends that depend on
 // them.
-func (l *Log) addNews(batch *transaction.Batch, draft *draft) {
+func (l *Log) addQueued(batch *transaction.Batch, draft *segmentDraft) {
 	l.addDeaths(draft)
 	l.addChunks(draft)
 	l.addEnds(batch, draft)
 	l.addBegins(draft)
 }
 
-func (l *Log) addDeaths(draft *draft) {
+func (l *Log) addDeaths(draft *segmentDraft) {
 	q := &l.queue
 	for len(q.deaths) > 0 && draft.fits(len(q.deaths[0])+deathBytes) {
 		draft.record.Dead = append(draft.record.Dead, q.deaths[0])
 		draft.bytes += len(q.deaths[0]) + deathBytes
-		draft.taken.deaths = append(draft.taken.deaths, q.deaths[0])
+		draft.dequeued.deaths = append(draft.dequeued.deaths, q.deaths[0])
 		q.deaths = q.deaths[1:]
 	}
 }
 
-func (l *Log) addChunks(draft *draft) {
+func (l *Log) addChunks(draft *segmentDraft) {
 	for len(l.queue.chunks) > 0 {
 		ref := l.queue.chunks[0]
 		chunk := ref.Job.Completions.Chunks[ref.Index]
@@ -168,13 +168,13 @@
 			size := chunkSize(ref, bits)
 			switch {
 			case segmentBytes+size > l.maxSegmentBytes:
-				l.giveUpChunk(ref, size)
+				l.dropTooLargeChunk(ref, size)
 				continue
 			case !draft.fits(size):
 				return
 			}
 			draft.addChunk(ref, bits)
-			draft.taken.chunks = append(draft.taken.chunks, ref)
+			draft.dequeued.chunks = append(draft.dequeued.chunks, ref)
 			// This holds if the transaction succeeds. queueChunk resets it if the transaction
 			// fails or more tasks complete in the meantime.
 			chunk.Saved = true
@@ -184,9 +184,9 @@
 	}
 }
 
-// giveUpChunk dequeues a chunk that is too large for any segment. The ends of its tasks wait for
-// the end of the job; until then the workers keep reporting the tasks as done.
-func (l *Log) giveUpChunk(ref cluster.ChunkRef, size int) {
+// dropTooLargeChunk dequeues a chunk that is too large for any segment. The ends of its tasks wait
+// for the end of the job; until then the workers keep reporting the tasks as done.
+func (l *Log) dropTooLargeChunk(ref cluster.ChunkRef, size int) {
 	chunk := ref.Job.Completions.Chunks[ref.Index]
 	if !chunk.TooLarge {
 		slog.Error("completions larger than a segment", "job", ref.Job.ID, "bytes", size, "most", l.maxSegmentBytes)
@@ -195,8 +195,8 @@
 	l.queue.chunks = l.queue.chunks[1:]
 }
 
-func (l *Log) addEnds(batch *transaction.Batch, draft *draft) {
-	later := l.queue.ends[:0]
+func (l *Log) addEnds(batch *transaction.Batch, draft *segmentDraft) {
+	remaining := l.queue.ends[:0]
 	for _, a := range l.queue.ends {
 		switch {
 		case a.Log.EndInFlight: // the segment is rewritten without it
@@ -209,21 +209,21 @@
 			}
 			draft.ended = append(draft.ended, a)
 		default:
-			later = append(later, a)
+			remaining = append(remaining, a)
 		}
 	}
-	clear(l.queue.ends[len(later):])
-	l.queue.ends = later
+	clear(l.queue.ends[len(remaining):])
+	l.queue.ends = remaining
 }
 
-func (l *Log) addBegins(draft *draft) {
+func (l *Log) addBegins(draft *segmentDraft) {
 	q := &l.queue
 	for len(q.begins) > 0 && draft.fits(startSize(q.begins[0])) {
 		a := q.begins[0]
 		q.begins = q.begins[1:]
 		if a.Outcome == cluster.Open {
 			draft.addBegin(a)
-			draft.taken.begins = append(draft.taken.begins, a)
+			draft.dequeued.begins = append(draft.dequeued.begins, a)
 		}
 	}
 }
@@ -246,9 +246,9 @@
 }
 
 // requeue puts the entries of a failed transaction back into the queue.
-func (l *Log) requeue(draft *draft) {
-	l.queue.begins = append(draft.taken.begins, l.queue.begins...)
-	l.queue.deaths = append(draft.taken.deaths, l.queue.deaths...)
+func (l *Log) requeue(draft *segmentDraft) {
+	l.queue.begins = append(draft.dequeued.begins, l.queue.begins...)
+	l.queue.deaths = append(draft.dequeued.deaths, l.queue.deaths...)
 	for _, a := range draft.ended {
 		a.Log.EndInFlight = false
 		l.QueueEnd(a)
@@ -259,13 +259,13 @@
 	for _, ref := range draft.chunks {
 		ref.Job.Completions.Chunks[ref.Index].Moving = false
 	}
-	for _, ref := range draft.taken.chunks {
+	for _, ref := range draft.dequeued.chunks {
 		l.queueChunk(ref)
 	}
 }
 
 // segmentWritten updates the entries of a segment after it was written.
-func (l *Log) segmentWritten(segment *cluster.Segment, draft *draft, revision uint64) {
+func (l *Log) segmentWritten(segment *cluster.Segment, draft *segmentDraft, revision uint64) {
 	segment.Revision = revision
 	clear(segment.Begun)
 	clear(segment.Completions)
--- a/internal/leader/jobtracker/follow.go
+++ b/internal/leader/jobtracker/follow.go
@@ -14,25 +14,27 @@
 // recordWatch is the progress of the watch on the records of jobs. It belongs to the goroutine that
 // runs Follow.
 type recordWatch struct {
-	after         uint64 // all changes up to this revision have been seen
-	revision      uint64 // a revision that the store had after revisionAsked
-	revisionAsked time.Time
-	newest        detection.Watermark
+	seenRevision         uint64 // all changes up to this revision have been seen
+	storeRevision        uint64 // a revision that the store had after storeRevisionAskedAt
+	storeRevisionAskedAt time.Time
+	watermark            detection.Watermark
 }
 
-// isProven reports whether all changes up to revisionAsked have been seen. The watch must have
-// reached a revision that was read at or after that time. An answer of the watch alone proves
+// isCaughtUp reports whether all changes up to storeRevisionAskedAt have been seen. The watch must
+// have reached a revision that was read after that time. An answer of the watch alone proves
 // nothing: a watch may lag, or be empty because the store does not serve this controller.
-func (w *recordWatch) isProven() bool { return w.after >= w.revision && !w.revisionAsked.IsZero() }
+func (w *recordWatch) isCaughtUp() bool {
+	return w.seenRevision >= w.storeRevision && !w.storeRevisionAskedAt.IsZero()
+}
 
 // Follow watches the records of jobs from a revision on until the context ends, and posts their
 // changes to the event loop. It blocks and runs on its own goroutine.
 func (t *Tracker) Follow(ctx context.Context, after uint64) {
-	watch := &recordWatch{after: after}
+	watch := &recordWatch{seenRevision: after}
 	for ctx.Err() == nil {
 		rolledBack := t.readRevision(ctx, watch)
-		baseline := watch.newest.Baseline()
-		revision, changes, err := t.readChanges(ctx, watch.after, rolledBack)
+		baseline := watch.watermark.Baseline()
+		revision, changes, err := t.readChanges(ctx, watch.seenRevision, rolledBack)
 		if err != nil {
 			slog.Debug("failed to watch job records", "term", t.Fencing.OfTerm, "reason", err)
 			select {
@@ -41,8 +43,8 @@
 			}
 			continue
 		}
-		watch.after = max(watch.after, revision)
-		watch.newest.Advance(baseline, revision)
+		watch.seenRevision = max(watch.seenRevision, revision)
+		watch.watermark.Advance(baseline, revision)
 		t.postChanges(ctx, watch, changes)
 	}
 }
@@ -51,20 +53,20 @@
 // reports whether the store was rolled back in the meantime. The store then reuses revisions, and
 // the earlier ones prove nothing.
 func (t *Tracker) readRevision(ctx context.Context, watch *recordWatch) (rolledBack bool) {
-	if watch.revision > watch.after {
+	if watch.storeRevision > watch.seenRevision {
 		return false
 	}
-	baseline := watch.newest.Baseline()
-	asked := time.Now()
+	baseline := watch.watermark.Baseline()
+	askedAt := time.Now()
 	revision, err := t.Store.Revision(ctx)
 	if err != nil {
 		return false
 	}
-	watch.revision, watch.revisionAsked = revision, asked
-	evidence, rolledBack := watch.newest.Observe(baseline, detection.RevisionBack, "", revision)
+	watch.storeRevision, watch.storeRevisionAskedAt = revision, askedAt
+	evidence, rolledBack := watch.watermark.Observe(baseline, detection.RevisionBack, "", revision)
 	if rolledBack {
 		t.Post(ctx, func(now time.Time) { t.Recovery.ReportLoss(evidence, now) })
-		watch.after = 0
+		watch.seenRevision = 0
 	}
 	return rolledBack
 }
@@ -88,10 +90,10 @@
 
 // postChanges posts changes to the event loop.
 func (t *Tracker) postChanges(ctx context.Context, watch *recordWatch, changes []kvstore.Change) {
-	seen, proven, asked := watch.after, watch.isProven(), watch.revisionAsked
+	seen, caughtUp, askedAt := watch.seenRevision, watch.isCaughtUp(), watch.storeRevisionAskedAt
 	t.Post(ctx, func(now time.Time) {
-		if proven && asked.After(t.asOf) {
-			t.asOf = asked
+		if caughtUp && askedAt.After(t.currentAsOf) {
+			t.currentAsOf = askedAt
 		}
 		t.apply(changes, seen, now)
 	})
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -52,27 +52,27 @@
 // Tracker holds the leader's knowledge of the job records and how recent it is.
 type Tracker struct {
 	Deps
-	asOf           time.Time         // the jobs include all that users were told by then
-	seenRevision   atomic.Uint64     // all changes up to this revision are applied
-	cancelledLater map[string]uint64 // job ids, each cancelled at a revision not yet seen
-	completed      []*cluster.Job    // records to be written as done
-	changes        []peer.JobChange  // of records, since the last TakeChanges
+	currentAsOf          time.Time         // the jobs include all that users were told by then
+	seenRevision         atomic.Uint64     // all changes up to this revision are applied
+	futureCancellations  map[string]uint64 // job ids, each cancelled at a revision not yet seen
+	unwrittenCompletions []*cluster.Job    // records to be written as done
+	changes              []peer.JobChange  // of records, since the last TakeChanges
 }
 
 // New returns a Tracker that has seen no records.
-func New(deps Deps) *Tracker { return &Tracker{Deps: deps, cancelledLater: map[string]uint64{}} }
+func New(deps Deps) *Tracker { return &Tracker{Deps: deps, futureCancellations: map[string]uint64{}} }
 
 // SeenRevision returns the revision up to which all changes are applied. It is safe for concurrent
 // use.
 func (t *Tracker) SeenRevision() uint64 { return t.seenRevision.Load() }
 
 // Age returns for how long users may have been told of changes that the leader does not know.
-func (t *Tracker) Age(now time.Time) time.Duration { return now.Sub(t.asOf) }
+func (t *Tracker) Age(now time.Time) time.Duration { return now.Sub(t.currentAsOf) }
 
 // Loaded sets the state after the initial read: all records that existed at asOf, and all changes up
 // to revision, have been applied.
 func (t *Tracker) Loaded(asOf time.Time, revision uint64) {
-	t.asOf = asOf
+	t.currentAsOf = asOf
 	t.seenRevision.Store(revision)
 }
 
@@ -89,7 +89,7 @@
 		t.Apply(change, now)
 	}
 	t.seenRevision.Store(revision)
-	maps.DeleteFunc(t.cancelledLater, func(_ string, at uint64) bool { return at <= revision })
+	maps.DeleteFunc(t.futureCancellations, func(_ string, at uint64) bool { return at <= revision })
 }
 
 // Apply processes one change of a job's record.
@@ -117,7 +117,7 @@
 		t.applyToJob(job, &record, change.Revision)
 		return
 	}
-	isCancelledSince := t.cancelledLater[id] > change.Revision
+	isCancelledSince := t.futureCancellations[id] > change.Revision
 	if !isCancelledSince && !record.Finished() && record.Spec != nil {
 		t.addJob(id, &record, change.Revision, now)
 	}
@@ -150,18 +150,18 @@
 // ApplyPeerCancellations applies the cancellations that peers told users of by a given time, while
 // the key-value store delivers no changes. The jobs end at once. A job whose acceptance arrives only
 // later is not started.
-func (t *Tracker) ApplyPeerCancellations(cancellations []jobs.Cancellation, by time.Time) {
+func (t *Tracker) ApplyPeerCancellations(cancellations []jobs.Cancellation, toldBy time.Time) {
 	for _, cancellation := range cancellations {
 		if cancellation.Revision <= t.seenRevision.Load() {
 			continue
 		}
-		t.cancelledLater[cancellation.Job] = cancellation.Revision
+		t.futureCancellations[cancellation.Job] = cancellation.Revision
 		if job := t.State.Jobs[cancellation.Job]; job != nil && !job.End.Cancelled {
 			t.Cancel(job, cancellation.Revision)
 		}
 	}
-	if by.After(t.asOf) {
-		t.asOf = by
+	if toldBy.After(t.currentAsOf) {
+		t.currentAsOf = toldBy
 	}
 }
 
@@ -190,24 +190,26 @@
 }
 
 // QueueCompleted queues a job's record to be written as done.
-func (t *Tracker) QueueCompleted(job *cluster.Job) { t.completed = append(t.completed, job) }
+func (t *Tracker) QueueCompleted(job *cluster.Job) {
+	t.unwrittenCompletions = append(t.unwrittenCompletions, job)
+}
 
 // HasCompleted reports whether any record is queued to be written as done.
-func (t *Tracker) HasCompleted() bool { return len(t.completed) > 0 }
+func (t *Tracker) HasCompleted() bool { return len(t.unwrittenCompletions) > 0 }
 
 // CompletedCount returns the number of records that are queued to be written as done.
-func (t *Tracker) CompletedCount() int { return len(t.completed) }
+func (t *Tracker) CompletedCount() int { return len(t.unwrittenCompletions) }
 
 // TakeCompleted dequeues the next job whose record is to be written. The queue must not be empty.
 func (t *Tracker) TakeCompleted() *cluster.Job {
-	job := t.completed[0]
-	t.completed = t.completed[1:]
+	job := t.unwrittenCompletions[0]
+	t.unwrittenCompletions = t.unwrittenCompletions[1:]
 	return job
 }
 
 // DropCompleted removes a job from the queue of records to be written, if it is in it.
 func (t *Tracker) DropCompleted(id string) {
-	t.completed = slices.DeleteFunc(t.completed, func(job *cluster.Job) bool { return job.ID == id })
+	t.unwrittenCompletions = slices.DeleteFunc(t.unwrittenCompletions, func(job *cluster.Job) bool { return job.ID == id })
 }
 
 // CompletionDurable marks a job's record as written as done.
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -62,7 +62,7 @@
 	segments := l.Log.Load(l.LogConfig, stored)
 	l.Recovery.CheckLog(segments, now)
 	records := loadedRecords{
-		namedInLog: assignmentlog.JobsNamed(segments), ended: EndedRecords{},
+		referencedInLog: assignmentlog.JobsNamed(segments), ended: EndedRecords{},
 		counts: recoverer.RecordCounts{Known: l.Cache.RecordedCount()},
 	}
 	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(record kvstore.KeyValue) { l.loadRecord(record, &records, now) })
@@ -77,7 +77,7 @@
 	l.Scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.Jobs.Loaded(now, after)
 	l.Failover.RecordsLoaded(time.Now())
-	slog.Info("records read", "term", l.Fencing.Current, "jobs", len(l.State.Jobs), "ended", records.over, "machines", len(l.State.Machines.All))
+	slog.Info("records read", "term", l.Fencing.Current, "jobs", len(l.State.Jobs), "ended", records.endedCount, "machines", len(l.State.Machines.All))
 	return after, nil
 }
 
@@ -86,10 +86,10 @@
 
 // loadedRecords collects what a new leader needs from the job records while it reads them.
 type loadedRecords struct {
-	namedInLog map[string]bool
-	ended      EndedRecords
-	over       int // number of jobs that are over
-	counts     recoverer.RecordCounts
+	referencedInLog map[string]bool
+	ended           EndedRecords
+	endedCount      int // number of jobs that are over
+	counts          recoverer.RecordCounts
 }
 
 func (r *loadedRecords) hasEnded(id string) bool {
@@ -106,13 +106,13 @@
 		return
 	}
 	id := jobs.JobIDFromKey(stored.Key)
-	told, _ := l.Cache.Known(id)
+	known, _ := l.Cache.Known(id)
 	if record.Held != nil {
 		l.Recovery.HoldJob(id, &record, stored.Revision)
 	}
 	switch {
-	case record.Finished(), told.Finished():
-		// If only told is finished, the record is older than what users were told.
+	case record.Finished(), known.Finished():
+		// If only known is finished, the record is older than what users were told.
 	case record.Held != nil:
 		return
 	case record.Spec != nil:
@@ -123,8 +123,8 @@
 		}
 		return
 	}
-	records.over++
-	if records.namedInLog[id] {
+	records.endedCount++
+	if records.referencedInLog[id] {
 		records.ended[id] = stored
 	}
 }
@@ -172,31 +172,31 @@
 }
 
 // forEachAssignment calls take for all assignments in the segments, oldest segment first.
-func (l *Loader) forEachAssignment(take func(a *cluster.Assignment)) {
+func (l *Loader) forEachAssignment(visit func(a *cluster.Assignment)) {
 	for _, segment := range l.Log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
-			take(segment.Begun[attempt])
+			visit(segment.Begun[attempt])
 		}
 	}
 }
 
 // restoreSegments determines the entries of each segment. Later segments override earlier ones.
 func (l *Loader) restoreSegments(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
-	where := map[uint64]*cluster.Segment{}
+	segmentByAttempt := map[uint64]*cluster.Segment{}
 	for _, stored := range segments {
 		segment := stored.Segment
 		for _, begun := range stored.Record.Begun {
 			machine := l.restoreMachine(begun, now)
 			for _, task := range begun.Tasks {
-				if old := where[task.Attempt]; old != nil {
-					delete(old.Begun, task.Attempt) // carried over to a later segment
+				if earlier := segmentByAttempt[task.Attempt]; earlier != nil {
+					delete(earlier.Begun, task.Attempt) // carried over to a later segment
 				}
-				where[task.Attempt] = segment
+				segmentByAttempt[task.Attempt] = segment
 				l.restoreTask(segment, machine, begun.Session, task, ended, now)
 			}
 		}
 		for _, attempt := range stored.Record.Over {
-			if earlier := where[attempt]; earlier != nil {
+			if earlier := segmentByAttempt[attempt]; earlier != nil {
 				delete(earlier.Begun, attempt)
 			}
 		}
--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	minTaskWeight  = 0.05 // minimum weight of one completed task in the correction of estimates
-	minJobWeight   = 0.2  // minimum weight of one completed job in the variance
-	priorDeviation = 0.7  // initial standard deviation of log run times: a factor of two
-	minDeviation   = priorDeviation / 4
-	minTailChance  = 1e-300 // keeps its logarithm finite
-	minRunTimeS    = 1e-3
+	minTaskWeight      = 0.05 // minimum weight of one completed task in the correction of estimates
+	minJobWeight       = 0.2  // minimum weight of one completed job in the variance
+	priorDeviation     = 0.7  // initial standard deviation of log run times: a factor of two
+	minDeviation       = priorDeviation / 4
+	minTailProbability = 1e-300 // keeps its logarithm finite
+	minRunTimeS        = 1e-3
 )
 
 // Estimator holds the run time distributions of all classes of jobs.
@@ -68,16 +68,16 @@
 // TaskCompleted records a completed task. A task whose start was not observed is ignored.
 func (e *Estimator) TaskCompleted(assignment *cluster.Assignment, now time.Time) {
 	job, seconds := assignment.Job, now.Sub(assignment.RunningSince).Seconds()
-	startMissed := assignment.RunningSince.Equal(assignment.CreatedAt) || assignment.Restored && job.IsGang()
-	if startMissed || job.Spec.EstimatedRuntimeS <= 0 || seconds <= 0 {
+	startUnobserved := assignment.RunningSince.Equal(assignment.CreatedAt) || assignment.Restored && job.IsGang()
+	if startUnobserved || job.Spec.EstimatedRuntimeS <= 0 || seconds <= 0 {
 		return
 	}
 	distribution, logSeconds := e.Of(job.Spec.Class), math.Log(seconds)
 	// The run time of a gang is that of its slowest task and says little about one machine.
 	if median, known := job.MedianRunTime(); known && !job.IsGang() {
 		health := &assignment.Machine.Health
-		odds := health.SlowLogOdds + distribution.stragglerLogOdds(logSeconds-median)
-		health.SlowLogOdds = max(odds, -float64(len(assignment.Machine.Assignments)))
+		logOdds := health.SlowLogOdds + distribution.completedLogOdds(logSeconds-median)
+		health.SlowLogOdds = max(logOdds, -float64(len(assignment.Machine.Assignments)))
 	}
 	job.RecordRunTime(logSeconds)
 	distribution.Tasks++
@@ -104,19 +104,19 @@
 	distribution.Variance += weight * (squares/(count-1) - distribution.Variance)
 }
 
-// ChanceToEnd returns the probability that a task which has run for ran seconds ends within more
-// seconds, given that such a task usually takes usual seconds.
-func (d *Distribution) ChanceToEnd(ran, more, usual float64) float64 {
-	if ran <= 0 {
-		return 1 - d.tailChance(math.Log(more/usual))/2
+// ChanceToEnd returns the probability that a task which has run for ranS seconds ends within
+// moreS seconds, given that such a task usually takes usualS seconds.
+func (d *Distribution) ChanceToEnd(ranS, moreS, usualS float64) float64 {
+	if ranS <= 0 {
+		return 1 - d.doubledTailProbability(math.Log(moreS/usualS))/2
 	}
-	return 1 - d.tailChance(math.Log((ran+more)/usual))/d.tailChance(math.Log(ran/usual))
+	return 1 - d.doubledTailProbability(math.Log((ranS+moreS)/usualS))/d.doubledTailProbability(math.Log(ranS/usualS))
 }
 
-// tailChance returns twice the probability that a task exceeds a multiple of its usual run time. The
-// multiple is given as a logarithm.
-func (d *Distribution) tailChance(logMultiple float64) float64 {
-	return max(math.Erfc(logMultiple/d.deviation()/math.Sqrt2), minTailChance)
+// doubledTailProbability returns twice the probability that a task exceeds a multiple of its usual
+// run time. The multiple is given as a logarithm.
+func (d *Distribution) doubledTailProbability(logMultiple float64) float64 {
+	return max(math.Erfc(logMultiple/d.deviation()/math.Sqrt2), minTailProbability)
 }
 
 // deviation has a lower bound because a few tasks may agree by chance.
--- a/internal/leader/runtimes/straggler.go
+++ b/internal/leader/runtimes/straggler.go
@@ -13,8 +13,8 @@
 // if it is slow than if it is not. Run times of one class vary by a factor of two and more, so one
 // long-running task is weak evidence, and several on the same machine are strong evidence.
 const (
-	// SlowFactor is the factor by which tasks take longer on the slow machines to be detected.
-	SlowFactor = 3.0
+	// SlowdownFactor is the factor by which tasks take longer on the slow machines to be detected.
+	SlowdownFactor = 3.0
 
 	stragglerOdds = 1000.0 // odds from which a machine counts as a straggler
 )
@@ -47,13 +47,13 @@
 // another machine.
 func (e *Estimator) SoonerElsewhere(assignment *cluster.Assignment, now time.Time) bool {
 	ran, seconds := now.Sub(assignment.RunningSince).Seconds(), e.Seconds(assignment.Job.Spec)
-	return SlowFactor*seconds-ran > seconds || ran > SlowFactor*seconds
+	return SlowdownFactor*seconds-ran > seconds || ran > SlowdownFactor*seconds
 }
 
-// stragglerLogOdds returns the log odds from a completed task that took a multiple of the usual run
+// completedLogOdds returns the log odds from a completed task that took a multiple of the usual run
 // time. The multiple is given as a logarithm.
-func (d *Distribution) stragglerLogOdds(logMultiple float64) float64 {
-	logSlow := math.Log(SlowFactor)
+func (d *Distribution) completedLogOdds(logMultiple float64) float64 {
+	logSlow := math.Log(SlowdownFactor)
 	return (2*logMultiple*logSlow - logSlow*logSlow) / (2 * d.deviation() * d.deviation())
 }
 
@@ -62,5 +62,5 @@
 	if logMultiple < 0 {
 		return 0
 	}
-	return math.Log(d.tailChance(logMultiple-math.Log(SlowFactor))) - math.Log(d.tailChance(logMultiple))
+	return math.Log(d.doubledTailProbability(logMultiple-math.Log(SlowdownFactor))) - math.Log(d.doubledTailProbability(logMultiple))
 }
--- a/internal/leader/runtimes/straggler_test.go
+++ b/internal/leader/runtimes/straggler_test.go
@@ -12,7 +12,7 @@
 
 // Run times of one class vary, so one long-running task is weak evidence of a slow machine. Several
 // tasks on one machine are strong evidence, and so are completed tasks.
-func TestSlowMachinesByOdds(t *testing.T) {
+func TestIsStraggler(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		before  []float64 // completed tasks: multiples of their usual run time
--- a/internal/leader/scaler/arrivalrate.go
+++ b/internal/leader/scaler/arrivalrate.go
@@ -20,8 +20,8 @@
 	r.cpus += cpuSeconds / window * math.Exp(-max(0, age.Seconds())/window)
 }
 
-// at returns the rate at a time that is not before the last one asked for.
-func (r *arrivalRate) at(now time.Time) float64 {
+// cpusAt returns the rate at a time that is not before the last one asked for.
+func (r *arrivalRate) cpusAt(now time.Time) float64 {
 	r.decay(now)
 	return r.cpus
 }
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -10,30 +10,30 @@
 	"ospreyslip/internal/placement"
 )
 
-// defaultPatience is the time allowed to a batch job without a service-level objective or deadline,
-// as a multiple of its run time plus boot time.
-const defaultPatience = 4.0
+// defaultDeadlineFactor is the time allowed to a batch job without a service-level objective or
+// deadline, as a multiple of its run time plus boot time.
+const defaultDeadlineFactor = 4.0
 
 // demand returns the tasks for which to provision machines: tasks of services and gangs immediately,
 // batch tasks only if they would be late on the present machines.
 func (s *Scaler) demand(now time.Time, unmet []placement.Demand) []autoscaler.Demand {
-	var late []int // in queue order
+	var lateTasks []int // in queue order
 	missingCPUs := 0.0
 	if queue := s.batchQueue(unmet); len(queue) > 0 {
-		late, missingCPUs = autoscaler.ForecastLateTasks(s.forecastRooms(now), queue), s.missingCPUs(now)
+		lateTasks, missingCPUs = autoscaler.ForecastLateTasks(s.forecastMachines(now), queue), s.missingCPUs(now)
 	}
-	var needs []autoscaler.Demand
+	var demands []autoscaler.Demand
 	for _, d := range unmet {
 		count := d.Count
 		if d.Job.Spec.Shape == jobs.Batch {
-			count, missingCPUs = s.batchDemand(d, late[0], missingCPUs)
-			late = late[1:]
+			count, missingCPUs = s.batchDemand(d, lateTasks[0], missingCPUs)
+			lateTasks = lateTasks[1:]
 		}
 		if count > 0 {
-			needs = append(needs, autoscaler.Demand{Spec: d.Job.Spec, TasksByZone: d.Job.TasksByZone, Count: count})
+			demands = append(demands, autoscaler.Demand{Spec: d.Job.Spec, TasksByZone: d.Job.TasksByZone, Count: count})
 		}
 	}
-	return needs
+	return demands
 }
 
 // batchQueue returns the batch tasks without a machine in the form that the forecast takes.
@@ -52,9 +52,9 @@
 // batchDemand returns for how many of a job's tasks to provision machines, given how many of them
 // would be late and how many CPUs are missing for all batch work. It also returns the number of CPUs
 // that are still missing afterwards.
-func (s *Scaler) batchDemand(demand placement.Demand, late int, missingCPUs float64) (count int, stillMissing float64) {
+func (s *Scaler) batchDemand(demand placement.Demand, lateTasks int, missingCPUs float64) (count int, stillMissing float64) {
 	spec := demand.Job.Spec
-	count = late
+	count = lateTasks
 	// One new machine runs several tasks one after the other.
 	waves := (s.timeLeftS(demand.Job) - s.deps.Catalog.ShortestBootTime().Seconds()) / s.host.RunTimeS(spec)
 	if waves > 1 && count > 0 {
@@ -74,13 +74,13 @@
 	if job.DeadlineS < placement.NoDeadline {
 		return job.DeadlineS
 	}
-	return defaultPatience * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
+	return defaultDeadlineFactor * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
 }
 
 // missingCPUs returns how many CPUs are missing, beside those that services use, to keep up with the
 // recent arrival rate of batch work or to clear the backlog within the same window.
 func (s *Scaler) missingCPUs(now time.Time) float64 {
-	missing := max(s.arrivals.at(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
+	missing := max(s.arrivals.cpusAt(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
 	for _, m := range s.deps.State.Machines.All {
 		machineType := s.deps.Catalog.Type(m.Type)
 		if machineType == nil || m.Phase == cluster.Releasing || m.Health.Dead || m.Health.Draining {
@@ -93,8 +93,8 @@
 			}
 		}
 	}
-	for kind, count := range s.rentals.machines {
-		if machineType := s.deps.Catalog.Type(kind.Type); machineType != nil {
+	for pool, count := range s.provisioning.machinesInFlight {
+		if machineType := s.deps.Catalog.Type(pool.Type); machineType != nil {
 			missing -= machineType.CPUs * float64(count)
 		}
 	}
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -19,49 +19,49 @@
 	lateBootShare = 1.0 / 8
 )
 
-// forecastRooms returns the machines that accept work now or will once they are up, in the form
+// forecastMachines returns the machines that accept work now or will once they are up, in the form
 // that the forecast takes, earliest first.
-func (s *Scaler) forecastRooms(now time.Time) []autoscaler.MachineForecast {
-	var rooms []autoscaler.MachineForecast
+func (s *Scaler) forecastMachines(now time.Time) []autoscaler.MachineForecast {
+	var machines []autoscaler.MachineForecast
 	for _, m := range s.deps.State.Machines.All {
 		machineType := s.deps.Catalog.Type(m.Type)
 		if machineType == nil {
 			continue
 		}
-		from, takesWork := s.takesWorkIn(m, now)
-		if !takesWork {
+		wait, available := s.timeUntilAvailable(m, now)
+		if !available {
 			continue
 		}
 		total := placement.MachineTotal(machineType)
-		rooms = append(rooms, autoscaler.MachineForecast{
-			MachinePool: kindOf(m), AvailableFromS: from.Seconds(), Free: total.AddTimes(m.Used, -1), Releases: s.forecastLeaves(m, now),
+		machines = append(machines, autoscaler.MachineForecast{
+			MachinePool: poolOf(m), AvailableFromS: wait.Seconds(), Free: total.AddTimes(m.Used, -1), Releases: s.forecastReleases(m, now),
 		})
 	}
-	slices.SortFunc(rooms, func(a, b autoscaler.MachineForecast) int { return cmp.Compare(a.AvailableFromS, b.AvailableFromS) })
-	return rooms
+	slices.SortFunc(machines, func(a, b autoscaler.MachineForecast) int { return cmp.Compare(a.AvailableFromS, b.AvailableFromS) })
+	return machines
 }
 
-// takesWorkIn returns how long it takes until a machine accepts work, and whether it will.
-func (s *Scaler) takesWorkIn(machine *cluster.Machine, now time.Time) (wait time.Duration, takesWork bool) {
+// timeUntilAvailable returns how long it takes until a machine accepts work, and whether it will.
+func (s *Scaler) timeUntilAvailable(machine *cluster.Machine, now time.Time) (wait time.Duration, available bool) {
 	switch {
 	case s.host.IsUsable(machine, now):
 		return 0, true
-	case s.isBootingInTime(machine, now):
+	case s.isBootingOnTime(machine, now):
 		boot := s.deps.Catalog.BootTime(machine.Type)
 		return max(boot-now.Sub(machine.Rental.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
 	}
 	return 0, false
 }
 
-// isBootingInTime reports whether a machine is booting and still expected to come up soon enough
+// isBootingOnTime reports whether a machine is booting and still expected to come up soon enough
 // to be counted on.
-func (s *Scaler) isBootingInTime(machine *cluster.Machine, now time.Time) bool {
-	slow := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
-	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slow
+func (s *Scaler) isBootingOnTime(machine *cluster.Machine, now time.Time) bool {
+	slowAfter := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
+	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slowAfter
 }
 
-// forecastLeaves returns when the tasks on a machine are expected to end. Services never end.
-func (s *Scaler) forecastLeaves(machine *cluster.Machine, now time.Time) (leaves []autoscaler.Release) {
+// forecastReleases returns when the tasks on a machine are expected to end. Services never end.
+func (s *Scaler) forecastReleases(machine *cluster.Machine, now time.Time) (releases []autoscaler.Release) {
 	for _, a := range machine.Assignments {
 		if a.Outcome != cluster.Open || !a.Job.Spec.RunsToCompletion() {
 			continue
@@ -71,7 +71,7 @@
 		if a.Stop.Requested || a.Job.IsOver() {
 			leftS = a.Stop.GraceS
 		}
-		leaves = append(leaves, autoscaler.Release{AtS: max(leftS, overrunShare*runS), Resources: placement.TaskRequest(a.Job.Spec)})
+		releases = append(releases, autoscaler.Release{AtS: max(leftS, overrunShare*runS), Resources: placement.TaskRequest(a.Job.Spec)})
 	}
-	return leaves
+	return releases
 }
--- a/internal/leader/scaler/list.go
+++ b/internal/leader/scaler/list.go
@@ -9,8 +9,8 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// listShare is the fraction of the cloud's request rate that listing machines may use.
-const listShare = 0.25
+// listRequestShare is the fraction of the cloud's request rate that listing machines may use.
+const listRequestShare = 0.25
 
 // PollList lists the cloud's machines periodically until the context ends and applies each list
 // on the event loop. It blocks and runs on its own goroutine.
@@ -32,7 +32,7 @@
 
 // pollInterval returns the pause after a list that took the given number of requests.
 func (s *Scaler) pollInterval(requests int) time.Duration {
-	requestsPerSecond := listShare * s.deps.Settings.Deployment.Cloud.RPS
+	requestsPerSecond := listRequestShare * s.deps.Settings.Deployment.Cloud.RPS
 	return max(s.deps.Derived.Cloud.ListInterval, time.Duration(float64(requests)/requestsPerSecond*float64(time.Second)))
 }
 
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -28,21 +28,21 @@
 func TestProvisionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requests := 0
-		b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+		f, _ := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			requests++
 			fmt.Fprint(w, `{"hosts":["m-7"]}`)
 		})
 		unmet := []placement.Demand{serviceDemand(1)}
-		b.provision(t.Context(), b.now, unmet)
-		b.provision(t.Context(), b.now, unmet)
+		f.provision(t.Context(), f.now, unmet)
+		f.provision(t.Context(), f.now, unmet)
 		synctest.Wait()
-		(<-b.events)(b.now)
-		b.provision(t.Context(), b.now, unmet)
+		(<-f.events)(f.now)
+		f.provision(t.Context(), f.now, unmet)
 		synctest.Wait()
-		if requests != 1 || b.rentals.inFlight != 0 {
-			t.Errorf("%d requests sent, %d in flight, want 1 and 0", requests, b.rentals.inFlight)
+		if requests != 1 || f.provisioning.inFlight != 0 {
+			t.Errorf("%d requests sent, %d in flight, want 1 and 0", requests, f.provisioning.inFlight)
 		}
-		if m := b.deps.State.Machines.ByID["m-7"]; m == nil || m.Phase != cluster.Booting || m.Type != "c4" {
+		if m := f.deps.State.Machines.ByID["m-7"]; m == nil || m.Phase != cluster.Booting || m.Type != "c4" {
 			t.Errorf("provisioned machine: %+v", m)
 		}
 	})
@@ -50,12 +50,12 @@
 
 // Machines of an earlier leader may not be listed yet, so provisioning is deferred, except in the
 // very first term.
-func TestDeferRentals(t *testing.T) {
+func TestDeferProvisioning(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		term    uint64
-		at      float64
-		rentals int
+		name     string
+		term     uint64
+		at       float64
+		requests int
 	}{
 		{"too early", 5, 7.9, 0},
 		{"first term", 1, 1, 1},
@@ -63,13 +63,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"hosts":["m-7"]}`) })
-				b.host.term = tc.term
-				b.host.unknownTasks = true // prevents releases
-				b.DeferRentals(after(b.now, 8))
-				b.Reconcile(t.Context(), after(b.now, tc.at), []placement.Demand{serviceDemand(1)})
-				if b.rentals.made != tc.rentals {
-					t.Errorf("%d provisioning requests made", b.rentals.made)
+				f, _ := newFixture(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"hosts":["m-7"]}`) })
+				f.host.term = tc.term
+				f.host.unknownTasks = true // prevents releases
+				f.DeferRentals(secondsAfter(f.now, 8))
+				f.Reconcile(t.Context(), secondsAfter(f.now, tc.at), []placement.Demand{serviceDemand(1)})
+				if f.provisioning.count != tc.requests {
+					t.Errorf("%d provisioning requests made", f.provisioning.count)
 				}
 			})
 		})
@@ -77,28 +77,28 @@
 }
 
 // A pool without capacity is requested at growing intervals until the cloud has capacity again.
-func TestRefusalBacksOff(t *testing.T) {
-	b, _ := newBench(t, refuseAll(t))
-	kind := autoscaler.MachinePool{Type: "c4", Zone: "a"}
-	rental := cloud.ProvisionRequest{MachinePool: kind, Count: 1}
-	interval, most := b.deps.Derived.Leader.ControlInterval, 8*b.deps.Derived.Cloud.ListLag
+func TestCapacityBackoff(t *testing.T) {
+	f, _ := newFixture(t, rejectAll(t))
+	pool := autoscaler.MachinePool{Type: "c4", Zone: "a"}
+	request := cloud.ProvisionRequest{MachinePool: pool, Count: 1}
+	interval, maxWait := f.deps.Derived.Leader.ControlInterval, 8*f.deps.Derived.Cloud.ListLag
 	var waits []time.Duration
 	for range 6 {
-		b.rentalDone(t.Context(), rental, nil, cloud.ErrNoCapacity, b.now)
-		if !b.isUnavailable(kind, b.now) {
+		f.provisionDone(t.Context(), request, nil, cloud.ErrNoCapacity, f.now)
+		if !f.isUnavailable(pool, f.now) {
 			t.Fatal("requested again immediately")
 		}
-		waits = append(waits, b.rentals.refusals[kind].until.Sub(b.now))
+		waits = append(waits, f.provisioning.capacityBackoffs[pool].until.Sub(f.now))
 	}
-	if d := cmp.Diff([]time.Duration{2 * interval, 4 * interval, 8 * interval, 16 * interval, most, most}, waits); d != "" {
+	if d := cmp.Diff([]time.Duration{2 * interval, 4 * interval, 8 * interval, 16 * interval, maxWait, maxWait}, waits); d != "" {
 		t.Error(d)
 	}
-	b.rentalDone(t.Context(), rental, []string{"m-7"}, nil, b.now)
-	if b.isUnavailable(kind, b.now) {
+	f.provisionDone(t.Context(), request, []string{"m-7"}, nil, f.now)
+	if f.isUnavailable(pool, f.now) {
 		t.Error("not requested although the cloud has capacity")
 	}
-	b.host.silentZones["a"] = true
-	if !b.isUnavailable(kind, b.now) {
+	f.host.silentZones["a"] = true
+	if !f.isUnavailable(pool, f.now) {
 		t.Error("requested in a silent zone")
 	}
 }
@@ -121,10 +121,10 @@
 		{"more CPUs missing than its tasks use", batchDemand(100), 0, 50, 8, 34},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, _ := newBench(t, refuseAll(t))
-			count, still := b.batchDemand(tc.demand, tc.late, tc.missingCPUs)
-			if count != tc.count || still != tc.stillCPUs {
-				t.Errorf("machines for %d tasks, %v CPUs still missing", count, still)
+			f, _ := newFixture(t, rejectAll(t))
+			count, stillMissing := f.batchDemand(tc.demand, tc.late, tc.missingCPUs)
+			if count != tc.count || stillMissing != tc.stillCPUs {
+				t.Errorf("machines for %d tasks, %v CPUs still missing", count, stillMissing)
 			}
 		})
 	}
@@ -135,15 +135,15 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rate := arrivalRate{window: 100 * time.Second}
 	rate.add(500, 0, start)
-	if got := rate.at(start); got != 5 {
+	if got := rate.cpusAt(start); got != 5 {
 		t.Errorf("%v CPUs initially, want 5", got)
 	}
-	if got, want := rate.at(after(start, 100)), 5/math.E; math.Abs(got-want) > 1e-9 {
+	if got, want := rate.cpusAt(secondsAfter(start, 100)), 5/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("%v CPUs after one window, want %v", got, want)
 	}
 	found := arrivalRate{window: 100 * time.Second}
-	found.add(500, 100*time.Second, after(start, 100))
-	if got, want := found.at(after(start, 100)), rate.at(after(start, 100)); math.Abs(got-want) > 1e-9 {
+	found.add(500, 100*time.Second, secondsAfter(start, 100))
+	if got, want := found.cpusAt(secondsAfter(start, 100)), rate.cpusAt(secondsAfter(start, 100)); math.Abs(got-want) > 1e-9 {
 		t.Errorf("old work added by a new leader counts as %v CPUs, want %v", got, want)
 	}
 }
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -94,11 +94,11 @@
 // idleTimeout returns how long to keep an idle machine. The cheaper a spot machine is compared with
 // an on-demand one, the longer keeping it costs less than booting another.
 func (s *Scaler) idleTimeout(machine *cluster.Machine) time.Duration {
-	keep := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.IdleBootTimes)
+	timeout := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.IdleBootTimes)
 	if machineType := s.deps.Catalog.Type(machine.Type); machine.Spot && machineType != nil && machineType.SpotPrice > 0 {
-		keep = cluster.ScaleDuration(keep, machineType.Price/machineType.SpotPrice)
+		timeout = cluster.ScaleDuration(timeout, machineType.Price/machineType.SpotPrice)
 	}
-	return keep
+	return timeout
 }
 
 // Release queues machines to be released to the cloud. Nothing is placed on them from now on. Once
--- a/internal/leader/scaler/release_test.go
+++ b/internal/leader/scaler/release_test.go
@@ -17,25 +17,25 @@
 func TestReleaseWhileLeadershipIsUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requests := 0
-		b, m := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+		f, m := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			requests++
 			w.WriteHeader(http.StatusOK)
 		})
-		b.leading = false
-		b.Release(t.Context(), m)
+		f.isLeader = false
+		f.Release(t.Context(), m)
 		synctest.Wait()
-		(<-b.events)(b.now)
-		if requests != 0 || m.Phase != cluster.Releasing || !b.deps.State.Machines.Contains(m) {
+		(<-f.events)(f.now)
+		if requests != 0 || m.Phase != cluster.Releasing || !f.deps.State.Machines.Contains(m) {
 			t.Fatalf("%d requests sent without leadership, machine in phase %v", requests, m.Phase)
 		}
-		b.leading = true
-		b.Release(t.Context()) // as each Reconcile does
+		f.isLeader = true
+		f.Release(t.Context()) // as each Reconcile does
 		synctest.Wait()
-		(<-b.events)(b.now)
-		if requests != 1 || b.deps.State.Machines.Contains(m) || b.releases.inFlight || len(b.releases.waiting) > 0 {
-			t.Errorf("%d requests sent, machine still known: %v, queued: %v", requests, b.deps.State.Machines.Contains(m), b.releases.waiting)
+		(<-f.events)(f.now)
+		if requests != 1 || f.deps.State.Machines.Contains(m) || f.releases.inFlight || len(f.releases.waiting) > 0 {
+			t.Errorf("%d requests sent, machine still known: %v, queued: %v", requests, f.deps.State.Machines.Contains(m), f.releases.waiting)
 		}
-		if !b.WasReleased(m.ID) {
+		if !f.WasReleased(m.ID) {
 			t.Error("not remembered as released")
 		}
 	})
@@ -46,26 +46,26 @@
 func TestOneReleaseRequestAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requests := 0
-		b, first := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+		f, first := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			requests++
 			w.WriteHeader(http.StatusOK)
 		})
-		second, third := b.addMachine("m-2", cluster.Up), b.addMachine("m-3", cluster.Up)
-		b.Release(t.Context(), first)
-		b.Release(t.Context(), second, first)
-		b.Release(t.Context(), third)
-		if d := cmp.Diff([]string{"m-1", "m-2", "m-3"}, b.host.withdrawn); d != "" {
+		second, third := f.addMachine("m-2", cluster.Up), f.addMachine("m-3", cluster.Up)
+		f.Release(t.Context(), first)
+		f.Release(t.Context(), second, first)
+		f.Release(t.Context(), third)
+		if d := cmp.Diff([]string{"m-1", "m-2", "m-3"}, f.host.withdrawn); d != "" {
 			t.Error(d)
 		}
 		synctest.Wait()
 		if requests != 1 {
 			t.Errorf("%d concurrent requests, want 1", requests)
 		}
-		(<-b.events)(b.now)
+		(<-f.events)(f.now)
 		synctest.Wait()
-		(<-b.events)(b.now)
-		if requests != 2 || len(b.deps.State.Machines.All) != 0 {
-			t.Errorf("%d requests sent, %d machines left", requests, len(b.deps.State.Machines.All))
+		(<-f.events)(f.now)
+		if requests != 2 || len(f.deps.State.Machines.All) != 0 {
+			t.Errorf("%d requests sent, %d machines left", requests, len(f.deps.State.Machines.All))
 		}
 	})
 }
@@ -93,11 +93,11 @@
 		{"being released", cluster.Machine{Phase: cluster.Releasing}, false, 1000, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, _ := newBench(t, refuseAll(t))
-			b.host.unknownTasks = tc.unknown
+			f, _ := newFixture(t, rejectAll(t))
+			f.host.unknownTasks = tc.unknown
 			m := &tc.machine
-			m.ID, m.Type, m.Rental = "m-2", "c4", cluster.Rental{KnownSince: b.now, IdleSince: b.now}
-			if got := b.shouldRelease(m, after(b.now, tc.at)); got != tc.want {
+			m.ID, m.Type, m.Rental = "m-2", "c4", cluster.Rental{KnownSince: f.now, IdleSince: f.now}
+			if got := f.shouldRelease(m, secondsAfter(f.now, tc.at)); got != tc.want {
 				t.Errorf("shouldRelease = %v", got)
 			}
 		})
@@ -105,15 +105,15 @@
 }
 
 // A machine that is listed as running may have tasks, so it gets the time of a lease to report.
-func TestRunningMachineHasALeaseToReport(t *testing.T) {
-	b, _ := newBench(t, refuseAll(t))
-	m := b.addMachine("m-2", cluster.Booting)
-	listedAt := after(b.now, 39)
+func TestListedRunningMachineGetsLeaseToReport(t *testing.T) {
+	f, _ := newFixture(t, rejectAll(t))
+	m := f.addMachine("m-2", cluster.Booting)
+	listedAt := secondsAfter(f.now, 39)
 	m.Rental.ListedRunningSince = listedAt
-	if b.shouldRelease(m, after(b.now, 50)) {
+	if f.shouldRelease(m, secondsAfter(f.now, 50)) {
 		t.Error("released before its lease could have expired")
 	}
-	if !b.shouldRelease(m, listedAt.Add(b.deps.Derived.Workers.LeaseExpiry)) {
+	if !f.shouldRelease(m, listedAt.Add(f.deps.Derived.Workers.LeaseExpiry)) {
 		t.Error("not released after its lease must have expired")
 	}
 }
@@ -121,36 +121,36 @@
 // A machine is released when its notice period ends if it has not reported since. If it goes on
 // reporting, it is released as idle only once the list could show that it is gone.
 func TestReleaseAfterNotice(t *testing.T) {
-	b, m := newBench(t, refuseAll(t))
-	notice := after(b.now, 30)
+	f, m := newFixture(t, rejectAll(t))
+	notice := secondsAfter(f.now, 30)
 	m.Health.NoticeUntil, m.Health.Draining = notice, true
-	if b.shouldRelease(m, notice) {
+	if f.shouldRelease(m, notice) {
 		t.Error("released before its notice period ended")
 	}
-	if !b.shouldRelease(m, notice.Add(time.Millisecond)) {
+	if !f.shouldRelease(m, notice.Add(time.Millisecond)) {
 		t.Error("not released when its notice period ended")
 	}
-	m.Worker.HeartbeatAt = after(notice, 1)
-	if b.shouldRelease(m, after(notice, 2)) {
+	m.Worker.HeartbeatAt = secondsAfter(notice, 1)
+	if f.shouldRelease(m, secondsAfter(notice, 2)) {
 		t.Error("released although it continues to report")
 	}
-	if !b.shouldRelease(m, notice.Add(b.deps.Derived.Cloud.ListLag+time.Millisecond)) {
+	if !f.shouldRelease(m, notice.Add(f.deps.Derived.Cloud.ListLag+time.Millisecond)) {
 		t.Error("not released although it was never reclaimed")
 	}
 }
 
 // A list must not bring back a machine that was released recently.
 func TestListDoesNotReviveReleasedMachines(t *testing.T) {
-	b, _ := newBench(t, refuseAll(t))
-	b.released["m-2"] = after(b.now, 160)
+	f, _ := newFixture(t, rejectAll(t))
+	f.released["m-2"] = secondsAfter(f.now, 160)
 	listed := []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}
-	b.ApplyList(t.Context(), listed, b.now, b.now)
-	if b.deps.State.Machines.ByID["m-2"] != nil {
+	f.ApplyList(t.Context(), listed, f.now, f.now)
+	if f.deps.State.Machines.ByID["m-2"] != nil {
 		t.Error("a released machine was added again")
 	}
-	late := after(b.now, 161)
-	b.ApplyList(t.Context(), listed, late, late)
-	if b.deps.State.Machines.ByID["m-2"] == nil || b.WasReleased("m-2") {
+	late := secondsAfter(f.now, 161)
+	f.ApplyList(t.Context(), listed, late, late)
+	if f.deps.State.Machines.ByID["m-2"] == nil || f.WasReleased("m-2") {
 		t.Error("a machine listed long after its release is still ignored")
 	}
 }
@@ -159,16 +159,16 @@
 // were never listed. A machine listed as failed is released.
 func TestApplyList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, _ := newBench(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-		reporting, failed := b.addMachine("m-2", cluster.Up), b.addMachine("m-3", cluster.Up)
-		b.addMachine("m-4", cluster.Up) // never listed
-		b.ApplyList(t.Context(), []cloud.ListedMachine{
+		f, _ := newFixture(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+		reporting, failed := f.addMachine("m-2", cluster.Up), f.addMachine("m-3", cluster.Up)
+		f.addMachine("m-4", cluster.Up) // never listed
+		f.ApplyList(t.Context(), []cloud.ListedMachine{
 			{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}, {ID: "m-3", State: cloud.StateRunning},
-		}, b.now, b.now)
-		askedAt := after(b.now, 1)
-		reporting.Worker.HeartbeatAt = after(askedAt, 1)
-		b.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-3", State: cloud.StateFailed}}, askedAt, after(askedAt, 2))
-		if d := cmp.Diff([]string{"m-1"}, b.host.suspected); d != "" {
+		}, f.now, f.now)
+		askedAt := secondsAfter(f.now, 1)
+		reporting.Worker.HeartbeatAt = secondsAfter(askedAt, 1)
+		f.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-3", State: cloud.StateFailed}}, askedAt, secondsAfter(askedAt, 2))
+		if d := cmp.Diff([]string{"m-1"}, f.host.suspected); d != "" {
 			t.Error(d)
 		}
 		if failed.Phase != cluster.Releasing {
--- a/internal/leader/scaler/scaler.go
+++ b/internal/leader/scaler/scaler.go
@@ -62,14 +62,15 @@
 	deps Deps
 	host Host
 
-	lastRunAt   time.Time
-	lastRunTook time.Duration
-	// rentAfter is until when the list may lack machines that an earlier leader provisioned.
-	rentAfter time.Time
+	lastRunAt       time.Time
+	lastRunDuration time.Duration
+	// provisionAfter is the time until which the cloud's list may lack machines that an earlier
+	// leader provisioned.
+	provisionAfter time.Time
 
-	arrivals arrivalRate
-	rentals  rentals
-	releases releaseQueue
+	arrivals     arrivalRate
+	provisioning provisionRequests
+	releases     releaseQueue
 	// released holds the machines that the cloud has taken back, each with the time until which
 	// heartbeats and the cloud's list may still show it.
 	released map[string]time.Time
@@ -79,9 +80,9 @@
 func New(deps Deps) *Scaler {
 	return &Scaler{
 		deps: deps, host: deps.Host,
-		arrivals: arrivalRate{window: deps.Derived.Leader.StarvationLimit},
-		rentals:  newRentals(),
-		released: map[string]time.Time{},
+		arrivals:     arrivalRate{window: deps.Derived.Leader.StarvationLimit},
+		provisioning: newProvisionRequests(),
+		released:     map[string]time.Time{},
 	}
 }
 
@@ -90,7 +91,7 @@
 
 // IsDue reports whether Reconcile should run. It returns false while the catalog is unknown.
 func (s *Scaler) IsDue(now time.Time) bool {
-	pause := max(s.deps.Derived.Leader.ControlInterval/4, cluster.ScaleDuration(s.lastRunTook, 1/reconcileShare))
+	pause := max(s.deps.Derived.Leader.ControlInterval/4, cluster.ScaleDuration(s.lastRunDuration, 1/reconcileShare))
 	return now.Sub(s.lastRunAt) >= pause && s.deps.Catalog.Types() != nil
 }
 
@@ -99,9 +100,9 @@
 // continue after Reconcile returns.
 func (s *Scaler) Reconcile(ctx context.Context, now time.Time, unmet []placement.Demand) {
 	s.lastRunAt = now
-	defer func() { s.lastRunTook = time.Since(now) }()
+	defer func() { s.lastRunDuration = time.Since(now) }()
 	s.Release(ctx, s.machinesToRelease(now)...)
-	if now.Before(s.rentAfter) && s.host.Term() > 1 {
+	if now.Before(s.provisionAfter) && s.host.Term() > 1 {
 		return
 	}
 	s.provision(ctx, now, unmet)
@@ -109,7 +110,7 @@
 
 // DeferRentals prevents provisioning before the given time, except in the very first term. Machines
 // that an earlier leader provisioned may be missing from the cloud's list until then.
-func (s *Scaler) DeferRentals(until time.Time) { s.rentAfter = until }
+func (s *Scaler) DeferRentals(until time.Time) { s.provisionAfter = until }
 
 // JobArrived counts the work of a new job, or of an older job that a new leader has read.
 func (s *Scaler) JobArrived(job *cluster.Job, age time.Duration, now time.Time) {
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -18,13 +18,13 @@
 
 // fakeHost stands in for the rest of the leader. Tasks run for as long as their owners estimate.
 type fakeHost struct {
-	term          uint64
-	machines      *cluster.MachineSet
-	unknownTasks  bool            // applies to all machines
-	silentZones   map[string]bool // reported as silent for any duration
-	suspected     []string
-	withdrawn     []string
-	plansAskedFor int
+	term         uint64
+	machines     *cluster.MachineSet
+	unknownTasks bool            // applies to all machines
+	silentZones  map[string]bool // reported as silent for any duration
+	suspected    []string
+	withdrawn    []string
+	planRequests int
 }
 
 func (h *fakeHost) Term() uint64 { return h.term }
@@ -47,7 +47,7 @@
 
 func (h *fakeHost) RemoveMachine(m *cluster.Machine) { h.machines.Remove(m) }
 
-func (h *fakeHost) RequestPlan() { h.plansAskedFor++ }
+func (h *fakeHost) RequestPlan() { h.planRequests++ }
 
 // handlerTransport answers requests with an in-process handler.
 type handlerTransport struct{ http.Handler }
@@ -61,17 +61,17 @@
 	return rec.Result(), nil
 }
 
-// bench is a scaler with its fake dependencies.
-type bench struct {
+// fixture is a scaler with its fake dependencies.
+type fixture struct {
 	*Scaler
-	host    *fakeHost
-	now     time.Time
-	leading bool
-	events  chan func(time.Time) // posted to the event loop
+	host     *fakeHost
+	now      time.Time
+	isLeader bool
+	events   chan func(time.Time) // posted to the event loop
 }
 
-// newBench returns a scaler with one idle machine, m-1, and a cloud whose answers a handler gives.
-func newBench(t *testing.T, answer http.HandlerFunc) (*bench, *cluster.Machine) {
+// newFixture returns a scaler with one idle machine, m-1, and a cloud whose answers a handler gives.
+func newFixture(t *testing.T, handler http.HandlerFunc) (*fixture, *cluster.Machine) {
 	t.Helper()
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
 		Workers: settings.Workers{HeartbeatS: 1, LeaseS: 20, CancelS: 40},
@@ -79,43 +79,43 @@
 		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
 	}}
 	state := cluster.NewState()
-	b := &bench{
+	f := &fixture{
 		host: &fakeHost{term: 5, machines: &state.Machines, silentZones: map[string]bool{}},
-		now:  time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), leading: true, events: make(chan func(time.Time), 8),
+		now:  time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), isLeader: true, events: make(chan func(time.Time), 8),
 	}
 	derived := set.Derive()
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, Price: 4, SpotPrice: 1, Zones: []string{"a", "b"}, BootS: 10}}
-	b.Scaler = New(Deps{
-		Settings: set, Derived: derived, Cloud: cloud.NewClient("cloud:1", handlerTransport{answer}, time.Second, 10),
+	f.Scaler = New(Deps{
+		Settings: set, Derived: derived, Cloud: cloud.NewClient("cloud:1", handlerTransport{handler}, time.Second, 10),
 		Catalog: &cluster.Catalog{Types: func() []jobs.MachineType { return types }, DefaultBootTime: derived.Workers.Lease},
-		State:   state, Host: b.host,
-		Valid: func() bool { return b.leading },
+		State:   state, Host: f.host,
+		Valid: func() bool { return f.isLeader },
 		Post: func(ctx context.Context, apply func(time.Time)) {
 			select {
-			case b.events <- apply:
+			case f.events <- apply:
 			case <-ctx.Done():
 			}
 		},
 	})
-	return b, b.addMachine("m-1", cluster.Up)
+	return f, f.addMachine("m-1", cluster.Up)
 }
 
-func (b *bench) addMachine(id string, phase cluster.Phase) *cluster.Machine {
-	m := cluster.NewMachine(id, b.now)
+func (f *fixture) addMachine(id string, phase cluster.Phase) *cluster.Machine {
+	m := cluster.NewMachine(id, f.now)
 	m.Phase, m.Type, m.Zone = phase, "c4", "a"
-	b.deps.State.Machines.Add(m)
+	f.deps.State.Machines.Add(m)
 	return m
 }
 
-// refuseAll returns a cloud handler that fails the test on any request.
-func refuseAll(t *testing.T) http.HandlerFunc {
+// rejectAll returns a cloud handler that fails the test on any request.
+func rejectAll(t *testing.T) http.HandlerFunc {
 	t.Helper()
 	return func(_ http.ResponseWriter, r *http.Request) {
 		t.Errorf("unexpected request to the cloud: %s", r.URL.Path)
 	}
 }
 
-func after(start time.Time, seconds float64) time.Time {
+func secondsAfter(start time.Time, seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
@@ -129,32 +129,32 @@
 // Without a valid lease no request reaches the cloud, whatever was in flight.
 func TestNoRequestsWithoutLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, m := newBench(t, refuseAll(t))
-		b.leading = false
-		b.Release(t.Context(), m)
-		b.requestRental(t.Context(), cloud.ProvisionRequest{Name: "r-5-1", Count: 1})
+		f, m := newFixture(t, rejectAll(t))
+		f.isLeader = false
+		f.Release(t.Context(), m)
+		f.requestProvision(t.Context(), cloud.ProvisionRequest{Name: "r-5-1", Count: 1})
 		synctest.Wait()
 	})
 }
 
 // The scaler runs at intervals, and not before the catalog is known.
 func TestIsDue(t *testing.T) {
-	b, _ := newBench(t, refuseAll(t))
-	b.now = time.Now() // the scaler measures the duration of a run
-	b.deps.State.Machines.Remove(b.deps.State.Machines.ByID["m-1"])
-	if !b.IsDue(b.now) {
+	f, _ := newFixture(t, rejectAll(t))
+	f.now = time.Now() // the scaler measures the duration of a run
+	f.deps.State.Machines.Remove(f.deps.State.Machines.ByID["m-1"])
+	if !f.IsDue(f.now) {
 		t.Error("first run is not due")
 	}
-	b.Reconcile(t.Context(), b.now, nil)
-	if b.IsDue(b.now) {
+	f.Reconcile(t.Context(), f.now, nil)
+	if f.IsDue(f.now) {
 		t.Error("due again immediately")
 	}
-	later := b.now.Add(time.Minute)
-	if !b.IsDue(later) {
+	later := f.now.Add(time.Minute)
+	if !f.IsDue(later) {
 		t.Error("not due again after a minute")
 	}
-	b.deps.Catalog.Types = func() []jobs.MachineType { return nil }
-	if b.IsDue(later) {
+	f.deps.Catalog.Types = func() []jobs.MachineType { return nil }
+	if f.IsDue(later) {
 		t.Error("due without a catalog")
 	}
 }
--- a/internal/leader/transaction/batch.go
+++ b/internal/leader/transaction/batch.go
@@ -20,31 +20,31 @@
 	Writes []kvstore.Write
 	Bytes  int // of the keys and values
 
-	onCommit  []func(revision uint64)
-	onFailure []func()
-	learn     map[string]func(revision uint64) // by key
+	onCommit   []func(revision uint64)
+	onFailure  []func()
+	onConflict map[string]func(revision uint64) // by key
 }
 
 // New returns an empty transaction.
-func New() *Batch { return &Batch{learn: map[string]func(uint64){}} }
+func New() *Batch { return &Batch{onConflict: map[string]func(uint64){}} }
 
 // Guard makes the transaction fail unless a key has the given revision.
 func (b *Batch) Guard(key string, revision uint64) {
 	b.Guards = append(b.Guards, kvstore.Guard{Key: key, Revision: revision})
 }
 
-// Set adds a write of a key, guarded by its last known revision. If that guard fails, learn is
-// called with the revision that was found instead.
-func (b *Batch) Set(key string, revision uint64, value json.RawMessage, learn func(revision uint64)) {
+// Set adds a write of a key, guarded by its last known revision. If that guard fails, onConflict
+// is called with the revision that was found instead.
+func (b *Batch) Set(key string, revision uint64, value json.RawMessage, onConflict func(revision uint64)) {
 	b.Guard(key, revision)
 	b.Writes = append(b.Writes, kvstore.Write{Set: key, Value: value})
 	b.Bytes += 2*len(key) + len(value)
-	b.learn[key] = learn
+	b.onConflict[key] = onConflict
 }
 
 // Sets reports whether the transaction writes a key.
 func (b *Batch) Sets(key string) bool {
-	_, ok := b.learn[key]
+	_, ok := b.onConflict[key]
 	return ok
 }
 
@@ -69,9 +69,9 @@
 	}
 }
 
-// Learn passes on the present revision of a key whose guard failed.
-func (b *Batch) Learn(key string, revision uint64) {
-	if learn := b.learn[key]; learn != nil {
-		learn(revision)
+// HandleConflict passes on the present revision of a key whose guard failed.
+func (b *Batch) HandleConflict(key string, revision uint64) {
+	if onConflict := b.onConflict[key]; onConflict != nil {
+		onConflict(revision)
 	}
 }
--- a/internal/leader/writer/conflict.go
+++ b/internal/leader/writer/conflict.go
@@ -39,7 +39,7 @@
 		w.applyRecord(key, found)
 		return
 	}
-	batch.Learn(key, found.Revision)
+	batch.HandleConflict(key, found.Revision)
 	w.Recovery.CheckSegment(key, found)
 }
 
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -61,7 +61,7 @@
 	Deps
 	inFlight         bool
 	storeUnavailable bool // the last transaction was not executed, as far as is known
-	startedAt        time.Time
+	lastStartedAt    time.Time
 }
 
 // New returns a Writer without a transaction in flight.
@@ -84,43 +84,43 @@
 // elapsed.
 func (w *Writer) WriteNext(ctx context.Context, now time.Time) {
 	hasWork := w.Fencing.RaisePending || w.Jobs.HasCompleted() || w.Log.HasWork()
-	if w.inFlight || !hasWork || now.Sub(w.startedAt) < w.Derived.Leader.FlushInterval || !w.Host.IsLeader() {
+	if w.inFlight || !hasWork || now.Sub(w.lastStartedAt) < w.Derived.Leader.FlushInterval || !w.Host.IsLeader() {
 		return
 	}
-	w.startedAt = now
-	b := w.Compose()
-	if len(b.Writes) == 0 {
+	w.lastStartedAt = now
+	batch := w.Compose()
+	if len(batch.Writes) == 0 {
 		return
 	}
 	w.inFlight = true
 	go func() {
-		revision, failed, err := w.Store.Commit(ctx, b.Guards, b.Writes)
-		w.Host.Post(ctx, func(time.Time) { w.Returned(ctx, b, revision, failed, err) })
+		revision, failedGuards, err := w.Store.Commit(ctx, batch.Guards, batch.Writes)
+		w.Host.Post(ctx, func(time.Time) { w.Returned(ctx, batch, revision, failedGuards, err) })
 	}()
 }
 
 // Compose builds the next transaction.
 func (w *Writer) Compose() *transaction.Batch {
-	b := transaction.New()
+	batch := transaction.New()
 	maxOps := w.Derived.Store.TxnOps
 	w.Log.Grow(maxOps / 2)
 	// The segments of a transaction of unknown outcome come before anything else.
-	left := maxOps - w.Log.UnsettledSegments()
-	if w.Fencing.RaisePending && left > 0 {
-		w.addToken(b)
-		left--
+	remainingOps := maxOps - w.Log.UnsettledSegments()
+	if w.Fencing.RaisePending && remainingOps > 0 {
+		w.addToken(batch)
+		remainingOps--
 	}
 	// Ends of jobs take at most half of the remaining writes if the log has new entries.
-	limit := len(b.Writes) + left
-	if w.Log.UnsettledSegments() == 0 && w.Log.HasNews() {
-		limit = len(b.Writes) + max(1, left/2)
+	limit := len(batch.Writes) + remainingOps
+	if w.Log.UnsettledSegments() == 0 && w.Log.HasNewEntries() {
+		limit = len(batch.Writes) + max(1, remainingOps/2)
 	}
-	for w.Jobs.HasCompleted() && len(b.Writes) < limit {
-		w.addCompletion(b, w.Jobs.TakeCompleted())
+	for w.Jobs.HasCompleted() && len(batch.Writes) < limit {
+		w.addCompletion(batch, w.Jobs.TakeCompleted())
 	}
-	w.Log.AddSegments(b, maxOps)
-	b.Guard(election.HolderKey, w.Term.HolderRevision)
-	return b
+	w.Log.AddSegments(batch, maxOps)
+	batch.Guard(election.HolderKey, w.Term.HolderRevision)
+	return batch
 }
 
 // addToken adds a write of a higher fencing token.
@@ -158,39 +158,39 @@
 }
 
 // Returned processes the outcome of a transaction.
-func (w *Writer) Returned(ctx context.Context, batch *transaction.Batch, revision uint64, failed []string, err error) {
+func (w *Writer) Returned(ctx context.Context, batch *transaction.Batch, revision uint64, failedGuards []string, err error) {
 	// A transaction that is too large is not an outage. If it counted as one and nothing remained
 	// to be written, the leader would never plan again.
 	w.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
-	if err == nil && len(failed) == 0 {
+	if err == nil && len(failedGuards) == 0 {
 		w.inFlight = false
 		w.Committed(batch, revision)
 		return
 	}
 	batch.Failed()
 	if err != nil {
-		w.notWritten(ctx, batch, err)
+		w.handleFailure(ctx, batch, err)
 		return
 	}
-	if slices.Contains(failed, election.HolderKey) {
+	if slices.Contains(failedGuards, election.HolderKey) {
 		// The term is over. The elector detects that by itself; nothing may be written.
 		slog.Info("term lost", "term", w.Fencing.Current, "reason", "holder key changed")
 		return
 	}
 	// Either an earlier transaction of this leader was executed after all, or a user cancelled a
 	// job. Only keys that nobody else writes during this term are written again.
-	slog.Debug("transaction guards failed", "term", w.Fencing.Current, "keys", failed)
-	go w.readConflicts(ctx, batch, failed)
+	slog.Debug("transaction guards failed", "term", w.Fencing.Current, "keys", failedGuards)
+	go w.readConflicts(ctx, batch, failedGuards)
 }
 
-// notWritten handles a transaction that was not executed or whose outcome is unknown.
-func (w *Writer) notWritten(ctx context.Context, batch *transaction.Batch, err error) {
+// handleFailure handles a transaction that was not executed or whose outcome is unknown.
+func (w *Writer) handleFailure(ctx context.Context, batch *transaction.Batch, err error) {
 	slog.Debug("records not written", "term", w.Fencing.Current, "reason", err)
 	if !errors.Is(err, kvstore.ErrNotExecuted) {
 		w.Log.MarkOutcomeUnknown()
 	}
 	if errors.Is(err, kvstore.ErrInvalidRequest) {
-		w.rejected(batch, err)
+		w.handleRejection(batch, err)
 	}
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrNotExecuted) {
 		slog.Error("records not written", "term", w.Fencing.Current, "reason", err)
@@ -211,10 +211,10 @@
 	}
 }
 
-// rejected handles a transaction that the key-value store rejects because its limits are lower than
-// the settings say. The same transaction would be rejected forever and block all later writes, so
-// the next one is made smaller.
-func (w *Writer) rejected(batch *transaction.Batch, err error) {
+// handleRejection handles a transaction that the key-value store rejects because its limits are
+// lower than the settings say. The same transaction would be rejected forever and block all later
+// writes, so the next one is made smaller.
+func (w *Writer) handleRejection(batch *transaction.Batch, err error) {
 	largest := 0
 	for _, write := range batch.Writes {
 		largest = max(largest, len(write.Value))
