--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -52,7 +52,7 @@
 // Tracker holds the leader's knowledge of the job records and how recent it is.
 type Tracker struct {
 	Deps
-	currentAsOf          time.Time         // the jobs include all that users were told by then
+	currentAsOf          time.Time         // the jobs include everything users were told by then
 	seenRevision         atomic.Uint64     // all changes up to this revision are applied
 	futureCancellations  map[string]uint64 // job ids, each cancelled at a revision not yet seen
 	unwrittenCompletions []*cluster.Job    // records to be written as done
@@ -69,8 +69,8 @@
 // Age returns for how long users may have been told of changes that the leader does not know.
 func (t *Tracker) Age(now time.Time) time.Duration { return now.Sub(t.currentAsOf) }
 
-// Loaded sets the state after the initial read: all records that existed at asOf, and all changes up
-// to revision, have been applied.
+// Loaded sets the state after the initial read: all records that existed at asOf, and all
+// changes up to revision, have been applied.
 func (t *Tracker) Loaded(asOf time.Time, revision uint64) {
 	t.currentAsOf = asOf
 	t.seenRevision.Store(revision)
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -171,7 +171,7 @@
 	l.Dispatcher.AnnounceTerm(l.Log.Segments())
 }
 
-// forEachAssignment calls take for all assignments in the segments, oldest segment first.
+// forEachAssignment calls visit for all assignments in the segments, oldest segment first.
 func (l *Loader) forEachAssignment(visit func(a *cluster.Assignment)) {
 	for _, segment := range l.Log.Segments() {
 		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
--- a/internal/leader/scaler/scaler.go
+++ b/internal/leader/scaler/scaler.go
@@ -108,8 +108,8 @@
 	s.provision(ctx, now, unmet)
 }
 
-// DeferRentals prevents provisioning before the given time, except in the very first term. Machines
-// that an earlier leader provisioned may be missing from the cloud's list until then.
+// DeferRentals prevents provisioning before the given time, except in the very first term. The
+// cloud's list may lack machines that an earlier leader provisioned until then.
 func (s *Scaler) DeferRentals(until time.Time) { s.provisionAfter = until }
 
 // JobArrived counts the work of a new job, or of an older job that a new leader has read.
