--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -11,13 +11,13 @@
 	"ospreyslip/internal/leader/transaction"
 )
 
-// AddSegments writes as many segments as the log needs and the transaction has room for, the
-// oldest first. Those of a transaction of unknown outcome are written whatever there is.
+// AddSegments adds as many segments to the transaction as the log needs and the transaction can
+// hold, oldest first. Segments of a transaction of unknown outcome are always added.
 func (l *Log) AddSegments(batch *transaction.Batch, maxOps int) {
 	segments := 0
 	for ; segments < len(l.segments) && len(batch.Writes) < maxOps; segments++ {
 		required := segments < l.unsettledSegments
-		wanted := l.HasNews() || l.rewriteSegments > segments
+		wanted := l.HasNewEntries() || l.segmentsToRewrite > segments
 		if !required && (!wanted || batch.Bytes+l.maxSegmentBytes > transaction.MaxBytes) {
 			break
 		}
@@ -27,20 +27,21 @@
 	batch.OnCommit(func(uint64) { l.rotate(segments) })
 }
 
-// addSegment writes the i-th oldest segment: what is still true of it, then what is new, as far
-// as there is room for it. In front of an oversized segment it adds one.
-func (l *Log) addSegment(batch *transaction.Batch, position int, withNews bool) {
+// addSegment adds the segment at a position counted from the oldest. The segment gets its own
+// entries that are still valid, then as many queued entries as fit. If the segment is oversized,
+// addSegment inserts a new one before it and writes that one.
+func (l *Log) addSegment(batch *transaction.Batch, position int, withNewEntries bool) {
 	if position >= l.unsettledSegments && l.isOversized(l.segments[position]) {
 		l.segments = slices.Insert(l.segments, position, l.unwrittenSegment())
 	}
 	segment := l.segments[position]
-	d := newDraft(l.number+uint64(position)+1, min(l.maxSegmentBytes, transaction.MaxBytes-batch.Bytes))
-	l.leaveOutEnded(batch, d, segment)
+	d := newSegmentDraft(l.newestNumber+uint64(position)+1, min(l.maxSegmentBytes, transaction.MaxBytes-batch.Bytes))
+	l.dropEnded(batch, d, segment)
 	l.carryOver(batch, d, segment, math.MaxInt)
 	l.carriedBytes += (float64(d.bytes-segmentBytes) - l.carriedBytes) / float64(len(l.segments))
 	l.moveFromOversized(batch, d, position)
-	if withNews {
-		l.addNews(batch, d)
+	if withNewEntries {
+		l.addQueued(batch, d)
 	}
 	raw, _ := json.Marshal(d.record)
 	batch.Set(segment.Key, segment.Revision, raw, func(revision uint64) { segment.Revision = revision })
@@ -51,9 +52,9 @@
 	})
 }
 
-// leaveOutEnded ends the assignments that stand on this segment only: once it is written anew
-// without them, nothing else needs to be said.
-func (l *Log) leaveOutEnded(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
+// dropEnded ends the assignments that are recorded only in this segment. Rewriting the segment
+// without them is sufficient to record their ends.
+func (l *Log) dropEnded(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
 			a.Log.EndInFlight = true
@@ -62,9 +63,9 @@
 	}
 }
 
-// carryOver adds what is still true of a segment, or as much of it as fits into a draft of so
-// many bytes.
-func (l *Log) carryOver(batch *transaction.Batch, draft *draft, segment *cluster.Segment, maxBytes int) {
+// carryOver adds the entries of a segment that are still valid, while the draft stays within
+// maxBytes.
+func (l *Log) carryOver(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment, maxBytes int) {
 	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
 		a := segment.Begun[attempt]
 		switch {
@@ -81,21 +82,21 @@
 		bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
 		switch size := chunkSize(ref, bits); {
 		case segmentBytes+size > l.maxSegmentBytes:
-			chunk.Saved = false // no segment holds it any more: see addChunks
+			chunk.Saved = false // no segment can hold it any more: see addChunks
 		case draft.bytes+size <= maxBytes:
 			draft.addChunk(ref, bits)
 		}
 	}
 }
 
-// isOversized tells whether what stands on a segment may be more than can be written at a time:
-// it is from before the key-value store's limits fell, or were to fall. What is over by now
-// counts as well: should the transaction fail, its end may have to wait for the next.
+// isOversized reports whether the entries of a segment may exceed what one write can hold. This
+// happens when the limits of the key-value store are lowered, or are set to be lowered. Ended
+// assignments count too: if the transaction fails, their ends may have to wait for the next one.
 func (l *Log) isOversized(segment *cluster.Segment) bool {
 	if segment.Bytes <= l.maxSegmentBytes {
 		return false
 	}
-	d := newDraft(0, math.MaxInt)
+	d := newSegmentDraft(0, math.MaxInt)
 	for _, a := range segment.Begun {
 		if !a.Log.MoveInFlight {
 			d.addBegin(a)
@@ -110,13 +111,13 @@
 	return d.bytes > l.maxSegmentBytes*7/8
 }
 
-// moveFromOversized moves a part of the first oversized segment behind the i-th to a draft. The
-// oversized segment is written over only when the rest fits: until then it stays the oldest,
-// so that the ends of what was moved, which are on later segments, outlast it.
-func (l *Log) moveFromOversized(batch *transaction.Batch, draft *draft, position int) {
+// moveFromOversized moves part of the first oversized segment after position to the draft. The
+// oversized segment is overwritten only once the rest of it fits. Until then it stays the oldest,
+// so that the ends of the moved entries, which are in later segments, outlive it.
+func (l *Log) moveFromOversized(batch *transaction.Batch, draft *segmentDraft, position int) {
 	for _, segment := range l.segments[position+1 : min(position+1+l.config.MaxOps, len(l.segments))] {
 		if len(segment.Begun)+len(segment.Completions) == 0 {
-			continue // never written, or the outcome is unknown
+			continue // never written, or of unknown outcome
 		}
 		if l.isOversized(segment) {
 			l.movePart(batch, draft, segment)
@@ -125,10 +126,11 @@
 	}
 }
 
-func (l *Log) movePart(batch *transaction.Batch, draft *draft, segment *cluster.Segment) {
+func (l *Log) movePart(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment) {
 	begun, chunks := len(draft.begun), len(draft.chunks)
 	if l.carryOver(batch, draft, segment, draft.maxBytes/2); draft.isEmpty() {
-		l.carryOver(batch, draft, segment, draft.maxBytes) // what takes more than half of a segment
+		// A single entry may take more than half of a segment.
+		l.carryOver(batch, draft, segment, draft.maxBytes)
 	}
 	for _, a := range draft.begun[begun:] {
 		a.Log.MoveInFlight = true
@@ -138,43 +140,43 @@
 	}
 }
 
-// addNews adds what is queued, as far as it fits. Completions go before the ends that rest on
+// addQueued adds queued entries as far as they fit. Completions precede the ends that depend on
 // them.
-func (l *Log) addNews(batch *transaction.Batch, draft *draft) {
+func (l *Log) addQueued(batch *transaction.Batch, draft *segmentDraft) {
 	l.addDeaths(draft)
 	l.addChunks(draft)
 	l.addEnds(batch, draft)
 	l.addBegins(draft)
 }
 
-func (l *Log) addDeaths(draft *draft) {
+func (l *Log) addDeaths(draft *segmentDraft) {
 	q := &l.queue
 	for len(q.deaths) > 0 && draft.fits(len(q.deaths[0])+deathBytes) {
 		draft.record.Dead = append(draft.record.Dead, q.deaths[0])
 		draft.bytes += len(q.deaths[0]) + deathBytes
-		draft.taken.deaths = append(draft.taken.deaths, q.deaths[0])
+		draft.dequeued.deaths = append(draft.dequeued.deaths, q.deaths[0])
 		q.deaths = q.deaths[1:]
 	}
 }
 
-func (l *Log) addChunks(draft *draft) {
+func (l *Log) addChunks(draft *segmentDraft) {
 	for len(l.queue.chunks) > 0 {
 		ref := l.queue.chunks[0]
 		chunk := ref.Job.Completions.Chunks[ref.Index]
-		if !ref.Job.IsOver() { // else the record of the job's end takes its place
+		if !ref.Job.IsOver() { // otherwise the record of the job's end replaces the chunk
 			bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
 			size := chunkSize(ref, bits)
 			switch {
 			case segmentBytes+size > l.maxSegmentBytes:
-				l.giveUpChunk(ref, size)
+				l.dropTooLargeChunk(ref, size)
 				continue
 			case !draft.fits(size):
 				return
 			}
 			draft.addChunk(ref, bits)
-			draft.taken.chunks = append(draft.taken.chunks, ref)
-			// As far as this transaction goes: queueChunk takes it back if it fails, or
-			// if more tasks complete meanwhile.
+			draft.dequeued.chunks = append(draft.dequeued.chunks, ref)
+			// This holds if the transaction succeeds. queueChunk resets it if the transaction
+			// fails or more tasks complete in the meantime.
 			chunk.Saved = true
 		}
 		chunk.Dirty = false
@@ -182,9 +184,9 @@
 	}
 }
 
-// giveUpChunk takes a chunk off the queue that no segment holds. Its tasks' ends wait for that
-// of the job: their workers keep saying that they are done.
-func (l *Log) giveUpChunk(ref cluster.ChunkRef, size int) {
+// dropTooLargeChunk dequeues a chunk that is too large for any segment. The ends of its tasks wait
+// for the end of the job; until then the workers keep reporting the tasks as done.
+func (l *Log) dropTooLargeChunk(ref cluster.ChunkRef, size int) {
 	chunk := ref.Job.Completions.Chunks[ref.Index]
 	if !chunk.TooLarge {
 		slog.Error("completions larger than a segment", "job", ref.Job.ID, "bytes", size, "most", l.maxSegmentBytes)
@@ -193,11 +195,11 @@
 	l.queue.chunks = l.queue.chunks[1:]
 }
 
-func (l *Log) addEnds(batch *transaction.Batch, draft *draft) {
-	later := l.queue.ends[:0]
+func (l *Log) addEnds(batch *transaction.Batch, draft *segmentDraft) {
+	remaining := l.queue.ends[:0]
 	for _, a := range l.queue.ends {
 		switch {
-		case a.Log.EndInFlight: // its segment is written anew, without it
+		case a.Log.EndInFlight: // the segment is rewritten without it
 			a.Log.EndQueued = false
 		case draft.fits(endSize(a)) && l.endMayBeWritten(batch, a):
 			a.Log.EndInFlight, a.Log.EndQueued = true, false
@@ -207,33 +209,33 @@
 			}
 			draft.ended = append(draft.ended, a)
 		default:
-			later = append(later, a)
+			remaining = append(remaining, a)
 		}
 	}
-	clear(l.queue.ends[len(later):])
-	l.queue.ends = later
+	clear(l.queue.ends[len(remaining):])
+	l.queue.ends = remaining
 }
 
-func (l *Log) addBegins(draft *draft) {
+func (l *Log) addBegins(draft *segmentDraft) {
 	q := &l.queue
 	for len(q.begins) > 0 && draft.fits(startSize(q.begins[0])) {
 		a := q.begins[0]
 		q.begins = q.begins[1:]
 		if a.Outcome == cluster.Open {
 			draft.addBegin(a)
-			draft.taken.begins = append(draft.taken.begins, a)
+			draft.dequeued.begins = append(draft.dequeued.begins, a)
 		}
 	}
 }
 
-// endMayBeWritten tells whether an assignment is over and its end may be written: the
-// completion of its task has to be durable with it.
+// endMayBeWritten reports whether an assignment has ended and its end may be written. The
+// completion of its task must be durable no later than the end.
 func (l *Log) endMayBeWritten(batch *transaction.Batch, assignment *cluster.Assignment) bool {
 	return assignment.Outcome == cluster.Retry || assignment.Outcome == cluster.Success && l.completionSaved(batch, assignment)
 }
 
-// completionSaved tells whether a completion is durable, or goes into the transaction that is
-// being put together.
+// completionSaved reports whether the completion of the assignment's task is durable or part of the
+// transaction that is being composed.
 func (l *Log) completionSaved(batch *transaction.Batch, assignment *cluster.Assignment) bool {
 	job := assignment.Job
 	if job.End.Cancelled || job.End.CompletionDurable || batch.Sets(jobs.RecordKey(job.ID)) {
@@ -243,10 +245,10 @@
 	return chunk != nil && chunk.Saved
 }
 
-// requeue queues what a transaction that failed should have written.
-func (l *Log) requeue(draft *draft) {
-	l.queue.begins = append(draft.taken.begins, l.queue.begins...)
-	l.queue.deaths = append(draft.taken.deaths, l.queue.deaths...)
+// requeue puts the entries of a failed transaction back into the queue.
+func (l *Log) requeue(draft *segmentDraft) {
+	l.queue.begins = append(draft.dequeued.begins, l.queue.begins...)
+	l.queue.deaths = append(draft.dequeued.deaths, l.queue.deaths...)
 	for _, a := range draft.ended {
 		a.Log.EndInFlight = false
 		l.QueueEnd(a)
@@ -257,13 +259,13 @@
 	for _, ref := range draft.chunks {
 		ref.Job.Completions.Chunks[ref.Index].Moving = false
 	}
-	for _, ref := range draft.taken.chunks {
+	for _, ref := range draft.dequeued.chunks {
 		l.queueChunk(ref)
 	}
 }
 
-// segmentWritten takes in that a segment was written.
-func (l *Log) segmentWritten(segment *cluster.Segment, draft *draft, revision uint64) {
+// segmentWritten updates the entries of a segment after it was written.
+func (l *Log) segmentWritten(segment *cluster.Segment, draft *segmentDraft, revision uint64) {
 	segment.Revision = revision
 	clear(segment.Begun)
 	clear(segment.Completions)
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -10,33 +10,33 @@
 	"ospreyslip/internal/placement"
 )
 
-// defaultPatience is how many times its run and boot time a job is given that has no
-// service-level objective and no deadline.
-const defaultPatience = 4.0
+// defaultDeadlineFactor is the time allowed to a batch job without a service-level objective or
+// deadline, as a multiple of its run time plus boot time.
+const defaultDeadlineFactor = 4.0
 
-// demand is the tasks that machines should be rented for: services and gangs at once, and batch
-// tasks that would be over too late on the machines there are.
+// demand returns the tasks for which to provision machines: tasks of services and gangs immediately,
+// batch tasks only if they would be late on the present machines.
 func (s *Scaler) demand(now time.Time, unmet []placement.Demand) []autoscaler.Demand {
-	var late []int // by the order of the queue
+	var lateTasks []int // in queue order
 	missingCPUs := 0.0
 	if queue := s.batchQueue(unmet); len(queue) > 0 {
-		late, missingCPUs = autoscaler.ForecastLateTasks(s.forecastRooms(now), queue), s.missingCPUs(now)
+		lateTasks, missingCPUs = autoscaler.ForecastLateTasks(s.forecastMachines(now), queue), s.missingCPUs(now)
 	}
-	var needs []autoscaler.Demand
+	var demands []autoscaler.Demand
 	for _, d := range unmet {
 		count := d.Count
 		if d.Job.Spec.Shape == jobs.Batch {
-			count, missingCPUs = s.batchDemand(d, late[0], missingCPUs)
-			late = late[1:]
+			count, missingCPUs = s.batchDemand(d, lateTasks[0], missingCPUs)
+			lateTasks = lateTasks[1:]
 		}
 		if count > 0 {
-			needs = append(needs, autoscaler.Demand{Spec: d.Job.Spec, TasksByZone: d.Job.TasksByZone, Count: count})
+			demands = append(demands, autoscaler.Demand{Spec: d.Job.Spec, TasksByZone: d.Job.TasksByZone, Count: count})
 		}
 	}
-	return needs
+	return demands
 }
 
-// batchQueue is the batch tasks without a machine, as the forecast sees them.
+// batchQueue returns the batch tasks without a machine in the form that the forecast takes.
 func (s *Scaler) batchQueue(unmet []placement.Demand) (queue []autoscaler.PendingTasks) {
 	for _, d := range unmet {
 		if spec := d.Job.Spec; spec.Shape == jobs.Batch {
@@ -49,17 +49,18 @@
 	return queue
 }
 
-// batchDemand is for how many of a job's tasks to rent machines if so many would be late, and
-// so many CPUs are missing for batch work in all. It returns how many CPUs are missing then.
-func (s *Scaler) batchDemand(demand placement.Demand, late int, missingCPUs float64) (count int, stillMissing float64) {
+// batchDemand returns for how many of a job's tasks to provision machines, given how many of them
+// would be late and how many CPUs are missing for all batch work. It also returns the number of CPUs
+// that are still missing afterwards.
+func (s *Scaler) batchDemand(demand placement.Demand, lateTasks int, missingCPUs float64) (count int, stillMissing float64) {
 	spec := demand.Job.Spec
-	count = late
-	// A new machine works off several tasks one after the other.
+	count = lateTasks
+	// One new machine runs several tasks one after the other.
 	waves := (s.timeLeftS(demand.Job) - s.deps.Catalog.ShortestBootTime().Seconds()) / s.host.RunTimeS(spec)
 	if waves > 1 && count > 0 {
 		count = int(math.Ceil(float64(count) / math.Floor(waves)))
 	}
-	// The forecast knows of no work that is still to come.
+	// The forecast does not include work that has yet to arrive.
 	if spec.CPUs > 0 && missingCPUs > 0 {
 		count = max(count, min(demand.Count, int(math.Ceil(missingCPUs/spec.CPUs))))
 		missingCPUs -= float64(count) * spec.CPUs
@@ -67,19 +68,19 @@
 	return count, missingCPUs
 }
 
-// timeLeftS is how many seconds a batch job has left. One without an objective to meet should
-// not wait for ever either.
+// timeLeftS returns the time that a batch job has left, in seconds. A job without an objective gets
+// a default, since it must not wait forever.
 func (s *Scaler) timeLeftS(job *placement.Job) float64 {
 	if job.DeadlineS < placement.NoDeadline {
 		return job.DeadlineS
 	}
-	return defaultPatience * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
+	return defaultDeadlineFactor * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
 }
 
-// missingCPUs is how many CPUs are missing, next to the services, for the recent arrival rate
-// of batch work and for working off the backlog within the same window.
+// missingCPUs returns how many CPUs are missing, beside those that services use, to keep up with the
+// recent arrival rate of batch work or to clear the backlog within the same window.
 func (s *Scaler) missingCPUs(now time.Time) float64 {
-	missing := max(s.arrivals.at(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
+	missing := max(s.arrivals.cpusAt(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
 	for _, m := range s.deps.State.Machines.All {
 		machineType := s.deps.Catalog.Type(m.Type)
 		if machineType == nil || m.Phase == cluster.Releasing || m.Health.Dead || m.Health.Draining {
@@ -92,15 +93,15 @@
 			}
 		}
 	}
-	for kind, count := range s.rentals.machines {
-		if machineType := s.deps.Catalog.Type(kind.Type); machineType != nil {
+	for pool, count := range s.provisioning.machinesInFlight {
+		if machineType := s.deps.Catalog.Type(pool.Type); machineType != nil {
 			missing -= machineType.CPUs * float64(count)
 		}
 	}
 	return missing
 }
 
-// backlogCPUSeconds is the work of all tasks that end by themselves and are not done.
+// backlogCPUSeconds returns the work of all incomplete tasks that run to completion, in CPU seconds.
 func (s *Scaler) backlogCPUSeconds() (work float64) {
 	for _, job := range s.deps.State.Jobs {
 		if !job.IsOver() && job.Spec.RunsToCompletion() {
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -11,57 +11,57 @@
 )
 
 const (
-	// overrunShare is the part of its run time for which a task is expected to run on that
-	// should be over by now.
+	// overrunShare is the expected remaining time of a task that has exceeded its run time, as a
+	// fraction of that run time.
 	overrunShare = 0.2
-	// lateBootShare is the part of its boot time for which a machine is expected to go on
-	// booting that should be up by now.
+	// lateBootShare is the expected remaining time of a machine that has exceeded its boot time,
+	// as a fraction of that boot time.
 	lateBootShare = 1.0 / 8
 )
 
-// forecastRooms is the machines that take work now or once they are up, as the forecast sees
-// them, the earliest first.
-func (s *Scaler) forecastRooms(now time.Time) []autoscaler.MachineForecast {
-	var rooms []autoscaler.MachineForecast
+// forecastMachines returns the machines that accept work now or will once they are up, in the form
+// that the forecast takes, earliest first.
+func (s *Scaler) forecastMachines(now time.Time) []autoscaler.MachineForecast {
+	var machines []autoscaler.MachineForecast
 	for _, m := range s.deps.State.Machines.All {
 		machineType := s.deps.Catalog.Type(m.Type)
 		if machineType == nil {
 			continue
 		}
-		from, takesWork := s.takesWorkIn(m, now)
-		if !takesWork {
+		wait, available := s.timeUntilAvailable(m, now)
+		if !available {
 			continue
 		}
 		total := placement.MachineTotal(machineType)
-		rooms = append(rooms, autoscaler.MachineForecast{
-			MachinePool: kindOf(m), AvailableFromS: from.Seconds(), Free: total.AddTimes(m.Used, -1), Releases: s.forecastLeaves(m, now),
+		machines = append(machines, autoscaler.MachineForecast{
+			MachinePool: poolOf(m), AvailableFromS: wait.Seconds(), Free: total.AddTimes(m.Used, -1), Releases: s.forecastReleases(m, now),
 		})
 	}
-	slices.SortFunc(rooms, func(a, b autoscaler.MachineForecast) int { return cmp.Compare(a.AvailableFromS, b.AvailableFromS) })
-	return rooms
+	slices.SortFunc(machines, func(a, b autoscaler.MachineForecast) int { return cmp.Compare(a.AvailableFromS, b.AvailableFromS) })
+	return machines
 }
 
-// takesWorkIn is how long it takes until a machine takes work, if it does.
-func (s *Scaler) takesWorkIn(machine *cluster.Machine, now time.Time) (wait time.Duration, takesWork bool) {
+// timeUntilAvailable returns how long it takes until a machine accepts work, and whether it will.
+func (s *Scaler) timeUntilAvailable(machine *cluster.Machine, now time.Time) (wait time.Duration, available bool) {
 	switch {
 	case s.host.IsUsable(machine, now):
 		return 0, true
-	case s.isBootingInTime(machine, now):
+	case s.isBootingOnTime(machine, now):
 		boot := s.deps.Catalog.BootTime(machine.Type)
 		return max(boot-now.Sub(machine.Rental.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
 	}
 	return 0, false
 }
 
-// isBootingInTime tells whether a machine boots, and not for so long that it must not be
-// counted on.
-func (s *Scaler) isBootingInTime(machine *cluster.Machine, now time.Time) bool {
-	slow := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
-	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slow
+// isBootingOnTime reports whether a machine is booting and still expected to come up soon enough
+// to be counted on.
+func (s *Scaler) isBootingOnTime(machine *cluster.Machine, now time.Time) bool {
+	slowAfter := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
+	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slowAfter
 }
 
-// forecastLeaves is when the tasks on a machine are expected to leave it. Services never do.
-func (s *Scaler) forecastLeaves(machine *cluster.Machine, now time.Time) (leaves []autoscaler.Release) {
+// forecastReleases returns when the tasks on a machine are expected to end. Services never end.
+func (s *Scaler) forecastReleases(machine *cluster.Machine, now time.Time) (releases []autoscaler.Release) {
 	for _, a := range machine.Assignments {
 		if a.Outcome != cluster.Open || !a.Job.Spec.RunsToCompletion() {
 			continue
@@ -71,7 +71,7 @@
 		if a.Stop.Requested || a.Job.IsOver() {
 			leftS = a.Stop.GraceS
 		}
-		leaves = append(leaves, autoscaler.Release{AtS: max(leftS, overrunShare*runS), Resources: placement.TaskRequest(a.Job.Spec)})
+		releases = append(releases, autoscaler.Release{AtS: max(leftS, overrunShare*runS), Resources: placement.TaskRequest(a.Job.Spec)})
 	}
-	return leaves
+	return releases
 }
