--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -9,29 +9,30 @@
 	"ospreyslip/internal/workers"
 )
 
-// adoption takes over tasks that workers show and the assignment log lacks.
+// adoption tracks the adoption of tasks that workers report and the assignment log lacks.
 //
-// Where segments of the log, or a job's record, were lost, machines may have tasks that no
-// record names. Such a job gets no new tasks until each worker must have reported, or its lease
-// have expired; what workers show meanwhile is adopted: it counts, and is written to the log.
+// If segments of the log or a job's record were lost, machines may run tasks that no record
+// names. No task of such a job is placed until every worker must have reported or lost its
+// lease. Tasks that workers report in that time are adopted: they count as used capacity and
+// quota, and are written to the log.
 type adoption struct {
 	cfg    *Config
 	events *eventLog
 
-	jobs          map[*cluster.Job]bool // of which tasks may not be known yet
+	jobs          map[*cluster.Job]bool // jobs that may have tasks not yet known
 	logIncomplete bool                  // tasks may run that the assignment log does not name
-	allKnownBy    time.Time             // by then every worker that has tasks has reported
+	allKnownBy    time.Time             // when every worker that has tasks must have reported
 }
 
-// begin begins to adopt a job's tasks.
+// begin starts the adoption of a job's tasks, which lasts until the given time.
 func (a *adoption) begin(job *cluster.Job, until time.Time) {
 	job.Adoption.Until = until
 	a.jobs[job] = true
 }
 
-// expectTasksOfAllJobs takes in, early in a term, that the records that this leader began with may
-// have lacked some: each job may have tasks that are not known. Later in a term every worker
-// has reported, and what this leader knows is the truth.
+// expectTasksOfAllJobs starts adoption for every unfinished job, because the records that this
+// leader loaded may have been incomplete. It does so only while leases from before the term may
+// be valid: after that every worker has reported, and this leader's state is authoritative.
 func (a *adoption) expectTasksOfAllJobs(now time.Time) {
 	until := a.cfg.Term.Since.Add(a.cfg.Derived.Workers.LeaseExpiry)
 	if !now.Before(until) || now.Before(a.allKnownBy) {
@@ -45,15 +46,15 @@
 	}
 }
 
-// expectUnloggedTasks takes in, while the records are read, that machines may have tasks that the
-// assignment log does not name: until every lease from before this term has expired, nothing of
-// earlier jobs is placed.
+// expectUnloggedTasks notes, while the records are loaded, that machines may run tasks that the
+// assignment log does not name. No task of an earlier job is then placed until every lease from
+// before this term has expired.
 func (a *adoption) expectUnloggedTasks(now time.Time) {
 	a.logIncomplete = true
 	a.allKnownBy = now.Add(a.cfg.Derived.Workers.LeaseExpiry)
 }
 
-// concernsTeam tells whether a team has jobs of which tasks may not be known yet.
+// concernsTeam reports whether a team has jobs with tasks that may not be known yet.
 func (a *adoption) concernsTeam(team string) bool {
 	for job := range a.jobs {
 		if job.Spec.Team == team {
@@ -63,8 +64,8 @@
 	return false
 }
 
-// adoptReported takes in the tasks of a heartbeat that belong to jobs whose tasks are not all
-// known.
+// adoptReported adopts the tasks of a heartbeat that belong to jobs under adoption. Tasks of a
+// gang are collected until all tasks of one attempt are known.
 func (a *adoption) adoptReported(machine *cluster.Machine, report *workers.Heartbeat, now time.Time) {
 	if len(a.jobs) == 0 {
 		return
@@ -91,13 +92,13 @@
 	}
 }
 
-// attemptNumbers is by which numbers an attempt is known.
+// attemptNumbers holds the numbers that identify an attempt of a task.
 type attemptNumbers struct {
 	own  uint64 // in the assignment log
-	gang uint64 // to workers, for all tasks of one attempt of a gang; else 0
+	gang uint64 // on workers, shared by all tasks of a gang's attempt; 0 for other tasks
 }
 
-// adoptTask makes an assignment of a worker's task.
+// adoptTask creates an assignment for a task that a worker reported, and queues it for the log.
 func (a *adoption) adoptTask(job *cluster.Job, index int, part cluster.GangPart, numbers attemptNumbers, now time.Time) {
 	adopted := &cluster.Assignment{
 		Job: job, Index: index, Attempt: numbers.own, GangAttempt: numbers.gang, Session: part.Session, Machine: part.Machine,
@@ -115,7 +116,7 @@
 	a.cfg.AssignmentLog().QueueBegin(adopted)
 }
 
-// isGangWhole tells whether all tasks of one attempt of a gang are known.
+// isGangWhole reports whether all tasks of one attempt of a gang are known.
 func isGangWhole(job *cluster.Job) bool {
 	for index := range job.Spec.Tasks {
 		part, ok := job.Adoption.GangParts[index]
@@ -126,8 +127,8 @@
 	return true
 }
 
-// adoptGang adopts all known tasks of a gang. Each has a number of its own in the log; the
-// one that they share is that by which workers know them.
+// adoptGang adopts all known tasks of a gang. Each gets its own attempt number in the log;
+// workers identify all of them by the number that they share.
 func (a *adoption) adoptGang(job *cluster.Job, now time.Time) {
 	for index := range job.Spec.Tasks {
 		part, ok := job.Adoption.GangParts[index]
@@ -141,8 +142,8 @@
 	job.Adoption.GangParts = nil
 }
 
-// endDue lets jobs go on whose tasks must all be known by now. A gang of which only
-// a part is known is stopped, and begins anew when that is off its machines.
+// endDue ends the adoption for jobs whose tasks must all be known by now. A gang of which only
+// some tasks are known is stopped, and starts again once these are off their machines.
 func (a *adoption) endDue(now time.Time) {
 	for job := range a.jobs {
 		if now.Before(job.Adoption.Until) && !job.IsOver() {
@@ -160,36 +161,37 @@
 	}
 }
 
-// AdoptTasksOf begins to adopt a job's tasks: some may be on machines that the assignment log
-// does not name.
+// AdoptTasksOf starts the adoption of a job's tasks, because some of them may be on machines
+// without being named in the assignment log. It lasts until every current lease has expired.
 func (r *Recoverer) AdoptTasksOf(job *cluster.Job, now time.Time) {
 	r.adoption.begin(job, now.Add(r.cfg.Derived.Workers.LeaseExpiry))
 }
 
 // AdoptReported adopts the tasks of a heartbeat that belong to jobs whose tasks are not all
-// known.
+// known yet.
 func (r *Recoverer) AdoptReported(machine *cluster.Machine, report *workers.Heartbeat, now time.Time) {
 	r.adoption.adoptReported(machine, report, now)
 }
 
-// EndAdoptions lets jobs go on whose tasks must all be known by now. The event loop calls it at
-// each tick, before Advance.
+// EndAdoptions resumes the placement of jobs whose tasks must all be known by now. The event
+// loop calls it at each tick, before Advance.
 func (r *Recoverer) EndAdoptions(now time.Time) { r.adoption.endDue(now) }
 
-// LogIncomplete tells whether tasks of earlier jobs may run that the assignment log does not
+// LogIncomplete reports whether tasks of earlier jobs may run that the assignment log does not
 // name.
 func (r *Recoverer) LogIncomplete() bool { return r.adoption.logIncomplete }
 
-// MayHaveUnloggedTasks tells whether a job that has just become known may have tasks on machines
-// that the assignment log does not name.
+// MayHaveUnloggedTasks reports whether a job that has just become known may have tasks on
+// machines that the assignment log does not name.
 func (r *Recoverer) MayHaveUnloggedTasks(id string) bool {
 	_, lost := r.knowledge.lost[id]
 	return lost || r.orphans.byJob[id] != nil
 }
 
-// AwaitsWorkers tells whether a job may have tasks on machines that are not known yet, or
-// whether its team may: then it could come over its limit. A node that began after a loss
-// does not know which jobs are new: it places none before all have been compared.
+// AwaitsWorkers reports whether a job must not be placed yet. That is so while the job may have
+// unknown tasks on machines, and while its team may, as the team could then exceed its limit. A
+// controller that started after a loss cannot tell which jobs are new, and places none before
+// the comparison has ended.
 func (r *Recoverer) AwaitsWorkers(job *cluster.Job, now time.Time) bool {
 	if now.Before(job.Adoption.Until) || r.awaitsStartupCheck(now) {
 		return true
@@ -204,9 +206,9 @@
 	return (team.MaxCPUs > 0 || team.MaxGPUs > 0) && r.mayUndercountTeam(team.Name, now)
 }
 
-// mayUndercountTeam tells whether a team may have tasks that do not count yet: while records are
-// compared early in a term, until lost jobs are written back, and until their tasks have
-// been heard of.
+// mayUndercountTeam reports whether a team may have tasks that are not yet counted in its usage:
+// while records are compared early in a term, until lost jobs are written back, and until
+// workers have reported the tasks of these jobs.
 func (r *Recoverer) mayUndercountTeam(team string, now time.Time) bool {
 	switch {
 	case r.phase == Comparing && now.Before(r.adoption.allKnownBy):
@@ -217,8 +219,8 @@
 	return r.adoption.concernsTeam(team)
 }
 
-// AddHeldUsage adds what tasks of held jobs take, as far as these are described, to the teams'
-// usage: they run on, though no assignment accounts for them.
+// AddHeldUsage adds the resources of running tasks of held jobs to used, by team. These tasks
+// keep running although they have no assignment. Jobs whose description is missing are left out.
 func (r *Recoverer) AddHeldUsage(used map[string]placement.Resources) {
 	for _, job := range r.held.byID {
 		if spec := job.known.Spec; spec != nil && len(job.known.RunningTasks) > 0 {
--- a/internal/leader/recoverer/committer.go
+++ b/internal/leader/recoverer/committer.go
@@ -9,36 +9,38 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// committer makes sure that a recovery has one transaction under way at a time, of its share of
-// the write rate. All of them are guarded by the term.
+// committer limits a recovery to one transaction in flight at a time and to its share of the
+// write rate. Every transaction is guarded by the term.
 type committer struct {
 	cfg       *Config
 	inFlight  bool
-	notBefore time.Time // no transaction begins earlier
+	notBefore time.Time // earliest start of the next transaction
 }
 
-// mayBegin tells whether a transaction may begin.
+// mayBegin reports whether a transaction may start now.
 func (c *committer) mayBegin(now time.Time) bool {
 	return !c.inFlight && !now.Before(c.notBefore) && c.cfg.Valid()
 }
 
-// termGuard makes a transaction fail once the term is over.
+// termGuard returns a guard that makes a transaction fail once the term has ended.
 func (c *committer) termGuard() kvstore.Guard {
 	return kvstore.Guard{Key: election.HolderKey, Revision: c.cfg.Term.HolderRevision}
 }
 
-// resign ends the term, after a transaction that the term's guard has made fail.
+// resign ends the term after a transaction failed on the term's guard.
 func (c *committer) resign() {
 	slog.Info("term lost", "term", c.cfg.token(), "reason", "holder key changed")
 	c.cfg.Leader.Resign()
 }
 
-// retryLater puts the next transaction off after one that was not executed, or may not have been.
+// retryLater delays the next transaction by one renewal interval, after a transaction that was not
+// executed or whose outcome is unknown.
 func (c *committer) retryLater(now time.Time) {
 	c.notBefore = now.Add(c.cfg.Derived.Election.RenewInterval)
 }
 
-// commitKey writes one key of the recovery's own, and calls written when that is durable.
+// commitKey writes one of the recovery's own keys, and calls written on the event loop once the
+// write is durable.
 func (c *committer) commitKey(ctx context.Context, write kvstore.Write, written func()) {
 	c.inFlight = true
 	guards := []kvstore.Guard{c.termGuard()}
--- a/internal/leader/recoverer/comparison.go
+++ b/internal/leader/recoverer/comparison.go
@@ -10,36 +10,37 @@
 	"ospreyslip/internal/recovery"
 )
 
-// lostPageRows is how many lost jobs are taken in at a time, here and from a peer.
+// lostPageRows is the number of lost jobs read from the cache or requested from a peer at a time.
 const lostPageRows = 500
 
-// roundBits is how many rounds of comparison a term has numbers for.
+// roundBits is the number of low bits of a round number that count the rounds of one term.
 const roundBits = 16
 
-// comparison is one round of asking this node's cache and all other controllers.
+// comparison is one round of comparing the records with this controller's cache and with all
+// other controllers.
 type comparison struct {
 	cfg       *Config
 	events    *eventLog
 	knowledge *knowledge
 
-	round    uint64 // by which peers tell the rounds of all leaders apart
+	round    uint64 // unique among the rounds of all leaders
 	since    time.Time
-	ticket   uint64 // of the comparison of this node's cache with the records
-	ownAfter string // the cache's lost jobs have been taken in up to this one
+	ticket   uint64 // identifies the requested audit of this controller's cache
+	ownAfter string // the cache's lost jobs up to this id have been read
 	ownDone  bool
 	peers    map[string]*peerScan
 }
 
-// peerScan is how far one controller's knowledge has been taken in.
+// peerScan tracks the requests for one other controller's lost jobs.
 type peerScan struct {
-	after    string // its lost jobs have been taken in up to this one
+	after    string // its lost jobs up to this id have been received
 	inFlight bool
 	done     bool
-	gone     bool // it has not answered for too long
+	gone     bool // it did not answer in time and is no longer waited for
 	retryAt  time.Time
 }
 
-// begin begins a new round.
+// begin starts a new round.
 func (c *comparison) begin(now time.Time) {
 	c.since = now
 	c.round++
@@ -49,8 +50,8 @@
 	clear(c.peers)
 }
 
-// readOwnPage takes in a page of what this node's cache knows beyond the records, once all of
-// it has been compared with them.
+// readOwnPage reads one page of the lost jobs in this controller's cache, once the audit has
+// compared the whole cache with the records.
 func (c *comparison) readOwnPage() {
 	if c.ownDone || !c.cfg.Cache.AuditDone(c.ticket) {
 		return
@@ -68,7 +69,8 @@
 	c.ownDone = !more
 }
 
-// askPeers goes on asking the other controllers, one page at a time each.
+// askPeers requests the next page from each other controller, one page at a time per controller.
+// A controller that has not answered everything within the cancel deadline is no longer waited for.
 func (c *comparison) askPeers(ctx context.Context, now time.Time) {
 	for _, name := range c.cfg.Peers.Peers() {
 		scan := c.peers[name]
@@ -90,7 +92,7 @@
 	}
 }
 
-// askPage asks a peer for its next page.
+// askPage requests the next page from a peer.
 func (c *comparison) askPage(ctx context.Context, name string, scan *peerScan) {
 	scan.inFlight = true
 	question := peer.LostJobsRequest{ComparisonRound: c.round, AfterID: scan.after}
@@ -102,11 +104,12 @@
 	}()
 }
 
-// peerAnswered takes in a peer's page.
+// peerAnswered applies a page from a peer, or schedules a retry if the request failed or the peer
+// has not finished its own comparison.
 func (c *comparison) peerAnswered(name string, scan *peerScan, page peer.LostJobsResponse, err error, now time.Time) {
 	scan.inFlight = false
 	if c.peers[name] != scan {
-		return // of an earlier round
+		return // the answer belongs to an earlier round
 	}
 	if err != nil || !page.Compared {
 		scan.retryAt = now.Add(c.cfg.Derived.Leader.ControlInterval / 2)
@@ -127,7 +130,8 @@
 	scan.done = !page.More
 }
 
-// allPeersHeard tells whether every other controller has told all, or is taken for gone.
+// allPeersHeard reports whether every other controller has sent all its pages or is no longer
+// waited for.
 func (c *comparison) allPeersHeard() bool {
 	for _, name := range c.cfg.Peers.Peers() {
 		if scan := c.peers[name]; scan == nil || !scan.done && !scan.gone {
--- a/internal/leader/recoverer/comparison_test.go
+++ b/internal/leader/recoverer/comparison_test.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// A peer is waited for until it has told all, or has not answered for the time in which a
-// cancellation must have its effect.
+// A comparison must wait for each peer until it has sent all its pages or the cancel deadline has
+// passed. A peer that has not finished its own comparison counts as not heard.
 func TestPeersHeard(t *testing.T) {
 	s := newScenario(t, "node-1", "node-2")
 	s.ReportLoss(detection.Evidence{Kind: detection.RecordRemoved}, s.now)
@@ -23,25 +23,25 @@
 
 	s.comparison.peerAnswered("node-1", first, peer.LostJobsResponse{}, nil, s.now) // not ready
 	if first.done || !first.retryAt.After(s.now) {
-		t.Error("a peer that is not ready was taken for heard")
+		t.Error("a peer that is not ready counts as heard")
 	}
 	page := peer.LostJobsResponse{Compared: true, More: true, Jobs: []peer.LostJob{{ID: "j-000004", State: jobs.Queued, Tasks: 3}, {ID: "no id"}}}
 	s.comparison.peerAnswered("node-1", first, page, nil, s.now)
 	if first.done || first.after != "j-000004" || len(s.knowledge.lost) != 1 {
-		t.Errorf("scan %+v, known %v", first, s.knowledge.lost.IDs())
+		t.Errorf("scan %+v, lost jobs %v", first, s.knowledge.lost.IDs())
 	}
 	s.comparison.peerAnswered("node-1", first, peer.LostJobsResponse{Compared: true}, nil, s.now)
 	s.comparison.peerAnswered("node-2", second, peer.LostJobsResponse{}, errors.New("no answer"), s.now)
 	if s.comparison.allPeersHeard() {
-		t.Error("the second has not been heard")
+		t.Error("all peers count as heard before the second has answered")
 	}
 	s.comparison.askPeers(t.Context(), s.now.Add(s.cfg.Derived.Workers.CancelDeadline+time.Second))
 	if !s.comparison.allPeersHeard() || !second.gone {
-		t.Error("the second is still waited for")
+		t.Error("the second peer is still waited for after the cancel deadline")
 	}
 }
 
-// The answer to a question of an earlier round says nothing.
+// An answer to a request of an earlier round must be ignored.
 func TestAnswerOfAnEarlierRound(t *testing.T) {
 	s := newScenario(t, "node-1")
 	earlier := &peerScan{inFlight: true}
@@ -49,18 +49,19 @@
 	page := peer.LostJobsResponse{Compared: true, Jobs: []peer.LostJob{{ID: "j-000004", State: jobs.Done, Tasks: 3}}}
 	s.comparison.peerAnswered("node-1", earlier, page, nil, s.now)
 	if len(s.knowledge.lost) != 0 || earlier.done {
-		t.Error("it was taken in")
+		t.Error("the answer was applied")
 	}
 }
 
-// What a source has as over stops at once, however much else is open.
+// A job that is over according to any source must be stopped at once, even if other facts about it
+// are still uncertain.
 func TestLostJobThatIsOverStops(t *testing.T) {
 	for state, call := range map[string]string{jobs.Cancelled: "cancel j-000001", jobs.Done: "complete j-000001", jobs.Queued: ""} {
 		s := newScenario(t)
 		s.addJob(jobs.Batch)
 		s.knowledge.addCached("j-000001", recovery.FromCache("node-1"), state, 2, nil)
 		if call == "" && len(s.leader.calls) > 0 || call != "" && !s.leader.called(call) {
-			t.Errorf("%s: calls %v", state, s.leader.calls)
+			t.Errorf("%s: calls to the leader: %v", state, s.leader.calls)
 		}
 	}
 }
--- a/internal/leader/recoverer/control_keys.go
+++ b/internal/leader/recoverer/control_keys.go
@@ -10,34 +10,35 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// controlPrefix holds what leaders leave for each other about lost records.
+// controlPrefix is the prefix of the keys in which leaders pass on the state of a recovery.
 const controlPrefix = "recovery/"
 
-// logSizeKey tells how many segments the assignment log had when last looked at. It never
-// gets smaller: fewer segments mean that some were lost. Each leader keeps it, at the cost
-// of a change whenever the log has grown.
+// logSizeKey holds the number of segments in the assignment log. The number never decreases, so
+// a log with fewer segments has lost some. Each leader maintains the key, at the cost of one write
+// whenever the log has grown.
 const logSizeKey = "recovery/log"
 
-// recoveryStatus is what a leader leaves for the next one, and for nodes that start, while
-// it compares and writes back.
+// recoveryStatus is stored while a leader recovers records. It informs the next leader, and
+// controllers that start in the meantime.
 type recoveryStatus struct {
 	Token   uint64 `json:"token"`
 	SinceMs int64  `json:"sinceMs"`
-	Log     bool   `json:"log"` // the assignment log may lack tasks
+	Log     bool   `json:"log"` // the assignment log may lack tasks that run
 }
 
-// controlKeys keeps the recovery's own keys in the key-value store.
+// controlKeys maintains the recovery's own keys in the key-value store.
 type controlKeys struct {
 	cfg     *Config
 	commits *committer
 
-	statusWritten    bool // the status key is there, and is up to date
+	statusWritten    bool // the stored status is up to date
 	statusRemovalDue bool
-	logSize          int       // segments, by the key that says how many there are
-	logSizeWrittenAt time.Time // when that key was last written
+	logSize          int       // number of segments in the stored log size key
+	logSizeWrittenAt time.Time // when the log size key was last written
 }
 
-// writeStatus leaves word that records are being compared, before anything else is done.
+// writeStatus stores that records are being compared. A comparison round cannot end before the
+// status is durable.
 func (k *controlKeys) writeStatus(ctx context.Context, now time.Time, logIncomplete bool) {
 	if k.statusWritten || !k.commits.mayBegin(now) {
 		return
@@ -46,7 +47,7 @@
 	k.commitStatus(ctx, kvstore.Write{Set: jobs.RecoveryStatusKey, Value: value}, true)
 }
 
-// removeStatus removes the status when a recovery has ended and what it adopted is durable.
+// removeStatus removes the status once a recovery has ended and all adopted tasks are in the log.
 func (k *controlKeys) removeStatus(ctx context.Context, now time.Time, adopting bool) {
 	if !k.statusRemovalDue || adopting || k.cfg.AssignmentLog().HasWork() || !k.commits.mayBegin(now) {
 		return
@@ -61,8 +62,8 @@
 	})
 }
 
-// writeLogSize keeps the key that says how many segments there are. A lease is long enough
-// between two writes: the log grows seldom.
+// writeLogSize updates the log size key after the log has grown. It writes at most once per worker
+// lease, which suffices because the log rarely grows.
 func (k *controlKeys) writeLogSize(ctx context.Context, now time.Time) {
 	if k.commits.inFlight || now.Sub(k.logSizeWrittenAt) < k.cfg.Derived.Workers.Lease || !k.cfg.Valid() {
 		return
@@ -76,7 +77,7 @@
 	k.commits.commitKey(ctx, kvstore.Write{Set: logSizeKey, Value: value}, func() { k.logSize = written })
 }
 
-// read reads what earlier leaders have left. The status is nil if none of them was at it.
+// read reads the keys that earlier leaders wrote. The status is nil if no recovery was under way.
 func (k *controlKeys) read(ctx context.Context) (earlier *recoveryStatus, err error) {
 	pairs, _, err := k.cfg.Store.List(ctx, controlPrefix)
 	if err != nil {
@@ -87,12 +88,12 @@
 		case jobs.RecoveryStatusKey:
 			earlier = &recoveryStatus{}
 			if err := json.Unmarshal(pair.Value, earlier); err != nil {
-				slog.Error("recovery status unreadable", "reason", err)
+				slog.Error("failed to decode the recovery status", "reason", err)
 				earlier.Log = true
 			}
 		case logSizeKey:
 			if err := json.Unmarshal(pair.Value, &k.logSize); err != nil {
-				slog.Error("size of the assignment log unreadable", "reason", err)
+				slog.Error("failed to decode the size of the assignment log", "reason", err)
 			}
 		}
 	}
--- a/internal/leader/recoverer/events.go
+++ b/internal/leader/recoverer/events.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Event is a step of a recovery, for operators.
+// Event is a step of a recovery, as shown to operators.
 type Event struct {
 	At   time.Time `json:"at"`
 	What string    `json:"what"`
 	Of   string    `json:"of,omitempty"`
 }
 
-// maxEvents is how many steps are kept; the oldest are dropped.
+// maxEvents is the number of events kept in memory; the oldest ones are dropped.
 const maxEvents = 2000
 
-// eventLog is the last steps of this term's recoveries.
+// eventLog holds the most recent events of this term's recoveries.
 type eventLog struct {
 	events  []Event
 	dropped int
--- a/internal/leader/recoverer/held_jobs.go
+++ b/internal/leader/recoverer/held_jobs.go
@@ -9,16 +9,16 @@
 	"ospreyslip/internal/workers"
 )
 
-// heldJobs is the jobs that are not run, as it is not certain that they should be.
+// heldJobs holds the jobs that are not run because it is not certain that they should run.
 type heldJobs struct {
 	cfg     *Config
 	orphans *orphanedTasks
 	byID    map[string]*heldJob
 }
 
-// heldJob is one of them.
+// heldJob is a job that is not run until proof or an operator decides its outcome.
 type heldJob struct {
-	revision uint64 // of its record
+	revision uint64 // revision of its record
 	reason   string
 	sinceMs  int64
 	known    recovery.Knowledge
@@ -26,7 +26,8 @@
 
 func (h *heldJobs) contains(id string) bool { return h.byID[id] != nil }
 
-// hold takes in the record of a held job. An older one than is known says nothing.
+// hold records that a job is held according to its record. It ignores a record that is not newer
+// than the one already known.
 func (h *heldJobs) hold(id string, record *jobs.Record, revision uint64) {
 	earlier := h.byID[id]
 	if earlier != nil && earlier.revision >= revision {
@@ -53,8 +54,8 @@
 	slog.Info("job held", "job", id, "term", h.cfg.token(), "reason", job.reason)
 }
 
-// addTask takes in a worker's task of a held job. It tells whether that proves what was open:
-// then the job's record is to be written.
+// addTask records what a worker's task proves about a held job. It reports whether that decides
+// the job's outcome, in which case the caller has to write the job's record.
 func (h *heldJobs) addTask(id, machine string, index int, task *workers.TaskStatus) (decided bool) {
 	job := h.byID[id]
 	before := len(job.known.CompletedTasks)
@@ -65,8 +66,8 @@
 	return !recovery.Decide(job.known, true).Held
 }
 
-// releaseOverdue lets those jobs run that have been held for as long as operators allow, and
-// returns them: their records are to be written.
+// releaseOverdue lets jobs run that have been held for at least afterMs milliseconds. It returns
+// their ids; the caller has to write their records.
 func (h *heldJobs) releaseOverdue(afterMs int64, now time.Time) (released []string) {
 	for id, job := range h.byID {
 		if now.UnixMilli()-job.sinceMs < afterMs {
@@ -75,23 +76,23 @@
 		if _, err := recovery.Settle(job.known, recovery.SettleRun); err == nil {
 			job.known.Unfinished = true
 			released = append(released, id)
-			slog.Info("uncertain job runs", "job", id, "term", h.cfg.token(), "reason", "held for runUncertainAfterS")
+			slog.Info("held job released to run", "job", id, "term", h.cfg.token(), "reason", "held for runUncertainAfterS")
 		}
 		job.sinceMs = now.UnixMilli()
 	}
 	return released
 }
 
-// HoldJob takes in the record of a job that is held.
+// HoldJob records that a job is held according to its record at the given revision.
 func (r *Recoverer) HoldJob(id string, record *jobs.Record, revision uint64) {
 	r.held.hold(id, record, revision)
 }
 
-// ReleaseJob takes in that a job's record does not say any more that it is held.
+// ReleaseJob records that a job's record no longer says that the job is held.
 func (r *Recoverer) ReleaseJob(id string) { delete(r.held.byID, id) }
 
-// RunUncertainJobs runs held jobs after the time that operators allow, if they do. It is called
-// once in a control interval.
+// RunUncertainJobs releases jobs that have been held for the time set by the operator, if any, so
+// that they run. The event loop calls it once per control interval.
 func (r *Recoverer) RunUncertainJobs(now time.Time) {
 	afterS := r.cfg.Settings.Operator.RunUncertainAfterS
 	if afterS <= 0 || r.phase != Whole || r.commits.inFlight {
--- a/internal/leader/recoverer/held_jobs_test.go
+++ b/internal/leader/recoverer/held_jobs_test.go
@@ -18,48 +18,50 @@
 	return &jobs.Spec{ID: id, Team: "red", Shape: jobs.Batch, Tasks: 1, CPUs: 2}
 }
 
-// An older record of a held job says nothing. A newer one keeps what workers have proven.
+// An older record of a held job must be ignored. A newer one must not discard what workers have
+// proven.
 func TestHoldJob(t *testing.T) {
 	s := newScenario(t)
 	s.HoldJob("j-000001", heldRecord(nil, s.now), 7)
 	task := running("j-000001", 0, 3)
 	if machine := s.addMachine("m-1"); !s.LeaveAlone(machine, &task) {
-		t.Fatal("a held job's task would be stopped")
+		t.Fatal("a held job's task may be stopped")
 	}
 	s.HoldJob("j-000001", heldRecord(batchSpec("j-000001"), s.now), 6)
 	if known := s.held.byID["j-000001"].known; known.Spec != nil {
-		t.Error("an older record was taken in")
+		t.Error("an older record was applied")
 	}
 	s.HoldJob("j-000001", heldRecord(batchSpec("j-000001"), s.now), 8)
 	if known := s.held.byID["j-000001"].known; known.Spec == nil || len(known.RunningTasks) != 1 {
-		t.Errorf("known: %+v", known)
+		t.Errorf("after a newer record, known: %+v", known)
 	}
 	if s.ReleaseJob("j-000001"); s.held.contains("j-000001") {
-		t.Error("still held")
+		t.Error("the job is still held after its release")
 	}
 }
 
-// When workers have proven that all tasks of a held job are done, its record is written.
+// The record of a held job must be written, once, when workers have proven that all its tasks are
+// done.
 func TestHeldJobProvenDone(t *testing.T) {
 	s := newScenario(t)
 	s.HoldJob("j-000001", heldRecord(batchSpec("j-000001"), s.now), 7)
 	machine := s.addMachine("m-1")
 	task := running("j-000001", 0, 3)
 	if s.LeaveAlone(machine, &task); len(s.writeBack.queue) != 0 {
-		t.Error("a task that runs decides nothing")
+		t.Error("a running task decided the outcome of its job")
 	}
 	task.State, task.Cause = workers.StateEnded, workers.CauseDone
 	for range 2 {
 		if !s.LeaveAlone(machine, &task) {
-			t.Error("the task would be cleared before the record is written")
+			t.Error("the task may be cleared before its job's record is written")
 		}
 	}
 	if len(s.writeBack.queue) != 1 {
-		t.Errorf("%v to be written, want the job once", s.writeBack.queue)
+		t.Errorf("write-back queue %v, want the job once", s.writeBack.queue)
 	}
 }
 
-// Held jobs run after the time that operators allow, if there is a description, and no earlier.
+// A held job with a description must run after the time set by the operator, and not earlier.
 func TestRunUncertainJobs(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -70,7 +72,7 @@
 	}{
 		{"never, by default", 0, batchSpec("j-000001"), 1000, false},
 		{"too early", 60, batchSpec("j-000001"), 59, false},
-		{"in time", 60, batchSpec("j-000001"), 60, true},
+		{"after the set time", 60, batchSpec("j-000001"), 60, true},
 		{"without a description", 60, nil, 60, false},
 	}
 	for _, test := range tests {
@@ -80,13 +82,13 @@
 			s.HoldJob("j-000001", heldRecord(test.spec, s.now), 7)
 			s.RunUncertainJobs(s.now.Add(time.Duration(test.heldS) * time.Second))
 			if runs := len(s.writeBack.queue) == 1; runs != test.runs {
-				t.Errorf("runs: %v", runs)
+				t.Errorf("job released to run: %v", runs)
 			}
 		})
 	}
 }
 
-// A job that is not held is not settled, and one that is not against what is proven.
+// Settling must fail for a job that is not held, and for one that lacks its description.
 func TestSettleRefused(t *testing.T) {
 	s := newScenario(t)
 	settle := func(id string, as recovery.Settlement) (outcome error) {
@@ -94,10 +96,10 @@
 		return outcome
 	}
 	if err := settle("j-000001", recovery.SettleRun); !errors.Is(err, ErrNotHeld) {
-		t.Errorf("not held: %v", err)
+		t.Errorf("settling a job that is not held: %v", err)
 	}
 	s.HoldJob("j-000001", heldRecord(nil, s.now), 7)
 	if err := settle("j-000001", recovery.SettleRun); !errors.Is(err, recovery.ErrRefused) {
-		t.Errorf("without a description: %v", err)
+		t.Errorf("settling a job without a description: %v", err)
 	}
 }
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -9,36 +9,38 @@
 	"ospreyslip/internal/recovery"
 )
 
-// knowledge is what the sources have said of lost jobs.
+// knowledge collects what all sources know about lost jobs.
 type knowledge struct {
 	cfg  *Config
 	held *heldJobs
-	lost recovery.KnowledgeByJob // jobs of which more is known than the records say
+	lost recovery.KnowledgeByJob // jobs about which more is known than the records say
 }
 
-// isOverInCache tells whether a lost job is over, as this node's cache has it, and this leader
-// has nothing else to do with it.
+// isOverInCache reports whether a lost job is over according to this controller's cache, and this
+// leader neither works on it nor holds it.
 func (k *knowledge) isOverInCache(lost jobcache.LostJob) bool {
 	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
 	return over && k.cfg.State.Jobs[lost.ID] == nil && !k.held.contains(lost.ID)
 }
 
-// needsNoComparison tells whether nothing needs to be known of a lost job but that it is over, as
-// this node's cache has it. There may be hundreds of thousands of those: they are written back
-// from the cache page by page (see writeBack.queueOverJobs) and not kept here.
+// needsNoComparison reports whether a lost job has no record and is over according to this
+// controller's cache, so that nothing else needs to be known about it. There may be hundreds of
+// thousands of such jobs. They are not kept here but written back from the cache page by page;
+// see writeBack.queueOverJobs.
 func (k *knowledge) needsNoComparison(lost jobcache.LostJob) bool {
 	return lost.RecordedState == "" && k.isOverInCache(lost)
 }
 
-// agreesWithCache tells whether a peer says no more of a job than this node's cache, which has
-// it as over.
+// agreesWithCache reports whether a peer's answer about a job adds nothing: this controller's cache
+// has the job as over in the same state, nothing else is known about it, and this leader does not
+// work on it.
 func (k *knowledge) agreesWithCache(job peer.LostJob) bool {
 	known, _ := k.cfg.Cache.Known(job.ID)
 	_, open := k.lost[job.ID]
 	return !open && known.Finished() && known.State == job.State && k.cfg.State.Jobs[job.ID] == nil
 }
 
-// addLeadersView takes in what this leader itself has observed of a lost job.
+// addLeadersView merges what this leader itself has observed of a lost job.
 func (k *knowledge) addLeadersView(id string) {
 	job := k.cfg.State.Jobs[id]
 	if job == nil {
@@ -49,7 +51,7 @@
 		Spec: job.Spec, AcceptedMs: job.AcceptedMs,
 	}
 	if job.End.Complete && !job.End.CompletionDurable {
-		for n := range job.Spec.Tasks { // its end is not written: until then it may be cancelled
+		for n := range job.Spec.Tasks { // not written yet: until then the job may be cancelled
 			said.CompletedTasks = append(said.CompletedTasks, n)
 		}
 	}
@@ -59,8 +61,8 @@
 	k.lost.Merge(id, recovery.Attribute(recovery.FromLeader, said))
 }
 
-// addCached takes in what a controller's cache says of a lost job, and the record of it that
-// the controller has; nil if it has none.
+// addCached merges what a controller's cache says about a lost job. The record is the one that
+// the controller has, or nil if it has none.
 func (k *knowledge) addCached(id string, from recovery.Source, state string, tasks int, record *jobs.Record) {
 	said := recovery.Knowledge{Tasks: tasks}
 	switch state {
@@ -75,7 +77,7 @@
 		said.Spec, said.AcceptedMs = record.Spec, record.AcceptedAtMs
 	}
 	k.lost.Merge(id, recovery.Attribute(from, said))
-	// Whatever else is not certain yet: what is over stops at once.
+	// A job that is over is stopped at once, even if other facts about it are still uncertain.
 	switch job := k.cfg.State.Jobs[id]; {
 	case job == nil || job.IsOver():
 	case said.Cancelled:
@@ -85,8 +87,8 @@
 	}
 }
 
-// refreshed returns what is known of a job that is to be written, with what this node's cache
-// has learnt of it by now.
+// refreshed returns what is known about a job whose record is to be written, including what this
+// controller's cache has learnt about it since.
 func (k *knowledge) refreshed(id string) (known recovery.Knowledge, found bool) {
 	if cached, inCache := k.cfg.Cache.Known(id); inCache && cached.Finished() {
 		k.addCached(id, recovery.FromCache(k.cfg.Node), cached.State, cached.Tasks, nil)
@@ -98,15 +100,15 @@
 	return known, found
 }
 
-// isInRecord tells whether a job's record is there again and says as much as is known: its user
-// may have cancelled it, or submitted it again, meanwhile.
+// isInRecord reports whether a job's record exists again and says as much as is known: its user
+// may have cancelled the job or submitted it again in the meantime.
 func (k *knowledge) isInRecord(id string, known recovery.Knowledge) bool {
 	cached, _ := k.cfg.Cache.Known(id)
 	return !k.held.contains(id) && k.cfg.Cache.RecordRevision(id) != 0 && !k.cfg.Cache.IsLost(id) && cached.State == recovery.Decide(known, true).State
 }
 
-// stateForUsers is the state of a lost job that users may be told. An end that is concluded from
-// its tasks is none before it is written, as the job may be cancelled until then.
+// stateForUsers returns the state of a lost job that users may be told. Completion that is only
+// concluded from the job's tasks does not count: until it is written, the job may be cancelled.
 func stateForUsers(known recovery.Knowledge) string {
 	switch decision := recovery.Decide(known, true); decision.Rule {
 	case recovery.RuleDone, recovery.RuleCancelled, recovery.RuleContradiction:
@@ -115,7 +117,8 @@
 	return jobs.Queued
 }
 
-// decodeRecord reads a record that a controller or a snapshot has; nil if there is none.
+// decodeRecord decodes a record from a controller or a snapshot. It returns nil if raw is empty or
+// invalid.
 func decodeRecord(raw []byte) *jobs.Record {
 	var record jobs.Record
 	if len(raw) == 0 || jsonv2.Unmarshal(raw, &record) != nil {
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -16,40 +16,40 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// ErrNotHeld means that a job is not held, so that there is nothing to be settled.
+// ErrNotHeld is returned for a job that is not held and therefore cannot be settled.
 var ErrNotHeld = errors.New("the job is not held")
 
-// ErrNotReady means that this node has not read all records yet.
+// ErrNotReady is returned while this controller has not yet read all records.
 var ErrNotReady = errors.New("not all records are read yet")
 
-// maxHeldShown is how many held jobs a status shows.
+// maxHeldShown is the maximum number of held jobs in a status.
 const maxHeldShown = 1000
 
-// Status is what operators see of a recovery.
+// Status is the state of a recovery as shown to operators.
 type Status struct {
 	Phase     Phase                    `json:"phase"`
 	Since     time.Time                `json:"since,omitzero"`
 	Evidence  map[detection.Kind]int   `json:"evidence"`
-	Lost      int                      `json:"lost"`    // jobs of which more is known than their records say
+	Lost      int                      `json:"lost"`    // jobs with outdated or missing records
 	ToWrite   int                      `json:"toWrite"` // records still to be written
 	Written   map[recovery.Outcome]int `json:"written"`
-	Adopting  int                      `json:"adopting"` // jobs whose tasks are still being heard of
+	Adopting  int                      `json:"adopting"` // jobs whose tasks are still being adopted
 	Peers     []PeerStatus             `json:"peers,omitempty"`
 	Held      int                      `json:"held"`
-	HeldJobs  []HeldStatus             `json:"heldJobs"` // the first of them
+	HeldJobs  []HeldStatus             `json:"heldJobs"` // the first maxHeldShown by job id
 	Events    []Event                  `json:"events"`
-	NotShown  int                      `json:"notShown,omitempty"` // earlier events
-	Following string                   `json:"leader,omitempty"`   // who to ask, where this node does not lead
+	NotShown  int                      `json:"notShown,omitempty"` // dropped earlier events
+	Following string                   `json:"leader,omitempty"`   // leader to ask instead of this controller
 }
 
-// PeerStatus is whether another controller has been heard in the present comparison.
+// PeerStatus says whether another controller has answered in the current comparison.
 type PeerStatus struct {
 	Node  string `json:"node"`
 	Heard bool   `json:"heard"`
-	Gone  bool   `json:"gone,omitempty"` // taken for gone
+	Gone  bool   `json:"gone,omitempty"` // no longer waited for
 }
 
-// HeldStatus is a job that is held.
+// HeldStatus describes a held job.
 type HeldStatus struct {
 	Job       string   `json:"job"`
 	Why       string   `json:"why"`
@@ -84,9 +84,10 @@
 	return status
 }
 
-// Settle decides a held job as an operator says, unless that contradicts proof. It calls reply
-// once, maybe from another goroutine: with nil when the job's record is durable, ErrNotHeld, an
-// error that wraps recovery.ErrRefused, or one of the key-value store.
+// Settle applies an operator's decision about a held job, unless that contradicts proof. It calls
+// reply once, possibly from another goroutine: with nil once the job's record is durable, with
+// ErrNotHeld, with an error that wraps recovery.ErrRefused, or with an error of the key-value
+// store.
 func (r *Recoverer) Settle(ctx context.Context, id string, as recovery.Settlement, now time.Time, reply func(error)) {
 	job := r.held.byID[id]
 	if job == nil {
@@ -105,31 +106,32 @@
 	go func() { reply(r.writeBack.commitSettled(ctx, record)) }()
 }
 
-// SnapshotFact is what a snapshot says of a job.
+// SnapshotFact is a job's record in a snapshot.
 type SnapshotFact struct {
 	ID     string          `json:"id"`
 	Record json.RawMessage `json:"record"`
 }
 
-// Import is a part of a snapshot.
+// Import is a part of a snapshot that is sent to the leader.
 type Import struct {
 	Cluster  string         `json:"cluster"`
-	Revision uint64         `json:"revision"` // of the snapshot
+	Revision uint64         `json:"revision"` // revision of the snapshot
 	Jobs     []SnapshotFact `json:"jobs"`
 }
 
-// Imported counts what a part of a snapshot brought.
+// Imported counts the jobs of a part of a snapshot by the result of their comparison.
 type Imported struct {
-	Same      int `json:"same"`      // the records say as much, or more
+	Same      int `json:"same"`      // jobs whose records say as much or more
 	Missing   int `json:"missing"`   // jobs without a record
-	Ended     int `json:"ended"`     // jobs that are over, and unfinished by their records
-	Described int `json:"described"` // held jobs whose description it has
-	Invalid   int `json:"invalid"`   // could not be read
-	// Contradicting jobs are done by one, cancelled by the other. Nothing is changed.
+	Ended     int `json:"ended"`     // jobs that are over, with unfinished records
+	Described int `json:"described"` // held jobs whose missing description the snapshot has
+	Invalid   int `json:"invalid"`   // records that could not be decoded, or with an invalid job id
+	// Contradicting counts jobs that are done in one of record and snapshot and cancelled in the
+	// other. Their records are not changed.
 	Contradicting int `json:"contradicting"`
 }
 
-// Add sums counts.
+// Add adds the counts of o to i.
 func (i *Imported) Add(o Imported) {
 	i.Same += o.Same
 	i.Missing += o.Missing
@@ -139,8 +141,9 @@
 	i.Contradicting += o.Contradicting
 }
 
-// Import takes in a part of a snapshot. It fails with an error that wraps recovery.ErrRefused if
-// the snapshot is of another deployment, and with ErrNotReady before all records are read.
+// Import compares a part of a snapshot with the records and with what is known, and starts a
+// recovery if records are missing or say less. It returns an error that wraps recovery.ErrRefused
+// if the snapshot is of another deployment, and ErrNotReady before all records are read.
 func (r *Recoverer) Import(in Import, now time.Time) (count Imported, err error) {
 	if own := r.cfg.Settings.ClusterID(); in.Cluster != own {
 		return count, fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)
@@ -162,8 +165,8 @@
 	return count, nil
 }
 
-// importFact compares a snapshot's record with what is known. An end in it is still one,
-// however old it is; all else of it proves no more than that the job was accepted.
+// importFact compares a snapshot's record with what is known. However old the snapshot is, a job
+// that is over in it stays over. Anything else in it only proves that the job was accepted.
 func (r *Recoverer) importFact(id string, record *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
 	said := recovery.Attribute(from, recovery.Knowledge{
 		Done: record.State == jobs.Done, Cancelled: record.State == jobs.Cancelled,
@@ -177,7 +180,7 @@
 		count.Missing++
 		r.knowledge.lost.Merge(id, said)
 	case record.Finished() && known.Finished() && known.State != record.State:
-		// What users were told last stays; which of the two is right is for a person to see.
+		// The state that users were told last stays. An operator has to find out which is right.
 		count.Contradicting++
 		slog.Error("snapshot contradicts a record", "job", id, "term", r.cfg.token(), "record", known.State, "snapshot", record.State)
 		r.events.add(now, "snapshot contradicts the record", id)
@@ -193,8 +196,8 @@
 	}
 }
 
-// importHeld joins what a snapshot says to what is known of a held job. If that decides it,
-// or brings its description, its record is written.
+// importHeld merges what a snapshot says into what is known about a held job. The job's record is
+// written if that decides the job's outcome or adds its missing description.
 func (r *Recoverer) importHeld(id string, said recovery.Knowledge, count *Imported) {
 	job := r.held.byID[id]
 	hadDescription := job.known.Spec != nil
--- a/internal/leader/recoverer/orphans.go
+++ b/internal/leader/recoverer/orphans.go
@@ -12,12 +12,12 @@
 	"ospreyslip/internal/workers"
 )
 
-// maxOrphanReads is how many records of orphaned tasks' jobs are read at a time: after a loss
-// there may be thousands.
+// maxOrphanReads bounds the concurrent reads of the records of orphaned tasks' jobs. After a loss
+// there may be thousands of these jobs.
 const maxOrphanReads = 4
 
-// orphanedTasks is the jobs of which workers have tasks and this leader knows nothing. Their
-// records are read before anything is concluded.
+// orphanedTasks tracks jobs that are unknown to this leader although workers report tasks of
+// them. Nothing is concluded about such a job before its record has been read.
 type orphanedTasks struct {
 	cfg        *Config
 	knowledge  *knowledge
@@ -27,14 +27,15 @@
 	readsInFlight int
 }
 
-// orphanedJob is one of these jobs.
+// orphanedJob is an unknown job with tasks on workers.
 type orphanedJob struct {
 	reading       bool
 	recordMissing bool
 	readAgainAt   time.Time
 }
 
-// add takes in a worker's task of an unknown job, and has the job's record read.
+// add records a worker's task of an unknown job, and starts reading the job's record if a read is
+// due and fewer than maxOrphanReads are in flight.
 func (o *orphanedTasks) add(id, machine string, index int, task *workers.TaskStatus) {
 	job := o.byJob[id]
 	if job == nil {
@@ -52,7 +53,7 @@
 	}
 }
 
-// proofOfTask is what a worker's task proves of its job.
+// proofOfTask returns what a worker's task proves about its job.
 func proofOfTask(machine string, index int, task *workers.TaskStatus) recovery.Knowledge {
 	proof := recovery.Knowledge{MinTasks: index + 1}
 	switch {
@@ -64,7 +65,8 @@
 	return recovery.Attribute(recovery.FromWorker(machine), proof)
 }
 
-// readRecord reads a job's record, and hands the outcome to the event loop.
+// readRecord reads a job's record and posts the result to the event loop. It does not run on the
+// event loop.
 func (o *orphanedTasks) readRecord(id string, job *orphanedJob, proof recovery.Knowledge) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.cfg.Derived.Store.RequestTimeout)
 	defer cancel()
@@ -85,20 +87,20 @@
 	})
 }
 
-// recordFound takes in the record of a job that was not known here.
+// recordFound applies the record of a job that this leader did not know.
 func (o *orphanedTasks) recordFound(id string, record kvstore.KeyValue, now time.Time) {
 	delete(o.byJob, id)
 	o.cfg.Cache.Apply(record.Key, record.Value, record.Revision)
 	o.cfg.Leader.JobChanged(kvstore.Change{Set: record.Key, Value: record.Value, Revision: record.Revision}, now)
 }
 
-// LeaveAlone tells whether a task that no assignment accounts for must be neither stopped nor
-// cleared, since its job, or its assignment, may have been lost. What the task proves is taken
-// in.
+// LeaveAlone reports whether a task without an assignment must be neither stopped nor cleared,
+// because its job or its assignment may have been lost. It also records what the task proves
+// about its job.
 func (r *Recoverer) LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool {
 	id, index, ok := workers.SplitTask(task.Name)
 	if !ok || !jobs.ValidID(id) {
-		return false // no task of ours
+		return false // not a task of this scheduler
 	}
 	if job := r.cfg.State.Jobs[id]; job != nil {
 		return r.adoption.jobs[job] && !job.IsOver() && job.Adoption.GangParts[index].Machine == machine
@@ -114,8 +116,8 @@
 	return true
 }
 
-// MayHaveUnknownTasks tells whether a machine may have tasks that no assignment accounts for: it
-// is not released as idle, or as one that never came up.
+// MayHaveUnknownTasks reports whether a machine may have tasks without an assignment. Such a
+// machine must not be released as idle or as one that never came up.
 func (r *Recoverer) MayHaveUnknownTasks(machine *cluster.Machine) bool {
 	if r.phase == Comparing || len(r.adoption.jobs) > 0 {
 		return true
--- a/internal/leader/recoverer/pinned_test.go
+++ b/internal/leader/recoverer/pinned_test.go
@@ -14,8 +14,8 @@
 	"ospreyslip/internal/leader/assignmentlog"
 )
 
-// Segments of the assignment log and the status of a recovery, as version 0.8.0 wrote
-// them, are read and written again without the loss of a byte.
+// Assignment log segments and the recovery status written by version 0.8.0 must decode and encode
+// to the same bytes.
 func TestStoredRecordsReadAndWritten(t *testing.T) {
 	raw, err := os.ReadFile("testdata/pinned/records.jsonl")
 	if err != nil {
@@ -37,7 +37,7 @@
 			t.Fatal(p.Key, err)
 		}
 		if got, err := json.Marshal(record); err != nil || !bytes.Equal(got, p.Value) {
-			t.Errorf("%s: %v, written as\n%s\nfor\n%s", p.Key, err, got, p.Value)
+			t.Errorf("%s: error %v, encoded as\n%s\nwant\n%s", p.Key, err, got, p.Value)
 		}
 	}
 	if err := lines.Err(); err != nil || read == 0 {
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -13,12 +13,12 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// This file looks at what a new leader reads, in the order in which it does, and at segments
-// of the assignment log that it writes later.
+// This file checks the records that a new leader loads, in the order in which it loads them, and
+// the segments of the assignment log that it writes later.
 
-// ReadControlKeys reads what earlier leaders have left: whether one of them was recovering
-// records, and how many segments the assignment log had. It blocks for a request, and is called
-// before the event loop begins.
+// ReadControlKeys reads from the key-value store whether an earlier leader was recovering records,
+// and how many segments the assignment log had. It blocks for one request and must be called
+// before the event loop starts.
 func (r *Recoverer) ReadControlKeys(ctx context.Context, now time.Time) error {
 	earlier, err := r.keys.read(ctx)
 	if err != nil {
@@ -31,14 +31,16 @@
 		r.ReportLoss(detection.Evidence{Kind: detection.NoticedByPredecessor, Known: earlier.Token}, now)
 	}
 	if r.phase == Whole && (r.cfg.Cache.Readiness.LossSuspected() || r.cfg.Cache.LostCount() > 0) {
-		// Something was noticed while nobody led.
+		// A loss was noticed while there was no leader.
 		r.adoption.expectUnloggedTasks(now)
 		r.ReportLoss(detection.Evidence{Kind: detection.NoticedByPredecessor}, now)
 	}
 	return nil
 }
 
-// CheckLog looks for holes in the assignment log that a new leader has read.
+// CheckLog reports a loss if the assignment log that a new leader has read lacks segments, has
+// unreadable ones, or names attempts of a higher token than this term's. It also reserves the
+// attempt numbers that the log names.
 func (r *Recoverer) CheckLog(log []assignmentlog.StoredSegment, now time.Time) {
 	var segments []detection.Segment
 	for _, stored := range log {
@@ -61,7 +63,7 @@
 	}
 }
 
-// newestAttempt is the highest number of an attempt that a log names.
+// newestAttempt returns the highest attempt number in a log.
 func newestAttempt(log []assignmentlog.StoredSegment) (newest uint64) {
 	for _, stored := range log {
 		for _, machine := range stored.Record.Begun {
@@ -73,15 +75,15 @@
 	return newest
 }
 
-// RecordCounts is how many job records there are.
+// RecordCounts holds numbers of job records.
 type RecordCounts struct {
-	Known int // to this node, before it read them
+	Known int // known to this controller before it read them
 	Read  int
 }
 
-// CheckRecords compares the records that a new leader has read with what this node knew
-// before, and with the jobs that the log names; isOver tells which of those are over by their
-// records. No record is ever removed.
+// CheckRecords compares the records that a new leader has read with what this controller knew
+// before, and with the jobs that the log names. isOver reports whether a job named in the log is
+// over according to its record. As records are never removed, a missing one is a loss.
 func (r *Recoverer) CheckRecords(counts RecordCounts, log []assignmentlog.StoredSegment, isOver func(id string) bool, now time.Time) {
 	if counts.Read < counts.Known {
 		r.adoption.expectUnloggedTasks(now)
@@ -95,16 +97,17 @@
 	}
 }
 
-// AddLoggedTask takes in a task of a job without a record. That it has no place in the log
-// any more is made good when the job's record is back: workers show what they have of it.
+// AddLoggedTask records that the log names a task of a job without a record. This leader's copy of
+// the log lacks the task. It is adopted from a worker's report once the job's record is restored.
 func (r *Recoverer) AddLoggedTask(task assignmentlog.TaskRecord) {
 	if !r.held.contains(task.Job) {
 		r.knowledge.lost.Merge(task.Job, recovery.Attribute(recovery.FromLog, recovery.Knowledge{MinTasks: task.Index + 1}))
 	}
 }
 
-// CheckSegment looks at a key whose revision was not as this leader wrote it. Without a
-// transaction of unknown outcome, only a loss explains that of a segment.
+// CheckSegment checks a key that was found at another revision than this leader wrote. For a
+// segment of the assignment log only a loss explains that, unless the outcome of a transaction is
+// unknown.
 func (r *Recoverer) CheckSegment(key string, found kvstore.KeyValue) {
 	if !strings.HasPrefix(key, assignmentlog.Prefix) || r.cfg.AssignmentLog().OutcomeUnknown() {
 		return
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -18,92 +18,92 @@
 	"ospreyslip/internal/settings"
 )
 
-// Phase is how far the recovery of lost records is.
+// Phase is the phase of the recovery of lost records.
 type Phase string
 
 // The phases.
 const (
-	Whole     Phase = "whole"     // nothing is missing, as far as is known
-	Comparing Phase = "comparing" // who may know more is being asked
-	Restoring Phase = "restoring" // what was found is being written
+	Whole     Phase = "whole"     // no recovery is under way: no record is known to be missing
+	Comparing Phase = "comparing" // the controllers' caches are compared with the records
+	Restoring Phase = "restoring" // lost records are being written back
 )
 
-// PeerClient asks the other controllers what they know beyond the records.
+// PeerClient requests from the other controllers what they know beyond the records.
 type PeerClient interface {
 	// Peers returns the names of the other controllers.
 	Peers() []string
-	// RequestLostJobs asks one of them for a page of its lost jobs.
+	// RequestLostJobs requests one page of lost jobs from the named controller.
 	RequestLostJobs(ctx context.Context, node string, question peer.LostJobsRequest) (peer.LostJobsResponse, error)
 }
 
-// Config is what a Recoverer works with. All of it is read on the event loop.
+// Config holds the settings and dependencies of a Recoverer. It is read only on the event loop.
 type Config struct {
 	Settings *settings.Settings
 	Derived  settings.Derived
 	Node     string        // this controller's name
-	Term     election.Term // as it was won: its token may be raised since, see Leader.Tokens
-	// AttemptBits is how many low bits of an attempt's number are not its fencing token.
+	Term     election.Term // as it was won; Leader.Tokens has the token if it was raised since
+	// AttemptBits is the number of low bits of an attempt number that are not its fencing token.
 	AttemptBits int
 
 	Store *kvstore.Client
 	Cache *jobcache.Cache
 	Peers PeerClient
-	// Valid tells whether the term is held at this moment.
+	// Valid reports whether this controller still holds the term.
 	Valid func() bool
-	// Post hands an outcome to the event loop. It gives up when the context or the loop ends,
-	// and may be called by any goroutine.
+	// Post runs outcome on the event loop. It gives up when the context or the loop ends. It
+	// may be called from any goroutine.
 	Post func(ctx context.Context, outcome func(now time.Time))
-	// Leader is the other parts of the leader.
+	// Leader gives access to the other parts of the leader.
 	Leader Leader
 
-	// The leader's observed state.
+	// State and AssignmentLog are the state that the leader has observed.
 	State         *cluster.State
 	AssignmentLog func() *assignmentlog.Log
 }
 
 func (c *Config) token() uint64 { return c.Leader.Tokens().Current }
 
-// Tokens is the leader's fencing tokens.
+// Tokens holds the leader's fencing tokens.
 type Tokens struct {
-	Current uint64 // the highest that this leader has given out
-	OfTerm  uint64 // heartbeats with a lower one are of earlier terms
-	Floor   uint64 // the next token will be above it
+	Current uint64 // highest token that this leader has issued
+	OfTerm  uint64 // a heartbeat with a lower token belongs to an earlier term
+	Floor   uint64 // the next token will be above this one
 }
 
-// Leader is what a recovery needs of the other parts of the leader. All methods are called on
-// the event loop and return at once.
+// Leader is what a recovery needs from the other parts of the leader. All methods are called on
+// the event loop and must not block.
 type Leader interface {
 	Tokens() Tokens
-	// RequestTokenRaise has the fencing token raised by the next transaction.
+	// RequestTokenRaise requests that the next transaction raise the fencing token.
 	RequestTokenRaise()
-	// RaiseTokenAbove does the same, to a token above the given one.
+	// RaiseTokenAbove requests that the next transaction raise the fencing token above floor.
 	RaiseTokenAbove(floor uint64)
 	// Resign ends the term.
 	Resign()
 
-	// NextAttempt gives out the number of a new attempt.
+	// NextAttempt allocates the number of a new attempt.
 	NextAttempt() uint64
-	// ReserveAttempts has all numbers given out later be above the given one.
+	// ReserveAttempts makes all attempt numbers allocated later exceed upTo.
 	ReserveAttempts(upTo uint64)
 
-	// CancelJob takes in that a job was cancelled, at a revision of its record.
+	// CancelJob marks a job as cancelled at the given revision of its record.
 	CancelJob(job *cluster.Job, revision uint64)
-	// CompleteElsewhere takes in that a job is done by what others know.
+	// CompleteElsewhere marks a job as done because another source knows that it is.
 	CompleteElsewhere(job *cluster.Job)
-	// JobChanged takes in a job's record, as if the watch had shown it.
+	// JobChanged applies a change of a job's record as if the watch had delivered it.
 	JobChanged(change kvstore.Change, now time.Time)
-	// QueueJob has a job's pending tasks planned.
+	// QueueJob queues a job's pending tasks for placement.
 	QueueJob(job *cluster.Job)
-	// StopGang has all tasks of a gang stop at once, without time to save.
+	// StopGang stops all tasks of a gang at once, without time to write a checkpoint.
 	StopGang(job *cluster.Job)
-	// CountAssignment makes an adopted assignment count as used capacity and quota.
+	// CountAssignment counts an adopted assignment as used capacity and quota.
 	CountAssignment(a *cluster.Assignment)
-	// RequestPlan has the queue planned anew.
+	// RequestPlan requests a new planning pass over the queue.
 	RequestPlan()
 }
 
-// Recoverer recovers lost records for one term. But for Phase, RolledBack and TakeRelist, its
-// methods may be called by the event loop only.
+// Recoverer recovers lost records for one term. Except for Phase, RolledBack and TakeRelist, its
+// methods may be called only on the event loop.
 type Recoverer struct {
 	cfg    *Config
 	phase  Phase
@@ -122,14 +122,14 @@
 	tokens     tokenCheck
 }
 
-// sharedState is what other goroutines may read.
+// sharedState is the part of a Recoverer that other goroutines may read.
 type sharedState struct {
 	phase      atomic.Value // a Phase
-	relist     atomic.Bool  // the watch may have missed changes, if revisions were given out again
-	rolledBack atomic.Bool  // records may say less than users were told
+	relist     atomic.Bool  // the watch may have missed changes because revisions were reused
+	rolledBack atomic.Bool  // records may be older than what users were told
 }
 
-// New makes a Recoverer for a term in which nothing was noticed yet.
+// New returns a Recoverer for a term in which no loss has been reported yet.
 func New(config Config) *Recoverer {
 	r := &Recoverer{cfg: &config, phase: Whole}
 	r.shared.phase.Store(Whole)
@@ -154,20 +154,20 @@
 	return r
 }
 
-// Phase is how far the recovery is. It may be called by any goroutine.
+// Phase returns the phase of the recovery. It may be called from any goroutine.
 func (r *Recoverer) Phase() Phase { return r.shared.phase.Load().(Phase) }
 
-// RolledBack tells whether records may say less than users were told, as far as this leader
-// knows. It may be called by any goroutine.
+// RolledBack reports whether, as far as this leader knows, records may be older than what users
+// were told. It may be called from any goroutine.
 func (r *Recoverer) RolledBack() bool { return r.shared.rolledBack.Load() }
 
-// TakeRelist tells, once after each beginning of a comparison, that the watch has to list all
-// records: revisions may have been given out again, and changes missed. It may be called by any
-// goroutine.
+// TakeRelist reports, once after each start of a comparison round, that the watch has to list
+// all records. A store that was rolled back may reuse revisions, which makes a watch miss
+// changes. It may be called from any goroutine.
 func (r *Recoverer) TakeRelist() bool { return r.shared.relist.Swap(false) }
 
-// ReportLoss takes in evidence that records are lost. A comparison begins, unless one is under
-// way.
+// ReportLoss records evidence that records are lost. It starts a comparison round unless a
+// recovery is under way. Evidence reported while restoring makes another round follow.
 func (r *Recoverer) ReportLoss(loss detection.Evidence, now time.Time) {
 	if first := r.evidence.count(loss.Kind); first || r.phase == Whole {
 		slog.Error("records may be lost", "term", r.cfg.token(), "evidence", loss.String())
@@ -192,12 +192,13 @@
 	r.beginRound(now)
 }
 
-// protectAssignmentLog has the log written once more, all of it: segments may be lost, and what
-// this leader holds is the truth. While comparing, it is not certain yet that it is.
+// protectAssignmentLog schedules a rewrite of the whole assignment log, because segments may be
+// lost and this leader's copy is authoritative. During a comparison that is not certain yet, so
+// the log is not rewritten then.
 func (r *Recoverer) protectAssignmentLog() {
 	if !r.evidence.logDamaged {
 		r.evidence.logDamaged = true
-		r.keys.statusWritten = false // the status has to say so
+		r.keys.statusWritten = false // the stored status has to say that the log is damaged
 	}
 	if r.phase != Comparing {
 		r.cfg.AssignmentLog().RewriteAll()
@@ -205,29 +206,29 @@
 	}
 }
 
-// noteWorkersAhead takes in that a worker knows more than this node, which then cannot tell
-// either which jobs are new. Until every lease from before this term has ended, it places
-// nothing, and adopts what workers show.
+// noteWorkersAhead records that a worker knows more than this controller, which therefore cannot
+// tell which jobs are new either. Until every lease from before this term has expired, the
+// leader places nothing and adopts the tasks that workers report.
 func (r *Recoverer) noteWorkersAhead(now time.Time) {
 	if r.evidence.workersAhead {
 		return
 	}
 	r.evidence.workersAhead = true
-	// An earlier leader may have had the same fencing token as this one, and given out the
-	// same numbers of attempts.
+	// An earlier leader may have had the same fencing token as this one and have allocated
+	// the same attempt numbers.
 	if tokens := r.cfg.Leader.Tokens(); tokens.OfTerm > tokens.Floor {
 		r.cfg.Leader.RaiseTokenAbove(tokens.Current)
 	}
 	r.adoption.expectTasksOfAllJobs(now)
 }
 
-// enter begins a phase.
+// enter switches to a phase and publishes it to other goroutines.
 func (r *Recoverer) enter(phase Phase) {
 	r.phase = phase
 	r.shared.phase.Store(phase)
 }
 
-// beginRound begins a round of comparison.
+// beginRound starts a round of comparison.
 func (r *Recoverer) beginRound(now time.Time) {
 	r.enter(Comparing)
 	r.evidence.anotherRoundDue, r.keys.statusRemovalDue = false, false
@@ -236,7 +237,7 @@
 	r.events.add(now, "comparing", fmt.Sprintf("round %d", r.comparison.round))
 }
 
-// Advance does what is due in the present phase. The event loop calls it at each tick.
+// Advance performs the work that is due in the current phase. The event loop calls it at each tick.
 func (r *Recoverer) Advance(ctx context.Context, now time.Time) {
 	switch r.phase {
 	case Comparing:
@@ -261,12 +262,12 @@
 	r.writeBack.writeNext(ctx, now)
 }
 
-// allCompared tells whether all who may know more have been heard.
+// allCompared reports whether every source that may know more than the records has answered.
 func (r *Recoverer) allCompared(now time.Time) bool {
 	return r.keys.statusWritten && r.comparison.ownDone && r.comparison.allPeersHeard() && !now.Before(r.adoption.allKnownBy)
 }
 
-// endRound ends a comparison: what may be written back is queued.
+// endRound ends a comparison round and queues the lost jobs to be written back.
 func (r *Recoverer) endRound(now time.Time) {
 	r.enter(Restoring)
 	r.adoption.logIncomplete, r.evidence.workersAhead = false, false
@@ -279,7 +280,7 @@
 	r.events.add(now, "compared", fmt.Sprintf("%d jobs lost", r.cfg.Cache.LostCount()))
 }
 
-// finish ends the recovery, or begins another round if more was noticed meanwhile.
+// finish ends the recovery, or starts another round if more evidence was reported meanwhile.
 func (r *Recoverer) finish(now time.Time) {
 	if r.evidence.anotherRoundDue {
 		r.beginRound(now)
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -20,7 +20,7 @@
 	"ospreyslip/internal/workers"
 )
 
-// fakeLeader notes what a recovery calls.
+// fakeLeader records the calls of a recovery.
 type fakeLeader struct {
 	tokens   Tokens
 	attempts uint64
@@ -53,10 +53,10 @@
 func (f *fakeLeader) StopGang(job *cluster.Job)             { f.note("stop gang " + job.ID) }
 func (f *fakeLeader) CountAssignment(a *cluster.Assignment) { f.note("count " + a.TaskName()) }
 
-// called tells whether a call was made.
+// called reports whether a call was made.
 func (f *fakeLeader) called(call string) bool { return slices.Contains(f.calls, call) }
 
-// silentPeers is other controllers that never answer.
+// silentPeers are other controllers that never answer.
 type silentPeers []string
 
 func (p silentPeers) Peers() []string { return p }
@@ -66,16 +66,16 @@
 	return peer.LostJobsResponse{}, ctx.Err()
 }
 
-// termToken is that of the tests' term.
+// termToken is the fencing token of the tests' term.
 const termToken = 5
 
-// scenario is a recovery with a leader that only notes what is called.
+// scenario is a recovery with a leader that only records calls.
 type scenario struct {
 	*Recoverer
 	leader   *fakeLeader
 	machines *cluster.MachineSet
 	log      *assignmentlog.Log
-	now      time.Time // the term begins then
+	now      time.Time // start of the term
 }
 
 func newScenario(t *testing.T, peers ...string) *scenario {
@@ -107,7 +107,7 @@
 	return m
 }
 
-// addJob adds the job j-000001, of two tasks.
+// addJob adds the job j-000001 with two tasks.
 func (s *scenario) addJob(shape string) *cluster.Job {
 	const id = "j-000001"
 	spec := &jobs.Spec{ID: id, Team: "red", Shape: shape, Priority: jobs.Standard, Tasks: 2, CPUs: 1}
@@ -120,8 +120,8 @@
 	return workers.TaskStatus{Name: fmt.Sprintf("%s/%d", job, index), Attempt: attempt, State: workers.StateRunning}
 }
 
-// A loss that may concern the assignment log has all of it written once more, with a higher
-// token; one that may be a rollback says so to other goroutines at once.
+// A loss that may affect the assignment log must cause a rewrite of the whole log and a higher
+// token. A possible rollback must be visible to other goroutines at once.
 func TestReportLoss(t *testing.T) {
 	tests := []struct {
 		kind                                detection.Kind
@@ -140,22 +140,22 @@
 			job := s.addJob(jobs.Batch)
 			s.ReportLoss(detection.Evidence{Kind: test.kind}, s.now)
 			if s.Phase() != Comparing || !s.TakeRelist() || s.TakeRelist() {
-				t.Errorf("phase %s: want a comparison, and one listing", s.Phase())
+				t.Errorf("phase %s: want a comparison and exactly one request to relist", s.Phase())
 			}
 			if s.RolledBack() != test.rolledBack {
 				t.Errorf("rolled back: %v", s.RolledBack())
 			}
 			if s.log.HasWork() != test.rewritten || s.leader.called("request token raise") != test.rewritten {
-				t.Errorf("log rewritten: %v, calls %v", s.log.HasWork(), s.leader.calls)
+				t.Errorf("log rewritten: %v, calls to the leader: %v", s.log.HasWork(), s.leader.calls)
 			}
 			if s.adoption.jobs[job] != test.awaitWorkers {
-				t.Errorf("tasks awaited: %v", s.adoption.jobs[job])
+				t.Errorf("tasks awaited from workers: %v", s.adoption.jobs[job])
 			}
 		})
 	}
 }
 
-// What is noticed while records are being written back has everything compared once more.
+// A loss reported while records are being written back must start another round of comparison.
 func TestAnotherRound(t *testing.T) {
 	s := newScenario(t)
 	s.ReportLoss(detection.Evidence{Kind: detection.RecordRemoved}, s.now)
@@ -174,8 +174,8 @@
 	}
 }
 
-// A log that names attempts of a higher token than this term's was written by a later term: the
-// token is raised above that, and no number given out twice.
+// A log that names attempts of a higher token than this term's was written by a later term.
+// The token must be raised above that one, and no attempt number reused.
 func TestLogOfALaterTerm(t *testing.T) {
 	s := newScenario(t)
 	attempt := uint64(termToken+2)<<s.cfg.AttemptBits + 3
@@ -187,14 +187,14 @@
 	}}
 	s.CheckLog(log, s.now)
 	if !s.leader.called(fmt.Sprint("raise token above ", termToken+2)) || s.leader.attempts != attempt {
-		t.Errorf("calls %v, attempts from %d", s.leader.calls, s.leader.attempts)
+		t.Errorf("calls to the leader: %v, attempt numbers reserved up to %d", s.leader.calls, s.leader.attempts)
 	}
 	if !s.LogIncomplete() || s.Phase() != Comparing {
 		t.Errorf("log incomplete: %v, phase %s", s.LogIncomplete(), s.Phase())
 	}
 }
 
-// The oldest events make way for new ones, and are counted.
+// The event log must drop the oldest events when it is full, and count them.
 func TestEventsAreBounded(t *testing.T) {
 	var log eventLog
 	for n := range maxEvents + 3 {
--- a/internal/leader/recoverer/token.go
+++ b/internal/leader/recoverer/token.go
@@ -9,16 +9,16 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// tokenCheck finds out what a fencing token above this leader's means.
+// tokenCheck determines why a worker has seen a fencing token above this leader's.
 type tokenCheck struct {
 	cfg        *Config
 	reportLoss func(loss detection.Evidence, now time.Time)
 	inFlight   bool
 }
 
-// CheckToken takes in a heartbeat with a fencing token above this leader's. Mostly another leads
-// by now, and this one has not noticed. If the term is still held, the token was lost: it is
-// raised above all that workers have seen.
+// CheckToken handles a heartbeat with a fencing token above this leader's. Usually another
+// controller has become leader without this one noticing. If the term is still held, the store has
+// lost the token, which is then raised above those that workers have seen.
 func (r *Recoverer) CheckToken(shown uint64) { r.tokens.check(shown) }
 
 func (c *tokenCheck) check(shown uint64) {
@@ -34,7 +34,8 @@
 	go c.readHolder(shown)
 }
 
-// readHolder finds out whether the term is still held.
+// readHolder reads whether the term is still held, and posts the result to the event loop. It does
+// not run on the event loop.
 func (c *tokenCheck) readHolder(shown uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.cfg.Derived.Store.RequestTimeout)
 	defer cancel()
@@ -52,7 +53,7 @@
 	})
 }
 
-// tokenWasLost takes in that a token above this leader's was given out before this term.
+// tokenWasLost handles the loss of a token above this leader's that was issued before this term.
 func (c *tokenCheck) tokenWasLost(shown uint64, now time.Time) {
 	tokens := c.cfg.Leader.Tokens()
 	if shown <= max(tokens.Current, tokens.Floor) {
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -19,12 +19,13 @@
 	"ospreyslip/internal/settings"
 )
 
-// recoveryShare is the part of the leader's writes that lost records may take.
+// recoveryShare is the fraction of the leader's write rate that lost records may use.
 const recoveryShare = 0.25
 
-// writeRank orders lost jobs for writing: first those of which a record says less than users
-// were told, as each node would tell it; then what must not run, what waits to run, and what
-// is over by itself. A job that was queued outside of a comparison has the first rank.
+// writeRank orders lost jobs for write-back. Jobs that have ended but whose record says less come
+// first, because every controller would show users the older state. Jobs that must not run, jobs
+// that wait to run, and jobs that are done follow. A job that is queued outside of a comparison
+// has the first rank.
 type writeRank int
 
 const (
@@ -34,7 +35,7 @@
 	rankOver
 )
 
-// writeBack writes the records of lost jobs, and those of held jobs that are decided.
+// writeBack writes the records of lost jobs, and of held jobs whose outcome has been decided.
 type writeBack struct {
 	cfg       *Config
 	events    *eventLog
@@ -44,16 +45,16 @@
 
 	queue         []string // jobs whose records are to be written
 	ranks         map[string]writeRank
-	overJobsAfter string // of the jobs that are over, those up to this one have been queued
+	overJobsAfter string // jobs up to this id have been considered by queueOverJobs
 	written       map[recovery.Outcome]int
 }
 
-// lostRecord is a record that is being written back.
+// lostRecord is a record to be written back.
 type lostRecord struct {
 	id       string
 	decision recovery.Decision
 	value    json.RawMessage
-	revision uint64 // guard: of the record as it stands; 0 if there is none
+	revision uint64 // guard: revision of the stored record; 0 if there is none
 }
 
 func (w *writeBack) rankOf(id string, decision recovery.Decision) writeRank {
@@ -68,7 +69,7 @@
 	return rankOver
 }
 
-// queueLostJobs queues all jobs that a comparison has found.
+// queueLostJobs queues all jobs that a comparison has found, ordered by rank.
 func (w *writeBack) queueLostJobs() {
 	w.queue = w.knowledge.lost.IDs()
 	clear(w.ranks)
@@ -79,13 +80,13 @@
 	slices.SortStableFunc(w.queue, func(a, b string) int { return cmp.Compare(w.ranks[a], w.ranks[b]) })
 }
 
-// queueOverJobs queues the next page of jobs that are over and of which nothing else has to be
-// known, and tells whether there may be more.
+// queueOverJobs queues the next page of lost jobs that are over and about which nothing else has
+// to be known. It reports whether there may be more.
 func (w *writeBack) queueOverJobs() bool {
 	page, more := w.cfg.Cache.LostPage(w.overJobsAfter, lostPageRows)
 	for _, lost := range page {
 		w.overJobsAfter = lost.ID
-		// One whose record says less may have been without any when it was compared.
+		// A job whose record now says less may have had no record during the comparison.
 		contradicted := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
 		if _, open := w.knowledge.lost[lost.ID]; open || contradicted || !w.knowledge.isOverInCache(lost) {
 			continue
@@ -97,10 +98,10 @@
 	return more || len(page) > 0
 }
 
-// enqueue queues a job's record to be written, by what will be known of the job then.
+// enqueue queues a job's record. Its content is determined only when it is written.
 func (w *writeBack) enqueue(id string) { w.queue = append(w.queue, id) }
 
-// nextRank is the rank of what is to be written next.
+// nextRank returns the rank of the next job in the queue, or rankOver if the queue is empty.
 func (w *writeBack) nextRank() writeRank {
 	if len(w.queue) == 0 {
 		return rankOver
@@ -108,16 +109,16 @@
 	return w.ranks[w.queue[0]]
 }
 
-// mayStillRestoreTasks tells whether jobs that are to run may still be written back.
+// mayStillRestoreTasks reports whether jobs that are to run may still be written back.
 func (w *writeBack) mayStillRestoreTasks() bool {
 	return w.commits.inFlight || w.nextRank() <= rankToRun && len(w.queue) > 0
 }
 
-// composeRecord makes a job's record of what is known of it.
+// composeRecord builds the record of a job from what is known about it.
 func (w *writeBack) composeRecord(id string, known recovery.Knowledge, decision recovery.Decision, now time.Time) lostRecord {
 	record := known.Record(decision, now.UnixMilli())
 	if w.cfg.State.Jobs[id] != nil {
-		record.Restored = false // this leader's log has its tasks
+		record.Restored = false // this leader's assignment log has the job's tasks
 	}
 	lost := lostRecord{id: id, decision: decision, revision: w.cfg.Cache.RecordRevision(id)}
 	if decision.Final() {
@@ -128,7 +129,8 @@
 	return lost
 }
 
-// writeNext writes the next records. Each is guarded by what stands there, and all by the term.
+// writeNext starts writing the next batch, if a transaction may start. Each record is guarded by
+// the revision of the stored one, and the batch by the term.
 func (w *writeBack) writeNext(ctx context.Context, now time.Time) {
 	if len(w.queue) == 0 || !w.commits.mayBegin(now) {
 		return
@@ -138,7 +140,8 @@
 	}
 }
 
-// takeBatch takes as many records off the queue as a transaction has room for.
+// takeBatch removes as many records from the queue as fit into one transaction. It drops jobs
+// whose record is up to date by now, and records that are too large for the store.
 func (w *writeBack) takeBatch(now time.Time) (batch []lostRecord) {
 	bytes := 0
 	for len(w.queue) > 0 && len(batch) < max(1, w.cfg.Derived.Store.TxnOps/2) {
@@ -164,8 +167,8 @@
 	return batch
 }
 
-// commit writes a batch. The next one waits for as long as the recovery's share of the write
-// rate takes for it.
+// commit writes a batch. It delays the next one so that the recovery keeps within its share of
+// the write rate.
 func (w *writeBack) commit(ctx context.Context, batch []lostRecord, now time.Time) {
 	w.commits.inFlight = true
 	perSecond := recoveryShare * settings.LeaderWriteShare * w.cfg.Settings.Deployment.Store.Effective().WriteRPS
@@ -184,8 +187,8 @@
 	}()
 }
 
-// readRecords reads the records whose guards have failed, by job. One that cannot be read stays
-// unknown, and is tried again.
+// readRecords returns, by job id, the records whose guards have failed. A record that cannot be
+// read is left out, so that its job is tried again.
 func (w *writeBack) readRecords(ctx context.Context, keys []string) map[string]kvstore.KeyValue {
 	found := map[string]kvstore.KeyValue{}
 	for _, key := range keys {
@@ -196,8 +199,9 @@
 	return found
 }
 
-// committed takes in the outcome of a batch. What was not executed, or may not have been, is
-// queued again: if it was, its guard fails, and what is read then decides.
+// committed applies the outcome of a batch. A batch that was not executed, or whose outcome is
+// unknown, is queued again. If it was executed after all, its guards fail on the next try, and the
+// records read then decide.
 func (w *writeBack) committed(batch []lostRecord, revision uint64, failed []string, found map[string]kvstore.KeyValue, err error, now time.Time) {
 	w.commits.inFlight = false
 	if slices.Contains(failed, election.HolderKey) {
@@ -211,7 +215,7 @@
 		return
 	}
 	if err != nil {
-		slog.Debug("lost records not written", "term", w.cfg.token(), "reason", err)
+		slog.Debug("failed to write lost records; retrying later", "term", w.cfg.token(), "reason", err)
 		w.commits.retryLater(now)
 	}
 	for _, lost := range slices.Backward(batch) {
@@ -223,8 +227,8 @@
 	}
 }
 
-// acceptStanding takes in a record that was not as expected, and tells whether it needs no
-// writing any more: it says as much as what would be written.
+// acceptStanding applies a stored record whose guard failed. It reports whether that record says
+// as much as the one to be written, so that nothing has to be written any more.
 func (w *writeBack) acceptStanding(lost lostRecord, standing kvstore.KeyValue) bool {
 	if standing.Revision == 0 {
 		w.cfg.Cache.NoteMissing(lost.id)
@@ -233,20 +237,20 @@
 	w.cfg.Cache.Apply(standing.Key, standing.Value, standing.Revision)
 	var record jobs.Record
 	if jsonv2.Unmarshal(standing.Value, &record) != nil {
-		return false // what cannot be read is written over, by its revision
+		return false // a record that cannot be decoded is overwritten, guarded by its revision
 	}
 	switch {
 	case record.Finished():
-		// Another end than what is known is for an operator to see.
+		// If the stored state contradicts what is known, an operator has to see that.
 		return record.State == lost.decision.State || !lost.decision.Final()
 	case record.Held != nil:
 		w.held.hold(lost.id, &record, standing.Revision)
 		return lost.decision.Held
 	}
-	return !lost.decision.Final() // accepted anew, or written back already
+	return !lost.decision.Final() // submitted again, or written back already
 }
 
-// recordWritten takes in that a record is durable.
+// recordWritten updates the recovery's and the leader's state for a record that is durable.
 func (w *writeBack) recordWritten(lost lostRecord, revision uint64, now time.Time) {
 	id, decision := lost.id, lost.decision
 	w.written[decision.Outcome]++
@@ -260,13 +264,13 @@
 		w.held.byID[id] = &heldJob{revision: revision, reason: string(decision.Rule), sinceMs: now.UnixMilli(), known: known}
 	}
 	if !decision.Final() && !decision.Held {
-		// Its tasks count from now on, not only when the watch shows its record.
+		// The job's tasks must count from now on, not only once the watch delivers its record.
 		w.cfg.Leader.JobChanged(kvstore.Change{Set: jobs.RecordKey(id), Value: lost.value, Revision: revision}, now)
 	}
 }
 
-// commitSettled writes the record of a job that an operator has settled. It does not run on the
-// event loop.
+// commitSettled writes the record of a job that an operator has settled. It blocks for one
+// request and does not run on the event loop.
 func (w *writeBack) commitSettled(ctx context.Context, record lostRecord) error {
 	key := jobs.RecordKey(record.id)
 	guards := []kvstore.Guard{w.commits.termGuard(), {Key: key, Revision: record.revision}}
--- a/internal/leader/recoverer/write_back_test.go
+++ b/internal/leader/recoverer/write_back_test.go
@@ -12,12 +12,13 @@
 	"ospreyslip/internal/recovery"
 )
 
-// know has a cache of another node say something of a lost job.
+// know adds what the cache of another controller says about a lost job.
 func (s *scenario) know(id, state string) {
 	s.knowledge.addCached(id, recovery.FromCache("node-1"), state, 1, &jobs.Record{Spec: batchSpec(id)})
 }
 
-// What must not run is written before what waits to run, and that before what is over by itself.
+// Records of jobs that must not run must be written before those of jobs that wait to run, and
+// these before those of jobs that are done.
 func TestWriteBackOrder(t *testing.T) {
 	s := newScenario(t)
 	s.know("j-000001", jobs.Done)
@@ -30,8 +31,8 @@
 	}
 }
 
-// A batch that was not executed, or may not have been, goes back to the head of the queue in its
-// order; a record that says as much by now does not.
+// A batch that was not executed, or whose outcome is unknown, must return to the head of the queue
+// in the same order, without jobs whose stored records say as much by now.
 func TestWriteBackFailed(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -43,7 +44,7 @@
 	}{
 		{name: "outcome unknown", err: errors.New("timeout"), queue: []string{"j-000001", "j-000002"}},
 		{
-			name: "one is there again", failed: []string{jobs.RecordKey("j-000001")},
+			name: "one record exists again", failed: []string{jobs.RecordKey("j-000001")},
 			found: map[string]kvstore.KeyValue{"j-000001": {Key: jobs.RecordKey("j-000001"), Value: json.RawMessage(`{"stance":"queued","tasks":1,"spec":{}}`), Revision: 9}},
 			queue: []string{"j-000002"},
 		},
@@ -57,7 +58,7 @@
 			s.writeBack.queueLostJobs()
 			batch := s.writeBack.takeBatch(s.now)
 			if len(batch) != 2 || len(s.writeBack.queue) != 0 {
-				t.Fatalf("%d in the batch, %v left", len(batch), s.writeBack.queue)
+				t.Fatalf("%d records in the batch, %v left in the queue", len(batch), s.writeBack.queue)
 			}
 			s.commits.inFlight = true
 			s.writeBack.committed(batch, 0, test.failed, test.found, test.err, s.now)
@@ -65,17 +66,17 @@
 				t.Errorf("in flight: %v, queue %v, want %v", s.commits.inFlight, s.writeBack.queue, test.queue)
 			}
 			if s.leader.called("resign") != test.resign {
-				t.Errorf("calls %v", s.leader.calls)
+				t.Errorf("calls to the leader: %v", s.leader.calls)
 			}
 			if waits := s.commits.notBefore.After(s.now); waits != (test.err != nil) {
-				t.Errorf("waits: %v", waits)
+				t.Errorf("next transaction delayed: %v", waits)
 			}
 		})
 	}
 }
 
-// What is written is counted; a job that is to run is shown to the leader at once, and one that
-// is not certain is held.
+// Written records must be counted. The leader must learn at once of a job that is to run, and a
+// job whose outcome is uncertain must be held.
 func TestRecordWritten(t *testing.T) {
 	s := newScenario(t)
 	s.know("j-000001", jobs.Queued)
@@ -87,9 +88,9 @@
 		t.Errorf("written: %v", status.Written)
 	}
 	if !s.leader.called("changed j-000001") || s.leader.called("changed j-000002") {
-		t.Errorf("calls %v", s.leader.calls)
+		t.Errorf("calls to the leader: %v", s.leader.calls)
 	}
 	if len(status.HeldJobs) != 1 || status.HeldJobs[0].Job != "j-000002" {
-		t.Errorf("held: %v", status.HeldJobs)
+		t.Errorf("held jobs: %v", status.HeldJobs)
 	}
 }
