--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -19,9 +19,9 @@
 	cfg    *Config
 	events *eventLog
 
-	jobs          map[*cluster.Job]bool // jobs that may have tasks not yet known
-	logIncomplete bool                  // tasks may run that the assignment log does not name
-	allKnownBy    time.Time             // when every worker that has tasks must have reported
+	jobs            map[*cluster.Job]bool // jobs that may have tasks not yet known
+	logIncomplete   bool                  // tasks may run that the assignment log does not name
+	allTasksKnownBy time.Time             // when every worker that has tasks must have reported
 }
 
 // begin starts the adoption of a job's tasks, which lasts until the given time.
@@ -35,10 +35,10 @@
 // be valid: after that every worker has reported, and this leader's state is authoritative.
 func (a *adoption) expectTasksOfAllJobs(now time.Time) {
 	until := a.cfg.Term.Since.Add(a.cfg.Derived.Workers.LeaseExpiry)
-	if !now.Before(until) || now.Before(a.allKnownBy) {
+	if !now.Before(until) || now.Before(a.allTasksKnownBy) {
 		return
 	}
-	a.logIncomplete, a.allKnownBy = true, until
+	a.logIncomplete, a.allTasksKnownBy = true, until
 	for _, job := range a.cfg.State.Jobs {
 		if !job.IsOver() {
 			a.begin(job, until)
@@ -51,11 +51,11 @@
 // before this term has expired.
 func (a *adoption) expectUnloggedTasks(now time.Time) {
 	a.logIncomplete = true
-	a.allKnownBy = now.Add(a.cfg.Derived.Workers.LeaseExpiry)
+	a.allTasksKnownBy = now.Add(a.cfg.Derived.Workers.LeaseExpiry)
 }
 
-// concernsTeam reports whether a team has jobs with tasks that may not be known yet.
-func (a *adoption) concernsTeam(team string) bool {
+// includesTeam reports whether a team has jobs with tasks that may not be known yet.
+func (a *adoption) includesTeam(team string) bool {
 	for job := range a.jobs {
 		if job.Spec.Team == team {
 			return true
@@ -86,7 +86,7 @@
 			job.Adoption.GangParts = map[int]cluster.GangPart{}
 		}
 		job.Adoption.GangParts[index] = part
-		if isGangWhole(job) {
+		if isGangComplete(job) {
 			a.adoptGang(job, now)
 		}
 	}
@@ -116,8 +116,8 @@
 	a.cfg.AssignmentLog().QueueBegin(adopted)
 }
 
-// isGangWhole reports whether all tasks of one attempt of a gang are known.
-func isGangWhole(job *cluster.Job) bool {
+// isGangComplete reports whether all tasks of one attempt of a gang are known.
+func isGangComplete(job *cluster.Job) bool {
 	for index := range job.Spec.Tasks {
 		part, ok := job.Adoption.GangParts[index]
 		if !ok || part.Task.Attempt != job.Adoption.GangParts[0].Task.Attempt {
@@ -199,7 +199,7 @@
 	if r.phase == Whole && len(r.adoption.jobs) == 0 {
 		return false
 	}
-	if r.phase == Comparing && (r.evidence.workersAhead || !r.cfg.Cache.Readiness.ReadAllBeforeLoss()) {
+	if r.phase == Comparing && (r.evidence.workerKnowsMore || !r.cfg.Cache.Readiness.ReadAllBeforeLoss()) {
 		return true
 	}
 	team, _ := r.cfg.Settings.Team(job.Spec.Team)
@@ -211,12 +211,12 @@
 // workers have reported the tasks of these jobs.
 func (r *Recoverer) mayUndercountTeam(team string, now time.Time) bool {
 	switch {
-	case r.phase == Comparing && now.Before(r.adoption.allKnownBy):
+	case r.phase == Comparing && now.Before(r.adoption.allTasksKnownBy):
 		return true
 	case r.phase == Restoring && r.writeBack.mayStillRestoreTasks():
 		return true
 	}
-	return r.adoption.concernsTeam(team)
+	return r.adoption.includesTeam(team)
 }
 
 // AddHeldUsage adds the resources of running tasks of held jobs to used, by team. These tasks
--- a/internal/leader/recoverer/adoption_test.go
+++ b/internal/leader/recoverer/adoption_test.go
@@ -12,7 +12,7 @@
 func TestAdoptTask(t *testing.T) {
 	s := newScenario(t)
 	job, machine := s.addJob(jobs.Batch), s.addMachine("m-1")
-	report := &workers.Heartbeat{Machine: "m-1", AgentEpoch: 1, Tasks: []workers.TaskStatus{running("j-000001", 1, 77)}}
+	report := &workers.Heartbeat{Machine: "m-1", AgentEpoch: 1, Tasks: []workers.TaskStatus{runningTask("j-000001", 1, 77)}}
 
 	s.AdoptReported(machine, report, s.now)
 	if len(job.Assignments) != 0 {
@@ -29,8 +29,8 @@
 	if adopted == nil || adopted.Attempt != 77 || !adopted.Restored || machine.Assignments[77] != adopted || job.Pending.Count != 1 {
 		t.Fatalf("adopted assignment %+v, %d tasks pending", adopted, job.Pending.Count)
 	}
-	if s.leader.attempts != 77 || s.log.QueueLength() != 1 {
-		t.Errorf("attempt numbers reserved up to %d, %d records queued for the log", s.leader.attempts, s.log.QueueLength())
+	if s.leader.lastAttempt != 77 || s.log.QueueLength() != 1 {
+		t.Errorf("attempt numbers reserved up to %d, %d records queued for the log", s.leader.lastAttempt, s.log.QueueLength())
 	}
 	expired := s.now.Add(s.cfg.Derived.Workers.LeaseExpiry)
 	if s.EndAdoptions(expired); s.AwaitsWorkers(job, expired) || !s.leader.called("queue j-000001") {
@@ -60,7 +60,7 @@
 			s.AdoptTasksOf(job, s.now)
 			for index, attempt := range test.attempts {
 				id := []string{"m-1", "m-2"}[index]
-				report := &workers.Heartbeat{Machine: id, AgentEpoch: 1, Tasks: []workers.TaskStatus{running(job.ID, index, attempt)}}
+				report := &workers.Heartbeat{Machine: id, AgentEpoch: 1, Tasks: []workers.TaskStatus{runningTask(job.ID, index, attempt)}}
 				s.AdoptReported(s.addMachine(id), report, s.now)
 			}
 			if len(job.Assignments) != test.adoptedAtOnce {
--- a/internal/leader/recoverer/committer.go
+++ b/internal/leader/recoverer/committer.go
@@ -17,8 +17,8 @@
 	notBefore time.Time // earliest start of the next transaction
 }
 
-// mayBegin reports whether a transaction may start now.
-func (c *committer) mayBegin(now time.Time) bool {
+// mayCommit reports whether a transaction may start now.
+func (c *committer) mayCommit(now time.Time) bool {
 	return !c.inFlight && !now.Before(c.notBefore) && c.cfg.Valid()
 }
 
--- a/internal/leader/recoverer/comparison_test.go
+++ b/internal/leader/recoverer/comparison_test.go
@@ -13,7 +13,7 @@
 
 // A comparison must wait for each peer until it has sent all its pages or the cancel deadline has
 // passed. A peer that has not finished its own comparison counts as not heard.
-func TestPeersHeard(t *testing.T) {
+func TestComparisonWaitsForPeers(t *testing.T) {
 	s := newScenario(t, "node-1", "node-2")
 	s.ReportLoss(detection.Evidence{Kind: detection.RecordRemoved}, s.now)
 	for _, name := range s.cfg.Peers.Peers() {
@@ -21,33 +21,33 @@
 	}
 	first, second := s.comparison.peers["node-1"], s.comparison.peers["node-2"]
 
-	s.comparison.peerAnswered("node-1", first, peer.LostJobsResponse{}, nil, s.now) // not ready
+	s.comparison.handlePeerPage("node-1", first, peer.LostJobsResponse{}, nil, s.now) // not ready
 	if first.done || !first.retryAt.After(s.now) {
 		t.Error("a peer that is not ready counts as heard")
 	}
 	page := peer.LostJobsResponse{Compared: true, More: true, Jobs: []peer.LostJob{{ID: "j-000004", State: jobs.Queued, Tasks: 3}, {ID: "no id"}}}
-	s.comparison.peerAnswered("node-1", first, page, nil, s.now)
-	if first.done || first.after != "j-000004" || len(s.knowledge.lost) != 1 {
+	s.comparison.handlePeerPage("node-1", first, page, nil, s.now)
+	if first.done || first.cursor != "j-000004" || len(s.knowledge.lost) != 1 {
 		t.Errorf("scan %+v, lost jobs %v", first, s.knowledge.lost.IDs())
 	}
-	s.comparison.peerAnswered("node-1", first, peer.LostJobsResponse{Compared: true}, nil, s.now)
-	s.comparison.peerAnswered("node-2", second, peer.LostJobsResponse{}, errors.New("no answer"), s.now)
-	if s.comparison.allPeersHeard() {
+	s.comparison.handlePeerPage("node-1", first, peer.LostJobsResponse{Compared: true}, nil, s.now)
+	s.comparison.handlePeerPage("node-2", second, peer.LostJobsResponse{}, errors.New("no answer"), s.now)
+	if s.comparison.allPeersDone() {
 		t.Error("all peers count as heard before the second has answered")
 	}
-	s.comparison.askPeers(t.Context(), s.now.Add(s.cfg.Derived.Workers.CancelDeadline+time.Second))
-	if !s.comparison.allPeersHeard() || !second.gone {
+	s.comparison.queryPeers(t.Context(), s.now.Add(s.cfg.Derived.Workers.CancelDeadline+time.Second))
+	if !s.comparison.allPeersDone() || !second.timedOut {
 		t.Error("the second peer is still waited for after the cancel deadline")
 	}
 }
 
 // An answer to a request of an earlier round must be ignored.
-func TestAnswerOfAnEarlierRound(t *testing.T) {
+func TestAnswerOfEarlierRoundIsIgnored(t *testing.T) {
 	s := newScenario(t, "node-1")
 	earlier := &peerScan{inFlight: true}
 	s.comparison.begin(s.now)
 	page := peer.LostJobsResponse{Compared: true, Jobs: []peer.LostJob{{ID: "j-000004", State: jobs.Done, Tasks: 3}}}
-	s.comparison.peerAnswered("node-1", earlier, page, nil, s.now)
+	s.comparison.handlePeerPage("node-1", earlier, page, nil, s.now)
 	if len(s.knowledge.lost) != 0 || earlier.done {
 		t.Error("the answer was applied")
 	}
@@ -55,7 +55,7 @@
 
 // A job that is over according to any source must be stopped at once, even if other facts about it
 // are still uncertain.
-func TestLostJobThatIsOverStops(t *testing.T) {
+func TestFinishedLostJobIsStopped(t *testing.T) {
 	for state, call := range map[string]string{jobs.Cancelled: "cancel j-000001", jobs.Done: "complete j-000001", jobs.Queued: ""} {
 		s := newScenario(t)
 		s.addJob(jobs.Batch)
--- a/internal/leader/recoverer/control_keys.go
+++ b/internal/leader/recoverer/control_keys.go
@@ -21,15 +21,15 @@
 // recoveryStatus is stored while a leader recovers records. It informs the next leader, and
 // controllers that start in the meantime.
 type recoveryStatus struct {
-	Token   uint64 `json:"token"`
-	SinceMs int64  `json:"sinceMs"`
-	Log     bool   `json:"log"` // the assignment log may lack tasks that run
+	Token         uint64 `json:"token"`
+	SinceMs       int64  `json:"sinceMs"`
+	LogIncomplete bool   `json:"log"` // the assignment log may lack tasks that run
 }
 
 // controlKeys maintains the recovery's own keys in the key-value store.
 type controlKeys struct {
-	cfg     *Config
-	commits *committer
+	cfg       *Config
+	committer *committer
 
 	statusWritten    bool // the stored status is up to date
 	statusRemovalDue bool
@@ -40,23 +40,23 @@
 // writeStatus stores that records are being compared. A comparison round cannot end before the
 // status is durable.
 func (k *controlKeys) writeStatus(ctx context.Context, now time.Time, logIncomplete bool) {
-	if k.statusWritten || !k.commits.mayBegin(now) {
+	if k.statusWritten || !k.committer.mayCommit(now) {
 		return
 	}
-	value, _ := json.Marshal(recoveryStatus{Token: k.cfg.Leader.Tokens().OfTerm, SinceMs: now.UnixMilli(), Log: logIncomplete})
+	value, _ := json.Marshal(recoveryStatus{Token: k.cfg.Leader.Tokens().OfTerm, SinceMs: now.UnixMilli(), LogIncomplete: logIncomplete})
 	k.commitStatus(ctx, kvstore.Write{Set: jobs.RecoveryStatusKey, Value: value}, true)
 }
 
 // removeStatus removes the status once a recovery has ended and all adopted tasks are in the log.
 func (k *controlKeys) removeStatus(ctx context.Context, now time.Time, adopting bool) {
-	if !k.statusRemovalDue || adopting || k.cfg.AssignmentLog().HasWork() || !k.commits.mayBegin(now) {
+	if !k.statusRemovalDue || adopting || k.cfg.AssignmentLog().HasWork() || !k.committer.mayCommit(now) {
 		return
 	}
 	k.commitStatus(ctx, kvstore.Write{Remove: jobs.RecoveryStatusKey}, false)
 }
 
 func (k *controlKeys) commitStatus(ctx context.Context, write kvstore.Write, present bool) {
-	k.commits.commitKey(ctx, write, func() {
+	k.committer.commitKey(ctx, write, func() {
 		k.statusWritten = present
 		k.statusRemovalDue = k.statusRemovalDue && present
 	})
@@ -65,7 +65,7 @@
 // writeLogSize updates the log size key after the log has grown. It writes at most once per worker
 // lease, which suffices because the log rarely grows.
 func (k *controlKeys) writeLogSize(ctx context.Context, now time.Time) {
-	if k.commits.inFlight || now.Sub(k.logSizeWrittenAt) < k.cfg.Derived.Workers.Lease || !k.cfg.Valid() {
+	if k.committer.inFlight || now.Sub(k.logSizeWrittenAt) < k.cfg.Derived.Workers.Lease || !k.cfg.Valid() {
 		return
 	}
 	written := k.cfg.AssignmentLog().WrittenSegments()
@@ -74,11 +74,11 @@
 	}
 	k.logSizeWrittenAt = now
 	value, _ := json.Marshal(written)
-	k.commits.commitKey(ctx, kvstore.Write{Set: logSizeKey, Value: value}, func() { k.logSize = written })
+	k.committer.commitKey(ctx, kvstore.Write{Set: logSizeKey, Value: value}, func() { k.logSize = written })
 }
 
 // read reads the keys that earlier leaders wrote. The status is nil if no recovery was under way.
-func (k *controlKeys) read(ctx context.Context) (earlier *recoveryStatus, err error) {
+func (k *controlKeys) read(ctx context.Context) (status *recoveryStatus, err error) {
 	pairs, _, err := k.cfg.Store.List(ctx, controlPrefix)
 	if err != nil {
 		return nil, err
@@ -86,10 +86,10 @@
 	for _, pair := range pairs {
 		switch pair.Key {
 		case jobs.RecoveryStatusKey:
-			earlier = &recoveryStatus{}
-			if err := json.Unmarshal(pair.Value, earlier); err != nil {
+			status = &recoveryStatus{}
+			if err := json.Unmarshal(pair.Value, status); err != nil {
 				slog.Error("failed to decode the recovery status", "reason", err)
-				earlier.Log = true
+				status.LogIncomplete = true
 			}
 		case logSizeKey:
 			if err := json.Unmarshal(pair.Value, &k.logSize); err != nil {
@@ -97,5 +97,5 @@
 			}
 		}
 	}
-	return earlier, nil
+	return status, nil
 }
--- a/internal/leader/recoverer/evidence.go
+++ b/internal/leader/recoverer/evidence.go
@@ -13,7 +13,7 @@
 	counts             map[detection.Kind]int
 	logDamaged         bool // segments may be lost and are rewritten; the next leader must know
 	startupUnconfirmed bool // this controller has just started, and others may know more
-	workersAhead       bool // some worker knows more than this controller
+	workerKnowsMore    bool // some worker knows more than this controller
 	anotherRoundDue    bool // more evidence was reported while restoring
 }
 
--- a/internal/leader/recoverer/held_jobs.go
+++ b/internal/leader/recoverer/held_jobs.go
@@ -18,10 +18,10 @@
 
 // heldJob is a job that is not run until proof or an operator decides its outcome.
 type heldJob struct {
-	revision uint64 // revision of its record
-	reason   string
-	sinceMs  int64
-	known    recovery.Knowledge
+	revision    uint64 // revision of its record
+	reason      string
+	heldSinceMs int64
+	known       recovery.Knowledge
 }
 
 func (h *heldJobs) contains(id string) bool { return h.byID[id] != nil }
@@ -33,18 +33,18 @@
 	if earlier != nil && earlier.revision >= revision {
 		return
 	}
-	said := recovery.Knowledge{Spec: record.Held.Spec, AcceptedMs: record.Held.AcceptedAtMs, Unfinished: record.Held.OnlySpecMissing}
+	recorded := recovery.Knowledge{Spec: record.Held.Spec, AcceptedMs: record.Held.AcceptedAtMs, Unfinished: record.Held.OnlySpecMissing}
 	if record.Held.Spec != nil {
-		said.Tasks = record.Tasks
+		recorded.Tasks = record.Tasks
 	} else {
-		said.MinTasks = record.Tasks
+		recorded.MinTasks = record.Tasks
 	}
 	if record.Held.Contradicts {
-		said.Done, said.Cancelled = true, true
+		recorded.Done, recorded.Cancelled = true, true
 	}
 	job := &heldJob{
-		revision: revision, reason: record.Held.Reason, sinceMs: record.Held.HeldSinceMs,
-		known: recovery.Attribute(recovery.FromService, said),
+		revision: revision, reason: record.Held.Reason, heldSinceMs: record.Held.HeldSinceMs,
+		known: recovery.Attribute(recovery.FromService, recorded),
 	}
 	if earlier != nil {
 		job.known = job.known.Join(earlier.known)
@@ -54,9 +54,9 @@
 	slog.Info("job held", "job", id, "term", h.cfg.token(), "reason", job.reason)
 }
 
-// addTask records what a worker's task proves about a held job. It reports whether that decides
-// the job's outcome, in which case the caller has to write the job's record.
-func (h *heldJobs) addTask(id, machine string, index int, task *workers.TaskStatus) (decided bool) {
+// addTaskProof records what a worker's task proves about a held job. It reports whether that
+// decides the job's outcome, in which case the caller has to write the job's record.
+func (h *heldJobs) addTaskProof(id, machine string, index int, task *workers.TaskStatus) (decided bool) {
 	job := h.byID[id]
 	before := len(job.known.CompletedTasks)
 	job.known = job.known.Join(proofOfTask(machine, index, task))
@@ -70,7 +70,7 @@
 // their ids; the caller has to write their records.
 func (h *heldJobs) releaseOverdue(afterMs int64, now time.Time) (released []string) {
 	for id, job := range h.byID {
-		if now.UnixMilli()-job.sinceMs < afterMs {
+		if now.UnixMilli()-job.heldSinceMs < afterMs {
 			continue
 		}
 		if _, err := recovery.Settle(job.known, recovery.SettleRun); err == nil {
@@ -78,7 +78,7 @@
 			released = append(released, id)
 			slog.Info("held job released to run", "job", id, "term", h.cfg.token(), "reason", "held for runUncertainAfterS")
 		}
-		job.sinceMs = now.UnixMilli()
+		job.heldSinceMs = now.UnixMilli()
 	}
 	return released
 }
@@ -95,7 +95,7 @@
 // that they run. The event loop calls it once per control interval.
 func (r *Recoverer) RunUncertainJobs(now time.Time) {
 	afterS := r.cfg.Settings.Operator.RunUncertainAfterS
-	if afterS <= 0 || r.phase != Whole || r.commits.inFlight {
+	if afterS <= 0 || r.phase != Whole || r.committer.inFlight {
 		return
 	}
 	for _, id := range r.held.releaseOverdue(int64(afterS*1000), now) {
--- a/internal/leader/recoverer/held_jobs_test.go
+++ b/internal/leader/recoverer/held_jobs_test.go
@@ -23,7 +23,7 @@
 func TestHoldJob(t *testing.T) {
 	s := newScenario(t)
 	s.HoldJob("j-000001", heldRecord(nil, s.now), 7)
-	task := running("j-000001", 0, 3)
+	task := runningTask("j-000001", 0, 3)
 	if machine := s.addMachine("m-1"); !s.LeaveAlone(machine, &task) {
 		t.Fatal("a held job's task may be stopped")
 	}
@@ -42,11 +42,11 @@
 
 // The record of a held job must be written, once, when workers have proven that all its tasks are
 // done.
-func TestHeldJobProvenDone(t *testing.T) {
+func TestHeldJobWithAllTasksDoneIsWritten(t *testing.T) {
 	s := newScenario(t)
 	s.HoldJob("j-000001", heldRecord(batchSpec("j-000001"), s.now), 7)
 	machine := s.addMachine("m-1")
-	task := running("j-000001", 0, 3)
+	task := runningTask("j-000001", 0, 3)
 	if s.LeaveAlone(machine, &task); len(s.writeBack.queue) != 0 {
 		t.Error("a running task decided the outcome of its job")
 	}
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -19,14 +19,14 @@
 // isOverInCache reports whether a lost job is over according to this controller's cache, and this
 // leader neither works on it nor holds it.
 func (k *knowledge) isOverInCache(lost jobcache.LostJob) bool {
-	over := lost.State == jobs.Done || lost.State == jobs.Cancelled
-	return over && k.cfg.State.Jobs[lost.ID] == nil && !k.held.contains(lost.ID)
+	isOver := lost.State == jobs.Done || lost.State == jobs.Cancelled
+	return isOver && k.cfg.State.Jobs[lost.ID] == nil && !k.held.contains(lost.ID)
 }
 
 // needsNoComparison reports whether a lost job has no record and is over according to this
 // controller's cache, so that nothing else needs to be known about it. There may be hundreds of
 // thousands of such jobs. They are not kept here but written back from the cache page by page;
-// see writeBack.queueOverJobs.
+// see writeBack.queueFinishedJobs.
 func (k *knowledge) needsNoComparison(lost jobcache.LostJob) bool {
 	return lost.RecordedState == "" && k.isOverInCache(lost)
 }
@@ -36,60 +36,60 @@
 // work on it.
 func (k *knowledge) agreesWithCache(job peer.LostJob) bool {
 	known, _ := k.cfg.Cache.Known(job.ID)
-	_, open := k.lost[job.ID]
-	return !open && known.Finished() && known.State == job.State && k.cfg.State.Jobs[job.ID] == nil
+	_, isPending := k.lost[job.ID]
+	return !isPending && known.Finished() && known.State == job.State && k.cfg.State.Jobs[job.ID] == nil
 }
 
-// addLeadersView merges what this leader itself has observed of a lost job.
-func (k *knowledge) addLeadersView(id string) {
+// addLeaderState merges what this leader itself has observed of a lost job.
+func (k *knowledge) addLeaderState(id string) {
 	job := k.cfg.State.Jobs[id]
 	if job == nil {
 		return
 	}
-	said := recovery.Knowledge{
+	observed := recovery.Knowledge{
 		Done: job.End.CompletionDurable, Cancelled: job.End.Cancelled, Unfinished: !job.IsOver(),
 		Spec: job.Spec, AcceptedMs: job.AcceptedMs,
 	}
 	if job.End.Complete && !job.End.CompletionDurable {
 		for n := range job.Spec.Tasks { // not written yet: until then the job may be cancelled
-			said.CompletedTasks = append(said.CompletedTasks, n)
+			observed.CompletedTasks = append(observed.CompletedTasks, n)
 		}
 	}
 	if job.End.Recorded != "" {
-		said = recovery.Knowledge{Done: job.End.Recorded == jobs.Done, Cancelled: job.End.Recorded == jobs.Cancelled}
+		observed = recovery.Knowledge{Done: job.End.Recorded == jobs.Done, Cancelled: job.End.Recorded == jobs.Cancelled}
 	}
-	k.lost.Merge(id, recovery.Attribute(recovery.FromLeader, said))
+	k.lost.Merge(id, recovery.Attribute(recovery.FromLeader, observed))
 }
 
 // addCached merges what a controller's cache says about a lost job. The record is the one that
 // the controller has, or nil if it has none.
 func (k *knowledge) addCached(id string, from recovery.Source, state string, tasks int, record *jobs.Record) {
-	said := recovery.Knowledge{Tasks: tasks}
+	cached := recovery.Knowledge{Tasks: tasks}
 	switch state {
 	case jobs.Done:
-		said.Done = true
+		cached.Done = true
 	case jobs.Cancelled:
-		said.Cancelled = true
+		cached.Cancelled = true
 	case jobs.Queued:
-		said.Unfinished = true
+		cached.Unfinished = true
 	}
 	if record != nil {
-		said.Spec, said.AcceptedMs = record.Spec, record.AcceptedAtMs
+		cached.Spec, cached.AcceptedMs = record.Spec, record.AcceptedAtMs
 	}
-	k.lost.Merge(id, recovery.Attribute(from, said))
+	k.lost.Merge(id, recovery.Attribute(from, cached))
 	// A job that is over is stopped at once, even if other facts about it are still uncertain.
 	switch job := k.cfg.State.Jobs[id]; {
 	case job == nil || job.IsOver():
-	case said.Cancelled:
+	case cached.Cancelled:
 		k.cfg.Leader.CancelJob(job, job.Revision)
-	case said.Done:
+	case cached.Done:
 		k.cfg.Leader.CompleteElsewhere(job)
 	}
 }
 
-// refreshed returns what is known about a job whose record is to be written, including what this
+// refresh returns what is known about a job whose record is to be written, including what this
 // controller's cache has learnt about it since.
-func (k *knowledge) refreshed(id string) (known recovery.Knowledge, found bool) {
+func (k *knowledge) refresh(id string) (known recovery.Knowledge, found bool) {
 	if cached, inCache := k.cfg.Cache.Known(id); inCache && cached.Finished() {
 		k.addCached(id, recovery.FromCache(k.cfg.Node), cached.State, cached.Tasks, nil)
 	}
@@ -100,9 +100,9 @@
 	return known, found
 }
 
-// isInRecord reports whether a job's record exists again and says as much as is known: its user
-// may have cancelled the job or submitted it again in the meantime.
-func (k *knowledge) isInRecord(id string, known recovery.Knowledge) bool {
+// isRecordCurrent reports whether a job's record exists again and says as much as is known: its
+// user may have cancelled the job or submitted it again in the meantime.
+func (k *knowledge) isRecordCurrent(id string, known recovery.Knowledge) bool {
 	cached, _ := k.cfg.Cache.Known(id)
 	return !k.held.contains(id) && k.cfg.Cache.RecordRevision(id) != 0 && !k.cfg.Cache.IsLost(id) && cached.State == recovery.Decide(known, true).State
 }
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -63,14 +63,14 @@
 // Status returns the state of the recovery.
 func (r *Recoverer) Status() Status {
 	status := Status{
-		Phase: r.phase, Since: r.comparison.since, Evidence: maps.Clone(r.evidence.counts),
+		Phase: r.phase, Since: r.comparison.startedAt, Evidence: maps.Clone(r.evidence.counts),
 		Lost: r.cfg.Cache.LostCount(), ToWrite: max(r.cfg.Cache.LostCount(), len(r.writeBack.queue)),
 		Written: maps.Clone(r.writeBack.written), Adopting: len(r.adoption.jobs),
 		Held: len(r.held.byID), HeldJobs: []HeldStatus{},
 		Events: slices.Clone(r.events.events), NotShown: r.events.dropped,
 	}
 	for name, scan := range r.comparison.peers {
-		status.Peers = append(status.Peers, PeerStatus{name, scan.done, scan.gone})
+		status.Peers = append(status.Peers, PeerStatus{name, scan.done, scan.timedOut})
 	}
 	slices.SortFunc(status.Peers, func(a, b PeerStatus) int { return cmp.Compare(a.Node, b.Node) })
 	ids := slices.Sorted(maps.Keys(r.held.byID))
@@ -78,7 +78,7 @@
 		job := r.held.byID[id]
 		status.HeldJobs = append(status.HeldJobs, HeldStatus{
 			Job: id, Why: job.reason, Said: job.known.Statements, Described: job.known.Spec != nil,
-			Running: job.known.RunningTasks, TasksDone: job.known.CompletedTasks, SinceMs: job.sinceMs,
+			Running: job.known.RunningTasks, TasksDone: job.known.CompletedTasks, SinceMs: job.heldSinceMs,
 		})
 	}
 	return status
@@ -99,7 +99,7 @@
 		reply(err)
 		return
 	}
-	record := r.writeBack.composeRecord(id, job.known, decision, now)
+	record := r.writeBack.buildRecord(id, job.known, decision, now)
 	record.revision = job.revision
 	slog.Info("job settled by an operator", "job", id, "term", r.cfg.token(), "as", string(as), "said", job.known.Provenance())
 	r.events.add(now, "settled as "+string(as), id)
@@ -157,7 +157,7 @@
 			count.Invalid++
 			continue
 		}
-		r.importFact(fact.ID, record, recovery.FromSnapshot(in.Revision), &count, now)
+		r.importRecord(fact.ID, record, recovery.FromSnapshot(in.Revision), &count, now)
 	}
 	if count.Missing+count.Ended > 0 {
 		r.ReportLoss(detection.Evidence{Kind: detection.Imported, Known: in.Revision}, now)
@@ -165,20 +165,20 @@
 	return count, nil
 }
 
-// importFact compares a snapshot's record with what is known. However old the snapshot is, a job
+// importRecord compares a snapshot's record with what is known. However old the snapshot is, a job
 // that is over in it stays over. Anything else in it only proves that the job was accepted.
-func (r *Recoverer) importFact(id string, record *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
-	said := recovery.Attribute(from, recovery.Knowledge{
+func (r *Recoverer) importRecord(id string, record *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
+	snapshotKnowledge := recovery.Attribute(from, recovery.Knowledge{
 		Done: record.State == jobs.Done, Cancelled: record.State == jobs.Cancelled,
 		Spec: record.Description(), AcceptedMs: record.AcceptedAtMs, Tasks: record.Tasks,
 	})
 	known, found := r.cfg.Cache.Known(id)
 	switch {
 	case r.held.contains(id):
-		r.importHeld(id, said, count)
+		r.importHeld(id, snapshotKnowledge, count)
 	case !found:
 		count.Missing++
-		r.knowledge.lost.Merge(id, said)
+		r.knowledge.lost.Merge(id, snapshotKnowledge)
 	case record.Finished() && known.Finished() && known.State != record.State:
 		// The state that users were told last stays. An operator has to find out which is right.
 		count.Contradicting++
@@ -186,10 +186,10 @@
 		r.events.add(now, "snapshot contradicts the record", id)
 	case record.Finished() && known.State != record.State:
 		count.Ended++
-		r.knowledge.lost.Merge(id, said)
+		r.knowledge.lost.Merge(id, snapshotKnowledge)
 	case r.cfg.Cache.RecordRevision(id) == 0:
 		count.Missing++
-		r.knowledge.lost.Merge(id, said)
+		r.knowledge.lost.Merge(id, snapshotKnowledge)
 		r.knowledge.addCached(id, recovery.FromCache(r.cfg.Node), known.State, known.Tasks, nil)
 	default:
 		count.Same++
@@ -198,10 +198,10 @@
 
 // importHeld merges what a snapshot says into what is known about a held job. The job's record is
 // written if that decides the job's outcome or adds its missing description.
-func (r *Recoverer) importHeld(id string, said recovery.Knowledge, count *Imported) {
+func (r *Recoverer) importHeld(id string, snapshotKnowledge recovery.Knowledge, count *Imported) {
 	job := r.held.byID[id]
 	hadDescription := job.known.Spec != nil
-	job.known = job.known.Join(said)
+	job.known = job.known.Join(snapshotKnowledge)
 	switch {
 	case recovery.Decide(job.known, true).Final():
 		count.Ended++
--- a/internal/leader/recoverer/orphans.go
+++ b/internal/leader/recoverer/orphans.go
@@ -29,9 +29,9 @@
 
 // orphanedJob is an unknown job with tasks on workers.
 type orphanedJob struct {
-	reading       bool
+	readInFlight  bool
 	recordMissing bool
-	readAgainAt   time.Time
+	nextReadAt    time.Time
 }
 
 // add records a worker's task of an unknown job, and starts reading the job's record if a read is
@@ -46,8 +46,8 @@
 		o.knowledge.lost.Merge(id, proofOfTask(machine, index, task))
 	}
 	now := time.Now()
-	if !job.reading && !job.recordMissing && !now.Before(job.readAgainAt) && o.readsInFlight < maxOrphanReads {
-		job.reading, job.readAgainAt = true, now.Add(o.cfg.Derived.Leader.ControlInterval)
+	if !job.readInFlight && !job.recordMissing && !now.Before(job.nextReadAt) && o.readsInFlight < maxOrphanReads {
+		job.readInFlight, job.nextReadAt = true, now.Add(o.cfg.Derived.Leader.ControlInterval)
 		o.readsInFlight++
 		go o.readRecord(id, job, proofOfTask(machine, index, task))
 	}
@@ -72,7 +72,7 @@
 	defer cancel()
 	record, found, err := o.cfg.Store.Get(ctx, jobs.RecordKey(id))
 	o.cfg.Post(context.Background(), func(now time.Time) {
-		job.reading = false
+		job.readInFlight = false
 		o.readsInFlight--
 		switch {
 		case err != nil:
@@ -110,7 +110,7 @@
 	}
 	if !r.held.contains(id) {
 		r.orphans.add(id, machine.ID, index, task)
-	} else if r.held.addTask(id, machine.ID, index, task) {
+	} else if r.held.addTaskProof(id, machine.ID, index, task) {
 		r.writeBack.enqueue(id)
 	}
 	return true
--- a/internal/leader/recoverer/orphans_test.go
+++ b/internal/leader/recoverer/orphans_test.go
@@ -14,7 +14,7 @@
 	s := newScenario(t)
 	machine := s.addMachine("m-1")
 	for n := range maxOrphanReads + 2 {
-		task := running(fmt.Sprintf("j-%06d", n), 0, uint64(n))
+		task := runningTask(fmt.Sprintf("j-%06d", n), 0, uint64(n))
 		for range 2 { // the next heartbeat reports the task again
 			if !s.LeaveAlone(machine, &task) {
 				t.Errorf("%s may be stopped", task.Name)
@@ -25,7 +25,7 @@
 		t.Errorf("%d reads in flight for %d jobs", s.orphans.readsInFlight, len(s.orphans.byJob))
 	}
 	machine.Worker.HeartbeatAt = s.now
-	machine.Worker.Tasks = []workers.TaskStatus{running("j-000001", 0, 1)}
+	machine.Worker.Tasks = []workers.TaskStatus{runningTask("j-000001", 0, 1)}
 	if !s.MayHaveUnknownTasks(machine) {
 		t.Error("a machine with orphaned tasks may be released")
 	}
@@ -35,10 +35,10 @@
 }
 
 // A task that is not orphaned must be stopped or cleared as usual.
-func TestNoOrphanedTasks(t *testing.T) {
+func TestOtherTasksAreNotKept(t *testing.T) {
 	s := newScenario(t)
 	s.addJob(jobs.Batch)
-	for _, task := range []workers.TaskStatus{{Name: "not a task"}, {Name: "no-job/0"}, running("j-000001", 0, 3)} {
+	for _, task := range []workers.TaskStatus{{Name: "not a task"}, {Name: "no-job/0"}, runningTask("j-000001", 0, 3)} {
 		if s.LeaveAlone(s.addMachine("m-"+task.Name), &task) {
 			t.Errorf("%s is neither stopped nor cleared", task.Name)
 		}
--- a/internal/leader/recoverer/pinned_test.go
+++ b/internal/leader/recoverer/pinned_test.go
@@ -16,7 +16,7 @@
 
 // Assignment log segments and the recovery status written by version 0.8.0 must decode and encode
 // to the same bytes.
-func TestStoredRecordsReadAndWritten(t *testing.T) {
+func TestStoredRecordsRoundTrip(t *testing.T) {
 	raw, err := os.ReadFile("testdata/pinned/records.jsonl")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -20,15 +20,15 @@
 // and how many segments the assignment log had. It blocks for one request and must be called
 // before the event loop starts.
 func (r *Recoverer) ReadControlKeys(ctx context.Context, now time.Time) error {
-	earlier, err := r.keys.read(ctx)
+	status, err := r.controlKeys.read(ctx)
 	if err != nil {
 		return err
 	}
-	if earlier != nil {
-		if earlier.Log {
+	if status != nil {
+		if status.LogIncomplete {
 			r.adoption.expectUnloggedTasks(now)
 		}
-		r.ReportLoss(detection.Evidence{Kind: detection.NoticedByPredecessor, Known: earlier.Token}, now)
+		r.ReportLoss(detection.Evidence{Kind: detection.NoticedByPredecessor, Known: status.Token}, now)
 	}
 	if r.phase == Whole && (r.cfg.Cache.Readiness.LossSuspected() || r.cfg.Cache.LostCount() > 0) {
 		// A loss was noticed while there was no leader.
@@ -46,9 +46,9 @@
 	for _, stored := range log {
 		segments = append(segments, detection.Segment{Key: stored.Key, Number: stored.Record.Number, Broken: stored.Unreadable})
 	}
-	if len(log) < r.keys.logSize {
+	if len(log) < r.controlKeys.logSize {
 		r.adoption.expectUnloggedTasks(now)
-		r.ReportLoss(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix, Known: uint64(r.keys.logSize), Found: uint64(len(log))}, now)
+		r.ReportLoss(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix, Known: uint64(r.controlKeys.logSize), Found: uint64(len(log))}, now)
 	}
 	for _, loss := range detection.CheckRing(assignmentlog.Prefix, segments) {
 		r.adoption.expectUnloggedTasks(now)
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -33,7 +33,7 @@
 	// Peers returns the names of the other controllers.
 	Peers() []string
 	// RequestLostJobs requests one page of lost jobs from the named controller.
-	RequestLostJobs(ctx context.Context, node string, question peer.LostJobsRequest) (peer.LostJobsResponse, error)
+	RequestLostJobs(ctx context.Context, controller string, request peer.LostJobsRequest) (peer.LostJobsResponse, error)
 }
 
 // Config holds the settings and dependencies of a Recoverer. It is read only on the event loop.
@@ -109,17 +109,17 @@
 	phase  Phase
 	shared sharedState
 
-	evidence   evidence
-	events     eventLog
-	knowledge  knowledge
-	comparison comparison
-	commits    committer
-	keys       controlKeys
-	writeBack  writeBack
-	held       heldJobs
-	adoption   adoption
-	orphans    orphanedTasks
-	tokens     tokenCheck
+	evidence    evidence
+	events      eventLog
+	knowledge   knowledge
+	comparison  comparison
+	committer   committer
+	controlKeys controlKeys
+	writeBack   writeBack
+	held        heldJobs
+	adoption    adoption
+	orphans     orphanedTasks
+	tokens      tokenCheck
 }
 
 // sharedState is the part of a Recoverer that other goroutines may read.
@@ -134,7 +134,7 @@
 	r := &Recoverer{cfg: &config, phase: Whole}
 	r.shared.phase.Store(Whole)
 	r.evidence.counts = map[detection.Kind]int{}
-	r.commits.cfg = r.cfg
+	r.committer.cfg = r.cfg
 	r.tokens = tokenCheck{cfg: r.cfg, reportLoss: r.ReportLoss}
 	r.orphans = orphanedTasks{
 		cfg: r.cfg, knowledge: &r.knowledge, reportLoss: r.ReportLoss, byJob: map[string]*orphanedJob{},
@@ -146,9 +146,9 @@
 		cfg: r.cfg, events: &r.events, knowledge: &r.knowledge, round: config.Term.FencingToken << roundBits,
 		peers: map[string]*peerScan{},
 	}
-	r.keys = controlKeys{cfg: r.cfg, commits: &r.commits}
+	r.controlKeys = controlKeys{cfg: r.cfg, committer: &r.committer}
 	r.writeBack = writeBack{
-		cfg: r.cfg, events: &r.events, commits: &r.commits, knowledge: &r.knowledge, held: &r.held,
+		cfg: r.cfg, events: &r.events, committer: &r.committer, knowledge: &r.knowledge, held: &r.held,
 		ranks: map[string]writeRank{}, written: map[recovery.Outcome]int{},
 	}
 	return r
@@ -181,7 +181,7 @@
 	}
 	switch {
 	case loss.Kind == detection.TaskUnknown || loss.Kind == detection.TokenBack:
-		r.noteWorkersAhead(now)
+		r.noteWorkerKnowsMore(now)
 	case r.evidence.startupUnconfirmed || loss.Kind.AffectsLog() || loss.Kind == detection.ReportedByPeer:
 		r.adoption.expectTasksOfAllJobs(now)
 	}
@@ -198,7 +198,7 @@
 func (r *Recoverer) protectAssignmentLog() {
 	if !r.evidence.logDamaged {
 		r.evidence.logDamaged = true
-		r.keys.statusWritten = false // the stored status has to say that the log is damaged
+		r.controlKeys.statusWritten = false // the stored status has to say that the log is damaged
 	}
 	if r.phase != Comparing {
 		r.cfg.AssignmentLog().RewriteAll()
@@ -206,14 +206,14 @@
 	}
 }
 
-// noteWorkersAhead records that a worker knows more than this controller, which therefore cannot
-// tell which jobs are new either. Until every lease from before this term has expired, the
+// noteWorkerKnowsMore records that a worker knows more than this controller, which therefore
+// cannot tell which jobs are new either. Until every lease from before this term has expired, the
 // leader places nothing and adopts the tasks that workers report.
-func (r *Recoverer) noteWorkersAhead(now time.Time) {
-	if r.evidence.workersAhead {
+func (r *Recoverer) noteWorkerKnowsMore(now time.Time) {
+	if r.evidence.workerKnowsMore {
 		return
 	}
-	r.evidence.workersAhead = true
+	r.evidence.workerKnowsMore = true
 	// An earlier leader may have had the same fencing token as this one and have allocated
 	// the same attempt numbers.
 	if tokens := r.cfg.Leader.Tokens(); tokens.OfTerm > tokens.Floor {
@@ -222,61 +222,62 @@
 	r.adoption.expectTasksOfAllJobs(now)
 }
 
-// enter switches to a phase and publishes it to other goroutines.
-func (r *Recoverer) enter(phase Phase) {
+// setPhase switches to a phase and publishes it to other goroutines.
+func (r *Recoverer) setPhase(phase Phase) {
 	r.phase = phase
 	r.shared.phase.Store(phase)
 }
 
 // beginRound starts a round of comparison.
 func (r *Recoverer) beginRound(now time.Time) {
-	r.enter(Comparing)
-	r.evidence.anotherRoundDue, r.keys.statusRemovalDue = false, false
+	r.setPhase(Comparing)
+	r.evidence.anotherRoundDue, r.controlKeys.statusRemovalDue = false, false
 	r.comparison.begin(now)
 	r.shared.relist.Store(true)
 	r.events.add(now, "comparing", fmt.Sprintf("round %d", r.comparison.round))
 }
 
-// Advance performs the work that is due in the current phase. The event loop calls it at each tick.
+// Advance performs the work that is due in the current phase. The event loop calls it at each
+// tick.
 func (r *Recoverer) Advance(ctx context.Context, now time.Time) {
 	switch r.phase {
 	case Comparing:
-		r.keys.writeStatus(ctx, now, r.adoption.logIncomplete || r.evidence.logDamaged)
-		r.comparison.readOwnPage()
-		r.comparison.askPeers(ctx, now)
+		r.controlKeys.writeStatus(ctx, now, r.adoption.logIncomplete || r.evidence.logDamaged)
+		r.comparison.readCachePage()
+		r.comparison.queryPeers(ctx, now)
 		if r.allCompared(now) {
 			r.endRound(now)
 		}
 	case Restoring:
-		if r.writeBack.nextRank() > rankRolledBack && !r.commits.inFlight {
+		if r.writeBack.nextRank() > rankRolledBack && !r.committer.inFlight {
 			r.shared.rolledBack.Store(false)
 		}
-		if len(r.writeBack.queue) == 0 && !r.commits.inFlight && !r.writeBack.queueOverJobs() {
+		if len(r.writeBack.queue) == 0 && !r.committer.inFlight && !r.writeBack.queueFinishedJobs() {
 			r.finish(now)
 		}
 	case Whole:
 		r.endStartupWait(now)
-		r.keys.removeStatus(ctx, now, len(r.adoption.jobs) > 0)
-		r.keys.writeLogSize(ctx, now)
+		r.controlKeys.removeStatus(ctx, now, len(r.adoption.jobs) > 0)
+		r.controlKeys.writeLogSize(ctx, now)
 	}
 	r.writeBack.writeNext(ctx, now)
 }
 
 // allCompared reports whether every source that may know more than the records has answered.
 func (r *Recoverer) allCompared(now time.Time) bool {
-	return r.keys.statusWritten && r.comparison.ownDone && r.comparison.allPeersHeard() && !now.Before(r.adoption.allKnownBy)
+	return r.controlKeys.statusWritten && r.comparison.cacheDone && r.comparison.allPeersDone() && !now.Before(r.adoption.allTasksKnownBy)
 }
 
 // endRound ends a comparison round and queues the lost jobs to be written back.
 func (r *Recoverer) endRound(now time.Time) {
-	r.enter(Restoring)
-	r.adoption.logIncomplete, r.evidence.workersAhead = false, false
+	r.setPhase(Restoring)
+	r.adoption.logIncomplete, r.evidence.workerKnowsMore = false, false
 	for id, known := range r.knowledge.lost {
 		r.cfg.Cache.AddLost(id, stateForUsers(known), known.TaskCount())
 	}
 	r.cfg.Cache.Readiness.MarkCompared()
 	r.writeBack.queueLostJobs()
-	slog.Info("records compared", "term", r.cfg.token(), "took", now.Sub(r.comparison.since).Round(time.Millisecond).String(), "lost", r.cfg.Cache.LostCount(), "to decide", len(r.knowledge.lost))
+	slog.Info("records compared", "term", r.cfg.token(), "took", now.Sub(r.comparison.startedAt).Round(time.Millisecond).String(), "lost", r.cfg.Cache.LostCount(), "to decide", len(r.knowledge.lost))
 	r.events.add(now, "compared", fmt.Sprintf("%d jobs lost", r.cfg.Cache.LostCount()))
 }
 
@@ -286,11 +287,11 @@
 		r.beginRound(now)
 		return
 	}
-	r.enter(Whole)
-	r.keys.statusRemovalDue, r.evidence.logDamaged = true, false
+	r.setPhase(Whole)
+	r.controlKeys.statusRemovalDue, r.evidence.logDamaged = true, false
 	r.shared.rolledBack.Store(false)
 	clear(r.knowledge.lost)
 	clear(r.orphans.byJob)
-	slog.Info("recovery of lost records complete", "term", r.cfg.token(), "took", now.Sub(r.comparison.since).Round(time.Millisecond).String(), "held", len(r.held.byID))
+	slog.Info("recovery of lost records complete", "term", r.cfg.token(), "took", now.Sub(r.comparison.startedAt).Round(time.Millisecond).String(), "held", len(r.held.byID))
 	r.events.add(now, "whole", fmt.Sprintf("%d jobs held", len(r.held.byID)))
 }
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -22,46 +22,46 @@
 
 // fakeLeader records the calls of a recovery.
 type fakeLeader struct {
-	tokens   Tokens
-	attempts uint64
-	calls    []string
+	tokens      Tokens
+	lastAttempt uint64
+	calls       []string
 }
 
-func (f *fakeLeader) note(call string)         { f.calls = append(f.calls, call) }
+func (f *fakeLeader) record(call string)       { f.calls = append(f.calls, call) }
 func (f *fakeLeader) Tokens() Tokens           { return f.tokens }
-func (f *fakeLeader) RequestTokenRaise()       { f.note("request token raise") }
-func (f *fakeLeader) Resign()                  { f.note("resign") }
-func (f *fakeLeader) RequestPlan()             { f.note("request plan") }
-func (f *fakeLeader) ReserveAttempts(n uint64) { f.attempts = max(f.attempts, n) }
+func (f *fakeLeader) RequestTokenRaise()       { f.record("request token raise") }
+func (f *fakeLeader) Resign()                  { f.record("resign") }
+func (f *fakeLeader) RequestPlan()             { f.record("request plan") }
+func (f *fakeLeader) ReserveAttempts(n uint64) { f.lastAttempt = max(f.lastAttempt, n) }
 
 func (f *fakeLeader) RaiseTokenAbove(floor uint64) {
 	f.tokens.Floor = floor
-	f.note(fmt.Sprint("raise token above ", floor))
+	f.record(fmt.Sprint("raise token above ", floor))
 }
 
 func (f *fakeLeader) NextAttempt() uint64 {
-	f.attempts++
-	return f.attempts
+	f.lastAttempt++
+	return f.lastAttempt
 }
 
-func (f *fakeLeader) CancelJob(job *cluster.Job, _ uint64) { f.note("cancel " + job.ID) }
-func (f *fakeLeader) CompleteElsewhere(job *cluster.Job)   { f.note("complete " + job.ID) }
+func (f *fakeLeader) CancelJob(job *cluster.Job, _ uint64) { f.record("cancel " + job.ID) }
+func (f *fakeLeader) CompleteElsewhere(job *cluster.Job)   { f.record("complete " + job.ID) }
 func (f *fakeLeader) JobChanged(c kvstore.Change, _ time.Time) {
-	f.note("changed " + jobs.JobIDFromKey(c.Set))
+	f.record("changed " + jobs.JobIDFromKey(c.Set))
 }
-func (f *fakeLeader) QueueJob(job *cluster.Job)             { f.note("queue " + job.ID) }
-func (f *fakeLeader) StopGang(job *cluster.Job)             { f.note("stop gang " + job.ID) }
-func (f *fakeLeader) CountAssignment(a *cluster.Assignment) { f.note("count " + a.TaskName()) }
+func (f *fakeLeader) QueueJob(job *cluster.Job)             { f.record("queue " + job.ID) }
+func (f *fakeLeader) StopGang(job *cluster.Job)             { f.record("stop gang " + job.ID) }
+func (f *fakeLeader) CountAssignment(a *cluster.Assignment) { f.record("count " + a.TaskName()) }
 
 // called reports whether a call was made.
 func (f *fakeLeader) called(call string) bool { return slices.Contains(f.calls, call) }
 
-// silentPeers are other controllers that never answer.
-type silentPeers []string
+// unresponsivePeers are other controllers that never answer.
+type unresponsivePeers []string
 
-func (p silentPeers) Peers() []string { return p }
+func (p unresponsivePeers) Peers() []string { return p }
 
-func (silentPeers) RequestLostJobs(ctx context.Context, _ string, _ peer.LostJobsRequest) (peer.LostJobsResponse, error) {
+func (unresponsivePeers) RequestLostJobs(ctx context.Context, _ string, _ peer.LostJobsRequest) (peer.LostJobsResponse, error) {
 	<-ctx.Done()
 	return peer.LostJobsResponse{}, ctx.Err()
 }
@@ -92,7 +92,7 @@
 	s.Recoverer = New(Config{
 		Settings: set, Derived: set.Derive(), Node: "node-0", Term: election.Term{FencingToken: termToken, Since: now}, AttemptBits: 24,
 		Store: store, Cache: jobcache.New(store, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}),
-		Peers: silentPeers(peers),
+		Peers: unresponsivePeers(peers),
 		Valid: func() bool { return true }, Post: func(context.Context, func(time.Time)) {},
 		Leader: s.leader, State: state,
 		AssignmentLog: func() *assignmentlog.Log { return s.log },
@@ -116,7 +116,7 @@
 	return job
 }
 
-func running(job string, index int, attempt uint64) workers.TaskStatus {
+func runningTask(job string, index int, attempt uint64) workers.TaskStatus {
 	return workers.TaskStatus{Name: fmt.Sprintf("%s/%d", job, index), Attempt: attempt, State: workers.StateRunning}
 }
 
@@ -156,7 +156,7 @@
 }
 
 // A loss reported while records are being written back must start another round of comparison.
-func TestAnotherRound(t *testing.T) {
+func TestLossWhileRestoringStartsAnotherRound(t *testing.T) {
 	s := newScenario(t)
 	s.ReportLoss(detection.Evidence{Kind: detection.RecordRemoved}, s.now)
 	first := s.comparison.round
@@ -176,7 +176,7 @@
 
 // A log that names attempts of a higher token than this term's was written by a later term.
 // The token must be raised above that one, and no attempt number reused.
-func TestLogOfALaterTerm(t *testing.T) {
+func TestLogWrittenByLaterTerm(t *testing.T) {
 	s := newScenario(t)
 	attempt := uint64(termToken+2)<<s.cfg.AttemptBits + 3
 	log := []assignmentlog.StoredSegment{{
@@ -186,8 +186,8 @@
 		}},
 	}}
 	s.CheckLog(log, s.now)
-	if !s.leader.called(fmt.Sprint("raise token above ", termToken+2)) || s.leader.attempts != attempt {
-		t.Errorf("calls to the leader: %v, attempt numbers reserved up to %d", s.leader.calls, s.leader.attempts)
+	if !s.leader.called(fmt.Sprint("raise token above ", termToken+2)) || s.leader.lastAttempt != attempt {
+		t.Errorf("calls to the leader: %v, attempt numbers reserved up to %d", s.leader.calls, s.leader.lastAttempt)
 	}
 	if !s.LogIncomplete() || s.Phase() != Comparing {
 		t.Errorf("log incomplete: %v, phase %s", s.LogIncomplete(), s.Phase())
--- a/internal/leader/recoverer/token.go
+++ b/internal/leader/recoverer/token.go
@@ -19,24 +19,24 @@
 // CheckToken handles a heartbeat with a fencing token above this leader's. Usually another
 // controller has become leader without this one noticing. If the term is still held, the store has
 // lost the token, which is then raised above those that workers have seen.
-func (r *Recoverer) CheckToken(shown uint64) { r.tokens.check(shown) }
+func (r *Recoverer) CheckToken(seen uint64) { r.tokens.check(seen) }
 
-func (c *tokenCheck) check(shown uint64) {
+func (c *tokenCheck) check(seen uint64) {
 	tokens := c.cfg.Leader.Tokens()
-	if c.inFlight || shown <= tokens.Floor || !c.cfg.Valid() {
+	if c.inFlight || seen <= tokens.Floor || !c.cfg.Valid() {
 		return
 	}
-	if !detection.PlausibleToken(shown, tokens.Current) {
-		slog.Error("heartbeat with an implausible fencing token", "term", tokens.Current, "token", shown)
+	if !detection.PlausibleToken(seen, tokens.Current) {
+		slog.Error("heartbeat with an implausible fencing token", "term", tokens.Current, "token", seen)
 		return
 	}
 	c.inFlight = true
-	go c.readHolder(shown)
+	go c.readHolder(seen)
 }
 
 // readHolder reads whether the term is still held, and posts the result to the event loop. It does
 // not run on the event loop.
-func (c *tokenCheck) readHolder(shown uint64) {
+func (c *tokenCheck) readHolder(seen uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.cfg.Derived.Store.RequestTimeout)
 	defer cancel()
 	holder, found, err := c.cfg.Store.Get(ctx, election.HolderKey)
@@ -48,17 +48,18 @@
 			slog.Info("term lost", "term", c.cfg.token(), "reason", "a worker has seen a higher token")
 			c.cfg.Leader.Resign()
 		default:
-			c.tokenWasLost(shown, now)
+			c.handleLostToken(seen, now)
 		}
 	})
 }
 
-// tokenWasLost handles the loss of a token above this leader's that was issued before this term.
-func (c *tokenCheck) tokenWasLost(shown uint64, now time.Time) {
+// handleLostToken raises this leader's token above seen, which was issued before this term and
+// lost by the store, and reports the loss.
+func (c *tokenCheck) handleLostToken(seen uint64, now time.Time) {
 	tokens := c.cfg.Leader.Tokens()
-	if shown <= max(tokens.Current, tokens.Floor) {
+	if seen <= max(tokens.Current, tokens.Floor) {
 		return
 	}
-	c.cfg.Leader.RaiseTokenAbove(shown)
-	c.reportLoss(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: shown, Found: tokens.Current}, now)
+	c.cfg.Leader.RaiseTokenAbove(seen)
+	c.reportLoss(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: seen, Found: tokens.Current}, now)
 }
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -19,8 +19,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// recoveryShare is the fraction of the leader's write rate that lost records may use.
-const recoveryShare = 0.25
+// recoveryWriteShare is the fraction of the leader's write rate that lost records may use.
+const recoveryWriteShare = 0.25
 
 // writeRank orders lost jobs for write-back. Jobs that have ended but whose record says less come
 // first, because every controller would show users the older state. Jobs that must not run, jobs
@@ -32,21 +32,21 @@
 	rankRolledBack writeRank = iota
 	rankCancelled
 	rankToRun
-	rankOver
+	rankDone
 )
 
 // writeBack writes the records of lost jobs, and of held jobs whose outcome has been decided.
 type writeBack struct {
 	cfg       *Config
 	events    *eventLog
-	commits   *committer
+	committer *committer
 	knowledge *knowledge
 	held      *heldJobs
 
-	queue         []string // jobs whose records are to be written
-	ranks         map[string]writeRank
-	overJobsAfter string // jobs up to this id have been considered by queueOverJobs
-	written       map[recovery.Outcome]int
+	queue              []string // jobs whose records are to be written
+	ranks              map[string]writeRank
+	finishedJobsCursor string // jobs up to this id have been considered by queueFinishedJobs
+	written            map[recovery.Outcome]int
 }
 
 // lostRecord is a record to be written back.
@@ -66,33 +66,33 @@
 	case !decision.Final():
 		return rankToRun
 	}
-	return rankOver
+	return rankDone
 }
 
 // queueLostJobs queues all jobs that a comparison has found, ordered by rank.
 func (w *writeBack) queueLostJobs() {
 	w.queue = w.knowledge.lost.IDs()
 	clear(w.ranks)
-	w.overJobsAfter = ""
+	w.finishedJobsCursor = ""
 	for _, id := range w.queue {
 		w.ranks[id] = w.rankOf(id, recovery.Decide(w.knowledge.lost[id], true))
 	}
 	slices.SortStableFunc(w.queue, func(a, b string) int { return cmp.Compare(w.ranks[a], w.ranks[b]) })
 }
 
-// queueOverJobs queues the next page of lost jobs that are over and about which nothing else has
-// to be known. It reports whether there may be more.
-func (w *writeBack) queueOverJobs() bool {
-	page, more := w.cfg.Cache.LostPage(w.overJobsAfter, lostPageRows)
+// queueFinishedJobs queues the next page of lost jobs that are over and about which nothing else
+// has to be known. It reports whether there may be more.
+func (w *writeBack) queueFinishedJobs() bool {
+	page, more := w.cfg.Cache.LostPage(w.finishedJobsCursor, lostPageSize)
 	for _, lost := range page {
-		w.overJobsAfter = lost.ID
+		w.finishedJobsCursor = lost.ID
 		// A job whose record now says less may have had no record during the comparison.
-		contradicted := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
-		if _, open := w.knowledge.lost[lost.ID]; open || contradicted || !w.knowledge.isOverInCache(lost) {
+		recordFinished := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
+		if _, isPending := w.knowledge.lost[lost.ID]; isPending || recordFinished || !w.knowledge.isOverInCache(lost) {
 			continue
 		}
 		w.knowledge.addCached(lost.ID, recovery.FromCache(w.cfg.Node), lost.State, lost.Tasks, nil)
-		w.ranks[lost.ID] = rankOver
+		w.ranks[lost.ID] = rankDone
 		w.enqueue(lost.ID)
 	}
 	return more || len(page) > 0
@@ -101,21 +101,21 @@
 // enqueue queues a job's record. Its content is determined only when it is written.
 func (w *writeBack) enqueue(id string) { w.queue = append(w.queue, id) }
 
-// nextRank returns the rank of the next job in the queue, or rankOver if the queue is empty.
+// nextRank returns the rank of the next job in the queue, or rankDone if the queue is empty.
 func (w *writeBack) nextRank() writeRank {
 	if len(w.queue) == 0 {
-		return rankOver
+		return rankDone
 	}
 	return w.ranks[w.queue[0]]
 }
 
 // mayStillRestoreTasks reports whether jobs that are to run may still be written back.
 func (w *writeBack) mayStillRestoreTasks() bool {
-	return w.commits.inFlight || w.nextRank() <= rankToRun && len(w.queue) > 0
+	return w.committer.inFlight || w.nextRank() <= rankToRun && len(w.queue) > 0
 }
 
-// composeRecord builds the record of a job from what is known about it.
-func (w *writeBack) composeRecord(id string, known recovery.Knowledge, decision recovery.Decision, now time.Time) lostRecord {
+// buildRecord builds the record of a job from what is known about it.
+func (w *writeBack) buildRecord(id string, known recovery.Knowledge, decision recovery.Decision, now time.Time) lostRecord {
 	record := known.Record(decision, now.UnixMilli())
 	if w.cfg.State.Jobs[id] != nil {
 		record.Restored = false // this leader's assignment log has the job's tasks
@@ -132,7 +132,7 @@
 // writeNext starts writing the next batch, if a transaction may start. Each record is guarded by
 // the revision of the stored one, and the batch by the term.
 func (w *writeBack) writeNext(ctx context.Context, now time.Time) {
-	if len(w.queue) == 0 || !w.commits.mayBegin(now) {
+	if len(w.queue) == 0 || !w.committer.mayCommit(now) {
 		return
 	}
 	if batch := w.takeBatch(now); len(batch) > 0 {
@@ -146,13 +146,13 @@
 	bytes := 0
 	for len(w.queue) > 0 && len(batch) < max(1, w.cfg.Derived.Store.TxnOps/2) {
 		id := w.queue[0]
-		known, found := w.knowledge.refreshed(id)
-		if !found || w.knowledge.isInRecord(id, known) {
+		known, found := w.knowledge.refresh(id)
+		if !found || w.knowledge.isRecordCurrent(id, known) {
 			delete(w.knowledge.lost, id)
 			w.queue = w.queue[1:]
 			continue
 		}
-		lost := w.composeRecord(id, known, recovery.Decide(known, true), now)
+		lost := w.buildRecord(id, known, recovery.Decide(known, true), now)
 		if len(batch) > 0 && bytes+len(lost.value) > transaction.MaxBytes {
 			break
 		}
@@ -170,10 +170,10 @@
 // commit writes a batch. It delays the next one so that the recovery keeps within its share of
 // the write rate.
 func (w *writeBack) commit(ctx context.Context, batch []lostRecord, now time.Time) {
-	w.commits.inFlight = true
-	perSecond := recoveryShare * settings.LeaderWriteShare * w.cfg.Settings.Deployment.Store.Effective().WriteRPS
-	w.commits.notBefore = now.Add(time.Duration(float64(len(batch)) / perSecond * float64(time.Second)))
-	guards := []kvstore.Guard{w.commits.termGuard()}
+	w.committer.inFlight = true
+	writesPerSecond := recoveryWriteShare * settings.LeaderWriteShare * w.cfg.Settings.Deployment.Store.Effective().WriteRPS
+	w.committer.notBefore = now.Add(time.Duration(float64(len(batch)) / writesPerSecond * float64(time.Second)))
+	guards := []kvstore.Guard{w.committer.termGuard()}
 	var writes []kvstore.Write
 	for _, lost := range batch {
 		key := jobs.RecordKey(lost.id)
@@ -183,7 +183,7 @@
 	go func() {
 		revision, failed, err := w.cfg.Store.Commit(ctx, guards, writes)
 		found := w.readRecords(ctx, failed)
-		w.cfg.Post(ctx, func(now time.Time) { w.committed(batch, revision, failed, found, err, now) })
+		w.cfg.Post(ctx, func(now time.Time) { w.handleCommit(batch, revision, failed, found, err, now) })
 	}()
 }
 
@@ -199,13 +199,13 @@
 	return found
 }
 
-// committed applies the outcome of a batch. A batch that was not executed, or whose outcome is
+// handleCommit applies the outcome of a batch. A batch that was not executed, or whose outcome is
 // unknown, is queued again. If it was executed after all, its guards fail on the next try, and the
 // records read then decide.
-func (w *writeBack) committed(batch []lostRecord, revision uint64, failed []string, found map[string]kvstore.KeyValue, err error, now time.Time) {
-	w.commits.inFlight = false
+func (w *writeBack) handleCommit(batch []lostRecord, revision uint64, failed []string, found map[string]kvstore.KeyValue, err error, now time.Time) {
+	w.committer.inFlight = false
 	if slices.Contains(failed, election.HolderKey) {
-		w.commits.resign()
+		w.committer.resign()
 		return
 	}
 	if err == nil && len(failed) == 0 {
@@ -216,10 +216,10 @@
 	}
 	if err != nil {
 		slog.Debug("failed to write lost records; retrying later", "term", w.cfg.token(), "reason", err)
-		w.commits.retryLater(now)
+		w.committer.retryLater(now)
 	}
 	for _, lost := range slices.Backward(batch) {
-		if pair, read := found[lost.id]; read && w.acceptStanding(lost, pair) {
+		if pair, read := found[lost.id]; read && w.reconcileStored(lost, pair) {
 			delete(w.knowledge.lost, lost.id)
 			continue
 		}
@@ -227,16 +227,16 @@
 	}
 }
 
-// acceptStanding applies a stored record whose guard failed. It reports whether that record says
+// reconcileStored applies a stored record whose guard failed. It reports whether that record says
 // as much as the one to be written, so that nothing has to be written any more.
-func (w *writeBack) acceptStanding(lost lostRecord, standing kvstore.KeyValue) bool {
-	if standing.Revision == 0 {
+func (w *writeBack) reconcileStored(lost lostRecord, stored kvstore.KeyValue) bool {
+	if stored.Revision == 0 {
 		w.cfg.Cache.NoteMissing(lost.id)
 		return false
 	}
-	w.cfg.Cache.Apply(standing.Key, standing.Value, standing.Revision)
+	w.cfg.Cache.Apply(stored.Key, stored.Value, stored.Revision)
 	var record jobs.Record
-	if jsonv2.Unmarshal(standing.Value, &record) != nil {
+	if jsonv2.Unmarshal(stored.Value, &record) != nil {
 		return false // a record that cannot be decoded is overwritten, guarded by its revision
 	}
 	switch {
@@ -244,7 +244,7 @@
 		// If the stored state contradicts what is known, an operator has to see that.
 		return record.State == lost.decision.State || !lost.decision.Final()
 	case record.Held != nil:
-		w.held.hold(lost.id, &record, standing.Revision)
+		w.held.hold(lost.id, &record, stored.Revision)
 		return lost.decision.Held
 	}
 	return !lost.decision.Final() // submitted again, or written back already
@@ -255,13 +255,13 @@
 	id, decision := lost.id, lost.decision
 	w.written[decision.Outcome]++
 	w.cfg.Cache.Apply(jobs.RecordKey(id), lost.value, revision)
-	known, _ := w.knowledge.refreshed(id)
+	known, _ := w.knowledge.refresh(id)
 	slog.Info("lost record written", "job", id, "term", w.cfg.token(), "outcome", string(decision.Outcome), "rule", string(decision.Rule), "said", known.Provenance())
 	w.events.add(now, string(decision.Outcome), id)
 	delete(w.knowledge.lost, id)
 	delete(w.ranks, id)
 	if decision.Held || decision.Outcome == recovery.Contradictory {
-		w.held.byID[id] = &heldJob{revision: revision, reason: string(decision.Rule), sinceMs: now.UnixMilli(), known: known}
+		w.held.byID[id] = &heldJob{revision: revision, reason: string(decision.Rule), heldSinceMs: now.UnixMilli(), known: known}
 	}
 	if !decision.Final() && !decision.Held {
 		// The job's tasks must count from now on, not only once the watch delivers its record.
@@ -273,7 +273,7 @@
 // request and does not run on the event loop.
 func (w *writeBack) commitSettled(ctx context.Context, record lostRecord) error {
 	key := jobs.RecordKey(record.id)
-	guards := []kvstore.Guard{w.commits.termGuard(), {Key: key, Revision: record.revision}}
+	guards := []kvstore.Guard{w.committer.termGuard(), {Key: key, Revision: record.revision}}
 	revision, failed, err := w.cfg.Store.Commit(ctx, guards, []kvstore.Write{{Set: key, Value: record.value}})
 	if err != nil {
 		return err
--- a/internal/leader/recoverer/write_back_test.go
+++ b/internal/leader/recoverer/write_back_test.go
@@ -12,8 +12,8 @@
 	"ospreyslip/internal/recovery"
 )
 
-// know adds what the cache of another controller says about a lost job.
-func (s *scenario) know(id, state string) {
+// addPeerKnowledge adds what the cache of another controller says about a lost job.
+func (s *scenario) addPeerKnowledge(id, state string) {
 	s.knowledge.addCached(id, recovery.FromCache("node-1"), state, 1, &jobs.Record{Spec: batchSpec(id)})
 }
 
@@ -21,10 +21,10 @@
 // these before those of jobs that are done.
 func TestWriteBackOrder(t *testing.T) {
 	s := newScenario(t)
-	s.know("j-000001", jobs.Done)
-	s.know("j-000002", jobs.Queued)
-	s.know("j-000003", jobs.Cancelled)
-	s.know("j-000004", jobs.Queued)
+	s.addPeerKnowledge("j-000001", jobs.Done)
+	s.addPeerKnowledge("j-000002", jobs.Queued)
+	s.addPeerKnowledge("j-000003", jobs.Cancelled)
+	s.addPeerKnowledge("j-000004", jobs.Queued)
 	s.writeBack.queueLostJobs()
 	if want := []string{"j-000003", "j-000002", "j-000004", "j-000001"}; !slices.Equal(s.writeBack.queue, want) {
 		t.Errorf("order %v, want %v", s.writeBack.queue, want)
@@ -33,7 +33,7 @@
 
 // A batch that was not executed, or whose outcome is unknown, must return to the head of the queue
 // in the same order, without jobs whose stored records say as much by now.
-func TestWriteBackFailed(t *testing.T) {
+func TestFailedBatchIsQueuedAgain(t *testing.T) {
 	tests := []struct {
 		name   string
 		failed []string
@@ -53,22 +53,22 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := newScenario(t)
-			s.know("j-000001", jobs.Queued)
-			s.know("j-000002", jobs.Queued)
+			s.addPeerKnowledge("j-000001", jobs.Queued)
+			s.addPeerKnowledge("j-000002", jobs.Queued)
 			s.writeBack.queueLostJobs()
 			batch := s.writeBack.takeBatch(s.now)
 			if len(batch) != 2 || len(s.writeBack.queue) != 0 {
 				t.Fatalf("%d records in the batch, %v left in the queue", len(batch), s.writeBack.queue)
 			}
-			s.commits.inFlight = true
-			s.writeBack.committed(batch, 0, test.failed, test.found, test.err, s.now)
-			if s.commits.inFlight || !slices.Equal(s.writeBack.queue, test.queue) {
-				t.Errorf("in flight: %v, queue %v, want %v", s.commits.inFlight, s.writeBack.queue, test.queue)
+			s.committer.inFlight = true
+			s.writeBack.handleCommit(batch, 0, test.failed, test.found, test.err, s.now)
+			if s.committer.inFlight || !slices.Equal(s.writeBack.queue, test.queue) {
+				t.Errorf("in flight: %v, queue %v, want %v", s.committer.inFlight, s.writeBack.queue, test.queue)
 			}
 			if s.leader.called("resign") != test.resign {
 				t.Errorf("calls to the leader: %v", s.leader.calls)
 			}
-			if waits := s.commits.notBefore.After(s.now); waits != (test.err != nil) {
+			if waits := s.committer.notBefore.After(s.now); waits != (test.err != nil) {
 				t.Errorf("next transaction delayed: %v", waits)
 			}
 		})
@@ -79,10 +79,10 @@
 // job whose outcome is uncertain must be held.
 func TestRecordWritten(t *testing.T) {
 	s := newScenario(t)
-	s.know("j-000001", jobs.Queued)
+	s.addPeerKnowledge("j-000001", jobs.Queued)
 	s.knowledge.lost.Merge("j-000002", recovery.Attribute(recovery.FromLog, recovery.Knowledge{MinTasks: 1}))
 	s.writeBack.queueLostJobs()
-	s.writeBack.committed(s.writeBack.takeBatch(s.now), 12, nil, nil, nil, s.now)
+	s.writeBack.handleCommit(s.writeBack.takeBatch(s.now), 12, nil, nil, nil, s.now)
 	status := s.Status()
 	if status.Written[recovery.Recovered] != 1 || status.Written[recovery.Uncertain] != 1 {
 		t.Errorf("written: %v", status.Written)
