--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -20,62 +20,62 @@
 	"ospreyslip/internal/workers"
 )
 
-// fakeLeader notes what a recovery calls.
+// fakeLeader records the calls of a recovery.
 type fakeLeader struct {
-	tokens   Tokens
-	attempts uint64
-	calls    []string
+	tokens      Tokens
+	lastAttempt uint64
+	calls       []string
 }
 
-func (f *fakeLeader) note(call string)         { f.calls = append(f.calls, call) }
+func (f *fakeLeader) record(call string)       { f.calls = append(f.calls, call) }
 func (f *fakeLeader) Tokens() Tokens           { return f.tokens }
-func (f *fakeLeader) RequestTokenRaise()       { f.note("request token raise") }
-func (f *fakeLeader) Resign()                  { f.note("resign") }
-func (f *fakeLeader) RequestPlan()             { f.note("request plan") }
-func (f *fakeLeader) ReserveAttempts(n uint64) { f.attempts = max(f.attempts, n) }
+func (f *fakeLeader) RequestTokenRaise()       { f.record("request token raise") }
+func (f *fakeLeader) Resign()                  { f.record("resign") }
+func (f *fakeLeader) RequestPlan()             { f.record("request plan") }
+func (f *fakeLeader) ReserveAttempts(n uint64) { f.lastAttempt = max(f.lastAttempt, n) }
 
 func (f *fakeLeader) RaiseTokenAbove(floor uint64) {
 	f.tokens.Floor = floor
-	f.note(fmt.Sprint("raise token above ", floor))
+	f.record(fmt.Sprint("raise token above ", floor))
 }
 
 func (f *fakeLeader) NextAttempt() uint64 {
-	f.attempts++
-	return f.attempts
+	f.lastAttempt++
+	return f.lastAttempt
 }
 
-func (f *fakeLeader) CancelJob(job *cluster.Job, _ uint64) { f.note("cancel " + job.ID) }
-func (f *fakeLeader) CompleteElsewhere(job *cluster.Job)   { f.note("complete " + job.ID) }
+func (f *fakeLeader) CancelJob(job *cluster.Job, _ uint64) { f.record("cancel " + job.ID) }
+func (f *fakeLeader) CompleteElsewhere(job *cluster.Job)   { f.record("complete " + job.ID) }
 func (f *fakeLeader) JobChanged(c kvstore.Change, _ time.Time) {
-	f.note("changed " + jobs.JobIDFromKey(c.Set))
+	f.record("changed " + jobs.JobIDFromKey(c.Set))
 }
-func (f *fakeLeader) QueueJob(job *cluster.Job)             { f.note("queue " + job.ID) }
-func (f *fakeLeader) StopGang(job *cluster.Job)             { f.note("stop gang " + job.ID) }
-func (f *fakeLeader) CountAssignment(a *cluster.Assignment) { f.note("count " + a.TaskName()) }
+func (f *fakeLeader) QueueJob(job *cluster.Job)             { f.record("queue " + job.ID) }
+func (f *fakeLeader) StopGang(job *cluster.Job)             { f.record("stop gang " + job.ID) }
+func (f *fakeLeader) CountAssignment(a *cluster.Assignment) { f.record("count " + a.TaskName()) }
 
-// called tells whether a call was made.
+// called reports whether a call was made.
 func (f *fakeLeader) called(call string) bool { return slices.Contains(f.calls, call) }
 
-// silentPeers is other controllers that never answer.
-type silentPeers []string
+// unresponsivePeers are other controllers that never answer.
+type unresponsivePeers []string
 
-func (p silentPeers) Peers() []string { return p }
+func (p unresponsivePeers) Peers() []string { return p }
 
-func (silentPeers) RequestLostJobs(ctx context.Context, _ string, _ peer.LostJobsRequest) (peer.LostJobsResponse, error) {
+func (unresponsivePeers) RequestLostJobs(ctx context.Context, _ string, _ peer.LostJobsRequest) (peer.LostJobsResponse, error) {
 	<-ctx.Done()
 	return peer.LostJobsResponse{}, ctx.Err()
 }
 
-// termToken is that of the tests' term.
+// termToken is the fencing token of the tests' term.
 const termToken = 5
 
-// scenario is a recovery with a leader that only notes what is called.
+// scenario is a recovery with a leader that only records calls.
 type scenario struct {
 	*Recoverer
 	leader   *fakeLeader
 	machines *cluster.MachineSet
 	log      *assignmentlog.Log
-	now      time.Time // the term begins then
+	now      time.Time // start of the term
 }
 
 func newScenario(t *testing.T, peers ...string) *scenario {
@@ -92,7 +92,7 @@
 	s.Recoverer = New(Config{
 		Settings: set, Derived: set.Derive(), Node: "node-0", Term: election.Term{FencingToken: termToken, Since: now}, AttemptBits: 24,
 		Store: store, Cache: jobcache.New(store, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}),
-		Peers: silentPeers(peers),
+		Peers: unresponsivePeers(peers),
 		Valid: func() bool { return true }, Post: func(context.Context, func(time.Time)) {},
 		Leader: s.leader, State: state,
 		AssignmentLog: func() *assignmentlog.Log { return s.log },
@@ -107,7 +107,7 @@
 	return m
 }
 
-// addJob adds the job j-000001, of two tasks.
+// addJob adds the job j-000001 with two tasks.
 func (s *scenario) addJob(shape string) *cluster.Job {
 	const id = "j-000001"
 	spec := &jobs.Spec{ID: id, Team: "red", Shape: shape, Priority: jobs.Standard, Tasks: 2, CPUs: 1}
@@ -116,12 +116,12 @@
 	return job
 }
 
-func running(job string, index int, attempt uint64) workers.TaskStatus {
+func runningTask(job string, index int, attempt uint64) workers.TaskStatus {
 	return workers.TaskStatus{Name: fmt.Sprintf("%s/%d", job, index), Attempt: attempt, State: workers.StateRunning}
 }
 
-// A loss that may concern the assignment log has all of it written once more, with a higher
-// token; one that may be a rollback says so to other goroutines at once.
+// A loss that may affect the assignment log must cause a rewrite of the whole log and a higher
+// token. A possible rollback must be visible to other goroutines at once.
 func TestReportLoss(t *testing.T) {
 	tests := []struct {
 		kind                                detection.Kind
@@ -140,23 +140,23 @@
 			job := s.addJob(jobs.Batch)
 			s.ReportLoss(detection.Evidence{Kind: test.kind}, s.now)
 			if s.Phase() != Comparing || !s.TakeRelist() || s.TakeRelist() {
-				t.Errorf("phase %s: want a comparison, and one listing", s.Phase())
+				t.Errorf("phase %s: want a comparison and exactly one request to relist", s.Phase())
 			}
 			if s.RolledBack() != test.rolledBack {
 				t.Errorf("rolled back: %v", s.RolledBack())
 			}
 			if s.log.HasWork() != test.rewritten || s.leader.called("request token raise") != test.rewritten {
-				t.Errorf("log rewritten: %v, calls %v", s.log.HasWork(), s.leader.calls)
+				t.Errorf("log rewritten: %v, calls to the leader: %v", s.log.HasWork(), s.leader.calls)
 			}
 			if s.adoption.jobs[job] != test.awaitWorkers {
-				t.Errorf("tasks awaited: %v", s.adoption.jobs[job])
+				t.Errorf("tasks awaited from workers: %v", s.adoption.jobs[job])
 			}
 		})
 	}
 }
 
-// What is noticed while records are being written back has everything compared once more.
-func TestAnotherRound(t *testing.T) {
+// A loss reported while records are being written back must start another round of comparison.
+func TestLossWhileRestoringStartsAnotherRound(t *testing.T) {
 	s := newScenario(t)
 	s.ReportLoss(detection.Evidence{Kind: detection.RecordRemoved}, s.now)
 	first := s.comparison.round
@@ -174,9 +174,9 @@
 	}
 }
 
-// A log that names attempts of a higher token than this term's was written by a later term: the
-// token is raised above that, and no number given out twice.
-func TestLogOfALaterTerm(t *testing.T) {
+// A log that names attempts of a higher token than this term's was written by a later term.
+// The token must be raised above that one, and no attempt number reused.
+func TestLogWrittenByLaterTerm(t *testing.T) {
 	s := newScenario(t)
 	attempt := uint64(termToken+2)<<s.cfg.AttemptBits + 3
 	log := []assignmentlog.StoredSegment{{
@@ -186,15 +186,15 @@
 		}},
 	}}
 	s.CheckLog(log, s.now)
-	if !s.leader.called(fmt.Sprint("raise token above ", termToken+2)) || s.leader.attempts != attempt {
-		t.Errorf("calls %v, attempts from %d", s.leader.calls, s.leader.attempts)
+	if !s.leader.called(fmt.Sprint("raise token above ", termToken+2)) || s.leader.lastAttempt != attempt {
+		t.Errorf("calls to the leader: %v, attempt numbers reserved up to %d", s.leader.calls, s.leader.lastAttempt)
 	}
 	if !s.LogIncomplete() || s.Phase() != Comparing {
 		t.Errorf("log incomplete: %v, phase %s", s.LogIncomplete(), s.Phase())
 	}
 }
 
-// The oldest events make way for new ones, and are counted.
+// The event log must drop the oldest events when it is full, and count them.
 func TestEventsAreBounded(t *testing.T) {
 	var log eventLog
 	for n := range maxEvents + 3 {
