--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -13,18 +13,19 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Run campaigns until the context ends. For each term that this node wins it calls lead, whose
-// context ends with the term, and waits for its return before going on.
+// Run campaigns until the context ends. For each term that this controller wins, Run calls lead
+// with a context that ends with the term, and waits until lead returns.
 func (e *Elector) Run(ctx context.Context, lead LeadFunc) {
-	var standDownUntil time.Time // before, the leadership is left to other nodes
+	var standDownUntil time.Time // this controller does not campaign before
 	for ctx.Err() == nil {
 		stored, err := e.observe(ctx)
 		if err != nil {
-			slog.Debug("term not read", "reason", err)
+			slog.Debug("cannot read the election keys", "reason", err)
 			e.pause(ctx)
 			continue
 		}
-		// A key of this node is of an earlier incarnation, which is gone: it is free to take.
+		// A key under this controller's name belongs to an earlier incarnation, which has ended,
+		// so it can be taken at once.
 		ownKey := stored.heldBy(e.node)
 		if stored.holder != nil && !ownKey {
 			e.awaitChange(ctx, stored.revision, e.timing.WatchTimeout)
@@ -33,7 +34,7 @@
 		if stored.holder == nil {
 			wasAlive, err := e.revokeLastLease(ctx)
 			if err != nil {
-				slog.Debug("lease of the last holder not ended", "reason", err)
+				slog.Debug("cannot revoke the lease of the last leader", "reason", err)
 				e.pause(ctx)
 				continue
 			}
@@ -47,7 +48,7 @@
 		}
 		won, err := e.campaign(ctx, &stored, exempt)
 		if err != nil {
-			slog.Debug("term not taken", "reason", err)
+			slog.Debug("campaign failed", "reason", err)
 			e.pause(ctx)
 			continue
 		}
@@ -57,7 +58,8 @@
 	}
 }
 
-// observe reads who leads, corrects that by what this node knows of lost keys, and notes it.
+// observe reads the election keys, corrects them by what this controller knows of lost keys, and
+// records the holder.
 func (e *Elector) observe(ctx context.Context) (storedElection, error) {
 	askedAt := time.Now()
 	stored, err := e.readStored(ctx)
@@ -71,9 +73,10 @@
 	return stored, nil
 }
 
-// highestIssuedToken is the highest fencing token ever issued, by the stored one and by what this node
-// knows. The latter is higher if the store has lost the token's key or was rolled back: no token
-// may be issued twice.
+// highestIssuedToken returns the highest fencing token known to have been issued: the stored token
+// or the one that this controller knows. The known token is higher if the store has lost the
+// token's key or was rolled back. Campaigns must start from the higher one, because no token may
+// be issued twice.
 func (e *Elector) highestIssuedToken(stored uint64) uint64 {
 	if known := e.grantor.highestToken(); stored < known {
 		e.ReportLoss(detection.Evidence{Kind: detection.TokenBack, Key: TokenKey, Known: known, Found: stored})
@@ -83,9 +86,9 @@
 	return stored
 }
 
-// dropSucceededHolder treats a holder that others have succeeded as absent. Its key is there
-// because the store was rolled back to an earlier state; the lease that it was tied to is over, so
-// that nothing else would ever remove it.
+// dropSucceededHolder clears a holder that has been succeeded. Its key exists only because the
+// store was rolled back. The lease that the key was tied to has ended, so nothing else would ever
+// remove the key.
 func (e *Elector) dropSucceededHolder(stored *storedElection) {
 	switch {
 	case stored.holder == nil:
@@ -96,9 +99,10 @@
 	}
 }
 
-// revokeLastLease ends the lease of the last holder observed, when nobody holds the key. Mostly
-// the lease has ended by itself, and the key with it. If it is alive, the key was lost: the
-// holder goes on renewing the lease, and learns by this that its term is over.
+// revokeLastLease revokes the lease of the last observed holder when no controller holds the key,
+// and reports whether the lease was still alive. Usually the lease has expired and the key was
+// removed with it. If the lease is alive, the key was lost and the holder is still renewing the
+// lease; the revocation makes the next renewal fail, which ends the holder's term.
 func (e *Elector) revokeLastLease(ctx context.Context) (wasAlive bool, err error) {
 	if e.lastHolder.Lease == 0 || e.lastHolder.Incarnation == e.incarnation {
 		return false, nil
@@ -114,8 +118,9 @@
 	return wasAlive, nil
 }
 
-// delayCampaign waits for a part of the time in which this node must not campaign, and returns
-// false if there is none. After a wait, who leads has to be observed anew.
+// delayCampaign waits for part of the time in which this controller must not campaign. It returns
+// false at once if there is no such time left. After a wait, the caller must observe the election
+// keys again.
 func (e *Elector) delayCampaign(ctx context.Context, stored *storedElection, exempt bool, standDownUntil time.Time) (delayed bool) {
 	wait := max(time.Until(standDownUntil), e.grantor.campaignDelay(e.clock(), exempt))
 	if wait <= 0 {
@@ -125,22 +130,22 @@
 		return true
 	}
 	if e.grantor.boundByEarlierIncarnation(e.clock()) {
-		wait = min(wait, e.timing.RetryPeriod/2) // the peers that have not answered may do so soon
+		wait = min(wait, e.timing.RetryPeriod/2) // ask peers that have not answered again soon
 	}
 	e.awaitChange(ctx, stored.revision, min(wait, e.timing.WatchTimeout))
 	return true
 }
 
-// wonTerm is a term that this node has just won.
+// wonTerm is a term that this controller has just won.
 type wonTerm struct {
 	Term
 	lease       uint64
-	requestedAt time.Time // when the lease was, from which its validity counts
+	requestedAt time.Time // request time of the lease, from which its validity counts
 }
 
-// campaign tries to win the next term, by a transaction that takes the holder key and raises the
-// fencing token if nothing has changed since both were read. Exempt is as in
-// rules.Grantor.CampaignDelay.
+// campaign tries to win the next term. Its transaction takes the holder key and increments the
+// fencing token, guarded by the revisions at which both were read. exempt has the meaning that it
+// has in rules.Grantor.CampaignDelay.
 func (e *Elector) campaign(ctx context.Context, stored *storedElection, exempt bool) (wonTerm, error) {
 	requestedAt := time.Now()
 	lease, err := e.store.GrantLease(ctx, e.timing.LeaseDuration)
@@ -165,24 +170,27 @@
 		term := Term{FencingToken: token, HolderRevision: revision, TokenRevision: revision, Since: time.Now()}
 		return wonTerm{Term: term, lease: lease, requestedAt: requestedAt}, nil
 	}
-	// An unknown outcome is not pursued: should the transaction be executed late, nobody renews
-	// its lease, and the key falls free by itself. To revoke the lease at once keeps that from
-	// costing a whole lease duration.
+	// A transaction with an unknown outcome is not followed up. If it is executed late, its lease
+	// is not renewed, so the key is released when the lease ends. Revoking the lease now saves
+	// waiting a whole lease duration in that case.
 	e.tryRevokeLease(ctx, lease)
-	return wonTerm{}, errors.Join(err, fmt.Errorf("guards failed: %v", failed))
+	return wonTerm{}, errors.Join(err, fmt.Errorf("transaction guards failed: %v", failed))
 }
 
-// errBoundByGrant is that this node has granted a peer lease since it decided to campaign.
+// errBoundByGrant is returned when this controller has granted a peer lease after it decided to
+// campaign.
 var errBoundByGrant = errors.New("bound by a peer lease")
 
-// tryRevokeLease revokes a lease that nobody renews any more, to save the wait for its end.
+// tryRevokeLease revokes a lease that is no longer renewed, so that others need not wait for its
+// end. Errors are ignored, because the lease ends by itself.
 func (e *Elector) tryRevokeLease(ctx context.Context, lease uint64) {
 	ctx, cancel := context.WithTimeout(ctx, e.timing.RetryPeriod)
 	defer cancel()
 	_ = e.store.RevokeLease(ctx, lease)
 }
 
-// awaitChange waits until a key of the election changes after a revision, or for a duration.
+// awaitChange waits until a key of the election changes after the given revision, or until the
+// wait has passed.
 func (e *Elector) awaitChange(ctx context.Context, after uint64, wait time.Duration) {
 	_, changes, err := e.store.Watch(ctx, keyPrefix, after, wait)
 	if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
@@ -197,7 +205,8 @@
 	}
 }
 
-// pause waits for about the retry period; the jitter spreads the tries of several nodes.
+// pause waits for RetryPeriod on average. The jitter keeps controllers from retrying at the same
+// time.
 func (e *Elector) pause(ctx context.Context) {
 	wait := e.timing.RetryPeriod/2 + mrand.N(e.timing.RetryPeriod)
 	select {
--- a/internal/election/doc.go
+++ b/internal/election/doc.go
@@ -1,12 +1,14 @@
-// Package election elects the leader among the controllers: one node at a time holds a key that
-// is tied to a lease in the key-value store. The fencing token, which workers compare, is a
-// counter that the transaction raises which takes the key. One such time of leadership is a term.
+// Package election elects one leader among the controllers. The leader is the controller that
+// holds a key tied to a lease in the key-value store. The transaction that takes the key also
+// increments the fencing token, which workers compare. A term is the time for which one controller
+// leads.
 //
-// While the store is out of reach, a leader goes on by peer leases: every peer grants it one
-// lease duration in which that peer does not campaign ("promise" on the peers' wire and in logs).
+// While the store is unreachable, a leader continues on peer leases: each peer grants it one lease
+// duration in which that peer does not campaign. The peers' protocol and the logs call a lease
+// grant a "promise".
 //
-// The package is built in layers. Package rules decides, without I/O, locks or a clock, and is
-// explored by package model. lockedGrantor and lockedValidity add a mutex to its types. [Elector]
-// adds the clock, the store and the loops: campaign.go wins a term, leadership.go serves it, and
-// renewal.go keeps its lease.
+// The package has three layers. Package rules makes the decisions without I/O, locks or a clock,
+// and package model explores them. lockedGrantor and lockedValidity add a mutex to the types of
+// package rules. [Elector] adds the clock, the store and the loops: campaign.go wins a term,
+// leadership.go runs it, and renewal.go renews its lease.
 package election
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -11,54 +11,55 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Timing is how long a lease lasts and how it is kept.
+// Timing holds the durations by which leases are granted, renewed and watched.
 type Timing struct {
-	LeaseDuration time.Duration // of the term's lease and of a peer lease
-	RenewPeriod   time.Duration // between two renewals
-	// ValidFor is how long a renewal, or the grants of all peers, count from when they were
-	// requested. It is shorter than LeaseDuration by the drift of clocks.
+	LeaseDuration time.Duration // duration of the term's lease and of a peer lease
+	RenewPeriod   time.Duration // time between two renewals
+	// ValidFor is how long a renewal, or a grant by all peers, is valid, counted from when it was
+	// requested. It is shorter than LeaseDuration, to allow for clock drift.
 	ValidFor     time.Duration
-	WatchTimeout time.Duration // of one watch of the holder key
-	RetryPeriod  time.Duration // the mean pause after a failure
+	WatchTimeout time.Duration // longest wait of one watch of the election keys
+	RetryPeriod  time.Duration // mean delay before a retry
 }
 
-// LeadFunc is what a node does with a term that it has won. It has to return soon after its
-// context has ended; if it returns before, the node resigns.
+// LeadFunc leads for one term. It must return soon after its context ends. If it returns earlier,
+// the controller resigns.
 type LeadFunc func(ctx context.Context, term Term)
 
-// Elector campaigns for the leadership and keeps it. Run is called once; all other methods may
-// be called from any goroutine.
+// Elector campaigns for the leadership and renews its lease. Run must be called only once; all
+// other methods are safe for concurrent use.
 type Elector struct {
 	node        string
-	incarnation string // this run of the node's process
+	incarnation string // identifies this run of the controller
 	store       *kvstore.Client
 	timing      Timing
-	clockStart  time.Time // where the clock of all decisions reads 0
+	clockStart  time.Time // zero of the monotonic clock that the decisions use
 
-	validity lockedValidity // of the term that this node holds
-	grantor  lockedGrantor  // of peer leases to other nodes
-	ownToken atomic.Uint64  // newest fencing token of the term that this node holds
+	validity lockedValidity // of the term that this controller holds
+	grantor  lockedGrantor  // of peer leases to other controllers
+	ownToken atomic.Uint64  // newest fencing token of the term that this controller holds
 
-	// Readings of the decisions' clock.
-	peerLeasesRequestedAt atomic.Int64 // the last ones that all peers granted; 0: never
-	contactAt             atomic.Int64 // as of when observedHolder is known
+	// Times on the clock of the decisions.
+	peerLeasesRequestedAt atomic.Int64 // of the last leases that all peers granted; 0: never
+	contactAt             atomic.Int64 // time as of which observedHolder is known
 
-	observedHolder atomic.Pointer[holderRecord] // nil: nobody
-	lastHolder     holderRecord                 // the last one observed; owned by Run
+	observedHolder atomic.Pointer[holderRecord] // nil if no controller holds the key
+	lastHolder     holderRecord                 // last holder that was observed; used only by Run
 	newestRevision detection.Watermark          // of the store
 
-	// RequestPeerLeases asks all peers to grant a lease to the leader with a fencing token, and
-	// tells whether all did. Nil means that there are none to be had. Set before Run.
+	// RequestPeerLeases requests a lease for the leader with a fencing token from every peer and
+	// reports whether all granted it. If nil, no peer leases are available. Set it before Run.
 	RequestPeerLeases func(ctx context.Context, token uint64) bool
-	// NoPeerReliesOnGrants asks all peers, and tells whether each has answered this incarnation
-	// that it relies on no grant. Nil means that this cannot be found out. Set before Run.
+	// NoPeerReliesOnGrants asks every peer and reports whether each has answered this incarnation
+	// that it relies on no grant. If nil, the peers cannot be asked. Set it before Run.
 	NoPeerReliesOnGrants func(ctx context.Context) bool
-	// ReportLoss is called with what shows that the store has lost keys of the election. Set
-	// before Run; it is called by several goroutines.
+	// ReportLoss is called with evidence that the store has lost keys of the election. Set it
+	// before Run. It must be safe for concurrent use.
 	ReportLoss func(detection.Evidence)
 }
 
-// NewElector makes an elector for a node, which has begun just now.
+// NewElector returns an Elector for the controller of the given name. It takes the present time as
+// the start of the controller's incarnation.
 func NewElector(node string, store *kvstore.Client, timing Timing) *Elector {
 	e := &Elector{
 		node: node, incarnation: rand.Text(), store: store, timing: timing, clockStart: time.Now(),
@@ -68,21 +69,21 @@
 	return e
 }
 
-// clock reads the monotonic clock of all decisions.
+// clock returns the time on the monotonic clock that all decisions use.
 func (e *Elector) clock() time.Duration { return time.Since(e.clockStart) }
 
-// clockAt is what that clock read at a moment.
+// clockAt converts a time to the clock of the decisions.
 func (e *Elector) clockAt(at time.Time) time.Duration { return at.Sub(e.clockStart) }
 
-// IsLeader tells whether this node may act as the leader at this moment, by its own clock.
+// IsLeader reports whether this controller may act as the leader now, by its own clock.
 func (e *Elector) IsLeader() bool { return e.validity.valid(e.clock()) }
 
-// ReliesOnNoGrant tells whether no lease that a peer has granted to this node up to now can help
-// it: in its present incarnation it holds no term, valid or not.
+// ReliesOnNoGrant reports whether this incarnation holds no term, valid or not. If so, no lease
+// that a peer has granted it so far can extend a term.
 func (e *Elector) ReliesOnNoGrant() bool { return e.validity.reliesOnNoGrant() }
 
-// PeerLeasesRequestedAt returns when the last peer leases were requested that all peers granted.
-// It is the zero time if that was never so.
+// PeerLeasesRequestedAt returns when the last peer leases that all peers granted were requested,
+// or the zero time if there are none.
 func (e *Elector) PeerLeasesRequestedAt() time.Time {
 	if at := e.peerLeasesRequestedAt.Load(); at > 0 {
 		return e.clockStart.Add(time.Duration(at))
@@ -90,17 +91,17 @@
 	return time.Time{}
 }
 
-// TokenRaised notes that the leader has raised the fencing token within its term. Requests for
-// peer leases carry the newest one: by an older one, peers would take the leader for one that has
-// been succeeded.
+// TokenRaised records that the leader has raised its fencing token within the term. Requests for
+// peer leases must carry the newest token: peers refuse a leader whose token is lower than the
+// highest that they know, because they assume that it has been succeeded.
 func (e *Elector) TokenRaised(token uint64) {
 	e.ownToken.Store(token)
 	e.grantor.observeToken(token)
 }
 
-// Leader names the node that was last observed to hold the leadership, or is empty. It is empty
-// too when that is too long ago: a node that is cut off would send workers to one that leads no
-// more.
+// Leader returns the name of the controller that was last observed to be the leader. It returns
+// the empty string if there is none, or if the last observation is too old: a controller that is
+// cut off must not direct workers to a leader that may no longer lead.
 func (e *Elector) Leader() string {
 	holder := e.observedHolder.Load()
 	if holder == nil || e.clock()-time.Duration(e.contactAt.Load()) > e.timing.WatchTimeout+2*e.timing.LeaseDuration {
@@ -109,5 +110,5 @@
 	return holder.Node
 }
 
-// noteContact notes that observedHolder is known as of a moment.
+// noteContact records the time as of which observedHolder is known.
 func (e *Elector) noteContact(at time.Time) { e.contactAt.Store(int64(e.clockAt(at))) }
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -18,22 +18,22 @@
 	WatchTimeout: time.Second, RetryPeriod: 400 * time.Millisecond,
 }
 
-// newTestElector makes an elector whose requests go through a network to the store there.
+// newTestElector returns an Elector whose requests go through the network to the store on it.
 func newTestElector(network *emulator.Network, node string) *Elector {
 	limits := kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}
 	return NewElector(node, kvstore.New("state:1", network.Transport(node), time.Second, limits), testTiming)
 }
 
-// runningElector records the fencing tokens of the terms that its node wins.
+// runningElector records the fencing tokens of the terms that its controller wins.
 type runningElector struct {
 	*Elector
-	stop func() // ends Run and waits for its return
+	stop func() // ends Run and waits until it returns
 
 	mu     sync.Mutex
 	tokens []uint64
 }
 
-// startElector runs an elector; configure, if any, sets its hooks before.
+// startElector runs an elector. configure, unless nil, sets its hooks first.
 func startElector(t *testing.T, network *emulator.Network, node string, configure func(*Elector)) *runningElector {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,26 +58,26 @@
 	return running
 }
 
-// wonTokens returns the fencing tokens of all terms up to now.
+// wonTokens returns the fencing tokens of all terms won so far.
 func (r *runningElector) wonTokens() []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.tokens)
 }
 
-// grantingAfter configures an elector whose peers all grant each lease, or all refuse it, after
-// a delay.
+// grantingAfter returns a function that configures an elector whose peers all answer a request for
+// peer leases after a delay: all grant it, or all refuse it.
 func grantingAfter(delay time.Duration, granted bool) func(*Elector) {
 	return func(e *Elector) {
 		e.RequestPeerLeases = func(context.Context, uint64) bool {
-			time.Sleep(delay) // whatever the deadline says
+			time.Sleep(delay) // ignores the deadline of ctx
 			return granted
 		}
 	}
 }
 
-// Peer leases keep a term only without a gap. Grants that arrive when the validity has ended must
-// not bring the old term back: another node may have won one since.
+// Checks that grants that arrive after the validity has ended do not restore the old term, because
+// another controller may have won a term since.
 func TestLatePeerLeaseRevivesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -86,51 +86,51 @@
 		elector := startElector(t, network, "perch-0", grantingAfter(pastValidity, true))
 		time.Sleep(5 * time.Second)
 		if !elector.IsLeader() || len(elector.wonTokens()) != 1 {
-			t.Fatal("no term to begin with")
+			t.Fatal("the controller did not win a first term")
 		}
 		store.SetOutage(true)
 		time.Sleep(2500 * time.Millisecond)
 		for range 40 {
 			if elector.IsLeader() {
-				t.Fatal("the term came back after a gap in its validity")
+				t.Fatal("the term was restored after a gap in its validity")
 			}
 			time.Sleep(250 * time.Millisecond)
 		}
 		store.SetOutage(false)
 		time.Sleep(10 * time.Second)
 		if tokens := elector.wonTokens(); len(tokens) != 2 || tokens[1] <= tokens[0] {
-			t.Errorf("after the outage a new term with a higher token was due: %v", tokens)
+			t.Errorf("tokens %v, want a second term with a higher token after the outage", tokens)
 		}
 		elector.stop()
 		network.Wait()
 	})
 }
 
-// A node grants peer leases in an outage only: a store that is merely over its limit still takes
-// cancellations, which the leader would not see.
+// Checks that a controller grants peer leases only while the store is unavailable. A store that
+// only limits the rate still accepts cancellations, which a leader on peer leases would not see.
 func TestPeerLeaseNeedsAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
 		elector := newTestElector(network, "perch-0")
 		if elector.GrantPeerLease(t.Context(), 1) {
-			t.Error("granted while served")
+			t.Error("granted a lease while the store was available")
 		}
 		store.SetOverloaded(true)
 		if elector.GrantPeerLease(t.Context(), 1) {
-			t.Error("granted while the store was over its limit")
+			t.Error("granted a lease while the store was over its rate limit")
 		}
 		store.SetOverloaded(false)
 		store.SetOutage(true)
 		if !elector.GrantPeerLease(t.Context(), 1) {
-			t.Error("refused in an outage")
+			t.Error("refused a lease during an outage")
 		}
 		network.Wait()
 	})
 }
 
-// Two nodes, one store: the second leads only when the first has stopped, and the token of a
-// holder that resigned or was cut off is never used again.
+// Checks with two controllers and one store that the second leads only after the first has
+// stopped, and that the token of a holder that resigned or was cut off is never used again.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -160,15 +160,15 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 			if first.IsLeader() && second.IsLeader() {
-				t.Fatal("two leaders along the way")
+				t.Fatal("two controllers lead at the same time")
 			}
 		}
 		if tokens := second.wonTokens(); len(tokens) == 0 || tokens[0] < 2 {
-			t.Errorf("perch-1 was due to lead once: %v", tokens)
+			t.Errorf("tokens of perch-1: %v, want at least one term after that of perch-0", tokens)
 		}
-		// A refusal comes at once: it must not be asked for again at once.
+		// A refusal arrives at once. It must not cause the next request at once.
 		if requests == 0 || requests > 40 {
-			t.Errorf("peer leases were requested %d times in some ten seconds without the store", requests)
+			t.Errorf("peer leases were requested %d times in about ten seconds without the store", requests)
 		}
 		first.stop()
 		second.stop()
@@ -176,14 +176,14 @@
 	})
 }
 
-// On a starved processor, or with a slow store, the answer to a renewal may take most of the
-// lease. The next renewal does not wait for it, and each that is answered counts from when it was
-// sent: the term is kept.
+// Checks that a term is kept if answers to renewals take most of the lease, as on a starved
+// processor or with a slow store. The next renewal must not wait for the answer, and each answered
+// renewal must count from when it was sent.
 func TestSlowRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
-		network.Lateness = testTiming.ValidFor * 7 / 10 // of what the rule below calls slow
+		network.Lateness = testTiming.ValidFor * 7 / 10 // the delay of DeliverSlowly
 		elector := startElector(t, network, "perch-0", grantingAfter(0, false))
 		time.Sleep(time.Second)
 		network.SetFaults(func(_, _, path string) emulator.Fault {
@@ -195,11 +195,11 @@
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			if !elector.IsLeader() {
-				t.Fatal("the term is lost though each renewal is answered in time")
+				t.Fatal("the term ended although each renewal was answered in time")
 			}
 		}
 		if tokens := elector.wonTokens(); len(tokens) != 1 {
-			t.Errorf("terms: %v", tokens)
+			t.Errorf("tokens %v, want a single term", tokens)
 		}
 		elector.stop()
 		network.Wait()
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -8,19 +8,20 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// endReason is why a term has ended, as the log has it.
+// endReason is the reason for which a term has ended, as it is logged.
 type endReason string
 
 const (
-	wonTooSlowly  endReason = "taken too slowly"             // the lease was no longer valid when it was
-	shuttingDown  endReason = "shutting down"                // Run's context has ended
-	resigned      endReason = "resigned"                     // lead has returned by itself
-	holderKeyLost endReason = "holder key lost"              // it is gone or another's, though the lease is renewed
-	leaseEnded    endReason = "lease ended"                  // in the store
-	validityEnded endReason = "neither renewed nor promised" // neither the store nor all peers have answered in time
+	wonTooSlowly  endReason = "taken too slowly"             // the validity had ended when the term was won
+	shuttingDown  endReason = "shutting down"                // the context of Run has ended
+	resigned      endReason = "resigned"                     // the LeadFunc returned by itself
+	holderKeyLost endReason = "holder key lost"              // the key was lost although the lease is renewed
+	leaseEnded    endReason = "lease ended"                  // the store no longer has the lease
+	validityEnded endReason = "neither renewed nor promised" // neither the store nor all peers answered
 )
 
-// serve leads for a term until its lease can no longer be proven valid, and tells why it ended.
+// serve runs lead for a term until the term's lease can no longer be proven valid, and returns the
+// reason for the end of the term.
 func (e *Elector) serve(ctx context.Context, won wonTerm, lead LeadFunc) endReason {
 	e.validity.begin(e.clockAt(won.requestedAt), e.timing.ValidFor)
 	if !e.IsLeader() {
@@ -40,7 +41,7 @@
 		defer close(leadReturned)
 		lead(leadCtx, won.Term)
 	}()
-	// It ends with leadCtx; nobody waits for the answer to its last read.
+	// The watcher ends with leadCtx. serve does not wait for its last read.
 	keyLost := make(chan struct{})
 	go e.watchHolderKey(leadCtx, won.Term, keyLost)
 
@@ -54,9 +55,9 @@
 	return reason
 }
 
-// watchHolderKey reads the holder key once in a lease duration, and closes lost when it is not
-// this term's any more. Without it, a leader whose key the store has lost would go on for as long
-// as its lease is renewed, beside the next one.
+// watchHolderKey reads the holder key once per lease duration and closes lost when the key no
+// longer belongs to this term. Without this check, a leader whose key the store has lost would
+// lead beside its successor for as long as it renews its lease.
 func (e *Elector) watchHolderKey(ctx context.Context, term Term, lost chan<- struct{}) {
 	tick := time.NewTicker(e.timing.LeaseDuration)
 	defer tick.Stop()
--- a/internal/election/locked.go
+++ b/internal/election/locked.go
@@ -7,13 +7,13 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// The types of this file add a lock to those of package rules and decide nothing themselves: each
-// method executes the one of the same name there, or reads fields. Times are readings of the
-// elector's clock.
+// The types in this file add a mutex to the types of package rules and make no decisions. Each
+// method calls the method of the same name there, or reads fields. Times are on the elector's
+// clock.
 
-// lockedGrantor is a rules.Grantor for several goroutines: peers ask it for leases while Run
-// campaigns. A campaign and a grant are never decided at the same time, as each would forbid the
-// other.
+// lockedGrantor is a rules.Grantor that is safe for concurrent use: peers request leases while Run
+// campaigns. The mutex orders the decisions on a campaign and on a grant, because each excludes
+// the other.
 type lockedGrantor struct {
 	mu      sync.Mutex
 	grantor rules.Grantor
@@ -43,7 +43,7 @@
 	g.grantor.ObserveToken(token)
 }
 
-// highestToken returns the highest fencing token known to have been issued.
+// highestToken returns the highest fencing token that is known to have been issued.
 func (g *lockedGrantor) highestToken() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -56,8 +56,8 @@
 	return g.grantor.Grant(now, leaseDuration, token)
 }
 
-// boundByEarlierIncarnation tells whether this node is waiting out what an earlier incarnation
-// may have granted.
+// boundByEarlierIncarnation reports whether this controller is waiting for the end of leases that
+// an earlier incarnation may have granted.
 func (g *lockedGrantor) boundByEarlierIncarnation(now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,8 +70,8 @@
 	g.grantor.VoidEarlierGrants(now)
 }
 
-// lockedValidity is a rules.LeaseValidity for several goroutines: many ask whether this node
-// leads while Run keeps the lease.
+// lockedValidity is a rules.LeaseValidity that is safe for concurrent use: many goroutines ask
+// whether this controller leads while Run renews the lease.
 type lockedValidity struct {
 	mu       sync.RWMutex
 	validity rules.LeaseValidity
@@ -83,7 +83,7 @@
 	return v.validity.Valid(now)
 }
 
-// remaining is how long the validity lasts if nothing extends it.
+// remaining returns how long the validity lasts unless it is extended.
 func (v *lockedValidity) remaining(now time.Duration) time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -96,7 +96,7 @@
 	return v.validity.ReliesOnNoGrant()
 }
 
-// begin starts a term, whose lease was requested at a moment.
+// begin starts a term whose lease was requested at the given time.
 func (v *lockedValidity) begin(requested, validFor time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -104,7 +104,7 @@
 	v.validity.ExtendByRenewal(requested, validFor)
 }
 
-// end gives the term up for good.
+// end ends the term. A late renewal or grant cannot restore it.
 func (v *lockedValidity) end() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/election/locked_test.go
+++ b/internal/election/locked_test.go
@@ -7,8 +7,8 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// Peer leases are what keeps two nodes from leading while the leader relies on them. Times are in
-// units of one lease duration.
+// Checks the rules of peer leases that keep a second controller from leading while the leader
+// relies on them. Times are in units of one lease duration.
 func TestPeerLease(t *testing.T) {
 	lease := time.Second
 	at := func(units float64) time.Duration { return time.Duration(units * float64(lease)) }
@@ -16,60 +16,60 @@
 	t.Run("a grant forbids campaigns until it ends", func(t *testing.T) {
 		var grantor lockedGrantor
 		if !grantor.grant(at(0), lease, 7) {
-			t.Fatal("nothing stands against it")
+			t.Fatal("refused a lease although nothing conflicts with it")
 		}
 		if grantor.beginCampaign(at(0.9), false, 7) {
-			t.Error("campaigned while the grant binds")
+			t.Error("campaigned while the granted lease binds")
 		}
 		if !grantor.beginCampaign(at(1.1), false, 7) {
-			t.Error("the grant has ended")
+			t.Error("refused to campaign after the granted lease has ended")
 		}
 	})
 	t.Run("no grant while a campaign may still succeed", func(t *testing.T) {
 		var grantor lockedGrantor
-		grantor.beginCampaign(at(0), false, 7) // its outcome is never learnt
+		grantor.beginCampaign(at(0), false, 7) // its outcome remains unknown
 		if grantor.grant(at(60), lease, 7) {
-			t.Error("the late campaign could unseat the leader with token 7")
+			t.Error("granted a lease to token 7, which the pending campaign may still succeed")
 		}
 		if !grantor.grant(at(60), lease, 8) {
-			t.Error("token 8 came after the campaign, which can no longer succeed")
+			t.Error("refused a lease to token 8, against which the campaign can no longer succeed")
 		}
 	})
-	t.Run("a settled campaign stands against nothing", func(t *testing.T) {
+	t.Run("a grant is allowed after the campaign's outcome is known", func(t *testing.T) {
 		var grantor lockedGrantor
 		grantor.beginCampaign(at(0), false, 7)
 		grantor.campaignSettled()
 		if !grantor.grant(at(0.1), lease, 7) {
-			t.Error("refused without a reason")
+			t.Error("refused a lease although no campaign is pending")
 		}
 	})
-	t.Run("a new incarnation waits out what an earlier one may have granted", func(t *testing.T) {
+	t.Run("a new incarnation waits for the end of leases that an earlier one may have granted", func(t *testing.T) {
 		grantor := lockedGrantor{grantor: rules.RestartedGrantor(at(0), lease)}
 		if grantor.beginCampaign(at(0.5), false, 7) {
-			t.Error("campaigned while an earlier incarnation's grant may bind")
+			t.Error("campaigned while a lease granted by an earlier incarnation may bind")
 		}
 		if !grantor.beginCampaign(at(0.5), true, 7) {
-			t.Error("its own earlier incarnation led, so that it had granted nobody a lease")
+			t.Error("refused to campaign although its own earlier incarnation led, which granted no lease")
 		}
 		grantor = lockedGrantor{grantor: rules.RestartedGrantor(at(0), lease)}
 		grantor.grant(at(0.2), lease, 7)
 		if grantor.beginCampaign(at(0.5), true, 7) {
-			t.Error("a grant of this incarnation binds in any case")
+			t.Error("campaigned while a lease granted by this incarnation binds")
 		}
 	})
 	t.Run("no grant to a leader that has been succeeded", func(t *testing.T) {
 		var grantor lockedGrantor
 		grantor.observeToken(8)
 		if grantor.grant(at(0), lease, 7) || !grantor.grant(at(0), lease, 8) {
-			t.Error("token 8 was issued")
+			t.Error("token 8 was issued: want a refusal for token 7 and a lease for token 8")
 		}
 	})
-	t.Run("a later grant never ends an earlier one sooner", func(t *testing.T) {
+	t.Run("a later grant does not shorten an earlier one", func(t *testing.T) {
 		var grantor lockedGrantor
 		grantor.grant(at(0), 3*lease, 7)
 		grantor.grant(at(1), lease, 7)
 		if delay := grantor.campaignDelay(at(1), false); delay != 2*lease {
-			t.Errorf("campaigns are delayed by %v", delay)
+			t.Errorf("campaigns are delayed by %v, want 2 lease durations", delay)
 		}
 	})
 }
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -11,7 +11,7 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// lossRecorder records what electors report of lost keys.
+// lossRecorder records the losses of keys that electors report.
 type lossRecorder struct {
 	mu     sync.Mutex
 	losses []detection.Evidence
@@ -35,8 +35,8 @@
 	return slices.ContainsFunc(r.all(), func(loss detection.Evidence) bool { return loss.Kind == kind })
 }
 
-// loseKeys runs two electors, has the store lose keys, and checks in every moment of the next
-// minute that no two nodes lead. No token may be issued twice.
+// loseKeys runs two electors, makes the store lose keys, and checks every 10 ms of the next minute
+// that no two controllers lead. It also checks that no token is issued twice.
 func loseKeys(t *testing.T, lose func(*emulator.KVStore)) (reported *lossRecorder, tokens []uint64) {
 	t.Helper()
 	reported = &lossRecorder{}
@@ -46,22 +46,22 @@
 		first := startElector(t, network, "perch-0", reported.record)
 		time.Sleep(time.Second)
 		second := startElector(t, network, "perch-1", reported.record)
-		time.Sleep(5300 * time.Millisecond) // between two looks of the holder at its key
+		time.Sleep(5300 * time.Millisecond) // between two reads of the holder key by its holder
 		if !first.IsLeader() || second.IsLeader() {
-			t.Fatal("the first one should lead")
+			t.Fatal("want perch-0 alone to lead")
 		}
 		if losses := reported.all(); len(losses) > 0 {
-			t.Errorf("a loss was noticed where there was none: %v", losses)
+			t.Errorf("losses were reported before any key was lost: %v", losses)
 		}
 		lose(store)
 		for range 6000 {
 			time.Sleep(10 * time.Millisecond)
 			if first.IsLeader() && second.IsLeader() {
-				t.Fatal("two nodes lead")
+				t.Fatal("two controllers lead at the same time")
 			}
 		}
 		if !first.IsLeader() && !second.IsLeader() {
-			t.Error("nobody leads a minute later")
+			t.Error("no controller leads one minute after the loss")
 		}
 		first.stop()
 		second.stop()
@@ -78,28 +78,30 @@
 	return reported, tokens
 }
 
-// The holder key is lost while its lease lives on: the holder renews what holds nothing.
-// It must have stopped before another leads.
+// Checks that a leader stops before another controller leads if the holder key is lost while its
+// lease is alive. The leader can still renew the lease, but holds nothing by it.
 func TestHolderKeyLost(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithKey(HolderKey)) })
 		if !reported.has(detection.HolderLost) || len(tokens) < 2 {
-			t.Errorf("silently %v: noticed %v, tokens %v", silently, reported.all(), tokens)
+			t.Errorf("silently %v: reported losses %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
 }
 
-// All keys of the election are lost: the next token is above all that were issued.
+// Checks that the next token is higher than all issued ones after the store has lost all keys of
+// the election.
 func TestAllElectionKeysLost(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithPrefix(keyPrefix)) })
 		if !reported.has(detection.HolderLost) || !reported.has(detection.TokenBack) {
-			t.Errorf("silently %v: noticed %v, tokens %v", silently, reported.all(), tokens)
+			t.Errorf("silently %v: reported losses %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
 }
 
-// The store is put back to before the term, when there was no key of the election.
+// Checks that the controller wins a new term with a higher token after the store was rolled back
+// to a state without keys of the election.
 func TestStorePutBackToNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -111,17 +113,18 @@
 		store.Restore(empty)
 		time.Sleep(10 * time.Second)
 		if tokens := elector.wonTokens(); len(tokens) < 2 || tokens[1] <= tokens[0] || !elector.IsLeader() {
-			t.Errorf("tokens %v after the store was put back, leading %v", tokens, elector.IsLeader())
+			t.Errorf("tokens %v after the store was rolled back, leading: %v", tokens, elector.IsLeader())
 		}
 		if !reported.has(detection.TokenBack) {
-			t.Error("that the token went back was not noticed")
+			t.Error("the lower token was not reported")
 		}
 		elector.stop()
 		network.Wait()
 	})
 }
 
-// A holder that ends by itself, or whose lease ends, is no loss.
+// Checks that no loss is reported for a term that ends because the holder stops, or because its
+// lease ends.
 func TestEndOfATermIsNoLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -131,10 +134,10 @@
 		time.Sleep(time.Second)
 		second := startElector(t, network, "perch-1", reported.record)
 		time.Sleep(3 * time.Second)
-		store.SetRefused("perch-0", true) // its lease ends
+		store.SetRefused("perch-0", true) // the lease of perch-0 ends
 		time.Sleep(10 * time.Second)
 		if !second.IsLeader() {
-			t.Error("the second one does not lead")
+			t.Error("perch-1 does not lead")
 		}
 		store.SetRefused("perch-0", false)
 		time.Sleep(3 * time.Second)
@@ -142,18 +145,19 @@
 		time.Sleep(10 * time.Second)
 		store.SetOutage(false)
 		time.Sleep(5 * time.Second)
-		second.stop() // revokes its lease itself
+		second.stop() // revokes its lease
 		time.Sleep(5 * time.Second)
 		if losses := reported.all(); !first.IsLeader() || len(losses) > 0 {
-			t.Errorf("first leads: %v; noticed %v", first.IsLeader(), losses)
+			t.Errorf("perch-0 leads: %v; reported losses: %v", first.IsLeader(), losses)
 		}
 		first.stop()
 		network.Wait()
 	})
 }
 
-// The store is put back to an earlier term, whose lease is long over: nothing would ever remove
-// its holder key. A node that knows that others have succeeded that holder leads all the same.
+// Checks that a controller becomes leader after the store was rolled back to an earlier term. The
+// lease of that term has ended, so nothing else would ever remove its holder key. A controller
+// that knows that the holder has been succeeded must campaign all the same.
 func TestStorePutBackToAnEarlierHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -167,23 +171,23 @@
 		first.stop()
 		time.Sleep(5 * time.Second)
 		if !second.IsLeader() && !third.IsLeader() {
-			t.Fatal("nobody has succeeded the first one")
+			t.Fatal("no controller has succeeded perch-0")
 		}
 		store.Restore(earlier)
 		for range 1500 {
 			time.Sleep(10 * time.Millisecond)
 			if second.IsLeader() && third.IsLeader() {
-				t.Fatal("two nodes lead")
+				t.Fatal("two controllers lead at the same time")
 			}
 		}
 		if !second.IsLeader() && !third.IsLeader() {
-			t.Error("nobody leads after the store was put back")
+			t.Error("no controller leads after the store was rolled back")
 		}
 		second.stop()
 		third.stop()
 		network.Wait()
 		if tokens := append(second.wonTokens(), third.wonTokens()...); len(tokens) < 2 || tokens[0] == tokens[1] {
-			t.Errorf("tokens %v", tokens)
+			t.Errorf("tokens %v, want at least two, the first two different", tokens)
 		}
 	})
 }
--- a/internal/election/model/campaign_steps.go
+++ b/internal/election/model/campaign_steps.go
@@ -2,8 +2,8 @@
 
 import "ospreyslip/internal/election/rules"
 
-// arrivalSteps are transactions of a node that reach the store. The answer may be heard at any
-// later time, or never.
+// arrivalSteps adds the steps in which a transaction of a controller reaches the store. The answer
+// may arrive at any later time, or never.
 func (e *explorer) arrivalSteps(state *clusterState, node int) {
 	for slot, sent := range state.transactions[node] {
 		if !sent.present {
@@ -19,20 +19,20 @@
 			if heard && !sender.held {
 				sender.wonToken, sender.wonAge = sent.base+1, e.lease-sent.lease
 			}
-			e.add(next, "node %d's transaction (incarnation %d) takes token %d", node, sent.incarnation, sent.base+1)
+			e.add(next, "controller %d's transaction (incarnation %d) takes token %d", node, sent.incarnation, sent.base+1)
 			continue
 		}
-		e.add(next, "node %d's transaction (incarnation %d) fails, which nobody hears", node, sent.incarnation)
+		e.add(next, "controller %d's transaction (incarnation %d) fails, and the answer is lost", node, sent.incarnation)
 		if heard && sender.campaignPending && sender.campaignBase == sent.base {
 			grantor := sender.grantor()
 			grantor.CampaignSettled()
 			sender.setGrantor(grantor)
-			e.add(next, "node %d's transaction (incarnation %d) fails", node, sent.incarnation)
+			e.add(next, "controller %d's transaction (incarnation %d) fails", node, sent.incarnation)
 		}
 	}
 }
 
-// guardsHold tells whether a node's transaction finds both keys as they were when they were read.
+// guardsHold reports whether both keys are still as they were when the campaign read them.
 func (s *clusterState) guardsHold(node int, sent transaction) bool {
 	if s.store.token != sent.base {
 		return false
@@ -43,7 +43,7 @@
 	return int(s.store.holder) == node && s.store.incarnation == sent.ownIncarnation
 }
 
-// campaignSteps are those of a node that does not hold the leadership.
+// campaignSteps adds the steps of a controller that does not hold the leadership.
 func (e *explorer) campaignSteps(state *clusterState, node int) {
 	self := &state.nodes[node]
 	if self.held {
@@ -61,8 +61,8 @@
 	}
 }
 
-// campaignStep is that a node reads that nobody leads, or its own earlier incarnation, and sends
-// the transaction of a campaign.
+// campaignStep adds the step in which a controller reads that the key is free, or held by its own
+// earlier incarnation, and sends the transaction of a campaign.
 func (e *explorer) campaignStep(state *clusterState, node int, ownKey bool) {
 	next := *state
 	self := &next.nodes[node]
@@ -88,10 +88,11 @@
 		slot = 1
 	}
 	next.transactions[node][slot] = sent
-	e.add(next, "node %d (incarnation %d) campaigns after token %d", node, self.incarnation, state.store.token)
+	e.add(next, "controller %d (incarnation %d) campaigns after token %d", node, self.incarnation, state.store.token)
 }
 
-// bindsNothing tells whether the guard is left out by which a grantor is bound.
+// bindsNothing reports whether the exploration omits the guard by which the grantor's promise
+// delays campaigns.
 func (e *explorer) bindsNothing(grantor rules.Grantor) bool {
 	if grantor.FromEarlierIncarnation {
 		return e.without == WaitAfterRestart
@@ -99,7 +100,7 @@
 	return e.without == GrantForbidsCampaigns
 }
 
-// winStep is that a node hears that its campaign has succeeded.
+// winStep adds the step in which a controller learns that its campaign has succeeded.
 func (e *explorer) winStep(state *clusterState, node int) {
 	next := *state
 	self := &next.nodes[node]
@@ -111,5 +112,5 @@
 	validity.ExtendByRenewal(e.sentAt(self.wonAge), e.validFor())
 	self.setValidity(validity)
 	self.token, self.wonToken, self.wonAge = self.wonToken, 0, 0
-	e.add(next, "node %d (incarnation %d) leads with token %d", node, self.incarnation, self.token)
+	e.add(next, "controller %d (incarnation %d) leads with token %d", node, self.incarnation, self.token)
 }
--- a/internal/election/model/doc.go
+++ b/internal/election/model/doc.go
@@ -1,10 +1,10 @@
 // Package model explores, breadth first and exhaustively up to a bound, what the decisions of
-// package election/rules lead to when nodes crash and restart, messages are lost, late or
-// doubled, the store is out of reach, and clocks run at different rates. It looks for two nodes
-// that may act as the leader at a time. The decisions are the code that runs; the store, messages
-// and clocks around them are modelled here.
+// package election/rules lead to when controllers crash and restart, messages are lost, late or
+// duplicated, the store is unreachable, and clocks run at different rates. It searches for a state
+// in which two controllers may act as the leader. The decisions are the production code; the
+// store, the messages and the clocks are modelled here.
 //
-// Time goes in ticks. A leader's lease counts for one tick less than its duration from when it
-// was requested. The clock of one node may lose one tick in each lease duration: that is the
-// drift which the tick between the two makes up for.
+// Time passes in ticks. A renewal of a leader's lease is valid for one tick less than the lease
+// duration, counted from when it was requested. The clock of one controller may lose one tick in
+// each lease duration, which is the drift that the difference of one tick allows for.
 package model
--- a/internal/election/model/environment_steps.go
+++ b/internal/election/model/environment_steps.go
@@ -1,6 +1,6 @@
 package model
 
-// tickSteps let a tick pass. The slow clock may lose it.
+// tickSteps adds the steps in which one tick passes. The slow clock may lose the tick.
 func (e *explorer) tickSteps(state *clusterState) {
 	next := *state
 	next.tickStore()
@@ -12,11 +12,12 @@
 	if state.sinceSlow == 0 && state.nodes[e.slowNode].up {
 		next.nodes[e.slowNode] = state.nodes[e.slowNode]
 		next.sinceSlow = e.lease
-		e.add(next, "a tick passes, which node %d's clock loses", e.slowNode)
+		e.add(next, "a tick passes, which controller %d's clock loses", e.slowNode)
 	}
 }
 
-// tick lets a tick pass on a node's clock. Ages beyond a lease duration make no difference.
+// tick advances a controller's clock by one tick. Ages are capped at a lease duration, because
+// higher ages make no difference.
 func (n *nodeState) tick(lease int8) {
 	n.validFor, n.boundFor = max(0, n.validFor-1), max(0, n.boundFor-1)
 	if n.wonToken != 0 {
@@ -33,7 +34,7 @@
 	}
 }
 
-// tickStore lets a tick pass on the store's clock. Leases do not end in an outage.
+// tickStore advances the store's clock by one tick. Leases do not expire during an outage.
 func (s *clusterState) tickStore() {
 	if !s.store.up {
 		return
@@ -47,19 +48,19 @@
 		for slot := range s.transactions[node] {
 			sent := &s.transactions[node][slot]
 			if sent.lease = max(0, sent.lease-1); sent.lease == 0 {
-				*sent = transaction{} // without its lease, it would be refused
+				*sent = transaction{} // the store refuses a write under a lease that has ended
 			}
 		}
 	}
 }
 
-// outageSteps begin or end an outage of the store. At its end, every lease has its full duration
-// again.
+// outageSteps adds the step that begins or ends an outage of the store. When the outage ends,
+// every lease has its full duration again.
 func (e *explorer) outageSteps(state *clusterState) {
 	next := *state
 	next.store.up = !state.store.up
 	if state.store.up {
-		e.add(next, "the store is away")
+		e.add(next, "the store becomes unavailable")
 		return
 	}
 	if next.store.holder >= 0 {
@@ -72,22 +73,22 @@
 			}
 		}
 	}
-	e.add(next, "the store is back")
+	e.add(next, "the store becomes available")
 }
 
-// processSteps end a node's process, or begin its next incarnation. Its answers to others stay on
-// their way.
+// processSteps adds the step that ends a controller's process or starts its next incarnation.
+// Answers that it has sent to others are still delivered.
 func (e *explorer) processSteps(state *clusterState, node int) {
 	next := *state
 	self := &next.nodes[node]
 	if state.nodes[node].up {
 		if state.nodes[node].incarnation < maxIncarnation {
 			*self = nodeState{incarnation: state.nodes[node].incarnation}
-			e.add(next, "node %d ends", node)
+			e.add(next, "controller %d ends", node)
 		}
 		return
 	}
 	*self = nodeState{up: true, incarnation: state.nodes[node].incarnation + 1}
 	self.setGrantor(e.restartedGrantor())
-	e.add(next, "node %d begins its incarnation %d", node, self.incarnation)
+	e.add(next, "controller %d starts incarnation %d", node, self.incarnation)
 }
--- a/internal/election/model/explore.go
+++ b/internal/election/model/explore.go
@@ -9,33 +9,34 @@
 // Bounds limit an exploration.
 type Bounds struct {
 	Nodes     int
-	SlowNode  int // whose clock may lose ticks
-	Lease     int // duration in ticks
+	SlowNode  int // controller whose clock may lose ticks
+	Lease     int // lease duration in ticks
 	Start     Start
 	MaxDepth  int // steps from the start
-	MaxStates int // distinct ones, in all
+	MaxStates int // distinct states in total
 }
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
-	States int      // distinct ones that were reached
-	Depth  int      // steps up to which everything was explored
-	Trace  []string // steps to a state with two leaders; empty if there is none
+	States int      // distinct states that were reached
+	Depth  int      // number of steps up to which everything was explored
+	Trace  []string // steps to a state with two leaders; empty if none was found
 }
 
-// reachedState is a state that was reached, and how.
+// reachedState is a state that was reached, and the step that led to it.
 type reachedState struct {
 	state  clusterState
-	parent int32 // index of the state before; -1: this is the start
-	step   int32 // index of the step from there
+	parent int32 // index of the preceding state; -1 for the start
+	step   int32 // index among the steps from the parent
 }
 
-// Explore goes through all that may happen within the bounds, without one guard or with all.
+// Explore visits all states that can be reached within the bounds, with one guard omitted or with
+// all guards. It stops at the first state with two leaders.
 func Explore(bounds Bounds, without Guard) Result {
 	finder := &explorer{nodes: bounds.Nodes, slowNode: bounds.SlowNode, lease: int8(bounds.Lease), without: without}
 	reached := []reachedState{{state: finder.start(bounds.Start), parent: -1}}
 	seen := map[clusterState]struct{}{reached[0].state: {}}
-	frontier := 0 // index of the first state that was reached in the last step
+	frontier := 0 // index of the first state of the previous depth
 	for depth := range bounds.MaxDepth {
 		end := len(reached)
 		for parent := frontier; parent < end; parent++ {
@@ -55,14 +56,14 @@
 			}
 		}
 		if len(reached) == end {
-			return Result{States: end, Depth: depth} // there is nothing else
+			return Result{States: end, Depth: depth} // every state has been visited
 		}
 		frontier = end
 	}
 	return Result{States: len(reached), Depth: bounds.MaxDepth}
 }
 
-// trace describes the steps to the last state reached.
+// trace returns the descriptions of the steps that lead to the last state reached.
 func (e *explorer) trace(reached []reachedState) (steps []string) {
 	e.described = true
 	for at := len(reached) - 1; reached[at].parent >= 0; at = int(reached[at].parent) {
@@ -73,7 +74,7 @@
 	return steps
 }
 
-// Print writes a result for people to read.
+// Print writes the result as text.
 func (r Result) Print(to io.Writer) {
 	fmt.Fprintf(to, "%d states, all up to %d steps\n", r.States, r.Depth)
 	for i, description := range r.Trace {
--- a/internal/election/model/explorer.go
+++ b/internal/election/model/explorer.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// step is one thing that may happen in a state.
+// step is an event that may happen in a state.
 type step struct {
-	description string // empty unless explorer.described
+	description string // empty unless explorer.described is set
 	next        clusterState
 }
 
-// explorer finds out what may follow a state. The order in which it does so is always the same:
-// a trace names steps by their index.
+// explorer determines the possible successors of a state. Their order must be deterministic,
+// because a trace identifies steps by their index.
 type explorer struct {
 	nodes     int
-	slowNode  int  // whose clock may lose ticks
-	lease     int8 // duration in ticks
+	slowNode  int  // controller whose clock may lose ticks
+	lease     int8 // lease duration in ticks
 	without   Guard
-	described bool   // steps get descriptions, which takes long
-	steps     []step // used again for each state
+	described bool   // whether steps get descriptions, which are slow to format
+	steps     []step // reused for each state
 }
 
 func (e *explorer) add(next clusterState, format string, args ...any) {
@@ -30,7 +30,7 @@
 	e.steps = append(e.steps, step{description, next})
 }
 
-// stepsFrom returns all that may happen next. The result is valid until the next call.
+// stepsFrom returns all steps that may happen in a state. The result is valid until the next call.
 func (e *explorer) stepsFrom(state *clusterState) []step {
 	e.steps = e.steps[:0]
 	e.tickSteps(state)
@@ -49,12 +49,13 @@
 	return e.steps
 }
 
-// peersOf is the set of all nodes but one.
+// peersOf returns the set of all controllers but one.
 func (e *explorer) peersOf(node int) uint8 { return (1<<e.nodes - 1) &^ (1 << node) }
 
 func contains(set uint8, node int) bool { return set&(1<<node) != 0 }
 
-// sentAt is when a request was sent, by the node's clock, which reads 0 now.
+// sentAt returns when a request of the given age was sent, on the controller's clock, which always
+// reads 0 at the present state.
 func (e *explorer) sentAt(age int8) time.Duration {
 	if e.without == CountFromSending {
 		return 0
@@ -62,7 +63,7 @@
 	return -time.Duration(age)
 }
 
-// validFor is how long a renewal or a peer lease counts.
+// validFor returns how long a renewal or a peer lease is valid.
 func (e *explorer) validFor() time.Duration {
 	if e.without == DriftIsDeducted {
 		return time.Duration(e.lease)
--- a/internal/election/model/guards.go
+++ b/internal/election/model/guards.go
@@ -1,25 +1,26 @@
 package model
 
-// Guard is a rule that an exploration can leave out, to show what it is for.
+// Guard is a rule of the election that an exploration can omit, to show that the election is
+// unsafe without it.
 type Guard string
 
 // The guards.
 const (
 	NoGuard                Guard = ""
-	WaitAfterRestart       Guard = "a restarted node waits out what its earlier incarnation may have granted"
-	GrantForbidsCampaigns  Guard = "a grant forbids campaigns"
-	PendingCampaignRefuses Guard = "no grant while a campaign of one's own may succeed"
-	SucceededGetsNoGrant   Guard = "no grant to a leader that has been succeeded"
-	GrantsNeedValidity     Guard = "grants count only for a leader whose lease is valid"
-	DriftIsDeducted        Guard = "a leader counts less than the lease duration"
-	AllPeersGrant          Guard = "all peers have to grant"
-	LeaderGrantsNone       Guard = "a leader grants nothing"
-	CountFromSending       Guard = "a leader counts from when it sent its request"
-	AllPeersRelyOnNone     Guard = "all peers answer that they rely on no grant"
-	InvalidStillRelies     Guard = "a leader whose lease is not valid at the moment still relies on grants"
+	WaitAfterRestart       Guard = "a restarted controller waits for the end of leases that its earlier incarnation may have granted"
+	GrantForbidsCampaigns  Guard = "a granted lease forbids campaigns"
+	PendingCampaignRefuses Guard = "no lease is granted while the grantor's own campaign may succeed"
+	SucceededGetsNoGrant   Guard = "no lease is granted to a leader that has been succeeded"
+	GrantsNeedValidity     Guard = "grants extend the term only of a leader whose lease is still valid"
+	DriftIsDeducted        Guard = "a leader relies on a lease for less than its duration"
+	AllPeersGrant          Guard = "all peers must grant a lease"
+	LeaderGrantsNone       Guard = "a leader grants no lease"
+	CountFromSending       Guard = "the validity counts from when the leader sent its request"
+	AllPeersRelyOnNone     Guard = "all peers must answer that they rely on no grant"
+	InvalidStillRelies     Guard = "a leader whose lease is temporarily not valid still relies on grants"
 )
 
-// Guards lists all of them.
+// Guards lists all guards.
 var Guards = []Guard{
 	WaitAfterRestart, GrantForbidsCampaigns, PendingCampaignRefuses, SucceededGetsNoGrant, GrantsNeedValidity, DriftIsDeducted,
 	AllPeersGrant, LeaderGrantsNone, CountFromSending, AllPeersRelyOnNone, InvalidStillRelies,
--- a/internal/election/model/leader_steps.go
+++ b/internal/election/model/leader_steps.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// leaderSteps are those of a node that holds the leadership: renewals, and peer leases in their
-// place.
+// leaderSteps adds the steps of a controller that holds the leadership: renewals and requests for
+// peer leases.
 func (e *explorer) leaderSteps(state *clusterState, node int) {
 	self := &state.nodes[node]
 	if !self.held {
@@ -14,7 +14,7 @@
 		next := *state
 		leader := &next.nodes[node]
 		leader.requesting, leader.requestAge, leader.granted = true, 0, 0
-		e.add(next, "node %d requests leases of all peers", node)
+		e.add(next, "controller %d requests leases from all peers", node)
 	}
 	if self.requesting {
 		e.peerLeaseSteps(state, node)
@@ -22,18 +22,19 @@
 	if self.validFor == 0 {
 		next := *state
 		next.nodes[node].giveUp()
-		e.add(next, "node %d gives the leadership up", node)
+		e.add(next, "controller %d gives up the leadership", node)
 	}
 }
 
-// giveUp ends a term for good. What is on its way to the leader is for nobody any more.
+// giveUp ends a term for good. Answers that are still in flight to the leader are discarded.
 func (n *nodeState) giveUp() {
 	n.held, n.validFor, n.token = false, 0, 0
 	n.renewed, n.requesting, n.granted = false, false, 0
 	n.renewAge, n.requestAge = 0, 0
 }
 
-// renewSteps are that a renewal succeeds in the store, and that the leader hears of it.
+// renewSteps adds the steps in which a renewal succeeds in the store, and in which the leader
+// receives the answer.
 func (e *explorer) renewSteps(state *clusterState, node int) {
 	self := &state.nodes[node]
 	alive := state.store.up && int(state.store.holder) == node && state.store.incarnation == self.incarnation
@@ -41,7 +42,7 @@
 		next := *state
 		next.store.lease = e.lease
 		next.nodes[node].renewed, next.nodes[node].renewAge = true, 0
-		e.add(next, "node %d renews", node)
+		e.add(next, "controller %d renews its lease", node)
 	}
 	if self.renewed {
 		next := *state
@@ -50,12 +51,12 @@
 		validity := leader.validity()
 		validity.ExtendByRenewal(e.sentAt(self.renewAge), e.validFor())
 		leader.setValidity(validity)
-		e.add(next, "node %d hears that it renewed %d ticks ago", node, self.renewAge)
+		e.add(next, "controller %d learns that its renewal of %d ticks ago succeeded", node, self.renewAge)
 	}
 }
 
-// peerLeaseSteps are the answers to one request for peer leases: that each peer grants, and that
-// the leader has all grants.
+// peerLeaseSteps adds the steps that answer a request for peer leases: each peer grants it, and
+// the leader receives all grants.
 func (e *explorer) peerLeaseSteps(state *clusterState, node int) {
 	self := &state.nodes[node]
 	for peer := range e.nodes {
@@ -76,11 +77,11 @@
 		validity.ExtendByGrants(0, e.sentAt(self.requestAge), e.validFor())
 	}
 	leader.setValidity(validity)
-	e.add(next, "node %d has all grants that it requested %d ticks ago", node, self.requestAge)
+	e.add(next, "controller %d has all grants that it requested %d ticks ago", node, self.requestAge)
 }
 
-// grantStep is that a peer grants a leader's request. The store may refuse that peer alone, so
-// that it may grant at any time.
+// grantStep adds the step in which a peer grants a leader's request. It is possible at any time,
+// also while the store is available, because the store may refuse this peer alone.
 func (e *explorer) grantStep(state *clusterState, leader, peer int) {
 	next := *state
 	grantingPeer := &next.nodes[peer]
@@ -99,5 +100,5 @@
 	grantor.CampaignPending, grantor.HighestToken = pending, uint64(grantingPeer.highestToken)
 	grantingPeer.setGrantor(grantor)
 	next.nodes[leader].granted |= 1 << peer
-	e.add(next, "node %d (incarnation %d) grants node %d a lease", peer, grantingPeer.incarnation, leader)
+	e.add(next, "controller %d (incarnation %d) grants controller %d a lease", peer, grantingPeer.incarnation, leader)
 }
--- a/internal/election/model/model_test.go
+++ b/internal/election/model/model_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// maxStates is how many states each exploration may reach: few in CI, and as many as memory holds
-// where OSPREYSLIP_MODEL_STATES says so.
+// maxStates returns the number of states that each exploration may reach: usual, which is small
+// enough for CI, or OSPREYSLIP_MODEL_STATES for larger explorations, which memory limits.
 func maxStates(t *testing.T, usual int) int {
 	t.Helper()
 	value := os.Getenv("OSPREYSLIP_MODEL_STATES")
@@ -18,22 +18,22 @@
 	}
 	states, err := strconv.Atoi(value)
 	if err != nil || states <= 0 {
-		t.Fatalf("OSPREYSLIP_MODEL_STATES: %q is no number of states", value)
+		t.Fatalf("OSPREYSLIP_MODEL_STATES: %q is not a positive number of states", value)
 	}
 	return states
 }
 
-// With all guards, no two nodes may ever act as the leader at a time.
+// Checks that with all guards, no two controllers may ever act as the leader at the same time.
 func TestNeverTwoLeaders(t *testing.T) {
 	for _, nodes := range []int{2, 3} {
 		for slow := range nodes {
 			for _, start := range []Start{JustWon, OnPeerLeases} {
-				t.Run(fmt.Sprintf("%d nodes, node %d is slow, %s", nodes, slow, start), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d controllers, controller %d is slow, %s", nodes, slow, start), func(t *testing.T) {
 					t.Parallel()
 					bounds := Bounds{Nodes: nodes, SlowNode: slow, Lease: 3, Start: start, MaxDepth: 100, MaxStates: maxStates(t, 250_000)}
 					result := Explore(bounds, NoGuard)
 					if len(result.Trace) > 0 {
-						t.Error("two leaders\n" + result.text())
+						t.Error("two controllers may lead:\n" + result.text())
 					}
 					t.Logf("%d states, all up to %d steps", result.States, result.Depth)
 				})
@@ -48,7 +48,8 @@
 	return text.String()
 }
 
-// Without any one of these guards there are two leaders: each is for something.
+// Checks that each of these guards is necessary: without it, the exploration finds a state with
+// two leaders.
 func TestEachGuardIsForSomething(t *testing.T) {
 	for _, test := range []struct {
 		guard Guard
@@ -66,7 +67,7 @@
 		bounds := Bounds{Nodes: test.nodes, Lease: 3, Start: test.start, MaxDepth: 100, MaxStates: 200_000}
 		result := Explore(bounds, test.guard)
 		if len(result.Trace) == 0 {
-			t.Errorf("without %q nothing goes wrong in %d states, up to %d steps", test.guard, result.States, result.Depth)
+			t.Errorf("without %q no two leaders were found in %d states, up to %d steps", test.guard, result.States, result.Depth)
 		}
 		t.Logf("without %q:\n%s", test.guard, result.text())
 	}
--- a/internal/election/model/restart_steps.go
+++ b/internal/election/model/restart_steps.go
@@ -10,8 +10,9 @@
 	return rules.RestartedGrantor(0, time.Duration(e.lease))
 }
 
-// voidingSteps are those of a restarted node that asks its peers whether they rely on grants: the
-// answers, and that it voids what its earlier incarnation may have granted.
+// voidingSteps adds the steps of a restarted controller that asks its peers whether they rely on
+// grants: the peers' answers, and the step that voids the leases that its earlier incarnation may
+// have granted.
 func (e *explorer) voidingSteps(state *clusterState, node int) {
 	self := &state.nodes[node]
 	if !self.fromEarlier {
@@ -24,7 +25,7 @@
 		if !e.reliesOnGrants(&state.nodes[peer]) {
 			next := *state
 			next.nodes[node].relyOnNone |= 1 << peer
-			e.add(next, "node %d (incarnation %d) answers node %d that it relies on no grant", peer, state.nodes[peer].incarnation, node)
+			e.add(next, "controller %d (incarnation %d) answers controller %d that it relies on no grant", peer, state.nodes[peer].incarnation, node)
 		}
 	}
 	if self.relyOnNone == e.peersOf(node) || e.without == AllPeersRelyOnNone && self.relyOnNone != 0 {
@@ -33,11 +34,11 @@
 		grantor := restarted.grantor()
 		grantor.VoidEarlierGrants(0)
 		restarted.setGrantor(grantor)
-		e.add(next, "node %d voids what its earlier incarnation may have granted", node)
+		e.add(next, "controller %d voids the leases that its earlier incarnation may have granted", node)
 	}
 }
 
-// reliesOnGrants is what a peer answers.
+// reliesOnGrants returns a peer's answer to a restarted controller.
 func (e *explorer) reliesOnGrants(peer *nodeState) bool {
 	validity := peer.validity()
 	if e.without == InvalidStillRelies {
--- a/internal/election/model/state.go
+++ b/internal/election/model/state.go
@@ -12,59 +12,61 @@
 // Bounds of all explorations.
 const (
 	maxToken       = 3
-	maxIncarnation = 2 // of each node
+	maxIncarnation = 2 // of each controller
 )
 
-// clusterState is the whole cluster at a moment. Two that are equal have the same future.
+// clusterState is the state of the whole cluster. It contains everything that determines the
+// possible successors, so that equal states are explored only once.
 type clusterState struct {
 	store storeState
 	nodes [MaxNodes]nodeState
-	// Two for each node: of its present incarnation and of one before.
+	// Each controller has two slots: one for its present incarnation and one for an earlier one.
 	transactions [MaxNodes][2]transaction
-	sinceSlow    int8 // ticks until the slow clock may lose another
+	sinceSlow    int8 // ticks until the slow clock may lose another tick
 }
 
 // storeState is the key-value store.
 type storeState struct {
 	up          bool
-	holder      int8 // the node that holds the key, or -1
+	holder      int8 // controller that holds the key, or -1
 	incarnation int8 // of the holder
 	lease       int8 // ticks left of the holder's lease
 	token       int8 // highest fencing token issued
 }
 
-// transaction is that of a campaign, on its way to the store. It may arrive at any later time,
-// also when its sender has ended.
+// transaction is the transaction of a campaign in flight to the store. It may arrive at any later
+// time, even after its sender has ended.
 type transaction struct {
 	present     bool
 	incarnation int8 // of its sender
-	base        int8 // the fencing token that it succeeds
-	// ownIncarnation is the sender's earlier one that held the key when it was read; 0: nobody did.
+	base        int8 // fencing token of the leader that the campaign succeeds
+	// ownIncarnation is the sender's earlier incarnation that held the key when it was read; 0 if
+	// the key was free.
 	ownIncarnation int8
-	lease          int8 // ticks left of the lease that was granted for it
+	lease          int8 // ticks left of the lease that was granted for the transaction
 }
 
-// nodeState is one controller. Times are ticks that are left, or have passed, by its own clock. A
-// message that never comes is one that stays on its way.
+// nodeState is the state of one controller. Durations are ticks left, and ages are ticks passed,
+// on its own clock. A lost message is modelled as one that stays in flight.
 type nodeState struct {
 	up          bool
 	incarnation int8
 
-	// The campaign whose success the node has yet to hear of.
-	wonToken int8 // 0: none
-	wonAge   int8 // of its transaction
+	// A campaign that has succeeded, but whose outcome the controller does not know yet.
+	wonToken int8 // 0 if there is none
+	wonAge   int8 // age of the campaign's transaction
 
-	// As the leader: rules.LeaseValidity, and requests that extend it.
+	// The state as a leader: rules.LeaseValidity and the requests that extend it.
 	held       bool
 	token      int8
 	validFor   int8
-	renewed    bool // the answer to a renewal is on its way
+	renewed    bool // a renewal has succeeded and its answer is in flight
 	renewAge   int8
-	requesting bool // peer leases
+	requesting bool // a request for peer leases is in flight
 	requestAge int8
-	granted    uint8 // peers that have granted; their answers may be on their way still
+	granted    uint8 // peers that have granted; their answers may be in flight
 
-	// As a peer: rules.Grantor, and what an incarnation that has just begun has heard.
+	// The state as a peer: rules.Grantor and the answers to a restarted controller.
 	boundFor        int8
 	fromEarlier     bool
 	campaignPending bool
@@ -73,7 +75,7 @@
 	relyOnNone      uint8 // peers that have answered that they rely on no grant
 }
 
-// grantor is the node's state as rules has it, at reading 0 of its clock.
+// grantor returns the state as a peer as a rules.Grantor whose clock reads 0.
 func (n *nodeState) grantor() rules.Grantor {
 	return rules.Grantor{
 		BoundUntil: time.Duration(n.boundFor), FromEarlierIncarnation: n.fromEarlier,
@@ -81,8 +83,8 @@
 	}
 }
 
-// setGrantor stores a grantor. What has no meaning any more is zeroed, so that states that
-// differ in nothing else are equal.
+// setGrantor stores the state as a peer. It clears fields that have no meaning any more, because
+// states that differ only in such fields must be equal.
 func (n *nodeState) setGrantor(grantor rules.Grantor) {
 	n.boundFor, n.fromEarlier = int8(max(0, grantor.BoundUntil)), grantor.FromEarlierIncarnation
 	n.campaignPending, n.campaignBase = grantor.CampaignPending, int8(grantor.CampaignBase)
@@ -95,7 +97,7 @@
 	}
 }
 
-// validity is the node's state as rules has it, at reading 0 of its clock.
+// validity returns the state as a leader as a rules.LeaseValidity on a clock that reads 0.
 func (n *nodeState) validity() rules.LeaseValidity {
 	return rules.LeaseValidity{Held: n.held, Until: time.Duration(n.validFor)}
 }
@@ -104,13 +106,13 @@
 	n.held, n.validFor = validity.Held, int8(max(0, validity.Until))
 }
 
-// mayAct tells whether a node may act as the leader.
+// mayAct reports whether the controller may act as the leader.
 func (n *nodeState) mayAct() bool {
 	validity := n.validity()
 	return n.up && validity.Valid(0)
 }
 
-// leaders counts the nodes that may act as the leader.
+// leaders returns the number of controllers that may act as the leader.
 func (s *clusterState) leaders() (count int) {
 	for i := range s.nodes {
 		if s.nodes[i].mayAct() {
@@ -120,16 +122,16 @@
 	return count
 }
 
-// Start is where an exploration begins.
+// Start is the initial state of an exploration.
 type Start string
 
-// The starts. The second can come about from the first.
+// The initial states. OnPeerLeases can be reached from JustWon.
 const (
-	// JustWon is a cluster in which node 0 has just won the first term.
-	JustWon Start = "node 0 has just won the first term"
-	// OnPeerLeases is one in which the store has refused node 0 for most of a lease duration,
-	// and all peers have just granted it a lease.
-	OnPeerLeases Start = "node 0 holds the first term by peer leases, its lease is about to end"
+	// JustWon is the state in which controller 0 has just won the first term.
+	JustWon Start = "controller 0 has just won the first term"
+	// OnPeerLeases is the state in which the store has refused controller 0 for most of a lease
+	// duration, and all peers have just granted it a lease.
+	OnPeerLeases Start = "controller 0 holds the first term by peer leases, its lease is about to end"
 )
 
 func (e *explorer) start(start Start) clusterState {
--- a/internal/election/peer_leases.go
+++ b/internal/election/peer_leases.go
@@ -9,30 +9,32 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// GrantPeerLease decides whether this node grants the leader with a fencing token a lease, which
-// forbids this node to campaign for one lease duration. It does so only while it, too, gets no
-// answer from the store, which it tries now: else the leader is cut off alone, and another node
-// shall lead.
+// GrantPeerLease decides whether to grant a lease to the leader with the given fencing token. A
+// grant forbids this controller to campaign for one lease duration. The lease is granted only if
+// this controller cannot reach the store either, which GrantPeerLease checks by a read. If the
+// store answers, only the leader is cut off, and another controller should lead.
 func (e *Elector) GrantPeerLease(ctx context.Context, token uint64) bool {
 	if e.IsLeader() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.timing.RenewPeriod)
 	defer cancel()
+	// A store that only limits the rate still accepts cancellations, which the leader must see.
 	if _, _, err := e.store.Get(ctx, HolderKey); err == nil || errors.Is(err, kvstore.ErrRateLimited) {
-		return false // a store that is only busy still takes cancellations, which the leader must see
+		return false
 	}
 	if !e.grantor.grant(e.clock(), e.timing.LeaseDuration, token) {
 		return false
 	}
 	if holder := e.observedHolder.Load(); holder != nil && holder.FencingToken <= token {
-		e.noteContact(time.Now()) // by this request the holder itself has told that it leads
+		e.noteContact(time.Now()) // the request shows that the holder still leads
 	}
 	return true
 }
 
-// voidEarlierGrants asks all peers whether any may rely on what an earlier incarnation of this
-// node has granted. It returns true if none does: then those grants need not be waited out.
+// voidEarlierGrants asks all peers whether they rely on leases that an earlier incarnation of this
+// controller may have granted. It returns true if no peer does, and then this controller no longer
+// waits for the end of those leases.
 func (e *Elector) voidEarlierGrants(ctx context.Context) bool {
 	if e.NoPeerReliesOnGrants == nil || !e.grantor.boundByEarlierIncarnation(e.clock()) {
 		return false
@@ -43,6 +45,6 @@
 		return false
 	}
 	e.grantor.voidEarlierGrants(e.clock())
-	slog.Info("lease grants of an earlier incarnation are void", "reason", "no other node relies on one")
+	slog.Info("lease grants of an earlier incarnation are void", "reason", "no other controller relies on one")
 	return true
 }
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -11,10 +11,10 @@
 
 const (
 	keyPrefix = "term/"
-	// HolderKey is the key whose holder leads. It guards every write of a leader: its revision
-	// stays the same for the whole term.
+	// HolderKey is the key whose holder is the leader. Every write of a leader is guarded by its
+	// revision, which stays the same for the whole term.
 	HolderKey = "term/holder"
-	// TokenKey holds the highest fencing token ever issued. It outlives the lease.
+	// TokenKey holds the highest fencing token ever issued. It is not tied to a lease.
 	TokenKey = "term/token"
 )
 
@@ -23,32 +23,32 @@
 	Node         string `json:"node"`
 	Incarnation  string `json:"life"`
 	FencingToken uint64 `json:"token"`
-	// Lease is the one that the key is tied to; 0 if an earlier version wrote it.
+	// Lease is the lease that the key is tied to; 0 in records of earlier versions.
 	Lease uint64 `json:"lease,omitempty"`
 }
 
-// Term is one time of leadership.
+// Term identifies a term that this controller has won.
 type Term struct {
-	FencingToken   uint64 // with which it began
+	FencingToken   uint64 // the token with which the term began
 	HolderRevision uint64 // revision of HolderKey
-	TokenRevision  uint64 // revision of TokenKey when it began
+	TokenRevision  uint64 // revision of TokenKey when the term began
 	Since          time.Time
 }
 
-// storedElection is what the store has of the election.
+// storedElection is the state of the election in the store.
 type storedElection struct {
-	holder         *holderRecord // nil: nobody
-	holderRevision uint64        // of HolderKey; 0: it does not exist
-	highestToken   uint64        // ever issued
-	tokenRevision  uint64        // of TokenKey; 0: it does not exist, as nobody ever led
-	revision       uint64        // of the store, as of which all this was read
+	holder         *holderRecord // nil if no controller holds the key
+	holderRevision uint64        // of HolderKey; 0 if the key is missing
+	highestToken   uint64        // highest fencing token ever issued
+	tokenRevision  uint64        // of TokenKey; 0 if the key is missing, as before the first term
+	revision       uint64        // revision of the store as of which the keys were read
 }
 
-// heldBy tells whether a node holds the key, in whichever incarnation.
+// heldBy reports whether any incarnation of the controller holds the key.
 func (s *storedElection) heldBy(node string) bool { return s.holder != nil && s.holder.Node == node }
 
-// readStored reads the keys of the election. It reports a loss if the revision is below one that
-// was read before: then the store was rolled back to an earlier state.
+// readStored reads the election keys. It reports a loss if the store's revision is lower than one
+// read before, because the store was then rolled back to an earlier state.
 func (e *Elector) readStored(ctx context.Context) (storedElection, error) {
 	asked := e.newestRevision.Baseline()
 	keyValues, revision, err := e.store.List(ctx, keyPrefix)
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -10,32 +10,35 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// maxRenewalsInFlight is how many renewals may wait for their answers at a time: as many as are
-// sent while one counts. With fewer, slow answers would leave gaps.
+// maxRenewalsInFlight is the maximum number of renewals that wait for their answers at a time. It
+// is the number of renewals sent while one is valid; with a lower limit, slow answers would leave
+// gaps in the validity.
 const maxRenewalsInFlight = 5
 
-// requestOutcome is what became of a renewal, or of a request for peer leases.
+// requestOutcome is the outcome of a renewal or of a request for peer leases.
 type requestOutcome struct {
 	sentAt time.Time
 	err    error
 }
 
-// leaseKeeper keeps the lease of one term: by renewals in the store, and by peer leases while
-// the store does not answer. docs/design.md ("Peer leases during an outage") has why that is safe.
-// One goroutine owns it; each request has a goroutine of its own, which ends with the context of
-// run and leaves its outcome in a channel that has room for it.
+// leaseKeeper extends the validity of one term: by renewals of its lease in the store, and by peer
+// leases while the store does not answer. docs/design.md ("Peer leases during an outage") explains
+// why this is safe.
+//
+// It is owned by one goroutine. Each request runs in its own goroutine, which ends with the
+// context of run and sends its outcome to a channel with free capacity for it.
 type leaseKeeper struct {
 	elector *Elector
 	term    wonTerm
 
 	renewals         chan requestOutcome
 	renewalsInFlight int
-	renewedAt        time.Time // when the last renewal that succeeded was sent
-	renewalSentAt    time.Time // the last one, whatever its outcome
+	renewedAt        time.Time // send time of the newest renewal that succeeded
+	renewalSentAt    time.Time // send time of the last renewal, whatever its outcome
 
 	peerLeases           chan requestOutcome
 	requestingPeerLeases bool
-	peerLeasesSentAt     time.Time // the last request, whatever its outcome
+	peerLeasesSentAt     time.Time // send time of the last request, whatever its outcome
 }
 
 func newLeaseKeeper(elector *Elector, won wonTerm) *leaseKeeper {
@@ -47,7 +50,7 @@
 	}
 }
 
-// run keeps the lease until the term ends, and tells why it did.
+// run extends the validity until the term ends, and returns the reason for its end.
 func (k *leaseKeeper) run(ctx context.Context, leadReturned, keyLost <-chan struct{}) endReason {
 	tick := time.NewTicker(k.elector.timing.RenewPeriod)
 	defer tick.Stop()
@@ -77,15 +80,16 @@
 	}
 }
 
-// due tells whether a request may be sent again. One that is refused is answered at once, and
-// must not be repeated at once. Ticks may come a little early.
+// due reports whether a request may be sent again, one RenewPeriod after the last. Without this
+// limit, a request that is refused at once would be repeated at once. The tolerance of 10 % allows
+// for ticks that come early.
 func (k *leaseKeeper) due(now, sentAt time.Time) bool {
 	return now.Sub(sentAt) >= k.elector.timing.RenewPeriod*9/10
 }
 
-// renew sends a renewal if one is due. On a busy processor an answer may take most of the time
-// for which it counts: the next renewal does not wait for it, and it is not given up when a later
-// one is sent.
+// renew sends a renewal if one is due. On a busy processor, an answer may take most of the time
+// for which the renewal is valid. The next renewal is therefore sent without waiting for it, and a
+// later renewal does not cancel an earlier one.
 func (k *leaseKeeper) renew(ctx context.Context, now time.Time) {
 	if k.renewalsInFlight >= maxRenewalsInFlight || !k.due(now, k.renewalSentAt) {
 		return
@@ -99,8 +103,8 @@
 	}()
 }
 
-// renewalAnswered takes in the outcome of a renewal, and tells whether the lease has ended in
-// the store.
+// renewalAnswered handles the outcome of a renewal and reports whether the lease has ended in the
+// store.
 func (k *leaseKeeper) renewalAnswered(outcome requestOutcome) (ended bool) {
 	k.renewalsInFlight--
 	elector := k.elector
@@ -108,20 +112,20 @@
 	case outcome.err == nil && outcome.sentAt.After(k.renewedAt):
 		k.renewedAt = outcome.sentAt
 		elector.validity.extendByRenewal(elector.clockAt(outcome.sentAt), elector.timing.ValidFor)
-	case outcome.err == nil: // one that was sent later has been answered already
+	case outcome.err == nil: // a renewal that was sent later has already been answered
 	case errors.Is(outcome.err, kvstore.ErrLeaseNotFound):
-		if elector.IsLeader() { // renewed in time, the lease cannot have ended by itself
+		if elector.IsLeader() { // a lease that was renewed in time cannot have expired
 			elector.ReportLoss(detection.Evidence{Kind: detection.HolderLost, Key: HolderKey, Known: k.term.FencingToken})
 		}
 		return true
 	default:
-		slog.Debug("renewal failed", "term", k.term.FencingToken, "reason", outcome.err)
+		slog.Debug("lease renewal failed", "term", k.term.FencingToken, "reason", outcome.err)
 	}
 	return false
 }
 
-// requestPeerLeases asks all peers for a lease if no renewal of the last two periods has
-// succeeded. Remaining is how long the leader may still act.
+// requestPeerLeases requests a lease from every peer if no renewal sent within the last two renew
+// periods has succeeded. remaining is how long the leader may still act.
 func (k *leaseKeeper) requestPeerLeases(ctx context.Context, now time.Time, remaining time.Duration) {
 	elector := k.elector
 	storeSilent := now.Sub(k.renewedAt) >= 2*elector.timing.RenewPeriod
@@ -140,10 +144,10 @@
 	}()
 }
 
-// errNotGranted is that not all peers have granted a lease.
-var errNotGranted = errors.New("not all peers have granted a lease")
+// errNotGranted is the outcome of a request that not all peers have granted.
+var errNotGranted = errors.New("not all peers granted a lease")
 
-// peerLeasesAnswered takes in whether all peers have granted a lease.
+// peerLeasesAnswered handles the outcome of a request for peer leases.
 func (k *leaseKeeper) peerLeasesAnswered(outcome requestOutcome) {
 	k.requestingPeerLeases = false
 	elector := k.elector
--- a/internal/election/rules/grantor.go
+++ b/internal/election/rules/grantor.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Grantor is what a node has granted to leaders, and the campaign of its own that a grant could
-// conflict with. The zero value has granted nothing.
+// Grantor tracks the leases that a controller has granted to leaders, and its own campaign, with
+// which a grant may conflict. The zero value has granted nothing.
 //
-// Two invariants keep a leader that relies on a grant safe: while a grant binds, its grantor
-// begins no campaign; and while a campaign could succeed against a leader, its node grants that
-// leader nothing.
+// Two invariants protect a leader that relies on a grant. While a grant binds, its grantor begins
+// no campaign. While a campaign could succeed against a leader, its controller grants that leader
+// nothing.
 type Grantor struct {
-	BoundUntil time.Duration // it begins no campaign before
-	// FromEarlierIncarnation is that BoundUntil stands for what an earlier incarnation (run of
-	// this node's process) may have granted, which nobody remembers.
+	BoundUntil time.Duration // no campaign may begin before
+	// FromEarlierIncarnation is set while BoundUntil covers leases that an earlier incarnation may
+	// have granted, of which there is no record.
 	FromEarlierIncarnation bool
-	// CampaignPending is that a campaign's transaction may yet be executed: its outcome is
-	// unknown.
+	// CampaignPending is set while a campaign's transaction may still be executed, because its
+	// outcome is unknown.
 	CampaignPending bool
-	CampaignBase    uint64 // the fencing token that the pending campaign succeeds
+	CampaignBase    uint64 // fencing token that the pending campaign succeeds
 	HighestToken    uint64 // highest fencing token known to have been issued
 }
 
-// RestartedGrantor is a node that has just begun: its earlier incarnation may have granted a
-// lease just before its end.
+// RestartedGrantor returns the Grantor of a controller that has just started. Its earlier
+// incarnation may have granted a lease immediately before it ended, so campaigns are forbidden for
+// one lease duration.
 func RestartedGrantor(now, leaseDuration time.Duration) Grantor {
 	return Grantor{BoundUntil: now + leaseDuration, FromEarlierIncarnation: true}
 }
 
-// CampaignDelay is how long this node must not begin a campaign. Exempt says that its own earlier
-// incarnation holds the leadership, or that nobody ever held it: then no grant of an earlier
-// incarnation can have kept another node in office, and none has to be waited out.
+// CampaignDelay returns how long this controller must not begin a campaign. exempt is set if an
+// earlier incarnation of this controller holds the leadership, or if no controller ever held it.
+// Then no grant of an earlier incarnation can have extended the term of another controller, so
+// none delays the campaign.
 func (g *Grantor) CampaignDelay(now time.Duration, exempt bool) time.Duration {
 	if g.FromEarlierIncarnation && exempt {
 		return 0
@@ -36,8 +38,9 @@
 	return max(0, g.BoundUntil-now)
 }
 
-// BeginCampaign notes that the transaction of a campaign is about to be sent, which succeeds the
-// leader with the fencing token base. It returns false if a grant forbids that.
+// BeginCampaign records that the transaction of a campaign is about to be sent. base is the
+// fencing token of the leader that the campaign would succeed. BeginCampaign returns false, and
+// records nothing, if a grant forbids the campaign.
 func (g *Grantor) BeginCampaign(now time.Duration, exempt bool, base uint64) bool {
 	if g.CampaignDelay(now, exempt) > 0 {
 		return false
@@ -46,16 +49,16 @@
 	return true
 }
 
-// CampaignSettled notes that the campaign's outcome is known.
+// CampaignSettled records that the outcome of the campaign is known.
 func (g *Grantor) CampaignSettled() { g.CampaignPending = false }
 
-// ObserveToken notes a fencing token that was issued.
+// ObserveToken records a fencing token that was issued.
 func (g *Grantor) ObserveToken(token uint64) { g.HighestToken = max(g.HighestToken, token) }
 
-// Grant promises the leader with a fencing token to begin no campaign for one lease duration
-// from now. It returns false, and promises nothing, while a campaign of this node could still
-// succeed against that leader (one that builds on an older token cannot, as the transaction's
-// guards fail), and to a leader that has been succeeded.
+// Grant promises the leader with the given fencing token to begin no campaign for one lease
+// duration from now. It returns false, and promises nothing, to a leader that has been succeeded,
+// and while a campaign of this controller could still succeed against the leader. A campaign that
+// builds on an older token cannot succeed, because the guards of its transaction fail.
 func (g *Grantor) Grant(now, leaseDuration time.Duration, token uint64) bool {
 	if g.CampaignPending && g.CampaignBase >= token || g.HighestToken > token {
 		return false
@@ -65,9 +68,9 @@
 	return true
 }
 
-// VoidEarlierGrants notes that nobody relies on what an earlier incarnation may have granted:
-// every peer, asked by this incarnation, has answered that it relies on no grant. A grant of this
-// incarnation goes on to bind.
+// VoidEarlierGrants records that no controller relies on leases that an earlier incarnation may
+// have granted: every peer, asked by this incarnation, has answered that it relies on no grant.
+// Grants of this incarnation still bind.
 func (g *Grantor) VoidEarlierGrants(now time.Duration) {
 	if g.FromEarlierIncarnation {
 		g.BoundUntil, g.FromEarlierIncarnation = now, false
--- a/internal/election/rules/validity.go
+++ b/internal/election/rules/validity.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// LeaseValidity is until when a leader may act. The zero value is that of a node that does not
-// hold the leadership.
+// LeaseValidity tracks until when a leader may act. The zero value belongs to a controller that
+// holds no term.
 type LeaseValidity struct {
-	Held  bool // from when the leadership was won until it was given up for good
+	Held  bool // set from winning a term until giving it up for good
 	Until time.Duration
 }
 
-// Valid tells whether the leader may act.
+// Valid reports whether the leader may act.
 func (v *LeaseValidity) Valid(now time.Duration) bool { return v.Held && now < v.Until }
 
-// ExtendByRenewal takes in that a renewal of the lease in the store has succeeded, which was
-// sent at a moment and counts for a duration from then. It may come after the validity has ended:
-// that the renewal succeeded proves that the lease never did.
+// ExtendByRenewal records a successful renewal of the lease in the store, which is valid for
+// validFor from when it was sent. It may restore a validity that has ended, because the success of
+// the renewal proves that the lease itself never ended.
 func (v *LeaseValidity) ExtendByRenewal(sent, validFor time.Duration) {
 	v.Until = max(v.Until, sent+validFor)
 }
 
-// ExtendByGrants takes in that all peers have granted a lease which they were asked for at a
-// moment, and which counts for a duration from then. It returns false, and extends nothing, if
-// the validity has ended: another node may have won the leadership in between, and its grant
-// does not bind it against itself.
+// ExtendByGrants records leases that all peers have granted, which are valid for validFor from
+// when they were requested. It returns false, and extends nothing, if the validity has ended. In
+// the meantime, another controller may have won the leadership, and a lease that it has granted
+// does not stop it from leading itself.
 func (v *LeaseValidity) ExtendByGrants(now, sent, validFor time.Duration) bool {
 	if !v.Valid(now) {
 		return false
@@ -31,7 +31,8 @@
 	return true
 }
 
-// ReliesOnNoGrant tells whether no grant that a peer gave up to now can help this node: it holds
-// no leadership. A node that holds one relies on grants even while its validity has ended, as
-// the late answer to a renewal may restore that, and a grant then extend it.
+// ReliesOnNoGrant reports whether no lease granted by a peer so far can extend the validity,
+// because the controller holds no term. A controller that holds a term relies on grants even after
+// its validity has ended: a late answer to a renewal may restore the validity, and a grant may
+// then extend it.
 func (v *LeaseValidity) ReliesOnNoGrant() bool { return !v.Held }
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -2,23 +2,23 @@
 
 import "ospreyslip/internal/jobs"
 
-// Outcome is what becomes of a lost job. Its values are shown to operators and counted in
-// metrics.
+// Outcome classifies the decision about a lost job. Its values are shown to operators and counted
+// in metrics.
 type Outcome string
 
 // The outcomes.
 const (
 	Recovered       Outcome = "recovered"
-	RecoveredInPart Outcome = "recovered in part" // its description is missing
+	RecoveredInPart Outcome = "recovered in part" // the job's description is missing
 	Uncertain       Outcome = "uncertain"
 	Contradictory   Outcome = "contradictory"
 )
 
-// Rule is the rule by which a decision was made. Its values are shown to operators and
-// stored with held jobs.
+// Rule is the rule that led to a decision. Its values are shown to operators and stored with held
+// jobs.
 type Rule string
 
-// The rules, in the order in which they are tried.
+// The rules, in the order in which Decide tries them.
 const (
 	RuleContradiction Rule = "done by one source, cancelled by another"
 	RuleDone          Rule = "a job that is done stays done"
@@ -31,28 +31,28 @@
 	RuleOldSource     Rule = "accepted by an old source, which proves neither that it is over nor that it is not"
 )
 
-// Decision is what is to be done about a lost job.
+// Decision is the decision about a lost job.
 type Decision struct {
 	Outcome Outcome
 	Rule    Rule
-	State   string // of the record to be written: jobs.Done, jobs.Cancelled, or jobs.Queued
-	Held    bool   // the job is not run until an operator settles it, or more is known
-	// DescriptionMissing is set for a held job that is known to be unfinished: it can run
-	// as soon as somebody hands in its description.
+	State   string // of the record to be written: jobs.Done, jobs.Cancelled or jobs.Queued
+	Held    bool   // the job does not run until an operator settles it or more is known
+	// DescriptionMissing is set for a held job that is known to be unfinished. It can run as soon
+	// as its description is submitted again or imported.
 	DescriptionMissing bool
 }
 
-// Final tells whether the job is over.
+// Final reports whether the decision is that the job has ended.
 func (d Decision) Final() bool { return !d.Held && d.State != jobs.Queued }
 
-// Decide judges what is known of a job: the first rule that applies decides, and proof of an
-// end comes before everything else. allHeard tells whether every controller that may know
-// more has answered, or is taken for gone; until then a job that seems unfinished is not run,
-// as another controller may know of its end.
+// Decide returns the decision of the first rule that applies. Proof that a job has ended precedes
+// all other rules. allHeard reports whether every controller that may know more has answered or is
+// considered gone. Until then, a job that seems unfinished is held, because another controller may
+// know that it has ended.
 func Decide(known Knowledge, allHeard bool) Decision {
 	switch {
 	case known.Done && known.Cancelled:
-		// Either way nothing of it may run; an operator may choose the other end.
+		// Both states keep the job from running. An operator may choose the other one.
 		return Decision{Outcome: Contradictory, Rule: RuleContradiction, State: jobs.Cancelled}
 	case known.Done && known.TaskCount() > 0:
 		return Decision{Outcome: Recovered, Rule: RuleDone, State: jobs.Done}
@@ -72,12 +72,12 @@
 	return Decision{Outcome: Uncertain, Rule: RuleOldSource, State: jobs.Queued, Held: true}
 }
 
-// TaskCount is how many tasks the job has, or the least number that it can have; 0 if
-// neither is known.
+// TaskCount returns the number of tasks of the job, or a lower bound if the number is not known.
+// It returns 0 if neither is known.
 func (k Knowledge) TaskCount() int { return max(k.Tasks, k.MinTasks) }
 
-// Record returns the record to be written for the job by a decision. nowMs is the time of day
-// in milliseconds.
+// Record returns the record that implements the decision about the job. nowMs is the wall-clock
+// time in milliseconds.
 func (k Knowledge) Record(decision Decision, nowMs int64) jobs.Record {
 	rec := jobs.Record{State: decision.State, Tasks: max(1, k.TaskCount())}
 	switch {
@@ -86,7 +86,7 @@
 	case decision.State == jobs.Queued:
 		rec.Spec, rec.AcceptedAtMs, rec.Restored = k.Spec, k.AcceptedMs, true
 	case decision.State == jobs.Cancelled:
-		rec.Spec = k.Spec // its tasks count until they are gone
+		rec.Spec = k.Spec // its tasks use resources until they are gone
 	}
 	if decision.Outcome == Contradictory {
 		rec.Held = &jobs.Held{Reason: string(decision.Rule), HeldSinceMs: nowMs, Contradicts: true}
--- a/internal/recovery/decide_test.go
+++ b/internal/recovery/decide_test.go
@@ -8,8 +8,8 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Whatever honest sources say, no job is given an end that it has not had, none that is
-// over runs again, and none is run of which that is not certain.
+// Checks decisions on what honest sources say of a job: the job is given no final state that it
+// does not have, does not run again after its end, and runs only if it is certain that it should.
 func TestNoWrongEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		real := drawTruth(t)
@@ -21,22 +21,22 @@
 		decision := Decide(known, heard)
 		switch {
 		case decision.Outcome == Contradictory:
-			t.Fatalf("honest sources contradict each other: %s", known.Provenance())
+			t.Fatalf("honest sources seem to contradict each other: %s", known.Provenance())
 		case decision.Final() && decision.State != real.state:
-			t.Fatalf("%s is taken for %s by %q: %s", real.state, decision.State, decision.Rule, known.Provenance())
+			t.Fatalf("a job in state %q is decided to be %q by rule %q: %s", real.state, decision.State, decision.Rule, known.Provenance())
 		case !decision.Held && decision.State == jobs.Queued && real.state != jobs.Queued:
-			t.Fatalf("%s would run again by %q: %s", real.state, decision.Rule, known.Provenance())
+			t.Fatalf("a job in state %q would run again by rule %q: %s", real.state, decision.Rule, known.Provenance())
 		case !decision.Held && decision.State == jobs.Queued && (known.Spec == nil || !heard):
-			t.Fatalf("run without a description, or before all were heard: %s", known.Provenance())
+			t.Fatalf("a job runs without a description, or before all controllers were heard: %s", known.Provenance())
 		}
 		rec := known.Record(decision, 1)
 		if rec.Tasks < 1 || decision.Held && rec.Held == nil || decision.Held && rec.Spec != nil {
-			t.Fatalf("record %+v for %+v", rec, decision)
+			t.Fatalf("record %+v does not match decision %+v", rec, decision)
 		}
 	})
 }
 
-// The hard cases of a lost record, each with its rule.
+// Checks the rule, the state and the hold that are decided for each kind of lost record.
 func TestDecide(t *testing.T) {
 	spec := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Batch}
 	service := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Service}
@@ -54,14 +54,14 @@
 		{"a snapshot older than a cancellation", []Knowledge{snapshot(Knowledge{Spec: spec}), cache(Knowledge{Cancelled: true, Tasks: 2})}, RuleCancelled, jobs.Cancelled, false},
 		{"a snapshot alone, unfinished in it", []Knowledge{snapshot(Knowledge{Spec: spec})}, RuleOldSource, jobs.Queued, true},
 		{"a snapshot alone, done in it", []Knowledge{snapshot(Knowledge{Done: true, Tasks: 2})}, RuleDone, jobs.Done, false},
-		{"a worker with a job that nobody knows", []Knowledge{worker(Knowledge{RunningTasks: []int{3}, MinTasks: 4})}, RuleOnWorker, jobs.Queued, true},
-		{"a worker with all that a snapshot knows of", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{CompletedTasks: []int{0, 1}})}, RuleAllTasksDone, jobs.Done, false},
-		{"a worker with one of two", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{CompletedTasks: []int{1}})}, RuleOnWorker, jobs.Queued, true},
-		{"tasks of a service never make it done", []Knowledge{snapshot(Knowledge{Spec: service}), worker(Knowledge{CompletedTasks: []int{0, 1}})}, RuleOnWorker, jobs.Queued, true},
+		{"a worker with a job that no other source knows", []Knowledge{worker(Knowledge{RunningTasks: []int{3}, MinTasks: 4})}, RuleOnWorker, jobs.Queued, true},
+		{"a worker with all completed tasks of a job in a snapshot", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{CompletedTasks: []int{0, 1}})}, RuleAllTasksDone, jobs.Done, false},
+		{"a worker with one of two completed tasks", []Knowledge{snapshot(Knowledge{Spec: spec}), worker(Knowledge{CompletedTasks: []int{1}})}, RuleOnWorker, jobs.Queued, true},
+		{"a service is not done when its tasks are", []Knowledge{snapshot(Knowledge{Spec: service}), worker(Knowledge{CompletedTasks: []int{0, 1}})}, RuleOnWorker, jobs.Queued, true},
 		{"unfinished by a cache, described by a snapshot", []Knowledge{snapshot(Knowledge{Spec: spec}), cache(Knowledge{Unfinished: true, Tasks: 2})}, RuleUnfinished, jobs.Queued, false},
 		{"unfinished by a cache alone", []Knowledge{cache(Knowledge{Unfinished: true, Tasks: 2})}, RuleNoDescription, jobs.Queued, true},
 		{"done and cancelled", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Attribute(FromLeader, Knowledge{Done: true, Tasks: 2})}, RuleContradiction, jobs.Cancelled, false},
-		{"cancelled on one node, unfinished on another", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Attribute(FromLeader, Knowledge{Unfinished: true, Spec: spec})}, RuleCancelled, jobs.Cancelled, false},
+		{"cancelled by one controller, unfinished by another", []Knowledge{cache(Knowledge{Cancelled: true, Tasks: 2}), Attribute(FromLeader, Knowledge{Unfinished: true, Spec: spec})}, RuleCancelled, jobs.Cancelled, false},
 	}
 	for _, tc := range cases {
 		known := KnowledgeByJob{}
--- a/internal/recovery/detection/doc.go
+++ b/internal/recovery/detection/doc.go
@@ -1,4 +1,5 @@
-// Package detection decides which observations are evidence that the state service has lost
-// records: revisions and tokens that go back, holes in the assignment log, records that say
-// less than they did. It does no I/O and reads no clock: callers hand in what they have seen.
+// Package detection decides which observations are evidence that the key-value store has lost
+// records: revisions and fencing tokens that go back, gaps in the assignment log, and records that
+// say less than before. It does no I/O and reads no clock; callers pass in what they have
+// observed.
 package detection
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// Kind is what was noticed. Its values are shown to operators and counted in metrics.
+// Kind classifies evidence. Its values are shown to operators and counted in metrics.
 type Kind string
 
-// The kinds of evidence. Each is something that no version of ours ever brings about.
+// The kinds of evidence. No version of the scheduler ever causes any of them.
 const (
-	RecordRemoved        Kind = "record removed"         // a watch shows the removal of a job's record
-	RecordMissing        Kind = "record missing"         // a read lacks a record that this node knows
-	RecordOlder          Kind = "record older"           // a record says less than this node knows
-	RecordContradicts    Kind = "record contradicts"     // a record has another end than this node knows
-	RevisionBack         Kind = "revision back"          // the service's revision is below one that was read
-	TokenBack            Kind = "token back"             // the token is below one that was given out
-	HolderLost           Kind = "holder key lost"        // the term's key is gone while its lease lives
-	SegmentMissing       Kind = "segment missing"        // a hole in the ring of the assignment log
-	SegmentUnreadable    Kind = "segment unreadable"     // a segment that is not one
-	SegmentOlder         Kind = "segment not as written" // a segment at another revision than the leader wrote
+	RecordRemoved        Kind = "record removed"         // a watch reported the removal of a job's record
+	RecordMissing        Kind = "record missing"         // a read lacks a record that this controller knows
+	RecordOlder          Kind = "record older"           // a record says less than this controller knows
+	RecordContradicts    Kind = "record contradicts"     // a record has another final state than known here
+	RevisionBack         Kind = "revision back"          // the store's revision is lower than one read before
+	TokenBack            Kind = "token back"             // the fencing token is lower than one issued before
+	HolderLost           Kind = "holder key lost"        // the holder key is gone while its lease is alive
+	SegmentMissing       Kind = "segment missing"        // the ring of the assignment log has a gap
+	SegmentUnreadable    Kind = "segment unreadable"     // a segment cannot be decoded
+	SegmentOlder         Kind = "segment not as written" // a segment has another revision than the leader wrote
 	TaskUnknown          Kind = "task of an unknown job" // a worker has a task of a job without a record
-	ReportedByPeer       Kind = "a peer knows of a loss" // another controller has noticed something
+	ReportedByPeer       Kind = "a peer knows of a loss" // another controller has found evidence
 	NoticedByPredecessor Kind = "noticed by an earlier leader"
-	Imported             Kind = "snapshot knows more" // an imported snapshot has a job without a record
+	Imported             Kind = "snapshot knows more" // an imported snapshot contains a job without a record
 )
 
-// AffectsLog tells whether segments of the assignment log may be missing too: then the
-// records do not tell any more what may be running.
+// AffectsLog reports whether segments of the assignment log may be missing too. If so, the stored
+// records no longer show all tasks that may be running.
 func (k Kind) AffectsLog() bool {
 	switch k {
 	case RevisionBack, SegmentMissing, SegmentUnreadable, SegmentOlder, TokenBack:
@@ -38,15 +38,15 @@
 	return false
 }
 
-// Evidence is one observation that tells of lost records.
+// Evidence is one observation that records are lost.
 type Evidence struct {
 	Kind  Kind
-	Key   string // of the record, or the job's id
-	Known uint64 // revision, token or number that was seen before
-	Found uint64 // what is there now
+	Key   string // key of the record, or ID of the job
+	Known uint64 // revision, token or number that was observed before
+	Found uint64 // revision, token or number that was read now
 }
 
-// String puts the evidence on one line, for the log.
+// String returns the evidence on one line, for the log.
 func (e Evidence) String() string {
 	text := string(e.Kind)
 	if e.Key != "" {
@@ -58,7 +58,7 @@
 	return text
 }
 
-// Summary counts evidence by kind, in the order of the kinds' names.
+// Summary returns the number of observations of each kind on one line, sorted by kind.
 func Summary(all []Evidence) string {
 	counts := map[Kind]int{}
 	for _, evidence := range all {
--- a/internal/recovery/detection/ring.go
+++ b/internal/recovery/detection/ring.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// Segment is a segment of the assignment log as it was read.
+// Segment is a segment of the assignment log as read from the store.
 type Segment struct {
 	Key    string
 	Number uint64
-	Broken bool // it could not be decoded
+	Broken bool // the segment could not be decoded
 }
 
-// CheckRing looks for holes in the ring of segments, whose keys are prefix and a name.
-// Names are given out without gaps from 0, and each transaction replaces the segment of the
-// lowest number by that of the next, so that the numbers of a whole ring have no gaps either.
+// CheckRing returns evidence of gaps in the ring of segments, whose keys consist of prefix and a
+// name. Names are assigned from 0 without gaps. Each transaction replaces the segment with the
+// lowest number by the one with the next number, so the numbers of a complete ring have no gaps
+// either.
 func CheckRing(prefix string, segments []Segment) (found []Evidence) {
 	names := map[int]bool{}
 	var numbers []uint64
@@ -29,7 +30,8 @@
 		}
 		numbers = append(numbers, segment.Number)
 	}
-	// As many names as there are segments; a hole means that a later name is there.
+	// There is one name per segment. If a name below their count is unused, a later name is in
+	// use, and a segment is missing.
 	for name := range len(names) {
 		if !names[name] {
 			found = append(found, Evidence{Kind: SegmentMissing, Key: prefix + strconv.Itoa(name)})
--- a/internal/recovery/detection/watermark.go
+++ b/internal/recovery/detection/watermark.go
@@ -2,47 +2,47 @@
 
 import "sync"
 
-// Watermark is the highest value seen of a number that only grows, such as the revision of
-// the state service or the fencing token. Requests for such a number may overlap, and their
-// answers come in any order, so each answer is judged by what was known when its request was
-// sent: its Baseline. A number below its baseline proves that the store was rolled back. The
-// zero value has seen nothing. It may be used by several goroutines.
+// Watermark tracks the highest observed value of a number that only grows, such as the store's
+// revision or the fencing token. Reads of the number may overlap, and their answers may arrive in
+// any order. Each answer is therefore compared with the Baseline taken before its request was
+// sent. A number below its baseline proves that the store was rolled back. The zero value has
+// observed nothing. A Watermark is safe for concurrent use.
 type Watermark struct {
 	mu     sync.Mutex
 	value  uint64
-	resets uint64 // how often the number was found to have gone back
+	resets uint64 // number of rollbacks found
 }
 
-// Baseline is what was known when a number was asked for.
+// Baseline is the state of a Watermark when a read of the number began.
 type Baseline struct {
 	known  uint64
 	resets uint64
 }
 
-// Value returns the highest number known.
+// Value returns the highest observed value since the last rollback was found.
 func (w *Watermark) Value() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.value
 }
 
-// Baseline has to be taken before a number is asked for.
+// Baseline returns the present state. Take it before the read of the number is sent.
 func (w *Watermark) Baseline() Baseline {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return Baseline{known: w.value, resets: w.resets}
 }
 
-// Observe takes in a number that was read no earlier than its baseline was taken. If it is
-// below the baseline, Observe returns evidence of that kind and key and true, and the
-// watermark falls to the number: later ones are compared with that. The same loss is told of
-// once, however many requests were on their way.
+// Observe records a number that was read after its baseline was taken. If the number is below the
+// baseline, Observe returns true and evidence of the given kind and key, and lowers the watermark
+// to the number; later numbers are compared with that. A loss is reported only once, even if
+// several reads were in flight.
 func (w *Watermark) Observe(baseline Baseline, kind Kind, key string, found uint64) (Evidence, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case baseline.resets != w.resets:
-		return Evidence{}, false // another answer has told of the loss since
+		return Evidence{}, false // another answer has reported the loss since
 	case found < baseline.known:
 		known := w.value
 		w.value = found
@@ -53,9 +53,10 @@
 	return Evidence{}, false
 }
 
-// Advance takes in a number that may be older than its baseline, such as that of a watch or
-// of a transaction: a lower one is no evidence. It returns false if the number has gone back
-// since the baseline was taken: then this one may be from before.
+// Advance records a number that may be older than its baseline, such as the revision of a watch
+// event or a transaction. A lower number is no evidence. Advance returns false, and ignores the
+// number, if a rollback was found since the baseline was taken, because the number may precede the
+// rollback.
 func (w *Watermark) Advance(baseline Baseline, found uint64) (current bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/recovery/detection/watermark_test.go
+++ b/internal/recovery/detection/watermark_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Revisions and tokens that grow tell of nothing; one that is lower does, until its
-// reader has taken in that the service was put back.
+// Checks that a number that grows is no evidence, and that a lower one is evidence once: after
+// that, the watermark continues from the lower number.
 func TestNumbersThatGoBack(t *testing.T) {
 	var seen Watermark
 	for _, n := range []uint64{0, 3, 3, 9} {
@@ -17,24 +17,24 @@
 		t.Errorf("7 after 9: %v %v", evidence, back)
 	}
 	if _, again := seen.Observe(before, RevisionBack, "", 7); again {
-		t.Error("an answer to a request from before told of the same loss once more")
+		t.Error("an answer to an earlier request reported the same loss again")
 	}
 	if seen.Advance(before, 9) {
-		t.Error("what was asked for before the loss counts after it")
+		t.Error("a number requested before the loss was accepted after it")
 	}
 	if _, back := seen.Observe(seen.Baseline(), RevisionBack, "", 8); back || seen.Value() != 8 {
-		t.Error("still compared with what is lost")
+		t.Error("a number was compared with the watermark from before the rollback")
 	}
 	asked := seen.Baseline()
 	seen.Advance(asked, 5)
 	seen.Advance(asked, 12)
 	if evidence, back := seen.Observe(asked, RevisionBack, "", 11); back {
-		t.Errorf("judged by what was not known when it was asked for: %v", evidence)
+		t.Errorf("compared with a number that was not known at the baseline: %v", evidence)
 	}
 	if evidence, back := seen.Observe(seen.Baseline(), RevisionBack, "", 11); !back || evidence.Known != 12 {
-		t.Error("what a watch had shown was forgotten")
+		t.Error("a number recorded by Advance was not compared")
 	}
 	if PlausibleToken(1<<63, 5) || !PlausibleToken(900, 5) || !PlausibleToken(3, 5) {
-		t.Error("tokens: one far ahead is none of ours, one a little ahead or behind may be")
+		t.Error("want a token far ahead to be implausible, and one a little ahead or behind to be plausible")
 	}
 }
--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -1,9 +1,10 @@
-// Package recovery joins what the state service, controllers, workers and snapshots know of
-// jobs whose records are lost, and decides what may be written back. It does no I/O, reads no
-// clock and has no state; its values may be used by several goroutines that don't change them.
+// Package recovery joins what the key-value store, controllers, workers and snapshots know of jobs
+// whose records are lost, and decides what may be written back. It does no I/O, reads no clock and
+// keeps no state. Concurrent reads of its values are safe.
 //
-// Knowledge of a job is an element of a lattice: it only grows, and a job that is over by any
-// source stays over. Knowledge.Join is the least upper bound, so it is commutative,
-// associative and idempotent: it matters neither in which order sources are heard nor how
-// often. Decide is a function of the joined knowledge alone.
+// Knowledge of a job is an element of a lattice. It only grows, and a job that any source knows to
+// have ended stays ended. Knowledge.Join returns the least upper bound. It is commutative,
+// associative and idempotent, so the result does not depend on the order in which sources answer,
+// or on how often they do. Decide depends on nothing but the joined knowledge and on whether all
+// controllers have been heard.
 package recovery
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -10,24 +10,24 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Knowledge is what is known of one job. Its zero value knows nothing. Its slices are never
-// changed in place, so that values may share them.
+// Knowledge is what is known of one job. The zero value contains no knowledge. Slices are never
+// modified in place, so values may share them.
 type Knowledge struct {
 	Accepted       bool
-	Unfinished     bool // as of the loss, it was neither done nor cancelled
+	Unfinished     bool // as of the loss, the job was neither done nor cancelled
 	Done           bool
 	Cancelled      bool
-	Tasks          int        // number of tasks, 0 if not known
-	MinTasks       int        // the least number of tasks, by the number of one that was seen
+	Tasks          int        // number of tasks; 0 if not known
+	MinTasks       int        // lower bound of Tasks, from the index of a task that was seen
 	Spec           *jobs.Spec // nil if not known
-	AcceptedMs     int64      // time of day of its acceptance, 0 if not known
-	CompletedTasks []int      // in order
-	RunningTasks   []int      // tasks last seen running, in order
-	Statements     []string   // what each source said of it, in order
+	AcceptedMs     int64      // wall-clock time of the acceptance in milliseconds; 0 if not known
+	CompletedTasks []int      // sorted
+	RunningTasks   []int      // tasks that were last seen running; sorted
+	Statements     []string   // what each source knows, in words; sorted
 }
 
-// Attribute returns what a source knows of a job, with the source's statement on it. Whoever
-// knows a job knows that it was accepted.
+// Attribute returns the knowledge that a source has of a job, with a statement that names the
+// source. A source that knows a job proves that the job was accepted.
 func Attribute(from Source, k Knowledge) Knowledge {
 	k.Accepted = true
 	if k.Spec != nil && k.Tasks == 0 {
@@ -39,7 +39,7 @@
 	return k
 }
 
-// statement puts what is known into words, for operators.
+// statement describes the knowledge in words, for operators.
 func (k Knowledge) statement() string {
 	switch {
 	case k.Done && k.Cancelled:
@@ -60,7 +60,7 @@
 	return "accepted"
 }
 
-// Join returns all that either knows: the least upper bound of the two.
+// Join returns the least upper bound of both: all that either of them knows.
 func (k Knowledge) Join(other Knowledge) Knowledge {
 	return Knowledge{
 		Accepted:       k.Accepted || other.Accepted,
@@ -77,8 +77,8 @@
 	}
 }
 
-// joinSpecs chooses one of two descriptions, the same in whatever order they come, as a join
-// must. Mostly they are equal: a description never changes.
+// joinSpecs chooses one of two descriptions. Usually they are equal, because a description never
+// changes. If they differ, the choice must not depend on their order, because Join is commutative.
 func joinSpecs(a, b *jobs.Spec) *jobs.Spec {
 	switch {
 	case a == nil:
@@ -110,19 +110,20 @@
 	return slices.Compact(all)
 }
 
-// allTasksDone tells whether every task of a job of which the number of tasks is known is done.
+// allTasksDone reports whether the number of tasks is known and all of them are done. It is false
+// for a service, which does not run to completion.
 func (k Knowledge) allTasksDone() bool {
 	return k.Tasks > 0 && len(k.CompletedTasks) >= k.Tasks && (k.Spec == nil || k.Spec.RunsToCompletion())
 }
 
-// KnowledgeByJob is what is known of several jobs, by job id.
+// KnowledgeByJob maps job IDs to what is known of the jobs.
 type KnowledgeByJob map[string]Knowledge
 
-// Merge joins what a source knows of a job into the map.
+// Merge joins a source's knowledge of a job into the map.
 func (all KnowledgeByJob) Merge(id string, k Knowledge) { all[id] = all[id].Join(k) }
 
-// IDs returns the ids of all jobs in order.
+// IDs returns the IDs of all jobs in sorted order.
 func (all KnowledgeByJob) IDs() []string { return slices.Sorted(maps.Keys(all)) }
 
-// Provenance puts the statements of all sources on one line, for the log.
+// Provenance returns the statements of all sources on one line, for the log.
 func (k Knowledge) Provenance() string { return strings.Join(k.Statements, "; ") }
--- a/internal/recovery/knowledge_test.go
+++ b/internal/recovery/knowledge_test.go
@@ -10,7 +10,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// truth is what really became of a job, and a source's knowledge an earlier part of it.
+// truth is the true state of a job. An honest source knows an earlier part of it.
 type truth struct {
 	tasks     int
 	state     string
@@ -28,12 +28,12 @@
 		}
 	}
 	if drawn.state != jobs.Done && len(drawn.tasksDone) == drawn.tasks {
-		drawn.tasksDone = drawn.tasksDone[1:] // else it would be done
+		drawn.tasksDone = drawn.tasksDone[1:] // if all tasks were done, the job would be done
 	}
 	return drawn
 }
 
-// drawStatement draws what an honest source may say of a job.
+// drawStatement draws what an honest source may say of the job.
 func (tr truth) drawStatement(t *rapid.T) Knowledge {
 	var known Knowledge
 	from := rapid.SampledFrom([]Source{FromCache("perch-0"), FromCache("perch-1"), FromLeader, FromWorker("m-1"), FromSnapshot(7)}).Draw(t, "source")
@@ -65,11 +65,12 @@
 	return Attribute(from, known)
 }
 
-// The order in which sources are heard, and how often, changes nothing.
+// Checks that the order in which sources are heard, and how often, does not change the joined
+// knowledge.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		real, other := drawTruth(t), drawTruth(t)
-		a, b, c := real.drawStatement(t), other.drawStatement(t), real.drawStatement(t) // b may contradict
+		a, b, c := real.drawStatement(t), other.drawStatement(t), real.drawStatement(t) // b may contradict both
 		same := func(what string, x, y Knowledge) {
 			if diff := cmp.Diff(x, y, cmp.AllowUnexported(jobs.Spec{})); diff != "" {
 				t.Fatalf("%s: %s", what, diff)
@@ -79,9 +80,9 @@
 		same("associative", a.Join(b).Join(c), a.Join(b.Join(c)))
 		same("idempotent", a.Join(b).Join(b), a.Join(b))
 		same("neutral", Knowledge{}.Join(a), a)
-		// What was known is not forgotten: final knowledge stays.
+		// A join keeps all that was known, above all that a job has ended.
 		if joined := a.Join(b); a.Done && !joined.Done || a.Cancelled && !joined.Cancelled || a.Accepted && !joined.Accepted || len(joined.CompletedTasks) < len(a.CompletedTasks) {
-			t.Fatalf("forgotten: %+v of %+v", joined, a)
+			t.Fatalf("joined knowledge %+v lacks part of %+v", joined, a)
 		}
 	})
 }
--- a/internal/recovery/report/report.go
+++ b/internal/recovery/report/report.go
@@ -1,5 +1,5 @@
-// Package report shows the recovery of lost records as a page: what was noticed,
-// what was written back, which jobs are held and why, and a timeline.
+// Package report renders the recovery of lost records as an HTML page: the evidence, the records that
+// were written back, the held jobs with the reasons, and a timeline.
 package report
 
 import (
@@ -25,7 +25,7 @@
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"time": formatMs}).Parse(page))
 
-// Page is what the template is filled with.
+// Page is the data of the template.
 type Page struct {
 	Cluster  string
 	Made     time.Time
@@ -33,7 +33,8 @@
 	Timeline template.HTML
 }
 
-// Write writes the page about the recovery of one deployment, as of madeAt.
+// Write writes a report on the recovery of one deployment to out. The report shows status, as of
+// madeAt.
 func Write(out io.Writer, cluster string, status recoverer.Status, madeAt time.Time) error {
 	timeline, err := drawTimeline(status.Events)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return time.UnixMilli(ms).UTC().Format(time.DateTime)
 }
 
-// drawTimeline plots how many steps of each kind there had been by each moment.
+// drawTimeline plots the cumulative number of events of each kind over time.
 func drawTimeline(events []recoverer.Event) (template.HTML, error) {
 	if len(events) == 0 {
 		return "", nil
@@ -75,7 +76,7 @@
 	return svgplot.Draw(timeline)
 }
 
-// addSteps adds steps of one kind: a line that rises with each, and a mark at each.
+// addSteps adds the events of one kind to the plot: a step line, and a marker at each event.
 func addSteps(timeline *plot.Plot, what string, points plotter.XYs, end float64, lineColor color.Color, shape int) error {
 	last := points[len(points)-1]
 	line, err := plotter.NewLine(append(slices.Clone(points), plotter.XY{X: end, Y: last.Y}))
--- a/internal/recovery/report/report_test.go
+++ b/internal/recovery/report/report_test.go
@@ -14,7 +14,7 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// The page has what operators need, is well-formed, and takes no text for markup.
+// Checks that the page contains what operators need, is well-formed, and escapes texts.
 func TestReport(t *testing.T) {
 	at := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	status := recoverer.Status{
@@ -33,11 +33,11 @@
 	}
 	for _, want := range []string{"record missing", "perch-2", "taken for gone", "j-7", "worker m-1: running", "<svg", "09:00:39.000"} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("not on the page: %s", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	if strings.Contains(page.String(), "<script") {
-		t.Error("a text is taken for markup")
+		t.Error("a text was not escaped")
 	}
 	_, drawn, _ := strings.Cut(page.String(), "<svg")
 	drawn, _, _ = strings.Cut(drawn, "</svg>")
@@ -50,7 +50,7 @@
 	}
 }
 
-// Before anything has happened there is a page, too.
+// Checks the page before anything has happened.
 func TestEmptyReport(t *testing.T) {
 	var page bytes.Buffer
 	if err := Write(&page, "abc", recoverer.Status{Phase: recoverer.Whole}, time.Unix(0, 0)); err != nil {
--- a/internal/recovery/settle.go
+++ b/internal/recovery/settle.go
@@ -7,7 +7,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Settlement is what an operator decides about a held job.
+// Settlement is an operator's decision about a held job.
 type Settlement string
 
 // The settlements.
@@ -17,11 +17,12 @@
 	SettleRun       Settlement = "run"
 )
 
-// ErrRefused means that a settlement contradicts proof, or lacks what it needs.
+// ErrRefused is returned for a settlement that contradicts proof, or for which knowledge is
+// missing.
 var ErrRefused = errors.New("refused")
 
-// Settle returns the decision that a settlement stands for, or an error that wraps ErrRefused
-// and says why. Of a contradictory job either end may be chosen, and nothing else.
+// Settle returns the decision that implements a settlement, or an error that wraps ErrRefused and
+// states the reason. A contradictory job may be settled as done or as cancelled only.
 func Settle(known Knowledge, settlement Settlement) (Decision, error) {
 	refuse := func(why string) (Decision, error) {
 		return Decision{}, fmt.Errorf("%w: %s", ErrRefused, why)
@@ -55,7 +56,7 @@
 	return decision, nil
 }
 
-// without returns the numbers that are not among those excluded.
+// without returns the numbers in all that are not in excluded.
 func without(all, excluded []int) (left []int) {
 	isExcluded := map[int]bool{}
 	for _, n := range excluded {
--- a/internal/recovery/settle_test.go
+++ b/internal/recovery/settle_test.go
@@ -7,7 +7,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// An operator may decide what is open, and nothing against proof.
+// Checks that an operator may settle what is uncertain, but nothing against proof.
 func TestSettle(t *testing.T) {
 	spec := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Batch}
 	uncertain := Attribute(FromSnapshot(7), Knowledge{Spec: spec})
@@ -36,7 +36,7 @@
 	for _, tc := range cases {
 		decision, err := Settle(tc.k, tc.as)
 		if (err == nil) != tc.ok || err != nil && !errors.Is(err, ErrRefused) {
-			t.Errorf("%s as %s: %+v, %v", tc.name, tc.as, decision, err)
+			t.Errorf("%s settled as %s: decision %+v, error %v", tc.name, tc.as, decision, err)
 		}
 	}
 }
--- a/internal/recovery/source.go
+++ b/internal/recovery/source.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// Source names where knowledge comes from, for operators.
+// Source names the origin of knowledge, for operators.
 type Source string
 
-// The sources. Those of several controllers, workers or snapshots carry a name.
+// The sources that exist once. Other sources are named by the functions below.
 const (
 	FromService Source = "state service"
 	FromLeader  Source = "leader"
 	FromLog     Source = "assignment log"
 )
 
-// FromCache is a controller's cache of all jobs.
+// FromCache returns the source for a controller's cache of all jobs.
 func FromCache(node string) Source { return Source("cache of " + node) }
 
-// FromWorker is the worker of a machine.
+// FromWorker returns the source for the worker of a machine.
 func FromWorker(machine string) Source { return Source("worker " + machine) }
 
-// FromSnapshot is a snapshot as of a revision.
+// FromSnapshot returns the source for a snapshot of the store at a revision.
 func FromSnapshot(revision uint64) Source {
 	return Source(fmt.Sprintf("snapshot at revision %d", revision))
 }
