--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -18,15 +18,15 @@
 func (e *Elector) Run(ctx context.Context, lead LeadFunc) {
 	var standDownUntil time.Time // this controller does not campaign before
 	for ctx.Err() == nil {
-		stored, err := e.observe(ctx)
+		stored, err := e.observeElection(ctx)
 		if err != nil {
 			slog.Debug("cannot read the election keys", "reason", err)
-			e.pause(ctx)
+			e.waitBeforeRetry(ctx)
 			continue
 		}
 		// A key under this controller's name belongs to an earlier incarnation, which has ended,
 		// so it can be taken at once.
-		ownKey := stored.heldBy(e.node)
+		ownKey := stored.heldBy(e.controller)
 		if stored.holder != nil && !ownKey {
 			e.awaitChange(ctx, stored.revision, e.timing.WatchTimeout)
 			continue
@@ -35,41 +35,41 @@
 			wasAlive, err := e.revokeLastLease(ctx)
 			if err != nil {
 				slog.Debug("cannot revoke the lease of the last leader", "reason", err)
-				e.pause(ctx)
+				e.waitBeforeRetry(ctx)
 				continue
 			}
 			if wasAlive {
 				standDownUntil = time.Now().Add(e.timing.LeaseDuration)
 			}
 		}
-		exempt := ownKey || stored.tokenRevision == 0 && e.grantor.highestToken() == 0
-		if e.delayCampaign(ctx, &stored, exempt, standDownUntil) {
+		ignoreEarlierGrants := ownKey || stored.tokenRevision == 0 && e.grantor.highestToken() == 0
+		if e.delayCampaign(ctx, &stored, ignoreEarlierGrants, standDownUntil) {
 			continue
 		}
-		won, err := e.campaign(ctx, &stored, exempt)
+		won, err := e.campaign(ctx, &stored, ignoreEarlierGrants)
 		if err != nil {
 			slog.Debug("campaign failed", "reason", err)
-			e.pause(ctx)
+			e.waitBeforeRetry(ctx)
 			continue
 		}
-		if e.serve(ctx, won, lead) == resigned {
+		if e.serveTerm(ctx, won, lead) == resigned {
 			standDownUntil = time.Now().Add(2 * e.timing.LeaseDuration)
 		}
 	}
 }
 
-// observe reads the election keys, corrects them by what this controller knows of lost keys, and
-// records the holder.
-func (e *Elector) observe(ctx context.Context) (storedElection, error) {
+// observeElection reads the election keys, corrects them by what this controller knows of lost
+// keys, and records the holder.
+func (e *Elector) observeElection(ctx context.Context) (storedElection, error) {
 	askedAt := time.Now()
-	stored, err := e.readStored(ctx)
+	stored, err := e.readElection(ctx)
 	if err != nil {
 		return storedElection{}, err
 	}
 	stored.highestToken = e.highestIssuedToken(stored.highestToken)
 	e.dropSucceededHolder(&stored)
 	e.observedHolder.Store(stored.holder)
-	e.noteContact(askedAt)
+	e.setHolderObservedAt(askedAt)
 	return stored, nil
 }
 
@@ -121,8 +121,8 @@
 // delayCampaign waits for part of the time in which this controller must not campaign. It returns
 // false at once if there is no such time left. After a wait, the caller must observe the election
 // keys again.
-func (e *Elector) delayCampaign(ctx context.Context, stored *storedElection, exempt bool, standDownUntil time.Time) (delayed bool) {
-	wait := max(time.Until(standDownUntil), e.grantor.campaignDelay(e.clock(), exempt))
+func (e *Elector) delayCampaign(ctx context.Context, stored *storedElection, ignoreEarlierGrants bool, standDownUntil time.Time) (delayed bool) {
+	wait := max(time.Until(standDownUntil), e.grantor.campaignDelay(e.clock(), ignoreEarlierGrants))
 	if wait <= 0 {
 		return false
 	}
@@ -144,18 +144,18 @@
 }
 
 // campaign tries to win the next term. Its transaction takes the holder key and increments the
-// fencing token, guarded by the revisions at which both were read. exempt has the meaning that it
-// has in rules.Grantor.CampaignDelay.
-func (e *Elector) campaign(ctx context.Context, stored *storedElection, exempt bool) (wonTerm, error) {
+// fencing token, guarded by the revisions at which both were read. rules.Grantor.CampaignDelay
+// explains ignoreEarlierGrants.
+func (e *Elector) campaign(ctx context.Context, stored *storedElection, ignoreEarlierGrants bool) (wonTerm, error) {
 	requestedAt := time.Now()
 	lease, err := e.store.GrantLease(ctx, e.timing.LeaseDuration)
 	if err != nil {
 		return wonTerm{}, err
 	}
 	token := stored.highestToken + 1
-	holder, _ := json.Marshal(holderRecord{Node: e.node, Incarnation: e.incarnation, FencingToken: token, Lease: lease})
+	holder, _ := json.Marshal(holderRecord{Controller: e.controller, Incarnation: e.incarnation, FencingToken: token, Lease: lease})
 	nextToken, _ := json.Marshal(token)
-	if !e.grantor.beginCampaign(e.clock(), exempt, stored.highestToken) {
+	if !e.grantor.beginCampaign(e.clock(), ignoreEarlierGrants, stored.highestToken) {
 		_ = e.store.RevokeLease(ctx, lease)
 		return wonTerm{}, errBoundByGrant
 	}
@@ -163,7 +163,7 @@
 		[]kvstore.Guard{{Key: HolderKey, Revision: stored.holderRevision}, {Key: TokenKey, Revision: stored.tokenRevision}},
 		[]kvstore.Write{{Set: HolderKey, Value: holder, Lease: lease}, {Set: TokenKey, Value: nextToken}})
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		e.grantor.campaignSettled()
+		e.grantor.endCampaign()
 	}
 	if err == nil && len(failed) == 0 {
 		e.grantor.observeToken(token)
@@ -194,10 +194,10 @@
 func (e *Elector) awaitChange(ctx context.Context, after uint64, wait time.Duration) {
 	_, changes, err := e.store.Watch(ctx, keyPrefix, after, wait)
 	if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
-		e.pause(ctx)
+		e.waitBeforeRetry(ctx)
 		return
 	}
-	e.noteContact(time.Now())
+	e.setHolderObservedAt(time.Now())
 	for _, change := range changes {
 		if change.Remove == HolderKey {
 			e.observedHolder.Store(nil)
@@ -205,9 +205,9 @@
 	}
 }
 
-// pause waits for RetryPeriod on average. The jitter keeps controllers from retrying at the same
-// time.
-func (e *Elector) pause(ctx context.Context) {
+// waitBeforeRetry waits for RetryPeriod on average. The jitter keeps controllers from retrying at
+// the same time.
+func (e *Elector) waitBeforeRetry(ctx context.Context) {
 	wait := e.timing.RetryPeriod/2 + mrand.N(e.timing.RetryPeriod)
 	select {
 	case <-ctx.Done():
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -29,7 +29,7 @@
 // Elector campaigns for the leadership and renews its lease. Run must be called only once; all
 // other methods are safe for concurrent use.
 type Elector struct {
-	node        string
+	controller  string
 	incarnation string // identifies this run of the controller
 	store       *kvstore.Client
 	timing      Timing
@@ -41,7 +41,7 @@
 
 	// Times on the clock of the decisions.
 	peerLeasesRequestedAt atomic.Int64 // of the last leases that all peers granted; 0: never
-	contactAt             atomic.Int64 // time as of which observedHolder is known
+	holderObservedAt      atomic.Int64 // time as of which observedHolder is known
 
 	observedHolder atomic.Pointer[holderRecord] // nil if no controller holds the key
 	lastHolder     holderRecord                 // last holder that was observed; used only by Run
@@ -60,12 +60,12 @@
 
 // NewElector returns an Elector for the controller of the given name. It takes the present time as
 // the start of the controller's incarnation.
-func NewElector(node string, store *kvstore.Client, timing Timing) *Elector {
+func NewElector(controller string, store *kvstore.Client, timing Timing) *Elector {
 	e := &Elector{
-		node: node, incarnation: rand.Text(), store: store, timing: timing, clockStart: time.Now(),
+		controller: controller, incarnation: rand.Text(), store: store, timing: timing, clockStart: time.Now(),
 		ReportLoss: func(detection.Evidence) {},
 	}
-	e.grantor.grantor = rules.RestartedGrantor(0, timing.LeaseDuration)
+	e.grantor.grantor = rules.NewRestartedGrantor(0, timing.LeaseDuration)
 	return e
 }
 
@@ -104,11 +104,11 @@
 // cut off must not direct workers to a leader that may no longer lead.
 func (e *Elector) Leader() string {
 	holder := e.observedHolder.Load()
-	if holder == nil || e.clock()-time.Duration(e.contactAt.Load()) > e.timing.WatchTimeout+2*e.timing.LeaseDuration {
+	if holder == nil || e.clock()-time.Duration(e.holderObservedAt.Load()) > e.timing.WatchTimeout+2*e.timing.LeaseDuration {
 		return ""
 	}
-	return holder.Node
+	return holder.Controller
 }
 
-// noteContact records the time as of which observedHolder is known.
-func (e *Elector) noteContact(at time.Time) { e.contactAt.Store(int64(e.clockAt(at))) }
+// setHolderObservedAt records the time as of which observedHolder is known.
+func (e *Elector) setHolderObservedAt(at time.Time) { e.holderObservedAt.Store(int64(e.clockAt(at))) }
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -19,9 +19,9 @@
 }
 
 // newTestElector returns an Elector whose requests go through the network to the store on it.
-func newTestElector(network *emulator.Network, node string) *Elector {
+func newTestElector(network *emulator.Network, controller string) *Elector {
 	limits := kvstore.RateLimits{RequestsPerSecond: 100, WritesPerSecond: 50}
-	return NewElector(node, kvstore.New("state:1", network.Transport(node), time.Second, limits), testTiming)
+	return NewElector(controller, kvstore.New("state:1", network.Transport(controller), time.Second, limits), testTiming)
 }
 
 // runningElector records the fencing tokens of the terms that its controller wins.
@@ -34,10 +34,10 @@
 }
 
 // startElector runs an elector. configure, unless nil, sets its hooks first.
-func startElector(t *testing.T, network *emulator.Network, node string, configure func(*Elector)) *runningElector {
+func startElector(t *testing.T, network *emulator.Network, controller string, configure func(*Elector)) *runningElector {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	running := &runningElector{Elector: newTestElector(network, node)}
+	running := &runningElector{Elector: newTestElector(network, controller)}
 	if configure != nil {
 		configure(running.Elector)
 	}
@@ -78,7 +78,7 @@
 
 // Checks that grants that arrive after the validity has ended do not restore the old term, because
 // another controller may have won a term since.
-func TestLatePeerLeaseRevivesNothing(t *testing.T) {
+func TestLatePeerLeaseDoesNotRestoreTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -108,7 +108,7 @@
 
 // Checks that a controller grants peer leases only while the store is unavailable. A store that
 // only limits the rate still accepts cancellations, which a leader on peer leases would not see.
-func TestPeerLeaseNeedsAnOutage(t *testing.T) {
+func TestPeerLeaseGrantedOnlyDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -131,7 +131,7 @@
 
 // Checks with two controllers and one store that the second leads only after the first has
 // stopped, and that the token of a holder that resigned or was cut off is never used again.
-func TestHandOver(t *testing.T) {
+func TestLeadershipHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -179,7 +179,7 @@
 // Checks that a term is kept if answers to renewals take most of the lease, as on a starved
 // processor or with a slow store. The next renewal must not wait for the answer, and each answered
 // renewal must count from when it was sent.
-func TestSlowRenewals(t *testing.T) {
+func TestSlowRenewalAnswersKeepTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -20,18 +20,18 @@
 	validityEnded endReason = "neither renewed nor promised" // neither the store nor all peers answered
 )
 
-// serve runs lead for a term until the term's lease can no longer be proven valid, and returns the
-// reason for the end of the term.
-func (e *Elector) serve(ctx context.Context, won wonTerm, lead LeadFunc) endReason {
+// serveTerm runs lead for a term until the term's lease can no longer be proven valid, and returns
+// the reason for the end of the term.
+func (e *Elector) serveTerm(ctx context.Context, won wonTerm, lead LeadFunc) endReason {
 	e.validity.begin(e.clockAt(won.requestedAt), e.timing.ValidFor)
 	if !e.IsLeader() {
 		e.validity.end()
 		return wonTooSlowly
 	}
-	self := &holderRecord{Node: e.node, Incarnation: e.incarnation, FencingToken: won.FencingToken}
-	e.lastHolder = *self
-	e.noteContact(time.Now())
-	e.observedHolder.Store(self)
+	ownRecord := &holderRecord{Controller: e.controller, Incarnation: e.incarnation, FencingToken: won.FencingToken}
+	e.lastHolder = *ownRecord
+	e.setHolderObservedAt(time.Now())
+	e.observedHolder.Store(ownRecord)
 	e.ownToken.Store(won.FencingToken)
 	slog.Info("term taken", "term", won.FencingToken)
 
@@ -47,7 +47,7 @@
 
 	reason := newLeaseKeeper(e, won).run(leadCtx, leadReturned, keyLost)
 	e.validity.end()
-	e.observedHolder.CompareAndSwap(self, nil)
+	e.observedHolder.CompareAndSwap(ownRecord, nil)
 	stop()
 	<-leadReturned
 	slog.Info("term ended", "term", won.FencingToken, "reason", string(reason))
@@ -59,13 +59,13 @@
 // longer belongs to this term. Without this check, a leader whose key the store has lost would
 // lead beside its successor for as long as it renews its lease.
 func (e *Elector) watchHolderKey(ctx context.Context, term Term, lost chan<- struct{}) {
-	tick := time.NewTicker(e.timing.LeaseDuration)
-	defer tick.Stop()
+	ticker := time.NewTicker(e.timing.LeaseDuration)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		current, found, err := e.store.Get(ctx, HolderKey)
 		if err != nil || found && current.Revision == term.HolderRevision {
--- a/internal/election/locked.go
+++ b/internal/election/locked.go
@@ -19,22 +19,22 @@
 	grantor rules.Grantor
 }
 
-func (g *lockedGrantor) campaignDelay(now time.Duration, exempt bool) time.Duration {
+func (g *lockedGrantor) campaignDelay(now time.Duration, ignoreEarlierGrants bool) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.CampaignDelay(now, exempt)
+	return g.grantor.CampaignDelay(now, ignoreEarlierGrants)
 }
 
-func (g *lockedGrantor) beginCampaign(now time.Duration, exempt bool, base uint64) bool {
+func (g *lockedGrantor) beginCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.BeginCampaign(now, exempt, base)
+	return g.grantor.BeginCampaign(now, ignoreEarlierGrants, baseToken)
 }
 
-func (g *lockedGrantor) campaignSettled() {
+func (g *lockedGrantor) endCampaign() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.grantor.CampaignSettled()
+	g.grantor.EndCampaign()
 }
 
 func (g *lockedGrantor) observeToken(token uint64) {
@@ -61,7 +61,7 @@
 func (g *lockedGrantor) boundByEarlierIncarnation(now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.FromEarlierIncarnation && g.grantor.BoundUntil > now
+	return g.grantor.BoundByEarlierIncarnation && g.grantor.BoundUntil > now
 }
 
 func (g *lockedGrantor) voidEarlierGrants(now time.Duration) {
@@ -87,7 +87,7 @@
 func (v *lockedValidity) remaining(now time.Duration) time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.validity.Until - now
+	return v.validity.ValidUntil - now
 }
 
 func (v *lockedValidity) reliesOnNoGrant() bool {
@@ -97,11 +97,11 @@
 }
 
 // begin starts a term whose lease was requested at the given time.
-func (v *lockedValidity) begin(requested, validFor time.Duration) {
+func (v *lockedValidity) begin(requestedAt, validFor time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.validity = rules.LeaseValidity{Held: true}
-	v.validity.ExtendByRenewal(requested, validFor)
+	v.validity = rules.LeaseValidity{HoldsTerm: true}
+	v.validity.ExtendByRenewal(requestedAt, validFor)
 }
 
 // end ends the term. A late renewal or grant cannot restore it.
@@ -111,14 +111,14 @@
 	v.validity = rules.LeaseValidity{}
 }
 
-func (v *lockedValidity) extendByRenewal(sent, validFor time.Duration) {
+func (v *lockedValidity) extendByRenewal(sentAt, validFor time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.validity.ExtendByRenewal(sent, validFor)
+	v.validity.ExtendByRenewal(sentAt, validFor)
 }
 
-func (v *lockedValidity) extendByGrants(now, sent, validFor time.Duration) bool {
+func (v *lockedValidity) extendByGrants(now, requestedAt, validFor time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.validity.ExtendByGrants(now, sent, validFor)
+	return v.validity.ExtendByGrants(now, requestedAt, validFor)
 }
--- a/internal/election/locked_test.go
+++ b/internal/election/locked_test.go
@@ -9,7 +9,7 @@
 
 // Checks the rules of peer leases that keep a second controller from leading while the leader
 // relies on them. Times are in units of one lease duration.
-func TestPeerLease(t *testing.T) {
+func TestPeerLeaseRules(t *testing.T) {
 	lease := time.Second
 	at := func(units float64) time.Duration { return time.Duration(units * float64(lease)) }
 
@@ -38,20 +38,20 @@
 	t.Run("a grant is allowed after the campaign's outcome is known", func(t *testing.T) {
 		var grantor lockedGrantor
 		grantor.beginCampaign(at(0), false, 7)
-		grantor.campaignSettled()
+		grantor.endCampaign()
 		if !grantor.grant(at(0.1), lease, 7) {
 			t.Error("refused a lease although no campaign is pending")
 		}
 	})
 	t.Run("a new incarnation waits for the end of leases that an earlier one may have granted", func(t *testing.T) {
-		grantor := lockedGrantor{grantor: rules.RestartedGrantor(at(0), lease)}
+		grantor := lockedGrantor{grantor: rules.NewRestartedGrantor(at(0), lease)}
 		if grantor.beginCampaign(at(0.5), false, 7) {
 			t.Error("campaigned while a lease granted by an earlier incarnation may bind")
 		}
 		if !grantor.beginCampaign(at(0.5), true, 7) {
 			t.Error("refused to campaign although its own earlier incarnation led, which granted no lease")
 		}
-		grantor = lockedGrantor{grantor: rules.RestartedGrantor(at(0), lease)}
+		grantor = lockedGrantor{grantor: rules.NewRestartedGrantor(at(0), lease)}
 		grantor.grant(at(0.2), lease, 7)
 		if grantor.beginCampaign(at(0.5), true, 7) {
 			t.Error("campaigned while a lease granted by this incarnation binds")
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -80,7 +80,7 @@
 
 // Checks that a leader stops before another controller leads if the holder key is lost while its
 // lease is alive. The leader can still renew the lease, but holds nothing by it.
-func TestHolderKeyLost(t *testing.T) {
+func TestNoTwoLeadersAfterHolderKeyLoss(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithKey(HolderKey)) })
 		if !reported.has(detection.HolderLost) || len(tokens) < 2 {
@@ -91,7 +91,7 @@
 
 // Checks that the next token is higher than all issued ones after the store has lost all keys of
 // the election.
-func TestAllElectionKeysLost(t *testing.T) {
+func TestTokensGrowAfterLossOfElectionKeys(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithPrefix(keyPrefix)) })
 		if !reported.has(detection.HolderLost) || !reported.has(detection.TokenBack) {
@@ -102,7 +102,7 @@
 
 // Checks that the controller wins a new term with a higher token after the store was rolled back
 // to a state without keys of the election.
-func TestStorePutBackToNothing(t *testing.T) {
+func TestNewTermAfterRollbackToEmptyStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -125,7 +125,7 @@
 
 // Checks that no loss is reported for a term that ends because the holder stops, or because its
 // lease ends.
-func TestEndOfATermIsNoLoss(t *testing.T) {
+func TestTermEndIsNotReportedAsLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -158,7 +158,7 @@
 // Checks that a controller becomes leader after the store was rolled back to an earlier term. The
 // lease of that term has ended, so nothing else would ever remove its holder key. A controller
 // that knows that the holder has been succeeded must campaign all the same.
-func TestStorePutBackToAnEarlierHolder(t *testing.T) {
+func TestNewTermAfterRollbackToEarlierHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
--- a/internal/election/model/campaign_steps.go
+++ b/internal/election/model/campaign_steps.go
@@ -2,115 +2,115 @@
 
 import "ospreyslip/internal/election/rules"
 
-// arrivalSteps adds the steps in which a transaction of a controller reaches the store. The answer
-// may arrive at any later time, or never.
-func (e *explorer) arrivalSteps(state *clusterState, node int) {
-	for slot, sent := range state.transactions[node] {
-		if !sent.present {
+// transactionArrivalSteps adds the steps in which a transaction of a controller reaches the store.
+// The answer may arrive at any later time, or never.
+func (e *explorer) transactionArrivalSteps(state *clusterState, controller int) {
+	for slot, txn := range state.transactions[controller] {
+		if !txn.inFlight {
 			continue
 		}
 		next := *state
-		next.transactions[node][slot] = transaction{}
-		sender := &next.nodes[node]
-		heard := sender.up && sender.incarnation == sent.incarnation
-		if state.guardsHold(node, sent) {
-			next.store.holder, next.store.incarnation = int8(node), sent.incarnation
-			next.store.lease, next.store.token = sent.lease, sent.base+1
-			if heard && !sender.held {
-				sender.wonToken, sender.wonAge = sent.base+1, e.lease-sent.lease
+		next.transactions[controller][slot] = transaction{}
+		sender := &next.controllers[controller]
+		senderRunning := sender.up && sender.incarnation == txn.incarnation
+		if state.guardsHold(controller, txn) {
+			next.store.holder, next.store.incarnation = int8(controller), txn.incarnation
+			next.store.leaseLeft, next.store.token = txn.leaseLeft, txn.baseToken+1
+			if senderRunning && !sender.holdsTerm {
+				sender.wonToken, sender.wonAge = txn.baseToken+1, e.leaseDuration-txn.leaseLeft
 			}
-			e.add(next, "controller %d's transaction (incarnation %d) takes token %d", node, sent.incarnation, sent.base+1)
+			e.add(next, "controller %d's transaction (incarnation %d) takes token %d", controller, txn.incarnation, txn.baseToken+1)
 			continue
 		}
-		e.add(next, "controller %d's transaction (incarnation %d) fails, and the answer is lost", node, sent.incarnation)
-		if heard && sender.campaignPending && sender.campaignBase == sent.base {
+		e.add(next, "controller %d's transaction (incarnation %d) fails, and the answer is lost", controller, txn.incarnation)
+		if senderRunning && sender.campaignPending && sender.campaignBaseToken == txn.baseToken {
 			grantor := sender.grantor()
-			grantor.CampaignSettled()
+			grantor.EndCampaign()
 			sender.setGrantor(grantor)
-			e.add(next, "controller %d's transaction (incarnation %d) fails", node, sent.incarnation)
+			e.add(next, "controller %d's transaction (incarnation %d) fails", controller, txn.incarnation)
 		}
 	}
 }
 
 // guardsHold reports whether both keys are still as they were when the campaign read them.
-func (s *clusterState) guardsHold(node int, sent transaction) bool {
-	if s.store.token != sent.base {
+func (s *clusterState) guardsHold(controller int, txn transaction) bool {
+	if s.store.token != txn.baseToken {
 		return false
 	}
-	if sent.ownIncarnation == 0 {
+	if txn.holderIncarnation == 0 {
 		return s.store.holder < 0
 	}
-	return int(s.store.holder) == node && s.store.incarnation == sent.ownIncarnation
+	return int(s.store.holder) == controller && s.store.incarnation == txn.holderIncarnation
 }
 
 // campaignSteps adds the steps of a controller that does not hold the leadership.
-func (e *explorer) campaignSteps(state *clusterState, node int) {
-	self := &state.nodes[node]
-	if self.held {
+func (e *explorer) campaignSteps(state *clusterState, controller int) {
+	self := &state.controllers[controller]
+	if self.holdsTerm {
 		return
 	}
 	if self.wonToken != 0 {
-		e.winStep(state, node)
+		e.winStep(state, controller)
 		return
 	}
 	store := &state.store
-	ownKey := int(store.holder) == node && store.incarnation != self.incarnation
-	bothInUse := state.transactions[node][0].present && state.transactions[node][1].present
-	if store.up && (store.holder < 0 || ownKey) && store.token < maxToken && !bothInUse {
-		e.campaignStep(state, node, ownKey)
+	ownKey := int(store.holder) == controller && store.incarnation != self.incarnation
+	bothSlotsUsed := state.transactions[controller][0].inFlight && state.transactions[controller][1].inFlight
+	if store.up && (store.holder < 0 || ownKey) && store.token < maxToken && !bothSlotsUsed {
+		e.campaignStep(state, controller, ownKey)
 	}
 }
 
 // campaignStep adds the step in which a controller reads that the key is free, or held by its own
 // earlier incarnation, and sends the transaction of a campaign.
-func (e *explorer) campaignStep(state *clusterState, node int, ownKey bool) {
+func (e *explorer) campaignStep(state *clusterState, controller int, ownKey bool) {
 	next := *state
-	self := &next.nodes[node]
-	base := uint64(state.store.token)
+	self := &next.controllers[controller]
+	baseToken := uint64(state.store.token)
 	grantor := self.grantor()
-	grantor.ObserveToken(base)
+	grantor.ObserveToken(baseToken)
 	boundUntil := grantor.BoundUntil
-	if e.bindsNothing(grantor) {
+	if e.isGrantIgnored(grantor) {
 		grantor.BoundUntil = 0
 	}
-	if !grantor.BeginCampaign(0, ownKey, base) {
+	if !grantor.BeginCampaign(0, ownKey, baseToken) {
 		return
 	}
 	grantor.BoundUntil = boundUntil
 	self.setGrantor(grantor)
 
-	sent := transaction{present: true, incarnation: self.incarnation, base: state.store.token, lease: e.lease}
+	txn := transaction{inFlight: true, incarnation: self.incarnation, baseToken: state.store.token, leaseLeft: e.leaseDuration}
 	if ownKey {
-		sent.ownIncarnation = state.store.incarnation
+		txn.holderIncarnation = state.store.incarnation
 	}
 	slot := 0
-	if state.transactions[node][0].present {
+	if state.transactions[controller][0].inFlight {
 		slot = 1
 	}
-	next.transactions[node][slot] = sent
-	e.add(next, "controller %d (incarnation %d) campaigns after token %d", node, self.incarnation, state.store.token)
+	next.transactions[controller][slot] = txn
+	e.add(next, "controller %d (incarnation %d) campaigns after token %d", controller, self.incarnation, state.store.token)
 }
 
-// bindsNothing reports whether the exploration omits the guard by which the grantor's promise
+// isGrantIgnored reports whether the exploration omits the guard by which the grantor's promise
 // delays campaigns.
-func (e *explorer) bindsNothing(grantor rules.Grantor) bool {
-	if grantor.FromEarlierIncarnation {
-		return e.without == WaitAfterRestart
+func (e *explorer) isGrantIgnored(grantor rules.Grantor) bool {
+	if grantor.BoundByEarlierIncarnation {
+		return e.omittedGuard == WaitAfterRestart
 	}
-	return e.without == GrantForbidsCampaigns
+	return e.omittedGuard == GrantForbidsCampaigns
 }
 
 // winStep adds the step in which a controller learns that its campaign has succeeded.
-func (e *explorer) winStep(state *clusterState, node int) {
+func (e *explorer) winStep(state *clusterState, controller int) {
 	next := *state
-	self := &next.nodes[node]
+	self := &next.controllers[controller]
 	grantor := self.grantor()
-	grantor.CampaignSettled()
+	grantor.EndCampaign()
 	grantor.ObserveToken(uint64(self.wonToken))
 	self.setGrantor(grantor)
-	validity := rules.LeaseValidity{Held: true}
+	validity := rules.LeaseValidity{HoldsTerm: true}
 	validity.ExtendByRenewal(e.sentAt(self.wonAge), e.validFor())
 	self.setValidity(validity)
 	self.token, self.wonToken, self.wonAge = self.wonToken, 0, 0
-	e.add(next, "controller %d (incarnation %d) leads with token %d", node, self.incarnation, self.token)
+	e.add(next, "controller %d (incarnation %d) leads with token %d", controller, self.incarnation, self.token)
 }
--- a/internal/election/model/environment_steps.go
+++ b/internal/election/model/environment_steps.go
@@ -4,33 +4,33 @@
 func (e *explorer) tickSteps(state *clusterState) {
 	next := *state
 	next.tickStore()
-	for node := range e.nodes {
-		next.nodes[node].tick(e.lease)
+	for controller := range e.controllers {
+		next.controllers[controller].tick(e.leaseDuration)
 	}
-	next.sinceSlow = max(0, state.sinceSlow-1)
+	next.untilNextLostTick = max(0, state.untilNextLostTick-1)
 	e.add(next, "a tick passes")
-	if state.sinceSlow == 0 && state.nodes[e.slowNode].up {
-		next.nodes[e.slowNode] = state.nodes[e.slowNode]
-		next.sinceSlow = e.lease
-		e.add(next, "a tick passes, which controller %d's clock loses", e.slowNode)
+	if state.untilNextLostTick == 0 && state.controllers[e.slowController].up {
+		next.controllers[e.slowController] = state.controllers[e.slowController]
+		next.untilNextLostTick = e.leaseDuration
+		e.add(next, "a tick passes, which controller %d's clock loses", e.slowController)
 	}
 }
 
 // tick advances a controller's clock by one tick. Ages are capped at a lease duration, because
 // higher ages make no difference.
-func (n *nodeState) tick(lease int8) {
-	n.validFor, n.boundFor = max(0, n.validFor-1), max(0, n.boundFor-1)
-	if n.wonToken != 0 {
-		n.wonAge = min(lease, n.wonAge+1)
+func (c *controllerState) tick(leaseDuration int8) {
+	c.validFor, c.boundFor = max(0, c.validFor-1), max(0, c.boundFor-1)
+	if c.wonToken != 0 {
+		c.wonAge = min(leaseDuration, c.wonAge+1)
 	}
-	if n.renewed {
-		n.renewAge = min(lease, n.renewAge+1)
+	if c.renewalSucceeded {
+		c.renewAge = min(leaseDuration, c.renewAge+1)
 	}
-	if n.requesting {
-		n.requestAge = min(lease, n.requestAge+1)
+	if c.requestingPeerLeases {
+		c.requestAge = min(leaseDuration, c.requestAge+1)
 	}
-	if n.boundFor == 0 {
-		n.fromEarlier, n.relyOnNone = false, 0
+	if c.boundFor == 0 {
+		c.boundByEarlierIncarnation, c.relyOnNoGrant = false, 0
 	}
 }
 
@@ -40,15 +40,15 @@
 		return
 	}
 	if s.store.holder >= 0 {
-		if s.store.lease--; s.store.lease <= 0 {
-			s.store.holder, s.store.incarnation, s.store.lease = -1, 0, 0
+		if s.store.leaseLeft--; s.store.leaseLeft <= 0 {
+			s.store.holder, s.store.incarnation, s.store.leaseLeft = -1, 0, 0
 		}
 	}
-	for node := range s.transactions {
-		for slot := range s.transactions[node] {
-			sent := &s.transactions[node][slot]
-			if sent.lease = max(0, sent.lease-1); sent.lease == 0 {
-				*sent = transaction{} // the store refuses a write under a lease that has ended
+	for controller := range s.transactions {
+		for slot := range s.transactions[controller] {
+			txn := &s.transactions[controller][slot]
+			if txn.leaseLeft = max(0, txn.leaseLeft-1); txn.leaseLeft == 0 {
+				*txn = transaction{} // the store refuses a write under a lease that has ended
 			}
 		}
 	}
@@ -64,12 +64,12 @@
 		return
 	}
 	if next.store.holder >= 0 {
-		next.store.lease = e.lease
+		next.store.leaseLeft = e.leaseDuration
 	}
-	for node := range next.transactions {
-		for slot := range next.transactions[node] {
-			if sent := &next.transactions[node][slot]; sent.present {
-				sent.lease = e.lease
+	for controller := range next.transactions {
+		for slot := range next.transactions[controller] {
+			if txn := &next.transactions[controller][slot]; txn.inFlight {
+				txn.leaseLeft = e.leaseDuration
 			}
 		}
 	}
@@ -78,17 +78,17 @@
 
 // processSteps adds the step that ends a controller's process or starts its next incarnation.
 // Answers that it has sent to others are still delivered.
-func (e *explorer) processSteps(state *clusterState, node int) {
+func (e *explorer) processSteps(state *clusterState, controller int) {
 	next := *state
-	self := &next.nodes[node]
-	if state.nodes[node].up {
-		if state.nodes[node].incarnation < maxIncarnation {
-			*self = nodeState{incarnation: state.nodes[node].incarnation}
-			e.add(next, "controller %d ends", node)
+	self := &next.controllers[controller]
+	if state.controllers[controller].up {
+		if state.controllers[controller].incarnation < maxIncarnation {
+			*self = controllerState{incarnation: state.controllers[controller].incarnation}
+			e.add(next, "controller %d ends", controller)
 		}
 		return
 	}
-	*self = nodeState{up: true, incarnation: state.nodes[node].incarnation + 1}
+	*self = controllerState{up: true, incarnation: state.controllers[controller].incarnation + 1}
 	self.setGrantor(e.restartedGrantor())
-	e.add(next, "controller %d starts incarnation %d", node, self.incarnation)
+	e.add(next, "controller %d starts incarnation %d", controller, self.incarnation)
 }
--- a/internal/election/model/explore.go
+++ b/internal/election/model/explore.go
@@ -8,12 +8,12 @@
 
 // Bounds limit an exploration.
 type Bounds struct {
-	Nodes     int
-	SlowNode  int // controller whose clock may lose ticks
-	Lease     int // lease duration in ticks
-	Start     Start
-	MaxDepth  int // steps from the start
-	MaxStates int // distinct states in total
+	Controllers    int
+	SlowController int // controller whose clock may lose ticks
+	LeaseDuration  int // in ticks
+	Start          Start
+	MaxDepth       int // steps from the start
+	MaxStates      int // distinct states in total
 }
 
 // Result is the result of an exploration.
@@ -32,23 +32,23 @@
 
 // Explore visits all states that can be reached within the bounds, with one guard omitted or with
 // all guards. It stops at the first state with two leaders.
-func Explore(bounds Bounds, without Guard) Result {
-	finder := &explorer{nodes: bounds.Nodes, slowNode: bounds.SlowNode, lease: int8(bounds.Lease), without: without}
-	reached := []reachedState{{state: finder.start(bounds.Start), parent: -1}}
+func Explore(bounds Bounds, omittedGuard Guard) Result {
+	search := &explorer{controllers: bounds.Controllers, slowController: bounds.SlowController, leaseDuration: int8(bounds.LeaseDuration), omittedGuard: omittedGuard}
+	reached := []reachedState{{state: search.start(bounds.Start), parent: -1}}
 	seen := map[clusterState]struct{}{reached[0].state: {}}
 	frontier := 0 // index of the first state of the previous depth
 	for depth := range bounds.MaxDepth {
 		end := len(reached)
 		for parent := frontier; parent < end; parent++ {
 			state := reached[parent].state
-			for i, step := range finder.stepsFrom(&state) {
+			for i, step := range search.stepsFrom(&state) {
 				if _, known := seen[step.next]; known {
 					continue
 				}
 				seen[step.next] = struct{}{}
 				reached = append(reached, reachedState{step.next, int32(parent), int32(i)})
 				if step.next.leaders() > 1 {
-					return Result{States: len(reached), Depth: depth + 1, Trace: finder.trace(reached)}
+					return Result{States: len(reached), Depth: depth + 1, Trace: search.trace(reached)}
 				}
 			}
 			if len(reached) > bounds.MaxStates {
@@ -65,7 +65,7 @@
 
 // trace returns the descriptions of the steps that lead to the last state reached.
 func (e *explorer) trace(reached []reachedState) (steps []string) {
-	e.described = true
+	e.describeSteps = true
 	for at := len(reached) - 1; reached[at].parent >= 0; at = int(reached[at].parent) {
 		parent := reached[reached[at].parent].state
 		steps = append(steps, e.stepsFrom(&parent)[reached[at].step].description)
--- a/internal/election/model/leader_steps.go
+++ b/internal/election/model/leader_steps.go
@@ -4,101 +4,101 @@
 
 // leaderSteps adds the steps of a controller that holds the leadership: renewals and requests for
 // peer leases.
-func (e *explorer) leaderSteps(state *clusterState, node int) {
-	self := &state.nodes[node]
-	if !self.held {
+func (e *explorer) leaderSteps(state *clusterState, controller int) {
+	self := &state.controllers[controller]
+	if !self.holdsTerm {
 		return
 	}
-	e.renewSteps(state, node)
-	if self.validFor > 0 && (!self.requesting || self.requestAge > 0) {
+	e.renewSteps(state, controller)
+	if self.validFor > 0 && (!self.requestingPeerLeases || self.requestAge > 0) {
 		next := *state
-		leader := &next.nodes[node]
-		leader.requesting, leader.requestAge, leader.granted = true, 0, 0
-		e.add(next, "controller %d requests leases from all peers", node)
+		leader := &next.controllers[controller]
+		leader.requestingPeerLeases, leader.requestAge, leader.grantedBy = true, 0, 0
+		e.add(next, "controller %d requests leases from all peers", controller)
 	}
-	if self.requesting {
-		e.peerLeaseSteps(state, node)
+	if self.requestingPeerLeases {
+		e.peerLeaseSteps(state, controller)
 	}
 	if self.validFor == 0 {
 		next := *state
-		next.nodes[node].giveUp()
-		e.add(next, "controller %d gives up the leadership", node)
+		next.controllers[controller].giveUpTerm()
+		e.add(next, "controller %d gives up the leadership", controller)
 	}
 }
 
-// giveUp ends a term for good. Answers that are still in flight to the leader are discarded.
-func (n *nodeState) giveUp() {
-	n.held, n.validFor, n.token = false, 0, 0
-	n.renewed, n.requesting, n.granted = false, false, 0
-	n.renewAge, n.requestAge = 0, 0
+// giveUpTerm ends a term for good. Answers that are still in flight to the leader are discarded.
+func (c *controllerState) giveUpTerm() {
+	c.holdsTerm, c.validFor, c.token = false, 0, 0
+	c.renewalSucceeded, c.requestingPeerLeases, c.grantedBy = false, false, 0
+	c.renewAge, c.requestAge = 0, 0
 }
 
 // renewSteps adds the steps in which a renewal succeeds in the store, and in which the leader
 // receives the answer.
-func (e *explorer) renewSteps(state *clusterState, node int) {
-	self := &state.nodes[node]
-	alive := state.store.up && int(state.store.holder) == node && state.store.incarnation == self.incarnation
-	if alive && (!self.renewed || self.renewAge > 0) {
+func (e *explorer) renewSteps(state *clusterState, controller int) {
+	self := &state.controllers[controller]
+	alive := state.store.up && int(state.store.holder) == controller && state.store.incarnation == self.incarnation
+	if alive && (!self.renewalSucceeded || self.renewAge > 0) {
 		next := *state
-		next.store.lease = e.lease
-		next.nodes[node].renewed, next.nodes[node].renewAge = true, 0
-		e.add(next, "controller %d renews its lease", node)
+		next.store.leaseLeft = e.leaseDuration
+		next.controllers[controller].renewalSucceeded, next.controllers[controller].renewAge = true, 0
+		e.add(next, "controller %d renews its lease", controller)
 	}
-	if self.renewed {
+	if self.renewalSucceeded {
 		next := *state
-		leader := &next.nodes[node]
-		leader.renewed, leader.renewAge = false, 0
+		leader := &next.controllers[controller]
+		leader.renewalSucceeded, leader.renewAge = false, 0
 		validity := leader.validity()
 		validity.ExtendByRenewal(e.sentAt(self.renewAge), e.validFor())
 		leader.setValidity(validity)
-		e.add(next, "controller %d learns that its renewal of %d ticks ago succeeded", node, self.renewAge)
+		e.add(next, "controller %d learns that its renewal of %d ticks ago succeeded", controller, self.renewAge)
 	}
 }
 
 // peerLeaseSteps adds the steps that answer a request for peer leases: each peer grants it, and
 // the leader receives all grants.
-func (e *explorer) peerLeaseSteps(state *clusterState, node int) {
-	self := &state.nodes[node]
-	for peer := range e.nodes {
-		if peer != node && !contains(self.granted, peer) && state.nodes[peer].up {
-			e.grantStep(state, node, peer)
+func (e *explorer) peerLeaseSteps(state *clusterState, controller int) {
+	self := &state.controllers[controller]
+	for peer := range e.controllers {
+		if peer != controller && !contains(self.grantedBy, peer) && state.controllers[peer].up {
+			e.grantStep(state, controller, peer)
 		}
 	}
-	if self.granted != e.peersOf(node) && (e.without != AllPeersGrant || self.granted == 0) {
+	if self.grantedBy != e.peersOf(controller) && (e.omittedGuard != AllPeersGrant || self.grantedBy == 0) {
 		return
 	}
 	next := *state
-	leader := &next.nodes[node]
-	leader.requesting, leader.requestAge, leader.granted = false, 0, 0
+	leader := &next.controllers[controller]
+	leader.requestingPeerLeases, leader.requestAge, leader.grantedBy = false, 0, 0
 	validity := leader.validity()
-	if e.without == GrantsNeedValidity {
+	if e.omittedGuard == GrantsNeedValidity {
 		validity.ExtendByRenewal(e.sentAt(self.requestAge), e.validFor())
 	} else {
 		validity.ExtendByGrants(0, e.sentAt(self.requestAge), e.validFor())
 	}
 	leader.setValidity(validity)
-	e.add(next, "controller %d has all grants that it requested %d ticks ago", node, self.requestAge)
+	e.add(next, "controller %d has all grants that it requested %d ticks ago", controller, self.requestAge)
 }
 
 // grantStep adds the step in which a peer grants a leader's request. It is possible at any time,
 // also while the store is available, because the store may refuse this peer alone.
 func (e *explorer) grantStep(state *clusterState, leader, peer int) {
 	next := *state
-	grantingPeer := &next.nodes[peer]
-	if grantingPeer.mayAct() && e.without != LeaderGrantsNone {
+	grantingPeer := &next.controllers[peer]
+	if grantingPeer.mayAct() && e.omittedGuard != LeaderGrantsNone {
 		return
 	}
 	grantor := grantingPeer.grantor()
 	pending := grantor.CampaignPending
-	grantor.CampaignPending = pending && e.without != PendingCampaignRefuses
-	if e.without == SucceededGetsNoGrant {
+	grantor.CampaignPending = pending && e.omittedGuard != PendingCampaignRefuses
+	if e.omittedGuard == SucceededGetsNoGrant {
 		grantor.HighestToken = 0
 	}
-	if !grantor.Grant(0, time.Duration(e.lease), uint64(state.nodes[leader].token)) {
+	if !grantor.Grant(0, time.Duration(e.leaseDuration), uint64(state.controllers[leader].token)) {
 		return
 	}
 	grantor.CampaignPending, grantor.HighestToken = pending, uint64(grantingPeer.highestToken)
 	grantingPeer.setGrantor(grantor)
-	next.nodes[leader].granted |= 1 << peer
+	next.controllers[leader].grantedBy |= 1 << peer
 	e.add(next, "controller %d (incarnation %d) grants controller %d a lease", peer, grantingPeer.incarnation, leader)
 }
--- a/internal/election/model/model_test.go
+++ b/internal/election/model/model_test.go
@@ -25,12 +25,12 @@
 
 // Checks that with all guards, no two controllers may ever act as the leader at the same time.
 func TestNeverTwoLeaders(t *testing.T) {
-	for _, nodes := range []int{2, 3} {
-		for slow := range nodes {
+	for _, controllers := range []int{2, 3} {
+		for slowController := range controllers {
 			for _, start := range []Start{JustWon, OnPeerLeases} {
-				t.Run(fmt.Sprintf("%d controllers, controller %d is slow, %s", nodes, slow, start), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d controllers, controller %d is slow, %s", controllers, slowController, start), func(t *testing.T) {
 					t.Parallel()
-					bounds := Bounds{Nodes: nodes, SlowNode: slow, Lease: 3, Start: start, MaxDepth: 100, MaxStates: maxStates(t, 250_000)}
+					bounds := Bounds{Controllers: controllers, SlowController: slowController, LeaseDuration: 3, Start: start, MaxDepth: 100, MaxStates: maxStates(t, 250_000)}
 					result := Explore(bounds, NoGuard)
 					if len(result.Trace) > 0 {
 						t.Error("two controllers may lead:\n" + result.text())
@@ -50,11 +50,11 @@
 
 // Checks that each of these guards is necessary: without it, the exploration finds a state with
 // two leaders.
-func TestEachGuardIsForSomething(t *testing.T) {
+func TestEachGuardIsNecessary(t *testing.T) {
 	for _, test := range []struct {
-		guard Guard
-		nodes int
-		start Start
+		guard       Guard
+		controllers int
+		start       Start
 	}{
 		{WaitAfterRestart, 2, JustWon},
 		{GrantForbidsCampaigns, 2, JustWon},
@@ -64,7 +64,7 @@
 		{AllPeersGrant, 3, JustWon},
 		{AllPeersRelyOnNone, 3, OnPeerLeases},
 	} {
-		bounds := Bounds{Nodes: test.nodes, Lease: 3, Start: test.start, MaxDepth: 100, MaxStates: 200_000}
+		bounds := Bounds{Controllers: test.controllers, LeaseDuration: 3, Start: test.start, MaxDepth: 100, MaxStates: 200_000}
 		result := Explore(bounds, test.guard)
 		if len(result.Trace) == 0 {
 			t.Errorf("without %q no two leaders were found in %d states, up to %d steps", test.guard, result.States, result.Depth)
--- a/internal/election/model/restart_steps.go
+++ b/internal/election/model/restart_steps.go
@@ -7,41 +7,41 @@
 )
 
 func (e *explorer) restartedGrantor() rules.Grantor {
-	return rules.RestartedGrantor(0, time.Duration(e.lease))
+	return rules.NewRestartedGrantor(0, time.Duration(e.leaseDuration))
 }
 
-// voidingSteps adds the steps of a restarted controller that asks its peers whether they rely on
+// voidGrantsSteps adds the steps of a restarted controller that asks its peers whether they rely on
 // grants: the peers' answers, and the step that voids the leases that its earlier incarnation may
 // have granted.
-func (e *explorer) voidingSteps(state *clusterState, node int) {
-	self := &state.nodes[node]
-	if !self.fromEarlier {
+func (e *explorer) voidGrantsSteps(state *clusterState, controller int) {
+	self := &state.controllers[controller]
+	if !self.boundByEarlierIncarnation {
 		return
 	}
-	for peer := range e.nodes {
-		if peer == node || contains(self.relyOnNone, peer) || !state.nodes[peer].up {
+	for peer := range e.controllers {
+		if peer == controller || contains(self.relyOnNoGrant, peer) || !state.controllers[peer].up {
 			continue
 		}
-		if !e.reliesOnGrants(&state.nodes[peer]) {
+		if !e.reliesOnGrants(&state.controllers[peer]) {
 			next := *state
-			next.nodes[node].relyOnNone |= 1 << peer
-			e.add(next, "controller %d (incarnation %d) answers controller %d that it relies on no grant", peer, state.nodes[peer].incarnation, node)
+			next.controllers[controller].relyOnNoGrant |= 1 << peer
+			e.add(next, "controller %d (incarnation %d) answers controller %d that it relies on no grant", peer, state.controllers[peer].incarnation, controller)
 		}
 	}
-	if self.relyOnNone == e.peersOf(node) || e.without == AllPeersRelyOnNone && self.relyOnNone != 0 {
+	if self.relyOnNoGrant == e.peersOf(controller) || e.omittedGuard == AllPeersRelyOnNone && self.relyOnNoGrant != 0 {
 		next := *state
-		restarted := &next.nodes[node]
+		restarted := &next.controllers[controller]
 		grantor := restarted.grantor()
 		grantor.VoidEarlierGrants(0)
 		restarted.setGrantor(grantor)
-		e.add(next, "controller %d voids the leases that its earlier incarnation may have granted", node)
+		e.add(next, "controller %d voids the leases that its earlier incarnation may have granted", controller)
 	}
 }
 
 // reliesOnGrants returns a peer's answer to a restarted controller.
-func (e *explorer) reliesOnGrants(peer *nodeState) bool {
+func (e *explorer) reliesOnGrants(peer *controllerState) bool {
 	validity := peer.validity()
-	if e.without == InvalidStillRelies {
+	if e.omittedGuard == InvalidStillRelies {
 		return validity.Valid(0)
 	}
 	return !validity.ReliesOnNoGrant()
--- a/internal/election/model/state.go
+++ b/internal/election/model/state.go
@@ -6,8 +6,8 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// MaxNodes is the largest cluster that can be explored.
-const MaxNodes = 3
+// MaxControllers is the largest cluster that can be explored.
+const MaxControllers = 3
 
 // Bounds of all explorations.
 const (
@@ -18,11 +18,11 @@
 // clusterState is the state of the whole cluster. It contains everything that determines the
 // possible successors, so that equal states are explored only once.
 type clusterState struct {
-	store storeState
-	nodes [MaxNodes]nodeState
+	store       storeState
+	controllers [MaxControllers]controllerState
 	// Each controller has two slots: one for its present incarnation and one for an earlier one.
-	transactions [MaxNodes][2]transaction
-	sinceSlow    int8 // ticks until the slow clock may lose another tick
+	transactions      [MaxControllers][2]transaction
+	untilNextLostTick int8 // ticks until the slow clock may lose another tick
 }
 
 // storeState is the key-value store.
@@ -30,25 +30,25 @@
 	up          bool
 	holder      int8 // controller that holds the key, or -1
 	incarnation int8 // of the holder
-	lease       int8 // ticks left of the holder's lease
+	leaseLeft   int8 // ticks left of the holder's lease
 	token       int8 // highest fencing token issued
 }
 
 // transaction is the transaction of a campaign in flight to the store. It may arrive at any later
 // time, even after its sender has ended.
 type transaction struct {
-	present     bool
+	inFlight    bool
 	incarnation int8 // of its sender
-	base        int8 // fencing token of the leader that the campaign succeeds
-	// ownIncarnation is the sender's earlier incarnation that held the key when it was read; 0 if
-	// the key was free.
-	ownIncarnation int8
-	lease          int8 // ticks left of the lease that was granted for the transaction
+	baseToken   int8 // fencing token of the leader that the campaign succeeds
+	// holderIncarnation is the sender's earlier incarnation that held the key when it was read; 0
+	// if the key was free.
+	holderIncarnation int8
+	leaseLeft         int8 // ticks left of the lease that was granted for the transaction
 }
 
-// nodeState is the state of one controller. Durations are ticks left, and ages are ticks passed,
-// on its own clock. A lost message is modelled as one that stays in flight.
-type nodeState struct {
+// controllerState is the state of one controller. Durations are ticks left, and ages are ticks
+// passed, on its own clock. A lost message is modelled as one that stays in flight.
+type controllerState struct {
 	up          bool
 	incarnation int8
 
@@ -57,65 +57,65 @@
 	wonAge   int8 // age of the campaign's transaction
 
 	// The state as a leader: rules.LeaseValidity and the requests that extend it.
-	held       bool
-	token      int8
-	validFor   int8
-	renewed    bool // a renewal has succeeded and its answer is in flight
-	renewAge   int8
-	requesting bool // a request for peer leases is in flight
-	requestAge int8
-	granted    uint8 // peers that have granted; their answers may be in flight
+	holdsTerm            bool
+	token                int8
+	validFor             int8
+	renewalSucceeded     bool // a renewal has succeeded and its answer is in flight
+	renewAge             int8
+	requestingPeerLeases bool // a request for peer leases is in flight
+	requestAge           int8
+	grantedBy            uint8 // peers that have granted; their answers may be in flight
 
 	// The state as a peer: rules.Grantor and the answers to a restarted controller.
-	boundFor        int8
-	fromEarlier     bool
-	campaignPending bool
-	campaignBase    int8
-	highestToken    int8
-	relyOnNone      uint8 // peers that have answered that they rely on no grant
+	boundFor                  int8
+	boundByEarlierIncarnation bool
+	campaignPending           bool
+	campaignBaseToken         int8
+	highestToken              int8
+	relyOnNoGrant             uint8 // peers that have answered that they rely on no grant
 }
 
-// grantor returns the state as a peer as a rules.Grantor whose clock reads 0.
-func (n *nodeState) grantor() rules.Grantor {
+// grantor returns the controller's state as a peer, on a clock that reads 0.
+func (c *controllerState) grantor() rules.Grantor {
 	return rules.Grantor{
-		BoundUntil: time.Duration(n.boundFor), FromEarlierIncarnation: n.fromEarlier,
-		CampaignPending: n.campaignPending, CampaignBase: uint64(n.campaignBase), HighestToken: uint64(n.highestToken),
+		BoundUntil: time.Duration(c.boundFor), BoundByEarlierIncarnation: c.boundByEarlierIncarnation,
+		CampaignPending: c.campaignPending, CampaignBaseToken: uint64(c.campaignBaseToken), HighestToken: uint64(c.highestToken),
 	}
 }
 
-// setGrantor stores the state as a peer. It clears fields that have no meaning any more, because
-// states that differ only in such fields must be equal.
-func (n *nodeState) setGrantor(grantor rules.Grantor) {
-	n.boundFor, n.fromEarlier = int8(max(0, grantor.BoundUntil)), grantor.FromEarlierIncarnation
-	n.campaignPending, n.campaignBase = grantor.CampaignPending, int8(grantor.CampaignBase)
-	n.highestToken = int8(grantor.HighestToken)
-	if !n.campaignPending {
-		n.campaignBase = 0
+// setGrantor stores the controller's state as a peer. It clears fields that have no meaning any
+// more, because states that differ only in such fields must be equal.
+func (c *controllerState) setGrantor(grantor rules.Grantor) {
+	c.boundFor, c.boundByEarlierIncarnation = int8(max(0, grantor.BoundUntil)), grantor.BoundByEarlierIncarnation
+	c.campaignPending, c.campaignBaseToken = grantor.CampaignPending, int8(grantor.CampaignBaseToken)
+	c.highestToken = int8(grantor.HighestToken)
+	if !c.campaignPending {
+		c.campaignBaseToken = 0
 	}
-	if !n.fromEarlier {
-		n.relyOnNone = 0
+	if !c.boundByEarlierIncarnation {
+		c.relyOnNoGrant = 0
 	}
 }
 
-// validity returns the state as a leader as a rules.LeaseValidity on a clock that reads 0.
-func (n *nodeState) validity() rules.LeaseValidity {
-	return rules.LeaseValidity{Held: n.held, Until: time.Duration(n.validFor)}
+// validity returns the controller's state as a leader, on a clock that reads 0.
+func (c *controllerState) validity() rules.LeaseValidity {
+	return rules.LeaseValidity{HoldsTerm: c.holdsTerm, ValidUntil: time.Duration(c.validFor)}
 }
 
-func (n *nodeState) setValidity(validity rules.LeaseValidity) {
-	n.held, n.validFor = validity.Held, int8(max(0, validity.Until))
+func (c *controllerState) setValidity(validity rules.LeaseValidity) {
+	c.holdsTerm, c.validFor = validity.HoldsTerm, int8(max(0, validity.ValidUntil))
 }
 
 // mayAct reports whether the controller may act as the leader.
-func (n *nodeState) mayAct() bool {
-	validity := n.validity()
-	return n.up && validity.Valid(0)
+func (c *controllerState) mayAct() bool {
+	validity := c.validity()
+	return c.up && validity.Valid(0)
 }
 
 // leaders returns the number of controllers that may act as the leader.
 func (s *clusterState) leaders() (count int) {
-	for i := range s.nodes {
-		if s.nodes[i].mayAct() {
+	for i := range s.controllers {
+		if s.controllers[i].mayAct() {
 			count++
 		}
 	}
@@ -135,15 +135,15 @@
 )
 
 func (e *explorer) start(start Start) clusterState {
-	state := clusterState{store: storeState{up: true, holder: 0, incarnation: 1, lease: e.lease, token: 1}}
-	for i := range e.nodes {
-		state.nodes[i] = nodeState{up: true, incarnation: 1, highestToken: 1}
+	state := clusterState{store: storeState{up: true, holder: 0, incarnation: 1, leaseLeft: e.leaseDuration, token: 1}}
+	for i := range e.controllers {
+		state.controllers[i] = controllerState{up: true, incarnation: 1, highestToken: 1}
 	}
-	state.nodes[0].held, state.nodes[0].token, state.nodes[0].validFor = true, 1, e.lease-1
+	state.controllers[0].holdsTerm, state.controllers[0].token, state.controllers[0].validFor = true, 1, e.leaseDuration-1
 	if start == OnPeerLeases {
-		state.store.lease = 1
-		for i := 1; i < e.nodes; i++ {
-			state.nodes[i].boundFor = e.lease
+		state.store.leaseLeft = 1
+		for i := 1; i < e.controllers; i++ {
+			state.controllers[i].boundFor = e.leaseDuration
 		}
 	}
 	return state
--- a/internal/election/peer_leases.go
+++ b/internal/election/peer_leases.go
@@ -27,7 +27,7 @@
 		return false
 	}
 	if holder := e.observedHolder.Load(); holder != nil && holder.FencingToken <= token {
-		e.noteContact(time.Now()) // the request shows that the holder still leads
+		e.setHolderObservedAt(time.Now()) // the request shows that the holder still leads
 	}
 	return true
 }
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -20,7 +20,7 @@
 
 // holderRecord is the value of HolderKey.
 type holderRecord struct {
-	Node         string `json:"node"`
+	Controller   string `json:"node"`
 	Incarnation  string `json:"life"`
 	FencingToken uint64 `json:"token"`
 	// Lease is the lease that the key is tied to; 0 in records of earlier versions.
@@ -45,33 +45,35 @@
 }
 
 // heldBy reports whether any incarnation of the controller holds the key.
-func (s *storedElection) heldBy(node string) bool { return s.holder != nil && s.holder.Node == node }
+func (s *storedElection) heldBy(controller string) bool {
+	return s.holder != nil && s.holder.Controller == controller
+}
 
-// readStored reads the election keys. It reports a loss if the store's revision is lower than one
+// readElection reads the election keys. It reports a loss if the store's revision is lower than one
 // read before, because the store was then rolled back to an earlier state.
-func (e *Elector) readStored(ctx context.Context) (storedElection, error) {
-	asked := e.newestRevision.Baseline()
+func (e *Elector) readElection(ctx context.Context) (storedElection, error) {
+	baseline := e.newestRevision.Baseline()
 	keyValues, revision, err := e.store.List(ctx, keyPrefix)
 	if err != nil {
 		return storedElection{}, err
 	}
-	if loss, back := e.newestRevision.Observe(asked, detection.RevisionBack, keyPrefix, revision); back {
+	if loss, rolledBack := e.newestRevision.Observe(baseline, detection.RevisionBack, keyPrefix, revision); rolledBack {
 		e.ReportLoss(loss)
 	}
 	stored := storedElection{revision: revision}
 	for _, keyValue := range keyValues {
-		var into any
+		var target any
 		switch keyValue.Key {
 		case HolderKey:
 			stored.holder, stored.holderRevision = new(holderRecord), keyValue.Revision
-			into = stored.holder
+			target = stored.holder
 		case TokenKey:
 			stored.tokenRevision = keyValue.Revision
-			into = &stored.highestToken
+			target = &stored.highestToken
 		default:
 			continue
 		}
-		if err := json.Unmarshal(keyValue.Value, into); err != nil {
+		if err := json.Unmarshal(keyValue.Value, target); err != nil {
 			return storedElection{}, fmt.Errorf("%s: %w", keyValue.Key, err)
 		}
 	}
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -52,8 +52,8 @@
 
 // run extends the validity until the term ends, and returns the reason for its end.
 func (k *leaseKeeper) run(ctx context.Context, leadReturned, keyLost <-chan struct{}) endReason {
-	tick := time.NewTicker(k.elector.timing.RenewPeriod)
-	defer tick.Stop()
+	ticker := time.NewTicker(k.elector.timing.RenewPeriod)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -63,12 +63,12 @@
 		case <-keyLost:
 			return holderKeyLost
 		case outcome := <-k.renewals:
-			if ended := k.renewalAnswered(outcome); ended {
+			if ended := k.handleRenewalOutcome(outcome); ended {
 				return leaseEnded
 			}
 		case outcome := <-k.peerLeases:
-			k.peerLeasesAnswered(outcome)
-		case <-tick.C:
+			k.handlePeerLeasesOutcome(outcome)
+		case <-ticker.C:
 		}
 		now := time.Now()
 		remaining := k.elector.validity.remaining(k.elector.clockAt(now))
@@ -80,10 +80,10 @@
 	}
 }
 
-// due reports whether a request may be sent again, one RenewPeriod after the last. Without this
+// isDue reports whether a request may be sent again, one RenewPeriod after the last. Without this
 // limit, a request that is refused at once would be repeated at once. The tolerance of 10 % allows
 // for ticks that come early.
-func (k *leaseKeeper) due(now, sentAt time.Time) bool {
+func (k *leaseKeeper) isDue(now, sentAt time.Time) bool {
 	return now.Sub(sentAt) >= k.elector.timing.RenewPeriod*9/10
 }
 
@@ -91,7 +91,7 @@
 // for which the renewal is valid. The next renewal is therefore sent without waiting for it, and a
 // later renewal does not cancel an earlier one.
 func (k *leaseKeeper) renew(ctx context.Context, now time.Time) {
-	if k.renewalsInFlight >= maxRenewalsInFlight || !k.due(now, k.renewalSentAt) {
+	if k.renewalsInFlight >= maxRenewalsInFlight || !k.isDue(now, k.renewalSentAt) {
 		return
 	}
 	k.renewalsInFlight++
@@ -103,9 +103,9 @@
 	}()
 }
 
-// renewalAnswered handles the outcome of a renewal and reports whether the lease has ended in the
-// store.
-func (k *leaseKeeper) renewalAnswered(outcome requestOutcome) (ended bool) {
+// handleRenewalOutcome handles the outcome of a renewal and reports whether the lease has ended in
+// the store.
+func (k *leaseKeeper) handleRenewalOutcome(outcome requestOutcome) (ended bool) {
 	k.renewalsInFlight--
 	elector := k.elector
 	switch {
@@ -129,7 +129,7 @@
 func (k *leaseKeeper) requestPeerLeases(ctx context.Context, now time.Time, remaining time.Duration) {
 	elector := k.elector
 	storeSilent := now.Sub(k.renewedAt) >= 2*elector.timing.RenewPeriod
-	if k.requestingPeerLeases || elector.RequestPeerLeases == nil || !storeSilent || !k.due(now, k.peerLeasesSentAt) {
+	if k.requestingPeerLeases || elector.RequestPeerLeases == nil || !storeSilent || !k.isDue(now, k.peerLeasesSentAt) {
 		return
 	}
 	k.requestingPeerLeases, k.peerLeasesSentAt = true, now
@@ -147,8 +147,8 @@
 // errNotGranted is the outcome of a request that not all peers have granted.
 var errNotGranted = errors.New("not all peers granted a lease")
 
-// peerLeasesAnswered handles the outcome of a request for peer leases.
-func (k *leaseKeeper) peerLeasesAnswered(outcome requestOutcome) {
+// handlePeerLeasesOutcome handles the outcome of a request for peer leases.
+func (k *leaseKeeper) handlePeerLeasesOutcome(outcome requestOutcome) {
 	k.requestingPeerLeases = false
 	elector := k.elector
 	requestedAt := elector.clockAt(outcome.sentAt)
--- a/internal/election/rules/grantor.go
+++ b/internal/election/rules/grantor.go
@@ -10,47 +10,47 @@
 // nothing.
 type Grantor struct {
 	BoundUntil time.Duration // no campaign may begin before
-	// FromEarlierIncarnation is set while BoundUntil covers leases that an earlier incarnation may
-	// have granted, of which there is no record.
-	FromEarlierIncarnation bool
+	// BoundByEarlierIncarnation is set while BoundUntil covers leases that an earlier incarnation
+	// may have granted, of which there is no record.
+	BoundByEarlierIncarnation bool
 	// CampaignPending is set while a campaign's transaction may still be executed, because its
 	// outcome is unknown.
-	CampaignPending bool
-	CampaignBase    uint64 // fencing token that the pending campaign succeeds
-	HighestToken    uint64 // highest fencing token known to have been issued
+	CampaignPending   bool
+	CampaignBaseToken uint64 // fencing token that the pending campaign succeeds
+	HighestToken      uint64 // highest fencing token known to have been issued
 }
 
-// RestartedGrantor returns the Grantor of a controller that has just started. Its earlier
+// NewRestartedGrantor returns the Grantor of a controller that has just started. Its earlier
 // incarnation may have granted a lease immediately before it ended, so campaigns are forbidden for
 // one lease duration.
-func RestartedGrantor(now, leaseDuration time.Duration) Grantor {
-	return Grantor{BoundUntil: now + leaseDuration, FromEarlierIncarnation: true}
+func NewRestartedGrantor(now, leaseDuration time.Duration) Grantor {
+	return Grantor{BoundUntil: now + leaseDuration, BoundByEarlierIncarnation: true}
 }
 
-// CampaignDelay returns how long this controller must not begin a campaign. exempt is set if an
-// earlier incarnation of this controller holds the leadership, or if no controller ever held it.
-// Then no grant of an earlier incarnation can have extended the term of another controller, so
-// none delays the campaign.
-func (g *Grantor) CampaignDelay(now time.Duration, exempt bool) time.Duration {
-	if g.FromEarlierIncarnation && exempt {
+// CampaignDelay returns how long this controller must not begin a campaign. ignoreEarlierGrants is
+// set if an earlier incarnation of this controller holds the leadership, or if no controller ever
+// held it. Then no grant of an earlier incarnation can have extended the term of another
+// controller, so none delays the campaign.
+func (g *Grantor) CampaignDelay(now time.Duration, ignoreEarlierGrants bool) time.Duration {
+	if g.BoundByEarlierIncarnation && ignoreEarlierGrants {
 		return 0
 	}
 	return max(0, g.BoundUntil-now)
 }
 
-// BeginCampaign records that the transaction of a campaign is about to be sent. base is the
+// BeginCampaign records that the transaction of a campaign is about to be sent. baseToken is the
 // fencing token of the leader that the campaign would succeed. BeginCampaign returns false, and
 // records nothing, if a grant forbids the campaign.
-func (g *Grantor) BeginCampaign(now time.Duration, exempt bool, base uint64) bool {
-	if g.CampaignDelay(now, exempt) > 0 {
+func (g *Grantor) BeginCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
+	if g.CampaignDelay(now, ignoreEarlierGrants) > 0 {
 		return false
 	}
-	g.CampaignPending, g.CampaignBase = true, base
+	g.CampaignPending, g.CampaignBaseToken = true, baseToken
 	return true
 }
 
-// CampaignSettled records that the outcome of the campaign is known.
-func (g *Grantor) CampaignSettled() { g.CampaignPending = false }
+// EndCampaign records that the outcome of the campaign is known.
+func (g *Grantor) EndCampaign() { g.CampaignPending = false }
 
 // ObserveToken records a fencing token that was issued.
 func (g *Grantor) ObserveToken(token uint64) { g.HighestToken = max(g.HighestToken, token) }
@@ -60,11 +60,11 @@
 // and while a campaign of this controller could still succeed against the leader. A campaign that
 // builds on an older token cannot succeed, because the guards of its transaction fail.
 func (g *Grantor) Grant(now, leaseDuration time.Duration, token uint64) bool {
-	if g.CampaignPending && g.CampaignBase >= token || g.HighestToken > token {
+	if g.CampaignPending && g.CampaignBaseToken >= token || g.HighestToken > token {
 		return false
 	}
 	g.BoundUntil = max(g.BoundUntil, now+leaseDuration)
-	g.FromEarlierIncarnation = false
+	g.BoundByEarlierIncarnation = false
 	return true
 }
 
@@ -72,7 +72,7 @@
 // have granted: every peer, asked by this incarnation, has answered that it relies on no grant.
 // Grants of this incarnation still bind.
 func (g *Grantor) VoidEarlierGrants(now time.Duration) {
-	if g.FromEarlierIncarnation {
-		g.BoundUntil, g.FromEarlierIncarnation = now, false
+	if g.BoundByEarlierIncarnation {
+		g.BoundUntil, g.BoundByEarlierIncarnation = now, false
 	}
 }
--- a/internal/election/rules/validity.go
+++ b/internal/election/rules/validity.go
@@ -5,29 +5,29 @@
 // LeaseValidity tracks until when a leader may act. The zero value belongs to a controller that
 // holds no term.
 type LeaseValidity struct {
-	Held  bool // set from winning a term until giving it up for good
-	Until time.Duration
+	HoldsTerm  bool // set from winning a term until giving it up for good
+	ValidUntil time.Duration
 }
 
 // Valid reports whether the leader may act.
-func (v *LeaseValidity) Valid(now time.Duration) bool { return v.Held && now < v.Until }
+func (v *LeaseValidity) Valid(now time.Duration) bool { return v.HoldsTerm && now < v.ValidUntil }
 
 // ExtendByRenewal records a successful renewal of the lease in the store, which is valid for
 // validFor from when it was sent. It may restore a validity that has ended, because the success of
 // the renewal proves that the lease itself never ended.
-func (v *LeaseValidity) ExtendByRenewal(sent, validFor time.Duration) {
-	v.Until = max(v.Until, sent+validFor)
+func (v *LeaseValidity) ExtendByRenewal(sentAt, validFor time.Duration) {
+	v.ValidUntil = max(v.ValidUntil, sentAt+validFor)
 }
 
 // ExtendByGrants records leases that all peers have granted, which are valid for validFor from
 // when they were requested. It returns false, and extends nothing, if the validity has ended. In
 // the meantime, another controller may have won the leadership, and a lease that it has granted
 // does not stop it from leading itself.
-func (v *LeaseValidity) ExtendByGrants(now, sent, validFor time.Duration) bool {
+func (v *LeaseValidity) ExtendByGrants(now, requestedAt, validFor time.Duration) bool {
 	if !v.Valid(now) {
 		return false
 	}
-	v.Until = max(v.Until, sent+validFor)
+	v.ValidUntil = max(v.ValidUntil, requestedAt+validFor)
 	return true
 }
 
@@ -35,4 +35,4 @@
 // because the controller holds no term. A controller that holds a term relies on grants even after
 // its validity has ended: a late answer to a renewal may restore the validity, and a grant may
 // then extend it.
-func (v *LeaseValidity) ReliesOnNoGrant() bool { return !v.Held }
+func (v *LeaseValidity) ReliesOnNoGrant() bool { return !v.HoldsTerm }
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -8,10 +8,10 @@
 
 // The outcomes.
 const (
-	Recovered       Outcome = "recovered"
-	RecoveredInPart Outcome = "recovered in part" // the job's description is missing
-	Uncertain       Outcome = "uncertain"
-	Contradictory   Outcome = "contradictory"
+	Recovered          Outcome = "recovered"
+	PartiallyRecovered Outcome = "recovered in part" // the job's description is missing
+	Uncertain          Outcome = "uncertain"
+	Contradictory      Outcome = "contradictory"
 )
 
 // Rule is the rule that led to a decision. Its values are shown to operators and stored with held
@@ -20,15 +20,15 @@
 
 // The rules, in the order in which Decide tries them.
 const (
-	RuleContradiction Rule = "done by one source, cancelled by another"
-	RuleDone          Rule = "a job that is done stays done"
-	RuleCancelled     Rule = "a job that is cancelled stays cancelled"
-	RuleAllTasksDone  Rule = "every one of its tasks is done"
-	RuleUnfinished    Rule = "unfinished as of the loss"
-	RuleNoDescription Rule = "unfinished as of the loss, but nobody has its description"
-	RuleNotHeard      Rule = "a controller that may know more has not answered"
-	RuleOnWorker      Rule = "tasks on workers prove that it was accepted, not that it was not cancelled"
-	RuleOldSource     Rule = "accepted by an old source, which proves neither that it is over nor that it is not"
+	RuleContradiction      Rule = "done by one source, cancelled by another"
+	RuleDone               Rule = "a job that is done stays done"
+	RuleCancelled          Rule = "a job that is cancelled stays cancelled"
+	RuleAllTasksDone       Rule = "every one of its tasks is done"
+	RuleUnfinished         Rule = "unfinished as of the loss"
+	RuleNoDescription      Rule = "unfinished as of the loss, but nobody has its description"
+	RuleControllerNotHeard Rule = "a controller that may know more has not answered"
+	RuleOnWorker           Rule = "tasks on workers prove that it was accepted, not that it was not cancelled"
+	RuleOldSource          Rule = "accepted by an old source, which proves neither that it is over nor that it is not"
 )
 
 // Decision is the decision about a lost job.
@@ -61,11 +61,11 @@
 	case known.allTasksDone():
 		return Decision{Outcome: Recovered, Rule: RuleAllTasksDone, State: jobs.Done}
 	case known.Unfinished && !allHeard:
-		return Decision{Outcome: Uncertain, Rule: RuleNotHeard, State: jobs.Queued, Held: true}
+		return Decision{Outcome: Uncertain, Rule: RuleControllerNotHeard, State: jobs.Queued, Held: true}
 	case known.Unfinished && known.Spec != nil:
 		return Decision{Outcome: Recovered, Rule: RuleUnfinished, State: jobs.Queued}
 	case known.Unfinished:
-		return Decision{Outcome: RecoveredInPart, Rule: RuleNoDescription, State: jobs.Queued, Held: true, DescriptionMissing: true}
+		return Decision{Outcome: PartiallyRecovered, Rule: RuleNoDescription, State: jobs.Queued, Held: true, DescriptionMissing: true}
 	case len(known.RunningTasks)+len(known.CompletedTasks) > 0:
 		return Decision{Outcome: Uncertain, Rule: RuleOnWorker, State: jobs.Queued, Held: true}
 	}
--- a/internal/recovery/decide_test.go
+++ b/internal/recovery/decide_test.go
@@ -10,23 +10,23 @@
 
 // Checks decisions on what honest sources say of a job: the job is given no final state that it
 // does not have, does not run again after its end, and runs only if it is certain that it should.
-func TestNoWrongEnds(t *testing.T) {
+func TestDecisionsMatchTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		real := drawTruth(t)
+		actual := drawTruth(t)
 		var known Knowledge
-		for range rapid.IntRange(1, 5).Draw(t, "words") {
-			known = known.Join(real.drawStatement(t))
+		for range rapid.IntRange(1, 5).Draw(t, "statements") {
+			known = known.Join(actual.drawStatement(t))
 		}
-		heard := rapid.Bool().Draw(t, "heard")
-		decision := Decide(known, heard)
+		allHeard := rapid.Bool().Draw(t, "heard")
+		decision := Decide(known, allHeard)
 		switch {
 		case decision.Outcome == Contradictory:
 			t.Fatalf("honest sources seem to contradict each other: %s", known.Provenance())
-		case decision.Final() && decision.State != real.state:
-			t.Fatalf("a job in state %q is decided to be %q by rule %q: %s", real.state, decision.State, decision.Rule, known.Provenance())
-		case !decision.Held && decision.State == jobs.Queued && real.state != jobs.Queued:
-			t.Fatalf("a job in state %q would run again by rule %q: %s", real.state, decision.Rule, known.Provenance())
-		case !decision.Held && decision.State == jobs.Queued && (known.Spec == nil || !heard):
+		case decision.Final() && decision.State != actual.state:
+			t.Fatalf("a job in state %q is decided to be %q by rule %q: %s", actual.state, decision.State, decision.Rule, known.Provenance())
+		case !decision.Held && decision.State == jobs.Queued && actual.state != jobs.Queued:
+			t.Fatalf("a job in state %q would run again by rule %q: %s", actual.state, decision.Rule, known.Provenance())
+		case !decision.Held && decision.State == jobs.Queued && (known.Spec == nil || !allHeard):
 			t.Fatalf("a job runs without a description, or before all controllers were heard: %s", known.Provenance())
 		}
 		rec := known.Record(decision, 1)
@@ -44,11 +44,11 @@
 	cache := func(k Knowledge) Knowledge { return Attribute(FromCache("perch-1"), k) }
 	worker := func(k Knowledge) Knowledge { return Attribute(FromWorker("m-1"), k) }
 	cases := []struct {
-		name  string
-		words []Knowledge
-		want  Rule
-		state string
-		held  bool
+		name       string
+		statements []Knowledge
+		want       Rule
+		state      string
+		held       bool
 	}{
 		{"a snapshot older than the job's completion", []Knowledge{snapshot(Knowledge{Spec: spec}), cache(Knowledge{Done: true, Tasks: 2})}, RuleDone, jobs.Done, false},
 		{"a snapshot older than a cancellation", []Knowledge{snapshot(Knowledge{Spec: spec}), cache(Knowledge{Cancelled: true, Tasks: 2})}, RuleCancelled, jobs.Cancelled, false},
@@ -65,7 +65,7 @@
 	}
 	for _, tc := range cases {
 		known := KnowledgeByJob{}
-		for _, statement := range tc.words {
+		for _, statement := range tc.statements {
 			known.Merge("j-1", statement)
 		}
 		if decision := Decide(known["j-1"], true); decision.Rule != tc.want || decision.State != tc.state || decision.Held != tc.held {
--- a/internal/recovery/detection/ring_test.go
+++ b/internal/recovery/detection/ring_test.go
@@ -15,7 +15,7 @@
 
 // Checks that CheckRing finds no gap in a complete ring, wherever its oldest segment is, and finds
 // the gap if a segment is lost.
-func TestRingShowsHoles(t *testing.T) {
+func TestCheckRingFindsGaps(t *testing.T) {
 	whole := [][]Segment{nil, ring(1), ring(1, 2, 3), ring(17, 18, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)}
 	whole = append(whole, ring(17, 18, 16, 15, 14)) // three segments were added before the oldest one was replaced
 	for i, r := range whole {
--- a/internal/recovery/detection/token.go
+++ b/internal/recovery/detection/token.go
@@ -8,6 +8,8 @@
 // leader's own. No deployment raises its token that often, so a token beyond the limit is garbage.
 const maxTokenLead = 1 << 32
 
-// PlausibleToken reports whether a fencing token shown by a worker may have been issued by this
-// deployment, whose leader has the token own.
-func PlausibleToken(shown, own uint64) bool { return shown-min(shown, own) < maxTokenLead }
+// PlausibleToken reports whether a fencing token reported by a worker may have been issued by this
+// deployment, whose leader has leaderToken.
+func PlausibleToken(reported, leaderToken uint64) bool {
+	return reported-min(reported, leaderToken) < maxTokenLead
+}
--- a/internal/recovery/detection/watermark_test.go
+++ b/internal/recovery/detection/watermark_test.go
@@ -4,7 +4,7 @@
 
 // Checks that a number that grows is no evidence, and that a lower one is evidence once: after
 // that, the watermark continues from the lower number.
-func TestNumbersThatGoBack(t *testing.T) {
+func TestWatermarkReportsRollbackOnce(t *testing.T) {
 	var seen Watermark
 	for _, n := range []uint64{0, 3, 3, 9} {
 		if evidence, back := seen.Observe(seen.Baseline(), RevisionBack, "", n); back {
--- a/internal/recovery/knowledge_test.go
+++ b/internal/recovery/knowledge_test.go
@@ -69,8 +69,8 @@
 // knowledge.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		real, other := drawTruth(t), drawTruth(t)
-		a, b, c := real.drawStatement(t), other.drawStatement(t), real.drawStatement(t) // b may contradict both
+		actual, other := drawTruth(t), drawTruth(t)
+		a, b, c := actual.drawStatement(t), other.drawStatement(t), actual.drawStatement(t) // b may contradict both
 		same := func(what string, x, y Knowledge) {
 			if diff := cmp.Diff(x, y, cmp.AllowUnexported(jobs.Spec{})); diff != "" {
 				t.Fatalf("%s: %s", what, diff)
--- a/internal/recovery/report/report.go
+++ b/internal/recovery/report/report.go
@@ -1,5 +1,5 @@
-// Package report renders the recovery of lost records as an HTML page: the evidence, the records that
-// were written back, the held jobs with the reasons, and a timeline.
+// Package report renders the recovery of lost records as an HTML page: the evidence, the records
+// that were written back, the held jobs with the reasons, and a timeline.
 package report
 
 import (
@@ -68,16 +68,16 @@
 	timeline.Legend.Top, timeline.Legend.Left = true, true
 	timeline.Add(plotter.NewGrid())
 	end := events[len(events)-1].At.Sub(first).Seconds()
-	for i, what := range slices.Sorted(maps.Keys(lines)) {
-		if err := addSteps(timeline, what, lines[what], end, plotutil.Color(i), i); err != nil {
+	for i, kind := range slices.Sorted(maps.Keys(lines)) {
+		if err := addStepLine(timeline, kind, lines[kind], end, plotutil.Color(i), i); err != nil {
 			return "", err
 		}
 	}
 	return svgplot.Draw(timeline)
 }
 
-// addSteps adds the events of one kind to the plot: a step line, and a marker at each event.
-func addSteps(timeline *plot.Plot, what string, points plotter.XYs, end float64, lineColor color.Color, shape int) error {
+// addStepLine adds the events of one kind to the plot: a step line, and a marker at each event.
+func addStepLine(timeline *plot.Plot, kind string, points plotter.XYs, end float64, lineColor color.Color, shape int) error {
 	last := points[len(points)-1]
 	line, err := plotter.NewLine(append(slices.Clone(points), plotter.XY{X: end, Y: last.Y}))
 	if err != nil {
@@ -91,6 +91,6 @@
 	}
 	marks.Color, marks.Shape = lineColor, plotutil.Shape(shape)
 	timeline.Add(line, marks)
-	timeline.Legend.Add(what, line, marks)
+	timeline.Legend.Add(kind, line, marks)
 	return nil
 }
--- a/internal/recovery/settle.go
+++ b/internal/recovery/settle.go
@@ -33,7 +33,7 @@
 		if known.Cancelled && !known.Done {
 			return refuse("it is known to be cancelled")
 		}
-		if len(without(known.RunningTasks, known.CompletedTasks)) > 0 {
+		if len(difference(known.RunningTasks, known.CompletedTasks)) > 0 {
 			return refuse(fmt.Sprintf("tasks %v are running", known.RunningTasks))
 		}
 		decision.State = jobs.Done
@@ -56,16 +56,16 @@
 	return decision, nil
 }
 
-// without returns the numbers in all that are not in excluded.
-func without(all, excluded []int) (left []int) {
+// difference returns the numbers in all that are not in excluded.
+func difference(all, excluded []int) (remaining []int) {
 	isExcluded := map[int]bool{}
 	for _, n := range excluded {
 		isExcluded[n] = true
 	}
 	for _, n := range all {
 		if !isExcluded[n] {
-			left = append(left, n)
+			remaining = append(remaining, n)
 		}
 	}
-	return left
+	return remaining
 }
--- a/internal/recovery/settle_test.go
+++ b/internal/recovery/settle_test.go
@@ -14,10 +14,10 @@
 	running := uncertain.Join(Attribute(FromWorker("m-1"), Knowledge{RunningTasks: []int{0}}))
 	both := Knowledge{Done: true, Cancelled: true, Spec: spec}
 	cases := []struct {
-		name string
-		k    Knowledge
-		as   Settlement
-		ok   bool
+		name       string
+		known      Knowledge
+		settlement Settlement
+		allowed    bool
 	}{
 		{"uncertain", uncertain, SettleDone, true},
 		{"uncertain", uncertain, SettleCancelled, true},
@@ -34,9 +34,9 @@
 		{"done", Knowledge{Done: true}, SettleCancelled, false},
 	}
 	for _, tc := range cases {
-		decision, err := Settle(tc.k, tc.as)
-		if (err == nil) != tc.ok || err != nil && !errors.Is(err, ErrRefused) {
-			t.Errorf("%s settled as %s: decision %+v, error %v", tc.name, tc.as, decision, err)
+		decision, err := Settle(tc.known, tc.settlement)
+		if (err == nil) != tc.allowed || err != nil && !errors.Is(err, ErrRefused) {
+			t.Errorf("%s settled as %s: decision %+v, error %v", tc.name, tc.settlement, decision, err)
 		}
 	}
 }
