--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -41,7 +41,7 @@
 		defer close(leadReturned)
 		lead(leadCtx, won.Term)
 	}()
-	// The watcher ends with leadCtx. serve does not wait for its last read.
+	// The watcher ends with leadCtx. serveTerm does not wait for its last read.
 	keyLost := make(chan struct{})
 	go e.watchHolderKey(leadCtx, won.Term, keyLost)
 
