--- a/internal/election/locked.go
+++ b/internal/election/locked.go
@@ -7,34 +7,34 @@
 	"ospreyslip/internal/election/rules"
 )
 
-// The types of this file add a lock to those of package rules and decide nothing themselves: each
-// method executes the one of the same name there, or reads fields. Times are readings of the
-// elector's clock.
+// The types in this file add a mutex to the types of package rules and make no decisions. Each
+// method calls the method of the same name there, or reads fields. Times are on the elector's
+// clock.
 
-// lockedGrantor is a rules.Grantor for several goroutines: peers ask it for leases while Run
-// campaigns. A campaign and a grant are never decided at the same time, as each would forbid the
-// other.
+// lockedGrantor is a rules.Grantor that is safe for concurrent use: peers request leases while Run
+// campaigns. The mutex orders the decisions on a campaign and on a grant, because each excludes
+// the other.
 type lockedGrantor struct {
 	mu      sync.Mutex
 	grantor rules.Grantor
 }
 
-func (g *lockedGrantor) campaignDelay(now time.Duration, exempt bool) time.Duration {
+func (g *lockedGrantor) campaignDelay(now time.Duration, ignoreEarlierGrants bool) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.CampaignDelay(now, exempt)
+	return g.grantor.CampaignDelay(now, ignoreEarlierGrants)
 }
 
-func (g *lockedGrantor) beginCampaign(now time.Duration, exempt bool, base uint64) bool {
+func (g *lockedGrantor) beginCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.BeginCampaign(now, exempt, base)
+	return g.grantor.BeginCampaign(now, ignoreEarlierGrants, baseToken)
 }
 
-func (g *lockedGrantor) campaignSettled() {
+func (g *lockedGrantor) endCampaign() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.grantor.CampaignSettled()
+	g.grantor.EndCampaign()
 }
 
 func (g *lockedGrantor) observeToken(token uint64) {
@@ -43,7 +43,7 @@
 	g.grantor.ObserveToken(token)
 }
 
-// highestToken returns the highest fencing token known to have been issued.
+// highestToken returns the highest fencing token that is known to have been issued.
 func (g *lockedGrantor) highestToken() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -56,12 +56,12 @@
 	return g.grantor.Grant(now, leaseDuration, token)
 }
 
-// boundByEarlierIncarnation tells whether this node is waiting out what an earlier incarnation
-// may have granted.
+// boundByEarlierIncarnation reports whether this controller is waiting for the end of leases that
+// an earlier incarnation may have granted.
 func (g *lockedGrantor) boundByEarlierIncarnation(now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.FromEarlierIncarnation && g.grantor.BoundUntil > now
+	return g.grantor.BoundByEarlierIncarnation && g.grantor.BoundUntil > now
 }
 
 func (g *lockedGrantor) voidEarlierGrants(now time.Duration) {
@@ -70,8 +70,8 @@
 	g.grantor.VoidEarlierGrants(now)
 }
 
-// lockedValidity is a rules.LeaseValidity for several goroutines: many ask whether this node
-// leads while Run keeps the lease.
+// lockedValidity is a rules.LeaseValidity that is safe for concurrent use: many goroutines ask
+// whether this controller leads while Run renews the lease.
 type lockedValidity struct {
 	mu       sync.RWMutex
 	validity rules.LeaseValidity
@@ -83,11 +83,11 @@
 	return v.validity.Valid(now)
 }
 
-// remaining is how long the validity lasts if nothing extends it.
+// remaining returns how long the validity lasts unless it is extended.
 func (v *lockedValidity) remaining(now time.Duration) time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.validity.Until - now
+	return v.validity.ValidUntil - now
 }
 
 func (v *lockedValidity) reliesOnNoGrant() bool {
@@ -96,29 +96,29 @@
 	return v.validity.ReliesOnNoGrant()
 }
 
-// begin starts a term, whose lease was requested at a moment.
-func (v *lockedValidity) begin(requested, validFor time.Duration) {
+// begin starts a term whose lease was requested at the given time.
+func (v *lockedValidity) begin(requestedAt, validFor time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.validity = rules.LeaseValidity{Held: true}
-	v.validity.ExtendByRenewal(requested, validFor)
+	v.validity = rules.LeaseValidity{HoldsTerm: true}
+	v.validity.ExtendByRenewal(requestedAt, validFor)
 }
 
-// end gives the term up for good.
+// end ends the term. A late renewal or grant cannot restore it.
 func (v *lockedValidity) end() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.validity = rules.LeaseValidity{}
 }
 
-func (v *lockedValidity) extendByRenewal(sent, validFor time.Duration) {
+func (v *lockedValidity) extendByRenewal(sentAt, validFor time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.validity.ExtendByRenewal(sent, validFor)
+	v.validity.ExtendByRenewal(sentAt, validFor)
 }
 
-func (v *lockedValidity) extendByGrants(now, sent, validFor time.Duration) bool {
+func (v *lockedValidity) extendByGrants(now, requestedAt, validFor time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.validity.ExtendByGrants(now, sent, validFor)
+	return v.validity.ExtendByGrants(now, requestedAt, validFor)
 }
--- a/internal/election/model/explorer.go
+++ b/internal/election/model/explorer.go
@@ -5,67 +5,68 @@
 	"time"
 )
 
-// step is one thing that may happen in a state.
+// step is an event that may happen in a state.
 type step struct {
-	description string // empty unless explorer.described
+	description string // empty unless explorer.describeSteps is set
 	next        clusterState
 }
 
-// explorer finds out what may follow a state. The order in which it does so is always the same:
-// a trace names steps by their index.
+// explorer determines the possible successors of a state. Their order must be deterministic,
+// because a trace identifies steps by their index.
 type explorer struct {
-	nodes     int
-	slowNode  int  // whose clock may lose ticks
-	lease     int8 // duration in ticks
-	without   Guard
-	described bool   // steps get descriptions, which takes long
-	steps     []step // used again for each state
+	controllers    int
+	slowController int  // controller whose clock may lose ticks
+	leaseDuration  int8 // in ticks
+	omittedGuard   Guard
+	describeSteps  bool   // whether steps get descriptions, which are slow to format
+	steps          []step // reused for each state
 }
 
 func (e *explorer) add(next clusterState, format string, args ...any) {
 	description := ""
-	if e.described {
+	if e.describeSteps {
 		description = fmt.Sprintf(format, args...)
 	}
 	e.steps = append(e.steps, step{description, next})
 }
 
-// stepsFrom returns all that may happen next. The result is valid until the next call.
+// stepsFrom returns all steps that may happen in a state. The result is valid until the next call.
 func (e *explorer) stepsFrom(state *clusterState) []step {
 	e.steps = e.steps[:0]
 	e.tickSteps(state)
 	e.outageSteps(state)
-	for node := range e.nodes {
+	for controller := range e.controllers {
 		if state.store.up {
-			e.arrivalSteps(state, node)
+			e.transactionArrivalSteps(state, controller)
 		}
-		if state.nodes[node].up {
-			e.campaignSteps(state, node)
-			e.leaderSteps(state, node)
-			e.voidingSteps(state, node)
+		if state.controllers[controller].up {
+			e.campaignSteps(state, controller)
+			e.leaderSteps(state, controller)
+			e.voidGrantsSteps(state, controller)
 		}
-		e.processSteps(state, node)
+		e.processSteps(state, controller)
 	}
 	return e.steps
 }
 
-// peersOf is the set of all nodes but one.
-func (e *explorer) peersOf(node int) uint8 { return (1<<e.nodes - 1) &^ (1 << node) }
+// peersOf returns the set of all controllers but one.
+func (e *explorer) peersOf(controller int) uint8 { return (1<<e.controllers - 1) &^ (1 << controller) }
 
-func contains(set uint8, node int) bool { return set&(1<<node) != 0 }
+func contains(set uint8, controller int) bool { return set&(1<<controller) != 0 }
 
-// sentAt is when a request was sent, by the node's clock, which reads 0 now.
+// sentAt returns when a request of the given age was sent, on the controller's clock, which always
+// reads 0 at the present state.
 func (e *explorer) sentAt(age int8) time.Duration {
-	if e.without == CountFromSending {
+	if e.omittedGuard == CountFromSending {
 		return 0
 	}
 	return -time.Duration(age)
 }
 
-// validFor is how long a renewal or a peer lease counts.
+// validFor returns how long a renewal or a peer lease is valid.
 func (e *explorer) validFor() time.Duration {
-	if e.without == DriftIsDeducted {
-		return time.Duration(e.lease)
+	if e.omittedGuard == DriftIsDeducted {
+		return time.Duration(e.leaseDuration)
 	}
-	return time.Duration(e.lease) - 1
+	return time.Duration(e.leaseDuration) - 1
 }
--- a/internal/recovery/report/report.go
+++ b/internal/recovery/report/report.go
@@ -1,5 +1,5 @@
-// Package report shows the recovery of lost records as a page: what was noticed,
-// what was written back, which jobs are held and why, and a timeline.
+// Package report renders the recovery of lost records as an HTML page: the evidence, the records
+// that were written back, the held jobs with the reasons, and a timeline.
 package report
 
 import (
@@ -25,7 +25,7 @@
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"time": formatMs}).Parse(page))
 
-// Page is what the template is filled with.
+// Page is the data of the template.
 type Page struct {
 	Cluster  string
 	Made     time.Time
@@ -33,7 +33,8 @@
 	Timeline template.HTML
 }
 
-// Write writes the page about the recovery of one deployment, as of madeAt.
+// Write writes a report on the recovery of one deployment to out. The report shows status, as of
+// madeAt.
 func Write(out io.Writer, cluster string, status recoverer.Status, madeAt time.Time) error {
 	timeline, err := drawTimeline(status.Events)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return time.UnixMilli(ms).UTC().Format(time.DateTime)
 }
 
-// drawTimeline plots how many steps of each kind there had been by each moment.
+// drawTimeline plots the cumulative number of events of each kind over time.
 func drawTimeline(events []recoverer.Event) (template.HTML, error) {
 	if len(events) == 0 {
 		return "", nil
@@ -67,16 +68,16 @@
 	timeline.Legend.Top, timeline.Legend.Left = true, true
 	timeline.Add(plotter.NewGrid())
 	end := events[len(events)-1].At.Sub(first).Seconds()
-	for i, what := range slices.Sorted(maps.Keys(lines)) {
-		if err := addSteps(timeline, what, lines[what], end, plotutil.Color(i), i); err != nil {
+	for i, kind := range slices.Sorted(maps.Keys(lines)) {
+		if err := addStepLine(timeline, kind, lines[kind], end, plotutil.Color(i), i); err != nil {
 			return "", err
 		}
 	}
 	return svgplot.Draw(timeline)
 }
 
-// addSteps adds steps of one kind: a line that rises with each, and a mark at each.
-func addSteps(timeline *plot.Plot, what string, points plotter.XYs, end float64, lineColor color.Color, shape int) error {
+// addStepLine adds the events of one kind to the plot: a step line, and a marker at each event.
+func addStepLine(timeline *plot.Plot, kind string, points plotter.XYs, end float64, lineColor color.Color, shape int) error {
 	last := points[len(points)-1]
 	line, err := plotter.NewLine(append(slices.Clone(points), plotter.XY{X: end, Y: last.Y}))
 	if err != nil {
@@ -90,6 +91,6 @@
 	}
 	marks.Color, marks.Shape = lineColor, plotutil.Shape(shape)
 	timeline.Add(line, marks)
-	timeline.Legend.Add(what, line, marks)
+	timeline.Legend.Add(kind, line, marks)
 	return nil
 }
