--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -1,4 +1,4 @@
-// Package jobs has what a job is: the description that its user submits, its checks, the record
-// that the key-value store keeps of it, and the machine types that it may run on. The cache of
-// all records is in jobcache, the users' HTTP API in jobapi.
+// Package jobs defines a job: the description that its user submits, the validation of that
+// description, the record of the job in the key-value store, and the machine types that the job
+// may run on. Package jobcache caches all job records; package jobapi is the HTTP API for users.
 package jobs
--- a/internal/jobs/jobapi/answer.go
+++ b/internal/jobs/jobapi/answer.go
@@ -9,32 +9,32 @@
 	"ospreyslip/internal/httpreply"
 )
 
-// answer is what a request is answered with. A nil *answer means that the user is gone.
+// answer is the response to a request. A nil *answer means that the client has disconnected.
 type answer struct {
 	status     int
 	body       any
-	retryAfter bool // it says when a retry is worth while
+	retryAfter bool // whether to send a Retry-After header
 }
 
-// found answers with a job's state.
+// found returns a response with a job's state.
 func found(id, state string) *answer {
 	return &answer{status: http.StatusOK, body: jobView{ID: id, State: state}}
 }
 
-// refused answers with why a request is refused for good.
+// refused returns a response that rejects a request permanently, with the reason.
 func refused(status int, why string) *answer {
 	return &answer{status: status, body: errorBody{why}}
 }
 
-// unavailable answers with why a request can not be carried out now.
+// unavailable returns a response that rejects a request for now, with the reason.
 func unavailable(why string) *answer {
 	return &answer{status: http.StatusServiceUnavailable, body: errorBody{why}, retryAfter: true}
 }
 
-// noSuchJob answers a request for a job that was never accepted.
+// noSuchJob returns the response to a request for a job that was never accepted.
 func noSuchJob() *answer { return refused(http.StatusNotFound, "no such job") }
 
-// Why a request is answered as unavailable.
+// Reasons for which a request is rejected for now.
 const (
 	tooManyRequestsText  = "too many requests at this node"
 	noMachineTypesText   = "machine types are not known yet"
@@ -44,7 +44,6 @@
 	notCurrentText       = "this node has just begun and does not know yet whether records are missing"
 )
 
-// write sends an answer.
 func (a *API) write(w http.ResponseWriter, ans *answer) {
 	if ans.retryAfter {
 		w.Header().Set("Retry-After", strconv.Itoa(a.retryAfterSeconds()))
@@ -53,8 +52,9 @@
 	httpreply.JSON(w, ans.status, encoded, err)
 }
 
-// retryAfterSeconds is after how many seconds a retry is worth while: after the time in which
-// the leadership or a busy key-value store may have settled.
+// retryAfterSeconds returns the number of seconds after which a retry may succeed: half of the
+// leader's lease, in which an election may have ended or a busy key-value store may have
+// recovered.
 func (a *API) retryAfterSeconds() int {
 	return max(1, int(math.Ceil(a.Derived.Election.LeaseDuration.Seconds()/2)))
 }
--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -14,12 +14,12 @@
 	"ospreyslip/internal/settings"
 )
 
-// retriesPerStoreWait is how often a request is tried again in the time that an answer of the
-// key-value store may take.
+// retriesPerStoreWait is the number of attempts of one request within the request timeout of the
+// key-value store.
 const retriesPerStoreWait = 20
 
-// API answers users. Its fields have to be set before Register; its functions may be called by
-// several goroutines at a time.
+// API serves users' requests. Its fields must be set before Register is called. Its function
+// fields may be called by several goroutines concurrently.
 type API struct {
 	Settings *settings.Settings
 	Derived  settings.Derived
@@ -27,18 +27,18 @@
 	Cache    *jobcache.Cache
 	// Catalog returns the machine types, or nil while they are not known.
 	Catalog func() []jobs.MachineType
-	// Counts returns a job's counts for display, where this controller knows them.
+	// Counts returns a job's task counts for display, and whether this controller knows them.
 	Counts func(id string) (jobs.Counts, bool)
-	// Ready tells whether users should come to this controller.
+	// Ready reports whether this controller should receive users' requests.
 	Ready func() bool
-	// Room tells whether there is memory for more jobs.
+	// Room reports whether there is enough memory for more jobs.
 	Room func() bool
 
-	slots chan struct{} // one is taken by each request in progress
+	slots chan struct{} // one per request in progress
 }
 
-// Register adds the users' paths. Every request takes a slot or is refused at once: a queue in
-// front of the key-value store would only make users ask twice.
+// Register adds the handlers of the API to mux. A request that finds no free slot is rejected at
+// once: queueing in front of a slow key-value store would only make users repeat their requests.
 func (a *API) Register(mux *http.ServeMux) {
 	a.slots = make(chan struct{}, a.Derived.API.QueueLength)
 	mux.HandleFunc("POST /v1/jobs", a.limited(a.submitJob))
@@ -47,10 +47,10 @@
 	mux.HandleFunc("GET /up", a.showReadiness)
 }
 
-// handler answers a request. It needs the writer to bound the request's body only.
+// handler serves a request. It uses the writer only to limit the size of the request's body.
 type handler func(context.Context, http.ResponseWriter, *http.Request) *answer
 
-// limited gives a handler a slot and a deadline, and writes its answer.
+// limited wraps a handler with a slot and a deadline, and writes its response.
 func (a *API) limited(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -76,8 +76,9 @@
 	}
 }
 
-// readRecord reads a job's record, and its revision; nil if there is none. Where the key-value
-// store has lost it, or says less than this controller knows, what is known takes its place.
+// readRecord reads a job's record and its revision from the key-value store. It returns nil if
+// the job has no record. If the store has lost the record, or the record is behind what this
+// controller knows, the result has the state known to this controller.
 func (a *API) readRecord(ctx context.Context, id string) (*jobs.Record, uint64, error) {
 	request := a.Cache.BeginRequest()
 	pair, found, err := a.Store.Get(ctx, jobs.RecordKey(id))
@@ -94,22 +95,23 @@
 	if err := jsonv2.Unmarshal(pair.Value, &rec); err != nil {
 		return nil, 0, err
 	}
-	a.Cache.ApplyAnswer(request, pair) // before anybody is told
+	a.Cache.ApplyAnswer(request, pair) // before the user gets a response
 	if known, _ := a.Cache.Known(id); known.Finished() {
 		rec.State = known.State
 	}
 	return &rec, pair.Revision, nil
 }
 
-// replaceRecord writes a job's record if it still is at a revision; 0 stands for no record. It
-// returns the new revision, and whether the record was written.
+// replaceRecord writes a job's record if its revision is still the one given; 0 means that there
+// is no record. It returns the new revision and whether the record was written.
 func (a *API) replaceRecord(ctx context.Context, id string, revision uint64, value []byte) (written uint64, ok bool, err error) {
 	key := jobs.RecordKey(id)
 	written, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: key, Revision: revision}}, []kvstore.Write{{Set: key, Value: value}})
 	return written, err == nil && len(failed) == 0, err
 }
 
-// shownState is the state that users are shown: the record does not tell whether tasks run.
+// shownState returns the state that users are shown. A record does not say whether tasks are
+// running; the task counts do.
 func (a *API) shownState(id string, rec *jobs.Record) string {
 	if !rec.Finished() {
 		if _, running := a.runningCounts(id); running {
@@ -119,7 +121,8 @@
 	return rec.State
 }
 
-// runningCounts returns a job's counts, and whether this controller knows that tasks of it run.
+// runningCounts returns a job's task counts and whether this controller knows that some of its
+// tasks are running.
 func (a *API) runningCounts(id string) (counts jobs.Counts, running bool) {
 	if a.Counts == nil {
 		return jobs.Counts{}, false
@@ -128,15 +131,16 @@
 	return counts, known && counts.Running > 0
 }
 
-// mayBeFinished tells whether a job that is unfinished, as far as this controller knows, may be
-// finished: its record may say less than users were told, or is lost, and was changed just
-// before.
+// mayBeFinished reports whether a job that this controller knows as unfinished may in fact be
+// finished. Its record may be behind what users were told, or it may have been lost right after a
+// change that this controller has not seen.
 func (a *API) mayBeFinished(id string, rec *jobs.Record) bool {
 	return !rec.Finished() && (!a.Cache.Readiness.ProvenCurrent() || a.Cache.IsLost(id) && a.Cache.Readiness.LossSuspected())
 }
 
-// retry tries again while there is time: a write whose outcome is unknown meets its own record
-// on the next try, so that trying again reads it back. A try without an answer has failed.
+// retry calls try until it returns a response, the key-value store refuses the request or time
+// runs out. Repeating a write whose outcome is unknown is safe: if it was applied, the next
+// attempt reads the record that it wrote. An attempt that returns no response has failed.
 func (a *API) retry(ctx context.Context, try func() (*answer, error)) *answer {
 	for {
 		ans, err := try()
--- a/internal/jobs/jobapi/api_test.go
+++ b/internal/jobs/jobapi/api_test.go
@@ -18,7 +18,7 @@
 	"ospreyslip/internal/settings"
 )
 
-// users is the API of the only node of a cluster, and what it depends on.
+// users is the API of the only controller of a cluster, with its dependencies.
 type users struct {
 	t     *testing.T
 	api   *API
@@ -66,7 +66,7 @@
 	})
 }
 
-// want sends a request and compares the answer's status and body.
+// want sends a request and checks the status and body of the response.
 func (u *users) want(request, body string, status int, answer string) *httptest.ResponseRecorder {
 	u.t.Helper()
 	method, path, _ := strings.Cut(request, " ")
@@ -84,7 +84,8 @@
 		`"driftwood":false,"flightS":10,"roostS":0,"stashS":0,"duskS":null}`
 }
 
-// A job is accepted once, shown with its counts, and cancelled once.
+// A job is accepted once and cancelled once. Repeated requests return its state, and polls also
+// return its task counts.
 func TestLifeOfAJob(t *testing.T) {
 	withAPI(t, func(u *users) {
 		u.want("GET /v1/jobs/j-1", "", 404, `{"error":"no such job"}`)
@@ -102,8 +103,8 @@
 	})
 }
 
-// What is wrong with a submission is told; what only a new job can not have is not asked of one
-// that is accepted.
+// A rejected submission gets the reason. Checks that apply only to new jobs must not reject a
+// repeated submission of an accepted one.
 func TestSubmissionsThatAreRefused(t *testing.T) {
 	withAPI(t, func(u *users) {
 		u.want("POST /v1/jobs", submission("j-1", 4), 201, `{"id":"j-1","stance":"queued"}`)
@@ -121,14 +122,14 @@
 	})
 }
 
-// Where the key-value store does not answer, users are told when to come back.
+// During an outage of the key-value store, responses carry a Retry-After header.
 func TestOutageOfTheStore(t *testing.T) {
 	withAPI(t, func(u *users) {
 		u.store.SetOutage(true)
 		for _, request := range []string{"POST /v1/jobs", "GET /v1/jobs/j-1", "POST /v1/jobs/j-1/withdraw"} {
 			got := u.want(request, submission("j-1", 4), 503, `{"error":"state service does not answer"}`)
 			if after := got.Header().Get("Retry-After"); after != "5" {
-				t.Errorf("%s: Retry-After %q, want half of the lease, rounded up", request, after)
+				t.Errorf("%s: Retry-After %q, want half of the lease duration, rounded up", request, after)
 			}
 		}
 		u.store.SetOutage(false)
@@ -136,7 +137,7 @@
 	})
 }
 
-// More requests than slots are refused at once.
+// A request that finds no free slot is rejected at once.
 func TestSlots(t *testing.T) {
 	withAPI(t, func(u *users) {
 		for range cap(u.api.slots) {
--- a/internal/jobs/jobapi/doc.go
+++ b/internal/jobs/jobapi/doc.go
@@ -1,3 +1,3 @@
-// Package jobapi serves users over HTTP: any controller accepts, shows or withdraws a job, by
-// linearizable reads of its record and by compare-and-swap writes, whoever the leader is.
+// Package jobapi is the HTTP API for users. Any controller, leader or not, accepts, shows and
+// withdraws jobs. It uses linearizable reads of job records and compare-and-swap writes.
 package jobapi
--- a/internal/jobs/jobapi/show.go
+++ b/internal/jobs/jobapi/show.go
@@ -9,7 +9,7 @@
 	"ospreyslip/internal/jobs/jobcache"
 )
 
-// showJob answers a poll by the cache.
+// showJob answers a poll from the cache.
 func (a *API) showJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *answer {
 	id := r.PathValue("id")
 	if !jobs.ValidID(id) {
@@ -29,12 +29,13 @@
 	return shown(id, a.shownState(id, &rec), a.shownCounts(id, &rec))
 }
 
-// shown answers with a job's state and counts.
+// shown returns a response with a job's state and task counts.
 func shown(id, state string, counts jobs.Counts) *answer {
 	return &answer{status: http.StatusOK, body: jobView{ID: id, State: state, Done: &counts.Done, Running: &counts.Running}}
 }
 
-// shownCounts are the counts that users are shown; none where this controller does not know them.
+// shownCounts returns the task counts that users are shown. They are 0 if this controller does
+// not know them.
 func (a *API) shownCounts(id string, rec *jobs.Record) (counts jobs.Counts) {
 	if rec.State == jobs.Done {
 		counts.Done = rec.Tasks
@@ -44,8 +45,8 @@
 	return counts
 }
 
-// showUnknown answers a poll for a job that is not known, while records may be missing. Of a job
-// without a record the leader may know by its tasks.
+// showUnknown answers a poll for an unknown job while records may be missing. The leader may know
+// a job without a record from its running tasks.
 func (a *API) showUnknown(id string) *answer {
 	if counts, running := a.runningCounts(id); running {
 		return shown(id, jobs.Running, counts)
--- a/internal/jobs/jobapi/submit.go
+++ b/internal/jobs/jobapi/submit.go
@@ -13,11 +13,11 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// maxBody is how many bytes a submission may have.
+// maxBody is the maximum size of a submission in bytes.
 const maxBody = 64 << 10
 
-// submitJob accepts a job. A submission is idempotent: one of a job that is known already is
-// answered with its state, whatever a new one would be answered with.
+// submitJob accepts a job. Submissions are idempotent: if the job is already known, the response
+// is its state, even if a new job with the same description would be rejected.
 func (a *API) submitJob(ctx context.Context, w http.ResponseWriter, r *http.Request) *answer {
 	spec, refusal := readSpec(w, r)
 	if spec == nil {
@@ -37,7 +37,8 @@
 	return a.retry(ctx, func() (*answer, error) { return a.accept(ctx, spec, value) })
 }
 
-// readSpec reads a submission. Without a specification, it returns the answer.
+// readSpec reads and parses a submission. If it returns no spec, the answer is the response to
+// the request, or nil if the client has disconnected.
 func readSpec(w http.ResponseWriter, r *http.Request) (*jobs.Spec, *answer) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	var tooLarge *http.MaxBytesError
@@ -45,7 +46,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, refused(http.StatusBadRequest, "body over 64 KiB")
 	case err != nil:
-		return nil, nil // the user is gone
+		return nil, nil // the client has disconnected
 	}
 	spec, err := jobs.ParseSpec(raw)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return spec, nil
 }
 
-// checkNew returns what the submission is answered with if the job is a new one that can not be
-// accepted; nil if it can be.
+// checkNew returns the response that rejects the submission if the job is new, or nil if it can
+// be accepted.
 func (a *API) checkNew(spec *jobs.Spec, types []jobs.MachineType) *answer {
 	if why := jobs.CheckRunnable(spec, types, a.Settings); why != nil {
 		return refused(http.StatusUnprocessableEntity, why.Error())
@@ -64,14 +65,15 @@
 		return unavailable(memoryShortText)
 	}
 	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.Readiness.ProvenCurrent() {
-		// It may have been accepted, and be finished, before this controller began.
+		// The job may have been accepted and finished before this controller started.
 		return unavailable(notCurrentText)
 	}
 	return nil
 }
 
-// answerIfKnown answers a submission of a known job with its state, as a job accepted under an
-// earlier catalog or team stays accepted. That of a new one gets the other answer.
+// answerIfKnown answers a submission that is rejected if the job is new. If the job is known, the
+// response is its state, because a job accepted under an earlier catalog or team settings stays
+// accepted. Otherwise the response is ifNew.
 func (a *API) answerIfKnown(ctx context.Context, id string, ifNew *answer) *answer {
 	rec, _, err := a.readRecord(ctx, id)
 	switch {
@@ -87,7 +89,8 @@
 	return ifNew
 }
 
-// encodeNew returns the record of a new job, if it fits into a value of the key-value store.
+// encodeNew returns the encoded record of a new job; ok is false if it does not fit into one
+// value of the key-value store.
 func (a *API) encodeNew(spec *jobs.Spec, types []jobs.MachineType) (value []byte, ok bool) {
 	rec := jobs.Record{State: jobs.Queued, Tasks: spec.Tasks, Spec: spec, AcceptedAtMs: time.Now().UnixMilli()}
 	value, err := json.Marshal(rec)
@@ -98,7 +101,8 @@
 	return value, err == nil && len(value) <= a.Derived.Store.ValueBytes
 }
 
-// accept writes the record of a new job, once. Without an answer it has to be tried again.
+// accept attempts once to write the record of a new job. If it returns no response, the caller
+// must try again.
 func (a *API) accept(ctx context.Context, spec *jobs.Spec, value []byte) (*answer, error) {
 	if _, known := a.Cache.Known(spec.ID); known {
 		return a.answerRepeated(ctx, spec)
@@ -111,14 +115,15 @@
 	if !ok {
 		return a.answerRepeated(ctx, spec)
 	}
-	// Should the key-value store lose the record, nobody else may know of it.
+	// If the key-value store loses the record, this controller may be the only one that knows it.
 	a.Cache.ApplyAnswer(request, kvstore.KeyValue{Key: jobs.RecordKey(spec.ID), Value: value, Revision: revision})
 	slog.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
 	return &answer{status: http.StatusCreated, body: jobView{ID: spec.ID, State: jobs.Queued}}, nil
 }
 
-// answerRepeated answers the submission of a job that is known already. Where its description
-// was lost, this brings it back. Without an answer the submission has to be tried again.
+// answerRepeated answers a submission of a job that is already known. If the job's description
+// was lost, the submission restores it. If answerRepeated returns no response, the caller must
+// try again.
 func (a *API) answerRepeated(ctx context.Context, spec *jobs.Spec) (*answer, error) {
 	known, revision, err := a.readRecord(ctx, spec.ID)
 	if err != nil || known == nil {
@@ -133,7 +138,7 @@
 			if _, ok, err := a.replaceRecord(ctx, spec.ID, revision, value); !ok {
 				return nil, err
 			}
-			slog.Info("description of a lost job submitted again", "job", spec.ID, "held", !known.Held.OnlySpecMissing)
+			slog.Info("restored the description of a lost job from a repeated submission", "job", spec.ID, "held", !known.Held.OnlySpecMissing)
 		}
 	}
 	return found(spec.ID, a.shownState(spec.ID, known)), nil
--- a/internal/jobs/jobapi/wire.go
+++ b/internal/jobs/jobapi/wire.go
@@ -1,6 +1,6 @@
 package jobapi
 
-// jobView is a job as users are shown it.
+// jobView is the JSON representation of a job in responses.
 type jobView struct {
 	ID      string `json:"id"`
 	State   string `json:"stance"`
@@ -8,7 +8,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// errorBody is why a request is refused.
+// errorBody is the JSON body of a response that rejects a request.
 type errorBody struct {
 	Error string `json:"error"`
 }
--- a/internal/jobs/jobapi/withdraw.go
+++ b/internal/jobs/jobapi/withdraw.go
@@ -9,7 +9,7 @@
 	"ospreyslip/internal/kvstore"
 )
 
-// withdrawJob cancels a job. One that is finished stays as it is, and is answered with its
+// withdrawJob cancels a job. A job that is already finished is not changed; the response is its
 // state.
 func (a *API) withdrawJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *answer {
 	id := r.PathValue("id")
@@ -19,7 +19,8 @@
 	return a.retry(ctx, func() (*answer, error) { return a.cancel(ctx, id) })
 }
 
-// cancel writes the record of a cancelled job, once. Without an answer it has to be tried again.
+// cancel attempts once to write the record of a cancelled job. If it returns no response, the
+// caller must try again.
 func (a *API) cancel(ctx context.Context, id string) (*answer, error) {
 	rec, revision, err := a.readRecord(ctx, id)
 	switch {
--- a/internal/jobs/jobcache/announcements.go
+++ b/internal/jobs/jobcache/announcements.go
@@ -8,19 +8,19 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// The leader announces to the other controllers each change of a record that its watch has
-// shown. A controller that has not read the change yet keeps it apart, as its own watch may show
-// older changes first. An announced change that is not in the records once all changes up to a
-// later moment have been read was lost.
+// The leader announces each record change seen by its watch to the other controllers. A
+// controller that has not read the change yet stores it separately from its entries, because its
+// own watch may still deliver older changes. An announced change was lost if the records do not
+// show it once all changes up to a later revision have been read.
 
-// announcedChange is what a record had come to say.
+// announcedChange is the content of a record after an announced change.
 type announcedChange struct {
 	state string
 	tasks int
 }
 
-// announcements are the announced changes, by job id, that are not read yet. They are guarded by
-// the cache's mutex.
+// announcements holds, by job ID, the announced changes that this controller has not read yet.
+// The cache's mutex guards it.
 type announcements map[string]announcedChange
 
 func (a announcements) has(id string) bool {
@@ -28,7 +28,7 @@
 	return found
 }
 
-// add takes in a change, unless one that finished the job was announced before.
+// add stores a change, unless an earlier announcement already finished the job.
 func (a announcements) add(id string, change announcedChange) {
 	if earlier, had := a[id]; had && earlier.state != jobs.Queued {
 		return
@@ -36,14 +36,15 @@
 	a[strings.Clone(id)] = change
 }
 
-// confirm drops a change that the record shows by now, or that a finished job can not show.
+// confirm removes the change of a job if the record shows it by now. It also removes the change
+// if the record shows the job as finished, since such a record never shows another state.
 func (a announcements) confirm(id string, now entry) {
 	if change, found := a[id]; found && (now.state == change.state || now.state != jobs.Queued) {
 		delete(a, id)
 	}
 }
 
-// NoteAnnounced takes in what a job's record has come to say, as the leader announces.
+// NoteAnnounced records a change of a job's record that the leader has announced.
 func (c *Cache) NoteAnnounced(id, state string, tasks int) {
 	state = internedState(state)
 	if !jobs.ValidID(id) || state == "" {
@@ -53,20 +54,21 @@
 	defer c.mu.Unlock()
 	known, found := c.entries.get(id)
 	if found && (known.state != jobs.Queued || state == jobs.Queued) {
-		return // nothing new: knowledge only grows
+		return // not newer: a finished job stays finished
 	}
 	c.announced.add(id, announcedChange{state, tasks})
 }
 
-// unreadAnnouncements returns a copy of the changes that are announced and not read by now.
+// unreadAnnouncements returns a copy of the announced changes that have not been read yet.
 func (c *Cache) unreadAnnouncements() announcements {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return maps.Clone(c.announced)
 }
 
-// addLostAnnouncements takes in that all changes have been read up to a moment after some were
-// announced: those that the records do not show were lost.
+// addLostAnnouncements marks announced changes as lost that the records do not show. The caller
+// must have taken the unread announcements first and then read all changes up to a later
+// revision.
 func (c *Cache) addLostAnnouncements(unread announcements) {
 	var evidence *detection.Evidence
 	c.mu.Lock()
--- a/internal/jobs/jobcache/announcements_test.go
+++ b/internal/jobs/jobcache/announcements_test.go
@@ -6,20 +6,21 @@
 	"ospreyslip/internal/jobs"
 )
 
-// A change stays announced until the record shows it, or has a job finished that it says is not.
+// An announced change is kept until the record shows it, or shows the job as finished when the
+// announcement does not.
 func TestAnnouncements(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		announced []string
 		read      string
-		left      string // empty: none
+		left      string // state of the change that is kept; empty: none
 	}{
 		{"read as announced", []string{jobs.Queued}, jobs.Queued, ""},
-		{"an older change is read", []string{jobs.Done}, jobs.Queued, jobs.Done},
-		{"a newer change is read", []string{jobs.Queued}, jobs.Done, ""},
-		{"finished later", []string{jobs.Queued, jobs.Cancelled}, jobs.Queued, jobs.Cancelled},
-		{"announced in the wrong order", []string{jobs.Cancelled, jobs.Queued}, jobs.Queued, jobs.Cancelled},
-		{"finished otherwise", []string{jobs.Done}, jobs.Cancelled, ""},
+		{"older change read", []string{jobs.Done}, jobs.Queued, jobs.Done},
+		{"newer change read", []string{jobs.Queued}, jobs.Done, ""},
+		{"finish announced later", []string{jobs.Queued, jobs.Cancelled}, jobs.Queued, jobs.Cancelled},
+		{"announced out of order", []string{jobs.Cancelled, jobs.Queued}, jobs.Queued, jobs.Cancelled},
+		{"finished in another state", []string{jobs.Done}, jobs.Cancelled, ""},
 	} {
 		announced := announcements{}
 		for _, state := range test.announced {
@@ -28,7 +29,7 @@
 		announced.confirm("j-1", entry{state: test.read})
 		announced.confirm("j-2", entry{state: test.read})
 		if left := announced["j-1"].state; left != test.left || announced.has("j-1") != (test.left != "") {
-			t.Errorf("%s: %q is left, want %q", test.name, left, test.left)
+			t.Errorf("%s: kept change has state %q, want %q", test.name, left, test.left)
 		}
 	}
 }
--- a/internal/jobs/jobcache/apply.go
+++ b/internal/jobs/jobcache/apply.go
@@ -10,11 +10,13 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// BeginRequest has to be called before a record is read or written that ApplyAnswer takes in.
+// BeginRequest returns the baseline to pass to ApplyAnswer. It must be called before the request
+// that reads or writes the record.
 func (c *Cache) BeginRequest() detection.Baseline { return c.newest.Baseline() }
 
-// ApplyAnswer takes in a record that was read or written by another part of this process. If the
-// store was rolled back meanwhile, its revision may be of the past, and the record lost.
+// ApplyAnswer applies a record that another part of this controller has read or written. If the
+// store was rolled back after BeginRequest, the record may be lost and its revision may date from
+// before the rollback, so the revision is ignored.
 func (c *Cache) ApplyAnswer(request detection.Baseline, pair kvstore.KeyValue) {
 	if !c.newest.Advance(request, pair.Revision) {
 		pair.Revision = 0
@@ -22,8 +24,8 @@
 	c.Apply(pair.Key, pair.Value, pair.Revision)
 }
 
-// Apply takes in a record at a revision. Changes that a listing was ahead of come once more by
-// the watch: an older record never replaces a newer one.
+// Apply applies a record as of a revision. After a listing, the watch repeats changes that the
+// listing already contained, so an older record never replaces a newer one.
 func (c *Cache) Apply(key string, value json.RawMessage, revision uint64) {
 	summary, err := jobs.DecodeSummary(value)
 	if err != nil {
@@ -37,8 +39,9 @@
 	}
 }
 
-// applyEntry takes in what a record says, and returns what shows that it is not the newest; empty
-// if nothing does, or if that was returned before.
+// applyEntry applies the content of a record. It returns evidence if the record is not the newest
+// one that this controller knows. It returns the empty kind if there is no evidence, or if the
+// same evidence was returned before.
 func (c *Cache) applyEntry(id string, found entry, value json.RawMessage) (evidence detection.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,8 +68,8 @@
 	return ""
 }
 
-// mergeEntries decides what holds where a record differs from what is known. Knowledge only
-// grows: a finished job stays so, in the way that users were told.
+// mergeEntries returns the entry to keep when a record differs from what is known. A finished job
+// stays finished in the state that users were told, whatever the record says.
 func mergeEntries(known, found entry) (now entry, evidence detection.Kind) {
 	switch {
 	case !known.finished() || known.state == found.state:
@@ -77,8 +80,8 @@
 	return entry{known.state, known.tasks, found.revision}, detection.RecordOlder
 }
 
-// ApplyRemoval takes in that a watch shows the removal of a record at a revision, which no
-// version of this software ever removes.
+// ApplyRemoval handles a watch event that shows the removal of a record. No version of this
+// software ever removes a record, so the removal is evidence of a loss.
 func (c *Cache) ApplyRemoval(key string, revision uint64) {
 	id := jobs.JobIDFromKey(key)
 	c.mu.Lock()
@@ -90,7 +93,7 @@
 	}
 }
 
-// NoteMissing takes in that a read did not find a job's record. It returns what this controller
+// NoteMissing records that a read did not find a job's record. It returns what this controller
 // knows of the job.
 func (c *Cache) NoteMissing(id string) (rec jobs.Record, known bool) {
 	c.mu.Lock()
@@ -103,7 +106,7 @@
 	return jobs.Record{State: e.state, Tasks: e.tasks}, known
 }
 
-// addMissingLocked notes that a job has no record, and returns whether that is news.
+// addMissingLocked marks a job as having no record and reports whether it was not marked before.
 func (c *Cache) addMissingLocked(id string, known entry) (news bool) {
 	before, had := c.lost.get(id)
 	c.lost.add(lostJob{id: strings.Clone(id)})
@@ -112,8 +115,8 @@
 	return !had || before.recordedState != ""
 }
 
-// AddLost takes in a lost job that other controllers know of and this one does not, or of which
-// they know more.
+// AddLost adds a lost job that this controller does not know, or of which other controllers know
+// a newer state.
 func (c *Cache) AddLost(id, state string, tasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +135,8 @@
 	}
 }
 
-// forgetRevision has the next record of a job taken in whatever its revision.
+// forgetRevision clears the revision of a job's entry, so that the next record of the job is
+// applied whatever its revision is.
 func (c *Cache) forgetRevision(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,9 +145,9 @@
 	c.entries.set(id, e)
 }
 
-// forgetRevisionsAbove takes in that the store was rolled back: revisions above one are of the
-// past, as they are given out again. Records may say less than users were told until the leader
-// says that this is made good.
+// forgetRevisionsAbove handles a rollback of the store to the given revision. Higher revisions in
+// the cache are invalid, because the store assigns them again. Until the leader reports that the
+// records are restored, they may be behind what users were told.
 func (c *Cache) forgetRevisionsAbove(revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/jobs/jobcache/audit.go
+++ b/internal/jobs/jobcache/audit.go
@@ -10,18 +10,18 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// auditor compares all records with what the cache knows, by reading all of them. Its methods
-// may be called by several goroutines; the tickets are guarded by the cache's mutex.
+// auditor compares all records in the key-value store with the cache by reading all of them. Its
+// methods may be called by several goroutines concurrently. The cache's mutex guards the tickets.
 type auditor struct {
 	cache *Cache
 	store *kvstore.Client
 
-	lastTicket uint64 // the last that was given out
-	doneTicket uint64 // audits up to this one have been made
+	lastTicket uint64 // the last ticket issued
+	doneTicket uint64 // audits up to this ticket are done
 }
 
-// RequestAudit has all records compared with what this controller knows, once. AuditDone tells
-// when that is done.
+// RequestAudit schedules one comparison of all records with the cache. AuditDone reports whether
+// it is done.
 func (c *Cache) RequestAudit() (ticket uint64) {
 	c.mu.Lock()
 	c.auditor.lastTicket++
@@ -31,15 +31,15 @@
 	return ticket
 }
 
-// AuditDone tells whether an audit that was requested has been made.
+// AuditDone reports whether the audit with the ticket is done.
 func (c *Cache) AuditDone(ticket uint64) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.auditor.doneTicket >= ticket
 }
 
-// RunAudits compares all records with what this controller knows after each interval, pausing
-// between two pages of records, until the context ends. It does nothing if every is 0.
+// RunAudits compares all records with the cache at the given interval until the context ends,
+// pausing between two pages of records. It returns at once if every is 0.
 func (c *Cache) RunAudits(ctx context.Context, every, pause time.Duration) {
 	for every > 0 {
 		select {
@@ -51,12 +51,12 @@
 			continue
 		}
 		if err := c.auditor.findMissing(ctx, pause); err != nil {
-			slog.Debug("records not audited", "reason", err)
+			slog.Debug("audit of job records failed", "reason", err)
 		}
 	}
 }
 
-// runRequested makes the audits that were requested by now, in one.
+// runRequested runs one audit that serves all requests made so far.
 func (a *auditor) runRequested(ctx context.Context) error {
 	a.cache.mu.RLock()
 	requested, done := a.lastTicket, a.doneTicket
@@ -73,15 +73,15 @@
 	return nil
 }
 
-// pending tells whether an audit is requested and not made.
+// pending reports whether a requested audit is not done yet.
 func (a *auditor) pending() bool {
 	a.cache.mu.RLock()
 	defer a.cache.mu.RUnlock()
 	return a.lastTicket != a.doneTicket
 }
 
-// findMissing reads all records and notes each job that is known and not among them. It pauses
-// between two pages. Jobs accepted since it began prove nothing.
+// findMissing reads all records, pausing between two pages, and marks each known job without a
+// record as missing. A job accepted after the read began may be absent from it and is not marked.
 func (a *auditor) findMissing(ctx context.Context, pause time.Duration) error {
 	c := a.cache
 	c.mu.RLock()
@@ -108,13 +108,15 @@
 	return nil
 }
 
-// scan reads all records once into the cache, hands over each one's job id, and returns how many
-// there were and the revision that they are at. A record is older than known if that was learnt
-// while its page was on the way, or if the store was rolled back: only what was known before the
-// scan began proves the latter.
+// scan reads all records once into the cache and calls each with every job ID. It returns the
+// number of records and their revision.
+//
+// A record that is older than the cache's entry is evidence of a rollback only if the entry was
+// known before the scan began. Otherwise the entry may have been updated while the page was in
+// transit.
 func (a *auditor) scan(ctx context.Context, pause time.Duration, each func(id string)) (count int, revision uint64, err error) {
 	c := a.cache
-	var older []kvstore.KeyValue // records of an older revision than is known
+	var older []kvstore.KeyValue // records whose revision is below the one known
 	revision, err = a.store.ForEachPaced(ctx, jobs.RecordPrefix, pause, func(pair kvstore.KeyValue) {
 		count++
 		id := jobs.JobIDFromKey(pair.Key)
--- a/internal/jobs/jobcache/cache.go
+++ b/internal/jobs/jobcache/cache.go
@@ -12,23 +12,23 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// ErrRecordsMayBeMissing means that a job is not known, but that records may be missing: it may
-// have been accepted all the same.
+// ErrRecordsMayBeMissing means that the job is not known but may have been accepted, because
+// records may be missing.
 var ErrRecordsMayBeMissing = errors.New("records may be missing")
 
-// Cache is this controller's copy of all job records. It answers users' polls at the cost of
-// two small reads of the key-value store for all polls that wait at a time.
+// Cache is a controller's copy of all job records. It answers all polls that wait at the same
+// time with two small reads of the key-value store.
 //
-// An answer is as good as a read of its own record: the cache holds every job as of a revision,
-// and is brought up to one that was read after the poll came in.
+// Get is as current as a linearizable read of the record: the cache holds every job as of a
+// revision, and Get waits until the cache has reached a revision that was read after the call.
 //
-// Run keeps the cache up to date. All methods may be called by any goroutine; those whose names
-// end in Locked expect their caller to hold the mutex.
+// Run keeps the cache up to date. All methods may be called by several goroutines concurrently.
+// Methods whose names end in Locked require the caller to hold the mutex.
 type Cache struct {
-	// OnLoss is called with each piece of evidence that records are lost, without a lock held.
-	// It has to be set before the cache is used.
+	// OnLoss is called with each piece of evidence that records are lost, while no lock is held.
+	// It must be set before the cache is used.
 	OnLoss func(detection.Evidence)
-	// Readiness tells what may be concluded from what the cache holds.
+	// Readiness reports which conclusions the content of the cache allows.
 	Readiness *Readiness
 
 	suspectFor time.Duration // see Options
@@ -36,7 +36,7 @@
 	reader     *reader
 	auditor    *auditor
 
-	// mu guards all that follows, and the fields of Readiness and of the auditor's tickets.
+	// mu guards the fields below, the fields of Readiness and the auditor's tickets.
 	mu            sync.RWMutex
 	entries       entryTable
 	unfinished    unfinishedRecords
@@ -46,20 +46,20 @@
 	announced     announcements
 }
 
-// Options are the timers and bounds of a cache.
+// Options are the time intervals and limits of a cache.
 type Options struct {
-	// ReadGap is the least time between two reads of the key-value store.
+	// ReadGap is the minimum time between two reads of the key-value store.
 	ReadGap time.Duration
-	// IdleReadInterval is after what time the cache reads even if nobody polls.
+	// IdleReadInterval is the time after which the cache reads even without a poll.
 	IdleReadInterval time.Duration
-	// SuspectFor is for how long one piece of evidence of a loss makes what is not known
-	// uncertain.
+	// SuspectFor is the time for which a piece of evidence of a loss makes it uncertain whether
+	// an unknown job was accepted.
 	SuspectFor time.Duration
-	// CancellationsKept is how many of the last cancellations are remembered at least.
+	// CancellationsKept is the minimum number of most recent cancellations that are kept.
 	CancellationsKept int
 }
 
-// New makes an empty cache; Run fills it.
+// New returns an empty cache. Run fills it.
 func New(store *kvstore.Client, options Options) *Cache {
 	c := &Cache{
 		suspectFor: options.SuspectFor, entries: newEntryTable(), unfinished: unfinishedRecords{},
@@ -71,13 +71,13 @@
 	return c
 }
 
-// Run reads for those who ask until the context ends. Who asks while a read is under way waits
-// for the next: that one may have been carried out already.
+// Run reads the store on request until the context ends. A request made during a read waits for
+// the next read, because the store may have executed the current one before the request.
 func (c *Cache) Run(ctx context.Context) { c.reader.run(ctx) }
 
-// Get returns a job as of a moment after the call. Found is false for one that was not accepted
-// by then; the error is ErrRecordsMayBeMissing where that cannot be told, that of the read if it
-// failed, or that of the context.
+// Get returns a job as of a moment after the call. If found is false, the job was not accepted by
+// then. The error is ErrRecordsMayBeMissing if that cannot be determined, the error of the read
+// if it failed, or the error of the context.
 func (c *Cache) Get(ctx context.Context, id string) (rec jobs.Record, found bool, err error) {
 	if err := c.reader.waitForRead(ctx); err != nil {
 		return jobs.Record{}, false, err
@@ -89,8 +89,8 @@
 	return rec, found, nil
 }
 
-// Known returns the state and the tasks of a job as this controller knows them, however old,
-// without a read.
+// Known returns the state and the number of tasks of a job as the cache has them, without a read.
+// They may be out of date.
 func (c *Cache) Known(id string) (rec jobs.Record, found bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -98,8 +98,7 @@
 	return jobs.Record{State: e.state, Tasks: e.tasks}, found
 }
 
-// NeverAccepted tells whether a job that this controller does not know was certainly never
-// accepted.
+// NeverAccepted reports whether a job that is not in the cache was certainly never accepted.
 func (c *Cache) NeverAccepted(id string) bool {
 	c.mu.RLock()
 	announced := c.announced.has(id)
@@ -107,15 +106,14 @@
 	return !announced && c.Readiness.unknownMeansNeverAccepted()
 }
 
-// JobCount returns how many jobs this controller knows.
+// JobCount returns the number of jobs in the cache.
 func (c *Cache) JobCount() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.entries.size()
 }
 
-// RecordRevision returns the revision of a job's record as this controller knows it; 0 if there
-// is none.
+// RecordRevision returns the known revision of a job's record, or 0 if there is none.
 func (c *Cache) RecordRevision(id string) uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -123,18 +121,18 @@
 	return e.revision
 }
 
-// UnfinishedRecord returns the record of a job that is not finished, as this controller last
-// saw it; nil if there is none.
+// UnfinishedRecord returns the last known record of a job that is not finished, or nil if there
+// is none.
 func (c *Cache) UnfinishedRecord(id string) json.RawMessage {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.unfinished[id]
 }
 
-// CancellationsAfter returns all cancellations after a revision that this controller may have
-// told a user of; complete is false if it does not know them all. What it learns of is taken in
-// before anybody is told. What an earlier process of this controller told was in the records
-// when this one first read all of them.
+// CancellationsAfter returns the cancellations after a revision that this controller may have
+// reported to users; complete is false if some of them may be missing. The cache learns of a
+// cancellation before any user is told of it. Cancellations reported by an earlier incarnation
+// were in the records at the initial read.
 func (c *Cache) CancellationsAfter(revision uint64) (later []jobs.Cancellation, complete bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -142,11 +140,11 @@
 	return later, complete && c.Readiness.initialReadDone
 }
 
-// NewestRevision returns the newest revision of the key-value store that this controller has
-// read or written.
+// NewestRevision returns the newest revision of the key-value store that this controller has read
+// or written.
 func (c *Cache) NewestRevision() uint64 { return c.newest.Value() }
 
-// reportLoss hands on evidence that records are lost. No lock may be held.
+// reportLoss suspects a loss and passes the evidence to OnLoss. The caller must not hold a lock.
 func (c *Cache) reportLoss(evidence detection.Evidence) {
 	c.Readiness.SuspectLossUntil(time.Now().Add(c.suspectFor))
 	if c.OnLoss != nil {
--- a/internal/jobs/jobcache/cache_test.go
+++ b/internal/jobs/jobcache/cache_test.go
@@ -8,20 +8,21 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Once any controller has told a user that a job is accepted, done or cancelled, no
-// controller may give an older answer, whatever befalls its cache.
+// Once any controller has told a user that a job is accepted, done or cancelled, no controller
+// may return an older state. The test covers a lagging watch, compacted changes, a refusing store
+// and an outage.
 func TestCacheIsNeverBehind(t *testing.T) {
 	withCache(t, func(s *scenario) {
 		s.want("j-1", "404", "never submitted")
 		s.write("j-1", jobs.Queued)
-		s.want("j-1", jobs.Queued, "just accepted by another node")
+		s.want("j-1", jobs.Queued, "just accepted by another controller")
 		s.write("j-1", jobs.Done)
 		s.want("j-1", jobs.Done, "just done")
 
 		s.store.SetWatchLag(2)
 		s.write("j-2", jobs.Queued)
-		s.want("j-2", "503", "its acceptance is not in the watch yet: neither 404 nor a guess")
-		s.want("j-1", "503", "for this one, too, something newer may be missing")
+		s.want("j-2", "503", "the watch does not show its acceptance yet, so the state is unknown")
+		s.want("j-1", "503", "the lagging watch may also lack a change of this job")
 		s.store.SetWatchLag(0)
 		s.want("j-2", jobs.Queued, "the watch has caught up")
 
@@ -30,29 +31,29 @@
 			s.write(fmt.Sprintf("j-1%d", i), jobs.Queued)
 		}
 		s.write("j-2", jobs.Cancelled)
-		s.want("j-2", jobs.Cancelled, "the changes in between are no longer kept")
-		s.want("j-15", jobs.Queued, "so that all records were read again")
+		s.want("j-2", jobs.Cancelled, "the changes since the last read were compacted")
+		s.want("j-15", jobs.Queued, "all records were read again after compaction")
 
 		s.store.SetRefused("node-0", true)
 		s.write("j-15", jobs.Done)
-		s.want("j-15", "503", "the state service refuses this controller alone")
+		s.want("j-15", "503", "the store refuses only this controller")
 		s.store.SetRefused("node-0", false)
 		s.want("j-15", jobs.Done, "served again")
 
 		s.store.SetOutage(true)
 		s.want("j-15", "503", "an outage")
-		s.want("j-99", "503", "an outage: what is not in the cache may exist")
+		s.want("j-99", "503", "during the outage a job missing from the cache may exist")
 		s.store.SetOutage(false)
-		s.want("j-15", jobs.Done, "after it")
-		s.want("j-99", "503", "the service may have been put back in it: another node may know")
+		s.want("j-15", jobs.Done, "after the outage")
+		s.want("j-99", "503", "the store may have been rolled back in the outage and another controller may know the job")
 		s.cache.Readiness.ConfirmByPeers(1)
-		s.want("j-99", "503", "only after the first of two outages nobody knew more")
+		s.want("j-99", "503", "peers have confirmed only the first of two outages")
 		s.cache.Readiness.ConfirmByPeers(2)
-		s.want("j-99", "404", "nobody knows more")
+		s.want("j-99", "404", "peers have confirmed the last outage")
 	})
 }
 
-// A thousand polls at once cost the state service as much as one.
+// A thousand concurrent polls cost the key-value store about as many reads as a single one.
 func TestPollsShareReads(t *testing.T) {
 	withCache(t, func(s *scenario) {
 		s.write("j-1", jobs.Queued)
@@ -60,11 +61,11 @@
 		before := s.store.RequestCount("/watch")
 		var polls sync.WaitGroup
 		for range 1000 {
-			polls.Go(func() { s.want("j-1", jobs.Queued, "in a crowd") })
+			polls.Go(func() { s.want("j-1", jobs.Queued, "concurrent polls") })
 		}
 		polls.Wait()
 		if n := s.store.RequestCount("/watch") - before; n > 3 {
-			t.Errorf("%d reads for 1000 polls at once", n)
+			t.Errorf("%d reads for 1000 concurrent polls, want at most 3", n)
 		}
 	})
 }
--- a/internal/jobs/jobcache/cancellations.go
+++ b/internal/jobs/jobcache/cancellations.go
@@ -7,12 +7,12 @@
 	"ospreyslip/internal/jobs"
 )
 
-// cancellationLog remembers the latest cancellations that this controller has learnt of. It is
-// guarded by the cache's mutex.
+// cancellationLog keeps the most recent cancellations that this controller knows. The cache's
+// mutex guards it.
 type cancellationLog struct {
-	keep           int                 // how many are kept at least
-	entries        []jobs.Cancellation // in the order in which they were learnt; at most twice keep
-	droppedThrough uint64              // cancellations up to this revision may be missing
+	keep           int                 // minimum number of cancellations kept
+	entries        []jobs.Cancellation // in the order in which they were added; at most twice keep
+	droppedThrough uint64              // cancellations up to this revision may have been dropped
 }
 
 func (l *cancellationLog) add(cancellation jobs.Cancellation) {
@@ -26,7 +26,8 @@
 	l.entries = append(l.entries[:0], l.entries[cut:]...)
 }
 
-// after returns the cancellations after a revision, and whether none of them was dropped.
+// after returns the cancellations after a revision; complete is false if some of them may have
+// been dropped.
 func (l *cancellationLog) after(revision uint64) (later []jobs.Cancellation, complete bool) {
 	for _, cancellation := range l.entries {
 		if cancellation.Revision > revision {
--- a/internal/jobs/jobcache/entry_table.go
+++ b/internal/jobs/jobcache/entry_table.go
@@ -7,17 +7,18 @@
 	"ospreyslip/internal/jobs"
 )
 
-// entry is what a poll needs of a job's record.
+// entry is the part of a job's record that is needed to answer a poll.
 type entry struct {
 	state    string
 	tasks    int
-	revision uint64 // of the record; 0 if there is none, or if it is not known any more
+	revision uint64 // of the record; 0 if there is none or its revision is no longer known
 }
 
-// finished tells whether the job is done or cancelled.
+// finished reports whether the job is done or cancelled.
 func (e entry) finished() bool { return e.state == jobs.Done || e.state == jobs.Cancelled }
 
-// internedState is one copy of a state's text for all jobs; empty for what is no state.
+// internedState returns a copy of the state's text that all jobs share, or the empty string if
+// the state is not valid in a record.
 func internedState(state string) string {
 	for _, known := range storedStates {
 		if known == state {
@@ -27,9 +28,10 @@
 	return ""
 }
 
-// entryTable holds an entry of every job there ever was. Records are never removed, so that this
-// is what a controller's memory grows by: a job takes two words where its id and its entry fit
-// into them, as nearly all do. It is guarded by the cache's mutex.
+// entryTable holds an entry for every job ever accepted. Records are never removed, so the table
+// determines how a controller's memory grows. A job takes two words if its ID and its entry fit
+// into them, as nearly all do; other jobs are kept in a plain map. The cache's mutex guards the
+// table.
 type entryTable struct {
 	packed map[uint64]uint64
 	other  map[string]entry
@@ -39,8 +41,9 @@
 	return entryTable{packed: map[uint64]uint64{}, other: map[string]entry{}}
 }
 
-// Layout of the two words: the digits of an id as a number over how many there are, and the
-// revision over tasks and state.
+// Layout of the two words. The first has the digits of the ID as a number in its high bits and
+// their count in the low bits. The second has, from high to low, the revision, the number of
+// tasks and the state.
 const (
 	maxDigits   = 16 // 10^16 takes 54 bits
 	lengthBits  = 5
@@ -51,10 +54,11 @@
 	idPrefix    = "j-"
 )
 
-// storedStates are numbered by their place; a record of none of them counts as no state.
+// storedStates maps the packed number of a state to its text. An invalid state is stored as the
+// empty string.
 var storedStates = [...]string{jobs.Queued, jobs.Done, jobs.Cancelled, ""}
 
-// packID returns an id as one word, if it fits.
+// packID returns an ID as one word; ok is false if it does not fit.
 func packID(id string) (word uint64, ok bool) {
 	digits, isJob := strings.CutPrefix(id, idPrefix)
 	if !isJob || len(digits) == 0 || len(digits) > maxDigits {
@@ -69,13 +73,13 @@
 	return word<<lengthBits | uint64(len(digits)), true
 }
 
-// unpackID is the id of a word that packID made.
+// unpackID returns the ID that packID has encoded.
 func unpackID(word uint64) string {
 	length := int(word & (1<<lengthBits - 1))
 	return fmt.Sprintf("%s%0*d", idPrefix, length, word>>lengthBits)
 }
 
-// pack returns an entry as one word, if it fits.
+// pack returns an entry as one word; ok is false if it does not fit.
 func (e entry) pack() (word uint64, ok bool) {
 	if e.tasks < 0 || e.tasks > maxTasks || e.revision > maxRevision {
 		return 0, false
@@ -88,7 +92,7 @@
 	return 0, false
 }
 
-// unpack is the entry of a word that pack made.
+// unpack returns the entry that pack has encoded.
 func unpack(word uint64) entry {
 	return entry{
 		state:    storedStates[word&(1<<stateBits-1)],
@@ -121,11 +125,11 @@
 	t.other[strings.Clone(id)] = e
 }
 
-// size is how many jobs there are.
+// size returns the number of jobs.
 func (t *entryTable) size() int { return len(t.packed) + len(t.other) }
 
-// forgetRevisionsAbove takes in that all revisions above one are of the past: the store was
-// rolled back, and gives them out again.
+// forgetRevisionsAbove clears all revisions above the given one. The store was rolled back to it
+// and assigns the higher ones again.
 func (t *entryTable) forgetRevisionsAbove(revision uint64) {
 	for key, word := range t.packed {
 		if e := unpack(word); e.revision > revision {
@@ -141,7 +145,7 @@
 	}
 }
 
-// ids returns the set of all jobs of the table.
+// ids returns the set of all jobs in the table.
 func (t *entryTable) ids() *jobSet {
 	s := &jobSet{packed: make(map[uint64]struct{}, len(t.packed)), other: make(map[string]struct{}, len(t.other))}
 	for key := range t.packed {
@@ -153,7 +157,7 @@
 	return s
 }
 
-// jobSet is some of a table's jobs, in as little room.
+// jobSet is a set of job IDs that are packed as in entryTable.
 type jobSet struct {
 	packed map[uint64]struct{}
 	other  map[string]struct{}
@@ -166,7 +170,7 @@
 	delete(s.other, id)
 }
 
-// each hands over the ids that are left.
+// each calls visit with every ID in the set.
 func (s *jobSet) each(visit func(id string)) {
 	for key := range s.packed {
 		visit(unpackID(key))
--- a/internal/jobs/jobcache/entry_table_test.go
+++ b/internal/jobs/jobcache/entry_table_test.go
@@ -9,9 +9,9 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Whatever an id and a record look like, the table tells the same as a plain map: ids
-// that differ by leading zeros only, those of forty digits, and revisions and task
-// counts beyond what two words hold.
+// The table returns the same entries as a plain map, whatever the IDs and entries are. The cases
+// include IDs that differ only in leading zeros, IDs of forty digits, and revisions and task
+// counts that do not fit into a packed entry.
 func TestEntryTable(t *testing.T) {
 	table, plain := newEntryTable(), map[string]entry{}
 	ids := []string{"j-0", "j-00", "j-1", "j-01", "j-000412", "j-412", "j-" + strings.Repeat("9", 16), "j-" + strings.Repeat("9", 17), "j-" + strings.Repeat("0", 40), "j-", "j-1x", "x-1", ""}
@@ -22,7 +22,7 @@
 		for _, count := range tasks {
 			for i, id := range ids {
 				if (i+n)%3 == 0 {
-					continue // not every job has every record
+					continue // leave some jobs without an entry
 				}
 				e := entry{state: storedStates[(i+n)%len(storedStates)], tasks: count, revision: revision}
 				table.set(id, e)
@@ -39,7 +39,7 @@
 	}
 	for id := range plain {
 		if _, short := table.packed[0]; short {
-			t.Fatal(fmt.Sprint("no id is packed as 0, not ", id))
+			t.Fatal(fmt.Sprint("an ID is packed as 0; the table contains ", id))
 		}
 	}
 }
--- a/internal/jobs/jobcache/lost_jobs.go
+++ b/internal/jobs/jobcache/lost_jobs.go
@@ -4,29 +4,29 @@
 	"github.com/google/btree"
 )
 
-// LostJob is a job of which this controller knows more than the key-value store.
+// LostJob is a job whose record is missing or behind what this controller knows.
 type LostJob struct {
 	ID            string
-	State         string // as this controller knows it: more than the record says, or there is none
+	State         string // state known to this controller
 	Tasks         int
-	Revision      uint64 // of the record as it stands; 0 if there is none
-	RecordedState string // what the record says; empty if there is none
+	Revision      uint64 // of the current record; 0 if there is none
+	RecordedState string // state in the record; empty if there is none
 }
 
-// lostJob is what is kept of a lost job besides its entry.
+// lostJob is what the cache keeps of a lost job in addition to its entry.
 type lostJob struct {
 	id            string
-	recordedState string // what its record says; empty if there is none
+	recordedState string // state in the record; empty if there is none
 }
 
-// lostJobs are the jobs of which more is known than the store says, by id. They are guarded by
-// the cache's mutex.
+// lostJobs holds, by ID, the jobs whose records are missing or behind what this controller knows.
+// The cache's mutex guards it.
 type lostJobs struct {
 	byID          *btree.BTreeG[lostJob]
-	withoutRecord int // how many of them have no record
+	withoutRecord int // number of jobs without a record
 }
 
-// lostTreeDegree is the width of the tree's nodes.
+// lostTreeDegree is the degree of the B-tree.
 const lostTreeDegree = 16
 
 func newLostJobs() lostJobs {
@@ -35,7 +35,7 @@
 
 func (l *lostJobs) get(id string) (job lostJob, found bool) { return l.byID.Get(lostJob{id: id}) }
 
-// add takes in a lost job, and returns what was kept of it before.
+// add adds or replaces a lost job and returns the value that it had before, if any.
 func (l *lostJobs) add(job lostJob) (before lostJob) {
 	before = l.remove(job.id)
 	l.byID.ReplaceOrInsert(job)
@@ -45,7 +45,7 @@
 	return before
 }
 
-// remove takes in that a job is not lost any more, and returns what was kept of it.
+// remove removes a job that is no longer lost and returns the value that it had, if any.
 func (l *lostJobs) remove(id string) (before lostJob) {
 	if l.byID.Len() == 0 {
 		return lostJob{}
@@ -57,7 +57,7 @@
 	return before
 }
 
-// page returns at most limit jobs in the order of their ids after one, and whether there are
+// page returns at most limit jobs whose IDs follow after, in order of ID, and whether there are
 // more.
 func (l *lostJobs) page(after string, limit int) (page []lostJob, more bool) {
 	l.byID.AscendGreaterOrEqual(lostJob{id: after}, func(job lostJob) bool {
@@ -74,8 +74,8 @@
 	return page, more
 }
 
-// LostPage returns at most limit jobs of which this controller knows more than the key-value
-// store, in the order of their ids after one, and whether there are more.
+// LostPage returns at most limit lost jobs whose IDs follow after, in order of ID, and whether
+// there are more.
 func (c *Cache) LostPage(after string, limit int) (page []LostJob, more bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -87,21 +87,22 @@
 	return page, more
 }
 
-// IsLost tells whether this controller knows more of a job than the key-value store.
+// IsLost reports whether the job's record is missing or behind what this controller knows.
 func (c *Cache) IsLost(id string) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.lost.byID.Has(lostJob{id: id})
 }
 
-// LostCount returns how many jobs this controller knows more of than the key-value store.
+// LostCount returns the number of jobs whose records are missing or behind what this controller
+// knows.
 func (c *Cache) LostCount() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.lost.byID.Len()
 }
 
-// RecordedCount returns how many jobs have a record, as far as this controller knows.
+// RecordedCount returns the number of jobs that have a record, as far as this controller knows.
 func (c *Cache) RecordedCount() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/jobs/jobcache/lost_jobs_test.go
+++ b/internal/jobs/jobcache/lost_jobs_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Jobs without a record are counted once each, whatever was kept of them before.
+// Each job without a record is counted once, whatever was kept of it before.
 func TestLostJobs(t *testing.T) {
 	lost := newLostJobs()
 	for i, step := range []struct {
@@ -29,7 +29,7 @@
 	}
 }
 
-// A page begins after an id, whether that is among the jobs or not.
+// A page begins after the given ID, whether or not that ID is in the set.
 func TestPagesOfLostJobsInOrder(t *testing.T) {
 	lost := newLostJobs()
 	for _, id := range []string{"j-3", "j-1", "j-2", "j-5"} {
--- a/internal/jobs/jobcache/reader.go
+++ b/internal/jobs/jobcache/reader.go
@@ -11,34 +11,35 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// ErrWatchLags means that the changes up to now were not to be had.
-var ErrWatchLags = errors.New("changes lag")
+// ErrWatchLags means that the watch did not deliver all changes up to the current revision of the
+// store.
+var ErrWatchLags = errors.New("watch lags behind the revision of the store")
 
-// watchTries is how often a read asks for changes that lag.
+// watchTries is the maximum number of watch requests that one read makes while the watch lags.
 const watchTries = 3
 
-// reader brings the cache up to date, for all who wait at a time by one read.
+// reader keeps the cache up to date. One read serves all requests that wait at the same time.
 type reader struct {
 	cache    *Cache
 	store    *kvstore.Client
-	gap      time.Duration   // least time between two reads
-	idle     time.Duration   // the cache is kept up to date without requests, too
-	requests chan chan error // each is answered with the error of a read that began later
+	gap      time.Duration   // minimum time between two reads
+	idle     time.Duration   // time after which it reads without a request
+	requests chan chan error // each channel receives the error of a read that begins after the request
 
-	// Owned by the goroutine of run.
-	watching bool   // all records up to a revision are known, so that the changes since it do
-	revision uint64 // which all changes up to have been read
+	// Used only by the goroutine of run.
+	watching bool   // all records were read up to a revision, so reading later changes is enough
+	revision uint64 // all changes up to this revision have been read
 }
 
-// request has the reader read as soon as it may.
+// request asks for a read as soon as the gap allows and returns without waiting for it.
 func (r *reader) request() {
 	select {
 	case r.requests <- make(chan error, 1):
-	default: // it is reading, or about to
+	default: // a read is in progress or about to begin
 	}
 }
 
-// waitForRead returns when a read that began after the call has ended, with its error.
+// waitForRead waits for a read that begins after the call and returns the read's error.
 func (r *reader) waitForRead(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
@@ -57,7 +58,7 @@
 // run reads until the context ends.
 func (r *reader) run(ctx context.Context) {
 	var lastRead time.Time
-	idle := r.gap // others may soon need to know what this controller has told users
+	idle := r.gap // other controllers may soon need to know what this one has told users
 	for {
 		waiting, ok := r.collectRequests(ctx, idle, lastRead)
 		if !ok {
@@ -81,8 +82,8 @@
 	}
 }
 
-// collectRequests waits for a request, or for the idle time to pass; then it collects further
-// requests until the gap after the last read is over. It returns false if the context has ended.
+// collectRequests waits for a request or for the idle time to pass. It then collects further
+// requests until the gap since the last read is over. It returns false if the context has ended.
 func (r *reader) collectRequests(ctx context.Context, idle time.Duration, lastRead time.Time) (waiting []chan error, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -104,7 +105,7 @@
 	}
 }
 
-// readAndCompare reads, and compares what was read with what the other controllers had told
+// readAndCompare reads and then compares the result with what other controllers had announced
 // before the read began.
 func (r *reader) readAndCompare(ctx context.Context) error {
 	peers := r.cache.Readiness.peerCount()
@@ -117,8 +118,9 @@
 	return nil
 }
 
-// read brings the cache up to date. A watch may lag, or be empty because the store does not
-// serve this controller: the revision, read first, is what it has to reach.
+// read brings the cache up to date. A watch may lag, or return nothing because the store does not
+// serve this controller. Therefore read gets the store's revision first, and the watch has to
+// reach it.
 func (r *reader) read(ctx context.Context) error {
 	if err := r.checkForRollback(ctx); err != nil {
 		return err
@@ -143,7 +145,7 @@
 	return err
 }
 
-// readChanges takes in changes until those up to a revision are read.
+// readChanges applies changes from the watch until it has reached the revision least.
 func (r *reader) readChanges(ctx context.Context, least uint64) error {
 	for range watchTries {
 		request := r.cache.newest.Baseline()
@@ -172,8 +174,8 @@
 	return ErrWatchLags
 }
 
-// readAll reads all records. They are never removed, so that what is known of them is only added
-// to: if more are known afterwards than were read, some may be missing.
+// readAll reads all records and adds them to the cache. Records are never removed, so if the
+// cache then counts more records than were read, some may be missing.
 func (r *reader) readAll(ctx context.Context) error {
 	if !r.cache.Readiness.InitialReadDone() {
 		if err := r.readRecoveryStatus(ctx); err != nil {
@@ -198,7 +200,7 @@
 	return nil
 }
 
-// readRecoveryStatus finds out whether records are being compared at the moment.
+// readRecoveryStatus reads whether a leader is comparing records after a loss.
 func (r *reader) readRecoveryStatus(ctx context.Context) error {
 	_, found, err := r.store.Get(ctx, jobs.RecoveryStatusKey)
 	if err != nil {
@@ -208,8 +210,8 @@
 	return nil
 }
 
-// checkRevision takes in a revision that was just read. One below those before shows that the
-// store was rolled back: revisions are given out again, and all is read anew.
+// checkRevision checks a revision just read against the baseline. A lower revision proves that
+// the store was rolled back. It then assigns revisions again, so everything has to be read anew.
 func (r *reader) checkRevision(request detection.Baseline, found uint64) (rolledBack bool) {
 	loss, rolledBack := r.cache.newest.Observe(request, detection.RevisionBack, "", found)
 	if !rolledBack {
@@ -221,7 +223,8 @@
 	return true
 }
 
-// startOver takes in that the store was rolled back to a revision: all is read anew.
+// startOver handles a rollback of the store to the given revision. It makes the reader read all
+// records again.
 func (r *reader) startOver(revision uint64) {
 	r.watching = false
 	r.cache.forgetRevisionsAbove(revision)
--- a/internal/jobs/jobcache/readiness.go
+++ b/internal/jobs/jobcache/readiness.go
@@ -7,49 +7,50 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Readiness tells what this controller may conclude from its cache:
+// Readiness reports which conclusions this controller may draw from its cache:
 //
-//   - Loss suspected: something shows that records are lost. What is not known may have been
-//     accepted; what is known is answered.
-//   - Complete: what is not known was never accepted. A controller that has just begun has a
-//     complete cache when a read, begun after all others (or the leader) told how many jobs they
-//     know, has as many. After an outage of the key-value store, in which that may have been
-//     rolled back, all others are asked once more (ConfirmByPeers).
-//   - Proven current: moreover, of what is unfinished by its record, no user was told that it is
-//     finished. That is not so while records are compared that were lost before this controller
-//     began, nor after the store was rolled back.
+//   - Loss suspected: there is evidence that records are lost. An unknown job may have been
+//     accepted. A known job is still answered from the cache.
+//   - Complete: an unknown job was never accepted. After a start, the cache becomes complete when
+//     a read finds at least as many jobs as the other controllers, or the leader, reported before
+//     the read began. The store may have been rolled back in an outage, so after each outage all
+//     other controllers are asked again (ConfirmByPeers).
+//   - Proven current: in addition, no user was told that a job is finished whose record says it
+//     is not. This does not hold while records lost before this controller started are being
+//     compared, nor after a rollback of the store.
 //
-// All methods may be called by any goroutine. The fields are guarded by the cache's mutex.
+// All methods may be called by several goroutines concurrently. The cache's mutex guards the
+// fields.
 type Readiness struct {
-	mu          *sync.RWMutex // the cache's
-	outages     func() uint64 // how many outages of the store there were
-	requestRead func()        // has the cache read soon
-
-	initialReadDone   bool      // all records have been read since this process began
-	begunInRecovery   bool      // this process began while records were compared: it saw none of what was lost
-	suspectUntil      time.Time // records may be missing until then
-	rolledBack        bool      // records may say less than users were told
+	mu          *sync.RWMutex // the cache's mutex
+	outages     func() uint64 // returns the number of outages of the store so far
+	requestRead func()        // requests a read of the cache
+
+	initialReadDone   bool      // all records have been read since this controller started
+	begunInRecovery   bool      // records were being compared at the start; the lost ones were never seen
+	suspectUntil      time.Time // until then, records may be missing
+	rolledBack        bool      // records may be behind what users were told
 	peers             peerCount
-	reportedPeerCount int    // of peers, when jobs were last found missing by it
-	complete          bool   // since peers told, all was read: what is not known was never accepted
-	confirmedOutages  uint64 // outages of the store after which all peers were asked
+	reportedPeerCount int    // the value of peers.jobs when missing jobs were last reported
+	complete          bool   // set by a read with as many jobs as peers know, or by AssumeComplete
+	confirmedOutages  uint64 // number of outages that ConfirmByPeers or MarkCompared has covered
 }
 
-// peerCount is how many jobs other controllers know.
+// peerCount is the number of jobs that other controllers know.
 type peerCount struct {
-	jobs int  // the most that one of them knew
-	told bool // one of them has told, and it knew what it has to
+	jobs int  // maximum over all reports
+	told bool // the last report came from a controller that was certain of its count
 }
 
-// ReadAllBeforeLoss tells whether this controller has read all records, and did so before any
-// loss that it knows of: then a job that it does not know was not accepted before.
+// ReadAllBeforeLoss reports whether this controller read all records before every loss that it
+// knows of. If so, a job that it does not know was not accepted before the loss.
 func (r *Readiness) ReadAllBeforeLoss() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.initialReadDone && !r.begunInRecovery
 }
 
-// InitialReadDone tells whether this controller has read all records since it began.
+// InitialReadDone reports whether this controller has read all records since it started.
 func (r *Readiness) InitialReadDone() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -68,8 +69,8 @@
 	r.begunInRecovery = begun
 }
 
-// SuspectLossUntil notes that records may be missing, until a moment: what is not known may have
-// been accepted.
+// SuspectLossUntil records that records may be missing until the given time, so an unknown job
+// may have been accepted. It never shortens an earlier suspicion.
 func (r *Readiness) SuspectLossUntil(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// LossSuspected tells whether records may be missing.
+// LossSuspected reports whether records may be missing.
 func (r *Readiness) LossSuspected() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -89,8 +90,8 @@
 	return r.begunInRecovery || time.Now().Before(r.suspectUntil)
 }
 
-// MarkCompared notes that the knowledge of all controllers has been compared with the records:
-// what nobody knows was never accepted.
+// MarkCompared records that the knowledge of all controllers has been compared with the records.
+// A job that no controller knows was never accepted.
 func (r *Readiness) MarkCompared() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,15 +100,15 @@
 	r.confirmedOutages = r.outages()
 }
 
-// ConfirmByPeers notes that, after a number of outages, no other controller knew of a newer
-// revision than the key-value store.
+// ConfirmByPeers records that, after the given number of outages, no other controller knew a
+// newer revision than the store's.
 func (r *Readiness) ConfirmByPeers(outages uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmedOutages = max(r.confirmedOutages, outages)
 }
 
-// ConfirmedByPeers tells whether that is so since the last outage.
+// ConfirmedByPeers reports whether ConfirmByPeers covers the last outage.
 func (r *Readiness) ConfirmedByPeers() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -116,41 +117,42 @@
 
 func (r *Readiness) confirmedByPeersLocked() bool { return r.confirmedOutages == r.outages() }
 
-// unknownMeansNeverAccepted tells whether what this controller does not know was never accepted.
-// A controller that began a moment ago may have begun after a loss that it could not see.
+// unknownMeansNeverAccepted reports whether a job that this controller does not know was never
+// accepted. That is not certain for a controller that has just started, since a loss before its
+// start is not visible to it.
 func (r *Readiness) unknownMeansNeverAccepted() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.complete && r.confirmedByPeersLocked() && !r.lossSuspectedLocked()
 }
 
-// ProvenCurrent tells whether this controller has found that it began with all records there
-// were: else a job that it does not know may have been lost, and one that is unfinished by its
-// record may be finished.
+// ProvenCurrent reports whether the cache is proven to contain all records that there were when
+// this controller started. Otherwise the record of an unknown job may have been lost, and a job
+// that is unfinished by its record may be finished.
 func (r *Readiness) ProvenCurrent() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.complete && !r.begunInRecovery && !r.rolledBack
 }
 
-// SetRolledBack takes in whether records may say less than users were told, as the leader knows.
+// SetRolledBack sets whether records may be behind what users were told, as reported by the
+// leader.
 func (r *Readiness) SetRolledBack(rolledBack bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rolledBack = rolledBack
 }
 
-// AssumeComplete has this controller take what it does not know for never accepted, though no
-// other controller has told how much it knows.
+// AssumeComplete marks the cache as complete without a job count from another controller.
 func (r *Readiness) AssumeComplete() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.complete = true
 }
 
-// NotePeerCount takes in how many jobs another controller knew. The next time that this one has
-// read all changes, it must know of as many. While the other compares records (uncertain), this
-// one's cache does not become complete.
+// NotePeerCount records the number of jobs that another controller knows. The next read of all
+// changes must find at least as many. If uncertain is set, the other controller is comparing
+// records, and its count does not make the cache complete.
 func (r *Readiness) NotePeerCount(jobs int, uncertain bool) {
 	r.mu.Lock()
 	r.peers = peerCount{jobs: max(r.peers.jobs, jobs), told: !uncertain}
@@ -161,16 +163,16 @@
 	}
 }
 
-// peerCount returns what other controllers have told by now.
+// peerCount returns what other controllers have reported so far.
 func (r *Readiness) peerCount() peerCount {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.peers
 }
 
-// comparePeerCountLocked compares how many jobs are known with what peers had told before the
-// read began. After the first read that has as many, the cache is complete. It returns whether
-// jobs are missing and that was not returned before.
+// comparePeerCountLocked compares the number of known jobs with the count that peers had reported
+// before the read began. The cache becomes complete with the first read that finds at least as
+// many. It returns whether jobs are missing and the same count was not reported before.
 func (r *Readiness) comparePeerCountLocked(known int, peers peerCount) (missing bool) {
 	missing = known < peers.jobs && peers.jobs > r.reportedPeerCount
 	if missing {
@@ -180,14 +182,15 @@
 	return missing
 }
 
-// completenessPending tells whether the next read may make the cache complete.
+// completenessPending reports whether the next read may make the cache complete.
 func (r *Readiness) completenessPending() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.peers.told && !r.complete
 }
 
-// comparePeerCount compares what was read with what peers had told before the read began.
+// comparePeerCount compares the number of known jobs with the count that peers had reported
+// before the read began, and reports a loss if jobs are missing.
 func (c *Cache) comparePeerCount(peers peerCount) {
 	c.mu.Lock()
 	known := c.entries.size()
--- a/internal/jobs/jobcache/readiness_test.go
+++ b/internal/jobs/jobcache/readiness_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// conclusions are what a controller may take for certain.
+// conclusions are the results of Readiness.
 type conclusions struct{ neverAccepted, provenCurrent, lossSuspected, confirmed bool }
 
-// What may be concluded follows from what the peers have told, from outages and from evidence.
+// The conclusions follow from the job counts of peers, outages of the store and evidence of a
+// loss.
 func TestReadiness(t *testing.T) {
 	ready := conclusions{neverAccepted: true, provenCurrent: true, confirmed: true}
 	for _, test := range []struct {
@@ -18,13 +19,13 @@
 		events func(r *Readiness, outages *uint64)
 		want   conclusions
 	}{
-		{"just begun", func(*Readiness, *uint64) {}, conclusions{confirmed: true}},
+		{"just started", func(*Readiness, *uint64) {}, conclusions{confirmed: true}},
 		{"assumed complete", func(r *Readiness, _ *uint64) { r.AssumeComplete() }, ready},
-		{"as many as peers know", func(r *Readiness, _ *uint64) {
+		{"as many jobs as peers know", func(r *Readiness, _ *uint64) {
 			r.NotePeerCount(3, false)
 			r.comparePeerCountLocked(3, r.peerCount())
 		}, ready},
-		{"fewer than peers know", func(r *Readiness, _ *uint64) {
+		{"fewer jobs than peers know", func(r *Readiness, _ *uint64) {
 			r.NotePeerCount(3, false)
 			r.comparePeerCountLocked(2, r.peerCount())
 		}, conclusions{confirmed: true}},
@@ -32,11 +33,11 @@
 			r.NotePeerCount(3, true)
 			r.comparePeerCountLocked(3, r.peerCount())
 		}, conclusions{confirmed: true}},
-		{"an outage", func(r *Readiness, outages *uint64) {
+		{"outage", func(r *Readiness, outages *uint64) {
 			r.AssumeComplete()
 			*outages = 1
 		}, conclusions{provenCurrent: true}},
-		{"an outage, and peers know no more", func(r *Readiness, outages *uint64) {
+		{"outage confirmed by peers", func(r *Readiness, outages *uint64) {
 			r.AssumeComplete()
 			*outages = 2
 			r.ConfirmByPeers(2)
@@ -47,16 +48,16 @@
 			r.SuspectLossUntil(time.Now().Add(time.Minute))
 			r.SuspectLossUntil(time.Now())
 		}, conclusions{provenCurrent: true, lossSuspected: true, confirmed: true}},
-		{"loss suspected before", func(r *Readiness, _ *uint64) {
+		{"suspicion expired", func(r *Readiness, _ *uint64) {
 			r.AssumeComplete()
 			r.SuspectLossUntil(time.Now().Add(time.Minute))
 			time.Sleep(time.Minute)
 		}, ready},
-		{"begun in a recovery", func(r *Readiness, _ *uint64) {
+		{"started during a recovery", func(r *Readiness, _ *uint64) {
 			r.AssumeComplete()
 			r.setBegunInRecovery(true)
 		}, conclusions{lossSuspected: true, confirmed: true}},
-		{"compared", func(r *Readiness, outages *uint64) {
+		{"all records compared", func(r *Readiness, outages *uint64) {
 			r.AssumeComplete()
 			r.setBegunInRecovery(true)
 			r.SuspectLossUntil(time.Now().Add(time.Minute))
@@ -80,27 +81,27 @@
 	}
 }
 
-// A peer that knows more jobs asks for a read, and is reported once.
+// A peer that knows more jobs triggers a read, and the missing jobs are reported once.
 func TestMissingByPeerCountIsReportedOnce(t *testing.T) {
 	reads := 0
 	r := &Readiness{mu: &sync.RWMutex{}, outages: func() uint64 { return 0 }, requestRead: func() { reads++ }}
 	r.NotePeerCount(5, false)
 	r.NotePeerCount(4, false) // another peer
 	if peers := r.peerCount(); reads != 2 || peers.jobs != 5 || !r.completenessPending() {
-		t.Errorf("%d reads, peers %+v", reads, peers)
+		t.Errorf("%d reads requested, want 2; peers %+v", reads, peers)
 	}
 	for i, want := range []bool{true, false} {
 		if missing := r.comparePeerCountLocked(4, r.peerCount()); missing != want {
-			t.Errorf("comparison %d: missing %v", i, missing)
+			t.Errorf("comparison %d: missing is %v", i, missing)
 		}
 	}
 	r.NotePeerCount(6, false)
 	if !r.comparePeerCountLocked(4, r.peerCount()) {
-		t.Error("more are missing, and that is not reported")
+		t.Error("further missing jobs are not reported")
 	}
 	r.comparePeerCountLocked(6, r.peerCount())
 	reads = 0
 	if r.NotePeerCount(7, false); reads != 0 || r.completenessPending() {
-		t.Error("complete, and a read is asked for")
+		t.Error("a read is requested although the cache is complete")
 	}
 }
--- a/internal/jobs/jobcache/recent_changes.go
+++ b/internal/jobs/jobcache/recent_changes.go
@@ -11,12 +11,13 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// A store that is rolled back in an outage gives its revisions out again. Once new changes have
-// overtaken the old ones, its revision tells nothing any more. What tells are the newest changes
-// that a controller knows: each record must still be at that revision, or at a later one.
+// After a rollback during an outage, the store assigns revisions again. Once new changes have
+// passed the last revision from before the outage, the store's revision no longer reveals the
+// rollback. The most recent changes that a controller knows still do: each of their records must
+// be at the known revision or at a later one.
 
-// maxRecentChanges is how many of the newest changes are kept. One alone may have been written
-// again since.
+// maxRecentChanges is the number of changes kept. A single one would not do, because its record
+// may have been written again after the rollback.
 const maxRecentChanges = 8
 
 // recentChange is a record and the revision at which this controller knows it.
@@ -25,16 +26,16 @@
 	revision uint64
 }
 
-// recentChanges are the newest changes known, and what is known of their comparison with the
-// store. They are guarded by the cache's mutex.
+// recentChanges holds the most recent changes that this controller knows, and the state of their
+// comparison with the store. The cache's mutex guards it.
 type recentChanges struct {
-	changes          []recentChange // the newest last
-	comparedOutages  uint64         // outages of the store before the last comparison
-	comparedAt       time.Time      // when the last comparison that found no rollback was begun
-	comparisonWanted bool           // another one is requested
+	changes          []recentChange // in ascending order of revision
+	comparedOutages  uint64         // number of outages of the store before the last comparison
+	comparedAt       time.Time      // start of the last comparison that found no rollback
+	comparisonWanted bool           // another comparison is requested
 }
 
-// add takes in a change, unless a newer one is known.
+// add adds a change, unless an equal or newer revision is already kept.
 func (r *recentChanges) add(id string, revision uint64) {
 	if n := len(r.changes); revision == 0 || n > 0 && r.changes[n-1].revision >= revision {
 		return
@@ -46,13 +47,13 @@
 	r.changes = append(r.changes, recentChange{strings.Clone(id), revision})
 }
 
-// comparisonDue tells whether a comparison is requested, or an outage came since the last.
+// comparisonDue reports whether a comparison was requested or an outage occurred since the last
+// one.
 func (r *recentChanges) comparisonDue(outages uint64) bool {
 	return r.comparisonWanted || r.comparedOutages != outages
 }
 
-// RequestRollbackCheck has the newest changes that this controller knows compared with the
-// records soon.
+// RequestRollbackCheck schedules a comparison of the most recent known changes with the records.
 func (c *Cache) RequestRollbackCheck() {
 	c.mu.Lock()
 	c.recent.comparisonWanted = true
@@ -60,7 +61,7 @@
 	c.reader.request()
 }
 
-// RollbackCheckedAt returns when the last comparison that found no rollback was begun.
+// RollbackCheckedAt returns the start of the last comparison that found no rollback.
 func (c *Cache) RollbackCheckedAt() time.Time {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -73,8 +74,8 @@
 	return c.recent.comparisonWanted
 }
 
-// checkForRollback compares the newest changes with the records, after an outage or where that
-// is requested. If one is gone, the store was rolled back.
+// checkForRollback compares the most recent known changes with the records after an outage or on
+// request. If a record is missing or older than known, the store was rolled back.
 func (r *reader) checkForRollback(ctx context.Context) error {
 	began, outages := time.Now(), r.store.Outages()
 	c := r.cache
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// findRolledBack returns a record that stands at an older revision than is known, or is missing;
-// nil if there is none. One conditional transaction without writes compares them all.
+// findRolledBack returns evidence of a record that is missing or older than known, or nil if
+// there is none. One guarded transaction without writes compares all of them.
 func (r *reader) findRolledBack(ctx context.Context, known []recentChange) (*detection.Evidence, error) {
 	var guards []kvstore.Guard
 	revisions := map[string]uint64{}
--- a/internal/jobs/jobcache/recent_changes_test.go
+++ b/internal/jobs/jobcache/recent_changes_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// The newest changes are kept in the order of their revisions, however they come in.
+// The most recent changes are kept in ascending order of revision, in whatever order they are
+// added.
 func TestRecentChanges(t *testing.T) {
 	var recent recentChanges
 	recent.add("j-0", 0) // no record
 	recent.add("j-7", 7)
-	recent.add("j-3", 3) // by a listing, which is in the order of ids
-	recent.add("j-7", 7) // once more by the watch
+	recent.add("j-3", 3) // from a listing, which is in the order of IDs
+	recent.add("j-7", 7) // repeated by the watch
 	if len(recent.changes) != 1 || recent.changes[0] != (recentChange{"j-7", 7}) {
-		t.Errorf("kept %v", recent.changes)
+		t.Errorf("kept %v, want only j-7", recent.changes)
 	}
 	const last = 30
 	for revision := uint64(8); revision <= last; revision++ {
@@ -24,7 +25,7 @@
 	}
 }
 
-// They are compared with the store when that is requested, and after each outage.
+// Recent changes are compared with the store on request and after each outage.
 func TestComparisonOfRecentChangesIsDue(t *testing.T) {
 	for _, test := range []struct {
 		recent  recentChanges
@@ -37,7 +38,7 @@
 		{recentChanges{comparedOutages: 1, comparisonWanted: true}, 1, true},
 	} {
 		if got := test.recent.comparisonDue(test.outages); got != test.want {
-			t.Errorf("%+v after %d outages: %v", test.recent, test.outages, got)
+			t.Errorf("%+v after %d outages: comparison due is %v", test.recent, test.outages, got)
 		}
 	}
 }
--- a/internal/jobs/jobcache/scenario_test.go
+++ b/internal/jobs/jobcache/scenario_test.go
@@ -16,7 +16,7 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// scenario is a cache on one node, and a client by which another one writes.
+// scenario is the cache of one controller and a client with which another controller writes.
 type scenario struct {
 	t     *testing.T
 	store *emulator.KVStore
@@ -24,7 +24,7 @@
 	cache *jobcache.Cache
 }
 
-// withCache runs a scenario with a cache that is kept up to date.
+// withCache runs a scenario whose cache is kept up to date.
 func withCache(t *testing.T, run func(*scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			return kvstore.New("state:1", world.Transport(host), time.Second, kvstore.RateLimits{RequestsPerSecond: 1000, WritesPerSecond: 1000})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		// The only node: there is nobody who could know more.
+		// There are no peers that could know more jobs.
 		cache := jobcache.New(client("node-0"), jobcache.Options{
 			ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8,
 		})
@@ -48,7 +48,7 @@
 	})
 }
 
-// write has the other node write a job's record with a state.
+// write writes a job's record with the state from the other controller.
 func (s *scenario) write(id, state string) {
 	s.t.Helper()
 	value, _ := json.Marshal(jobs.Record{State: state, Tasks: 3})
@@ -63,7 +63,8 @@
 	}
 }
 
-// poll returns the state that a user would be told, "404" or "503".
+// poll returns the state that a user would be shown, "404" if the job was never accepted, or
+// "503" on an error.
 func (s *scenario) poll(id string) string {
 	ctx, cancel := context.WithTimeout(s.t.Context(), 2*time.Second)
 	defer cancel()
@@ -77,7 +78,7 @@
 	return rec.State
 }
 
-// want checks the state that a user would be told.
+// want checks the result of poll.
 func (s *scenario) want(id, state, when string) {
 	s.t.Helper()
 	if got := s.poll(id); got != state {
@@ -85,13 +86,13 @@
 	}
 }
 
-// evidence collects what a cache tells of losses.
+// evidence counts the evidence of losses that a cache reports, by kind.
 type evidence struct {
 	mu    sync.Mutex
 	kinds map[detection.Kind]int
 }
 
-// collectEvidence collects what the cache reports from now on.
+// collectEvidence collects the evidence that the cache reports from now on.
 func (s *scenario) collectEvidence() *evidence {
 	e := &evidence{kinds: map[detection.Kind]int{}}
 	s.cache.OnLoss = func(l detection.Evidence) {
@@ -113,11 +114,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.kinds) > 0 {
-		t.Errorf("%s: taken for a loss: %v", when, e.kinds)
+		t.Errorf("%s: cache reports a loss: %v", when, e.kinds)
 	}
 }
 
-// wantLost checks the lost jobs, each as its id and state.
+// wantLost checks the lost jobs, each given as its ID and state.
 func (s *scenario) wantLost(when string, want ...string) {
 	s.t.Helper()
 	page, _ := s.cache.LostPage("", 100)
@@ -130,7 +131,7 @@
 	}
 }
 
-// writeJobOfEachState makes a job of each state, and has the cache learn them.
+// writeJobOfEachState writes a job in each stored state and waits until the cache has read them.
 func (s *scenario) writeJobOfEachState() {
 	s.t.Helper()
 	for _, id := range []string{"j-1", "j-2", "j-3"} {
@@ -138,5 +139,5 @@
 	}
 	s.write("j-2", jobs.Done)
 	s.write("j-3", jobs.Cancelled)
-	s.want("j-3", jobs.Cancelled, "to begin with")
+	s.want("j-3", jobs.Cancelled, "initial records")
 }
--- a/internal/jobs/jobcache/unfinished.go
+++ b/internal/jobs/jobcache/unfinished.go
@@ -8,13 +8,13 @@
 	"ospreyslip/internal/jobs"
 )
 
-// unfinishedRecords holds, by job id, the records of jobs that are not finished, as they stand in
-// the key-value store: should that lose them, nobody else has the jobs' descriptions. It is
-// guarded by the cache's mutex.
+// unfinishedRecords holds, by job ID, the stored records of jobs that are not finished. If the
+// key-value store loses them, these copies are the only source of the jobs' descriptions. The
+// cache's mutex guards it.
 type unfinishedRecords map[string]json.RawMessage
 
-// update keeps the record of a job that is not finished, and drops that of one that is. The
-// record of a held job does not replace what is kept: it may lack the description.
+// update stores the record of an unfinished job and drops that of a finished one. The record of a
+// held job does not replace an earlier one, because it may lack the description.
 func (r unfinishedRecords) update(id string, known entry, value json.RawMessage) {
 	switch {
 	case known.state != jobs.Queued:
--- a/internal/jobs/machine_type.go
+++ b/internal/jobs/machine_type.go
@@ -6,21 +6,21 @@
 	"ospreyslip/internal/settings"
 )
 
-// Fits tells whether a task fits an empty machine of the type.
+// Fits reports whether an empty machine of the type has enough CPUs, GPUs and memory for a task.
 func (t *MachineType) Fits(spec *Spec) bool {
 	return spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs && spec.RAMGB <= t.RAMGB
 }
 
-// Reasons why a job can never run. Their texts are shown to users; so are those of
+// Errors for a job that can never run. Their texts are shown to users, as are those of
 // UnknownTeamError and TeamLimitError.
 var (
 	ErrFitsNoMachineType = errors.New("a task fits no allowed machine type")
 	ErrNeedsTwoZones     = errors.New("all tasks run at a time, and no zone may have more than half of them")
 )
 
-// CheckRunnable returns why a job can never run, by the catalog of machine types and its team's
-// limits, or nil: an UnknownTeamError, ErrFitsNoMachineType, ErrNeedsTwoZones or a
-// TeamLimitError.
+// CheckRunnable returns an error if the job can never run with the given machine types and its
+// team's limits: an UnknownTeamError, ErrFitsNoMachineType, ErrNeedsTwoZones or a TeamLimitError.
+// It returns nil otherwise.
 func CheckRunnable(spec *Spec, types []MachineType, set *settings.Settings) error {
 	team, ok := set.Team(spec.Team)
 	if !ok {
@@ -33,7 +33,7 @@
 	if spec.Shape != Batch && spec.ZoneLimit() < spec.Tasks && (spec.OneZone || zones == 1) {
 		return ErrNeedsTwoZones
 	}
-	atOnce := 1.0 // tasks that run at the same time, at least
+	atOnce := 1.0 // the minimum number of tasks that run at the same time
 	if spec.Shape != Batch {
 		atOnce = float64(spec.Tasks)
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// zonesThatFit returns in how many zones there are machine types, not as spot machines, on which
-// a task may run.
+// zonesThatFit returns the number of zones that offer, as on-demand machines, a type on which a
+// task may run.
 func zonesThatFit(spec *Spec, types []MachineType) int {
 	zones := map[string]bool{}
 	for _, machineType := range types {
--- a/internal/jobs/machine_type_test.go
+++ b/internal/jobs/machine_type_test.go
@@ -7,7 +7,7 @@
 	"ospreyslip/internal/settings"
 )
 
-// What can never run is told apart by its reason.
+// CheckRunnable returns a distinct error for each reason why a job can never run.
 func TestCheckRunnable(t *testing.T) {
 	catalog := []MachineType{
 		{Name: "small", CPUs: 4, RAMGB: 16, Zones: []string{"a"}},
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -8,25 +8,27 @@
 	jsonv2 "github.com/go-json-experiment/json"
 )
 
-// RecordPrefix holds one key a job, which is never removed.
+// RecordPrefix is the key prefix of job records. Each job has one key, which is never removed.
 const RecordPrefix = "job/"
 
-// RecoveryStatusKey is there while a leader compares what the key-value store has with what the
-// controllers know. A controller that starts meanwhile did not see what was lost.
+// RecoveryStatusKey exists while a leader compares the records in the key-value store with what
+// the controllers know. A controller that starts while it exists has not seen the lost records.
 const RecoveryStatusKey = "recovery/status"
 
-// RecordKey is the key of a job's record.
+// RecordKey returns the key of a job's record.
 func RecordKey(id string) string { return RecordPrefix + id }
 
-// JobIDFromKey returns the job of a record's key.
+// JobIDFromKey returns the job ID in the key of a record.
 func JobIDFromKey(key string) string { return strings.TrimPrefix(key, RecordPrefix) }
 
-// Finished tells whether the job is done or cancelled: the record can change no more.
+// Finished reports whether the job is done or cancelled. The state in such a record never changes
+// again.
 func (r *Record) Finished() bool { return r.State == Done || r.State == Cancelled }
 
-// FinalForm returns the encoded record of the job once it is done or cancelled, in no more than
-// maxBytes. A cancelled job may be from when records could be larger: then its description keeps
-// only what its tasks count for until they are gone.
+// FinalForm returns the encoded record of the job in the finished state given, Done or Cancelled,
+// in at most maxBytes. The record of a cancelled job may date from a time when records could be
+// larger; in that case its description keeps only the fields needed to account for its tasks
+// until they have stopped.
 func (r *Record) FinalForm(state string, maxBytes int) json.RawMessage {
 	final := Record{State: state, Tasks: r.Tasks}
 	if r.Held != nil && r.Held.Contradicts {
@@ -46,7 +48,8 @@
 	return raw
 }
 
-// Description returns the job's description, also of one that is held; nil if it is not known.
+// Description returns the job's description, including that of a held job, or nil if it is not
+// known.
 func (r *Record) Description() *Spec {
 	if r.Spec == nil && r.Held != nil {
 		return r.Held.Spec
@@ -54,8 +57,8 @@
 	return r.Spec
 }
 
-// WithDescription returns the encoded record of a held job with the description that was
-// missing. If nothing else was, the job is held no more. Held must not be nil.
+// WithDescription returns the encoded record of a held job with its missing description added. If
+// only the description was missing, the job is no longer held. r.Held must not be nil.
 func (r *Record) WithDescription(spec *Spec) json.RawMessage {
 	described := Record{State: Queued, Tasks: spec.Tasks}
 	if r.Held.OnlySpecMissing {
@@ -69,21 +72,21 @@
 	return raw
 }
 
-// IsHeldRecord tells whether a stored record is that of a held job, without decoding it.
+// IsHeldRecord reports whether a stored record belongs to a held job, without decoding it.
 func IsHeldRecord(value []byte) bool { return bytes.Contains(value, heldField) }
 
-// DecodeSummary reads the summary of a stored record.
+// DecodeSummary decodes the summary from a stored record.
 func DecodeSummary(value []byte) (Summary, error) {
 	var summary Summary
 	err := jsonv2.Unmarshal(value, &summary)
 	return summary, err
 }
 
-// Cancellation is a job that was cancelled, and the revision at which it was.
+// Cancellation is a cancelled job and the revision of the store at which it was cancelled.
 type Cancellation struct {
 	Job      string
 	Revision uint64
 }
 
-// Counts are how many of a job's tasks are done and running, for display.
+// Counts holds the number of a job's tasks that are done and running, for display.
 type Counts struct{ Done, Running int }
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -7,19 +7,19 @@
 
 var shapes = []string{Batch, Service, Gang}
 
-// priorities are in ascending order.
+// priorities lists the priorities in ascending order.
 var priorities = []string{BestEffort, Standard, Urgent, Prod}
 
-// MaxTasks is the protocol's limit of tasks per job.
+// MaxTasks is the maximum number of tasks per job that the protocol allows.
 const MaxTasks = 100_000
 
 var idForm = regexp.MustCompile(`^j-[0-9]{1,40}$`)
 
-// ValidID tells whether an id has the form that all jobs' ids have.
+// ValidID reports whether id has the form of a job ID.
 func ValidID(id string) bool { return idForm.MatchString(id) }
 
-// Rank orders priorities; the higher one goes first. It is remembered, so that the first call for
-// a job must not run beside another.
+// Rank returns the rank of the job's priority; a job of a higher rank is scheduled first. The
+// result is cached, so the first call on a Spec must not run concurrently with another.
 func (s *Spec) Rank() int {
 	if s.rankCached == 0 {
 		s.rankCached = slices.Index(priorities, s.Priority) + 1
@@ -27,7 +27,7 @@
 	return s.rankCached
 }
 
-// ZoneLimit is how many tasks one zone may have at a time.
+// ZoneLimit returns the maximum number of the job's tasks in one zone at a time.
 func (s *Spec) ZoneLimit() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
@@ -35,15 +35,15 @@
 	return s.Tasks
 }
 
-// Allows tells whether a task may run on a machine of a type in a zone, wherever the job's other
-// tasks are.
+// Allows reports whether a task may run on a machine of the given type in the given zone,
+// regardless of where the job's other tasks run.
 func (s *Spec) Allows(machineType, zone string, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, machineType)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// KeepOnlyTypes leaves out allowed machine types that are not in the catalog, and repetitions: a
-// record has to fit into one value.
+// KeepOnlyTypes drops duplicates and types that are not in the catalog from the allowed machine
+// types, because a record must fit into one value of the key-value store.
 func (s *Spec) KeepOnlyTypes(catalog []MachineType) {
 	var known []string
 	for _, machineType := range catalog {
@@ -54,5 +54,5 @@
 	s.Types = known
 }
 
-// RunsToCompletion tells whether the job's tasks end by themselves, unlike those of a service.
+// RunsToCompletion reports whether the job's tasks end by themselves, unlike those of a service.
 func (s *Spec) RunsToCompletion() bool { return s.Shape != Service }
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// This file maps a submission as it comes on the wire to a Spec: the protocol's words are the
-// names of the fields in errors, as users know them.
+// This file converts a submission from its wire format to a Spec. Errors name the fields as the
+// protocol does, since those are the names that users know.
 
-// submission is a job as it comes on the wire: a field that is missing or null is nil.
+// submission is the wire format of a submitted job. A field that is missing or null is nil.
 type submission struct {
 	ID                  *string   `json:"id"`
 	Class               *string   `json:"flock"`
@@ -35,16 +35,17 @@
 	DeadlineS           *float64  `json:"duskS"`
 }
 
-// InvalidFieldError tells of a field of a submission that is missing or not as it must be.
+// InvalidFieldError reports a field of a submission that is missing or invalid.
 type InvalidFieldError struct {
-	Field string // its name on the wire
-	Want  string // what it must be
+	Field string // name on the wire
+	Want  string // what the value must be
 }
 
 func (e *InvalidFieldError) Error() string { return e.Field + " must be " + e.Want }
 
-// ParseSpec reads a submission. Its errors are the user's mistakes, to be shown as they are:
-// that of the JSON decoder, or all fields' *InvalidFieldError, joined.
+// ParseSpec decodes and validates a submission. Its errors describe mistakes of the user and are
+// shown unchanged: either the error of the JSON decoder, or the *InvalidFieldError of each
+// invalid field, joined.
 func ParseSpec(raw []byte) (*Spec, error) {
 	var in submission
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -85,7 +86,7 @@
 	return spec, nil
 }
 
-// validator collects what is wrong with the fields of a submission.
+// validator collects the errors in the fields of a submission.
 type validator struct{ errs []error }
 
 func (v *validator) reject(field, want string) {
@@ -134,7 +135,7 @@
 	return types
 }
 
-// forms checks texts that have a form or are one of a few.
+// forms checks the fields that must match a pattern or have one of a few values.
 func (v *validator) forms(spec *Spec) {
 	if spec.ID != "" && !ValidID(spec.ID) {
 		v.reject("id", "of the form j-000412")
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -11,7 +11,7 @@
 	"talons":4,"vcpus":8,"gpus":1,"ramGb":32,"plumage":"img-1","imageGb":12.5,"perches":["g8"],"eyrie":null,
 	"samePlace":true,"scatter":false,"driftwood":true,"flightS":240,"roostS":30,"stashS":4,"duskS":900}`
 
-// Each wire field comes to stand in the field of the specification that it is mapped to.
+// Each field on the wire is stored in the corresponding field of the Spec.
 func TestParseSpec(t *testing.T) {
 	got, err := ParseSpec([]byte(validSubmission))
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// A user is told of every field that is wrong, by its name on the wire.
+// The error names every invalid field by its name on the wire.
 func TestParseSpecNamesInvalidFields(t *testing.T) {
 	for _, test := range []struct{ old, changed, field, text string }{
 		{`"j-000412"`, `"000412"`, "id", "id must be of the form j-000412"},
@@ -49,6 +49,6 @@
 	}
 	_, err := ParseSpec([]byte(`{}`))
 	if err == nil || strings.Count(err.Error(), "\n") != 16 {
-		t.Errorf("no field at all: %v, want 17 lines", err)
+		t.Errorf("submission without fields: error %v, want 17 lines", err)
 	}
 }
