--- a/internal/jobs/jobapi/answer.go
+++ b/internal/jobs/jobapi/answer.go
@@ -9,30 +9,31 @@
 	"ospreyslip/internal/httpreply"
 )
 
-// answer is the response to a request. A nil *answer means that the client has disconnected.
-type answer struct {
+// response is the status and body sent for a request. A nil *response means that the client has
+// disconnected.
+type response struct {
 	status     int
 	body       any
 	retryAfter bool // whether to send a Retry-After header
 }
 
-// found returns a response with a job's state.
-func found(id, state string) *answer {
-	return &answer{status: http.StatusOK, body: jobView{ID: id, State: state}}
+// stateResponse returns a response with a job's state.
+func stateResponse(id, state string) *response {
+	return &response{status: http.StatusOK, body: jobView{ID: id, State: state}}
 }
 
-// refused returns a response that rejects a request permanently, with the reason.
-func refused(status int, why string) *answer {
-	return &answer{status: status, body: errorBody{why}}
+// rejectionResponse returns a response that rejects a request permanently, with the reason.
+func rejectionResponse(status int, reason string) *response {
+	return &response{status: status, body: errorBody{reason}}
 }
 
-// unavailable returns a response that rejects a request for now, with the reason.
-func unavailable(why string) *answer {
-	return &answer{status: http.StatusServiceUnavailable, body: errorBody{why}, retryAfter: true}
+// unavailableResponse returns a response that rejects a request for now, with the reason.
+func unavailableResponse(reason string) *response {
+	return &response{status: http.StatusServiceUnavailable, body: errorBody{reason}, retryAfter: true}
 }
 
-// noSuchJob returns the response to a request for a job that was never accepted.
-func noSuchJob() *answer { return refused(http.StatusNotFound, "no such job") }
+// notFoundResponse returns the response to a request for a job that was never accepted.
+func notFoundResponse() *response { return rejectionResponse(http.StatusNotFound, "no such job") }
 
 // Reasons for which a request is rejected for now.
 const (
@@ -44,12 +45,12 @@
 	notCurrentText       = "this node has just begun and does not know yet whether records are missing"
 )
 
-func (a *API) write(w http.ResponseWriter, ans *answer) {
-	if ans.retryAfter {
+func (a *API) writeResponse(w http.ResponseWriter, resp *response) {
+	if resp.retryAfter {
 		w.Header().Set("Retry-After", strconv.Itoa(a.retryAfterSeconds()))
 	}
-	encoded, err := json.Marshal(ans.body)
-	httpreply.JSON(w, ans.status, encoded, err)
+	encoded, err := json.Marshal(resp.body)
+	httpreply.JSON(w, resp.status, encoded, err)
 }
 
 // retryAfterSeconds returns the number of seconds after which a retry may succeed: half of the
--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -14,9 +14,9 @@
 	"ospreyslip/internal/settings"
 )
 
-// retriesPerStoreWait is the number of attempts of one request within the request timeout of the
-// key-value store.
-const retriesPerStoreWait = 20
+// attemptsPerRequestTimeout is the number of attempts of one request within the request timeout
+// of the key-value store.
+const attemptsPerRequestTimeout = 20
 
 // API serves users' requests. Its fields must be set before Register is called. Its function
 // fields may be called by several goroutines concurrently.
@@ -41,29 +41,29 @@
 // once: queueing in front of a slow key-value store would only make users repeat their requests.
 func (a *API) Register(mux *http.ServeMux) {
 	a.slots = make(chan struct{}, a.Derived.API.QueueLength)
-	mux.HandleFunc("POST /v1/jobs", a.limited(a.submitJob))
-	mux.HandleFunc("GET /v1/jobs/{id}", a.limited(a.showJob))
-	mux.HandleFunc("POST /v1/jobs/{id}/withdraw", a.limited(a.withdrawJob))
+	mux.HandleFunc("POST /v1/jobs", a.withSlot(a.submitJob))
+	mux.HandleFunc("GET /v1/jobs/{id}", a.withSlot(a.showJob))
+	mux.HandleFunc("POST /v1/jobs/{id}/withdraw", a.withSlot(a.withdrawJob))
 	mux.HandleFunc("GET /up", a.showReadiness)
 }
 
 // handler serves a request. It uses the writer only to limit the size of the request's body.
-type handler func(context.Context, http.ResponseWriter, *http.Request) *answer
+type handler func(context.Context, http.ResponseWriter, *http.Request) *response
 
-// limited wraps a handler with a slot and a deadline, and writes its response.
-func (a *API) limited(next handler) http.HandlerFunc {
+// withSlot wraps a handler with a slot and a deadline, and writes its response.
+func (a *API) withSlot(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case a.slots <- struct{}{}:
 			defer func() { <-a.slots }()
 		default:
-			a.write(w, unavailable(tooManyRequestsText))
+			a.writeResponse(w, unavailableResponse(tooManyRequestsText))
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), a.Derived.API.RequestTimeout)
 		defer cancel()
-		if ans := next(ctx, w, r); ans != nil {
-			a.write(w, ans)
+		if resp := next(ctx, w, r); resp != nil {
+			a.writeResponse(w, resp)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // the job has no record. If the store has lost the record, or the record is behind what this
 // controller knows, the result has the state known to this controller.
 func (a *API) readRecord(ctx context.Context, id string) (*jobs.Record, uint64, error) {
-	request := a.Cache.BeginRequest()
+	baseline := a.Cache.RequestBaseline()
 	pair, found, err := a.Store.Get(ctx, jobs.RecordKey(id))
 	if err != nil {
 		return nil, 0, err
@@ -95,7 +95,7 @@
 	if err := jsonv2.Unmarshal(pair.Value, &rec); err != nil {
 		return nil, 0, err
 	}
-	a.Cache.ApplyAnswer(request, pair) // before the user gets a response
+	a.Cache.ApplyResponse(baseline, pair) // before the user gets a response
 	if known, _ := a.Cache.Known(id); known.Finished() {
 		rec.State = known.State
 	}
@@ -104,15 +104,15 @@
 
 // replaceRecord writes a job's record if its revision is still the one given; 0 means that there
 // is no record. It returns the new revision and whether the record was written.
-func (a *API) replaceRecord(ctx context.Context, id string, revision uint64, value []byte) (written uint64, ok bool, err error) {
+func (a *API) replaceRecord(ctx context.Context, id string, revision uint64, value []byte) (newRevision uint64, ok bool, err error) {
 	key := jobs.RecordKey(id)
-	written, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: key, Revision: revision}}, []kvstore.Write{{Set: key, Value: value}})
-	return written, err == nil && len(failed) == 0, err
+	newRevision, failed, err := a.Store.Commit(ctx, []kvstore.Guard{{Key: key, Revision: revision}}, []kvstore.Write{{Set: key, Value: value}})
+	return newRevision, err == nil && len(failed) == 0, err
 }
 
-// shownState returns the state that users are shown. A record does not say whether tasks are
+// displayState returns the state that users are shown. A record does not say whether tasks are
 // running; the task counts do.
-func (a *API) shownState(id string, rec *jobs.Record) string {
+func (a *API) displayState(id string, rec *jobs.Record) string {
 	if !rec.Finished() {
 		if _, running := a.runningCounts(id); running {
 			return jobs.Running
@@ -141,18 +141,18 @@
 // retry calls try until it returns a response, the key-value store refuses the request or time
 // runs out. Repeating a write whose outcome is unknown is safe: if it was applied, the next
 // attempt reads the record that it wrote. An attempt that returns no response has failed.
-func (a *API) retry(ctx context.Context, try func() (*answer, error)) *answer {
+func (a *API) retry(ctx context.Context, try func() (*response, error)) *response {
 	for {
-		ans, err := try()
-		if ans != nil {
-			return ans
+		resp, err := try()
+		if resp != nil {
+			return resp
 		}
 		if errors.Is(err, kvstore.ErrNotExecuted) || ctx.Err() != nil {
-			return unavailable(storeUnavailableText)
+			return unavailableResponse(storeUnavailableText)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(a.Derived.Store.RequestTimeout / retriesPerStoreWait):
+		case <-time.After(a.Derived.Store.RequestTimeout / attemptsPerRequestTimeout):
 		}
 	}
 }
--- a/internal/jobs/jobapi/show.go
+++ b/internal/jobs/jobapi/show.go
@@ -10,33 +10,33 @@
 )
 
 // showJob answers a poll from the cache.
-func (a *API) showJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *answer {
+func (a *API) showJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *response {
 	id := r.PathValue("id")
 	if !jobs.ValidID(id) {
-		return noSuchJob()
+		return notFoundResponse()
 	}
 	rec, known, err := a.Cache.Get(ctx, id)
 	switch {
 	case errors.Is(err, jobcache.ErrRecordsMayBeMissing):
-		return a.showUnknown(id)
+		return a.showUnknownJob(id)
 	case err != nil:
-		return unavailable(storeUnavailableText)
+		return unavailableResponse(storeUnavailableText)
 	case !known:
-		return noSuchJob()
+		return notFoundResponse()
 	case a.mayBeFinished(id, &rec):
-		return unavailable(notCurrentText)
+		return unavailableResponse(notCurrentText)
 	}
-	return shown(id, a.shownState(id, &rec), a.shownCounts(id, &rec))
+	return detailsResponse(id, a.displayState(id, &rec), a.displayCounts(id, &rec))
 }
 
-// shown returns a response with a job's state and task counts.
-func shown(id, state string, counts jobs.Counts) *answer {
-	return &answer{status: http.StatusOK, body: jobView{ID: id, State: state, Done: &counts.Done, Running: &counts.Running}}
+// detailsResponse returns a response with a job's state and task counts.
+func detailsResponse(id, state string, counts jobs.Counts) *response {
+	return &response{status: http.StatusOK, body: jobView{ID: id, State: state, Done: &counts.Done, Running: &counts.Running}}
 }
 
-// shownCounts returns the task counts that users are shown. They are 0 if this controller does
+// displayCounts returns the task counts that users are shown. They are 0 if this controller does
 // not know them.
-func (a *API) shownCounts(id string, rec *jobs.Record) (counts jobs.Counts) {
+func (a *API) displayCounts(id string, rec *jobs.Record) (counts jobs.Counts) {
 	if rec.State == jobs.Done {
 		counts.Done = rec.Tasks
 	} else if a.Counts != nil && !rec.Finished() {
@@ -45,11 +45,11 @@
 	return counts
 }
 
-// showUnknown answers a poll for an unknown job while records may be missing. The leader may know
-// a job without a record from its running tasks.
-func (a *API) showUnknown(id string) *answer {
+// showUnknownJob answers a poll for an unknown job while records may be missing. The leader may
+// know a job without a record from its running tasks.
+func (a *API) showUnknownJob(id string) *response {
 	if counts, running := a.runningCounts(id); running {
-		return shown(id, jobs.Running, counts)
+		return detailsResponse(id, jobs.Running, counts)
 	}
-	return unavailable(recordsMissingText)
+	return unavailableResponse(recordsMissingText)
 }
--- a/internal/jobs/jobapi/withdraw.go
+++ b/internal/jobs/jobapi/withdraw.go
@@ -11,37 +11,37 @@
 
 // withdrawJob cancels a job. A job that is already finished is not changed; the response is its
 // state.
-func (a *API) withdrawJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *answer {
+func (a *API) withdrawJob(ctx context.Context, _ http.ResponseWriter, r *http.Request) *response {
 	id := r.PathValue("id")
 	if !jobs.ValidID(id) {
-		return noSuchJob()
+		return notFoundResponse()
 	}
-	return a.retry(ctx, func() (*answer, error) { return a.cancel(ctx, id) })
+	return a.retry(ctx, func() (*response, error) { return a.cancel(ctx, id) })
 }
 
 // cancel attempts once to write the record of a cancelled job. If it returns no response, the
 // caller must try again.
-func (a *API) cancel(ctx context.Context, id string) (*answer, error) {
+func (a *API) cancel(ctx context.Context, id string) (*response, error) {
 	rec, revision, err := a.readRecord(ctx, id)
 	switch {
 	case err != nil:
 		return nil, err
 	case rec == nil && !a.Cache.NeverAccepted(id):
-		return unavailable(recordsMissingText), nil
+		return unavailableResponse(recordsMissingText), nil
 	case rec == nil:
-		return noSuchJob(), nil
+		return notFoundResponse(), nil
 	case rec.Finished():
-		return found(id, rec.State), nil
+		return stateResponse(id, rec.State), nil
 	case a.mayBeFinished(id, rec):
-		return unavailable(notCurrentText), nil
+		return unavailableResponse(notCurrentText), nil
 	}
 	value := rec.FinalForm(jobs.Cancelled, a.Derived.Store.ValueBytes)
-	request := a.Cache.BeginRequest()
-	written, ok, err := a.replaceRecord(ctx, id, revision, value)
+	baseline := a.Cache.RequestBaseline()
+	newRevision, ok, err := a.replaceRecord(ctx, id, revision, value)
 	if !ok {
 		return nil, err
 	}
-	a.Cache.ApplyAnswer(request, kvstore.KeyValue{Key: jobs.RecordKey(id), Value: value, Revision: written})
+	a.Cache.ApplyResponse(baseline, kvstore.KeyValue{Key: jobs.RecordKey(id), Value: value, Revision: newRevision})
 	slog.Debug("job cancelled", "job", id)
-	return found(id, jobs.Cancelled), nil
+	return stateResponse(id, jobs.Cancelled), nil
 }
--- a/internal/jobs/jobcache/announcements.go
+++ b/internal/jobs/jobcache/announcements.go
@@ -30,7 +30,7 @@
 
 // add stores a change, unless an earlier announcement already finished the job.
 func (a announcements) add(id string, change announcedChange) {
-	if earlier, had := a[id]; had && earlier.state != jobs.Queued {
+	if earlier, announced := a[id]; announced && earlier.state != jobs.Queued {
 		return
 	}
 	a[strings.Clone(id)] = change
@@ -38,8 +38,8 @@
 
 // confirm removes the change of a job if the record shows it by now. It also removes the change
 // if the record shows the job as finished, since such a record never shows another state.
-func (a announcements) confirm(id string, now entry) {
-	if change, found := a[id]; found && (now.state == change.state || now.state != jobs.Queued) {
+func (a announcements) confirm(id string, current entry) {
+	if change, found := a[id]; found && (current.state == change.state || current.state != jobs.Queued) {
 		delete(a, id)
 	}
 }
--- a/internal/jobs/jobcache/announcements_test.go
+++ b/internal/jobs/jobcache/announcements_test.go
@@ -13,7 +13,7 @@
 		name      string
 		announced []string
 		read      string
-		left      string // state of the change that is kept; empty: none
+		kept      string // state of the change that is kept; empty: none
 	}{
 		{"read as announced", []string{jobs.Queued}, jobs.Queued, ""},
 		{"older change read", []string{jobs.Done}, jobs.Queued, jobs.Done},
@@ -28,8 +28,8 @@
 		}
 		announced.confirm("j-1", entry{state: test.read})
 		announced.confirm("j-2", entry{state: test.read})
-		if left := announced["j-1"].state; left != test.left || announced.has("j-1") != (test.left != "") {
-			t.Errorf("%s: kept change has state %q, want %q", test.name, left, test.left)
+		if kept := announced["j-1"].state; kept != test.kept || announced.has("j-1") != (test.kept != "") {
+			t.Errorf("%s: kept change has state %q, want %q", test.name, kept, test.kept)
 		}
 	}
 }
--- a/internal/jobs/jobcache/apply.go
+++ b/internal/jobs/jobcache/apply.go
@@ -10,15 +10,15 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// BeginRequest returns the baseline to pass to ApplyAnswer. It must be called before the request
-// that reads or writes the record.
-func (c *Cache) BeginRequest() detection.Baseline { return c.newest.Baseline() }
+// RequestBaseline returns the baseline to pass to ApplyResponse. It must be called before the
+// request that reads or writes the record.
+func (c *Cache) RequestBaseline() detection.Baseline { return c.newest.Baseline() }
 
-// ApplyAnswer applies a record that another part of this controller has read or written. If the
-// store was rolled back after BeginRequest, the record may be lost and its revision may date from
-// before the rollback, so the revision is ignored.
-func (c *Cache) ApplyAnswer(request detection.Baseline, pair kvstore.KeyValue) {
-	if !c.newest.Advance(request, pair.Revision) {
+// ApplyResponse applies a record that another part of this controller has read or written. If the
+// store was rolled back after RequestBaseline, the record may be lost and its revision may date
+// from before the rollback, so the revision is ignored.
+func (c *Cache) ApplyResponse(baseline detection.Baseline, pair kvstore.KeyValue) {
+	if !c.newest.Advance(baseline, pair.Revision) {
 		pair.Revision = 0
 	}
 	c.Apply(pair.Key, pair.Value, pair.Revision)
@@ -32,8 +32,8 @@
 		slog.Error("job record unreadable", "key", key, "reason", err)
 		return
 	}
-	found := entry{state: internedState(summary.State), tasks: summary.Tasks, revision: revision}
-	if evidence := c.applyEntry(jobs.JobIDFromKey(key), found, value); evidence != "" {
+	recorded := entry{state: internedState(summary.State), tasks: summary.Tasks, revision: revision}
+	if evidence := c.applyEntry(jobs.JobIDFromKey(key), recorded, value); evidence != "" {
 		slog.Error("record says less than is known", "key", key, "reason", string(evidence))
 		c.reportLoss(detection.Evidence{Kind: evidence, Key: key, Found: revision})
 	}
@@ -42,42 +42,42 @@
 // applyEntry applies the content of a record. It returns evidence if the record is not the newest
 // one that this controller knows. It returns the empty kind if there is no evidence, or if the
 // same evidence was returned before.
-func (c *Cache) applyEntry(id string, found entry, value json.RawMessage) (evidence detection.Kind) {
+func (c *Cache) applyEntry(id string, recorded entry, value json.RawMessage) (evidence detection.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old, _ := c.entries.get(id)
-	if old.revision > found.revision {
+	if old.revision > recorded.revision {
 		return ""
 	}
-	now, evidence := mergeEntries(old, found)
-	c.entries.set(id, now)
-	c.announced.confirm(id, now)
-	c.recent.add(id, found.revision)
-	c.unfinished.update(id, now, value)
+	merged, evidence := mergeEntries(old, recorded)
+	c.entries.set(id, merged)
+	c.announced.confirm(id, merged)
+	c.recent.add(id, recorded.revision)
+	c.unfinished.update(id, merged, value)
 	if evidence != "" {
-		before := c.lost.add(lostJob{strings.Clone(id), found.state})
-		if before.recordedState == found.state {
+		previous := c.lost.add(lostJob{strings.Clone(id), recorded.state})
+		if previous.recordedState == recorded.state {
 			return "" // reported before
 		}
 		return evidence
 	}
 	c.lost.remove(id)
-	if now.state == jobs.Cancelled && old.revision < now.revision {
-		c.cancellations.add(jobs.Cancellation{Job: id, Revision: now.revision})
+	if merged.state == jobs.Cancelled && old.revision < merged.revision {
+		c.cancellations.add(jobs.Cancellation{Job: id, Revision: merged.revision})
 	}
 	return ""
 }
 
 // mergeEntries returns the entry to keep when a record differs from what is known. A finished job
 // stays finished in the state that users were told, whatever the record says.
-func mergeEntries(known, found entry) (now entry, evidence detection.Kind) {
+func mergeEntries(known, recorded entry) (merged entry, evidence detection.Kind) {
 	switch {
-	case !known.finished() || known.state == found.state:
-		return found, ""
-	case found.finished():
-		return entry{known.state, known.tasks, found.revision}, detection.RecordContradicts
+	case !known.finished() || known.state == recorded.state:
+		return recorded, ""
+	case recorded.finished():
+		return entry{known.state, known.tasks, recorded.revision}, detection.RecordContradicts
 	}
-	return entry{known.state, known.tasks, found.revision}, detection.RecordOlder
+	return entry{known.state, known.tasks, recorded.revision}, detection.RecordOlder
 }
 
 // ApplyRemoval handles a watch event that shows the removal of a record. No version of this
@@ -86,9 +86,9 @@
 	id := jobs.JobIDFromKey(key)
 	c.mu.Lock()
 	known, found := c.entries.get(id)
-	news := !found || known.revision <= revision && c.addMissingLocked(id, known)
+	isNew := !found || known.revision <= revision && c.addMissingLocked(id, known)
 	c.mu.Unlock()
-	if news {
+	if isNew {
 		c.reportLoss(detection.Evidence{Kind: detection.RecordRemoved, Key: key, Known: known.revision, Found: revision})
 	}
 }
@@ -98,21 +98,21 @@
 func (c *Cache) NoteMissing(id string) (rec jobs.Record, known bool) {
 	c.mu.Lock()
 	e, known := c.entries.get(id)
-	news := known && c.addMissingLocked(id, e)
+	isNew := known && c.addMissingLocked(id, e)
 	c.mu.Unlock()
-	if news {
+	if isNew {
 		c.reportLoss(detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: e.revision})
 	}
 	return jobs.Record{State: e.state, Tasks: e.tasks}, known
 }
 
 // addMissingLocked marks a job as having no record and reports whether it was not marked before.
-func (c *Cache) addMissingLocked(id string, known entry) (news bool) {
-	before, had := c.lost.get(id)
+func (c *Cache) addMissingLocked(id string, known entry) (isNew bool) {
+	previous, wasLost := c.lost.get(id)
 	c.lost.add(lostJob{id: strings.Clone(id)})
 	known.revision = 0
 	c.entries.set(id, known)
-	return !had || before.recordedState != ""
+	return !wasLost || previous.recordedState != ""
 }
 
 // AddLost adds a lost job that this controller does not know, or of which other controllers know
--- a/internal/jobs/jobcache/apply_test.go
+++ b/internal/jobs/jobcache/apply_test.go
@@ -11,7 +11,7 @@
 
 // After a listing, the watch repeats changes that the listing already contained. Polls that are
 // answered in between must not see the older state.
-func TestCacheNeverTurnsBack(t *testing.T) {
+func TestOlderRecordNeverReplacesNewer(t *testing.T) {
 	cache := New(nil, Options{CancellationsKept: 8})
 	cache.Apply("job/j-1", []byte(`{"stance":"done","tasks":3}`), 105)   // from the listing
 	cache.Apply("job/j-1", []byte(`{"stance":"queued","tasks":3}`), 102) // from the watch, before 105
@@ -27,7 +27,7 @@
 
 // CancellationsAfter reports an incomplete result once cancellations after the revision were
 // dropped.
-func TestCancellationsRemembered(t *testing.T) {
+func TestCancellationsAfter(t *testing.T) {
 	cache := New(nil, Options{CancellationsKept: 4})
 	cancel := func(revision uint64) {
 		cache.Apply(jobs.RecordKey(fmt.Sprintf("j-%d", revision)), []byte(`{"stance":"aborted"}`), revision)
@@ -58,8 +58,8 @@
 
 // Records are never removed, so the cache keeps an entry for every job ever accepted. A million
 // entries take about 35 MB of heap; the bound is less than twice that.
-func TestCacheHoldsLittle(t *testing.T) {
-	const many = 50000
+func TestCacheMemoryPerJob(t *testing.T) {
+	const jobCount = 50000
 	heap := func() uint64 {
 		var stats runtime.MemStats
 		runtime.GC()
@@ -68,13 +68,13 @@
 	}
 	cache := New(nil, Options{CancellationsKept: 100})
 	before := heap()
-	for n := range many {
+	for n := range jobCount {
 		cache.Apply(strings.Clone(jobs.RecordKey(fmt.Sprintf("j-%06d", n))), []byte(`{"stance":"done","tasks":30}`), uint64(n))
 	}
-	each := float64(heap()-before) / many
+	bytesPerJob := float64(heap()-before) / jobCount
 	runtime.KeepAlive(cache)
-	t.Logf("%.0f bytes per job", each)
-	if each > 45 {
-		t.Errorf("%.0f bytes per job, want at most 45", each)
+	t.Logf("%.0f bytes per job", bytesPerJob)
+	if bytesPerJob > 45 {
+		t.Errorf("%.0f bytes per job, want at most 45", bytesPerJob)
 	}
 }
--- a/internal/jobs/jobcache/audit.go
+++ b/internal/jobs/jobcache/audit.go
@@ -27,7 +27,7 @@
 	c.auditor.lastTicket++
 	ticket = c.auditor.lastTicket
 	c.mu.Unlock()
-	c.reader.request()
+	c.reader.requestRead()
 	return ticket
 }
 
@@ -39,13 +39,13 @@
 }
 
 // RunAudits compares all records with the cache at the given interval until the context ends,
-// pausing between two pages of records. It returns at once if every is 0.
-func (c *Cache) RunAudits(ctx context.Context, every, pause time.Duration) {
-	for every > 0 {
+// pausing between two pages of records. It returns at once if interval is 0.
+func (c *Cache) RunAudits(ctx context.Context, interval, pause time.Duration) {
+	for interval > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 		if !c.Readiness.ReadAllBeforeLoss() {
 			continue
@@ -85,15 +85,15 @@
 func (a *auditor) findMissing(ctx context.Context, pause time.Duration) error {
 	c := a.cache
 	c.mu.RLock()
-	left := c.entries.ids()
+	unseen := c.entries.ids()
 	c.mu.RUnlock()
-	_, revision, err := a.scan(ctx, pause, left.remove)
+	_, revision, err := a.scan(ctx, pause, unseen.remove)
 	if err != nil {
 		return err
 	}
 	evidence, count := detection.Evidence{}, 0
 	c.mu.Lock()
-	left.each(func(id string) {
+	unseen.each(func(id string) {
 		known, found := c.entries.get(id)
 		if found && known.revision <= revision && c.addMissingLocked(id, known) {
 			evidence = detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id), Known: known.revision}
@@ -108,19 +108,19 @@
 	return nil
 }
 
-// scan reads all records once into the cache and calls each with every job ID. It returns the
+// scan reads all records once into the cache and calls visit with every job ID. It returns the
 // number of records and their revision.
 //
 // A record that is older than the cache's entry is evidence of a rollback only if the entry was
 // known before the scan began. Otherwise the entry may have been updated while the page was in
 // transit.
-func (a *auditor) scan(ctx context.Context, pause time.Duration, each func(id string)) (count int, revision uint64, err error) {
+func (a *auditor) scan(ctx context.Context, pause time.Duration, visit func(id string)) (count int, revision uint64, err error) {
 	c := a.cache
 	var older []kvstore.KeyValue // records whose revision is below the one known
 	revision, err = a.store.ForEachPaced(ctx, jobs.RecordPrefix, pause, func(pair kvstore.KeyValue) {
 		count++
 		id := jobs.JobIDFromKey(pair.Key)
-		each(id)
+		visit(id)
 		if c.RecordRevision(id) > pair.Revision {
 			older = append(older, pair)
 			return
--- a/internal/jobs/jobcache/cache.go
+++ b/internal/jobs/jobcache/cache.go
@@ -63,11 +63,11 @@
 func New(store *kvstore.Client, options Options) *Cache {
 	c := &Cache{
 		suspectFor: options.SuspectFor, entries: newEntryTable(), unfinished: unfinishedRecords{},
-		cancellations: cancellationLog{keep: options.CancellationsKept}, lost: newLostJobs(), announced: announcements{},
+		cancellations: cancellationLog{minKept: options.CancellationsKept}, lost: newLostJobs(), announced: announcements{},
 	}
 	c.auditor = &auditor{cache: c, store: store}
-	c.reader = &reader{cache: c, store: store, gap: options.ReadGap, idle: options.IdleReadInterval, requests: make(chan chan error)}
-	c.Readiness = &Readiness{mu: &c.mu, outages: store.Outages, requestRead: c.reader.request}
+	c.reader = &reader{cache: c, store: store, minReadInterval: options.ReadGap, idleReadInterval: options.IdleReadInterval, requests: make(chan chan error)}
+	c.Readiness = &Readiness{mu: &c.mu, outages: store.Outages, requestRead: c.reader.requestRead}
 	return c
 }
 
--- a/internal/jobs/jobcache/cancellations.go
+++ b/internal/jobs/jobcache/cancellations.go
@@ -10,18 +10,18 @@
 // cancellationLog keeps the most recent cancellations that this controller knows. The cache's
 // mutex guards it.
 type cancellationLog struct {
-	keep           int                 // minimum number of cancellations kept
+	minKept        int                 // minimum number of cancellations kept
 	entries        []jobs.Cancellation // in the order in which they were added; at most twice keep
 	droppedThrough uint64              // cancellations up to this revision may have been dropped
 }
 
 func (l *cancellationLog) add(cancellation jobs.Cancellation) {
 	l.entries = append(l.entries, cancellation)
-	if len(l.entries) <= 2*l.keep {
+	if len(l.entries) <= 2*l.minKept {
 		return
 	}
 	slices.SortFunc(l.entries, func(a, b jobs.Cancellation) int { return cmp.Compare(a.Revision, b.Revision) })
-	cut := len(l.entries) - l.keep
+	cut := len(l.entries) - l.minKept
 	l.droppedThrough = max(l.droppedThrough, l.entries[cut-1].Revision)
 	l.entries = append(l.entries[:0], l.entries[cut:]...)
 }
--- a/internal/jobs/jobcache/entry_table.go
+++ b/internal/jobs/jobcache/entry_table.go
@@ -33,12 +33,12 @@
 // into them, as nearly all do; other jobs are kept in a plain map. The cache's mutex guards the
 // table.
 type entryTable struct {
-	packed map[uint64]uint64
-	other  map[string]entry
+	packed   map[uint64]uint64
+	unpacked map[string]entry
 }
 
 func newEntryTable() entryTable {
-	return entryTable{packed: map[uint64]uint64{}, other: map[string]entry{}}
+	return entryTable{packed: map[uint64]uint64{}, unpacked: map[string]entry{}}
 }
 
 // Layout of the two words. The first has the digits of the ID as a number in its high bits and
@@ -107,7 +107,7 @@
 			return unpack(word), true
 		}
 	}
-	e, found = t.other[id]
+	e, found = t.unpacked[id]
 	return e, found
 }
 
@@ -116,17 +116,17 @@
 	word, entryFits := e.pack()
 	if idFits && entryFits {
 		t.packed[key] = word
-		delete(t.other, id)
+		delete(t.unpacked, id)
 		return
 	}
 	if idFits {
 		delete(t.packed, key)
 	}
-	t.other[strings.Clone(id)] = e
+	t.unpacked[strings.Clone(id)] = e
 }
 
 // size returns the number of jobs.
-func (t *entryTable) size() int { return len(t.packed) + len(t.other) }
+func (t *entryTable) size() int { return len(t.packed) + len(t.unpacked) }
 
 // forgetRevisionsAbove clears all revisions above the given one. The store was rolled back to it
 // and assigns the higher ones again.
@@ -137,37 +137,37 @@
 			t.packed[key], _ = e.pack()
 		}
 	}
-	for id, e := range t.other {
+	for id, e := range t.unpacked {
 		if e.revision > revision {
 			e.revision = 0
-			t.other[id] = e
+			t.unpacked[id] = e
 		}
 	}
 }
 
 // ids returns the set of all jobs in the table.
 func (t *entryTable) ids() *jobSet {
-	s := &jobSet{packed: make(map[uint64]struct{}, len(t.packed)), other: make(map[string]struct{}, len(t.other))}
+	s := &jobSet{packed: make(map[uint64]struct{}, len(t.packed)), unpacked: make(map[string]struct{}, len(t.unpacked))}
 	for key := range t.packed {
 		s.packed[key] = struct{}{}
 	}
-	for id := range t.other {
-		s.other[id] = struct{}{}
+	for id := range t.unpacked {
+		s.unpacked[id] = struct{}{}
 	}
 	return s
 }
 
 // jobSet is a set of job IDs that are packed as in entryTable.
 type jobSet struct {
-	packed map[uint64]struct{}
-	other  map[string]struct{}
+	packed   map[uint64]struct{}
+	unpacked map[string]struct{}
 }
 
 func (s *jobSet) remove(id string) {
 	if key, ok := packID(id); ok {
 		delete(s.packed, key)
 	}
-	delete(s.other, id)
+	delete(s.unpacked, id)
 }
 
 // each calls visit with every ID in the set.
@@ -175,7 +175,7 @@
 	for key := range s.packed {
 		visit(unpackID(key))
 	}
-	for id := range s.other {
+	for id := range s.unpacked {
 		visit(id)
 	}
 }
--- a/internal/jobs/jobcache/lost_jobs.go
+++ b/internal/jobs/jobcache/lost_jobs.go
@@ -36,25 +36,25 @@
 func (l *lostJobs) get(id string) (job lostJob, found bool) { return l.byID.Get(lostJob{id: id}) }
 
 // add adds or replaces a lost job and returns the value that it had before, if any.
-func (l *lostJobs) add(job lostJob) (before lostJob) {
-	before = l.remove(job.id)
+func (l *lostJobs) add(job lostJob) (previous lostJob) {
+	previous = l.remove(job.id)
 	l.byID.ReplaceOrInsert(job)
 	if job.recordedState == "" {
 		l.withoutRecord++
 	}
-	return before
+	return previous
 }
 
 // remove removes a job that is no longer lost and returns the value that it had, if any.
-func (l *lostJobs) remove(id string) (before lostJob) {
+func (l *lostJobs) remove(id string) (previous lostJob) {
 	if l.byID.Len() == 0 {
 		return lostJob{}
 	}
-	before, had := l.byID.Delete(lostJob{id: id})
-	if had && before.recordedState == "" {
+	previous, removed := l.byID.Delete(lostJob{id: id})
+	if removed && previous.recordedState == "" {
 		l.withoutRecord--
 	}
-	return before
+	return previous
 }
 
 // page returns at most limit jobs whose IDs follow after, in order of ID, and whether there are
--- a/internal/jobs/jobcache/lost_jobs_test.go
+++ b/internal/jobs/jobcache/lost_jobs_test.go
@@ -6,7 +6,7 @@
 )
 
 // Each job without a record is counted once, whatever was kept of it before.
-func TestLostJobs(t *testing.T) {
+func TestLostJobsWithoutRecord(t *testing.T) {
 	lost := newLostJobs()
 	for i, step := range []struct {
 		change               func() lostJob
@@ -30,7 +30,7 @@
 }
 
 // A page begins after the given ID, whether or not that ID is in the set.
-func TestPagesOfLostJobsInOrder(t *testing.T) {
+func TestLostJobsPage(t *testing.T) {
 	lost := newLostJobs()
 	for _, id := range []string{"j-3", "j-1", "j-2", "j-5"} {
 		lost.add(lostJob{id: id})
--- a/internal/jobs/jobcache/reader.go
+++ b/internal/jobs/jobcache/reader.go
@@ -11,28 +11,30 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// ErrWatchLags means that the watch did not deliver all changes up to the current revision of the
-// store.
-var ErrWatchLags = errors.New("watch lags behind the revision of the store")
+// ErrWatchLagging means that the watch did not deliver all changes up to the current revision of
+// the store.
+var ErrWatchLagging = errors.New("watch lags behind the revision of the store")
 
-// watchTries is the maximum number of watch requests that one read makes while the watch lags.
-const watchTries = 3
+// maxWatchAttempts is the maximum number of watch requests that one read makes while the watch
+// lags.
+const maxWatchAttempts = 3
 
 // reader keeps the cache up to date. One read serves all requests that wait at the same time.
 type reader struct {
-	cache    *Cache
-	store    *kvstore.Client
-	gap      time.Duration   // minimum time between two reads
-	idle     time.Duration   // time after which it reads without a request
-	requests chan chan error // each channel receives the error of a read that begins after the request
+	cache            *Cache
+	store            *kvstore.Client
+	minReadInterval  time.Duration   // minimum time between two reads
+	idleReadInterval time.Duration   // time after which it reads without a request
+	requests         chan chan error // each channel receives the error of a read that begins after the request
 
 	// Used only by the goroutine of run.
 	watching bool   // all records were read up to a revision, so reading later changes is enough
 	revision uint64 // all changes up to this revision have been read
 }
 
-// request asks for a read as soon as the gap allows and returns without waiting for it.
-func (r *reader) request() {
+// requestRead asks for a read as soon as minReadInterval allows and returns without waiting for
+// it.
+func (r *reader) requestRead() {
 	select {
 	case r.requests <- make(chan error, 1):
 	default: // a read is in progress or about to begin
@@ -58,15 +60,15 @@
 // run reads until the context ends.
 func (r *reader) run(ctx context.Context) {
 	var lastRead time.Time
-	idle := r.gap // other controllers may soon need to know what this one has told users
+	idleInterval := r.minReadInterval // other controllers may soon need to know what this one has told users
 	for {
-		waiting, ok := r.collectRequests(ctx, idle, lastRead)
+		waiters, ok := r.collectRequests(ctx, idleInterval, lastRead)
 		if !ok {
 			return
 		}
 		lastRead = time.Now()
 		err := r.readAndCompare(ctx)
-		for _, done := range waiting {
+		for _, done := range waiters {
 			done <- err
 		}
 		if err == nil {
@@ -75,32 +77,33 @@
 		if err != nil {
 			slog.Debug("records not read", "reason", err)
 		}
-		idle = r.idle
+		idleInterval = r.idleReadInterval
 		if r.cache.auditor.pending() || r.cache.Readiness.completenessPending() || r.cache.rollbackCheckRequested() {
-			idle = r.gap
+			idleInterval = r.minReadInterval
 		}
 	}
 }
 
-// collectRequests waits for a request or for the idle time to pass. It then collects further
-// requests until the gap since the last read is over. It returns false if the context has ended.
-func (r *reader) collectRequests(ctx context.Context, idle time.Duration, lastRead time.Time) (waiting []chan error, ok bool) {
+// collectRequests waits for a request or for idleInterval to pass. It then collects further
+// requests until minReadInterval has passed since the last read. It returns false if the context
+// has ended.
+func (r *reader) collectRequests(ctx context.Context, idleInterval time.Duration, lastRead time.Time) (waiters []chan error, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, false
 	case done := <-r.requests:
-		waiting = append(waiting, done)
-	case <-time.After(idle):
+		waiters = append(waiters, done)
+	case <-time.After(idleInterval):
 	}
-	gapOver := time.After(r.gap - time.Since(lastRead))
+	minIntervalOver := time.After(r.minReadInterval - time.Since(lastRead))
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, false
 		case done := <-r.requests:
-			waiting = append(waiting, done)
-		case <-gapOver:
-			return waiting, true
+			waiters = append(waiters, done)
+		case <-minIntervalOver:
+			return waiters, true
 		}
 	}
 }
@@ -108,13 +111,13 @@
 // readAndCompare reads and then compares the result with what other controllers had announced
 // before the read began.
 func (r *reader) readAndCompare(ctx context.Context) error {
-	peers := r.cache.Readiness.peerCount()
+	peers := r.cache.Readiness.peerJobCount()
 	unread := r.cache.unreadAnnouncements()
 	if err := r.read(ctx); err != nil {
 		return err
 	}
 	r.cache.addLostAnnouncements(unread)
-	r.cache.comparePeerCount(peers)
+	r.cache.compareJobCount(peers)
 	return nil
 }
 
@@ -128,16 +131,16 @@
 	if !r.watching {
 		return r.readAll(ctx)
 	}
-	request := r.cache.newest.Baseline()
-	least, err := r.store.Revision(ctx)
+	baseline := r.cache.newest.Baseline()
+	minRevision, err := r.store.Revision(ctx)
 	if err != nil {
 		return err
 	}
-	r.checkRevision(request, least)
+	r.checkRevision(baseline, minRevision)
 	if !r.watching {
 		return r.readAll(ctx)
 	}
-	err = r.readChanges(ctx, least)
+	err = r.readChanges(ctx, minRevision)
 	if errors.Is(err, kvstore.ErrCompacted) {
 		r.watching = false
 		return r.readAll(ctx)
@@ -145,10 +148,10 @@
 	return err
 }
 
-// readChanges applies changes from the watch until it has reached the revision least.
-func (r *reader) readChanges(ctx context.Context, least uint64) error {
-	for range watchTries {
-		request := r.cache.newest.Baseline()
+// readChanges applies changes from the watch until it has reached minRevision.
+func (r *reader) readChanges(ctx context.Context, minRevision uint64) error {
+	for range maxWatchAttempts {
+		baseline := r.cache.newest.Baseline()
 		revision, changes, err := r.store.Watch(ctx, jobs.RecordPrefix, r.revision, 0)
 		if err != nil {
 			return err
@@ -161,17 +164,17 @@
 			}
 		}
 		r.revision = max(r.revision, revision)
-		r.cache.newest.Advance(request, revision)
-		if r.revision >= least {
+		r.cache.newest.Advance(baseline, revision)
+		if r.revision >= minRevision {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(r.gap):
+		case <-time.After(r.minReadInterval):
 		}
 	}
-	return ErrWatchLags
+	return ErrWatchLagging
 }
 
 // readAll reads all records and adds them to the cache. Records are never removed, so if the
@@ -182,12 +185,12 @@
 			return err
 		}
 	}
-	request := r.cache.newest.Baseline()
+	baseline := r.cache.newest.Baseline()
 	scanned, revision, err := r.cache.auditor.scan(ctx, 0, func(string) {})
 	if err != nil {
 		return err
 	}
-	if r.checkRevision(request, revision) {
+	if r.checkRevision(baseline, revision) {
 		return r.readAll(ctx)
 	}
 	if r.cache.RecordedCount() > scanned {
@@ -206,26 +209,26 @@
 	if err != nil {
 		return err
 	}
-	r.cache.Readiness.setBegunInRecovery(found)
+	r.cache.Readiness.setStartedInRecovery(found)
 	return nil
 }
 
 // checkRevision checks a revision just read against the baseline. A lower revision proves that
 // the store was rolled back. It then assigns revisions again, so everything has to be read anew.
-func (r *reader) checkRevision(request detection.Baseline, found uint64) (rolledBack bool) {
-	loss, rolledBack := r.cache.newest.Observe(request, detection.RevisionBack, "", found)
+func (r *reader) checkRevision(baseline detection.Baseline, found uint64) (rolledBack bool) {
+	loss, rolledBack := r.cache.newest.Observe(baseline, detection.RevisionBack, "", found)
 	if !rolledBack {
 		return false
 	}
 	slog.Error("state service rolled back", "known", loss.Known, "found", loss.Found)
-	r.startOver(found)
+	r.resetAfterRollback(found)
 	r.cache.reportLoss(loss)
 	return true
 }
 
-// startOver handles a rollback of the store to the given revision. It makes the reader read all
-// records again.
-func (r *reader) startOver(revision uint64) {
+// resetAfterRollback handles a rollback of the store to the given revision. It makes the reader
+// read all records again.
+func (r *reader) resetAfterRollback(revision uint64) {
 	r.watching = false
 	r.cache.forgetRevisionsAbove(revision)
 }
--- a/internal/jobs/jobcache/readiness.go
+++ b/internal/jobs/jobcache/readiness.go
@@ -27,19 +27,19 @@
 	requestRead func()        // requests a read of the cache
 
 	initialReadDone   bool      // all records have been read since this controller started
-	begunInRecovery   bool      // records were being compared at the start; the lost ones were never seen
+	startedInRecovery bool      // records were being compared at the start; the lost ones were never seen
 	suspectUntil      time.Time // until then, records may be missing
 	rolledBack        bool      // records may be behind what users were told
-	peers             peerCount
-	reportedPeerCount int    // the value of peers.jobs when missing jobs were last reported
+	peers             peerJobCount
+	reportedPeerJobs  int    // the value of peers.jobs when missing jobs were last reported
 	complete          bool   // set by a read with as many jobs as peers know, or by AssumeComplete
 	confirmedOutages  uint64 // number of outages that ConfirmByPeers or MarkCompared has covered
 }
 
-// peerCount is the number of jobs that other controllers know.
-type peerCount struct {
-	jobs int  // maximum over all reports
-	told bool // the last report came from a controller that was certain of its count
+// peerJobCount is the number of jobs that other controllers know.
+type peerJobCount struct {
+	jobs    int  // maximum over all reports
+	certain bool // the last report came from a controller that was certain of its count
 }
 
 // ReadAllBeforeLoss reports whether this controller read all records before every loss that it
@@ -47,7 +47,7 @@
 func (r *Readiness) ReadAllBeforeLoss() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.initialReadDone && !r.begunInRecovery
+	return r.initialReadDone && !r.startedInRecovery
 }
 
 // InitialReadDone reports whether this controller has read all records since it started.
@@ -63,10 +63,10 @@
 	r.initialReadDone = true
 }
 
-func (r *Readiness) setBegunInRecovery(begun bool) {
+func (r *Readiness) setStartedInRecovery(started bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begunInRecovery = begun
+	r.startedInRecovery = started
 }
 
 // SuspectLossUntil records that records may be missing until the given time, so an unknown job
@@ -87,7 +87,7 @@
 }
 
 func (r *Readiness) lossSuspectedLocked() bool {
-	return r.begunInRecovery || time.Now().Before(r.suspectUntil)
+	return r.startedInRecovery || time.Now().Before(r.suspectUntil)
 }
 
 // MarkCompared records that the knowledge of all controllers has been compared with the records.
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.suspectUntil = time.Time{}
-	r.begunInRecovery = false
+	r.startedInRecovery = false
 	r.confirmedOutages = r.outages()
 }
 
@@ -132,7 +132,7 @@
 func (r *Readiness) ProvenCurrent() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.complete && !r.begunInRecovery && !r.rolledBack
+	return r.complete && !r.startedInRecovery && !r.rolledBack
 }
 
 // SetRolledBack sets whether records may be behind what users were told, as reported by the
@@ -155,7 +155,7 @@
 // records, and its count does not make the cache complete.
 func (r *Readiness) NotePeerCount(jobs int, uncertain bool) {
 	r.mu.Lock()
-	r.peers = peerCount{jobs: max(r.peers.jobs, jobs), told: !uncertain}
+	r.peers = peerJobCount{jobs: max(r.peers.jobs, jobs), certain: !uncertain}
 	complete := r.complete
 	r.mu.Unlock()
 	if !complete {
@@ -163,22 +163,22 @@
 	}
 }
 
-// peerCount returns what other controllers have reported so far.
-func (r *Readiness) peerCount() peerCount {
+// peerJobCount returns what other controllers have reported so far.
+func (r *Readiness) peerJobCount() peerJobCount {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.peers
 }
 
-// comparePeerCountLocked compares the number of known jobs with the count that peers had reported
+// compareJobCountLocked compares the number of known jobs with the count that peers had reported
 // before the read began. The cache becomes complete with the first read that finds at least as
 // many. It returns whether jobs are missing and the same count was not reported before.
-func (r *Readiness) comparePeerCountLocked(known int, peers peerCount) (missing bool) {
-	missing = known < peers.jobs && peers.jobs > r.reportedPeerCount
+func (r *Readiness) compareJobCountLocked(known int, peers peerJobCount) (missing bool) {
+	missing = known < peers.jobs && peers.jobs > r.reportedPeerJobs
 	if missing {
-		r.reportedPeerCount = peers.jobs
+		r.reportedPeerJobs = peers.jobs
 	}
-	r.complete = r.complete || peers.told && known >= peers.jobs
+	r.complete = r.complete || peers.certain && known >= peers.jobs
 	return missing
 }
 
@@ -186,15 +186,15 @@
 func (r *Readiness) completenessPending() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.peers.told && !r.complete
+	return r.peers.certain && !r.complete
 }
 
-// comparePeerCount compares the number of known jobs with the count that peers had reported
+// compareJobCount compares the number of known jobs with the count that peers had reported
 // before the read began, and reports a loss if jobs are missing.
-func (c *Cache) comparePeerCount(peers peerCount) {
+func (c *Cache) compareJobCount(peers peerJobCount) {
 	c.mu.Lock()
 	known := c.entries.size()
-	missing := c.Readiness.comparePeerCountLocked(known, peers)
+	missing := c.Readiness.compareJobCountLocked(known, peers)
 	c.mu.Unlock()
 	if missing {
 		c.reportLoss(detection.Evidence{Kind: detection.RecordMissing, Known: uint64(peers.jobs), Found: uint64(known)})
--- a/internal/jobs/jobcache/readiness_test.go
+++ b/internal/jobs/jobcache/readiness_test.go
@@ -23,15 +23,15 @@
 		{"assumed complete", func(r *Readiness, _ *uint64) { r.AssumeComplete() }, ready},
 		{"as many jobs as peers know", func(r *Readiness, _ *uint64) {
 			r.NotePeerCount(3, false)
-			r.comparePeerCountLocked(3, r.peerCount())
+			r.compareJobCountLocked(3, r.peerJobCount())
 		}, ready},
 		{"fewer jobs than peers know", func(r *Readiness, _ *uint64) {
 			r.NotePeerCount(3, false)
-			r.comparePeerCountLocked(2, r.peerCount())
+			r.compareJobCountLocked(2, r.peerJobCount())
 		}, conclusions{confirmed: true}},
 		{"peers compare records", func(r *Readiness, _ *uint64) {
 			r.NotePeerCount(3, true)
-			r.comparePeerCountLocked(3, r.peerCount())
+			r.compareJobCountLocked(3, r.peerJobCount())
 		}, conclusions{confirmed: true}},
 		{"outage", func(r *Readiness, outages *uint64) {
 			r.AssumeComplete()
@@ -55,11 +55,11 @@
 		}, ready},
 		{"started during a recovery", func(r *Readiness, _ *uint64) {
 			r.AssumeComplete()
-			r.setBegunInRecovery(true)
+			r.setStartedInRecovery(true)
 		}, conclusions{lossSuspected: true, confirmed: true}},
 		{"all records compared", func(r *Readiness, outages *uint64) {
 			r.AssumeComplete()
-			r.setBegunInRecovery(true)
+			r.setStartedInRecovery(true)
 			r.SuspectLossUntil(time.Now().Add(time.Minute))
 			*outages = 1
 			r.MarkCompared()
@@ -82,24 +82,24 @@
 }
 
 // A peer that knows more jobs triggers a read, and the missing jobs are reported once.
-func TestMissingByPeerCountIsReportedOnce(t *testing.T) {
+func TestMissingJobsAreReportedOnce(t *testing.T) {
 	reads := 0
 	r := &Readiness{mu: &sync.RWMutex{}, outages: func() uint64 { return 0 }, requestRead: func() { reads++ }}
 	r.NotePeerCount(5, false)
 	r.NotePeerCount(4, false) // another peer
-	if peers := r.peerCount(); reads != 2 || peers.jobs != 5 || !r.completenessPending() {
+	if peers := r.peerJobCount(); reads != 2 || peers.jobs != 5 || !r.completenessPending() {
 		t.Errorf("%d reads requested, want 2; peers %+v", reads, peers)
 	}
 	for i, want := range []bool{true, false} {
-		if missing := r.comparePeerCountLocked(4, r.peerCount()); missing != want {
+		if missing := r.compareJobCountLocked(4, r.peerJobCount()); missing != want {
 			t.Errorf("comparison %d: missing is %v", i, missing)
 		}
 	}
 	r.NotePeerCount(6, false)
-	if !r.comparePeerCountLocked(4, r.peerCount()) {
+	if !r.compareJobCountLocked(4, r.peerJobCount()) {
 		t.Error("further missing jobs are not reported")
 	}
-	r.comparePeerCountLocked(6, r.peerCount())
+	r.compareJobCountLocked(6, r.peerJobCount())
 	reads = 0
 	if r.NotePeerCount(7, false); reads != 0 || r.completenessPending() {
 		t.Error("a read is requested although the cache is complete")
--- a/internal/jobs/jobcache/recent_changes.go
+++ b/internal/jobs/jobcache/recent_changes.go
@@ -29,10 +29,10 @@
 // recentChanges holds the most recent changes that this controller knows, and the state of their
 // comparison with the store. The cache's mutex guards it.
 type recentChanges struct {
-	changes          []recentChange // in ascending order of revision
-	comparedOutages  uint64         // number of outages of the store before the last comparison
-	comparedAt       time.Time      // start of the last comparison that found no rollback
-	comparisonWanted bool           // another comparison is requested
+	changes             []recentChange // in ascending order of revision
+	comparedOutages     uint64         // number of outages of the store before the last comparison
+	comparedAt          time.Time      // start of the last comparison that found no rollback
+	comparisonRequested bool           // another comparison is requested
 }
 
 // add adds a change, unless an equal or newer revision is already kept.
@@ -50,15 +50,15 @@
 // comparisonDue reports whether a comparison was requested or an outage occurred since the last
 // one.
 func (r *recentChanges) comparisonDue(outages uint64) bool {
-	return r.comparisonWanted || r.comparedOutages != outages
+	return r.comparisonRequested || r.comparedOutages != outages
 }
 
 // RequestRollbackCheck schedules a comparison of the most recent known changes with the records.
 func (c *Cache) RequestRollbackCheck() {
 	c.mu.Lock()
-	c.recent.comparisonWanted = true
+	c.recent.comparisonRequested = true
 	c.mu.Unlock()
-	c.reader.request()
+	c.reader.requestRead()
 }
 
 // RollbackCheckedAt returns the start of the last comparison that found no rollback.
@@ -71,13 +71,13 @@
 func (c *Cache) rollbackCheckRequested() bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.recent.comparisonWanted
+	return c.recent.comparisonRequested
 }
 
 // checkForRollback compares the most recent known changes with the records after an outage or on
 // request. If a record is missing or older than known, the store was rolled back.
 func (r *reader) checkForRollback(ctx context.Context) error {
-	began, outages := time.Now(), r.store.Outages()
+	startedAt, outages := time.Now(), r.store.Outages()
 	c := r.cache
 	c.mu.Lock()
 	due := c.recent.comparisonDue(outages)
@@ -91,14 +91,14 @@
 		return err
 	}
 	c.mu.Lock()
-	c.recent.comparisonWanted, c.recent.comparedOutages = false, outages
+	c.recent.comparisonRequested, c.recent.comparedOutages = false, outages
 	if rolledBack == nil {
-		c.recent.comparedAt = began
+		c.recent.comparedAt = startedAt
 	}
 	c.mu.Unlock()
 	if rolledBack != nil {
 		slog.Error("state service rolled back", "record", rolledBack.Key, "known", rolledBack.Known, "found", rolledBack.Found)
-		r.startOver(0)
+		r.resetAfterRollback(0)
 		c.reportLoss(*rolledBack)
 	}
 	return nil
--- a/internal/jobs/jobcache/recent_changes_test.go
+++ b/internal/jobs/jobcache/recent_changes_test.go
@@ -26,7 +26,7 @@
 }
 
 // Recent changes are compared with the store on request and after each outage.
-func TestComparisonOfRecentChangesIsDue(t *testing.T) {
+func TestComparisonDue(t *testing.T) {
 	for _, test := range []struct {
 		recent  recentChanges
 		outages uint64
@@ -35,7 +35,7 @@
 		{recentChanges{}, 0, false},
 		{recentChanges{}, 1, true},
 		{recentChanges{comparedOutages: 1}, 1, false},
-		{recentChanges{comparedOutages: 1, comparisonWanted: true}, 1, true},
+		{recentChanges{comparedOutages: 1, comparisonRequested: true}, 1, true},
 	} {
 		if got := test.recent.comparisonDue(test.outages); got != test.want {
 			t.Errorf("%+v after %d outages: comparison due is %v", test.recent, test.outages, got)
--- a/internal/jobs/jobcache/scenario_test.go
+++ b/internal/jobs/jobcache/scenario_test.go
@@ -18,20 +18,20 @@
 
 // scenario is the cache of one controller and a client with which another controller writes.
 type scenario struct {
-	t     *testing.T
-	store *emulator.KVStore
-	other *kvstore.Client
-	cache *jobcache.Cache
+	t         *testing.T
+	store     *emulator.KVStore
+	peerStore *kvstore.Client
+	cache     *jobcache.Cache
 }
 
 // withCache runs a scenario whose cache is kept up to date.
 func withCache(t *testing.T, run func(*scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		world, store := emulator.NewNetwork(), emulator.NewKVStore()
-		world.Attach("state", "state:1", store)
+		network, store := emulator.NewNetwork(), emulator.NewKVStore()
+		network.Attach("state", "state:1", store)
 		client := func(host string) *kvstore.Client {
-			return kvstore.New("state:1", world.Transport(host), time.Second, kvstore.RateLimits{RequestsPerSecond: 1000, WritesPerSecond: 1000})
+			return kvstore.New("state:1", network.Transport(host), time.Second, kvstore.RateLimits{RequestsPerSecond: 1000, WritesPerSecond: 1000})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		// There are no peers that could know more jobs.
@@ -39,33 +39,33 @@
 			ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8,
 		})
 		cache.Readiness.AssumeComplete()
-		var duties sync.WaitGroup
-		duties.Go(func() { cache.Run(ctx) })
+		var background sync.WaitGroup
+		background.Go(func() { cache.Run(ctx) })
 		run(&scenario{t, store, client("node-1"), cache})
 		cancel()
-		duties.Wait()
-		world.Wait()
+		background.Wait()
+		network.Wait()
 	})
 }
 
-// write writes a job's record with the state from the other controller.
-func (s *scenario) write(id, state string) {
+// writeRecord writes a job's record with the state from the other controller.
+func (s *scenario) writeRecord(id, state string) {
 	s.t.Helper()
 	value, _ := json.Marshal(jobs.Record{State: state, Tasks: 3})
 	key := jobs.RecordKey(id)
-	pair, _, err := s.other.Get(s.t.Context(), key)
+	pair, _, err := s.peerStore.Get(s.t.Context(), key)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	guard, write := kvstore.Guard{Key: key, Revision: pair.Revision}, kvstore.Write{Set: key, Value: value}
-	if _, failed, err := s.other.Commit(s.t.Context(), []kvstore.Guard{guard}, []kvstore.Write{write}); err != nil || len(failed) > 0 {
+	if _, failed, err := s.peerStore.Commit(s.t.Context(), []kvstore.Guard{guard}, []kvstore.Write{write}); err != nil || len(failed) > 0 {
 		s.t.Fatal(err, failed)
 	}
 }
 
-// poll returns the state that a user would be shown, "404" if the job was never accepted, or
+// pollState returns the state that a user would be shown, "404" if the job was never accepted, or
 // "503" on an error.
-func (s *scenario) poll(id string) string {
+func (s *scenario) pollState(id string) string {
 	ctx, cancel := context.WithTimeout(s.t.Context(), 2*time.Second)
 	defer cancel()
 	rec, found, err := s.cache.Get(ctx, id)
@@ -78,23 +78,23 @@
 	return rec.State
 }
 
-// want checks the result of poll.
-func (s *scenario) want(id, state, when string) {
+// wantState checks the result of pollState.
+func (s *scenario) wantState(id, state, when string) {
 	s.t.Helper()
-	if got := s.poll(id); got != state {
+	if got := s.pollState(id); got != state {
 		s.t.Errorf("%s: %s is %s, want %s", when, id, got, state)
 	}
 }
 
-// evidence counts the evidence of losses that a cache reports, by kind.
-type evidence struct {
+// evidenceCounts counts the evidence of losses that a cache reports, by kind.
+type evidenceCounts struct {
 	mu    sync.Mutex
 	kinds map[detection.Kind]int
 }
 
 // collectEvidence collects the evidence that the cache reports from now on.
-func (s *scenario) collectEvidence() *evidence {
-	e := &evidence{kinds: map[detection.Kind]int{}}
+func (s *scenario) collectEvidence() *evidenceCounts {
+	e := &evidenceCounts{kinds: map[detection.Kind]int{}}
 	s.cache.OnLoss = func(l detection.Evidence) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -103,13 +103,13 @@
 	return e
 }
 
-func (e *evidence) count(kind detection.Kind) int {
+func (e *evidenceCounts) count(kind detection.Kind) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.kinds[kind]
 }
 
-func (e *evidence) wantNone(t *testing.T, when string) {
+func (e *evidenceCounts) wantNone(t *testing.T, when string) {
 	t.Helper()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,9 +135,9 @@
 func (s *scenario) writeJobOfEachState() {
 	s.t.Helper()
 	for _, id := range []string{"j-1", "j-2", "j-3"} {
-		s.write(id, jobs.Queued)
+		s.writeRecord(id, jobs.Queued)
 	}
-	s.write("j-2", jobs.Done)
-	s.write("j-3", jobs.Cancelled)
-	s.want("j-3", jobs.Cancelled, "initial records")
+	s.writeRecord("j-2", jobs.Done)
+	s.writeRecord("j-3", jobs.Cancelled)
+	s.wantState("j-3", jobs.Cancelled, "initial records")
 }
--- a/internal/jobs/machine_type.go
+++ b/internal/jobs/machine_type.go
@@ -21,8 +21,8 @@
 // CheckRunnable returns an error if the job can never run with the given machine types and its
 // team's limits: an UnknownTeamError, ErrFitsNoMachineType, ErrNeedsTwoZones or a TeamLimitError.
 // It returns nil otherwise.
-func CheckRunnable(spec *Spec, types []MachineType, set *settings.Settings) error {
-	team, ok := set.Team(spec.Team)
+func CheckRunnable(spec *Spec, types []MachineType, config *settings.Settings) error {
+	team, ok := config.Team(spec.Team)
 	if !ok {
 		return UnknownTeamError{Team: spec.Team}
 	}
@@ -33,11 +33,11 @@
 	if spec.Shape != Batch && spec.ZoneLimit() < spec.Tasks && (spec.OneZone || zones == 1) {
 		return ErrNeedsTwoZones
 	}
-	atOnce := 1.0 // the minimum number of tasks that run at the same time
+	concurrentTasks := 1.0 // the minimum number of tasks that run at the same time
 	if spec.Shape != Batch {
-		atOnce = float64(spec.Tasks)
+		concurrentTasks = float64(spec.Tasks)
 	}
-	if team.MaxCPUs > 0 && atOnce*spec.CPUs > team.MaxCPUs || team.MaxGPUs > 0 && atOnce*spec.GPUs > team.MaxGPUs {
+	if team.MaxCPUs > 0 && concurrentTasks*spec.CPUs > team.MaxCPUs || team.MaxGPUs > 0 && concurrentTasks*spec.GPUs > team.MaxGPUs {
 		return TeamLimitError{Team: spec.Team}
 	}
 	return nil
--- a/internal/jobs/machine_type_test.go
+++ b/internal/jobs/machine_type_test.go
@@ -13,8 +13,8 @@
 		{Name: "small", CPUs: 4, RAMGB: 16, Zones: []string{"a"}},
 		{Name: "large", CPUs: 64, GPUs: 8, RAMGB: 512, Zones: []string{"a", "b"}},
 	}
-	set := &settings.Settings{}
-	set.Deployment.Teams = []settings.Team{{Name: "vision", MaxCPUs: 100, MaxGPUs: 8}}
+	config := &settings.Settings{}
+	config.Deployment.Teams = []settings.Team{{Name: "vision", MaxCPUs: 100, MaxGPUs: 8}}
 	for _, test := range []struct {
 		name string
 		spec Spec
@@ -30,7 +30,7 @@
 		{"gang over the limit", Spec{Team: "vision", Shape: Gang, Tasks: 26, CPUs: 4}, TeamLimitError{"vision"}},
 		{"at the limit", Spec{Team: "vision", Shape: Batch, Tasks: 1, GPUs: 8}, nil},
 	} {
-		if err := CheckRunnable(&test.spec, catalog, set); !errors.Is(err, test.want) {
+		if err := CheckRunnable(&test.spec, catalog, config); !errors.Is(err, test.want) {
 			t.Errorf("%s: %v, want %v", test.name, err, test.want)
 		}
 	}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -57,18 +57,18 @@
 	return r.Spec
 }
 
-// WithDescription returns the encoded record of a held job with its missing description added. If
-// only the description was missing, the job is no longer held. r.Held must not be nil.
-func (r *Record) WithDescription(spec *Spec) json.RawMessage {
-	described := Record{State: Queued, Tasks: spec.Tasks}
+// EncodeWithDescription returns the encoded record of a held job with its missing description
+// added. If only the description was missing, the job is no longer held. r.Held must not be nil.
+func (r *Record) EncodeWithDescription(spec *Spec) json.RawMessage {
+	record := Record{State: Queued, Tasks: spec.Tasks}
 	if r.Held.OnlySpecMissing {
-		described.Spec, described.AcceptedAtMs, described.Restored = spec, r.Held.AcceptedAtMs, true
+		record.Spec, record.AcceptedAtMs, record.Restored = spec, r.Held.AcceptedAtMs, true
 	} else {
 		held := *r.Held
 		held.Spec = spec
-		described.Held = &held
+		record.Held = &held
 	}
-	raw, _ := json.Marshal(described)
+	raw, _ := json.Marshal(record)
 	return raw
 }
 
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -13,18 +13,18 @@
 // MaxTasks is the maximum number of tasks per job that the protocol allows.
 const MaxTasks = 100_000
 
-var idForm = regexp.MustCompile(`^j-[0-9]{1,40}$`)
+var idPattern = regexp.MustCompile(`^j-[0-9]{1,40}$`)
 
 // ValidID reports whether id has the form of a job ID.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+func ValidID(id string) bool { return idPattern.MatchString(id) }
 
 // Rank returns the rank of the job's priority; a job of a higher rank is scheduled first. The
 // result is cached, so the first call on a Spec must not run concurrently with another.
 func (s *Spec) Rank() int {
-	if s.rankCached == 0 {
-		s.rankCached = slices.Index(priorities, s.Priority) + 1
+	if s.cachedRank == 0 {
+		s.cachedRank = slices.Index(priorities, s.Priority) + 1
 	}
-	return s.rankCached
+	return s.cachedRank
 }
 
 // ZoneLimit returns the maximum number of the job's tasks in one zone at a time.
@@ -42,9 +42,9 @@
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// KeepOnlyTypes drops duplicates and types that are not in the catalog from the allowed machine
+// PruneTypes drops duplicates and types that are not in the catalog from the allowed machine
 // types, because a record must fit into one value of the key-value store.
-func (s *Spec) KeepOnlyTypes(catalog []MachineType) {
+func (s *Spec) PruneTypes(catalog []MachineType) {
 	var known []string
 	for _, machineType := range catalog {
 		if slices.Contains(s.Types, machineType.Name) {
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -47,37 +47,37 @@
 // shown unchanged: either the error of the JSON decoder, or the *InvalidFieldError of each
 // invalid field, joined.
 func ParseSpec(raw []byte) (*Spec, error) {
-	var in submission
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var input submission
+	if err := json.Unmarshal(raw, &input); err != nil {
 		return nil, err
 	}
 	var check validator
 	spec := &Spec{
-		ID:                  check.text("id", in.ID),
-		Class:               check.text("flock", in.Class),
-		Team:                check.text("crew", in.Team),
-		Shape:               check.text("shape", in.Shape),
-		Priority:            check.text("rank", in.Priority),
-		CPUs:                check.amount("vcpus", in.CPUs),
-		GPUs:                check.amount("gpus", in.GPUs),
-		RAMGB:               check.amount("ramGb", in.RAMGB),
-		Image:               check.text("plumage", in.Image),
-		ImageGB:             check.amount("imageGb", in.ImageGB),
-		OneZone:             check.flag("samePlace", in.OneZone),
-		Spread:              check.flag("scatter", in.Spread),
-		Spot:                check.flag("driftwood", in.Spot),
-		EstimatedRuntimeS:   check.amount("flightS", in.EstimatedRuntimeS),
-		CheckpointIntervalS: check.amount("roostS", in.CheckpointIntervalS),
-		CheckpointSaveS:     check.amount("stashS", in.CheckpointSaveS),
+		ID:                  check.text("id", input.ID),
+		Class:               check.text("flock", input.Class),
+		Team:                check.text("crew", input.Team),
+		Shape:               check.text("shape", input.Shape),
+		Priority:            check.text("rank", input.Priority),
+		CPUs:                check.amount("vcpus", input.CPUs),
+		GPUs:                check.amount("gpus", input.GPUs),
+		RAMGB:               check.amount("ramGb", input.RAMGB),
+		Image:               check.text("plumage", input.Image),
+		ImageGB:             check.amount("imageGb", input.ImageGB),
+		OneZone:             check.flag("samePlace", input.OneZone),
+		Spread:              check.flag("scatter", input.Spread),
+		Spot:                check.flag("driftwood", input.Spot),
+		EstimatedRuntimeS:   check.amount("flightS", input.EstimatedRuntimeS),
+		CheckpointIntervalS: check.amount("roostS", input.CheckpointIntervalS),
+		CheckpointSaveS:     check.amount("stashS", input.CheckpointSaveS),
 	}
-	check.forms(spec)
-	spec.Tasks = check.taskCount(in.Tasks)
-	spec.Types = check.machineTypes(in.Types)
-	if in.Zone != nil {
-		spec.Zone = check.text("eyrie", in.Zone)
+	check.checkAllowedValues(spec)
+	spec.Tasks = check.taskCount(input.Tasks)
+	spec.Types = check.machineTypes(input.Types)
+	if input.Zone != nil {
+		spec.Zone = check.text("eyrie", input.Zone)
 	}
-	if in.DeadlineS != nil {
-		deadline := check.amount("duskS", in.DeadlineS)
+	if input.DeadlineS != nil {
+		deadline := check.amount("duskS", input.DeadlineS)
 		spec.DeadlineS = &deadline
 	}
 	if err := errors.Join(check.errs...); err != nil {
@@ -135,8 +135,8 @@
 	return types
 }
 
-// forms checks the fields that must match a pattern or have one of a few values.
-func (v *validator) forms(spec *Spec) {
+// checkAllowedValues checks the fields that must match a pattern or have one of a few values.
+func (v *validator) checkAllowedValues(spec *Spec) {
 	if spec.ID != "" && !ValidID(spec.ID) {
 		v.reject("id", "of the form j-000412")
 	}
--- a/internal/jobs/wire.go
+++ b/internal/jobs/wire.go
@@ -50,7 +50,7 @@
 	CheckpointIntervalS float64  `json:"roostS"`    // progress between checkpoints; 0: no checkpoints
 	CheckpointSaveS     float64  `json:"stashS"`    // time that a task needs to save a checkpoint when stopped
 	DeadlineS           *float64 `json:"duskS"`     // from submission; nil: none
-	rankCached          int
+	cachedRank          int
 }
 
 // Record is what the key-value store keeps of a job. It is written when the job is accepted and
