--- a/internal/jobs/jobcache/lost_jobs_test.go
+++ b/internal/jobs/jobcache/lost_jobs_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Jobs without a record are counted once each, whatever was kept of them before.
-func TestLostJobs(t *testing.T) {
+// Each job without a record is counted once, whatever was kept of it before.
+func TestLostJobsWithoutRecord(t *testing.T) {
 	lost := newLostJobs()
 	for i, step := range []struct {
 		change               func() lostJob
@@ -29,8 +29,8 @@
 	}
 }
 
-// A page begins after an id, whether that is among the jobs or not.
-func TestPagesOfLostJobsInOrder(t *testing.T) {
+// A page begins after the given ID, whether or not that ID is in the set.
+func TestLostJobsPage(t *testing.T) {
 	lost := newLostJobs()
 	for _, id := range []string{"j-3", "j-1", "j-2", "j-5"} {
 		lost.add(lostJob{id: id})
--- a/internal/jobs/jobcache/reader.go
+++ b/internal/jobs/jobcache/reader.go
@@ -11,34 +11,37 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// ErrWatchLags means that the changes up to now were not to be had.
-var ErrWatchLags = errors.New("changes lag")
+// ErrWatchLagging means that the watch did not deliver all changes up to the current revision of
+// the store.
+var ErrWatchLagging = errors.New("watch lags behind the revision of the store")
 
-// watchTries is how often a read asks for changes that lag.
-const watchTries = 3
+// maxWatchAttempts is the maximum number of watch requests that one read makes while the watch
+// lags.
+const maxWatchAttempts = 3
 
-// reader brings the cache up to date, for all who wait at a time by one read.
+// reader keeps the cache up to date. One read serves all requests that wait at the same time.
 type reader struct {
-	cache    *Cache
-	store    *kvstore.Client
-	gap      time.Duration   // least time between two reads
-	idle     time.Duration   // the cache is kept up to date without requests, too
-	requests chan chan error // each is answered with the error of a read that began later
-
-	// Owned by the goroutine of run.
-	watching bool   // all records up to a revision are known, so that the changes since it do
-	revision uint64 // which all changes up to have been read
+	cache            *Cache
+	store            *kvstore.Client
+	minReadInterval  time.Duration   // minimum time between two reads
+	idleReadInterval time.Duration   // time after which it reads without a request
+	requests         chan chan error // each channel receives the error of a read that begins after the request
+
+	// Used only by the goroutine of run.
+	watching bool   // all records were read up to a revision, so reading later changes is enough
+	revision uint64 // all changes up to this revision have been read
 }
 
-// request has the reader read as soon as it may.
-func (r *reader) request() {
+// requestRead asks for a read as soon as minReadInterval allows and returns without waiting for
+// it.
+func (r *reader) requestRead() {
 	select {
 	case r.requests <- make(chan error, 1):
-	default: // it is reading, or about to
+	default: // a read is in progress or about to begin
 	}
 }
 
-// waitForRead returns when a read that began after the call has ended, with its error.
+// waitForRead waits for a read that begins after the call and returns the read's error.
 func (r *reader) waitForRead(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
@@ -57,15 +60,15 @@
 // run reads until the context ends.
 func (r *reader) run(ctx context.Context) {
 	var lastRead time.Time
-	idle := r.gap // others may soon need to know what this controller has told users
+	idleInterval := r.minReadInterval // other controllers may soon need to know what this one has told users
 	for {
-		waiting, ok := r.collectRequests(ctx, idle, lastRead)
+		waiters, ok := r.collectRequests(ctx, idleInterval, lastRead)
 		if !ok {
 			return
 		}
 		lastRead = time.Now()
 		err := r.readAndCompare(ctx)
-		for _, done := range waiting {
+		for _, done := range waiters {
 			done <- err
 		}
 		if err == nil {
@@ -74,51 +77,53 @@
 		if err != nil {
 			slog.Debug("records not read", "reason", err)
 		}
-		idle = r.idle
+		idleInterval = r.idleReadInterval
 		if r.cache.auditor.pending() || r.cache.Readiness.completenessPending() || r.cache.rollbackCheckRequested() {
-			idle = r.gap
+			idleInterval = r.minReadInterval
 		}
 	}
 }
 
-// collectRequests waits for a request, or for the idle time to pass; then it collects further
-// requests until the gap after the last read is over. It returns false if the context has ended.
-func (r *reader) collectRequests(ctx context.Context, idle time.Duration, lastRead time.Time) (waiting []chan error, ok bool) {
+// collectRequests waits for a request or for idleInterval to pass. It then collects further
+// requests until minReadInterval has passed since the last read. It returns false if the context
+// has ended.
+func (r *reader) collectRequests(ctx context.Context, idleInterval time.Duration, lastRead time.Time) (waiters []chan error, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, false
 	case done := <-r.requests:
-		waiting = append(waiting, done)
-	case <-time.After(idle):
+		waiters = append(waiters, done)
+	case <-time.After(idleInterval):
 	}
-	gapOver := time.After(r.gap - time.Since(lastRead))
+	minIntervalOver := time.After(r.minReadInterval - time.Since(lastRead))
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, false
 		case done := <-r.requests:
-			waiting = append(waiting, done)
-		case <-gapOver:
-			return waiting, true
+			waiters = append(waiters, done)
+		case <-minIntervalOver:
+			return waiters, true
 		}
 	}
 }
 
-// readAndCompare reads, and compares what was read with what the other controllers had told
+// readAndCompare reads and then compares the result with what other controllers had announced
 // before the read began.
 func (r *reader) readAndCompare(ctx context.Context) error {
-	peers := r.cache.Readiness.peerCount()
+	peers := r.cache.Readiness.peerJobCount()
 	unread := r.cache.unreadAnnouncements()
 	if err := r.read(ctx); err != nil {
 		return err
 	}
 	r.cache.addLostAnnouncements(unread)
-	r.cache.comparePeerCount(peers)
+	r.cache.compareJobCount(peers)
 	return nil
 }
 
-// read brings the cache up to date. A watch may lag, or be empty because the store does not
-// serve this controller: the revision, read first, is what it has to reach.
+// read brings the cache up to date. A watch may lag, or return nothing because the store does not
+// serve this controller. Therefore read gets the store's revision first, and the watch has to
+// reach it.
 func (r *reader) read(ctx context.Context) error {
 	if err := r.checkForRollback(ctx); err != nil {
 		return err
@@ -126,16 +131,16 @@
 	if !r.watching {
 		return r.readAll(ctx)
 	}
-	request := r.cache.newest.Baseline()
-	least, err := r.store.Revision(ctx)
+	baseline := r.cache.newest.Baseline()
+	minRevision, err := r.store.Revision(ctx)
 	if err != nil {
 		return err
 	}
-	r.checkRevision(request, least)
+	r.checkRevision(baseline, minRevision)
 	if !r.watching {
 		return r.readAll(ctx)
 	}
-	err = r.readChanges(ctx, least)
+	err = r.readChanges(ctx, minRevision)
 	if errors.Is(err, kvstore.ErrCompacted) {
 		r.watching = false
 		return r.readAll(ctx)
@@ -143,10 +148,10 @@
 	return err
 }
 
-// readChanges takes in changes until those up to a revision are read.
-func (r *reader) readChanges(ctx context.Context, least uint64) error {
-	for range watchTries {
-		request := r.cache.newest.Baseline()
+// readChanges applies changes from the watch until it has reached minRevision.
+func (r *reader) readChanges(ctx context.Context, minRevision uint64) error {
+	for range maxWatchAttempts {
+		baseline := r.cache.newest.Baseline()
 		revision, changes, err := r.store.Watch(ctx, jobs.RecordPrefix, r.revision, 0)
 		if err != nil {
 			return err
@@ -159,33 +164,33 @@
 			}
 		}
 		r.revision = max(r.revision, revision)
-		r.cache.newest.Advance(request, revision)
-		if r.revision >= least {
+		r.cache.newest.Advance(baseline, revision)
+		if r.revision >= minRevision {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(r.gap):
+		case <-time.After(r.minReadInterval):
 		}
 	}
-	return ErrWatchLags
+	return ErrWatchLagging
 }
 
-// readAll reads all records. They are never removed, so that what is known of them is only added
-// to: if more are known afterwards than were read, some may be missing.
+// readAll reads all records and adds them to the cache. Records are never removed, so if the
+// cache then counts more records than were read, some may be missing.
 func (r *reader) readAll(ctx context.Context) error {
 	if !r.cache.Readiness.InitialReadDone() {
 		if err := r.readRecoveryStatus(ctx); err != nil {
 			return err
 		}
 	}
-	request := r.cache.newest.Baseline()
+	baseline := r.cache.newest.Baseline()
 	scanned, revision, err := r.cache.auditor.scan(ctx, 0, func(string) {})
 	if err != nil {
 		return err
 	}
-	if r.checkRevision(request, revision) {
+	if r.checkRevision(baseline, revision) {
 		return r.readAll(ctx)
 	}
 	if r.cache.RecordedCount() > scanned {
@@ -198,31 +203,32 @@
 	return nil
 }
 
-// readRecoveryStatus finds out whether records are being compared at the moment.
+// readRecoveryStatus reads whether a leader is comparing records after a loss.
 func (r *reader) readRecoveryStatus(ctx context.Context) error {
 	_, found, err := r.store.Get(ctx, jobs.RecoveryStatusKey)
 	if err != nil {
 		return err
 	}
-	r.cache.Readiness.setBegunInRecovery(found)
+	r.cache.Readiness.setStartedInRecovery(found)
 	return nil
 }
 
-// checkRevision takes in a revision that was just read. One below those before shows that the
-// store was rolled back: revisions are given out again, and all is read anew.
-func (r *reader) checkRevision(request detection.Baseline, found uint64) (rolledBack bool) {
-	loss, rolledBack := r.cache.newest.Observe(request, detection.RevisionBack, "", found)
+// checkRevision checks a revision just read against the baseline. A lower revision proves that
+// the store was rolled back. It then assigns revisions again, so everything has to be read anew.
+func (r *reader) checkRevision(baseline detection.Baseline, found uint64) (rolledBack bool) {
+	loss, rolledBack := r.cache.newest.Observe(baseline, detection.RevisionBack, "", found)
 	if !rolledBack {
 		return false
 	}
 	slog.Error("state service rolled back", "known", loss.Known, "found", loss.Found)
-	r.startOver(found)
+	r.resetAfterRollback(found)
 	r.cache.reportLoss(loss)
 	return true
 }
 
-// startOver takes in that the store was rolled back to a revision: all is read anew.
-func (r *reader) startOver(revision uint64) {
+// resetAfterRollback handles a rollback of the store to the given revision. It makes the reader
+// read all records again.
+func (r *reader) resetAfterRollback(revision uint64) {
 	r.watching = false
 	r.cache.forgetRevisionsAbove(revision)
 }
