--- a/internal/controller/connection_limit.go
+++ b/internal/controller/connection_limit.go
@@ -8,28 +8,29 @@
 	"sync"
 )
 
-// connLimiter keeps the connections of users and workers below a limit. When they run short,
-// the one that has been idle for longest is closed: mostly its other end has gone without
-// closing it, as in a zone that is cut off, and would keep others out.
+// connLimiter keeps the number of connections from users and workers below a limit. When the
+// limit is reached, it closes the connection that has been idle the longest. The client of that
+// connection has usually gone without closing it, for example in a network partition, and the
+// connection would keep other clients out.
 type connLimiter struct {
 	limit int
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // its place in idle; nil while a request is under way
-	idle list.List                  // of net.Conn, idle for longest first
+	open map[net.Conn]*list.Element // element in idle; nil while a request is in progress
+	idle list.List                  // of net.Conn, longest idle first
 }
 
 func newConnLimiter(limit int) *connLimiter {
 	return &connLimiter{limit: limit, open: make(map[net.Conn]*list.Element)}
 }
 
-// connStateChanged is the server's http.Server.ConnState.
+// connStateChanged is the http.Server.ConnState callback.
 func (l *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	place, known := l.open[conn]
 	if !known && state != http.StateNew {
-		return // it was closed to make room
+		return // the limiter has closed this connection already
 	}
 	if place != nil {
 		l.idle.Remove(place)
@@ -42,7 +43,7 @@
 	default:
 		delete(l.open, conn)
 	}
-	// One place is kept free, so that whoever comes next is accepted at once.
+	// Stay one below the limit so that the next client is accepted without waiting.
 	if first := l.idle.Front(); first != nil && len(l.open) >= l.limit {
 		longestIdle := l.idle.Remove(first).(net.Conn)
 		delete(l.open, longestIdle)
@@ -50,9 +51,9 @@
 	}
 }
 
-// yieldingListener lets other goroutines run before each connection that it accepts.
-// Thousands of workers connect at once when a leader is found; accepted in one go, they would
-// all be served before the renewal of the leadership lease.
+// yieldingListener yields the processor before it accepts each connection. Thousands of workers
+// connect at once when a leader is elected. Without the yield, all of them would be served before
+// the leader renews its lease.
 type yieldingListener struct{ net.Listener }
 
 func (l yieldingListener) Accept() (net.Conn, error) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,30 +27,30 @@
 )
 
 const (
-	// cloudRequestShare is the share of the cloud's request rate that the leader uses.
+	// cloudRequestShare is the fraction of the cloud API's request rate that the leader uses.
 	cloudRequestShare = 0.8
-	// gcPercent is by how many percent the heap may grow between two collections: memory,
-	// within its limit, is cheaper here than processor time.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection. Below the
+	// memory limit, a controller has more memory than processor time to spare.
 	gcPercent = 300
 )
 
-// Controller is one controller process.
+// Controller serves users and workers, and runs the leader while it is elected.
 type Controller struct {
 	settings *settings.Settings
 	derived  settings.Derived
 	listen   listeners
 
-	// Clients of the services that the controller uses.
+	// Clients of the key-value store, the cloud and the workers.
 	store   *kvstore.Client
 	cloud   *cloud.Client
 	workers *workers.Client
 
-	// What every controller knows, whether it leads or not.
+	// State that every controller keeps, whether or not it is the leader.
 	cache        *jobcache.Cache
 	jobCounts    *leader.Counts
 	machineTypes *machineTypeCatalog
 
-	// Leadership, and the exchange with the other controllers.
+	// Leader election and communication with the other controllers.
 	elector        *election.Elector
 	leaderHandle   *leader.Handle
 	peers          *peer.Hub
@@ -58,33 +58,33 @@
 	currency       *currencyMonitor
 	leaderRecovery *recoveryFollower
 
-	// Admission of requests.
+	// Admission control of requests.
 	readiness *readiness
 	memory    *memoryLimit
 }
 
-// listeners are how a controller accepts connections.
+// listeners holds the sources of a controller's incoming connections.
 type listeners struct {
 	users, cluster func(addr string) (net.Listener, error)
-	// operators gets the connections of the cluster listener that speak HTTP.
+	// operators receives the HTTP connections that the cluster listener accepted.
 	operators *connQueue
 }
 
-// Environment is what a controller process gets from the machine. Its zero value means the
-// real network and the memory of this process; tests put others in place.
+// Environment holds a controller's access to its host. The zero value uses the real network and
+// the memory usage of this process; tests substitute their own.
 type Environment struct {
 	// HTTP sends requests to the key-value store, the cloud and the workers.
 	HTTP http.RoundTripper
 	// Dial opens connections to other controllers.
 	Dial peer.Dial
-	// Listen opens the listener for users and workers, and that for the cluster.
+	// Listen opens the listener for users and workers, and the cluster listener.
 	Listen func(addr string) (net.Listener, error)
-	// Memory returns how much memory this process holds, in bytes.
+	// Memory returns the memory that this process holds, in bytes.
 	Memory func() uint64
 }
 
-// New makes a controller from checked settings. It opens no connection and starts no
-// goroutine before Run.
+// New returns a controller for validated settings. The controller opens no connection and starts
+// no goroutine before Run or RunDuties is called.
 func New(set *settings.Settings, env Environment) *Controller {
 	startedAt := time.Now()
 	derived := set.Derive()
@@ -111,7 +111,7 @@
 	return c
 }
 
-// connectParts has the parts tell each other what concerns them.
+// connectParts sets the callbacks through which the components notify each other.
 func (c *Controller) connectParts() {
 	c.cache.OnLoss = c.losses.notice
 	c.elector.ReportLoss = c.leadershipKeyLost
@@ -120,16 +120,17 @@
 	c.peers.OnLeaderUpdate = c.followLeader
 	c.peers.OnLostJobsRequest = newLostJobsResponder(c.derived, c.cache, c.elector).respond
 	c.peers.OnLossNotice = c.receiveLossNotice
-	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 { // else some could not be asked
+	// A leader may rely on peer leases only if it can ask every other controller.
+	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 {
 		c.elector.RequestPeerLeases = c.requestLeaseGrants
 		c.elector.NoPeerReliesOnGrants = c.currency.noPeerRelies
 	}
 }
 
-// Run serves until the context ends, or until a listener fails. It sets limits of the whole
-// process: there can be one controller in a process that calls it.
+// Run serves until the context ends or a listener fails. It sets limits of the Go runtime, which
+// apply to the whole process, so a process must not run a second controller.
 func (c *Controller) Run(ctx context.Context) error {
-	// One thread at a time is all that a share of a core can use.
+	// A controller runs on a fraction of a core, where a second running thread gains nothing.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(c.derived.Host.GCBytes)
@@ -149,7 +150,7 @@
 	return group.Wait()
 }
 
-// serveUsers serves users and workers, in goroutines of the group, until the context ends.
+// serveUsers starts goroutines in the group that serve users and workers until the context ends.
 func (c *Controller) serveUsers(ctx context.Context, group *errgroup.Group, listener net.Listener) {
 	limiter := newConnLimiter(c.derived.Host.ServedConns)
 	server := &http.Server{
@@ -175,7 +176,7 @@
 	})
 }
 
-// Handler returns what serves users and workers.
+// Handler returns the HTTP handler for users and workers.
 func (c *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	users := &jobapi.API{
@@ -188,8 +189,8 @@
 	return mux
 }
 
-// RunDuties runs the goroutines of the process until the context ends, and waits for them.
-// The cluster listener, for controllers and operators, is closed then.
+// RunDuties runs the controller's background goroutines until the context ends and returns when
+// all of them have stopped. It closes cluster, the listener for controllers and operators.
 func (c *Controller) RunDuties(ctx context.Context, cluster net.Listener) {
 	var duties sync.WaitGroup
 	duties.Go(func() { c.peers.Run(ctx, cluster) })
--- a/internal/controller/currency.go
+++ b/internal/controller/currency.go
@@ -13,9 +13,9 @@
 	"ospreyslip/internal/settings"
 )
 
-// currencyMonitor proves that this controller's cache of job records is current, by comparing
-// with what the other controllers know: a store that was rolled back, or had lost records
-// before this process started, shows nothing of it to who reads it anew.
+// currencyMonitor verifies against the other controllers that this controller's cache of job
+// records is current. The store alone cannot show that: a controller that reads all records for
+// the first time cannot tell that the store was rolled back or lost records before.
 type currencyMonitor struct {
 	startedAt time.Time
 	derived   settings.Derived
@@ -25,10 +25,11 @@
 	losses    *lossReporter
 }
 
-// confirmAfterStart finds out whether this process has started with all records there were.
-// All other controllers are asked how many jobs they know; a reading of the records that
-// begins after their answers must find as many. Where one does not answer, what the leader
-// says will do (Controller.followLeader), or in the end the time that most outages last.
+// confirmAfterStart verifies that this controller started with a complete set of job records. It
+// asks all other controllers how many jobs they know; a read of the records that starts after
+// their responses must find at least as many. If a controller does not respond, the job count in
+// the leader's updates is enough (Controller.followLeader). After the cancel deadline, by which
+// most outages are over, the cache is assumed to be complete.
 func (m *currencyMonitor) confirmAfterStart(ctx context.Context) {
 	for time.Since(m.startedAt) < m.derived.Workers.CancelDeadline && !m.cache.Readiness.ProvenCurrent() {
 		others, err := m.queryPeers(ctx)
@@ -47,11 +48,12 @@
 }
 
 // confirmAfterOutages asks all other controllers, after each outage of the key-value store,
-// whether it was rolled back in the outage: a controller that has read nothing of what was
-// lost would not notice. Where one does not answer, the time that most outages last has to
-// do. It runs until the context ends.
+// whether the store was rolled back during the outage. A controller that had read none of the
+// lost changes would not notice the rollback itself. If a controller does not respond, the cache
+// counts as confirmed after the cancel deadline, by which most outages are over. It returns when
+// the context ends.
 func (m *currencyMonitor) confirmAfterOutages(ctx context.Context) {
-	var availableSince time.Time // since the last outage; zero if nothing is to be found out
+	var availableSince time.Time // when the last outage ended; zero if there is nothing to confirm
 	for sleep(ctx, m.derived.Election.RenewInterval/2) {
 		if m.cache.Readiness.ConfirmedByPeers() || m.store.Failing() {
 			availableSince = time.Time{}
@@ -61,8 +63,10 @@
 			availableSince = time.Now()
 		}
 		if time.Since(availableSince) < m.derived.Election.RenewInterval {
+			// A peer reports a rollback check of at most one renewal interval ago. After this
+			// delay, every check that a peer reports started after the end of the outage.
 			m.cache.RequestRollbackCheck()
-			continue // what the others have compared by then, they have compared after it
+			continue
 		}
 		outages := m.store.Outages()
 		others, err := m.queryPeers(ctx)
@@ -73,17 +77,17 @@
 	}
 }
 
-// peerKnowledge joins what all other controllers have said.
+// peerKnowledge combines the responses of all other controllers.
 type peerKnowledge struct {
-	knownJobs      int    // the most jobs that one of them knows
-	newestRevision uint64 // the newest revision of the store that one of them has read
-	lossNoticedBy  string // the name of one that has noticed a loss; empty if none has
-	allCurrent     bool   // each has found the newest changes that it knows in the records, just now
-	noneRelies     bool   // each, since its process started, relies on no grant
+	knownJobs      int    // largest number of jobs that one of them knows
+	newestRevision uint64 // newest revision of the store that one of them has read
+	lossNoticedBy  string // name of a controller that noticed a loss; empty if none did
+	allCurrent     bool   // each has just found the newest changes that it knows in the records
+	noneRelies     bool   // each relies on no lease grant in its present incarnation
 }
 
-// queryPeers asks all other controllers what they know, in parallel. It fails unless all
-// answer.
+// queryPeers asks all other controllers in parallel for a summary of what they know. It returns
+// an error unless all of them respond within the renewal interval.
 func (m *currencyMonitor) queryPeers(ctx context.Context) (peerKnowledge, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.derived.Election.RenewInterval)
 	defer cancel()
@@ -112,15 +116,15 @@
 	return others, nil
 }
 
-// noPeerRelies tells whether every other controller has answered this process that it relies
-// on no grant.
+// noPeerRelies reports whether every other controller responded to this incarnation that it
+// relies on no lease grant.
 func (m *currencyMonitor) noPeerRelies(ctx context.Context) bool {
 	others, err := m.queryPeers(ctx)
 	return err == nil && others.noneRelies
 }
 
-// storeRolledBack tells whether the store is at an older revision than another controller has
-// read, or does not tell its revision.
+// storeRolledBack reports whether the store is at an older revision than another controller has
+// read, and reports that as a loss. It also returns true if the revision cannot be read.
 func (m *currencyMonitor) storeRolledBack(ctx context.Context, newestRevision uint64) bool {
 	current, err := m.store.Revision(ctx)
 	if err == nil && current < newestRevision {
@@ -129,7 +133,7 @@
 	return err != nil || current < newestRevision
 }
 
-// sleep waits for a duration. It returns false if the context ends first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -14,7 +14,7 @@
 	"ospreyslip/internal/settings"
 )
 
-// campaign takes part in the election until the context ends, and leads while elected.
+// campaign takes part in leader elections until the context ends, and runs the leader while elected.
 func (c *Controller) campaign(ctx context.Context) {
 	deps := leader.Deps{
 		Settings: c.settings, Derived: c.derived, Node: c.settings.Node,
@@ -29,8 +29,8 @@
 	})
 }
 
-// storeBudget is what this controller may ask of the key-value store. The budgets of all
-// controllers together stay within what the store takes.
+// storeBudget returns the rate limits of this controller's requests to the key-value store. The
+// limits of all controllers add up to at most the rates that the store accepts.
 func storeBudget(set *settings.Settings, leading bool) kvstore.RateLimits {
 	all := set.Deployment.Store.Effective()
 	budget := kvstore.RateLimits{RequestsPerSecond: settings.LeaderRequestShare * all.RPS, WritesPerSecond: settings.LeaderWriteShare * all.WriteRPS}
@@ -41,7 +41,8 @@
 	return budget
 }
 
-// otherLeader returns the leader's name; empty if there is none, or if it is this controller.
+// otherLeader returns the name of the leader. It returns an empty string if no leader is known
+// or if this controller is the leader.
 func (c *Controller) otherLeader() string {
 	if name := c.elector.Leader(); name != c.settings.Node {
 		return name
@@ -49,14 +50,16 @@
 	return ""
 }
 
-// leadershipKeyLost takes in that the store has lost keys of the election.
+// leadershipKeyLost handles evidence that the store has lost keys of the election.
 func (c *Controller) leadershipKeyLost(loss detection.Evidence) {
-	// Now, before leadership ends and with it what the leader knows.
+	// Suspect a loss before the term ends, because the leader's knowledge of it ends with the term.
 	c.cache.Readiness.SuspectLossUntil(time.Now().Add(c.derived.Workers.CancelDeadline))
 	c.losses.notice(loss)
 }
 
-// receiveLossNotice takes in another controller's evidence of lost records, if this one leads.
+// receiveLossNotice passes another controller's evidence of lost records to the leader. It drops
+// the evidence if this controller does not lead. Only evidence that affects the assignment log
+// keeps its kind.
 func (c *Controller) receiveLossNotice(_ string, loss detection.Evidence) {
 	if !loss.Kind.AffectsLog() {
 		loss.Kind = detection.ReportedByPeer
@@ -64,7 +67,7 @@
 	c.leaderHandle.ReportLoss(loss)
 }
 
-// broadcastUpdate sends the leader's update to the other controllers. The leader calls it.
+// broadcastUpdate sends the leader's update to the other controllers. It is called by the leader.
 func (c *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
 	c.readiness.leaderHeard()
 	c.cache.Readiness.SetRolledBack(c.leaderHandle.StoreRolledBack())
@@ -80,8 +83,8 @@
 	})
 }
 
-// followLeader takes in another controller's update. While this one leads itself, the other
-// is a leader that does not know yet that it was replaced.
+// followLeader applies a leader's update. It ignores the update while this controller leads: the
+// sender is a former leader that has not noticed yet that it was replaced.
 func (c *Controller) followLeader(_ string, update peer.LeaderUpdate) {
 	if c.elector.IsLeader() {
 		return
@@ -98,9 +101,9 @@
 	}
 }
 
-// answerLeaseGrantRequest answers a leader that can not reach the key-value store. The grant
-// comes before the cancellations are collected: what this controller tells users afterwards
-// is newer than the request.
+// answerLeaseGrantRequest responds to a leader that cannot reach the key-value store. It grants
+// the lease before it collects the cancellations, so that every cancellation that it reports to
+// a user afterwards is newer than the request.
 func (c *Controller) answerLeaseGrantRequest(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
 	response := peer.LeaseGrantResponse{Granted: c.elector.GrantPeerLease(ctx, request.FencingToken)}
 	if response.Granted && request.SeenRevision > 0 {
@@ -109,10 +112,11 @@
 	return response
 }
 
-// requestLeaseGrants asks all other controllers for lease grants and tells whether all are given.
-// The leader's observed state of the jobs counts as renewed only if every controller, this
-// one too, has said which cancellations it has told users of and the leader has not seen:
-// that none reaches the store now says nothing of what was told before.
+// requestLeaseGrants asks all other controllers for lease grants and reports whether all of them
+// granted one. The leader's view of the job records counts as refreshed only if every controller,
+// including this one, has listed the cancellations that it reported to users and that the leader
+// has not seen. A controller that cannot reach the store now may still have reported
+// cancellations before.
 func (c *Controller) requestLeaseGrants(ctx context.Context, fencingToken uint64) bool {
 	askedAt, seenRevision := time.Now(), c.leaderHandle.SeenRevision()
 	joined := c.peers.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
--- a/internal/controller/loss_reporter.go
+++ b/internal/controller/loss_reporter.go
@@ -12,11 +12,11 @@
 	"ospreyslip/internal/settings"
 )
 
-// lossQueueSize is how much evidence of lost records waits to be handed on. More tells
-// nothing new.
+// lossQueueSize is how many pieces of evidence of lost records may wait to be reported. Further
+// evidence adds no information.
 const lossQueueSize = 64
 
-// lossReporter hands evidence of lost records to the leader, here or elsewhere.
+// lossReporter reports evidence of lost records to the leader, on this or another controller.
 type lossReporter struct {
 	node         string
 	derived      settings.Derived
@@ -26,7 +26,7 @@
 	peers        *peer.Hub
 
 	noticed    chan detection.Evidence
-	reportedAt time.Time // when another leader was last told; owned by report's goroutine
+	reportedAt time.Time // when the last notice was sent to a leader; owned by report's goroutine
 }
 
 func newLossReporter(node string, derived settings.Derived, cache *jobcache.Cache, elector *election.Elector, gate *leader.Handle, peers *peer.Hub) *lossReporter {
@@ -36,8 +36,8 @@
 	}
 }
 
-// notice queues evidence. It may be called from any goroutine and never blocks: evidence
-// beyond the queue is dropped.
+// notice queues evidence to be reported. It may be called from any goroutine and never blocks:
+// it drops the evidence if the queue is full.
 func (r *lossReporter) notice(loss detection.Evidence) {
 	select {
 	case r.noticed <- loss:
@@ -45,7 +45,7 @@
 	}
 }
 
-// report hands queued evidence on until the context ends.
+// report reports queued evidence until the context ends.
 func (r *lossReporter) report(ctx context.Context) {
 	for {
 		select {
@@ -57,8 +57,8 @@
 	}
 }
 
-// reportLoss hands evidence to the leader. Another controller is told once a leadership lease
-// at most: it compares all records anyway.
+// reportLoss reports evidence to the leader. It sends another controller at most one notice per
+// leadership lease, because a leader compares all records after any notice.
 func (r *lossReporter) reportLoss(loss detection.Evidence) {
 	if r.leaderHandle.ReportLoss(loss) {
 		return
--- a/internal/controller/lost_jobs_responder.go
+++ b/internal/controller/lost_jobs_responder.go
@@ -10,27 +10,27 @@
 	"ospreyslip/internal/settings"
 )
 
-// maxLostJobsPerResponse is how many lost jobs are in one response to the leader.
+// maxLostJobsPerResponse is the maximum number of lost jobs in one response to the leader.
 const maxLostJobsPerResponse = 500
 
-// lostJobsResponder responds to other controllers that ask for jobs of which this one knows
-// more than the records say.
+// lostJobsResponder responds to requests of other controllers for lost jobs: jobs of which this
+// controller knows more than their records say.
 type lostJobsResponder struct {
 	derived settings.Derived
 	cache   *jobcache.Cache
 	elector *election.Elector
 
 	mu           sync.Mutex
-	round        uint64 // of the leader's comparison, the last that was asked about
-	verification uint64 // of this controller's records in that round, as the cache counts them
+	round        uint64 // the leader's comparison round of the newest request
+	verification uint64 // ticket of the cache's audit for that round
 }
 
 func newLostJobsResponder(derived settings.Derived, cache *jobcache.Cache, elector *election.Elector) *lostJobsResponder {
 	return &lostJobsResponder{derived: derived, cache: cache, elector: elector}
 }
 
-// respond responds to a request. It never blocks: a comparison that is not finished is
-// answered with a response that says so, and whoever asked asks again.
+// respond responds to a request. It never blocks: until the comparison is complete, the response
+// has Compared unset and the requester has to ask again.
 func (r *lostJobsResponder) respond(request peer.LostJobsRequest) peer.LostJobsResponse {
 	if request.ComparisonRound == 0 {
 		return r.summary()
@@ -46,8 +46,9 @@
 	return response
 }
 
-// summary tells how much this controller knows. Whoever asks compares with that: it has to be
-// in the records still, which was checked only if Compared is set.
+// summary returns how much this controller knows. The requester relies on the records still
+// holding the changes that this controller knows. Compared is set only if that was checked within
+// the last renewal interval; otherwise summary requests a check.
 func (r *lostJobsResponder) summary() peer.LostJobsResponse {
 	checkedLately := time.Since(r.cache.RollbackCheckedAt()) < r.derived.Election.RenewInterval
 	if !checkedLately {
@@ -62,8 +63,8 @@
 	}
 }
 
-// verificationIn returns the verification of all records that belongs to a round, and begins
-// it in a new one.
+// verificationIn returns the ticket of the audit of all records for a comparison round. It
+// requests the audit if the round is new.
 func (r *lostJobsResponder) verificationIn(round uint64) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -13,22 +13,22 @@
 	"ospreyslip/internal/settings"
 )
 
-// catalogKey is the store's key of the last known machine types, for a controller that starts
-// while the cloud does not answer. Where they do not fit into one value, each has a key of its
-// own under catalogPartPrefix.
+// catalogKey is the key of the machine types in the key-value store. A controller that starts
+// while the cloud does not respond reads them from there. If they do not fit into one value, each
+// machine type has its own key under catalogPartPrefix.
 const (
 	catalogKey        = "catalog"
 	catalogPartPrefix = "catalog/"
 )
 
-// catalogPart is the stored record of one machine type of so many. Of makes sure that all are
-// read: with some missing, jobs would be refused that can run.
+// catalogPart is the record of one machine type. Of is the number of machine types, so that a
+// reader detects missing records: with an incomplete list, it would reject jobs that can run.
 type catalogPart struct {
 	Of   int              `json:"of"`
 	Type jobs.MachineType `json:"type"`
 }
 
-// machineTypeCatalog is the machine types that the cloud offers, as last read.
+// machineTypeCatalog holds the machine types that the cloud offers, as of the last read.
 type machineTypeCatalog struct {
 	derived settings.Derived
 	store   *kvstore.Client
@@ -36,7 +36,7 @@
 	current atomic.Pointer[[]jobs.MachineType]
 }
 
-// types returns the machine types, or nil while they are not known. It may be called from any
+// types returns the machine types, or nil if they are not known yet. It may be called from any
 // goroutine.
 func (m *machineTypeCatalog) types() []jobs.MachineType {
 	if types := m.current.Load(); types != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// refresh reads the machine types, and later their prices, until the context ends.
+// refresh reads the machine types periodically until the context ends, to keep prices current.
 func (m *machineTypeCatalog) refresh(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := 2 * m.derived.Workers.CancelDeadline
@@ -55,7 +55,7 @@
 			m.current.Store(&types)
 			m.save(ctx, types)
 		case m.types() == nil:
-			slog.Debug("machine types not read", "reason", err)
+			slog.Debug("failed to read machine types", "reason", err)
 			wait = m.derived.Election.RenewInterval
 			if saved := m.saved(ctx); saved != nil {
 				m.current.Store(&saved)
@@ -67,8 +67,8 @@
 	}
 }
 
-// save writes the machine types to the store, once: keys that are there are left alone. What
-// fails is tried again when the types are read again.
+// save writes the machine types to the store unless their keys exist. A write that fails is
+// retried after the next read of the machine types.
 func (m *machineTypeCatalog) save(ctx context.Context, types []jobs.MachineType) {
 	if m.saveOnce(ctx, catalogKey, types) {
 		return
@@ -78,8 +78,8 @@
 	}
 }
 
-// saveOnce writes a record unless its key is there. It returns false if the record does not
-// fit into a value.
+// saveOnce writes a record unless its key exists. It returns false if the record does not fit
+// into a value.
 func (m *machineTypeCatalog) saveOnce(ctx context.Context, key string, record any) (fits bool) {
 	raw, err := json.Marshal(record)
 	if err != nil || len(raw) > m.derived.Store.ValueBytes {
@@ -89,7 +89,7 @@
 	return true
 }
 
-// saved reads the machine types from the store. It returns nil unless all are found.
+// saved returns the machine types that are in the store, or nil unless it finds all of them.
 func (m *machineTypeCatalog) saved(ctx context.Context) (types []jobs.MachineType) {
 	pair, found, err := m.store.Get(ctx, catalogKey)
 	if err == nil && found && json.Unmarshal(pair.Value, &types) == nil {
--- a/internal/controller/memory_limit.go
+++ b/internal/controller/memory_limit.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// memoryLimit tells whether there is memory for more jobs. A process over its limit is
-// killed, and all that it was doing with it; a job that is refused is submitted again.
+// memoryLimit decides whether there is memory for more jobs. Rejecting a job is the lesser harm:
+// its user submits it again, whereas a process that exceeds the host's limit is killed with all
+// its work.
 type memoryLimit struct {
 	limitBytes uint64
 	inUseBytes func() uint64
-	exceeded   atomic.Bool // as last measured
+	exceeded   atomic.Bool // as of the last measurement
 }
 
-// watch measures the memory in use, now and in every period until the context ends.
+// watch measures the memory in use immediately and once per period until the context ends.
 func (m *memoryLimit) watch(ctx context.Context, period time.Duration) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -29,11 +30,12 @@
 	}
 }
 
-// hasRoom tells whether there was memory for more jobs when it was last measured. It may be
+// hasRoom reports whether there was memory for more jobs at the last measurement. It may be
 // called from any goroutine.
 func (m *memoryLimit) hasRoom() bool { return !m.exceeded.Load() }
 
-// memoryInUse is what the Go runtime has from the system and has not given back, in bytes.
+// memoryInUse returns the memory, in bytes, that the Go runtime has obtained from the operating
+// system and has not returned.
 func memoryInUse() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(sample)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -10,8 +10,8 @@
 	"ospreyslip/internal/reconcile"
 )
 
-// metricsCollector reads the metrics when they are asked for: nothing is counted in between,
-// so that they cost nothing then.
+// metricsCollector computes the metrics when they are scraped. Nothing is counted between
+// scrapes, so metrics cost nothing while nobody scrapes them.
 type metricsCollector struct{ controller *Controller }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
@@ -39,14 +39,14 @@
 	teamCPUsDesc         = desc("team_cpus", "CPUs that a team's tasks take.", "team")
 )
 
-// gaugeFunc sends one sample.
+// gaugeFunc emits one sample of a gauge.
 type gaugeFunc func(desc *prometheus.Desc, value float64, labels ...string)
 
 // Describe implements prometheus.Collector.
 func (m *metricsCollector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(m, ch) }
 
-// Collect implements prometheus.Collector. Only the leader has more to tell than that it is
-// not the leader.
+// Collect implements prometheus.Collector. A controller that is not the leader emits only the
+// leading gauge.
 func (m *metricsCollector) Collect(ch chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.controller.derived.API.RequestTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// collectRecovery shows how far the recovery of lost records is.
+// collectRecovery emits the progress of the recovery of lost records.
 func collectRecovery(gauge gaugeFunc, recovery recoverer.Status) {
 	gauge(lostJobsDesc, float64(recovery.Lost))
 	gauge(heldJobsDesc, float64(recovery.Held))
@@ -82,7 +82,7 @@
 	}
 }
 
-// collectLeader shows the leader's observed state: machines, tasks and teams.
+// collectLeader emits the leader's observed state of machines, tasks and teams.
 func collectLeader(gauge gaugeFunc, view *leader.Status) {
 	gauge(tokenDesc, float64(view.Token))
 	gauge(observedAgeDesc, view.PictureS)
@@ -105,7 +105,8 @@
 	}
 }
 
-// collectTakeover shows how far the leader's failover is: what it has found out of what runs.
+// collectTakeover emits the progress of the leader's failover: which machines have reported, and
+// when each step was reached.
 func collectTakeover(gauge gaugeFunc, progress reconcile.Progress) {
 	gauge(takeoverPhaseDesc, 1, string(progress.Phase))
 	machines := map[string]int{"expected": progress.Expected, "heard": progress.Reported, "late": progress.Overdue, "never": progress.NeverReported}
--- a/internal/controller/operator_listener.go
+++ b/internal/controller/operator_listener.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// connQueue is a net.Listener whose connections were accepted by somebody else.
+// connQueue is a net.Listener for connections that another listener has accepted.
 type connQueue struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -22,7 +22,7 @@
 	return &connQueue{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// enqueue blocks until the connection is accepted, or closes it if the queue is closed.
+// enqueue blocks until Accept returns the connection. It closes conn if the queue is closed.
 func (q *connQueue) enqueue(conn net.Conn) {
 	select {
 	case q.conns <- conn:
@@ -47,15 +47,15 @@
 
 func (q *connQueue) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serveOperators serves the operators' connections until the context ends.
+// serveOperators serves connections from operators until the context ends.
 func (c *Controller) serveOperators(ctx context.Context) {
 	server := &http.Server{Handler: c.operatorHandler(), ReadHeaderTimeout: c.derived.API.RequestTimeout, IdleTimeout: time.Minute}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	_ = server.Serve(c.listen.operators) // it ends only when the server is closed
+	_ = server.Serve(c.listen.operators) // returns only after server.Close
 }
 
-// operatorHandler serves operators on the cluster listener.
+// operatorHandler returns the HTTP handler for operators, who connect to the cluster listener.
 func (c *Controller) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -9,29 +9,31 @@
 	"ospreyslip/internal/settings"
 )
 
-// readiness decides whether users should send their requests to this controller. All methods
-// may be called from any goroutine.
+// readiness decides whether users should send requests to this controller. All methods may be
+// called from any goroutine.
 type readiness struct {
 	startedAt time.Time
 	derived   settings.Derived
 	store     *kvstore.Client
 	cache     *jobcache.Cache
 
-	// When the leader, this controller included, was last heard of, and when it last said that
-	// the key-value store answers it. In nanoseconds since startedAt; 0: never.
+	// When this controller last heard from the leader (which may be this controller), and when
+	// the leader last reported that the key-value store responds to it. In nanoseconds since
+	// startedAt; 0 means never.
 	leaderHeardAt, leaderServedAt atomic.Int64
 }
 
 func (r *readiness) leaderHeard()  { r.leaderHeardAt.Store(time.Since(r.startedAt).Nanoseconds()) }
 func (r *readiness) leaderServed() { r.leaderServedAt.Store(time.Since(r.startedAt).Nanoseconds()) }
 
-// ready tells whether this controller can take requests. One that the key-value store alone
-// refuses sends its users to others, and so does one that has lost the store and the leader
-// together, as it is most likely cut off itself. In an outage of all it stays ready, since
-// users would only find nobody, and come back later than the store does.
+// ready reports whether this controller should receive requests. If the key-value store fails
+// only for this controller, its users are better served by another one. The same holds if it has
+// lost both the store and the leader, because it is most likely partitioned itself. It stays ready
+// during a store outage that affects all controllers: users would find no ready controller at all
+// and would return later than the store does.
 func (r *readiness) ready() bool {
 	if !r.cache.Readiness.ProvenCurrent() && time.Since(r.startedAt) < 2*r.derived.Election.LeaseDuration {
-		return false // it has just started, and can not tell a new job from a lost one yet
+		return false // a controller that has just started cannot tell a new job from a lost one
 	}
 	if !r.store.Failing() {
 		return true
@@ -40,10 +42,10 @@
 		return false
 	}
 	ago, ever := r.since(&r.leaderHeardAt)
-	return !ever || ago <= r.derived.Workers.CancelDeadline // most outages are over by then
+	return !ever || ago <= r.derived.Workers.CancelDeadline // most outages are over by this deadline
 }
 
-// since returns how long ago a moment was, and false if it never came.
+// since returns the time elapsed since moment, and false if moment is not set.
 func (r *readiness) since(moment *atomic.Int64) (ago time.Duration, ever bool) {
 	at := time.Duration(moment.Load())
 	return time.Since(r.startedAt) - at, at != 0
--- a/internal/controller/recovery_follower.go
+++ b/internal/controller/recovery_follower.go
@@ -9,17 +9,18 @@
 	"ospreyslip/internal/settings"
 )
 
-// recoveryFollower keeps the cache informed of a recovery that another controller leads.
+// recoveryFollower updates the cache with the progress of a recovery on another controller.
 type recoveryFollower struct {
 	derived settings.Derived
 	cache   *jobcache.Cache
 
-	comparing atomic.Bool // the leader says that records are being compared
-	restoring atomic.Bool // the leader says that lost records are being written again
+	comparing atomic.Bool // the leader reports that it is comparing records
+	restoring atomic.Bool // the leader reports that it is writing lost records back
 }
 
-// follow takes in whether the leader is comparing records, or writing lost ones again. Until
-// they are written, this controller may not know of a job, or know less than others.
+// follow applies the recovery state of a leader's update. Until the leader has compared the
+// records and written the lost ones back, this controller may not know of a job or may know less
+// of it than other controllers.
 func (f *recoveryFollower) follow(update peer.LeaderUpdate) {
 	f.cache.Readiness.SetRolledBack(update.RecordsRolledBack)
 	compared := f.comparing.Swap(update.ComparingRecords) && !update.ComparingRecords
--- a/internal/controller/recovery_handlers.go
+++ b/internal/controller/recovery_handlers.go
@@ -12,8 +12,8 @@
 	"ospreyslip/internal/recovery"
 )
 
-// registerRecoveryHandlers registers what serves operators in a recovery: its state, the import of
-// parts of a snapshot, and decisions about held jobs.
+// registerRecoveryHandlers registers the handlers for operators during a recovery: its status, the
+// import of parts of a snapshot, and decisions about held jobs.
 func (c *Controller) registerRecoveryHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /recovery", c.showRecovery)
 	mux.HandleFunc("POST /recovery/import", c.importSnapshot)
@@ -35,7 +35,7 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// maxRequestBytes bounds what one request may make this process hold in memory.
+// maxRequestBytes limits the size of a request body, and so the memory that one request can use.
 const maxRequestBytes = 1 << 20
 
 func (c *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
@@ -53,10 +53,10 @@
 	writeJSON(w, http.StatusOK, imported)
 }
 
-// errInvalidJobID refuses a request with a job's ID that there can not be.
+// errInvalidJobID is the response to a request with a malformed job ID.
 var errInvalidJobID = errors.New("job must be of the form j-000412")
 
-// SettleRequest is the body of POST /recovery/settle, and of its response: an operator's
+// SettleRequest is the request and response body of POST /recovery/settle. It holds an operator's
 // decision about a job that is held because its outcome is unknown.
 type SettleRequest struct {
 	Job string              `json:"job"`
@@ -81,7 +81,7 @@
 	writeJSON(w, http.StatusOK, request)
 }
 
-// httpStatusOf returns the HTTP status for an error of the leader.
+// httpStatusOf returns the HTTP status code for an error from the leader.
 func httpStatusOf(err error) int {
 	switch {
 	case errors.Is(err, leader.ErrNotLeading):
@@ -94,7 +94,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// readJSON decodes a request's body. It responds by itself, and returns false, if that fails.
+// readJSON decodes a request body. If that fails, it writes an error response and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(into); err != nil {
 		writeError(w, http.StatusBadRequest, err)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,16 +6,16 @@
 	"ospreyslip/internal/leader"
 )
 
-// Status is what a controller tells its operators.
+// Status is a controller's status as shown to operators.
 type Status struct {
 	Node    string         `json:"node"`
 	Zone    string         `json:"zone"`
-	Leader  string         `json:"leader"` // as this controller knows; empty if unknown
+	Leader  string         `json:"leader"` // as known to this controller; empty if unknown
 	Leading bool           `json:"leading"`
-	View    *leader.Status `json:"view,omitempty"` // of the leader only
+	View    *leader.Status `json:"view,omitempty"` // set only on the leader
 }
 
-// status asks the event loop, if this controller leads.
+// status returns this controller's status, with that of the event loop if this controller leads.
 func (c *Controller) status(ctx context.Context) Status {
 	return Status{
 		Node: c.settings.Node, Zone: c.settings.Zone, Leader: c.elector.Leader(), Leading: c.elector.IsLeader(),
--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// withDefaults returns the environment with the real network and memory in place of what is
-// not set, but for HTTP and Listen, whose defaults depend on the use.
+// withDefaults returns the environment with Dial and Memory set to their defaults if they are
+// nil. HTTP and Listen stay unset, because their defaults depend on the use.
 func (e Environment) withDefaults() Environment {
 	if e.Dial == nil {
 		e.Dial = dialPeer
@@ -19,7 +19,7 @@
 	return e
 }
 
-// transport returns the environment's transport, or else a new one of the real network.
+// transport returns the environment's transport, or a new one for the real network if unset.
 func (e Environment) transport(idlePerHost, idleTotal int, dialTimeout time.Duration) http.RoundTripper {
 	if e.HTTP != nil {
 		return e.HTTP
@@ -27,7 +27,7 @@
 	return newTransport(idlePerHost, idleTotal, dialTimeout)
 }
 
-// newListeners returns the environment's listeners, or else those of the real network.
+// newListeners returns the environment's listeners, or those of the real network if unset.
 func newListeners(env Environment) listeners {
 	if env.Listen != nil {
 		return listeners{users: env.Listen, cluster: env.Listen, operators: newConnQueue()}
@@ -35,10 +35,10 @@
 	return listeners{users: listenForUsers, cluster: listenForPeers, operators: newConnQueue()}
 }
 
-// noKeepAlive turns keep-alive probes off. It spares each connection four system calls, of the ten or so that it takes
-// to accept or open one: after a failover thousands are opened in seconds. A peer that
-// is gone without a word is noticed by the deadlines of requests and of idle
-// connections, which are shorter than those of keep-alive probes.
+// noKeepAlive disables TCP keep-alive probes. This saves four of the roughly ten system calls that
+// it takes to accept or open a connection, and thousands are opened within seconds after a
+// failover. The timeouts of requests and of idle connections detect a peer that disappears
+// silently; they are shorter than those of keep-alive probes.
 const noKeepAlive = -1
 
 // listenForUsers opens the listener for users and workers.
@@ -51,18 +51,18 @@
 // listenForPeers opens the listener for other controllers and operators.
 func listenForPeers(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// dialPeer opens a connection to another controller. It is read without a deadline, so
-// that keep-alive probes have to tell that the other end is gone.
+// dialPeer opens a connection to another controller. The connection is read without a deadline,
+// so it needs keep-alive probes to detect that the peer is gone.
 func dialPeer(ctx context.Context, addr string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// newTransport returns a transport for one kind of service that keeps idlePerHost idle
-// connections to each address, and idleTotal to all together (0: no limit), so that they stay
-// within the sockets of this process. An attempt to connect ends after dialTimeout: the
-// transport goes on with it after its request was given up, and each holds a socket. To a
-// zone that is cut off there would soon be thousands.
+// newTransport returns a transport for one kind of service. To stay within the socket limit of
+// this process, it keeps at most idlePerHost idle connections to each address and idleTotal in
+// total (0 means no limit). An attempt to connect ends after dialTimeout. The transport continues
+// an attempt after its request was abandoned, and each attempt holds a socket, so a partitioned
+// zone would soon cost thousands of sockets.
 func newTransport(idlePerHost, idleTotal int, dialTimeout time.Duration) http.RoundTripper {
 	dialer := net.Dialer{KeepAlive: noKeepAlive, Timeout: dialTimeout}
 	return &http.Transport{
