--- a/internal/controller/connection_limit.go
+++ b/internal/controller/connection_limit.go
@@ -28,12 +28,12 @@
 func (l *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	place, known := l.open[conn]
+	element, known := l.open[conn]
 	if !known && state != http.StateNew {
 		return // the limiter has closed this connection already
 	}
-	if place != nil {
-		l.idle.Remove(place)
+	if element != nil {
+		l.idle.Remove(element)
 	}
 	switch state {
 	case http.StateNew, http.StateActive:
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -51,12 +51,12 @@
 	machineTypes *machineTypeCatalog
 
 	// Leader election and communication with the other controllers.
-	elector        *election.Elector
-	leaderHandle   *leader.Handle
-	peers          *peer.Hub
-	losses         *lossReporter
-	currency       *currencyMonitor
-	leaderRecovery *recoveryFollower
+	elector          *election.Elector
+	leaderHandle     *leader.Handle
+	peers            *peer.Hub
+	lossReporter     *lossReporter
+	cacheVerifier    *cacheVerifier
+	recoveryFollower *recoveryFollower
 
 	// Admission control of requests.
 	readiness *readiness
@@ -85,45 +85,45 @@
 
 // New returns a controller for validated settings. The controller opens no connection and starts
 // no goroutine before Run or RunDuties is called.
-func New(set *settings.Settings, env Environment) *Controller {
+func New(config *settings.Settings, env Environment) *Controller {
 	startedAt := time.Now()
-	derived := set.Derive()
+	derived := config.Derive()
 	env = env.withDefaults()
-	c := &Controller{settings: set, derived: derived, jobCounts: leader.NewCounts(), leaderHandle: &leader.Handle{}}
+	c := &Controller{settings: config, derived: derived, jobCounts: leader.NewCounts(), leaderHandle: &leader.Handle{}}
 	c.listen = newListeners(env)
 	c.workers = workers.NewClient(env.transport(2, derived.Host.WorkerConns, derived.Workers.RequestTimeout), derived.Workers.RequestTimeout)
-	c.store = kvstore.New(set.Endpoints.Store, env.transport(derived.Host.StoreConns, 0, derived.Store.RequestTimeout), derived.Store.RequestTimeout, storeBudget(set, false))
-	c.cloud = cloud.NewClient(set.Endpoints.Cloud, env.transport(derived.Host.CloudConns, 0, derived.Cloud.RequestTimeout), derived.Cloud.RequestTimeout,
-		set.Deployment.Cloud.RPS*cloudRequestShare)
+	c.store = kvstore.New(config.Endpoints.Store, env.transport(derived.Host.StoreConns, 0, derived.Store.RequestTimeout), derived.Store.RequestTimeout, storeRateLimits(config, false))
+	c.cloud = cloud.NewClient(config.Endpoints.Cloud, env.transport(derived.Host.CloudConns, 0, derived.Cloud.RequestTimeout), derived.Cloud.RequestTimeout,
+		config.Deployment.Cloud.RPS*cloudRequestShare)
 	c.cache = jobcache.New(c.store, jobcache.Options{ReadGap: derived.API.PollReadInterval, IdleReadInterval: derived.Workers.CancelDeadline / 4, SuspectFor: derived.Workers.CancelDeadline, CancellationsKept: derived.API.CancellationHistory})
-	c.elector = election.NewElector(set.Node, c.store, election.Timing{
+	c.elector = election.NewElector(config.Node, c.store, election.Timing{
 		LeaseDuration: derived.Election.LeaseDuration, RenewPeriod: derived.Election.RenewInterval, ValidFor: derived.Election.LeaseValidity, WatchTimeout: derived.Store.WatchTimeout, RetryPeriod: derived.Election.RenewInterval,
 	})
-	c.peers = peer.NewHub(set.Node, set.Peers, env.Dial, derived.Election.RenewInterval)
+	c.peers = peer.NewHub(config.Node, config.Peers, env.Dial, derived.Election.RenewInterval)
 
 	c.memory = &memoryLimit{limitBytes: uint64(derived.Host.RefuseBytes), inUseBytes: env.Memory}
 	c.readiness = &readiness{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache}
 	c.machineTypes = &machineTypeCatalog{derived: derived, store: c.store, cloud: c.cloud}
-	c.losses = newLossReporter(set.Node, derived, c.cache, c.elector, c.leaderHandle, c.peers)
-	c.currency = &currencyMonitor{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache, peers: c.peers, losses: c.losses}
-	c.leaderRecovery = &recoveryFollower{derived: derived, cache: c.cache}
-	c.connectParts()
+	c.lossReporter = newLossReporter(config.Node, derived, c.cache, c.elector, c.leaderHandle, c.peers)
+	c.cacheVerifier = &cacheVerifier{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache, peers: c.peers, lossReporter: c.lossReporter}
+	c.recoveryFollower = &recoveryFollower{derived: derived, cache: c.cache}
+	c.registerCallbacks()
 	return c
 }
 
-// connectParts sets the callbacks through which the components notify each other.
-func (c *Controller) connectParts() {
-	c.cache.OnLoss = c.losses.notice
-	c.elector.ReportLoss = c.leadershipKeyLost
+// registerCallbacks sets the callbacks through which the components notify each other.
+func (c *Controller) registerCallbacks() {
+	c.cache.OnLoss = c.lossReporter.enqueue
+	c.elector.ReportLoss = c.handleElectionKeyLoss
 	c.peers.OnHTTP = c.listen.operators.enqueue
-	c.peers.OnLeaseGrantRequest = c.answerLeaseGrantRequest
-	c.peers.OnLeaderUpdate = c.followLeader
+	c.peers.OnLeaseGrantRequest = c.handleLeaseGrantRequest
+	c.peers.OnLeaderUpdate = c.applyLeaderUpdate
 	c.peers.OnLostJobsRequest = newLostJobsResponder(c.derived, c.cache, c.elector).respond
-	c.peers.OnLossNotice = c.receiveLossNotice
+	c.peers.OnLossNotice = c.handleLossNotice
 	// A leader may rely on peer leases only if it can ask every other controller.
 	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 {
 		c.elector.RequestPeerLeases = c.requestLeaseGrants
-		c.elector.NoPeerReliesOnGrants = c.currency.noPeerRelies
+		c.elector.NoPeerReliesOnGrants = c.cacheVerifier.noPeerReliesOnGrants
 	}
 }
 
@@ -135,18 +135,18 @@
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(c.derived.Host.GCBytes)
 
-	users, err := c.listen.users(c.settings.Bind)
+	userListener, err := c.listen.users(c.settings.Bind)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	cluster, err := c.listen.cluster(c.settings.ClusterListen)
+	clusterListener, err := c.listen.cluster(c.settings.ClusterListen)
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
 	slog.Info("serving", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind)
 	group, ctx := errgroup.WithContext(ctx)
-	c.serveUsers(ctx, group, users)
-	group.Go(func() error { c.RunDuties(ctx, cluster); return nil })
+	c.serveUsers(ctx, group, userListener)
+	group.Go(func() error { c.RunDuties(ctx, clusterListener); return nil })
 	return group.Wait()
 }
 
@@ -179,29 +179,30 @@
 // Handler returns the HTTP handler for users and workers.
 func (c *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
-	users := &jobapi.API{
+	userAPI := &jobapi.API{
 		Settings: c.settings, Derived: c.derived, Store: c.store, Cache: c.cache,
 		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, Room: c.memory.hasRoom,
 	}
-	users.Register(mux)
-	heartbeats := &workers.Handler{HandleHeartbeat: c.leaderHandle.HandleHeartbeat, Leader: c.otherLeader}
-	heartbeats.Register(mux)
+	userAPI.Register(mux)
+	heartbeatHandler := &workers.Handler{HandleHeartbeat: c.leaderHandle.HandleHeartbeat, Leader: c.otherLeader}
+	heartbeatHandler.Register(mux)
 	return mux
 }
 
 // RunDuties runs the controller's background goroutines until the context ends and returns when
-// all of them have stopped. It closes cluster, the listener for controllers and operators.
-func (c *Controller) RunDuties(ctx context.Context, cluster net.Listener) {
-	var duties sync.WaitGroup
-	duties.Go(func() { c.peers.Run(ctx, cluster) })
-	duties.Go(func() { c.serveOperators(ctx) })
-	duties.Go(func() { c.machineTypes.refresh(ctx) })
-	duties.Go(func() { c.cache.Run(ctx) })
-	duties.Go(func() { c.losses.report(ctx) })
-	duties.Go(func() { c.currency.confirmAfterStart(ctx) })
-	duties.Go(func() { c.currency.confirmAfterOutages(ctx) })
-	duties.Go(func() { c.cache.RunAudits(ctx, c.derived.Store.AuditInterval, c.derived.Store.AuditPagePause) })
-	duties.Go(func() { c.memory.watch(ctx, c.derived.Election.RenewInterval) })
-	duties.Go(func() { c.campaign(ctx) })
-	duties.Wait()
+// all of them have stopped. It closes clusterListener, which accepts connections from controllers
+// and operators.
+func (c *Controller) RunDuties(ctx context.Context, clusterListener net.Listener) {
+	var background sync.WaitGroup
+	background.Go(func() { c.peers.Run(ctx, clusterListener) })
+	background.Go(func() { c.serveOperators(ctx) })
+	background.Go(func() { c.machineTypes.refresh(ctx) })
+	background.Go(func() { c.cache.Run(ctx) })
+	background.Go(func() { c.lossReporter.run(ctx) })
+	background.Go(func() { c.cacheVerifier.verifyAfterStart(ctx) })
+	background.Go(func() { c.cacheVerifier.verifyAfterOutages(ctx) })
+	background.Go(func() { c.cache.RunAudits(ctx, c.derived.Store.AuditInterval, c.derived.Store.AuditPagePause) })
+	background.Go(func() { c.memory.watch(ctx, c.derived.Election.RenewInterval) })
+	background.Go(func() { c.campaign(ctx) })
+	background.Wait()
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -14,7 +14,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// campaign takes part in leader elections until the context ends, and runs the leader while elected.
+// campaign takes part in leader elections until the context ends. It runs the leader while this
+// controller is elected.
 func (c *Controller) campaign(ctx context.Context) {
 	deps := leader.Deps{
 		Settings: c.settings, Derived: c.derived, Node: c.settings.Node,
@@ -23,22 +24,22 @@
 		Peers: c.peers, Broadcast: c.broadcastUpdate,
 	}
 	c.elector.Run(ctx, func(ctx context.Context, term election.Term) {
-		c.store.SetRateLimits(storeBudget(c.settings, true))
-		defer c.store.SetRateLimits(storeBudget(c.settings, false))
+		c.store.SetRateLimits(storeRateLimits(c.settings, true))
+		defer c.store.SetRateLimits(storeRateLimits(c.settings, false))
 		c.leaderHandle.Lead(ctx, deps, term)
 	})
 }
 
-// storeBudget returns the rate limits of this controller's requests to the key-value store. The
-// limits of all controllers add up to at most the rates that the store accepts.
-func storeBudget(set *settings.Settings, leading bool) kvstore.RateLimits {
-	all := set.Deployment.Store.Effective()
-	budget := kvstore.RateLimits{RequestsPerSecond: settings.LeaderRequestShare * all.RPS, WritesPerSecond: settings.LeaderWriteShare * all.WriteRPS}
-	if others := float64(set.Deployment.Nodes - 1); !leading && others > 0 {
-		budget.RequestsPerSecond = (1 - settings.LeaderRequestShare) * all.RPS / others
-		budget.WritesPerSecond = (1 - settings.LeaderWriteShare) * all.WriteRPS / others
+// storeRateLimits returns the rate limits of this controller's requests to the key-value store.
+// The limits of all controllers add up to at most the rates that the store accepts.
+func storeRateLimits(config *settings.Settings, leading bool) kvstore.RateLimits {
+	total := config.Deployment.Store.Effective()
+	limits := kvstore.RateLimits{RequestsPerSecond: settings.LeaderRequestShare * total.RPS, WritesPerSecond: settings.LeaderWriteShare * total.WriteRPS}
+	if followers := float64(config.Deployment.Nodes - 1); !leading && followers > 0 {
+		limits.RequestsPerSecond = (1 - settings.LeaderRequestShare) * total.RPS / followers
+		limits.WritesPerSecond = (1 - settings.LeaderWriteShare) * total.WriteRPS / followers
 	}
-	return budget
+	return limits
 }
 
 // otherLeader returns the name of the leader. It returns an empty string if no leader is known
@@ -50,17 +51,17 @@
 	return ""
 }
 
-// leadershipKeyLost handles evidence that the store has lost keys of the election.
-func (c *Controller) leadershipKeyLost(loss detection.Evidence) {
+// handleElectionKeyLoss handles evidence that the store has lost keys of the election.
+func (c *Controller) handleElectionKeyLoss(loss detection.Evidence) {
 	// Suspect a loss before the term ends, because the leader's knowledge of it ends with the term.
 	c.cache.Readiness.SuspectLossUntil(time.Now().Add(c.derived.Workers.CancelDeadline))
-	c.losses.notice(loss)
+	c.lossReporter.enqueue(loss)
 }
 
-// receiveLossNotice passes another controller's evidence of lost records to the leader. It drops
+// handleLossNotice passes another controller's evidence of lost records to the leader. It drops
 // the evidence if this controller does not lead. Only evidence that affects the assignment log
 // keeps its kind.
-func (c *Controller) receiveLossNotice(_ string, loss detection.Evidence) {
+func (c *Controller) handleLossNotice(_ string, loss detection.Evidence) {
 	if !loss.Kind.AffectsLog() {
 		loss.Kind = detection.ReportedByPeer
 	}
@@ -69,7 +70,7 @@
 
 // broadcastUpdate sends the leader's update to the other controllers. It is called by the leader.
 func (c *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
-	c.readiness.leaderHeard()
+	c.readiness.noteLeaderHeard()
 	c.cache.Readiness.SetRolledBack(c.leaderHandle.StoreRolledBack())
 	phase := c.leaderHandle.RecoveryPhase()
 	c.peers.Broadcast(peer.LeaderUpdate{
@@ -83,9 +84,9 @@
 	})
 }
 
-// followLeader applies a leader's update. It ignores the update while this controller leads: the
-// sender is a former leader that has not noticed yet that it was replaced.
-func (c *Controller) followLeader(_ string, update peer.LeaderUpdate) {
+// applyLeaderUpdate applies a leader's update. It ignores the update while this controller leads:
+// the sender is a former leader that has not noticed yet that it was replaced.
+func (c *Controller) applyLeaderUpdate(_ string, update peer.LeaderUpdate) {
 	if c.elector.IsLeader() {
 		return
 	}
@@ -93,18 +94,18 @@
 	for _, change := range update.Changes {
 		c.cache.NoteAnnounced(change.ID, change.State, change.Tasks)
 	}
-	c.leaderRecovery.follow(update)
+	c.recoveryFollower.applyUpdate(update)
 	c.cache.Readiness.NotePeerCount(update.KnownJobs, update.ComparingRecords)
-	c.readiness.leaderHeard()
+	c.readiness.noteLeaderHeard()
 	if update.StoreAvailable {
-		c.readiness.leaderServed()
+		c.readiness.noteLeaderReachedStore()
 	}
 }
 
-// answerLeaseGrantRequest responds to a leader that cannot reach the key-value store. It grants
+// handleLeaseGrantRequest responds to a leader that cannot reach the key-value store. It grants
 // the lease before it collects the cancellations, so that every cancellation that it reports to
 // a user afterwards is newer than the request.
-func (c *Controller) answerLeaseGrantRequest(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
+func (c *Controller) handleLeaseGrantRequest(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
 	response := peer.LeaseGrantResponse{Granted: c.elector.GrantPeerLease(ctx, request.FencingToken)}
 	if response.Granted && request.SeenRevision > 0 {
 		response.Cancellations, response.CancellationsComplete = c.cache.CancellationsAfter(request.SeenRevision)
@@ -119,10 +120,10 @@
 // cancellations before.
 func (c *Controller) requestLeaseGrants(ctx context.Context, fencingToken uint64) bool {
 	askedAt, seenRevision := time.Now(), c.leaderHandle.SeenRevision()
-	joined := c.peers.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
-	own, complete := c.cache.CancellationsAfter(seenRevision)
-	if joined.Granted && joined.CancellationsComplete && complete && seenRevision > 0 {
-		c.leaderHandle.ApplyPeerCancellations(ctx, append(joined.Cancellations, own...), askedAt)
+	combined := c.peers.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: fencingToken, SeenRevision: seenRevision})
+	ownCancellations, ownComplete := c.cache.CancellationsAfter(seenRevision)
+	if combined.Granted && combined.CancellationsComplete && ownComplete && seenRevision > 0 {
+		c.leaderHandle.ApplyPeerCancellations(ctx, append(combined.Cancellations, ownCancellations...), askedAt)
 	}
-	return joined.Granted
+	return combined.Granted
 }
--- a/internal/controller/loss_reporter.go
+++ b/internal/controller/loss_reporter.go
@@ -18,40 +18,40 @@
 
 // lossReporter reports evidence of lost records to the leader, on this or another controller.
 type lossReporter struct {
-	node         string
-	derived      settings.Derived
-	cache        *jobcache.Cache
-	elector      *election.Elector
-	leaderHandle *leader.Handle
-	peers        *peer.Hub
+	controllerName string
+	derived        settings.Derived
+	cache          *jobcache.Cache
+	elector        *election.Elector
+	leaderHandle   *leader.Handle
+	peers          *peer.Hub
 
-	noticed    chan detection.Evidence
-	reportedAt time.Time // when the last notice was sent to a leader; owned by report's goroutine
+	queue        chan detection.Evidence
+	lastNoticeAt time.Time // when the last notice was sent to a leader; owned by run's goroutine
 }
 
-func newLossReporter(node string, derived settings.Derived, cache *jobcache.Cache, elector *election.Elector, gate *leader.Handle, peers *peer.Hub) *lossReporter {
+func newLossReporter(controllerName string, derived settings.Derived, cache *jobcache.Cache, elector *election.Elector, leaderHandle *leader.Handle, peers *peer.Hub) *lossReporter {
 	return &lossReporter{
-		node: node, derived: derived, cache: cache, elector: elector, leaderHandle: gate, peers: peers,
-		noticed: make(chan detection.Evidence, lossQueueSize),
+		controllerName: controllerName, derived: derived, cache: cache, elector: elector, leaderHandle: leaderHandle, peers: peers,
+		queue: make(chan detection.Evidence, lossQueueSize),
 	}
 }
 
-// notice queues evidence to be reported. It may be called from any goroutine and never blocks:
+// enqueue queues evidence to be reported. It may be called from any goroutine and never blocks:
 // it drops the evidence if the queue is full.
-func (r *lossReporter) notice(loss detection.Evidence) {
+func (r *lossReporter) enqueue(loss detection.Evidence) {
 	select {
-	case r.noticed <- loss:
+	case r.queue <- loss:
 	default:
 	}
 }
 
-// report reports queued evidence until the context ends.
-func (r *lossReporter) report(ctx context.Context) {
+// run reports queued evidence until the context ends.
+func (r *lossReporter) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case loss := <-r.noticed:
+		case loss := <-r.queue:
 			r.reportLoss(loss)
 		}
 	}
@@ -65,9 +65,9 @@
 	}
 	r.cache.Readiness.SuspectLossUntil(time.Now().Add(r.derived.Workers.CancelDeadline))
 	leaderName := r.elector.Leader()
-	if leaderName == "" || leaderName == r.node || time.Since(r.reportedAt) < r.derived.Election.LeaseDuration {
+	if leaderName == "" || leaderName == r.controllerName || time.Since(r.lastNoticeAt) < r.derived.Election.LeaseDuration {
 		return
 	}
-	r.reportedAt = time.Now()
+	r.lastNoticeAt = time.Now()
 	r.peers.SendLossNotice(leaderName, loss)
 }
--- a/internal/controller/lost_jobs_responder.go
+++ b/internal/controller/lost_jobs_responder.go
@@ -20,9 +20,9 @@
 	cache   *jobcache.Cache
 	elector *election.Elector
 
-	mu           sync.Mutex
-	round        uint64 // the leader's comparison round of the newest request
-	verification uint64 // ticket of the cache's audit for that round
+	mu              sync.Mutex
+	comparisonRound uint64 // the leader's comparison round of the newest request
+	auditTicket     uint64 // ticket of the cache's audit for that round
 }
 
 func newLostJobsResponder(derived settings.Derived, cache *jobcache.Cache, elector *election.Elector) *lostJobsResponder {
@@ -35,7 +35,7 @@
 	if request.ComparisonRound == 0 {
 		return r.summary()
 	}
-	if !r.cache.AuditDone(r.verificationIn(request.ComparisonRound)) {
+	if !r.cache.AuditDone(r.auditTicketFor(request.ComparisonRound)) {
 		return peer.LostJobsResponse{}
 	}
 	lost, more := r.cache.LostPage(request.AfterID, maxLostJobsPerResponse)
@@ -50,12 +50,12 @@
 // holding the changes that this controller knows. Compared is set only if that was checked within
 // the last renewal interval; otherwise summary requests a check.
 func (r *lostJobsResponder) summary() peer.LostJobsResponse {
-	checkedLately := time.Since(r.cache.RollbackCheckedAt()) < r.derived.Election.RenewInterval
-	if !checkedLately {
+	recentlyChecked := time.Since(r.cache.RollbackCheckedAt()) < r.derived.Election.RenewInterval
+	if !recentlyChecked {
 		r.cache.RequestRollbackCheck()
 	}
 	return peer.LostJobsResponse{
-		Compared:        checkedLately,
+		Compared:        recentlyChecked,
 		KnownJobs:       r.cache.JobCount(),
 		NewestRevision:  r.cache.NewestRevision(),
 		LossNoticed:     r.cache.Readiness.LossSuspected() || r.cache.LostCount() > 0,
@@ -63,13 +63,13 @@
 	}
 }
 
-// verificationIn returns the ticket of the audit of all records for a comparison round. It
+// auditTicketFor returns the ticket of the audit of all records for a comparison round. It
 // requests the audit if the round is new.
-func (r *lostJobsResponder) verificationIn(round uint64) uint64 {
+func (r *lostJobsResponder) auditTicketFor(round uint64) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.round != round {
-		r.round, r.verification = round, r.cache.RequestAudit()
+	if r.comparisonRound != round {
+		r.comparisonRound, r.auditTicket = round, r.cache.RequestAudit()
 	}
-	return r.verification
+	return r.auditTicket
 }
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -24,8 +24,8 @@
 // catalogPart is the record of one machine type. Of is the number of machine types, so that a
 // reader detects missing records: with an incomplete list, it would reject jobs that can run.
 type catalogPart struct {
-	Of   int              `json:"of"`
-	Type jobs.MachineType `json:"type"`
+	Total int              `json:"of"`
+	Type  jobs.MachineType `json:"type"`
 }
 
 // machineTypeCatalog holds the machine types that the cloud offers, as of the last read.
@@ -57,8 +57,8 @@
 		case m.types() == nil:
 			slog.Debug("failed to read machine types", "reason", err)
 			wait = m.derived.Election.RenewInterval
-			if saved := m.saved(ctx); saved != nil {
-				m.current.Store(&saved)
+			if stored := m.loadStored(ctx); stored != nil {
+				m.current.Store(&stored)
 			}
 		default:
 			wait = m.derived.Workers.CancelDeadline / 4
@@ -70,17 +70,17 @@
 // save writes the machine types to the store unless their keys exist. A write that fails is
 // retried after the next read of the machine types.
 func (m *machineTypeCatalog) save(ctx context.Context, types []jobs.MachineType) {
-	if m.saveOnce(ctx, catalogKey, types) {
+	if m.saveIfAbsent(ctx, catalogKey, types) {
 		return
 	}
 	for i, machineType := range types {
-		m.saveOnce(ctx, fmt.Sprint(catalogPartPrefix, i), catalogPart{len(types), machineType})
+		m.saveIfAbsent(ctx, fmt.Sprint(catalogPartPrefix, i), catalogPart{len(types), machineType})
 	}
 }
 
-// saveOnce writes a record unless its key exists. It returns false if the record does not fit
+// saveIfAbsent writes a record unless its key exists. It returns false if the record does not fit
 // into a value.
-func (m *machineTypeCatalog) saveOnce(ctx context.Context, key string, record any) (fits bool) {
+func (m *machineTypeCatalog) saveIfAbsent(ctx context.Context, key string, record any) (fits bool) {
 	raw, err := json.Marshal(record)
 	if err != nil || len(raw) > m.derived.Store.ValueBytes {
 		return false
@@ -89,8 +89,8 @@
 	return true
 }
 
-// saved returns the machine types that are in the store, or nil unless it finds all of them.
-func (m *machineTypeCatalog) saved(ctx context.Context) (types []jobs.MachineType) {
+// loadStored returns the machine types that are in the store, or nil unless it finds all of them.
+func (m *machineTypeCatalog) loadStored(ctx context.Context) (types []jobs.MachineType) {
 	pair, found, err := m.store.Get(ctx, catalogKey)
 	if err == nil && found && json.Unmarshal(pair.Value, &types) == nil {
 		return types
@@ -102,7 +102,7 @@
 	types = nil
 	for _, pair := range pairs {
 		var part catalogPart
-		if json.Unmarshal(pair.Value, &part) != nil || part.Of != len(pairs) {
+		if json.Unmarshal(pair.Value, &part) != nil || part.Total != len(pairs) {
 			return nil
 		}
 		types = append(types, part.Type)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -14,29 +14,29 @@
 // scrapes, so metrics cost nothing while nobody scrapes them.
 type metricsCollector struct{ controller *Controller }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("ospreyslip_"+name, help, labels, nil)
 }
 
 var (
-	leadingDesc          = desc("leading", "1 while this node holds the term.")
-	tokenDesc            = desc("token", "Token that workers compare.")
-	observedAgeDesc      = desc("picture_age_seconds", "Age of the leader's picture of users' wishes.")
-	verdictsHeldDesc     = desc("verdicts_held", "1 while a missing report holds all verdicts.")
-	disruptedDesc        = desc("disrupted", "1 while every zone looks dead.")
-	writeQueueDesc       = desc("write_queue", "Records that wait to be written.")
-	machinesDesc         = desc("machines", "Machines by state.", "state")
-	tasksWaitingDesc     = desc("tasks_waiting", "Tasks without a machine.", "class")
-	tasksPlacedDesc      = desc("tasks_placed", "Tasks that are, or may be, on a machine.", "class")
-	lostJobsDesc         = desc("recovery_lost_jobs", "Jobs of which more is known than their records say.")
-	heldJobsDesc         = desc("recovery_held_jobs", "Jobs that are held until it is known what became of them.")
-	recoveryPhaseDesc    = desc("recovery_phase", "1 for the present phase of a recovery.", "phase")
-	lossEvidenceDesc     = desc("recovery_evidence", "Evidence of lost records under this leader.", "kind")
-	takeoverPhaseDesc    = desc("takeover_phase", "1 for the present phase of the leader's take-over.", "phase")
-	takeoverMachinesDesc = desc("takeover_machines", "Machines that the records named when the term began, by what became of them.", "state")
-	takeoverCommandsDesc = desc("takeover_commands", "Commands to workers until the take-over was settled.", "op", "reason")
-	takeoverSecondsDesc  = desc("takeover_seconds", "Time from the begin of the term to a moment of the take-over.", "moment")
-	teamCPUsDesc         = desc("team_cpus", "CPUs that a team's tasks take.", "team")
+	leadingDesc          = newDesc("leading", "1 while this node holds the term.")
+	tokenDesc            = newDesc("token", "Token that workers compare.")
+	recordsAgeDesc       = newDesc("picture_age_seconds", "Age of the leader's picture of users' wishes.")
+	verdictsOnHoldDesc   = newDesc("verdicts_held", "1 while a missing report holds all verdicts.")
+	fullDisruptionDesc   = newDesc("disrupted", "1 while every zone looks dead.")
+	writeQueueDesc       = newDesc("write_queue", "Records that wait to be written.")
+	machinesDesc         = newDesc("machines", "Machines by state.", "state")
+	tasksWaitingDesc     = newDesc("tasks_waiting", "Tasks without a machine.", "class")
+	tasksPlacedDesc      = newDesc("tasks_placed", "Tasks that are, or may be, on a machine.", "class")
+	lostJobsDesc         = newDesc("recovery_lost_jobs", "Jobs of which more is known than their records say.")
+	heldJobsDesc         = newDesc("recovery_held_jobs", "Jobs that are held until it is known what became of them.")
+	recoveryPhaseDesc    = newDesc("recovery_phase", "1 for the present phase of a recovery.", "phase")
+	lossEvidenceDesc     = newDesc("recovery_evidence", "Evidence of lost records under this leader.", "kind")
+	failoverPhaseDesc    = newDesc("takeover_phase", "1 for the present phase of the leader's take-over.", "phase")
+	failoverMachinesDesc = newDesc("takeover_machines", "Machines that the records named when the term began, by what became of them.", "state")
+	failoverCommandsDesc = newDesc("takeover_commands", "Commands to workers until the take-over was settled.", "op", "reason")
+	failoverSecondsDesc  = newDesc("takeover_seconds", "Time from the begin of the term to a moment of the take-over.", "moment")
+	teamCPUsDesc         = newDesc("team_cpus", "CPUs that a team's tasks take.", "team")
 )
 
 // gaugeFunc emits one sample of a gauge.
@@ -54,7 +54,7 @@
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	gauge(leadingDesc, boolValue(status.Leading))
+	gauge(leadingDesc, boolToFloat(status.Leading))
 	if status.View == nil {
 		return
 	}
@@ -62,10 +62,10 @@
 		collectRecovery(gauge, recovery)
 	}
 	collectLeader(gauge, status.View)
-	collectTakeover(gauge, status.View.Takeover)
+	collectFailover(gauge, status.View.Takeover)
 }
 
-func boolValue(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -83,45 +83,45 @@
 }
 
 // collectLeader emits the leader's observed state of machines, tasks and teams.
-func collectLeader(gauge gaugeFunc, view *leader.Status) {
-	gauge(tokenDesc, float64(view.Token))
-	gauge(observedAgeDesc, view.PictureS)
-	gauge(verdictsHeldDesc, boolValue(view.Held))
-	gauge(disruptedDesc, boolValue(view.Disrupted))
-	gauge(writeQueueDesc, float64(view.WriteQueue))
+func collectLeader(gauge gaugeFunc, status *leader.Status) {
+	gauge(tokenDesc, float64(status.Token))
+	gauge(recordsAgeDesc, status.PictureS)
+	gauge(verdictsOnHoldDesc, boolToFloat(status.Held))
+	gauge(fullDisruptionDesc, boolToFloat(status.Disrupted))
+	gauge(writeQueueDesc, float64(status.WriteQueue))
 	machinesByState := map[string]float64{}
-	for _, machine := range view.Machines {
+	for _, machine := range status.Machines {
 		machinesByState[machine.State]++
 	}
 	for state, count := range machinesByState {
 		gauge(machinesDesc, count, state)
 	}
-	for _, class := range view.Classes {
+	for _, class := range status.Classes {
 		gauge(tasksWaitingDesc, float64(class.Waiting), class.Class)
 		gauge(tasksPlacedDesc, float64(class.Placed), class.Class)
 	}
-	for _, team := range view.Teams {
+	for _, team := range status.Teams {
 		gauge(teamCPUsDesc, team.CPUs, team.Team)
 	}
 }
 
-// collectTakeover emits the progress of the leader's failover: which machines have reported, and
+// collectFailover emits the progress of the leader's failover: which machines have reported, and
 // when each step was reached.
-func collectTakeover(gauge gaugeFunc, progress reconcile.Progress) {
-	gauge(takeoverPhaseDesc, 1, string(progress.Phase))
+func collectFailover(gauge gaugeFunc, progress reconcile.Progress) {
+	gauge(failoverPhaseDesc, 1, string(progress.Phase))
 	machines := map[string]int{"expected": progress.Expected, "heard": progress.Reported, "late": progress.Overdue, "never": progress.NeverReported}
 	for state, count := range machines {
-		gauge(takeoverMachinesDesc, float64(count), state)
+		gauge(failoverMachinesDesc, float64(count), state)
 	}
 	moments := map[string]float64{
 		"records_read": progress.RecordsLoadedS, "first_answer": progress.FirstAnswerS, "first_order": progress.FirstCommandS, "settled": progress.DoneS,
 	}
 	for moment, after := range moments {
 		if after > 0 {
-			gauge(takeoverSecondsDesc, after, moment)
+			gauge(failoverSecondsDesc, after, moment)
 		}
 	}
 	for _, command := range progress.Commands {
-		gauge(takeoverCommandsDesc, float64(command.Count), command.Op, string(command.Reason))
+		gauge(failoverCommandsDesc, float64(command.Count), command.Op, string(command.Reason))
 	}
 }
--- a/internal/controller/operator_listener.go
+++ b/internal/controller/operator_listener.go
@@ -13,9 +13,9 @@
 
 // connQueue is a net.Listener for connections that another listener has accepted.
 type connQueue struct {
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 func newConnQueue() *connQueue {
@@ -41,7 +41,7 @@
 }
 
 func (q *connQueue) Close() error {
-	q.once.Do(func() { close(q.closed) })
+	q.closeOnce.Do(func() { close(q.closed) })
 	return nil
 }
 
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -20,11 +20,13 @@
 	// When this controller last heard from the leader (which may be this controller), and when
 	// the leader last reported that the key-value store responds to it. In nanoseconds since
 	// startedAt; 0 means never.
-	leaderHeardAt, leaderServedAt atomic.Int64
+	leaderHeardAt, leaderReachedStoreAt atomic.Int64
 }
 
-func (r *readiness) leaderHeard()  { r.leaderHeardAt.Store(time.Since(r.startedAt).Nanoseconds()) }
-func (r *readiness) leaderServed() { r.leaderServedAt.Store(time.Since(r.startedAt).Nanoseconds()) }
+func (r *readiness) noteLeaderHeard() { r.leaderHeardAt.Store(time.Since(r.startedAt).Nanoseconds()) }
+func (r *readiness) noteLeaderReachedStore() {
+	r.leaderReachedStoreAt.Store(time.Since(r.startedAt).Nanoseconds())
+}
 
 // ready reports whether this controller should receive requests. If the key-value store fails
 // only for this controller, its users are better served by another one. The same holds if it has
@@ -38,7 +40,7 @@
 	if !r.store.Failing() {
 		return true
 	}
-	if ago, ever := r.since(&r.leaderServedAt); ever && ago <= 2*r.derived.Workers.HeartbeatInterval {
+	if ago, ever := r.since(&r.leaderReachedStoreAt); ever && ago <= 2*r.derived.Workers.HeartbeatInterval {
 		return false
 	}
 	ago, ever := r.since(&r.leaderHeardAt)
--- a/internal/controller/recovery_follower.go
+++ b/internal/controller/recovery_follower.go
@@ -18,10 +18,10 @@
 	restoring atomic.Bool // the leader reports that it is writing lost records back
 }
 
-// follow applies the recovery state of a leader's update. Until the leader has compared the
+// applyUpdate applies the recovery state of a leader's update. Until the leader has compared the
 // records and written the lost ones back, this controller may not know of a job or may know less
 // of it than other controllers.
-func (f *recoveryFollower) follow(update peer.LeaderUpdate) {
+func (f *recoveryFollower) applyUpdate(update peer.LeaderUpdate) {
 	f.cache.Readiness.SetRolledBack(update.RecordsRolledBack)
 	compared := f.comparing.Swap(update.ComparingRecords) && !update.ComparingRecords
 	restored := f.restoring.Swap(update.RestoringRecords) && !update.RestoringRecords
--- a/internal/controller/recovery_handlers.go
+++ b/internal/controller/recovery_handlers.go
@@ -17,7 +17,7 @@
 func (c *Controller) registerRecoveryHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /recovery", c.showRecovery)
 	mux.HandleFunc("POST /recovery/import", c.importSnapshot)
-	mux.HandleFunc("POST /recovery/settle", c.settle)
+	mux.HandleFunc("POST /recovery/settle", c.settleJob)
 }
 
 func (c *Controller) showRecovery(w http.ResponseWriter, r *http.Request) {
@@ -63,7 +63,7 @@
 	As  recovery.Settlement `json:"as"`
 }
 
-func (c *Controller) settle(w http.ResponseWriter, r *http.Request) {
+func (c *Controller) settleJob(w http.ResponseWriter, r *http.Request) {
 	var request SettleRequest
 	if !readJSON(w, r, &request) {
 		return
@@ -95,8 +95,8 @@
 }
 
 // readJSON decodes a request body. If that fails, it writes an error response and returns false.
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(into); err != nil {
+func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(target); err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return false
 	}
