--- a/internal/controller/memory_limit.go
+++ b/internal/controller/memory_limit.go
@@ -8,8 +8,8 @@
 )
 
 // memoryLimit decides whether there is memory for more jobs. Rejecting a job is the lesser harm:
-// its user submits it again, whereas a process that exceeds the host's limit is killed with all
-// its work.
+// its user submits it again, whereas a process that exceeds its memory limit is killed and loses
+// all its work.
 type memoryLimit struct {
 	limitBytes uint64
 	inUseBytes func() uint64
