--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -189,8 +189,9 @@
 	return mux
 }
 
-// RunDuties runs the background goroutines until the context ends and returns when all of them have
-// stopped. It closes clusterListener, which accepts connections from controllers and operators.
+// RunDuties runs the background goroutines until the context ends and returns when all of them
+// have stopped. It closes clusterListener, which accepts connections from controllers and
+// operators.
 func (c *Controller) RunDuties(ctx context.Context, clusterListener net.Listener) {
 	var background sync.WaitGroup
 	background.Go(func() { c.peers.Run(ctx, clusterListener) })
