--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -14,41 +14,43 @@
 	"ospreyslip/internal/peer"
 )
 
-// unseenCancellation is a cancellation that a controller confirms while the leader does not see it.
+// unseenCancellation is a scenario in which a controller confirms a cancellation that the leader
+// does not see before an outage of the key-value store.
 type unseenCancellation struct {
 	name   string
-	lost   func(c *cluster, teller string) // in the outage
-	lasts  bool                            // the other job's tasks last
-	leader bool                            // the leader confirms, and its own watch lags
-	adapt  func(*Controller)
+	lost   func(c *cluster, teller string) // if set, restarts or crashes controllers in the outage
+	lasts  bool                            // the tasks of the other jobs outlast the outage
+	leader bool                            // the leader itself confirms, while its watch lags
+	adapt  func(*Controller)               // if set, applied to all controllers
 }
 
-// The state service refuses the leader alone, another node confirms a cancellation,
-// and then the service is out for all for longer than a cancellation has, while the
-// workers go on reporting to the leader. That all nodes reach nothing now says
-// nothing of what one of them told its user before: it has to say so itself.
+// TestCancellationUnseenByLeaderBeforeOutage guards against a leader that keeps a cancelled job
+// alive. The store refuses the leader alone, another controller confirms a cancellation, and then
+// the store is down for all for longer than the cancellation deadline, while workers keep sending
+// heartbeats to the leader. That no controller reaches the store now does not prove that none
+// confirmed a cancellation before: each has to report its own cancellations.
 func TestCancelledUnseenBeforeOutage(t *testing.T) {
 	for _, tc := range []unseenCancellation{
-		{name: "all go on", lasts: true},
-		{name: "promises of an earlier version", adapt: func(n *Controller) {
+		{name: "no restart", lasts: true},
+		{name: "lease grants of an earlier version", adapt: func(n *Controller) {
 			n.peers.OnLeaseGrantRequest = func(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
 				return peer.LeaseGrantResponse{Granted: n.elector.GrantPeerLease(ctx, request.FencingToken)}
 			}
 		}},
-		{name: "the leader confirmed", lasts: true, leader: true},
-		{name: "who confirmed begins anew", lost: func(c *cluster, teller string) {
+		{name: "the leader confirms", lasts: true, leader: true},
+		{name: "the confirming controller restarts", lost: func(c *cluster, teller string) {
 			c.crash(teller)
 			c.advance(300 * time.Millisecond)
 			c.start(teller)
 		}},
-		{name: "who confirmed ends", lost: func(c *cluster, teller string) { c.crash(teller) }},
-		{name: "the leader begins anew", lost: func(c *cluster, _ string) {
+		{name: "the confirming controller crashes", lost: func(c *cluster, teller string) { c.crash(teller) }},
+		{name: "the leader restarts", lost: func(c *cluster, _ string) {
 			old := c.leader()
 			c.crash(old)
 			c.advance(300 * time.Millisecond)
 			c.start(old)
 		}},
-		{name: "all begin anew", lost: func(c *cluster, _ string) {
+		{name: "all controllers restart", lost: func(c *cluster, _ string) {
 			c.crash(c.names...)
 			c.advance(300 * time.Millisecond)
 			for _, n := range c.names {
@@ -56,7 +58,7 @@
 			}
 		}},
 	} {
-		for _, wait := range []time.Duration{0, 8 * time.Second} { // from the outage to the loss
+		for _, wait := range []time.Duration{0, 8 * time.Second} { // between outage and tc.lost
 			t.Run(tc.name+" after "+wait.String(), func(t *testing.T) {
 				runCluster(t, nil, func(c *cluster) { tc.play(t, c, wait) })
 			})
@@ -64,7 +66,7 @@
 	}
 }
 
-// play has the outage begin after the cancellation, and the loss so much later.
+// play cancels a job, starts the outage, and applies tc.lost after wait.
 func (tc *unseenCancellation) play(t *testing.T, c *cluster, wait time.Duration) {
 	t.Helper()
 	if c.adaptController = tc.adapt; tc.adapt != nil {
@@ -76,7 +78,7 @@
 	}
 	c.runServiceAndBatch()
 	c.submit("perch-0", batchJob("j-4", 4, 200))
-	c.within(20*time.Second, "all up", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
+	c.within(20*time.Second, "j-4 running", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
 	leader, token := c.leader(), string(c.world.Store.Value("term/token"))
 	teller := c.names[(slices.Index(c.names, leader)+1)%3]
 	if tc.leader {
@@ -86,7 +88,7 @@
 		c.world.Store.SetRefused(leader, true)
 		c.advance(100 * time.Millisecond)
 		if status, _ := c.request("POST", leader, "/v1/jobs/j-4/withdraw", nil); status != http.StatusServiceUnavailable {
-			t.Fatalf("the leader is not refused: %d", status)
+			t.Fatalf("the store does not refuse the leader: withdraw returned %d", status)
 		}
 	}
 	c.cancelJob(teller, "j-4")
@@ -94,18 +96,18 @@
 	c.world.Store.SetOutage(true)
 	c.advance(wait)
 	if n := c.tasksOnMachines("j-4", 4); tc.lasts && wait > 0 && n != 0 {
-		t.Errorf("%d tasks are not stopped at once", n)
+		t.Errorf("%d tasks of the cancelled job were not stopped promptly", n)
 	}
 	if tc.lost != nil {
 		tc.lost(c, teller)
 	}
 	c.advance(41*time.Second - wait)
 	if n := c.tasksOnMachines("j-1", 2); tc.lasts && n != 2 {
-		t.Errorf("%d of 2 replicas go on in the outage", n)
+		t.Errorf("%d of 2 replicas keep running in the outage", n)
 	}
 	c.advance(10 * time.Second)
 	if now := string(c.world.Store.Value("term/token")); tc.lost == nil && (now != token || c.leader() != leader) {
-		t.Errorf("the old leader was to go on: token %s, before %s", now, token)
+		t.Errorf("the leader changed: token %s, before %s", now, token)
 	}
 	c.world.Store.SetWatchLag(0)
 	c.world.Store.SetRefused(leader, false)
@@ -115,14 +117,15 @@
 			c.start(n)
 		}
 	}
-	c.within(30*time.Second, "whole again", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+	c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	if n := c.tasksOnMachines("j-4", 4); n != 0 {
-		t.Errorf("%d tasks of a cancelled job", n)
+		t.Errorf("%d tasks of a cancelled job are running", n)
 	}
 }
 
-// A job is accepted and cancelled while the leader sees neither. When the changes
-// come in parts, the first of them must not begin it.
+// TestAcceptanceAndCancellationUnseenByLeader guards against starting a cancelled job. The job is
+// accepted and cancelled while the leader's watch lags; when the watch then shows the acceptance
+// but not yet the cancellation, the leader must not start the job.
 func TestAcceptedAndCancelledUnseen(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -134,12 +137,12 @@
 		c.world.Store.SetOutage(true)
 		c.advance(41 * time.Second)
 		c.world.Store.SetOutage(false)
-		c.world.Store.SetWatchLag(1) // what was accepted is shown, that it was cancelled is not
+		c.world.Store.SetWatchLag(1) // the watch shows the acceptance, but not the cancellation
 		starts := c.world.TaskStarts()
 		for range 100 {
 			c.advance(100 * time.Millisecond)
 			if n := c.world.TaskStarts() - starts; n > 0 || c.tasksOnMachines("j-4", 4) > 0 {
-				t.Fatalf("a cancelled job was begun: %d starts", n)
+				t.Fatalf("a cancelled job was started: %d starts", n)
 			}
 		}
 		c.world.Store.SetWatchLag(0)
@@ -147,14 +150,14 @@
 			t.Errorf("j-4 is %s", got)
 		}
 		if live := c.loggedAssignments(); slices.ContainsFunc(live, func(s string) bool { return strings.HasPrefix(s, "j-4/") }) {
-			t.Errorf("in the book: %v", live)
+			t.Errorf("in the assignment log: %v", live)
 		}
 	})
 }
 
-// An order to begin a task is held up, its job is cancelled, and then no higher token is
-// to be had, as the state service is out. The order must not find its session still
-// there when it arrives after the time of the cancellation.
+// TestCommandDelayedInOutage guards against a delayed command that starts a task of a cancelled
+// job. The store goes down after the cancellation, so no higher fencing token can be obtained; the
+// agent epoch must be over when the command arrives after the cancellation deadline.
 func TestOrderHeldInOutage(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
@@ -168,7 +171,7 @@
 			return emulator.Deliver
 		})
 		c.submit("perch-0", batchJob("j-4", 1, 200))
-		c.within(2*time.Second, "the order is on its way", func() bool { return held() > 0 })
+		c.within(2*time.Second, "the command is in flight", func() bool { return held() > 0 })
 		c.cancelJob("perch-1", "j-4")
 		c.advance(100 * time.Millisecond)
 		token := string(c.world.Store.Value("term/token"))
@@ -176,7 +179,7 @@
 		starts := c.world.TaskStarts()
 		c.advance(60 * time.Second)
 		if now := string(c.world.Store.Value("term/token")); now != token {
-			t.Fatalf("a higher token was to be had: %s, before %s", now, token)
+			t.Fatalf("the token was raised in the outage: %s, before %s", now, token)
 		}
 		if n := c.world.TaskStarts() - starts; n != 0 {
 			t.Errorf("%d starts in the outage", n)
@@ -184,6 +187,6 @@
 		end()
 		c.world.Store.SetOutage(false)
 		c.withinDone(2*time.Minute, "j-2")
-		c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -33,22 +33,21 @@
 }
 
 // cluster is three controllers with an emulated store, cloud, network and workers, all in one
-// bubble of time (testing/synctest): a day passes in moments, and every run sees the same
-// clock.
+// synctest bubble: simulated hours pass in little real time, and every run sees the same clock.
 type cluster struct {
 	t               *testing.T
 	ctx             context.Context
 	world           *emulator.World
-	names           []string            // of all controllers
-	processes       map[string]*process // by the controller's name, the latest of each
-	memory          atomic.Uint64       // what each controller seems to hold, in bytes
+	names           []string            // names of all controllers
+	processes       map[string]*process // the latest of each controller, by its name
+	memory          atomic.Uint64       // memory in use that each controller measures, in bytes
 	adjustSettings  func(*settings.Settings)
-	adaptController func(*Controller) // if set, applied to controllers that are started from now on
-	randomSources   uint64            // given out by newRand
+	adaptController func(*Controller) // if set, applied to each controller before it starts
+	randomSources   uint64            // number of sources that newRand has returned
 	duties          sync.WaitGroup
 }
 
-// process is a controller from its start to its end.
+// incarnation is one run of a controller, from its start to its crash.
 type process struct {
 	controller *Controller
 	startedAt  time.Time
@@ -56,21 +55,21 @@
 	done       chan struct{}
 }
 
-// Times of the gang protocol, in seconds.
+// gangWait and gangPeer are the settings gang_wait_s and gang_peer_s, in seconds.
 var gangWait, gangPeer = 12.0, 4.0
 
 var testMachineTypes = []jobs.MachineType{{
 	Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"a", "b", "c"},
 }}
 
-// clusterAddr is where a controller listens for its peers and operators.
+// clusterAddr returns the address at which a controller listens for its peers and operators.
 func clusterAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8081" }
 
-// userAddr is where a controller listens for users and workers.
+// userAddr returns the address at which a controller listens for users and workers.
 func userAddr(name string) string { return "10.0.0." + name[len(name)-1:] + ":8080" }
 
-// runCluster runs a scenario in a cluster whose settings were adjusted (nil: as they are).
-// Whatever the scenario does, no rule of the protocol may be broken.
+// runCluster runs a scenario in a cluster and fails the test if a rule of the protocol is violated.
+// adjust changes the settings of each controller; nil leaves them as they are.
 func runCluster(t *testing.T, adjust func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
 	runClusterWith(t, testMachineTypes, adjust, scenario)
@@ -79,7 +78,7 @@
 // runClusterWith is runCluster with other machine types than testMachineTypes.
 func runClusterWith(t *testing.T, types []jobs.MachineType, adjust func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
-	t.Parallel() // each has a bubble of its own
+	t.Parallel() // each scenario has a synctest bubble of its own
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		c := &cluster{t: t, ctx: ctx, processes: map[string]*process{}, names: []string{"perch-0", "perch-1", "perch-2"}, adjustSettings: adjust}
@@ -98,10 +97,10 @@
 		c.advance(5 * time.Second)
 		scenario(c)
 		for _, rule := range c.world.Violations() {
-			t.Errorf("rule broken: %s", rule)
+			t.Errorf("protocol rule violated: %s", rule)
 		}
 		if len(c.world.Violations()) > 0 {
-			t.Log("what led to the first:\n" + c.world.Trace())
+			t.Log("trace up to the first violation:\n" + c.world.Trace())
 		}
 		cancel()
 		c.duties.Wait()
@@ -137,13 +136,14 @@
 	return set
 }
 
-// start starts a controller.
+// start starts a new incarnation of a controller and returns without waiting for it to be ready.
 func (c *cluster) start(name string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	controller := New(c.settings(name), Environment{
 		HTTP: c.world.Network.Transport(name),
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) { return c.world.Network.Dial(ctx, name, addr) },
-		// All controllers of all tests are one process: what it holds says nothing of one.
+		// All controllers of all tests share one process, so its memory is not that of a
+		// controller.
 		Memory: c.memory.Load,
 	})
 	if c.adaptController != nil {
@@ -152,14 +152,15 @@
 	started := &process{controller: controller, startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
 	c.processes[name] = started
 	c.world.Network.Attach(name, userAddr(name), controller.Handler())
-	c.world.Tracef("%s begins", name)
+	c.world.Tracef("%s starts", name)
 	c.duties.Go(func() {
 		controller.RunDuties(ctx, c.world.Network.Listen(name, clusterAddr(name)))
 		close(started.done)
 	})
 }
 
-// crash ends controllers without a graceful shutdown: nothing they send any more arrives.
+// crash stops controllers without a graceful shutdown: nothing that they still send arrives. It
+// returns when all their goroutines have ended.
 func (c *cluster) crash(names ...string) {
 	defer c.world.Network.AddFaults(func(from, to, _ string) emulator.Fault {
 		if slices.Contains(names, from) || slices.Contains(names, to) {
@@ -168,14 +169,14 @@
 		return emulator.Deliver
 	})()
 	for _, name := range names {
-		c.world.Tracef("%s ends", name)
+		c.world.Tracef("%s crashes", name)
 		c.processes[name].cancel()
 		<-c.processes[name].done
 		c.world.Network.Attach(name, userAddr(name), nil)
 	}
 }
 
-// ended tells whether the controller was ended by crash.
+// ended reports whether the incarnation was stopped by crash.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -185,25 +186,26 @@
 	}
 }
 
-// advance lets time pass, and all that is due in it happen.
+// advance lets simulated time pass, and waits until every goroutine in the bubble is blocked.
 func (c *cluster) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// leader returns the name of the elected leader, as the store has it; empty if there is none.
+// leader returns the name of the leader in the store's leadership record, or "" if there is none.
 func (c *cluster) leader() string {
 	var holder struct{ Node string }
 	_ = json.Unmarshal(c.world.Store.Value("term/holder"), &holder)
 	return holder.Node
 }
 
-// request sends a user's request to a controller and returns its status and its decoded body.
+// request sends a user's request to a controller and returns the status and the decoded body of the
+// response.
 func (c *cluster) request(method, node, path string, body any) (int, map[string]any) {
 	return c.world.UserRequest(method, userAddr(node), path, body)
 }
 
-// submit submits a job, which has to be accepted at once.
+// submit submits a job and ends the test unless the first request is accepted.
 func (c *cluster) submit(node string, spec *jobs.Spec) {
 	c.t.Helper()
 	c.world.UploadSpec(spec)
@@ -212,11 +214,11 @@
 	}
 }
 
-// startupTime is by when a controller that has just started takes all requests. Until then it
-// may refuse: users repeat their requests.
+// startupTime is how long a controller that has just started may refuse requests. Users retry them.
 const startupTime = 2 * time.Second
 
-// cancelJob cancels a job, which has to be confirmed, at once but for the startup time.
+// cancelJob cancels a job and ends the test unless the first request is confirmed. It retries while
+// the controller is within its startup time.
 func (c *cluster) cancelJob(node, id string) {
 	c.t.Helper()
 	began := time.Now()
@@ -232,7 +234,7 @@
 	}
 }
 
-// jobState returns a job's state as the first controller that knows tells it, or "unknown".
+// jobState returns a job's state from the first controller that answers with one, or "unknown".
 func (c *cluster) jobState(id string) string {
 	for _, name := range c.names {
 		if status, view := c.request("GET", name, "/v1/jobs/"+id, nil); status == http.StatusOK {
@@ -242,7 +244,8 @@
 	return "unknown"
 }
 
-// within waits for a condition and fails the test, but goes on, if it does not hold in time.
+// waitFor waits until a condition holds. If it does not hold in time, it marks the test as failed
+// and returns.
 func (c *cluster) within(timeout time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	for start := time.Now(); time.Since(start) < timeout; c.advance(200 * time.Millisecond) {
@@ -250,16 +253,16 @@
 			return
 		}
 	}
-	c.t.Errorf("not within %v: %s; %s", timeout, what, c.world.Summary())
+	c.t.Errorf("timed out after %v waiting for: %s; %s", timeout, what, c.world.Summary())
 }
 
-// withinDone waits for a job to be done.
+// waitForDone waits until a job is done.
 func (c *cluster) withinDone(timeout time.Duration, id string) {
 	c.t.Helper()
 	c.within(timeout, id+" done", func() bool { return c.jobState(id) == jobs.Done })
 }
 
-// tasksOnMachines counts the tasks of a job that are on machines.
+// tasksOnMachines returns how many tasks of a job are on machines; a task on two counts twice.
 func (c *cluster) tasksOnMachines(id string, tasks int) (n int) {
 	for i := range tasks {
 		n += len(c.world.MachinesOf(fmt.Sprintf("%s/%d", id, i)))
@@ -267,7 +270,7 @@
 	return n
 }
 
-// logPage is one stored segment of the assignment log.
+// logPage is the stored form of a segment of the assignment log.
 type logPage struct {
 	Number uint64
 	Begun  []struct {
@@ -278,10 +281,11 @@
 			Assignment uint64 `json:"A"`
 		}
 	}
-	Over []uint64 // assignments that have ended
+	Over []uint64 // numbers of ended assignments
 }
 
-// loggedAssignments returns the assignments that the log has begun and not ended.
+// loggedAssignments returns the assignments that have a start record in the log and no end record,
+// each as "task on machine".
 func (c *cluster) loggedAssignments() (live []string) {
 	var pages []logPage
 	for _, key := range c.world.Store.Keys("book/") {
@@ -309,7 +313,8 @@
 	return live
 }
 
-// injectFault applies a rule to all messages until end is called, and counts those that it hits.
+// injectFault applies a fault rule to all messages until end is called. hits returns how many
+// messages it has affected so far.
 func (c *cluster) injectFault(rule emulator.FaultRule) (end func(), hits func() int) {
 	var count atomic.Int64
 	end = c.world.Network.AddFaults(func(from, to, path string) emulator.Fault {
@@ -322,7 +327,7 @@
 	return end, func() int { return int(count.Load()) }
 }
 
-// isolate drops all messages from and to machines.
+// isolate returns a rule that drops all messages from and to machines.
 func isolate(machines ...string) emulator.FaultRule {
 	return func(from, to, _ string) emulator.Fault {
 		if slices.Contains(machines, from) || slices.Contains(machines, to) {
@@ -332,7 +337,7 @@
 	}
 }
 
-// replaceLeader ends the leader, and starts it again when another was elected.
+// replaceLeader crashes the leader, and starts it again after another controller was elected.
 func (c *cluster) replaceLeader() {
 	c.t.Helper()
 	old := c.leader()
@@ -341,13 +346,13 @@
 	c.start(old)
 }
 
-// withinAnotherLeader waits for a leader that is not the old one.
+// waitForNewLeader waits for a leader other than the old one.
 func (c *cluster) withinAnotherLeader(timeout time.Duration, old string) {
 	c.t.Helper()
-	c.within(timeout, "another leader", func() bool { name := c.leader(); return name != "" && name != old })
+	c.within(timeout, "a new leader", func() bool { name := c.leader(); return name != "" && name != old })
 }
 
-// firstRunning returns the first controller that was not ended.
+// firstRunning returns the first controller that has not crashed, or "" if all have.
 func (c *cluster) firstRunning() string {
 	for _, name := range c.names {
 		if !c.processes[name].ended() {
@@ -357,7 +362,7 @@
 	return ""
 }
 
-// otherThan returns a controller that is not the one named.
+// otherThan returns a controller other than the one named.
 func (c *cluster) otherThan(name string) string {
 	if name == c.names[0] {
 		return c.names[1]
@@ -365,15 +370,15 @@
 	return c.names[0]
 }
 
-// runServiceAndBatch starts a service and an array and waits until all their tasks run.
+// runServiceAndBatch submits a service and a batch job, and waits until all their tasks run.
 func (c *cluster) runServiceAndBatch() {
 	c.t.Helper()
 	c.submit("perch-0", serviceJob("j-1", 2))
 	c.submit("perch-0", batchJob("j-2", 6, 60))
-	c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
+	c.within(40*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
 }
 
-// restartAll ends all controllers and starts them again after a pause.
+// restartAll crashes all controllers and starts them again after a pause.
 func (c *cluster) restartAll(pause time.Duration) {
 	c.crash(c.names...)
 	c.advance(pause)
@@ -382,7 +387,8 @@
 	}
 }
 
-// takeoverProgress returns how far the leader's failover is; zero if nobody leads.
+// failoverProgress returns the progress of the leader's failover, or its zero value without a
+// leader.
 func (c *cluster) takeoverProgress() reconcile.Progress {
 	for _, name := range c.names {
 		if status := c.processes[name].controller.leaderHandle.Status(c.ctx); status != nil {
@@ -392,7 +398,8 @@
 	return reconcile.Progress{}
 }
 
-// timeUntilLeader starts controllers and returns how long it takes until one of them leads.
+// timeUntilLeader starts controllers and returns how long it takes until one of them leads. It
+// fails the test and returns 0 if none leads within 30 seconds.
 func (c *cluster) timeUntilLeader(names ...string) time.Duration {
 	c.t.Helper()
 	for _, name := range names {
@@ -407,26 +414,28 @@
 		}
 		c.advance(10 * time.Millisecond)
 	}
-	c.t.Error("nobody leads")
+	c.t.Error("no controller leads")
 	return 0
 }
 
-// queueSummary is what the leader tells of all classes, for messages of tests that fail.
+// queueSummary returns the leader's status of all job classes, for messages of failed tests.
 func (c *cluster) queueSummary() string {
 	for _, name := range c.names {
 		if status := c.processes[name].controller.leaderHandle.Status(c.ctx); status != nil {
 			return fmt.Sprintf("%+v, %d to write", status.Classes, status.WriteQueue)
 		}
 	}
-	return "nobody leads"
+	return "no controller leads"
 }
 
-// gangRuns returns a condition: all tasks of a gang are on machines, and have started together.
+// gangRuns returns a condition that holds if all tasks of a gang are on machines and an attempt of
+// the gang has started.
 func (c *cluster) gangRuns(id string, tasks int) func() bool {
 	return func() bool { return c.tasksOnMachines(id, tasks) == tasks && c.world.GangStarts(id) > 0 }
 }
 
-// newRand returns a source of random numbers for a test's users, the same ones in every run.
+// newRand returns a random number generator. Each call has a seed of its own, the same in every
+// run.
 func (c *cluster) newRand() *rand.Rand {
 	c.randomSources++
 	return rand.New(rand.NewPCG(c.randomSources, 0))
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -13,20 +13,22 @@
 	"ospreyslip/internal/jobs"
 )
 
-// The meetings of troubles that the users name. The stand-in judges all rules in each;
-// what is asserted here is that the trouble came as it was meant, and that the work
-// goes on afterwards. Meetings with tests of their own elsewhere: cancellation_outage_test.go,
-// TestZoneCut, TestAloneWithWorkers, TestMachineDoesNotHear, TestEverythingIsRepeated,
-// TestHangingMachine, TestOrderArrivesLate, TestBackAtOnce, TestCancelRacesDone.
+// These tests combine the concurrent failures that users name. The emulator checks the rules of the
+// protocol in each; the tests assert that the failure took place as intended and that work goes on
+// afterwards. Other combinations are tested in cancellation_outage_test.go, TestZonePartition,
+// TestControllerReachesOnlyWorkers, TestMachineCannotReceive, TestEveryRequestDeliveredTwice,
+// TestHangingMachine, TestCommandArrivesLate, TestControllersRestartImmediately and
+// TestCancelRacesCompletion.
 
-// A team is at its limit when the leader changes; machines with its tasks can not be
-// asked, and a job of it is cancelled. What may run counts until it is off.
+// TestTeamQuotaAcrossFailover guards against exceeding a quota in a failover. A team is at its
+// limit when the leader crashes, one of its machines is unreachable, and its job is cancelled.
+// Tasks that may still run count against the quota until they are known to have ended.
 func TestTeamAtLimitAcrossLeaders(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		low := batchJob("j-1", 16, 300)
 		low.Team = "red" // 16 CPUs are its limit
 		c.submit("perch-0", low)
-		c.within(60*time.Second, "at the limit", func() bool { return c.tasksOnMachines("j-1", 16) == 16 })
+		c.within(60*time.Second, "team at its limit", func() bool { return c.tasksOnMachines("j-1", 16) == 16 })
 		next := batchJob("j-2", 16, 20)
 		next.Team = "red"
 		c.submit("perch-1", next)
@@ -40,11 +42,11 @@
 		end, hits := c.injectFault(isolate(far))
 		c.crash(c.leader())
 		c.cancelJob(c.firstRunning(), "j-1")
-		c.within(15*time.Second, "what can be asked is off", func() bool { return c.tasksOnMachines("j-1", 16) == kept })
-		c.within(10*time.Second, "next in its place", func() bool { return c.tasksOnMachines("j-2", 16) == 16-kept })
+		c.within(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == kept })
+		c.within(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-kept })
 		c.advance(3 * time.Second)
 		if n := c.tasksOnMachines("j-2", 16); n != 16-kept || hits() == 0 {
-			t.Errorf("%d tasks run beside %d that may, %d messages held", n, kept, hits())
+			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, kept, hits())
 		}
 		c.advance(30 * time.Second)
 		end()
@@ -52,16 +54,17 @@
 	})
 }
 
-// Two tasks of a job end far apart, under two leaders, the second while none leads.
+// TestTaskCompletionsUnderDifferentLeaders checks that a job completes whose tasks end at different
+// times, under different leaders or while no controller leads.
 func TestEndsFarApart(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		spec := batchJob("j-1", 2, 20)
 		c.submit("perch-0", spec)
 		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
-		// One begins anew, and so ends much later than the other.
+		// One task is restarted, and so ends much later than the other.
 		c.world.KillMachine(c.world.MachinesOf("j-1/1")[0])
 		c.submit("perch-1", batchJob("j-2", 2, 20))
-		c.within(60*time.Second, "begun anew", func() bool { return c.tasksOnMachines("j-1", 2) > 0 || c.jobState("j-1") == jobs.Done })
+		c.within(60*time.Second, "task restarted", func() bool { return c.tasksOnMachines("j-1", 2) > 0 || c.jobState("j-1") == jobs.Done })
 		for range 4 {
 			c.advance(6 * time.Second)
 			c.replaceLeader()
@@ -72,8 +75,8 @@
 	})
 }
 
-// Leaders change ten times in two minutes, some inside an outage: no two act, and the
-// work goes on.
+// TestTenLeadersInTwoMinutes checks that work goes on through ten changes of leader in two minutes,
+// some of them in an outage of the store, and that no two leaders act at a time.
 func TestTenLeadersInTwoMinutes(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -84,7 +87,7 @@
 		for i := range 10 {
 			old := c.leader()
 			switch i % 5 {
-			case 2: // inside an outage
+			case 2: // in an outage of the store
 				c.world.Store.SetOutage(true)
 				c.advance(2 * time.Second)
 				c.crash(old)
@@ -92,11 +95,11 @@
 				c.start(old)
 				c.advance(4 * time.Second)
 				c.world.Store.SetOutage(false)
-			case 3: // handed over and back at once
+			case 3: // the store refuses the leader until another is elected
 				c.world.Store.SetRefused(old, true)
 				c.withinAnotherLeader(15*time.Second, old)
 				c.world.Store.SetRefused(old, false)
-			case 4: // all end, and one is back within a second
+			case 4: // all crash, and one is back within a second
 				c.crash(c.names...)
 				c.advance(200 * time.Millisecond)
 				c.start(c.names[i%3])
@@ -109,22 +112,22 @@
 			default:
 				c.replaceLeader()
 			}
-			c.within(20*time.Second, "another term", func() bool { return c.leader() != "" && !tokens[string(c.world.Store.Value("term/token"))] })
+			c.within(20*time.Second, "a new term", func() bool { return c.leader() != "" && !tokens[string(c.world.Store.Value("term/token"))] })
 			tokens[string(c.world.Store.Value("term/token"))] = true
 			c.advance(4 * time.Second)
 		}
 		if len(tokens) <= 10 {
-			t.Errorf("%d terms", len(tokens))
+			t.Errorf("%d terms, want more than 10", len(tokens))
 		}
 		for i := range 6 {
 			c.withinDone(90*time.Second, fmt.Sprintf("j-%d", i+2))
 		}
-		c.within(20*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(20*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
 
-// All controllers are away for longer than a worker's lease: all tasks end, and all
-// begin once more.
+// TestAllControllersDownBeyondWorkerLease checks that all tasks end when no controller runs for
+// longer than a worker's lease, and that those of unfinished jobs are started again afterwards.
 func TestAllAwayBeyondLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-3", 4, 200))
@@ -139,21 +142,21 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.withinDone(2*time.Minute, "j-2")
 	})
 }
 
-// A leader ends while machines with long tasks can not be reached, do not hear the next
-// leader's answers, or reach no controller while direct calls reach them. What may run
-// there is not begun elsewhere before it is off, and it is begun then.
+// TestLeaderCrashWithUnreachableMachines guards against running a task twice, or not at all, after
+// a failover. The leader crashes while a machine with long tasks is unreachable, receives nothing,
+// or can send nothing. Its tasks are started elsewhere only after they have ended there.
 func TestLeaderEndsWhileMachinesAreAway(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		rule func(far string) emulator.FaultRule
 	}{
 		{"unreachable", func(far string) emulator.FaultRule { return isolate(far) }},
-		{"deaf", func(far string) emulator.FaultRule {
+		{"cannot receive", func(far string) emulator.FaultRule {
 			return func(from, to, _ string) emulator.Fault {
 				switch far {
 				case from:
@@ -164,7 +167,7 @@
 				return emulator.Deliver
 			}
 		}},
-		{"mute", func(far string) emulator.FaultRule {
+		{"cannot send", func(far string) emulator.FaultRule {
 			return func(from, _, _ string) emulator.Fault {
 				if from == far {
 					return emulator.DropRequest
@@ -182,15 +185,15 @@
 					c.world.SetCloudOutage(!cloud)
 					end, hits := c.injectFault(tc.rule(far))
 					c.replaceLeader()
-					if !cloud { // and so no room elsewhere
-						c.within(60*time.Second, "off", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), far) })
+					if !cloud { // there is no capacity elsewhere
+						c.within(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), far) })
 						c.world.SetCloudOutage(false)
 					}
-					c.within(90*time.Second, "whole, and not there", func() bool {
+					c.within(90*time.Second, "service running on other machines", func() bool {
 						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), far)
 					})
 					if hits() == 0 {
-						t.Error("nothing was held")
+						t.Error("no message was affected")
 					}
 					end()
 					c.withinDone(4*time.Minute, "j-2")
@@ -201,9 +204,9 @@
 	}
 }
 
-// Machines reach no controller, while direct calls reach them. A call renews no lease:
-// the tasks end with it and begin once elsewhere, and the hold that the counters ahead
-// bring is bounded.
+// TestMachineCannotSend checks what happens to a machine that receives requests but whose own
+// requests are lost. Being probed renews no lease: its tasks end with the lease and are started
+// once elsewhere, and the hold on verdicts that its heartbeat counter causes is bounded.
 func TestMuteMachines(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -220,16 +223,16 @@
 			}
 			return emulator.Deliver
 		})
-		c.within(35*time.Second, "service elsewhere", func() bool {
+		c.within(35*time.Second, "service running elsewhere", func() bool {
 			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), mute)
 		})
 		if hits() == 0 || asked.Load() == 0 {
-			t.Errorf("%d reports were lost, %d calls went out", hits(), asked.Load())
+			t.Errorf("%d heartbeats were dropped, %d probes were sent", hits(), asked.Load())
 		}
-		// The hold is over: another machine that dies is found as ever.
+		// The hold is over: the failure of another machine is detected in the usual time.
 		dead := c.world.MachinesOf("j-1/0")[0]
 		c.world.KillMachine(dead)
-		c.within(25*time.Second, "service whole again", func() bool {
+		c.within(25*time.Second, "service running again", func() bool {
 			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), dead)
 		})
 		end()
@@ -237,8 +240,9 @@
 	})
 }
 
-// Reports are held back until a new leader has acted, and arrive there then, also from
-// an earlier session. They prove nothing.
+// TestDelayedHeartbeatsReachNextLeader guards against trusting stale heartbeats. Copies of
+// heartbeats, also of an earlier agent epoch, arrive after a new leader has acted, and must prove
+// nothing.
 func TestReportsArriveAtNextLeader(t *testing.T) {
 	for _, late := range []time.Duration{4 * time.Second, 15 * time.Second, 45 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
@@ -252,7 +256,7 @@
 					return emulator.Deliver
 				})
 				c.advance(3 * time.Second)
-				// The copies come to whoever has the address by then.
+				// The copies are delivered to the incarnation that has the address by then.
 				c.crash(c.names...)
 				c.advance(300 * time.Millisecond)
 				for _, n := range c.names {
@@ -264,19 +268,20 @@
 				c.replaceLeader()
 				end()
 				if hits() == 0 {
-					t.Error("no report was copied")
+					t.Error("no heartbeat was copied")
 				}
 				c.advance(late)
 				c.withinDone(2*time.Minute, "j-2")
 				c.withinDone(2*time.Minute, "j-3")
-				c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 			})
 		})
 	}
 }
 
-// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the
-// same node: acceptances, cancellations, completions, pages of the book, the term.
+// TestTransactionsAppliedLate checks that jobs still finish when two of three transactions get no
+// answer and are applied 2 to 12 s later, after newer ones of the same controller. These write
+// acceptances, cancellations, completions, segments of the assignment log, and the term.
 func TestTransactionsLandLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		var n, tries atomic.Int64
@@ -311,17 +316,17 @@
 		c.advance(40 * time.Second)
 		end()
 		if hits() < 20 || c.world.Store.RequestCount("/commit")-before < hits() {
-			t.Errorf("%d transactions were to be late, %d came", hits(), c.world.Store.RequestCount("/commit")-before)
+			t.Errorf("%d transactions were delayed, %d reached the store", hits(), c.world.Store.RequestCount("/commit")-before)
 		}
-		c.within(3*time.Minute, "all over", func() bool {
+		c.within(3*time.Minute, "all jobs finished", func() bool {
 			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return c.world.Accepted(spec.ID) && !users.isOver(spec.ID) })
 		})
 		users.stop()
 	})
 }
 
-// The leader loses state service and peers, but not its workers and users, while jobs
-// are cancelled through the new one.
+// TestCancelThroughNewLeader checks that cancellations through another controller take effect while
+// the former leader, cut off from the store and its peers, still reaches its workers and users.
 func TestCancelThroughTheNewLeader(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -335,27 +340,28 @@
 			return emulator.Deliver
 		})
 		other := c.names[(slices.Index(c.names, alone)+1)%3]
-		c.cancelJob(other, "j-3") // while the old one still leads
+		c.cancelJob(other, "j-3") // while the isolated controller still leads
 		if status, _ := c.request("GET", alone, "/v1/jobs/j-3", nil); status == http.StatusOK {
-			t.Errorf("a node that reaches nothing answers a question: %d", status)
+			t.Errorf("an isolated controller answers a query: %d", status)
 		}
 		c.withinAnotherLeader(15*time.Second, alone)
 		c.cancelJob(other, "j-2")
-		c.within(30*time.Second, "gone", func() bool { return c.tasksOnMachines("j-3", 6)+c.tasksOnMachines("j-2", 6) == 0 })
+		c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-3", 6)+c.tasksOnMachines("j-2", 6) == 0 })
 		c.advance(30 * time.Second)
 		if hits() == 0 {
-			t.Error("nothing was cut")
+			t.Error("no message was dropped")
 		}
 		end()
 		c.advance(10 * time.Second)
 		if n := c.tasksOnMachines("j-1", 2); n != 2 {
-			t.Errorf("%d of 2 replicas", n)
+			t.Errorf("%d of 2 replicas are running", n)
 		}
 	})
 }
 
-// There is more work than room, urgent and not, and every message to and from machines
-// takes its time. The last still begins within four minutes.
+// TestOverCapacityWithSlowNetwork checks that all jobs, of any priority, are done within four
+// minutes each when there is more work than capacity and every message to and from machines is
+// slow.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
@@ -387,8 +393,8 @@
 	})
 }
 
-// Jobs bound to one zone, arrays and services, lose machines there: the rest stays in
-// the zone until it is off, and all run in the end.
+// TestZoneBoundJobsLoseMachines checks that batch jobs and services bound to one zone recover from
+// the loss of machines there. The emulator checks that their tasks stay in one zone.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		array := batchJob("j-1", 8, 100)
@@ -412,12 +418,13 @@
 		c.replaceLeader()
 		c.withinDone(3*time.Minute, "j-1")
 		c.withinDone(3*time.Minute, "j-2")
-		c.within(60*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
+		c.within(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
 	})
 }
 
-// Nothing is wrong. Cancellations, questions and repeated submissions meet the end of
-// jobs' last tasks, at every node: a job is done or cancelled, never both.
+// TestRequestsRaceCompletion guards against a job that is reported as both done and cancelled. Without
+// any fault, cancellations, queries and repeated submissions at every controller race the end of
+// the job's last task.
 func TestRequestsMeetTheEnd(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		users := newSimulatedUsers(c)
@@ -427,7 +434,7 @@
 			all = append(all, spec)
 			users.submitAndFollow(c.newRand(), spec, userBehavior{cancelAtEnd: true, resubmits: i%2 == 0})
 		}
-		c.within(3*time.Minute, "all over", func() bool {
+		c.within(3*time.Minute, "all jobs finished", func() bool {
 			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return !users.isOver(spec.ID) })
 		})
 		c.advance(15 * time.Second)
@@ -435,19 +442,19 @@
 		ends := map[string]int{}
 		for _, spec := range all {
 			ends[users.finalStates[spec.ID]]++
-			for _, n := range c.names { // every node says the same, for ever
+			for _, n := range c.names { // all controllers must report the same final state
 				if status, view := c.request("GET", n, "/v1/jobs/"+spec.ID, nil); status != http.StatusOK || view["stance"] != users.finalStates[spec.ID] {
 					t.Errorf("%s at %s: %d %v, was %s", spec.ID, n, status, view["stance"], users.finalStates[spec.ID])
 				}
 			}
 		}
 		if ends[jobs.Cancelled] == 0 {
-			t.Errorf("no cancellation met an end: %v", ends)
+			t.Errorf("no cancellation won the race: %v", ends)
 		}
 	})
 }
 
-// requireKnown submits a job again, and wants its present state in the answer.
+// checkResubmission submits a job again and checks that the response has its current state.
 func (c *cluster) requireKnown(node string, spec *jobs.Spec, state string) {
 	c.t.Helper()
 	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(spec)); status != http.StatusOK || view["stance"] != state {
@@ -455,8 +462,9 @@
 	}
 }
 
-// Users repeat submissions of jobs that run, are done or are cancelled, cancel what is
-// done, and send what can never run; also while the state service is out.
+// TestRepeatedAndInvalidRequests checks the responses to repeated submissions of running, done and
+// cancelled jobs, cancellations of done and unknown jobs, and submissions of jobs that can never
+// run, the last also in an outage of the store.
 func TestOddRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		done, off, runs := batchJob("j-1", 1, 1), batchJob("j-2", 1, 300), serviceJob("j-3", 2)
@@ -472,10 +480,10 @@
 			c.requireKnown(n, off, jobs.Cancelled)
 			c.requireKnown(n, runs, jobs.Running)
 			if status, view := c.request("POST", n, "/v1/jobs/j-1/withdraw", nil); status != http.StatusOK || view["stance"] != jobs.Done {
-				t.Errorf("a done job cancelled: %d %v", status, view)
+				t.Errorf("cancelling a done job: %d %v", status, view)
 			}
 			if status, _ := c.request("POST", n, fmt.Sprintf("/v1/jobs/j-90%d/withdraw", i), nil); status != http.StatusNotFound {
-				t.Errorf("an unknown job cancelled: %d", status)
+				t.Errorf("cancelling an unknown job: %d", status)
 			}
 		}
 		lacks := wireSpec(batchJob("j-4", 1, 1))
@@ -486,19 +494,20 @@
 			return wireSpec(spec)
 		}
 		cannot := map[string]map[string]any{
-			"too large":                 never(func(spec *jobs.Spec) { spec.RAMGB = 33 }),
-			"no such team":              never(func(spec *jobs.Spec) { spec.Team = "green" }),
-			"no such zone":              never(func(spec *jobs.Spec) { spec.Zone = "z" }),
-			"scattered in one zone":     never(func(spec *jobs.Spec) { spec.Zone = "a" }),
-			"scattered in the same":     never(func(spec *jobs.Spec) { spec.OneZone = true }),
-			"a gang scattered the same": never(func(spec *jobs.Spec) { spec.Shape, spec.OneZone = jobs.Gang, true }),
+			"too large":               never(func(spec *jobs.Spec) { spec.RAMGB = 33 }),
+			"no such team":            never(func(spec *jobs.Spec) { spec.Team = "green" }),
+			"no such zone":            never(func(spec *jobs.Spec) { spec.Zone = "z" }),
+			"spread within one zone":  never(func(spec *jobs.Spec) { spec.Zone = "a" }),
+			"spread and in one zone":  never(func(spec *jobs.Spec) { spec.OneZone = true }),
+			"gang spread in one zone": never(func(spec *jobs.Spec) { spec.Shape, spec.OneZone = jobs.Gang, true }),
 		}
 		for name, body := range cannot {
 			if status, view := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusUnprocessableEntity {
 				t.Errorf("%s: %d %v", name, status, view)
 			}
 		}
-		// An array gets by with half of its tasks at a time, and one replica is not scattered.
+		// A batch job can run with half of its tasks at a time, and a single replica needs no
+		// spreading.
 		array := batchJob("j-6", 4, 2)
 		array.Zone, array.Spread = "a", true
 		c.submit("perch-2", array)
@@ -509,25 +518,25 @@
 
 		c.world.Store.SetOutage(true)
 		if status, _ := c.request("POST", "perch-1", "/v1/jobs", lacks); status != http.StatusBadRequest {
-			t.Errorf("lacking a field, in an outage: %d", status)
+			t.Errorf("missing field, in an outage: %d", status)
 		}
 		for name, body := range cannot {
-			// Whether it was accepted under other settings can not be told now.
+			// Without the store, it is unknown whether the job was accepted under earlier settings.
 			if status, _ := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusServiceUnavailable {
 				t.Errorf("%s, in an outage: %d", name, status)
 			}
 		}
 		c.world.Store.SetOutage(false)
 		c.advance(2 * time.Second)
-		// Accepted by an earlier version, it stays accepted.
+		// A job that an earlier version accepted stays accepted.
 		kept := never(func(spec *jobs.Spec) { spec.ID, spec.Zone = "j-8", "a" })
 		c.world.NoteSubmitted("j-8")
 		c.world.Store.Put("job/j-8", []byte(`{"stance":"queued","tasks":2}`))
 		if status, view := c.request("POST", "perch-1", "/v1/jobs", kept); status != http.StatusOK || view["stance"] != jobs.Queued {
-			t.Errorf("accepted earlier: %d %v", status, view)
+			t.Errorf("job accepted by an earlier version: %d %v", status, view)
 		}
 		if keys := c.world.Store.Keys("job/"); slices.ContainsFunc(keys, func(key string) bool { return strings.HasSuffix(key, "j-4") || strings.HasSuffix(key, "j-5") }) {
-			t.Errorf("accepted: %v", keys)
+			t.Errorf("invalid jobs were accepted: %v", keys)
 		}
 	})
 }
--- a/internal/controller/connection_limit_test.go
+++ b/internal/controller/connection_limit_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/net/netutil"
 )
 
-// Connections whose other end is gone without a word stay open until they have been
-// idle for long. They must not keep out whoever comes meanwhile, nor may those in
-// use make way.
+// TestIdleConnectionsClosedAtLimit checks that idle connections do not block new ones. A connection
+// whose peer vanished without closing it stays open until the idle timeout; at the limit it is
+// closed to accept a new connection, and connections in use are kept.
 func TestIdleConnectionsMakeWay(t *testing.T) {
 	const most = 4
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	go func() { _ = server.Serve(netutil.LimitListener(yieldingListener{listener}, most)) }()
 	defer server.Close()
 	get := func(path string) error {
-		// Each client has a connection of its own, and keeps it.
+		// Each client opens a connection of its own and keeps it open.
 		client := &http.Client{Transport: &http.Transport{}}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
@@ -50,11 +50,11 @@
 	<-busy
 	for i := range 3 * most {
 		if err := get("/quick"); err != nil {
-			t.Fatalf("connection %d of %d at a time: %v", i+2, most, err)
+			t.Fatalf("connection %d with a limit of %d: %v", i+2, most, err)
 		}
 	}
 	release <- true
 	if err := <-done; err != nil {
-		t.Errorf("a connection in use made way: %v", err)
+		t.Errorf("a connection in use was closed: %v", err)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -16,32 +16,32 @@
 		c.submit("perch-0", batchJob("j-1", 10, 15))
 		c.submit("perch-1", serviceJob("j-2", 2))
 		c.withinDone(90*time.Second, "j-1")
-		c.within(30*time.Second, "two replicas", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(30*time.Second, "two replicas running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		if got := c.jobState("j-2"); got != jobs.Running {
 			t.Errorf("service is %s", got)
 		}
 		c.cancelJob("perch-2", "j-2")
-		c.within(10*time.Second, "replicas gone", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
+		c.within(10*time.Second, "replicas stopped", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
 		if status, _ := c.request("GET", "perch-1", "/v1/jobs/j-77", nil); status != http.StatusNotFound {
-			t.Errorf("a job that nobody submitted: %d", status)
+			t.Errorf("a job that was never submitted: %d", status)
 		}
 		if status, view := c.request("POST", "perch-0", "/v1/jobs", wireSpec(batchJob("j-1", 10, 15))); status != 200 || view["stance"] != "done" {
 			t.Errorf("repeated submission of a done job: %d %v", status, view)
 		}
-		// A fleet without work is given back.
-		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
+		// Machines without work are released.
+		c.within(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
-			t.Errorf("still in the book: %v", live)
+			t.Errorf("still in the assignment log: %v", live)
 		}
 	})
 }
 
-// A crash of the leader, again and again, must lose no task's work for good,
-// start none twice and keep services up.
+// TestLeaderCrashes checks that repeated crashes of the leader restart no task and leave services
+// running.
 func TestLeaderCrashes(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.submit("perch-0", batchJob("j-2", 12, 20))
 		for range 4 {
 			c.advance(7 * time.Second)
@@ -50,19 +50,19 @@
 			c.withinAnotherLeader(15*time.Second, old)
 			c.start(old)
 			if c.tasksOnMachines("j-1", 2) != 2 {
-				t.Error("a take-over cost replicas of the service")
+				t.Error("replicas of the service were lost in a failover")
 			}
 		}
 		c.withinDone(120*time.Second, "j-2")
 		if starts := c.world.TaskStarts(); starts != 14 {
-			t.Errorf("%d starts for 14 tasks: take-overs cost work", starts)
+			t.Errorf("%d starts for 14 tasks: tasks were restarted in a failover", starts)
 		}
 	})
 }
 
-// Whatever ends the controllers, all at once, twice within a worker lease, one after
-// the other in a burst, or in an outage of the state service: the work goes on, and
-// no task begins twice.
+// TestAllControllersRestart checks that work goes on and no task is started twice when all
+// controllers restart: at once, twice within a worker lease, one after the other in a burst of
+// submissions, or in an outage of the store.
 func TestAllControllersRestart(t *testing.T) {
 	all := func(c *cluster, down time.Duration) {
 		c.crash(c.names...)
@@ -74,21 +74,21 @@
 	for _, tc := range []struct {
 		name    string
 		trouble func(c *cluster)
-		tasks   int // that are submitted meanwhile
+		tasks   int // submitted during the restarts
 	}{
-		{"at once", func(c *cluster) { all(c, 3*time.Second) }, 0},
-		{"back in a moment", func(c *cluster) { all(c, 200*time.Millisecond) }, 0},
+		{"all at once", func(c *cluster) { all(c, 3*time.Second) }, 0},
+		{"after a short pause", func(c *cluster) { all(c, 200*time.Millisecond) }, 0},
 		{"twice within a lease", func(c *cluster) {
 			all(c, 3*time.Second)
 			c.advance(4 * time.Second)
 			all(c, 3*time.Second)
 		}, 0},
-		{"in mid-election", func(c *cluster) {
+		{"during an election", func(c *cluster) {
 			all(c, 3*time.Second)
 			c.advance(1500 * time.Millisecond)
 			all(c, 200*time.Millisecond)
 		}, 0},
-		{"one after the other in a burst", func(c *cluster) {
+		{"one after the other in a burst of submissions", func(c *cluster) {
 			for i, n := range c.names {
 				c.submit(c.names[(i+1)%len(c.names)], batchJob(fmt.Sprintf("j-1%d", i), 8, 9))
 				c.crash(n)
@@ -98,7 +98,7 @@
 				c.advance(5 * time.Second)
 			}
 		}, 48},
-		{"in an outage of the state service", func(c *cluster) {
+		{"in an outage of the store", func(c *cluster) {
 			c.world.Store.SetOutage(true)
 			c.advance(3 * time.Second)
 			all(c, time.Second)
@@ -120,47 +120,48 @@
 	}
 }
 
-// A machine without power is confirmed by a failed call and given back, which
-// frees its tasks before its lease would.
+// TestMachineDies checks that the tasks of a failed machine are placed again. A failed probe
+// confirms the failure, and releasing the machine frees its tasks before the end of its lease.
 func TestMachineDies(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.world.KillMachine(c.world.MachinesOf("j-1/0")[0])
-		c.within(40*time.Second, "replica elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(40*time.Second, "two replicas running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
 
-// A hanging machine may go on at any time within its lease; while the cloud
-// does not answer, only the end of the lease frees its tasks.
+// TestHangingMachine checks that tasks of a hanging machine recover. The machine may continue at
+// any time within its lease; while the cloud does not answer, only the end of the lease frees its
+// tasks.
 func TestHangingMachine(t *testing.T) {
 	for _, hang := range []time.Duration{8 * time.Second, 15 * time.Second, 30 * time.Second, 90 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.submit("perch-0", serviceJob("j-1", 2))
 				c.submit("perch-0", batchJob("j-2", 3, 60))
-				c.within(40*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 3) == 3 })
+				c.within(40*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 3) == 3 })
 				c.world.SetCloudOutage(true)
 				worker := c.world.Worker(c.world.MachinesOf("j-1/0")[0])
 				worker.SetHung(true)
 				c.advance(hang)
 				worker.SetHung(false)
 				c.world.SetCloudOutage(false)
-				c.within(60*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.within(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 				c.withinDone(200*time.Second, "j-2")
 			})
 		})
 	}
 }
 
-// An order may be executed long after it was given up. By then its task has run,
-// and its end has been cleared: only a higher token, seen by the worker in the
-// meantime, keeps the order from starting it once more.
+// TestCommandArrivesLate guards against a delayed command that starts a task a second time. When
+// the command arrives, the task has run and its completion was cleared; only a higher fencing token
+// that the worker has seen since makes it reject the command.
 func TestOrderArrivesLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		c.submit("perch-0", batchJob("j-1", 4, 300)) // keeps its machines
+		c.submit("perch-0", batchJob("j-1", 4, 300)) // keeps its machines in use
 		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
-		c.submit("perch-0", batchJob("j-2", 4, 30)) // makes room beside it
+		c.submit("perch-0", batchJob("j-2", 4, 30)) // occupies and then frees capacity beside j-1
 		c.withinDone(120*time.Second, "j-2")
 		c.world.Network.Lateness = 15 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
@@ -179,8 +180,8 @@
 	})
 }
 
-// What an old leader wrote may reach the state service after its successor has
-// read the records. It must not be applied: nobody would know of it.
+// TestOldLeaderWritesLate checks that a transaction of a former leader that reaches the store after
+// the new leader has loaded the records is not applied: the new leader would not know of it.
 func TestOldLeaderWritesLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 4, 10))
@@ -201,15 +202,15 @@
 		c.advance(time.Second)
 		c.crash(old)
 		c.withinDone(60*time.Second, "j-2")
-		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
+		c.within(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
-			t.Errorf("the old leader's assignments were recorded late: %v", live)
+			t.Errorf("assignments of the former leader were recorded late: %v", live)
 		}
 	})
 }
 
-// A cancellation that reaches the state service after the job is done must not
-// turn it back, nor may its user be told that it was cancelled.
+// TestCancelRacesCompletion checks that a cancellation that reaches the store after the job is done
+// does not change the job's state, and that the user is not told that it was cancelled.
 func TestCancelRacesDone(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 2, 12))
@@ -227,18 +228,19 @@
 			return emulator.Deliver
 		})
 		if status, view := c.request("POST", node, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
-			t.Errorf("told %v", view)
+			t.Errorf("the late cancellation was answered with %v", view)
 		}
 		c.withinDone(10*time.Second, "j-1")
 		c.advance(10 * time.Second)
 		if got := c.jobState("j-1"); got != jobs.Done {
-			t.Errorf("done went back to %s", got)
+			t.Errorf("the job was done and is now %s", got)
 		}
 	})
 }
 
-// Answers of the state service get lost: transactions may or may not have been
-// applied, and submissions and cancellations are repeated by their users.
+// TestTransactionOutcomesUnknown checks that a job is done, and each task started once, when
+// responses of the store are lost or transactions are applied late. The controllers do not know
+// whether a transaction was applied, and the user repeats the submission.
 func TestTransactionOutcomesUnknown(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		n := 0
@@ -266,7 +268,7 @@
 		c.world.Network.SetFaults(nil)
 		c.advance(2 * time.Minute)
 		if got := c.jobState("j-1"); got != jobs.Done {
-			t.Errorf("done went back to %s", got)
+			t.Errorf("the job was done and is now %s", got)
 		}
 		if c.world.TaskStarts() != 8 {
 			t.Errorf("%d starts for 8 tasks", c.world.TaskStarts())
@@ -274,8 +276,8 @@
 	})
 }
 
-// A user cancels while the job's machines cannot be reached: their lease has
-// to end the tasks, and none may start again.
+// TestCancelOnUnreachableMachines checks that the tasks of a cancelled job end with the worker
+// lease on a machine that cannot be reached, and that none is started again.
 func TestCancelOnUnreachableMachines(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 8, 300))
@@ -292,18 +294,18 @@
 		c.world.Network.SetFaults(nil)
 		c.advance(time.Minute)
 		if n := c.tasksOnMachines("j-1", 8); n != 0 {
-			t.Errorf("%d tasks of a cancelled job", n)
+			t.Errorf("%d tasks of a cancelled job are running", n)
 		}
 	})
 }
 
-// A team stays within its limit, whatever is asked, and gets its guarantee
-// from what another team has borrowed.
+// TestQuotaAndGuarantee checks that a team gets its guarantee from capacity that another team has
+// borrowed. The emulator checks that no team exceeds its quota.
 func TestQuotaAndGuarantee(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(4) // 16 CPUs in all
 		c.submit("perch-0", batchJob("j-1", 60, 30))
-		c.within(60*time.Second, "blue has borrowed", func() bool { return c.tasksOnMachines("j-1", 60) == 16 })
+		c.within(60*time.Second, "blue uses all capacity", func() bool { return c.tasksOnMachines("j-1", 60) == 16 })
 		red := batchJob("j-2", 8, 20)
 		red.Team = "red"
 		c.submit("perch-1", red)
@@ -315,22 +317,23 @@
 	})
 }
 
-// A service goes first: it takes the place of work of lower priority.
+// TestPreemption checks that a service preempts a job of lower priority.
 func TestPreemption(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(2)
 		low := batchJob("j-1", 8, 200)
 		low.Priority, low.CheckpointIntervalS, low.CheckpointSaveS, low.Spot = jobs.BestEffort, 10, 2, false
 		c.submit("perch-0", low)
-		c.within(40*time.Second, "machines full", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
+		c.within(40*time.Second, "all capacity in use", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
 		s := serviceJob("j-2", 2)
 		s.Spread = false
 		c.submit("perch-0", s)
-		c.within(15*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(15*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 	})
 }
 
-// A leader that no worker reaches any more makes way for one that they reach.
+// TestLeaderLosesWorkers checks that a leader that no worker reaches resigns, and that its
+// successor restarts no task.
 func TestLeaderLosesWorkers(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -344,13 +347,14 @@
 		c.withinAnotherLeader(30*time.Second, old)
 		c.advance(20 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 8 {
-			t.Errorf("the move cost work: %d starts for 8 tasks", c.world.TaskStarts())
+			t.Errorf("the failover restarted tasks: %d starts for 8 tasks", c.world.TaskStarts())
 		}
 		c.world.Network.SetFaults(nil)
 	})
 }
 
-// A slow machine is found by the siblings of its tasks, which then run elsewhere.
+// TestSlowMachine checks that a job is done in time although a machine is slow: its tasks there are
+// detected as stragglers, by comparison with the job's other tasks, and run elsewhere.
 func TestSlowMachine(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 12, 20))
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -12,9 +12,10 @@
 	"ospreyslip/internal/jobs"
 )
 
-// defaultSeeds is how many days a test below draws. OSPREYSLIP_SEEDS=from:to plays others.
+// defaultSeeds is how many random scenarios a test runs: those of seeds 1 to defaultSeeds.
 const defaultSeeds = 8
 
+// seedsToPlay returns the seeds of OSPREYSLIP_SEEDS=first:last, or by default 1 to defaultSeeds.
 func seedsToPlay(t *testing.T) (seeds []uint64) {
 	t.Helper()
 	first, last := uint64(1), uint64(defaultSeeds)
@@ -29,15 +30,15 @@
 	return seeds
 }
 
-// faultyDay is a day on which faults of all kinds meet while users are at work.
+// faultyDay is a random scenario in which faults of all kinds overlap while users submit jobs.
 type faultyDay struct {
 	cluster  *cluster
 	random   *rand.Rand
 	seed     uint64
-	faults   *faultSchedule // and of the users' submissions
+	faults   *faultSchedule // also schedules the users' submissions
 	users    *simulatedUsers
-	ending   []*jobs.Spec // jobs that end by themselves
-	services []*jobs.Spec // jobs that run until the end
+	ending   []*jobs.Spec // jobs that run to completion
+	services []*jobs.Spec // services that no user cancels
 }
 
 func newFaultyDay(c *cluster, seed uint64) *faultyDay {
@@ -55,7 +56,7 @@
 	return day
 }
 
-// lateness is by how much a message is late, where a fault has it come late: mostly little.
+// lateness returns the delay of a message that a fault makes late. Most delays are short.
 func (d *faultyDay) lateness(from, to, path string) time.Duration {
 	late := d.faults.probability("late", from, to, path)
 	if path == "/commit" {
@@ -64,7 +65,7 @@
 	return time.Duration((0.3 + 60*late*late*late) * float64(time.Second))
 }
 
-// scheduleJob draws a job, and when its user submits it.
+// scheduleJob draws a job and when its user submits it.
 func (d *faultyDay) scheduleJob(number int) {
 	id := fmt.Sprintf("j-%d", number+1)
 	behavior := userBehavior{resubmits: d.random.IntN(4) == 0}
@@ -101,6 +102,7 @@
 	d.faults.once(at, func() { d.users.submitAndFollow(own, spec, behavior) })
 }
 
+// randomBatchJob draws a batch job.
 func (d *faultyDay) randomBatchJob(id string) *jobs.Spec {
 	spec := batchJob(id, 1+d.random.IntN(12), float64(1+d.random.IntN(40)))
 	spec.Priority = []string{jobs.Standard, jobs.Urgent, jobs.BestEffort}[d.random.IntN(3)]
@@ -114,7 +116,7 @@
 	return spec
 }
 
-// scheduleFaults draws single faults, and pairs of which one begins within seconds of the other.
+// scheduleFaults draws single faults, and pairs of faults that begin within three seconds.
 func (d *faultyDay) scheduleFaults() {
 	for range 6 + d.random.IntN(8) {
 		d.faults.scheduleRandom(time.Duration(15+d.random.IntN(120)) * time.Second)
@@ -126,9 +128,9 @@
 	}
 }
 
-// Faults of all kinds meet for two minutes and a half, while users submit, ask, submit again
-// and cancel. No rule may break; when the faults are over every question is answered within
-// 75 s, and all work is done soon.
+// TestRandomFaultCombinations overlaps faults of all kinds for two and a half minutes, while users
+// submit, query, resubmit and cancel jobs. No rule of the protocol may be violated. After the
+// faults, a query about every job is answered within 75 s and all jobs finish within minutes.
 func TestTroublesMeet(t *testing.T) {
 	for _, seed := range seedsToPlay(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -144,15 +146,15 @@
 				c.advance(76 * time.Second)
 				for _, id := range c.world.UnansweredJobs(over) {
 					if !day.users.isOver(id) {
-						t.Errorf("forgotten: no question about %s was answered for 75 s", id)
+						t.Errorf("no query about %s was answered for 75 s", id)
 					}
 				}
-				c.within(4*time.Minute, "all work over", func() bool {
+				c.within(4*time.Minute, "all jobs finished", func() bool {
 					return !slices.ContainsFunc(day.ending, func(spec *jobs.Spec) bool {
 						return c.world.Accepted(spec.ID) && !day.users.isOver(spec.ID)
 					})
 				})
-				c.within(30*time.Second, "services up", func() bool {
+				c.within(30*time.Second, "services running", func() bool {
 					return !slices.ContainsFunc(day.services, func(spec *jobs.Spec) bool {
 						return c.world.Accepted(spec.ID) && c.tasksOnMachines(spec.ID, spec.Tasks) != spec.Tasks
 					})
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/emulator"
 )
 
-// faultSchedule draws faults of all kinds that the protocol names, one on another, and brings
-// them about at their times. What is drawn, and when, depends on the seed only.
+// faultSchedule draws overlapping faults of all kinds that the protocol allows, and injects them at
+// their times. Which faults it draws, and for when, depends only on the seed.
 type faultSchedule struct {
 	cluster *cluster
 	random  *rand.Rand
@@ -20,25 +20,26 @@
 	events  []scheduledEvent
 }
 
-// scheduledEvent is due at a time since the schedule began.
+// scheduledEvent is an action that is due at a time since the start of the schedule.
 type scheduledEvent struct {
 	at time.Duration
 	do func()
 }
 
-// probability returns a number in [0, 1) that is the same for the same message in every run.
+// probability returns a pseudo-random number in [0, 1) for a message. It is a hash, so that a run
+// with the same seed gets the same numbers, in whatever order goroutines send their messages.
 func (s *faultSchedule) probability(kind, from, to, path string) float64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, s.seed, kind, from, to, path, time.Now().UnixNano())
 	return float64(hash.Sum64()>>11) / (1 << 53)
 }
 
-// once schedules an event.
+// once schedules an event that takes place once.
 func (s *faultSchedule) once(at time.Duration, do func()) {
 	s.events = append(s.events, scheduledEvent{at, do})
 }
 
-// run brings about all events up to a time, and returns then.
+// run executes all events that are due by until, also those scheduled meanwhile, and returns then.
 func (s *faultSchedule) run(start time.Time, until time.Duration) {
 	for {
 		slices.SortStableFunc(s.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
@@ -53,7 +54,8 @@
 	s.cluster.advance(time.Until(start.Add(until)))
 }
 
-// scheduleRandom draws one fault of any kind, to begin at a time.
+// scheduleRandom draws a fault of any kind that begins at a time. The names given to onMessages are
+// part of a hash: with other names, the same seed affects other messages.
 func (s *faultSchedule) scheduleRandom(at time.Duration) {
 	fault := s.drawFault(at)
 	switch s.random.IntN(20) {
@@ -80,15 +82,15 @@
 	case 11:
 		fault.twoMachinesDie()
 	case 12:
-		fault.onTarget("a node is cut off from the state service", func(from, to string) bool { return from == "state" || to == "state" })
+		fault.onTarget("a controller is cut off from the store", func(from, to string) bool { return from == "state" || to == "state" })
 	case 13:
-		fault.onTarget("a node is cut off from state service and peers", func(from, to string) bool {
+		fault.onTarget("a controller is cut off from the store and its peers", func(from, to string) bool {
 			return !isMachine(from) && !isMachine(to) && from != "user"
 		})
 	case 14:
-		fault.onTarget("a node is cut off from all", func(string, string) bool { return true })
+		fault.onTarget("a controller is cut off from all", func(string, string) bool { return true })
 	case 15:
-		fault.onTarget("a node is cut off from the workers", func(from, to string) bool { return isMachine(from) || isMachine(to) })
+		fault.onTarget("a controller is cut off from the workers", func(from, to string) bool { return isMachine(from) || isMachine(to) })
 	case 16:
 		fault.zoneCutOff()
 	case 17, 18:
@@ -98,20 +100,21 @@
 	}
 }
 
-// randomFault is what all kinds of faults have in common.
+// randomFault has the parameters that all kinds of faults share.
 type randomFault struct {
 	*faultSchedule
 	begin  time.Duration
 	lasts  time.Duration
-	target func() string  // the controller that it concerns: any, or who leads when it begins
-	share  float64        // of machines or messages
+	target func() string  // returns the affected controller: a fixed one, or the leader at the time
+	share  float64        // of machines or messages that are affected
 	effect emulator.Fault // on messages
 }
 
+// drawFault draws the parameters of a fault that begins at a time.
 func (s *faultSchedule) drawFault(at time.Duration) *randomFault {
 	lasts := time.Duration(1+s.random.IntN(12)) * time.Second
 	if s.random.IntN(3) == 0 {
-		lasts *= 6 // beyond any lease, and beyond the time of a cancellation
+		lasts *= 6 // may exceed the worker lease and the cancellation deadline
 	}
 	node := s.cluster.names[s.random.IntN(3)]
 	target := func() string { return node }
@@ -128,11 +131,12 @@
 	return fault
 }
 
+// oneOf draws one of the effects.
 func (f *randomFault) oneOf(effects ...emulator.Fault) emulator.Fault {
 	return effects[f.random.IntN(len(effects))]
 }
 
-// schedule has the fault begin and end at its times.
+// schedule calls begin when the fault begins, and the function that begin returns when it ends.
 func (f *randomFault) schedule(name string, begin func() (end func())) {
 	f.once(f.begin, func() {
 		f.cluster.world.Tracef("== %s, for %v", name, f.lasts)
@@ -144,7 +148,8 @@
 	})
 }
 
-// onMessages has an effect on a share of the messages to a path.
+// onMessages applies an effect to the fault's share of the messages to a path. The choice of
+// messages depends on the name.
 func (f *randomFault) onMessages(name, path string, effect emulator.Fault) {
 	f.schedule(name, func() func() {
 		return f.cluster.world.Network.AddFaults(func(from, to, messagePath string) emulator.Fault {
@@ -156,11 +161,11 @@
 	})
 }
 
-// onTarget has the fault's effect on the messages from and to its target that match.
+// onTarget applies the fault's effect to the messages from and to its target that match.
 func (f *randomFault) onTarget(name string, match func(from, to string) bool) {
 	f.schedule(name, func() func() {
 		target := f.target()
-		f.cluster.world.Tracef("== of %s, fault %d", target, f.effect)
+		f.cluster.world.Tracef("== target %s, effect %d", target, f.effect)
 		return f.cluster.world.Network.AddFaults(func(from, to, path string) emulator.Fault {
 			if path == emulator.Stream && f.effect == emulator.DeliverLate {
 				return emulator.Deliver
@@ -173,7 +178,8 @@
 	})
 }
 
-// someMachines draws the fault's share of the machines that are up.
+// someMachines draws the machines that the fault affects, on average its share of those that are
+// up.
 func (f *randomFault) someMachines() map[string]bool {
 	machines := map[string]bool{}
 	for _, name := range f.cluster.world.Machines() {
@@ -185,23 +191,23 @@
 }
 
 func (f *randomFault) storeOutage() {
-	f.schedule("the state service is out", func() func() {
+	f.schedule("store outage", func() func() {
 		f.cluster.world.Store.SetOutage(true)
 		return func() { f.cluster.world.Store.SetOutage(false) }
 	})
 }
 
 func (f *randomFault) storeRefusesOne() {
-	f.schedule("the state service refuses one", func() func() {
+	f.schedule("the store refuses one controller", func() func() {
 		target := f.target()
-		f.cluster.world.Tracef("== it is %s", target)
+		f.cluster.world.Tracef("== target %s", target)
 		f.cluster.world.Store.SetRefused(target, true)
 		return func() { f.cluster.world.Store.SetRefused(target, false) }
 	})
 }
 
 func (f *randomFault) deafMachines() {
-	f.schedule("machines are deaf", func() func() {
+	f.schedule("machines cannot receive", func() func() {
 		deaf := f.someMachines()
 		return f.cluster.world.Network.AddFaults(func(from, to, _ string) emulator.Fault {
 			switch {
@@ -216,7 +222,7 @@
 }
 
 func (f *randomFault) muteMachines() {
-	f.schedule("machines are mute", func() func() {
+	f.schedule("machines cannot send", func() func() {
 		mute := f.someMachines()
 		return f.cluster.world.Network.AddFaults(func(from, _, _ string) emulator.Fault {
 			if mute[from] {
@@ -247,13 +253,13 @@
 	f.once(f.begin, func() {
 		machines := f.cluster.world.Machines()
 		for _, name := range machines[:min(2, len(machines))] {
-			f.cluster.world.Tracef("== %s dies", name)
+			f.cluster.world.Tracef("== %s fails", name)
 			f.cluster.world.KillMachine(name)
 		}
 	})
 }
 
-// zoneCutOff cuts the machines of a zone off, some times with the target in it.
+// zoneCutOff cuts off the machines of a zone, in half of the cases together with the target.
 func (f *randomFault) zoneCutOff() {
 	zone := f.cluster.settings("perch-0").Deployment.Zones[f.random.IntN(3)]
 	withTarget := f.random.IntN(2) == 0
@@ -269,7 +275,8 @@
 	})
 }
 
-// controllersRestart ends the target, two controllers or all, and starts them again soon.
+// controllersRestart crashes the target, the target and another controller, or all controllers, and
+// starts them again after a short pause.
 func (f *randomFault) controllersRestart() {
 	pauses := []time.Duration{10 * time.Millisecond, 150 * time.Millisecond, time.Second, 5 * time.Second}
 	pause := pauses[f.random.IntN(len(pauses))]
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -9,15 +9,15 @@
 	"ospreyslip/internal/settings"
 )
 
-// All controllers end together and come back. What runs goes on untouched, and only what is
-// truly gone is begun once more. The stand-in judges all rules besides.
+// In these tests all controllers crash together and start again. Running tasks must be left alone,
+// and only tasks that have ended are started again. The emulator checks the rules of the protocol.
 
-// wideQuotas lets both teams use far more than they are guaranteed.
+// wideQuotas gives both teams quotas far above their guarantees.
 func wideQuotas(s *settings.Settings) {
 	s.Deployment.Teams = []settings.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 200}, {Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 200}}
 }
 
-// fillFleet runs arrays of two teams on a fleet that they fill, and returns how many tasks.
+// fillFleet runs batch jobs of two teams that fill their machines, and returns the number of tasks.
 func (c *cluster) fillFleet(arrays int) (tasks int) {
 	c.t.Helper()
 	for i := range arrays {
@@ -28,14 +28,15 @@
 		c.submit(c.names[i%3], spec)
 	}
 	tasks = 4 * arrays
-	c.within(2*time.Minute, "fleet full", func() bool { return len(c.world.RunningTasks()) == tasks })
+	c.within(2*time.Minute, "all tasks running", func() bool { return len(c.world.RunningTasks()) == tasks })
 	c.advance(10 * time.Second)
 	return tasks
 }
 
-// Shorter than the lease, no task is begun, stopped or lost; beyond it, each task that the
-// lease has ended is begun exactly once, though both teams are beyond their guarantees and
-// each would have the other's tasks stopped.
+// TestFullRestartKeepsRunningTasks checks that a restart shorter than the worker lease starts,
+// stops and loses no task, and that after a longer one each task that ended with the lease is
+// started exactly once. Both teams are above their guarantees, so that preemption between them must
+// not cost a start either.
 func TestRestartOfAllControllers(t *testing.T) {
 	for _, pause := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 8 * time.Second, 24 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
@@ -49,19 +50,20 @@
 					gone = tasks
 				}
 				if begun := c.world.TaskStarts() - before; begun != gone || len(c.world.RunningTasks()) != tasks {
-					t.Errorf("%d tasks were gone, %d were begun, %d of %d run", gone, begun, len(c.world.RunningTasks()), tasks)
+					t.Errorf("%d tasks had ended, %d were started, %d of %d are running", gone, begun, len(c.world.RunningTasks()), tasks)
 				}
 				progress := c.takeoverProgress()
 				if progress.Phase != reconcile.FailoverDone || progress.Reported != progress.Expected || progress.Expected != len(c.world.Machines()) {
-					t.Errorf("take-over %+v with %d machines", progress, len(c.world.Machines()))
+					t.Errorf("failover %+v with %d machines", progress, len(c.world.Machines()))
 				}
 			})
 		})
 	}
 }
 
-// Beyond the term's lease, restarted nodes need not wait out what their earlier lives may have
-// promised: all have begun anew, and tell each other so. Where one does not answer, they wait.
+// TestFailoverAfterFullRestart checks that controllers restarted after the leadership lease do not
+// wait out the lease grants of their earlier incarnations: all have restarted and tell each other
+// so. If one does not answer, it may rely on those grants, and the others wait.
 func TestTakeOverAfterARestart(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
@@ -70,21 +72,22 @@
 			c.crash(c.names...)
 			c.advance(2 * lease)
 			if took := c.timeUntilLeader(c.names...); took > lease/4 {
-				t.Errorf("led after %v with all nodes up, a term lease is %v", took, lease)
+				t.Errorf("led after %v with all controllers up; the leadership lease is %v", took, lease)
 			}
 			c.advance(5 * time.Second)
 		}
 		c.crash(c.names...)
 		c.advance(2 * lease)
 		if took := c.timeUntilLeader(c.names[:2]...); took < lease*9/10 {
-			t.Errorf("led after %v, though one node may rely on promises", took)
+			t.Errorf("led after %v, though one controller may rely on lease grants", took)
 		}
 		c.start(c.names[2])
 	})
 }
 
-// The holder lives on promises, cut off from the state service alone, when the others are
-// restarted: they are told that it relies on what their earlier lives have promised.
+// TestRestartWhileLeaderReliesOnPeerLease guards against two leaders. The leader, which alone is
+// cut off from the store, holds a peer lease when the other controllers restart: they have lost
+// their lease grants, and must learn from the leader that it relies on them.
 func TestRestartWhileTheHolderReliesOnPromises(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
@@ -92,7 +95,7 @@
 		c.world.Store.SetOutage(true)
 		c.advance(2 * lease)
 		if !c.processes[old].controller.elector.IsLeader() {
-			t.Fatal("the holder does not live on promises")
+			t.Fatal("the leader does not hold a peer lease")
 		}
 		var others []string
 		for _, n := range c.names {
@@ -114,7 +117,7 @@
 				}
 			}
 			if led > 1 {
-				t.Fatal("two nodes lead")
+				t.Fatal("two controllers lead")
 			}
 			c.advance(10 * time.Millisecond)
 		}
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -34,23 +34,23 @@
 		}
 		many := gangJob("j-4", 21, 10) // 42 CPUs, and the team may use 40
 		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(many)); status != http.StatusUnprocessableEntity {
-			t.Errorf("more than the team may use at a time: %d", status)
+			t.Errorf("a gang above the quota of its team: %d", status)
 		}
 		large := gangJob("j-5", 2, 10)
 		large.CPUs = 5
 		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(large)); status != http.StatusUnprocessableEntity {
-			t.Errorf("a task fits no machine: %d", status)
+			t.Errorf("a gang whose tasks fit no machine: %d", status)
 		}
 		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
-			t.Errorf("still in the book: %v", live)
+			t.Errorf("still in the assignment log: %v", live)
 		}
 	})
 }
 
-// Gangs that want the same machines take them one after the other: none holds a
-// half that the other waits for, and neither starves behind an array that fills
-// every gap.
+// TestGangsCompete guards against deadlock and starvation. Gangs that need the same machines run
+// one after the other: none holds machines that another waits for, and none starves behind a batch
+// job that fills every gap.
 func TestGangsCompete(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3) // 12 CPUs
@@ -66,8 +66,8 @@
 	})
 }
 
-// Whatever befalls a gang, and whenever, it starts whole or not at all, no task is
-// on two machines, and in the end it is done.
+// TestGangUnderFaults checks that a gang starts whole or not at all and is done in the end,
+// whichever fault occurs at whichever stage, and that no task is on two machines.
 func TestGangInTrouble(t *testing.T) {
 	leader := func(c *cluster) {
 		old := c.leader()
@@ -122,13 +122,14 @@
 		c.world.Network.SetFaults(nil)
 	}
 	for name, trouble := range map[string]func(*cluster){
-		"leader lost": leader, "machine lost": kill, "machine hangs": hang,
-		"orders come twice": lateOrders, "reports come twice": lateReports, "orders held up": lostOrders,
-		"machine, then leader": func(c *cluster) { kill(c); c.advance(time.Second); leader(c) },
-		"leader, then machine": func(c *cluster) { leader(c); kill(c) },
+		"leader crashes": leader, "machine fails": kill, "machine hangs": hang,
+		"commands repeated": lateOrders, "heartbeats repeated": lateReports, "commands delayed": lostOrders,
+		"machine fails, then leader crashes": func(c *cluster) { kill(c); c.advance(time.Second); leader(c) },
+		"leader crashes, then machine fails": func(c *cluster) { leader(c); kill(c) },
 	} {
-		// From its submission on: placed, fetching, gathering, running, done. Its
-		// machines are up in some of these cases, and are to be rented in others.
+		// The delays after the submission cover all stages: placed, fetching, gathering, running
+		// and done. In some cases the gang's machines are up, in others they have to be
+		// provisioned.
 		for _, after := range []time.Duration{100, 400, 700, 1300, 2200, 6000, 12300} {
 			after *= time.Millisecond
 			t.Run(fmt.Sprint(name, " after ", after), func(t *testing.T) {
@@ -147,13 +148,13 @@
 	}
 }
 
-// A cancelled gang is gone, in whatever state it was.
+// TestGangCancelled checks that a cancellation removes a gang at every stage.
 func TestGangCancelled(t *testing.T) {
 	for _, after := range []time.Duration{0, 300, 900, 1500, 3000, 8000, 16000, 18000} {
 		after *= time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
-				c.submit("perch-0", serviceJob("j-7", 2)) // has machines up
+				c.submit("perch-0", serviceJob("j-7", 2)) // so that some machines are up
 				c.within(40*time.Second, "machines up", func() bool { return c.tasksOnMachines("j-7", 2) == 2 })
 				c.submit("perch-0", gangJob("j-1", 7, 60))
 				c.advance(after)
@@ -167,8 +168,8 @@
 	}
 }
 
-// A service takes the room of a gang: all of it stops, is told in time to save, and
-// goes on from there later.
+// TestGangPreempted checks that a service preempts a whole gang, which is stopped in time to save a
+// checkpoint and continues from it later.
 func TestGangMakesRoom(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(2)
@@ -180,15 +181,16 @@
 		spec := serviceJob("j-2", 2)
 		spec.Spread = false
 		c.submit("perch-0", spec)
-		c.within(15*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
-		c.within(10*time.Second, "the gang is gone", func() bool { return c.tasksOnMachines("j-1", 4) == 0 })
+		c.within(15*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(10*time.Second, "the gang has stopped", func() bool { return c.tasksOnMachines("j-1", 4) == 0 })
 		c.cancelJob("perch-0", "j-2")
 		c.withinDone(80*time.Second, "j-1")
 	})
 }
 
-// The leader ends while a gang is being stopped: not all have been told, or have
-// saved, or are known to have ended.
+// TestLeaderCrashDuringGangStop checks that a preempted gang is done in the end if the leader
+// crashes while some of its tasks have not been told to stop, have not saved their checkpoint, or
+// are not yet known to have ended.
 func TestGangHalfStopped(t *testing.T) {
 	for _, after := range []time.Duration{50, 150, 300, 700, 1500, 2500} {
 		after *= time.Millisecond
@@ -207,7 +209,7 @@
 				c.crash(old)
 				c.advance(500 * time.Millisecond)
 				c.start(old)
-				c.within(30*time.Second, "service up", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+				c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 				c.cancelJob("perch-0", "j-2")
 				c.withinDone(2*time.Minute, "j-1")
 			})
@@ -215,8 +217,8 @@
 	}
 }
 
-// A gang in one zone that goes dark is not begun in another while a task of it may
-// still be there.
+// TestGangInPartitionedZone checks that a gang whose zone is cut off is not started in another zone
+// while one of its tasks may still run there.
 func TestGangInDarkZone(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", gangJob("j-1", 4, 60))
@@ -238,8 +240,9 @@
 	})
 }
 
-// The beginnings of a large gang take many transactions. A leader that ends after
-// some of them leaves a part, which is taken back: the gang starts whole or not at all.
+// TestLeaderCrashDuringLargeGangWrite guards against starting part of a gang. The start records of
+// a large gang take many transactions; if the leader crashes after some of them, the next leader
+// undoes that part.
 func TestLargeGangHalfWritten(t *testing.T) {
 	valueKB, writes, ops := 2.0, 35.0, 4
 	adjust := func(set *settings.Settings) {
@@ -266,7 +269,7 @@
 			c.advance(5 * time.Millisecond)
 		}
 		if written == 0 || written == 300 {
-			t.Errorf("%d beginnings were durable at first", written)
+			t.Errorf("%d of 300 start records were durable before the crash", written)
 		}
 		old := c.leader()
 		c.crash(old)
--- a/internal/controller/job_specs_test.go
+++ b/internal/controller/job_specs_test.go
@@ -8,7 +8,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// batchJob is a job whose tasks end after so many seconds, on spot machines.
+// batchJob returns a job on spot machines, whose tasks end after so many seconds.
 func batchJob(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "sums", Team: "blue", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: tasks,
@@ -16,7 +16,7 @@
 	}
 }
 
-// serviceJob is a job whose tasks run until it is cancelled.
+// serviceJob returns a job whose tasks run until it is cancelled.
 func serviceJob(id string, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "web", Team: "red", Shape: jobs.Service, Priority: jobs.Prod, Tasks: tasks,
@@ -24,8 +24,8 @@
 	}
 }
 
-// gangJob is a job whose tasks run together. Two fit on a machine, so that tasks of one attempt
-// share some.
+// gangJob returns a job whose tasks run together for so many seconds. Two tasks fit on a machine,
+// so that tasks of one attempt share machines.
 func gangJob(id string, tasks int, seconds float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "joint", Team: "blue", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: tasks,
@@ -33,7 +33,7 @@
 	}
 }
 
-// randomJob draws the job of a number: mostly a batch job, sometimes a service or a gang.
+// randomJob draws a job and names it by number: mostly a batch job, sometimes a service or a gang.
 func randomJob(random *rand.Rand, number int) *jobs.Spec {
 	id := fmt.Sprintf("j-%d", 10+number)
 	switch random.IntN(8) {
@@ -45,7 +45,8 @@
 	return batchJob(id, 1+random.IntN(4), float64(3+random.IntN(30)))
 }
 
-// wireSpec returns a spec as users send it: there, no zone is null, not the empty string.
+// wireSpec returns the fields of a spec as users send it, where a missing zone is null rather than
+// "".
 func wireSpec(spec *jobs.Spec) map[string]any {
 	raw, _ := json.Marshal(spec)
 	var fields map[string]any
--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -17,13 +17,13 @@
 	"ospreyslip/internal/settings"
 )
 
-// lossKind is one way in which the key-value store loses what it holds.
+// lossKind is one way in which the key-value store loses records.
 type lossKind struct {
 	name string
 	lose func(c *cluster, r *rand.Rand, before emulator.StoreBackup)
 }
 
-// loseKeys loses the keys that match, with a trace in the watch or without.
+// loseKeys returns a loss of the keys that match. At random, the watch shows the loss or does not.
 func loseKeys(match func(r *rand.Rand) func(string) bool) func(*cluster, *rand.Rand, emulator.StoreBackup) {
 	return func(c *cluster, r *rand.Rand, _ emulator.StoreBackup) {
 		lost := c.world.Store.LoseKeys(r.IntN(2) == 0, match(r))
@@ -31,11 +31,12 @@
 	}
 }
 
-// matching is a match that needs no random numbers.
+// matching returns a match for loseKeys that needs no random numbers.
 func matching(match func(string) bool) func(*rand.Rand) func(string) bool {
 	return func(*rand.Rand) func(string) bool { return match }
 }
 
+// lossKinds are the losses to draw from. Their names are written to the file of OSPREYSLIP_LOSSES.
 var lossKinds = []lossKind{
 	{"one job", loseKeys(func(r *rand.Rand) func(string) bool {
 		n := r.IntN(20)
@@ -62,7 +63,8 @@
 	}},
 }
 
-// concurrentEvents are what happens at the time of a loss.
+// concurrentEvents are the events to draw from that take place at the time of a loss. Their names
+// are written to the file of OSPREYSLIP_LOSSES.
 var concurrentEvents = []struct {
 	name string
 	do   func(c *cluster, r *rand.Rand, lose func())
@@ -148,17 +150,17 @@
 	end()
 }
 
-// lossOutcome is what came of one day with a loss.
+// lossOutcome is the result of one scenario with a loss.
 type lossOutcome struct {
 	lossKind, concurrentEvent string
-	recoveredAfter            time.Duration // since the loss; 0 if it was not noticed, or the recovery is not over
+	recoveredAfter            time.Duration // since the loss; 0 if undetected or not complete
 	heldJobs                  int
-	unfinished                int // jobs that are not over at the end, but for services
-	unfinishedJobs            []string
-	wronglyDone               []string
+	unfinished                int      // number of jobs, without services, that are not finished
+	unfinishedJobs            []string // details of the unfinished jobs
+	wronglyDone               []string // jobs whose records say done, but which are not
 }
 
-// playLossScenario has users at work while the store loses something in the middle of it.
+// playLossScenario has users submit jobs, and the store lose records meanwhile.
 func playLossScenario(c *cluster, seed uint64, outcome *lossOutcome) {
 	random := rand.New(rand.NewPCG(seed, 24))
 	kind, event := lossKinds[random.IntN(len(lossKinds))], concurrentEvents[random.IntN(len(concurrentEvents))]
@@ -188,7 +190,7 @@
 	outcome.judgeRecords(c)
 }
 
-// judgeRecords compares the records with the truth, which is what the machines have done.
+// judgeRecords compares the job records with what the emulated machines have done.
 func (o *lossOutcome) judgeRecords(c *cluster) {
 	for _, key := range c.world.Store.Keys("job/") {
 		var record jobs.Record
@@ -202,19 +204,20 @@
 		}
 		spec := c.world.Spec(id)
 		if record.State == jobs.Done && !c.world.AllTasksDone(id) || record.State == jobs.Done && spec != nil && !spec.RunsToCompletion() {
-			o.wronglyDone = append(o.wronglyDone, id+" is called done")
+			o.wronglyDone = append(o.wronglyDone, id+" is recorded as done")
 		}
 	}
 }
 
-// runLossScenario plays one day in a cluster of its own. The outcome is filled in as it comes.
+// runLossScenario runs one scenario in a cluster of its own. It fills in the outcome as it
+// proceeds, so that the outcome is valid even if the test ends early.
 func runLossScenario(t *testing.T, seed uint64, adapt func(*Controller), outcome *lossOutcome) {
 	t.Helper()
 	runCluster(t, func(set *settings.Settings) {
-		set.Operator.AuditS = 15 // what is lost without a trace is found by nothing else
+		set.Operator.AuditS = 15 // a silent loss is detected only by an audit
 	}, func(c *cluster) {
 		c.adaptController = adapt
-		if adapt != nil { // also for those that run already
+		if adapt != nil { // the controllers that run already, too
 			for _, name := range c.names {
 				adapt(c.processes[name].controller)
 			}
@@ -223,33 +226,35 @@
 	})
 }
 
-// Whatever is lost, whatever happens at the time: no rule is broken, no job is given an end
-// that it has not had, and work goes on. OSPREYSLIP_SEEDS=100:200 plays other days; with
-// OSPREYSLIP_LOSSES=FILE the outcome of each is written there, a line of JSON a day.
+// TestRandomLossCombinations combines losses of records with other events. No rule of the protocol
+// may be violated, no job may be recorded as done that is not, and work must go on.
+// OSPREYSLIP_SEEDS=100:200 runs other scenarios; OSPREYSLIP_LOSSES=FILE appends the outcome of each
+// to the file as a line of JSON.
 func TestLossesMeet(t *testing.T) {
 	write := outcomeWriter(t)
 	for _, seed := range seedsToPlay(t) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			var outcome lossOutcome
-			defer func() { // a broken rule ends the test at once
+			defer func() { // deferred, because a failed test may end early
 				write(seed, outcome, t.Failed())
 				if t.Failed() {
-					t.Logf("%s lost; %s", outcome.lossKind, outcome.concurrentEvent)
+					t.Logf("loss: %s; concurrent event: %s", outcome.lossKind, outcome.concurrentEvent)
 				}
 			}()
 			runLossScenario(t, seed, withoutKnowledgeSource(t), &outcome)
 			for _, wrong := range outcome.wronglyDone {
-				t.Errorf("%s, though it is not", wrong)
+				t.Errorf("%s, but some of its tasks have not completed", wrong)
 			}
 			if outcome.unfinished > 0 && outcome.heldJobs == 0 {
-				t.Errorf("%d jobs are not over: %v", outcome.unfinished, outcome.unfinishedJobs)
+				t.Errorf("%d jobs are not finished, and none is held: %v", outcome.unfinished, outcome.unfinishedJobs)
 			}
 		})
 	}
 }
 
-// withoutKnowledgeSource leaves out a source of knowledge, to measure what it is worth:
-// OSPREYSLIP_WITHOUT=peers.
+// withoutKnowledgeSource returns a function that disables a source of knowledge of lost records, to
+// measure what the source contributes, or nil if OSPREYSLIP_WITHOUT is empty. The only source that
+// can be disabled is "peers".
 func withoutKnowledgeSource(t *testing.T) func(*Controller) {
 	t.Helper()
 	switch without := os.Getenv("OSPREYSLIP_WITHOUT"); without {
@@ -262,12 +267,13 @@
 			}
 		}
 	default:
-		t.Fatalf("OSPREYSLIP_WITHOUT: %q is no source that can be left out", without)
+		t.Fatalf("OSPREYSLIP_WITHOUT: %q is not a source that can be disabled", without)
 	}
 	return nil
 }
 
-// outcomeWriter returns what writes the outcome of each day, if a file is named.
+// outcomeWriter returns a function that appends an outcome to the file of OSPREYSLIP_LOSSES.
+// Without such a file, the function does nothing.
 func outcomeWriter(t *testing.T) func(seed uint64, outcome lossOutcome, failed bool) {
 	t.Helper()
 	path := os.Getenv("OSPREYSLIP_LOSSES")
@@ -288,7 +294,8 @@
 	}
 }
 
-// The kinds of losses, and what happens at their time, are each drawn by some of the days that run.
+// TestLossScenarioCoverage checks that 100 seeds draw every kind of loss and every concurrent
+// event.
 func TestLossDaysAreVaried(t *testing.T) {
 	var kinds, beside []string
 	for seed := range uint64(100) {
@@ -298,12 +305,12 @@
 	}
 	for _, kind := range lossKinds {
 		if !slices.Contains(kinds, kind.name) {
-			t.Errorf("no day loses %s", kind.name)
+			t.Errorf("no scenario draws the loss %q", kind.name)
 		}
 	}
 	for _, event := range concurrentEvents {
 		if !slices.Contains(beside, event.name) {
-			t.Errorf("beside no loss: %s", event.name)
+			t.Errorf("no scenario draws the concurrent event %q", event.name)
 		}
 	}
 }
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -12,8 +12,8 @@
 	"ospreyslip/internal/emulator"
 )
 
-// Near its memory limit a node takes no new jobs, and says at once when to come back.
-// All else goes on: polls, submissions of known jobs, cancellations, and the work.
+// TestMemoryLimitRefusesNewJobs checks that controllers near their memory limit refuse new jobs
+// promptly, and still serve polls, repeated submissions and cancellations and run accepted jobs.
 func TestMemoryShort(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -24,21 +24,21 @@
 		began := time.Now()
 		for _, n := range c.names {
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-5", 2, 30))); status != http.StatusServiceUnavailable {
-				t.Errorf("%s answers a new job with %d", n, status)
+				t.Errorf("%s answered a new job with %d", n, status)
 			}
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-3", 2, 30))); status != http.StatusOK {
-				t.Errorf("%s answers a known job with %d", n, status)
+				t.Errorf("%s answered a repeated submission with %d", n, status)
 			}
 			if status, _ := c.request("GET", n, "/v1/jobs/j-3", nil); status != http.StatusOK {
-				t.Errorf("%s answers a poll with %d", n, status)
+				t.Errorf("%s answered a poll with %d", n, status)
 			}
 		}
 		if took := time.Since(began); took > 3*time.Second {
-			t.Errorf("answered after %v in all", took)
+			t.Errorf("all answers took %v, want at most 3s", took)
 		}
 		c.cancelJob("perch-1", "j-4")
 		c.withinDone(60*time.Second, "j-3")
-		c.within(40*time.Second, "cancelled tasks are gone", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+		c.within(40*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
 		c.memory.Store(0)
 		c.advance(2 * time.Second)
 		c.submit("perch-2", batchJob("j-5", 2, 30))
@@ -46,7 +46,7 @@
 	})
 }
 
-// A refusal for want of memory tells when to come back.
+// TestMemoryLimitRetryAfter checks that a refusal for lack of memory has a Retry-After header.
 func TestMemoryShortRetryAfter(t *testing.T) {
 	c := &cluster{t: t, names: []string{"perch-0"}}
 	net := emulator.NewNetwork()
@@ -54,7 +54,7 @@
 	controller := New(c.settings("perch-0"), Environment{HTTP: net.Transport("perch-0"), Memory: func() uint64 { return 0 }})
 	controller.machineTypes.current.Store(&testMachineTypes)
 	controller.memory.exceeded.Store(true)
-	controller.cache.Readiness.AssumeComplete() // as RunDuties does where there are no peers
+	controller.cache.Readiness.AssumeComplete() // as RunDuties does without peers
 	body, _ := json.Marshal(wireSpec(batchJob("j-1", 1, 10)))
 	recorder := httptest.NewRecorder()
 	controller.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -14,14 +14,14 @@
 	"ospreyslip/internal/settings"
 )
 
-// Reports of a machine arrive, but no answer and no order reaches it. It is given
-// no more work, its tasks come back in time, it is given back itself, and what
-// was cancelled meanwhile ends with its lease.
+// TestMachineCannotReceive checks what happens to a machine whose heartbeats arrive while no
+// response and no command reaches it: it gets no more tasks, its tasks run elsewhere in time, it is
+// released, and tasks of a job cancelled meanwhile end with its lease.
 func TestMachineDoesNotHear(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
 		c.submit("perch-0", batchJob("j-2", 20, 300))
-		c.within(60*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 20) == 20 })
+		c.within(60*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 20) == 20 })
 		deaf := c.world.MachinesOf("j-1/0")[0]
 		c.world.Network.SetFaults(func(from, to, _ string) emulator.Fault {
 			switch {
@@ -33,19 +33,20 @@
 			return emulator.Deliver
 		})
 		c.cancelJob("perch-2", "j-2")
-		c.within(45*time.Second, "service whole, elsewhere", func() bool {
+		c.within(45*time.Second, "service running on other machines", func() bool {
 			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), deaf)
 		})
-		c.within(60*time.Second, "given back", func() bool { return !slices.Contains(c.world.Machines(), deaf) })
+		c.within(60*time.Second, "machine released", func() bool { return !slices.Contains(c.world.Machines(), deaf) })
 		if n := c.tasksOnMachines("j-2", 20); n != 0 {
-			t.Errorf("%d tasks of a cancelled job", n)
+			t.Errorf("%d tasks of a cancelled job are running", n)
 		}
 	})
 }
 
-// Every request is carried out once more, much later: reports, orders, commits,
-// grants, renewals, rentals, releases, submissions and cancellations. Machines
-// die and leaders change meanwhile.
+// TestEveryRequestDeliveredTwice checks that requests are safe to execute twice. Every request is
+// executed again much later: heartbeats, commands, transactions, lease grants and renewals,
+// rentals, releases, submissions and cancellations. Meanwhile a machine fails and the leader
+// changes.
 func TestEverythingIsRepeated(t *testing.T) {
 	for _, late := range []time.Duration{3 * time.Second, 12 * time.Second, 35 * time.Second, 70 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
@@ -63,7 +64,7 @@
 				low.Priority, low.CheckpointIntervalS, low.CheckpointSaveS = jobs.BestEffort, 5, 1
 				c.submit("perch-0", low)
 				c.submit("perch-1", batchJob("j-3", 12, 200))
-				c.within(60*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.within(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 				c.world.KillMachine(c.world.MachinesOf("j-1/1")[0])
 				c.advance(20 * time.Second)
 				c.cancelJob("perch-1", "j-3")
@@ -73,19 +74,19 @@
 				c.advance(8 * time.Second)
 				c.start(old)
 				c.withinDone(3*time.Minute, "j-2")
-				c.within(30*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 				c.advance(90 * time.Second)
 				if n := c.tasksOnMachines("j-3", 12); n != 0 {
-					t.Errorf("%d tasks of a cancelled job", n)
+					t.Errorf("%d tasks of a cancelled job are running", n)
 				}
 			})
 		})
 	}
 }
 
-// An order arrives once more after its task was stopped, cleared and begun
-// elsewhere: only the higher token that the worker has seen keeps it from
-// starting the task again.
+// TestCommandRepeatedAfterTaskCleared guards against a repeated command that starts a task again
+// after the task was stopped, cleared and started elsewhere. Only a higher fencing token that the
+// worker has seen since makes it reject the command.
 func TestOrderIsRepeatedAfterClear(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(1)
@@ -103,24 +104,25 @@
 		low := batchJob("j-2", 2, 400)
 		low.Priority, low.Spot = jobs.BestEffort, false
 		c.submit("perch-0", low)
-		c.within(30*time.Second, "low is running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(30*time.Second, "j-2 running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		spec := serviceJob("j-3", 1)
 		spec.CPUs, spec.Spread = 3, false
-		c.submit("perch-0", spec) // takes its place
-		c.within(30*time.Second, "service up", func() bool { return c.tasksOnMachines("j-3", 1) == 1 })
+		c.submit("perch-0", spec) // preempts j-2
+		c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-3", 1) == 1 })
 		c.world.SetCapacity(2)
-		c.within(40*time.Second, "low is back elsewhere", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(40*time.Second, "j-2 running again", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		c.cancelJob("perch-1", "j-3")
 		before := c.world.TaskStarts()
 		c.advance(90 * time.Second)
 		if n := c.world.TaskStarts() - before; n != 0 {
-			t.Errorf("%d starts by orders that came once more", n)
+			t.Errorf("%d starts by repeated commands", n)
 		}
 	})
 }
 
-// The leader's watch lags, so that it does not see a cancellation. It may not
-// answer workers on an old picture for longer than the cancellation has.
+// TestWatchLags checks that the tasks of a cancelled job end by the cancellation deadline when the
+// leader's watch lags and does not show the cancellation: the leader must stop answering workers
+// from stale records in time.
 func TestWatchLags(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -132,9 +134,10 @@
 	})
 }
 
-// A controller loses the state service and the other controllers, but not its
-// workers. As leader it stops in time, and its workers go on elsewhere; as
-// follower it sends no worker to one that leads no more.
+// TestControllerReachesOnlyWorkers checks a controller that is cut off from the store and its
+// peers, but not from the workers. As leader it stops acting in time, and its workers move to the
+// new leader without a restarted task. As follower it must not redirect workers to a leader of an
+// earlier term.
 func TestAloneWithWorkers(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -149,35 +152,36 @@
 		c.withinAnotherLeader(15*time.Second, alone)
 		c.advance(30 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 8 {
-			t.Errorf("the move cost work: %d starts for 8 tasks", c.world.TaskStarts())
+			t.Errorf("the failover restarted tasks: %d starts for 8 tasks", c.world.TaskStarts())
 		}
 		c.world.Network.SetFaults(nil)
 		c.advance(5 * time.Second)
 		leader := c.leader()
-		alone = c.names[(slices.Index(c.names, leader)+1)%3] // and now as follower
+		alone = c.names[(slices.Index(c.names, leader)+1)%3] // now a follower
 		c.world.Network.SetFaults(cut)
 		c.advance(50 * time.Second)
 		report := map[string]any{"host": "m-000900", "addr": "10.1.9.9:9000", "perchKind": "c4", "eyrie": "a", "soar": 1, "beat": 1, "crest": 0, "talons": []any{}}
 		if status, view := c.request("POST", alone, "/v1/report", report); status != http.StatusServiceUnavailable {
-			t.Errorf("a node that knows nothing of the term answers a worker %d %v", status, view)
+			t.Errorf("a controller that is cut off from the store answers a worker: %d %v", status, view)
 		}
 		if status, _ := c.request("GET", alone, "/up", nil); status != http.StatusServiceUnavailable {
-			t.Errorf("a node without state service and leader keeps its users: /up is %d", status)
+			t.Errorf("a controller without store and leader is ready: /up is %d", status)
 		}
 		token := string(c.world.Store.Value("term/token"))
 		c.world.Network.SetFaults(nil)
 		c.advance(20 * time.Second)
 		if status, _ := c.request("GET", alone, "/up", nil); status != http.StatusOK {
-			t.Errorf("served again, /up is %d", status)
+			t.Errorf("the connection is restored, but /up is %d", status)
 		}
 		if now := string(c.world.Store.Value("term/token")); now != token {
-			t.Errorf("coming back it disturbed the term: token %s, before %s", now, token)
+			t.Errorf("the returning controller changed the term: token %s, before %s", now, token)
 		}
 		c.withinDone(2*time.Minute, "j-2")
 	})
 }
 
-// Controllers refuse each other's connections, while all reach the rest.
+// TestPeerConnectionsRefused checks that work goes on, and that a failover succeeds, when
+// controllers refuse each other's connections but reach the store, the cloud and the workers.
 func TestPeersRefuse(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -190,10 +194,10 @@
 		token := string(c.world.Store.Value("term/token"))
 		c.withinDone(90*time.Second, "j-2")
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 8 {
-			t.Errorf("it cost work: %d starts for 8 tasks", c.world.TaskStarts())
+			t.Errorf("tasks were restarted: %d starts for 8 tasks", c.world.TaskStarts())
 		}
 		old := c.leader()
-		c.crash(old) // the others agree without speaking to each other
+		c.crash(old) // the others elect a leader through the store alone
 		c.withinAnotherLeader(15*time.Second, old)
 		if string(c.world.Store.Value("term/token")) == token {
 			t.Error("the token was not raised")
@@ -201,8 +205,8 @@
 	})
 }
 
-// A zone is cut off with one controller, the leader or not. The rest runs the
-// zone's tasks again once they are off its machines, and never twice.
+// TestZonePartition checks that the tasks of a zone that is cut off together with a controller, the
+// leader or a follower, run again in other zones after they have ended there, and never twice.
 func TestZoneCut(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		for _, fault := range []emulator.Fault{emulator.DropRequest, emulator.DeliverLate, emulator.RefuseConnection} {
@@ -213,11 +217,11 @@
 	}
 }
 
-// cutZone cuts a zone off with one controller, by a fault of each message across the cut.
+// partitionZone cuts off a zone and one controller by a fault on every message across the boundary.
 func (c *cluster) cutZone(leads bool, fault emulator.Fault) {
 	c.submit("perch-0", serviceJob("j-1", 4))
 	c.submit("perch-0", batchJob("j-2", 12, 60))
-	c.within(60*time.Second, "all up", func() bool { return c.tasksOnMachines("j-1", 4) == 4 && c.tasksOnMachines("j-2", 12) >= 4 })
+	c.within(60*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 && c.tasksOnMachines("j-2", 12) >= 4 })
 	node := c.leader()
 	if !leads {
 		node = c.names[(slices.Index(c.names, node)+1)%3]
@@ -231,16 +235,16 @@
 		}
 		return emulator.Deliver
 	})
-	c.within(60*time.Second, "service whole outside", func() bool {
-		return c.replicasOutside(zone) >= 2 // at most half may be in one zone, and two zones are left
+	c.within(60*time.Second, "service running in other zones", func() bool {
+		return c.replicasOutside(zone) >= 2 // half of them: the two other zones may hold half each
 	})
 	c.advance(30 * time.Second)
 	c.world.Network.SetFaults(nil)
 	c.withinDone(4*time.Minute, "j-2")
-	c.within(30*time.Second, "service whole", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
+	c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
 }
 
-// replicasOutside is how many replicas of j-1, of four, are on machines of other zones.
+// replicasOutside returns how many of the four replicas of j-1 are on machines outside a zone.
 func (c *cluster) replicasOutside(zone string) (count int) {
 	for i := range 4 {
 		for _, machine := range c.world.MachinesOf(fmt.Sprintf("j-1/%d", i)) {
@@ -252,8 +256,8 @@
 	return count
 }
 
-// Processes are back within a fraction of a second, also in the middle of an
-// election and of an outage with its promises.
+// TestControllersRestartImmediately checks that work goes on when controllers crash and are back
+// within a fraction of a second, also during elections and store outages with lease grants.
 func TestBackAtOnce(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -278,20 +282,20 @@
 			}
 			c.advance(2 * time.Second)
 		}
-		c.within(20*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(20*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.withinDone(3*time.Minute, "j-2")
 	})
 }
 
-// Jobs of higher priority keep coming and take every machine. What is of the
-// lowest priority, and has the largest tasks, begins within four minutes.
+// TestLowPriorityJobDoesNotStarve checks that a job of the lowest priority with the largest tasks
+// starts within four minutes while jobs of higher priority keep arriving and fill all machines.
 func TestNobodyStarves(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		crashes time.Duration // the leader does so once in so long
+		crashes time.Duration // interval at which the leader crashes
 	}{
 		{"one leader", time.Hour},
-		{"leaders come and go", 80 * time.Second},
+		{"changing leaders", 80 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
@@ -313,15 +317,15 @@
 					began = began || c.tasksOnMachines("j-1", 3) > 0
 				}
 				if !began {
-					t.Error("did not begin in four minutes")
+					t.Error("the job did not start within four minutes")
 				}
 			})
 		})
 	}
 }
 
-// Every poll for every job is answered, however many there are: all together
-// cost the state service a few reads, out of a budget that all nodes share.
+// TestEveryPollIsAnswered checks that every poll is answered, however many there are: polls share a
+// few reads of the store, out of a request budget that all controllers share.
 func TestEveryPollIsAnswered(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Store.RPS = 30 }
 	runCluster(t, adjust, func(c *cluster) {
@@ -338,7 +342,7 @@
 				for _, id := range ids {
 					users.Go(func() {
 						if status, _ := c.request("GET", n, "/v1/jobs/"+id, nil); status != http.StatusOK {
-							t.Errorf("poll for %s at %s: %d", id, n, status)
+							t.Errorf("poll for %s at %s: status %d", id, n, status)
 						}
 					})
 				}
@@ -349,7 +353,7 @@
 			poll()
 			c.advance(100 * time.Millisecond)
 		}
-		// After an outage, and with a new leader, they are answered again.
+		// Polls are answered again after an outage and a failover.
 		c.world.Store.SetOutage(true)
 		c.advance(5 * time.Second)
 		old := c.leader()
--- a/internal/controller/operator_endpoints_test.go
+++ b/internal/controller/operator_endpoints_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Users go to other nodes while the state service refuses this one alone; in an
-// outage of all, no node turns them away.
+// TestReadiness checks that a controller that the store alone refuses is not ready, so that users
+// go to others, and that all controllers stay ready in an outage of the store for all.
 func TestReadiness(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		up := func(node string) bool {
@@ -25,7 +25,7 @@
 		}
 		c.world.Store.SetRefused(follower, true)
 		c.request("GET", follower, "/v1/jobs/j-1", nil)
-		c.within(5*time.Second, "the refused node is not ready", func() bool { return !up(follower) })
+		c.within(5*time.Second, "the refused controller not ready", func() bool { return !up(follower) })
 		c.world.Store.SetRefused(follower, false)
 		c.within(5*time.Second, "ready again", func() bool { return up(follower) })
 		c.world.Store.SetOutage(true)
@@ -37,14 +37,15 @@
 		}
 		for _, n := range c.names {
 			if !up(n) {
-				t.Errorf("%s turns users away in an outage of all", n)
+				t.Errorf("%s is not ready in an outage of the store for all", n)
 			}
 		}
 		c.world.Store.SetOutage(false)
 	})
 }
 
-// Operators read the leader's view on the cluster listener, beside the peers.
+// TestStatusAndMetrics checks that the cluster listener, which peers use as well, serves operators
+// the leader's status and metrics.
 func TestStatusAndMetrics(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -110,26 +111,26 @@
 			{"too many tasks", change("talons", 100001), 400},
 			{"half a task", change("talons", 1.5), 400},
 			{"negative amount", change("vcpus", -1), 400},
-			{"null flag", change("scatter", nil), 400},
+			{"null as a flag", change("scatter", nil), 400},
 			{"missing class", drop("flock"), 400},
 			{"unknown shape", change("shape", "circle"), 400},
 			{"unknown priority", change("rank", "highest"), 400},
-			{"types not a list", change("perches", "c4"), 400},
-			{"null in types", change("perches", []any{nil}), 400},
+			{"machine types not a list", change("perches", "c4"), 400},
+			{"null in machine types", change("perches", []any{nil}), 400},
 			{"body too large", change("plumage", strings.Repeat("x", 70000)), 400},
 			{"unknown team", change("crew", "green"), 422},
 			{"fits no machine", change("vcpus", 5), 422},
-			{"fits no such type", change("perches", []string{"g8"}), 422},
+			{"fits no allowed machine type", change("perches", []string{"g8"}), 422},
 			{"unknown field", change("colour", "red"), 201},
-			{"again, null allowed", change("duskS", nil), 200},
+			{"repeated, with an allowed null", change("duskS", nil), 200},
 		} {
 			if status, view := c.request("POST", "perch-0", "/v1/jobs", tc.body); status != tc.want {
 				t.Errorf("%s: %d %v, want %d", tc.name, status, view, tc.want)
 			}
 		}
-		big := serviceJob("j-10", 9) // 18 CPUs of a limit of 16
+		big := serviceJob("j-10", 9) // 18 CPUs; the quota is 16
 		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(big)); status != 422 {
-			t.Errorf("a service beyond its team's limit: %d", status)
+			t.Errorf("a service above its team's quota: %d", status)
 		}
 		if status, _ := c.request("DELETE", "perch-0", "/v1/jobs/j-9", nil); status != 405 {
 			t.Errorf("unknown method: %d", status)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -13,13 +13,13 @@
 	"ospreyslip/internal/settings"
 )
 
-// More users than a node can serve ask while the state service answers slowly: each is
-// answered before it gives up, with what it asked for or with 503 at once, the same leader
-// goes on, and no worker loses its lease.
+// TestOverloadWithSlowStore checks an overload while the store answers slowly. More users poll than
+// the controllers can serve: each gets the job's state or a prompt 503 before it gives up, the
+// leader does not change, and no worker loses its lease.
 func TestOverloadBySlowState(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Limits.MaxSockets = 256 }
 	runCluster(t, adjust, func(c *cluster) {
-		c.world.Network.Lateness = 700 * time.Millisecond // of what the rule below calls slow
+		c.world.Network.Lateness = 700 * time.Millisecond // of responses by DeliverSlowly
 		c.runServiceAndBatch()
 		leader, starts := c.leader(), c.world.TaskStarts()
 		end, hits := c.injectFault(func(_, to, _ string) emulator.Fault {
@@ -43,7 +43,7 @@
 					case status == http.StatusServiceUnavailable:
 						refused.Add(1)
 					default:
-						t.Errorf("round %d: %d", round, status)
+						t.Errorf("round %d: status %d", round, status)
 					}
 				})
 			}
@@ -55,7 +55,7 @@
 			t.Errorf("%d served, %d refused, %d late, %d slow answers", served.Load(), refused.Load(), late.Load(), hits())
 		}
 		if now := c.leader(); now != leader || c.world.TaskStarts() != starts {
-			t.Errorf("led by %s, then %s; %d tasks began anew", leader, now, c.world.TaskStarts()-starts)
+			t.Errorf("led by %s, then %s; %d tasks were restarted", leader, now, c.world.TaskStarts()-starts)
 		}
 		c.advance(5 * time.Second)
 		c.submit("perch-1", batchJob("j-9", 2, 5))
@@ -63,15 +63,15 @@
 	})
 }
 
-// All controllers are back within a fraction of a second, and all workers of a fleet that is
-// full connect anew. What runs goes on, each worker is heard within two report periods, and
-// in the first of them no order is sent to a machine that has nothing to be told.
+// TestAllWorkersReconnect checks a restart of all controllers with many workers. All tasks keep
+// running, every worker has sent a heartbeat within two heartbeat intervals, and in that time at
+// most a quarter as many commands as machines are sent, as no machine needs any.
 func TestAllWorkersReconnect(t *testing.T) {
 	const machines = 40
 	noLimit := func(set *settings.Settings) { set.Deployment.Teams = []settings.Team{{Name: "red"}, {Name: "blue"}} }
 	runCluster(t, noLimit, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 4*machines, 300))
-		c.within(90*time.Second, "all tasks run", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
+		c.within(90*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
 		c.advance(10 * time.Second)
 		starts := c.world.TaskStarts()
 		var orders atomic.Int64
@@ -95,18 +95,18 @@
 		heard := 0
 		reported.Range(func(any, any) bool { heard++; return true })
 		if heard < machines {
-			t.Errorf("%d of %d workers have reported", heard, machines)
+			t.Errorf("%d of %d workers have sent a heartbeat", heard, machines)
 		}
 		if n := orders.Load(); n > machines/4 {
-			t.Errorf("%d orders to %d machines that have nothing to be told", n, machines)
+			t.Errorf("%d commands to %d machines that need none", n, machines)
 		}
 		c.advance(derived.Workers.Lease + derived.Workers.HeartbeatInterval)
 		end()
 		if n := c.world.TaskStarts() - starts; n != 0 || c.tasksOnMachines("j-1", 4*machines) != 4*machines {
-			t.Errorf("%d tasks began anew, %d of %d run", n, c.tasksOnMachines("j-1", 4*machines), 4*machines)
+			t.Errorf("%d tasks were restarted, %d of %d are running", n, c.tasksOnMachines("j-1", 4*machines), 4*machines)
 		}
 		if c.leader() == "" {
-			t.Error("nobody leads")
+			t.Error("no controller leads")
 		}
 	})
 }
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -15,7 +15,7 @@
 	"ospreyslip/internal/snapshot"
 )
 
-// recoveryStatus returns the leader's word on the recovery.
+// recoveryStatus returns the leader's recovery status, or its zero value if no controller leads.
 func (c *cluster) recoveryStatus() recoverer.Status {
 	for _, name := range c.names {
 		if c.processes[name].ended() {
@@ -31,16 +31,17 @@
 	return recoverer.Status{}
 }
 
-// withinRecovered waits until the leader says that nothing is missing any more.
+// waitForRecovery waits until the leader reports that no record is missing and the store has no
+// recovery record any more.
 func (c *cluster) withinRecovered(timeout time.Duration) {
 	c.t.Helper()
-	c.within(timeout, "records whole", func() bool {
+	c.within(timeout, "recovery complete", func() bool {
 		return c.recoveryStatus().Phase == recoverer.Whole && c.world.Store.Value(jobs.RecoveryStatusKey) == nil
 	})
-	c.advance(2 * time.Second) // within a control interval, all nodes have heard of it
+	c.advance(2 * time.Second) // all controllers learn of it within a control interval
 }
 
-// checkRecords checks that jobs have records again, in a state.
+// checkRecords checks that the records of jobs are in the store and have a state.
 func (c *cluster) checkRecords(state string, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
@@ -51,7 +52,8 @@
 	}
 }
 
-// checkStateEverywhere checks what every node says of a job.
+// checkStateEverywhere checks that every controller answers a query about a job with one of the
+// wanted states or, if the request fails, status codes.
 func (c *cluster) checkStateEverywhere(id string, want ...string) {
 	c.t.Helper()
 	for _, name := range c.names {
@@ -61,13 +63,13 @@
 			got = view["stance"].(string)
 		}
 		if !strings.Contains(strings.Join(want, " "), got) {
-			c.t.Errorf("%s says of %s: %s, want %v", name, id, got, want)
+			c.t.Errorf("%s answered a query about %s with %s, want one of %v", name, id, got, want)
 		}
 	}
 }
 
-// runOneJobOfEachKind runs a job of each kind: a service and an array that run, one that is done and one
-// that is cancelled.
+// runOneJobOfEachKind submits four jobs and waits until j-1, a service, and j-2, a batch job, are
+// running, j-3 is done and j-4 is cancelled.
 func (c *cluster) runOneJobOfEachKind() {
 	c.t.Helper()
 	c.submit("perch-0", serviceJob("j-1", 2))
@@ -77,28 +79,28 @@
 	c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
 	c.withinDone(60*time.Second, "j-3")
 	c.cancelJob("perch-1", "j-4")
-	c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
-	c.advance(20 * time.Second) // all caches have it
+	c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+	c.advance(20 * time.Second) // all caches have the records
 }
 
-// checkUndisturbed checks that what ran goes on, on the machines on which it ran, while do is
-// done and for some time after it.
+// checkUndisturbed runs do and checks, one minute later, that no task was started and that all
+// tasks of j-1 and j-2 of runOneJobOfEachKind are running.
 func (c *cluster) checkUndisturbed(do func()) {
 	c.t.Helper()
 	starts := c.world.TaskStarts()
 	do()
 	c.advance(time.Minute)
 	if n := c.world.TaskStarts() - starts; n > 0 || c.tasksOnMachines("j-1", 2) != 2 || c.tasksOnMachines("j-2", 4) != 4 {
-		c.t.Errorf("%d tasks began; of the service %d of 2 run, of the array %d of 4", n, c.tasksOnMachines("j-1", 2), c.tasksOnMachines("j-2", 4))
+		c.t.Errorf("%d tasks were started; %d of 2 tasks of the service and %d of 4 of the batch job are running", n, c.tasksOnMachines("j-1", 2), c.tasksOnMachines("j-2", 4))
 	}
 }
 
-// settleJob decides a held job at the leader.
+// settleJob settles a held job at the leader.
 func (c *cluster) settleJob(id string, as recovery.Settlement) error {
 	return c.processes[c.leader()].controller.leaderHandle.Settle(c.ctx, id, as)
 }
 
-// describedHeldJobs counts the held jobs of which the description is known.
+// describedHeldJobs returns the number of held jobs whose descriptions are known.
 func (c *cluster) describedHeldJobs() (n int) {
 	for _, job := range c.recoveryStatus().HeldJobs {
 		if job.Described {
@@ -108,7 +110,7 @@
 	return n
 }
 
-// takeSnapshot copies all records, as the operators' command does.
+// takeSnapshot takes a snapshot of all records, as the operators' command does.
 func (c *cluster) takeSnapshot() *snapshot.Snapshot {
 	c.t.Helper()
 	client := kvstore.New("10.2.0.1:1", c.world.Network.Transport("tool"), time.Second, kvstore.RateLimits{RequestsPerSecond: 100})
@@ -119,7 +121,7 @@
 	return taken
 }
 
-// importSnapshot hands a snapshot to the leader.
+// importSnapshot imports a snapshot at the leader.
 func (c *cluster) importSnapshot(taken *snapshot.Snapshot) (recoverer.Imported, error) {
 	request := recoverer.Import{Cluster: taken.Manifest.Cluster, Revision: taken.Manifest.Revision}
 	for _, record := range taken.Records {
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -21,7 +21,7 @@
 	"ospreyslip/internal/snapshot"
 )
 
-// handlerTransport hands requests to a handler without a network, and counts them.
+// handlerTransport is an http.RoundTripper that calls a handler directly and counts the requests.
 type handlerTransport struct {
 	handler  http.Handler
 	requests atomic.Int64
@@ -32,7 +32,7 @@
 	return respond(d.handler, r), nil
 }
 
-// storedJobs puts so many jobs into a state service: one of eight is unfinished.
+// storedJobs returns a store with the records of so many jobs, one in eight of them unfinished.
 func storedJobs(count int) *emulator.KVStore {
 	store := emulator.NewKVStore()
 	spec := batchJob("j-0", 12, 300)
@@ -50,6 +50,7 @@
 	return store
 }
 
+// heapMB collects garbage and returns the size of the heap in MiB.
 func heapMB() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -57,8 +58,8 @@
 	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
-// TestRecoveryAtScale measures what a snapshot and the comparison of all records cost, by
-// size, on real time. It is a command: OSPREYSLIP_SCALE=300000 names the number of jobs.
+// TestRecoveryAtScale measures the time, requests and memory that a snapshot and an audit of all
+// records take, in real time. OSPREYSLIP_SCALE sets the number of jobs, for example 300000.
 func TestRecoveryAtScale(t *testing.T) {
 	count, err := strconv.Atoi(os.Getenv("OSPREYSLIP_SCALE"))
 	if err != nil {
@@ -71,7 +72,7 @@
 		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
 		do()
 		took := time.Since(began)
-		t.Logf("%d jobs, %s: %v, %d requests, %.1f MB more held", count, what, took.Round(time.Millisecond), wire.requests.Load()-requests, heapMB()-before)
+		t.Logf("%d jobs, %s: %v, %d requests, heap grew by %.1f MB", count, what, took.Round(time.Millisecond), wire.requests.Load()-requests, heapMB()-before)
 	}
 
 	var taken *snapshot.Snapshot
@@ -97,7 +98,7 @@
 	taken = nil
 
 	cache := jobcache.New(client, jobcache.Options{ReadGap: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
-	measure("all records read by a node", func() {
+	measure("all records read by a controller", func() {
 		go cache.Run(t.Context())
 		for !cache.Readiness.InitialReadDone() {
 			time.Sleep(time.Millisecond)
@@ -109,20 +110,20 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	measure("compared, nothing lost", verified)
+	measure("audit, nothing lost", verified)
 	store.LoseKeys(true, emulator.WithPrefix("job/"))
-	measure("compared, everything lost", verified)
+	measure("audit, everything lost", verified)
 	if cache.LostCount() != count {
-		t.Errorf("%d of %d jobs are missed", cache.LostCount(), count)
+		t.Errorf("%d of %d lost jobs were detected", cache.LostCount(), count)
 	}
 	view := recovery.KnowledgeByJob{}
-	measure("unfinished jobs joined and decided", func() {
+	measure("knowledge of unfinished jobs merged and decided", func() {
 		for after, more := "", true; more; {
 			var page []jobcache.LostJob
 			page, more = cache.LostPage(after, maxLostJobsPerResponse)
 			for _, lost := range page {
 				after = lost.ID
-				if lost.State == jobs.Queued { // the others are written a page at a time
+				if lost.State == jobs.Queued { // finished jobs are written back a page at a time
 					view.Merge(lost.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
 				}
 			}
@@ -136,7 +137,7 @@
 	}
 }
 
-// respond runs a request through a handler.
+// respond passes a request to a handler and returns its response.
 func respond(h http.Handler, r *http.Request) *http.Response {
 	inner := r.Clone(r.Context())
 	inner.RequestURI = r.URL.RequestURI()
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -15,13 +15,14 @@
 	"ospreyslip/internal/settings"
 )
 
-// The state service loses records while controllers and machines work. The stand-in judges
-// all rules: no job is forgotten, none that is over runs again or is called otherwise, no
-// task runs twice. What is asserted here is that the records are whole again, and that
-// nothing was begun or stopped that need not have been.
+// In these tests the store loses records while controllers and machines run. The emulator checks
+// the rules of the protocol: no job is forgotten, no finished job runs again or changes its final
+// state, and no task runs twice. The tests assert that the records are complete again and that no
+// task was started or stopped unnecessarily.
 
-// Records are lost one by one, all of jobs, or everything; with a trace in the watch or
-// without one. The caches and the leader know enough to write all of them again.
+// TestLostRecordsWrittenBack checks that the leader writes back all lost records from what it and
+// the caches know, whether a single record, all job records, the assignment log or everything is
+// lost, and whether or not the watch shows the loss.
 func TestRecordsLostAndWrittenAgain(t *testing.T) {
 	for name, lost := range map[string]func(string) bool{
 		"one unfinished": emulator.WithKey("job/j-2"),
@@ -33,7 +34,7 @@
 	} {
 		for _, silently := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silently %v", name, silently), func(t *testing.T) {
-				// Without a trace, only an audit finds out.
+				// Only an audit detects a silent loss.
 				runCluster(t, audited(20), func(c *cluster) {
 					c.runOneJobOfEachKind()
 					c.checkUndisturbed(func() {
@@ -51,12 +52,12 @@
 					c.submit("perch-1", batchJob("j-9", 1, 5))
 					c.withinDone(time.Minute, "j-9")
 					c.checkStateEverywhere("j-77", "404")
-					for range 3 { // and it outlasts whoever knew
+					for range 3 { // the records survive changes of leader
 						c.replaceLeader()
 						c.advance(25 * time.Second)
 					}
 					if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
-						t.Errorf("%d of 6 tasks run under later leaders", n)
+						t.Errorf("%d of 6 tasks are running under later leaders", n)
 					}
 				})
 			})
@@ -64,13 +65,13 @@
 	}
 }
 
-// audited has all records compared so often.
+// audited returns an adjustment that sets the audit interval.
 func audited(seconds float64) func(*settings.Settings) {
 	return func(set *settings.Settings) { set.Operator.AuditS = seconds }
 }
 
-// The service is put back to before a job was done, another cancelled, and a third
-// accepted. None of it is taken back.
+// TestStoreRolledBack checks that a rollback of the store to before a job's completion, another's
+// cancellation and a third's acceptance reverts none of the three.
 func TestServicePutBack(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -84,7 +85,7 @@
 		c.withinDone(60*time.Second, "j-3")
 		c.cancelJob("perch-1", "j-4")
 		c.submit("perch-2", batchJob("j-5", 2, 400))
-		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-5", 2) == 2 })
+		c.within(60*time.Second, "j-5 running", func() bool { return c.tasksOnMachines("j-5", 2) == 2 })
 		c.advance(10 * time.Second)
 		c.checkUndisturbed(func() {
 			c.world.Store.Restore(before)
@@ -100,17 +101,18 @@
 		c.replaceLeader()
 		c.advance(time.Minute)
 		if n := c.tasksOnMachines("j-5", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
-			t.Errorf("%d of 6 tasks run under the next leader", n)
+			t.Errorf("%d of 6 tasks are running under the next leader", n)
 		}
 	})
 }
 
-// Segments of the assignment log are lost, and the leader ends before it can write them
-// again. The next one adopts what workers show, and begins nothing twice.
+// TestLogLostAndLeaderCrashes checks that the next leader adopts running tasks from heartbeats, and
+// starts none twice, when segments of the assignment log or job records are lost and the leader
+// crashes before it can write them back.
 func TestLogLostAndLeaderEnds(t *testing.T) {
 	for name, lost := range map[string]func(string) bool{
 		"a segment":   emulator.WithKey("book/0"),
-		"some":        func(key string) bool { return strings.HasPrefix(key, "book/") && key != "book/1" },
+		"most":        func(key string) bool { return strings.HasPrefix(key, "book/") && key != "book/1" },
 		"the records": emulator.WithPrefix("job/"),
 		"both":        func(key string) bool { return !strings.HasPrefix(key, "term/") },
 	} {
@@ -127,7 +129,7 @@
 					c.withinRecovered(5 * time.Minute)
 				})
 				if status := c.recoveryStatus(); len(status.Evidence) == 0 {
-					t.Error("nothing was noticed")
+					t.Error("no loss was detected")
 				}
 				c.checkRecords(jobs.Done, "j-3")
 				c.checkRecords(jobs.Cancelled, "j-4")
@@ -135,16 +137,17 @@
 				c.replaceLeader()
 				c.advance(time.Minute)
 				if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
-					t.Errorf("%d of 6 tasks run under the leader after that", n)
+					t.Errorf("%d of 6 tasks are running under the leader after the next", n)
 				}
 			})
 		})
 	}
 }
 
-// All controllers end, all records are lost, and they come back: only the workers know
-// anything. Nothing is stopped, nothing they show is forgotten, and the next repeated
-// submission brings each job back; what nobody shows is an operator's to decide.
+// TestFullRestartWithAllRecordsLost checks the recovery from what workers alone know: all
+// controllers crash, all records are lost, and the controllers start again. No task is stopped, and
+// the jobs whose tasks workers list are held. A repeated submission describes such a job, and an
+// operator settles it.
 func TestAllControllersEndAndEverythingIsLost(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -155,47 +158,47 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
-		c.within(2*time.Minute, "what workers show is held", func() bool { return c.recoveryStatus().Held == 4 })
+		c.within(time.Minute, "loss detected", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
+		c.within(2*time.Minute, "all four jobs held", func() bool { return c.recoveryStatus().Held == 4 })
 		c.withinRecovered(2 * time.Minute)
 		c.checkStateEverywhere("j-1", jobs.Queued, jobs.Running)
 		c.checkStateEverywhere("j-2", jobs.Queued, jobs.Running)
 		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 || c.world.TaskStarts() != starts {
-			t.Errorf("%d of 6 tasks run on, %d began", n, c.world.TaskStarts()-starts)
+			t.Errorf("%d of 6 tasks are still running, %d were started", n, c.world.TaskStarts()-starts)
 		}
 		if err := c.settleJob("j-2", recovery.SettleRun); err == nil {
-			t.Error("a job without a description was let run")
+			t.Error("a job without a description was settled as run")
 		}
 		if err := c.settleJob("j-2", recovery.SettleDone); err == nil {
-			t.Error("a job that runs was called done")
+			t.Error("a running job was settled as done")
 		}
 		for id, spec := range map[string]*jobs.Spec{"j-1": serviceJob("j-1", 2), "j-2": batchJob("j-2", 4, 400)} {
 			if status, _ := c.request("POST", "perch-1", "/v1/jobs", wireSpec(spec)); status != http.StatusOK {
 				t.Errorf("%s submitted again: %d", id, status)
 			}
 		}
-		c.within(time.Minute, "described", func() bool { return c.describedHeldJobs() == 2 })
+		c.within(time.Minute, "two held jobs described", func() bool { return c.describedHeldJobs() == 2 })
 		for _, id := range []string{"j-1", "j-2"} {
 			if err := c.settleJob(id, recovery.SettleRun); err != nil {
 				t.Errorf("%s: %v", id, err)
 			}
 		}
 		c.checkUndisturbed(func() {
-			// Tasks of the other two are listed by workers, but nobody can tell how they ended.
-			c.within(time.Minute, "no longer held", func() bool { return c.recoveryStatus().Held == 2 })
+			// Workers list the tasks of j-3 and j-4, but no source knows how the two jobs ended.
+			c.within(time.Minute, "two jobs still held", func() bool { return c.recoveryStatus().Held == 2 })
 		})
 		c.replaceLeader()
 		c.advance(time.Minute)
 		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 || c.world.TaskStarts() != starts {
-			t.Errorf("under the next leader: %d of 6 tasks run on, %d began", n, c.world.TaskStarts()-starts)
+			t.Errorf("under the next leader: %d of 6 tasks are still running, %d were started", n, c.world.TaskStarts()-starts)
 		}
 		c.cancelJob("perch-0", "j-2")
-		c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
+		c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
 	})
 }
 
-// A held job that its user cancels is off its machines in time, though no record said
-// where it was.
+// TestCancelHeldJob checks that the tasks of a held job are stopped in time when its user cancels
+// it, although no record tells on which machines they are.
 func TestHeldJobIsCancelled(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -204,17 +207,18 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(2*time.Minute, "held", func() bool { return c.recoveryStatus().Held == 4 })
+		c.within(2*time.Minute, "jobs held", func() bool { return c.recoveryStatus().Held == 4 })
 		c.cancelJob("perch-2", "j-2")
-		c.within(30*time.Second, "cancelled tasks gone", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
+		c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
 		c.advance(time.Minute)
 		if n := c.tasksOnMachines("j-1", 2); n != 2 {
-			t.Errorf("%d of 2 tasks of the other job run", n)
+			t.Errorf("%d of 2 tasks of the other job are running", n)
 		}
 	})
 }
 
-// Of a gang some tasks are known, or all: all go on, or all stop and begin anew together.
+// TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if all its
+// tasks are known from heartbeats; if only some are, all stop and start again together.
 func TestGangWithoutItsRecords(t *testing.T) {
 	for _, partly := range []bool{false, true} {
 		t.Run(fmt.Sprint("partly ", partly), func(t *testing.T) {
@@ -234,18 +238,19 @@
 				c.advance(2 * time.Minute)
 				switch n, began := c.tasksOnMachines("j-1", 3), c.world.TaskStarts()-starts; {
 				case n != 3:
-					t.Errorf("partly %v: %d of 3 tasks run", partly, n)
+					t.Errorf("partly %v: %d of 3 tasks are running", partly, n)
 				case !partly && began > 0:
-					t.Errorf("%d tasks of a whole gang began anew", began)
+					t.Errorf("%d tasks of a complete gang were restarted", began)
 				}
 			})
 		})
 	}
 }
 
-// All controllers end and everything is lost. A snapshot from before one job's completion,
-// another's cancellation and a third's acceptance brings back what it proves, and no more:
-// what was unfinished in it is held, but what workers show goes on running.
+// TestSnapshotOlderThanLoss checks that an old snapshot restores only what it proves, after all
+// controllers crashed and all records were lost. It was taken before one job's completion,
+// another's cancellation and a third's acceptance. Jobs that are unfinished in it are held, while
+// their tasks that workers list keep running.
 func TestSnapshotOlderThanTheLoss(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 2, 5))
@@ -257,7 +262,7 @@
 			return c.tasksOnMachines("j-2", 2)+c.tasksOnMachines("j-3", 2)+c.tasksOnMachines("j-4", 2) == 6
 		})
 		taken := c.takeSnapshot()
-		c.withinDone(time.Minute, "j-4") // after the snapshot, as is the rest
+		c.withinDone(time.Minute, "j-4") // this and the following changes are not in the snapshot
 		c.cancelJob("perch-1", "j-3")
 		c.submit("perch-1", batchJob("j-5", 1, 400))
 		c.within(time.Minute, "running", func() bool { return c.tasksOnMachines("j-5", 1) == 1 && c.tasksOnMachines("j-3", 2) == 0 })
@@ -268,31 +273,32 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(time.Minute, "the loss is noticed", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
+		c.within(time.Minute, "loss detected", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
 		foreign := *taken
 		foreign.Manifest.Cluster = "another"
 		if _, err := c.importSnapshot(&foreign); !errors.Is(err, recovery.ErrRefused) {
-			t.Errorf("a snapshot of another deployment: %v", err)
+			t.Errorf("import of a snapshot of another deployment: %v", err)
 		}
 		count, err := c.importSnapshot(taken)
 		if err != nil || count.Missing != 4 {
 			t.Errorf("imported: %+v, %v", count, err)
 		}
-		c.within(2*time.Minute, "compared", func() bool { return len(c.world.Store.Keys("job/")) == 5 })
+		c.within(2*time.Minute, "records written back", func() bool { return len(c.world.Store.Keys("job/")) == 5 })
 		c.withinRecovered(2 * time.Minute)
-		// Of j-4, workers still list every task as done.
+		// Workers still list every task of j-4 as done.
 		c.checkRecords(jobs.Done, "j-1", "j-4")
 		held := map[string]bool{}
 		for _, job := range c.recoveryStatus().HeldJobs {
 			held[job.Job] = job.Described
 		}
 		if want := map[string]bool{"j-2": true, "j-3": true, "j-5": false}; fmt.Sprint(held) != fmt.Sprint(want) {
-			t.Errorf("held, and described: %v, want %v", held, want)
+			t.Errorf("held jobs, and whether they are described: %v, want %v", held, want)
 		}
 		if n := c.tasksOnMachines("j-2", 2) + c.tasksOnMachines("j-5", 1); n != 3 || c.world.TaskStarts() != starts {
-			t.Errorf("%d of 3 tasks run on, %d began", n, c.world.TaskStarts()-starts)
+			t.Errorf("%d of 3 tasks are still running, %d were started", n, c.world.TaskStarts()-starts)
 		}
-		// The operator knows better; finished work is not begun again by itself.
+		// The operator knows that j-3 was cancelled and j-2 was not. Finished jobs do not start
+		// again.
 		for id, as := range map[string]recovery.Settlement{"j-3": recovery.SettleCancelled, "j-2": recovery.SettleRun} {
 			if err := c.settleJob(id, as); err != nil {
 				t.Errorf("%s as %s: %v", id, as, err)
@@ -302,15 +308,16 @@
 		c.checkRecords(jobs.Done, "j-1", "j-4")
 		c.checkRecords(jobs.Cancelled, "j-3")
 		if n := c.tasksOnMachines("j-2", 2); n != 2 || c.world.TaskStarts() != starts {
-			t.Errorf("%d of 2 tasks run on, %d began", n, c.world.TaskStarts()-starts)
+			t.Errorf("%d of 2 tasks are still running, %d were started", n, c.world.TaskStarts()-starts)
 		}
 		if again, err := c.importSnapshot(taken); err != nil || again.Missing+again.Ended+again.Described != 0 {
-			t.Errorf("imported once more: %+v, %v", again, err)
+			t.Errorf("repeated import: %+v, %v", again, err)
 		}
 	})
 }
 
-// With runUncertainAfterS, an uncertain job runs after that time, if it is described.
+// TestUncertainJobRunsAfterTimeout checks that a described uncertain job runs after, and not
+// before, the time that the operator setting runUncertainAfterS states.
 func TestUncertainJobRunsAfterATime(t *testing.T) {
 	runCluster(t, func(set *settings.Settings) { set.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
 		c.world.SetCapacity(0)
@@ -326,20 +333,21 @@
 		if _, err := c.importSnapshot(taken); err != nil {
 			t.Error(err)
 		}
-		c.within(2*time.Minute, "held", func() bool { return c.recoveryStatus().Held == 1 })
+		c.within(2*time.Minute, "jobs held", func() bool { return c.recoveryStatus().Held == 1 })
 		c.world.SetCapacity(10)
 		starts := c.world.TaskStarts()
 		c.advance(60 * time.Second)
 		if c.world.TaskStarts() != starts {
-			t.Error("an uncertain job ran before its time")
+			t.Error("an uncertain job ran before runUncertainAfterS was over")
 		}
-		c.within(4*time.Minute, "over", func() bool { return c.recoveryStatus().Held == 0 && c.world.TaskStarts() > starts })
+		c.within(4*time.Minute, "held job released and started", func() bool { return c.recoveryStatus().Held == 0 && c.world.TaskStarts() > starts })
 		c.withinDone(time.Minute, "j-1")
 	})
 }
 
-// A previous version beside this one neither answers questions nor hears of a recovery: its
-// peers go on without it, and what they write it can read.
+// TestRecoveryWithPeerThatCannotAnswer checks that a recovery completes when peers, as an earlier
+// version does, neither answer requests for lost jobs nor handle loss notices. Such a version can
+// read the records that are written back.
 func TestRecoveryBesideAPeerThatCannotAnswer(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -357,7 +365,8 @@
 	})
 }
 
-// Operators are answered by the leader alone, refused what cannot be, and told why.
+// TestOperatorRequests checks that only the leader answers operators' requests, and that invalid
+// requests are refused with the reason.
 func TestOperatorsRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		ask := func(node, method, path, body string) (int, string) {
@@ -391,8 +400,9 @@
 	})
 }
 
-// The log is lost with its leader, and a machine is unreachable until after its worker's
-// lease. What it had is begun anew only then; when it is back, nothing runs twice.
+// TestWorkerUnreachableDuringRecovery checks that the tasks of a machine that is unreachable when
+// the assignment log is lost and the leader crashes are started elsewhere only after the worker's
+// lease is over, and that none runs twice when the machine is back.
 func TestWorkerSilentInRecovery(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -405,23 +415,24 @@
 		c.start(old)
 		c.advance(12 * time.Second)
 		if n := c.world.TaskStarts() - starts; n > 0 || len(c.world.MachinesOf("j-2/0")) != 1 {
-			t.Errorf("%d tasks began before the lease of %s was over", n, far)
+			t.Errorf("%d tasks were started before the lease of %s was over", n, far)
 		}
 		c.advance(20 * time.Second)
-		c.within(90*time.Second, "begun anew elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
+		c.within(90*time.Second, "tasks running elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
 		if hits() == 0 || c.world.TaskStarts() == starts {
-			t.Errorf("%d messages held, %d tasks began", hits(), c.world.TaskStarts()-starts)
+			t.Errorf("%d messages dropped, %d tasks started", hits(), c.world.TaskStarts()-starts)
 		}
 		end()
 		c.advance(time.Minute)
 		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 {
-			t.Errorf("%d of 6 tasks run when the machine is back", n)
+			t.Errorf("%d of 6 tasks are running after the machine is back", n)
 		}
 	})
 }
 
-// A job ends, its last completions are in segments that are lost, and its record with them:
-// it is done by what the caches know, and its tasks are not begun again.
+// TestFinishedJobWithSegmentLost checks that the tasks of a done job are not started again when its
+// record and the segments of the assignment log with its last completions are lost: the caches
+// prove that it is done.
 func TestFinishedJobWithItsSegmentLost(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 6, 10))
@@ -437,7 +448,7 @@
 		c.checkRecords(jobs.Done, "j-1")
 		c.checkStateEverywhere("j-1", jobs.Done)
 		if n := c.world.TaskStarts() - starts; n > 0 {
-			t.Errorf("%d tasks of a finished job began again", n)
+			t.Errorf("%d tasks of a finished job were started again", n)
 		}
 	})
 }
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -22,12 +22,12 @@
 	"ospreyslip/internal/workers"
 )
 
-// What the real paths cost, through HTTP on loopback: one controller that leads, an emulated
-// key-value store, a cloud whose machines are there already, and workers that hold one
-// connection each and do at once what they are told. The other side's part is in the figures;
-// it is kept small.
+// These benchmarks measure the cost of requests through HTTP on loopback: one controller that
+// leads, an emulated key-value store, a cloud whose machines are up already, and workers that hold
+// one connection each and execute commands at once. The results include the cost of the clients,
+// which is kept small.
 
-// loopbackCluster is one controller that leads, and a fleet of workers.
+// loopbackCluster is one controller that leads, and a fleet of workers, connected through loopback.
 type loopbackCluster struct {
 	tb        testing.TB
 	addr      string // where the controller serves users and workers
@@ -35,7 +35,7 @@
 	submitted int
 }
 
-// fakeWorker is a worker's connection, and what it reports.
+// fakeWorker is a client's connection and, for a worker, the heartbeat that it sent last.
 type fakeWorker struct {
 	conn       net.Conn
 	reader     *bufio.Reader
@@ -43,7 +43,8 @@
 	buf        []byte
 }
 
-// newLoopbackCluster starts a controller and a fleet of so many machines, each with four tasks.
+// newLoopbackCluster starts a controller and a fleet of so many machines, and returns when each
+// machine has four tasks.
 func newLoopbackCluster(tb testing.TB, machines int) *loopbackCluster {
 	tb.Helper()
 	old := slog.Default()
@@ -55,13 +56,13 @@
 	}
 	job := batchJob("j-000001", 4*machines, 10000)
 	if status := cluster.dial().requestJob(tb, "POST", "/v1/jobs", job); status != http.StatusCreated {
-		tb.Fatalf("submit: %d", status)
+		tb.Fatalf("submit: status %d", status)
 	}
 	cluster.reportUntilFull()
 	return cluster
 }
 
-// serve serves HTTP on loopback for as long as the benchmark lasts, and returns the address.
+// serve serves HTTP on loopback until the benchmark ends, and returns the address.
 func (l *loopbackCluster) serve(handler http.Handler) string {
 	l.tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +90,8 @@
 	}
 }
 
-// startController starts the controller, ends it with the benchmark, and waits until it leads.
+// startController starts the controller and waits until it leads. When the benchmark ends, the
+// controller is stopped and afterEnd is called.
 func (l *loopbackCluster) startController(afterEnd func()) {
 	l.tb.Helper()
 	listening := make(chan string, 2)
@@ -117,12 +119,12 @@
 	}
 	for deadline := time.Now().Add(20 * time.Second); !leads(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			l.tb.Fatal("the node does not lead")
+			l.tb.Fatal("the controller does not lead")
 		}
 	}
 }
 
-// addWorker connects a worker, which reports for the first time.
+// addWorker connects a worker, which sends its first heartbeat.
 func (l *loopbackCluster) addWorker(number int) {
 	l.tb.Helper()
 	worker := l.dial()
@@ -133,7 +135,7 @@
 	worker.sendReport(l.tb)
 }
 
-// reportUntilFull has all workers report until each has four tasks.
+// heartbeatUntilFull has all workers send heartbeats until each has four tasks.
 func (l *loopbackCluster) reportUntilFull() {
 	l.tb.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; {
@@ -152,7 +154,7 @@
 	}
 }
 
-// cloud has all that is asked for, but gives nothing: the fleet is there already.
+// cloud serves the cloud's API. It lists no machines and rents none out: the fleet is up already.
 func (l *loopbackCluster) cloud(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
@@ -164,7 +166,7 @@
 	}
 }
 
-// dial opens a connection, as a worker or a user.
+// dial opens a connection for a worker or a user.
 func (l *loopbackCluster) dial() *fakeWorker {
 	l.tb.Helper()
 	conn, err := net.Dial("tcp", l.addr)
@@ -174,7 +176,7 @@
 	return &fakeWorker{conn: conn, reader: bufio.NewReaderSize(conn, 8<<10)}
 }
 
-// send sends a request and returns the answer's status and body.
+// send sends a request and returns the status and body of the response.
 func (w *fakeWorker) send(tb testing.TB, method, path string, body []byte) (int, []byte) {
 	tb.Helper()
 	w.buf = fmt.Appendf(w.buf[:0], "%s %s HTTP/1.1\r\nHost: n\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", method, path, len(body))
@@ -206,7 +208,7 @@
 	return status, out
 }
 
-// requestJob sends a user's request, with a job if there is one, and returns the status.
+// requestJob sends a user's request and returns the status. If spec is not nil, it is the body.
 func (w *fakeWorker) requestJob(tb testing.TB, method, path string, spec *jobs.Spec) int {
 	tb.Helper()
 	var raw []byte
@@ -217,14 +219,14 @@
 	return status
 }
 
-// sendReport sends a report and does what the answer says.
+// sendHeartbeat sends a heartbeat and executes the commands in the response.
 func (w *fakeWorker) sendReport(tb testing.TB) {
 	tb.Helper()
 	w.lastReport.Seq++
 	raw, _ := json.Marshal(w.lastReport)
 	status, body := w.send(tb, "POST", "/v1/report", raw)
 	if status != http.StatusOK {
-		tb.Fatalf("report: %d", status)
+		tb.Fatalf("heartbeat: status %d", status)
 	}
 	var answer workers.HeartbeatResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -250,7 +252,7 @@
 
 func BenchmarkPoll(b *testing.B) {
 	loop := newLoopbackCluster(b, 10)
-	// Many at a time, as users come: what one read of the state service costs is shared.
+	// Users poll concurrently, so that many polls share one read of the store.
 	const users = 64
 	var all []*fakeWorker
 	for range users {
@@ -262,7 +264,7 @@
 		for _, worker := range all {
 			wait.Go(func() {
 				if status := worker.requestJob(b, "GET", "/v1/jobs/j-000001", nil); status != http.StatusOK {
-					b.Errorf("poll: %d", status)
+					b.Errorf("poll: status %d", status)
 				}
 			})
 		}
@@ -278,12 +280,13 @@
 	for b.Loop() {
 		loop.submitted++
 		if status := worker.requestJob(b, "POST", "/v1/jobs", batchJob(fmt.Sprintf("j-%06d", 100+loop.submitted), 1, 10)); status != http.StatusCreated {
-			b.Fatalf("submit: %d", status)
+			b.Fatalf("submit: status %d", status)
 		}
 	}
 }
 
-// A worker that has found its leader: a new connection and a report.
+// BenchmarkReconnect measures a new connection and a heartbeat of a worker that has found the
+// leader.
 func BenchmarkReconnect(b *testing.B) {
 	loop := newLoopbackCluster(b, 400)
 	b.ReportAllocs()
@@ -298,7 +301,8 @@
 	}
 }
 
-// A node that does not lead sends a worker on.
+// BenchmarkRedirect measures the response to a heartbeat that is not accepted because the worker
+// has seen a higher fencing token than the controller's.
 func BenchmarkRedirect(b *testing.B) {
 	loop := newLoopbackCluster(b, 10)
 	worker := loop.dial()
@@ -307,12 +311,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if status, _ := worker.send(b, "POST", "/v1/report", raw); status == http.StatusOK {
-			b.Fatal("answered")
+			b.Fatal("the heartbeat was accepted")
 		}
 	}
 }
 
-// What idle connections of workers hold, in the node and on this side.
+// BenchmarkIdleConnections measures the memory of idle worker connections, of the controller and
+// the clients together.
 func BenchmarkIdleConnections(b *testing.B) {
 	loop := newLoopbackCluster(b, 2)
 	measure := func() (stats runtime.MemStats) {
@@ -331,7 +336,7 @@
 			loop.fleet = append(loop.fleet, &fakeWorker{conn: fresh.conn})
 		}
 		var stats runtime.MemStats
-		runtime.ReadMemStats(&stats) // as it is, before anything is collected
+		runtime.ReadMemStats(&stats) // before garbage is collected
 		after := measure()
 		b.ReportMetric(float64(stats.StackInuse-before.StackInuse)/conns, "stack-B/conn")
 		b.ReportMetric(float64(stats.Sys-before.Sys)/conns, "sys-B/conn")
--- a/internal/controller/rollback_detection_test.go
+++ b/internal/controller/rollback_detection_test.go
@@ -10,8 +10,9 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Revisions cannot be read for a while, though the watch goes on: what was read earlier is
-// lower than what the watch has shown since, and that is no loss.
+// TestStaleRevisionIsNoLoss guards against a false detection of a rollback. While the leader cannot
+// read the store's revision but its watch continues, the revision read last is lower than those
+// that the watch has shown since; that is no evidence of a loss.
 func TestUnreadRevisionIsNoLoss(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -30,13 +31,13 @@
 		end()
 		c.advance(10 * time.Second)
 		if status := c.recoveryStatus(); len(status.Evidence) > 0 || status.Phase == "" {
-			t.Errorf("a loss was noticed where there was none: %+v", status.Evidence)
+			t.Errorf("a loss was detected although nothing was lost: %+v", status.Evidence)
 		}
 	})
 }
 
-// A job is accepted, and in the same moment the state service is put back to before that and
-// has an outage: the only one to know of the job is the node that accepted it.
+// TestJobAcceptedJustBeforeRollback checks that a job survives when the store goes down right after
+// accepting it and is rolled back to before that: only the accepting controller knows of the job.
 func TestAcceptedJustBeforeAPutBack(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -46,7 +47,7 @@
 		spec := batchJob("j-2", 1, 5)
 		c.world.UploadSpec(spec)
 		if status, _ := c.request("POST", accepting, "/v1/jobs", wireSpec(spec)); status != http.StatusCreated {
-			t.Fatal("not accepted")
+			t.Fatal("the job was not accepted")
 		}
 		c.world.Store.SetOutage(true)
 		c.world.Store.Restore(before)
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -12,11 +12,12 @@
 	"ospreyslip/internal/settings"
 )
 
-// Many tasks in one job: completions are kept in chunks that fit a value.
+// TestManyTasks checks that the completions of a job with many tasks are stored in chunks that fit
+// the store's value limit.
 func TestManyTasks(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Store.ValueKB, set.Deployment.Store.TxnOps = 1, 4 }
 	runCluster(t, adjust, func(c *cluster) {
-		c.world.Store.SetLimits(emulator.StoreLimits{ValueBytes: 1 << 10, TxnOps: 4, WritesPerSecond: 1000}) // fewer than there are machines
+		c.world.Store.SetLimits(emulator.StoreLimits{ValueBytes: 1 << 10, TxnOps: 4, WritesPerSecond: 1000}) // TxnOps: fewer than there are machines
 		c.submit("perch-0", batchJob("j-1", 2500, 0.5))
 		c.advance(45 * time.Second)
 		c.crash(c.leader())
@@ -33,14 +34,14 @@
 	})
 }
 
-// The state service's limits fall without notice: in a burst, in an outage, in a
-// change of leader. Nothing that was written before, or is on its way, is too large.
+// TestStoreLimitsLowered checks that no transaction exceeds the announced lower limits when the
+// store switches to them without notice in a burst of submissions, in an outage, or in a failover.
 func TestLimitsFall(t *testing.T) {
 	valueKB, writes, ops := 2.0, 35.0, 4
 	adjust := func(set *settings.Settings) {
 		set.Deployment.Store.Next = &settings.UpcomingStoreLimits{ValueKB: &valueKB, WriteRPS: &writes, TxnOps: &ops}
 	}
-	lower := emulator.StoreLimits{ValueBytes: 2 << 10, TxnOps: 4, WritesPerSecond: 2 * 35} // a burst may come on top
+	lower := emulator.StoreLimits{ValueBytes: 2 << 10, TxnOps: 4, WritesPerSecond: 2 * 35} // leaves room for a burst
 	for _, tc := range []struct {
 		name    string
 		trouble func(c *cluster)
@@ -52,7 +53,7 @@
 			c.world.Store.SetLimits(lower)
 			c.world.Store.SetOutage(false)
 		}},
-		{"in a change of leader", func(c *cluster) {
+		{"in a failover", func(c *cluster) {
 			c.crash(c.leader())
 			c.world.Store.SetLimits(lower)
 		}},
@@ -68,7 +69,7 @@
 					c.withinDone(10*time.Minute, id)
 				}
 				if n := c.world.Store.RejectedTransactions(); n > 0 {
-					t.Errorf("%d transactions were too large", n)
+					t.Errorf("%d transactions exceeded the limits", n)
 				}
 				if n := c.world.TaskStarts(); n != 408 {
 					t.Errorf("%d starts for 408 tasks", n)
@@ -78,8 +79,8 @@
 	}
 }
 
-// The limits fall below what the settings say. What is rejected is not repeated as it
-// is: smaller pages are tried, and the work goes on.
+// TestStoreLimitsBelowSettings checks that work goes on when the store's limits fall below those in
+// the settings: a rejected transaction is not repeated as it is, but split into smaller ones.
 func TestLimitsLowerThanSaid(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -95,7 +96,8 @@
 	})
 }
 
-// Small values: what the records need not say is left out of them.
+// TestRecordsFitSmallValues checks that records omit what they need not contain, so that they fit a
+// low value limit.
 func TestSmallValues(t *testing.T) {
 	valueKB := 2.0
 	adjust := func(set *settings.Settings) {
@@ -111,26 +113,26 @@
 		c.submit("perch-0", spec)
 		c.withinDone(60*time.Second, "j-1")
 
-		// One that was accepted when values could be larger, and is cancelled now.
+		// A job that was accepted under a higher value limit can still be cancelled.
 		old := batchJob("j-2", 2, 500)
 		old.Types = spec.Types
 		raw, _ := json.Marshal(jobs.Record{State: jobs.Queued, Tasks: 2, Spec: old})
 		c.world.Store.Put("job/j-2", raw)
 		c.world.NoteSubmitted("j-2")
 		c.world.UploadSpec(old)
-		c.within(60*time.Second, "the old one runs", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.within(60*time.Second, "j-2 running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		c.cancelJob("perch-1", "j-2")
-		c.within(20*time.Second, "it is gone", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
+		c.within(20*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
 		if n := c.world.Store.RejectedTransactions(); n > 0 {
-			t.Errorf("%d transactions were too large", n)
+			t.Errorf("%d transactions exceeded the limits", n)
 		}
 	})
 }
 
-// A catalog that does not fit into one value is kept in parts, for a node that starts
-// while the cloud is away.
+// TestLargeCatalog checks that a catalog of machine types that exceeds the value limit is stored in
+// parts, so that a controller that starts during an outage of the cloud can load it.
 func TestLargeCatalog(t *testing.T) {
-	types := slices.Clone(testMachineTypes) // those of all tests that run beside this one stay as they are
+	types := slices.Clone(testMachineTypes) // a copy, because parallel tests share testMachineTypes
 	for i := range 30 {
 		another := types[0]
 		another.Name, another.Price, another.SpotPrice = fmt.Sprint("dear-", i), 100, 50
@@ -148,7 +150,7 @@
 			c.start(n)
 		}
 		c.advance(10 * time.Second)
-		c.submit("perch-0", batchJob("j-1", 2, 5)) // 503 from a node that knows no types
+		c.submit("perch-0", batchJob("j-1", 2, 5)) // a controller without machine types would answer 503
 		c.world.SetCloudOutage(false)
 		c.withinDone(2*time.Minute, "j-1")
 	})
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -10,8 +10,9 @@
 	"ospreyslip/internal/jobs"
 )
 
-// simulatedUsers submit jobs, ask about them, cancel some and submit them again, one request
-// at a time for each job, until they are told that it is over.
+// simulatedUsers submit jobs and then query, cancel and resubmit them until they are told that the
+// job is done or cancelled. Each job has one request in flight at a time. The methods may be called
+// by several goroutines.
 type simulatedUsers struct {
 	cluster   *cluster
 	ctx       context.Context
@@ -19,8 +20,8 @@
 	following sync.WaitGroup
 
 	mu            sync.Mutex
-	lastTaskEnded map[string]chan struct{} // by job ID, closed when the job's last task has ended
-	finalStates   map[string]string        // by job ID, as users were told
+	lastTaskEnded map[string]chan struct{} // by job ID; closed when the job's last task has ended
+	finalStates   map[string]string        // by job ID, the states that users were told
 }
 
 func newSimulatedUsers(c *cluster) *simulatedUsers {
@@ -37,11 +38,11 @@
 	return users
 }
 
-// userBehavior is what a user does about a job besides asking.
+// userBehavior is what a user does about a job besides submitting it once and querying its state.
 type userBehavior struct {
 	cancelAfter time.Duration // 0: never
-	cancelAtEnd bool          // cancels at the moment at which the last task ends
-	resubmits   bool          // submits it again and again
+	cancelAtEnd bool          // cancels the job at the moment when its last task ends
+	resubmits   bool          // submits the job repeatedly
 }
 
 func randomBehavior(random *rand.Rand) userBehavior {
@@ -52,7 +53,7 @@
 	return behavior
 }
 
-// submitAndFollow has a user submit a job and follow it, in a goroutine that stop waits for.
+// submitAndFollow has a user submit a job and follow it in a goroutine, for which stop waits.
 func (u *simulatedUsers) submitAndFollow(random *rand.Rand, spec *jobs.Spec, behavior userBehavior) {
 	u.cluster.world.UploadSpec(spec)
 	ended := make(chan struct{})
@@ -63,13 +64,13 @@
 	u.following.Go(func() { user.follow(ended) })
 }
 
-// stop has all users give up, and waits for them.
+// stop ends the users' goroutines and waits for them.
 func (u *simulatedUsers) stop() {
 	u.cancel()
 	u.following.Wait()
 }
 
-// isOver tells whether a user was told that the job is over.
+// isOver reports whether a user was told that the job is done or cancelled.
 func (u *simulatedUsers) isOver(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -84,7 +85,7 @@
 	behavior userBehavior
 }
 
-// follow submits the job and asks about it until it is over.
+// follow submits the job and sends requests about it until it is done or cancelled.
 func (u *jobUser) follow(ended <-chan struct{}) {
 	if status, _ := u.requestUntilAnswered("POST", "/v1/jobs", wireSpec(u.spec)); status != http.StatusCreated && status != http.StatusOK {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// cancelOrAsk sends the user's next request about the job.
+// cancelOrAsk cancels the job if cancels is true, and else resubmits or queries it.
 func (u *jobUser) cancelOrAsk(cancels bool) (status int, view map[string]any) {
 	switch {
 	case cancels:
@@ -125,7 +126,7 @@
 	}
 }
 
-// toldOver notes the job's final state. Some users submit the job once more even then.
+// toldOver records the job's final state. A user that resubmits submits the job once more after it.
 func (u *jobUser) toldOver(state string) {
 	u.mu.Lock()
 	u.finalStates[u.spec.ID] = state
@@ -135,7 +136,8 @@
 	}
 }
 
-// requestUntilAnswered repeats a request until it is answered, for a minute.
+// requestUntilAnswered retries a request until it is accepted or refused for good, for a minute. It
+// returns status 0 if the users are stopped meanwhile.
 func (u *jobUser) requestUntilAnswered(method, path string, body any) (status int, view map[string]any) {
 	for start := time.Now(); ; {
 		status, view := u.cluster.request(method, u.anyNode(), path, body)
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -8,26 +8,27 @@
 	"ospreyslip/internal/emulator"
 )
 
-// A leader that the state service refuses must fall silent to workers before
-// another can lead.
+// TestLeaderRefusedByStore checks that a leader that the store refuses stops answering workers
+// before another controller can lead, and that the failover costs no replica.
 func TestLeaderRefusedByState(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(40*time.Second, "service up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.within(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		old := c.leader()
 		c.world.Store.SetRefused(old, true)
 		c.withinAnotherLeader(15*time.Second, old)
 		c.advance(30 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 2 {
-			t.Errorf("the move cost replicas: %d starts", c.world.TaskStarts())
+			t.Errorf("the failover restarted replicas: %d starts", c.world.TaskStarts())
 		}
 		c.world.Store.SetRefused(old, false)
 		c.advance(10 * time.Second)
 	})
 }
 
-// While no node reaches the state service, the others' promises let the leader
-// keep the workers' leases: running work survives, and nothing new is begun.
+// TestStoreOutage checks that running tasks survive an outage of the store, and that no job is
+// accepted and no task started in it. While no controller reaches the store, a peer lease lets the
+// leader go on renewing the workers' leases.
 func TestStateOutage(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -39,13 +40,14 @@
 		c.world.Store.SetOutage(false)
 		c.withinDone(30*time.Second, "j-2")
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 8 {
-			t.Errorf("the outage cost work: %d starts for 8 tasks", c.world.TaskStarts())
+			t.Errorf("the outage restarted tasks: %d starts for 8 tasks", c.world.TaskStarts())
 		}
 	})
 }
 
-// A token raised within the term, to end a doubt, must not make the others take
-// the holder for one that has been succeeded, and refuse their promises.
+// TestOutageAfterRaisedToken guards against refused lease grants. The leader raises its fencing
+// token within the term to resolve a command whose outcome is unknown; its peers must not conclude
+// that another leader has succeeded it.
 func TestOutageAfterRaisedToken(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -59,7 +61,7 @@
 		c.submit("perch-0", batchJob("j-3", 2, 1))
 		c.withinDone(60*time.Second, "j-3")
 		if string(c.world.Store.Value("term/token")) == token {
-			t.Fatal("no token was raised")
+			t.Fatal("the token was not raised")
 		}
 		c.world.Network.SetFaults(nil)
 		c.advance(10 * time.Second)
@@ -72,8 +74,9 @@
 	})
 }
 
-// Without every promise the leader falls silent, and the work ends with the
-// workers' leases. It must not end in two leaders.
+// TestOutageWithoutPeerLease checks that a leader without a lease grant of every peer stops
+// answering workers in an outage of the store, so that tasks end with the workers' leases and there
+// are never two leaders.
 func TestOutageWithoutPromises(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -95,8 +98,9 @@
 	})
 }
 
-// A follower that restarts during an outage has forgotten its promise. When the
-// outage ends for it before it does for the leader, it waits the promise out.
+// TestFollowerRestartDuringPeerLease guards against two leaders. A follower that restarts during an
+// outage of the store has lost its lease grant; if it reaches the store before the leader does, it
+// has to wait until that grant is over.
 func TestRestartAmidPromises(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -119,8 +123,8 @@
 	})
 }
 
-// A user cancels at a node that the state service serves, while it refuses the
-// leader alone: the leader gets no promises and may not keep the job alive.
+// TestCancelWhileLeaderIsRefused checks that a cancellation takes effect when the store refuses the
+// leader alone: the leader gets no lease grants and may not keep the job's tasks running.
 func TestCancelWhileLeaderIsRefused(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -133,7 +137,7 @@
 				break
 			}
 		}
-		c.within(30*time.Second, "replicas gone", func() bool { return c.tasksOnMachines("j-1", 2) == 0 })
+		c.within(30*time.Second, "replicas stopped", func() bool { return c.tasksOnMachines("j-1", 2) == 0 })
 		c.world.Store.SetRefused(old, false)
 	})
 }
