--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -17,11 +17,11 @@
 // unseenCancellation is a scenario in which a controller confirms a cancellation that the leader
 // does not see before an outage of the key-value store.
 type unseenCancellation struct {
-	name   string
-	lost   func(c *cluster, teller string) // if set, restarts or crashes controllers in the outage
-	lasts  bool                            // the tasks of the other jobs outlast the outage
-	leader bool                            // the leader itself confirms, while its watch lags
-	adapt  func(*Controller)               // if set, applied to all controllers
+	name               string
+	duringOutage       func(c *cluster, confirming string) // if set, restarts or crashes controllers in the outage
+	tasksOutlastOutage bool                                // the tasks of the other jobs outlast the outage
+	leaderConfirms     bool                                // the leader itself confirms, while its watch lags
+	adaptController    func(*Controller)                   // if set, applied to all controllers
 }
 
 // TestCancellationUnseenByLeaderBeforeOutage guards against a leader that keeps a cancelled job
@@ -29,28 +29,28 @@
 // the store is down for all for longer than the cancellation deadline, while workers keep sending
 // heartbeats to the leader. That no controller reaches the store now does not prove that none
 // confirmed a cancellation before: each has to report its own cancellations.
-func TestCancelledUnseenBeforeOutage(t *testing.T) {
+func TestCancellationUnseenByLeaderBeforeOutage(t *testing.T) {
 	for _, tc := range []unseenCancellation{
-		{name: "no restart", lasts: true},
-		{name: "lease grants of an earlier version", adapt: func(n *Controller) {
+		{name: "no restart", tasksOutlastOutage: true},
+		{name: "lease grants of an earlier version", adaptController: func(n *Controller) {
 			n.peers.OnLeaseGrantRequest = func(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
 				return peer.LeaseGrantResponse{Granted: n.elector.GrantPeerLease(ctx, request.FencingToken)}
 			}
 		}},
-		{name: "the leader confirms", lasts: true, leader: true},
-		{name: "the confirming controller restarts", lost: func(c *cluster, teller string) {
-			c.crash(teller)
+		{name: "the leader confirms", tasksOutlastOutage: true, leaderConfirms: true},
+		{name: "the confirming controller restarts", duringOutage: func(c *cluster, confirming string) {
+			c.crash(confirming)
 			c.advance(300 * time.Millisecond)
-			c.start(teller)
+			c.start(confirming)
 		}},
-		{name: "the confirming controller crashes", lost: func(c *cluster, teller string) { c.crash(teller) }},
-		{name: "the leader restarts", lost: func(c *cluster, _ string) {
+		{name: "the confirming controller crashes", duringOutage: func(c *cluster, confirming string) { c.crash(confirming) }},
+		{name: "the leader restarts", duringOutage: func(c *cluster, _ string) {
 			old := c.leader()
 			c.crash(old)
 			c.advance(300 * time.Millisecond)
 			c.start(old)
 		}},
-		{name: "all controllers restart", lost: func(c *cluster, _ string) {
+		{name: "all controllers restart", duringOutage: func(c *cluster, _ string) {
 			c.crash(c.names...)
 			c.advance(300 * time.Millisecond)
 			for _, n := range c.names {
@@ -58,18 +58,18 @@
 			}
 		}},
 	} {
-		for _, wait := range []time.Duration{0, 8 * time.Second} { // between outage and tc.lost
+		for _, wait := range []time.Duration{0, 8 * time.Second} { // between outage and tc.duringOutage
 			t.Run(tc.name+" after "+wait.String(), func(t *testing.T) {
-				runCluster(t, nil, func(c *cluster) { tc.play(t, c, wait) })
+				runCluster(t, nil, func(c *cluster) { tc.run(t, c, wait) })
 			})
 		}
 	}
 }
 
-// play cancels a job, starts the outage, and applies tc.lost after wait.
-func (tc *unseenCancellation) play(t *testing.T, c *cluster, wait time.Duration) {
+// run cancels a job, starts the outage, and applies tc.duringOutage after wait.
+func (tc *unseenCancellation) run(t *testing.T, c *cluster, wait time.Duration) {
 	t.Helper()
-	if c.adaptController = tc.adapt; tc.adapt != nil {
+	if c.adaptController = tc.adaptController; tc.adaptController != nil {
 		for _, n := range c.names {
 			c.crash(n)
 			c.start(n)
@@ -78,11 +78,11 @@
 	}
 	c.runServiceAndBatch()
 	c.submit("perch-0", batchJob("j-4", 4, 200))
-	c.within(20*time.Second, "j-4 running", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
+	c.waitFor(20*time.Second, "j-4 running", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
 	leader, token := c.leader(), string(c.world.Store.Value("term/token"))
-	teller := c.names[(slices.Index(c.names, leader)+1)%3]
-	if tc.leader {
-		teller = leader
+	confirming := c.names[(slices.Index(c.names, leader)+1)%3]
+	if tc.leaderConfirms {
+		confirming = leader
 		c.world.Store.SetWatchLag(1000)
 	} else {
 		c.world.Store.SetRefused(leader, true)
@@ -91,33 +91,33 @@
 			t.Fatalf("the store does not refuse the leader: withdraw returned %d", status)
 		}
 	}
-	c.cancelJob(teller, "j-4")
+	c.cancelJob(confirming, "j-4")
 	c.advance(700 * time.Millisecond)
 	c.world.Store.SetOutage(true)
 	c.advance(wait)
-	if n := c.tasksOnMachines("j-4", 4); tc.lasts && wait > 0 && n != 0 {
+	if n := c.tasksOnMachines("j-4", 4); tc.tasksOutlastOutage && wait > 0 && n != 0 {
 		t.Errorf("%d tasks of the cancelled job were not stopped promptly", n)
 	}
-	if tc.lost != nil {
-		tc.lost(c, teller)
+	if tc.duringOutage != nil {
+		tc.duringOutage(c, confirming)
 	}
 	c.advance(41*time.Second - wait)
-	if n := c.tasksOnMachines("j-1", 2); tc.lasts && n != 2 {
+	if n := c.tasksOnMachines("j-1", 2); tc.tasksOutlastOutage && n != 2 {
 		t.Errorf("%d of 2 replicas keep running in the outage", n)
 	}
 	c.advance(10 * time.Second)
-	if now := string(c.world.Store.Value("term/token")); tc.lost == nil && (now != token || c.leader() != leader) {
+	if now := string(c.world.Store.Value("term/token")); tc.duringOutage == nil && (now != token || c.leader() != leader) {
 		t.Errorf("the leader changed: token %s, before %s", now, token)
 	}
 	c.world.Store.SetWatchLag(0)
 	c.world.Store.SetRefused(leader, false)
 	c.world.Store.SetOutage(false)
 	for _, n := range c.names {
-		if c.processes[n].ended() {
+		if c.incarnations[n].ended() {
 			c.start(n)
 		}
 	}
-	c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+	c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	if n := c.tasksOnMachines("j-4", 4); n != 0 {
 		t.Errorf("%d tasks of a cancelled job are running", n)
 	}
@@ -126,7 +126,7 @@
 // TestAcceptanceAndCancellationUnseenByLeader guards against starting a cancelled job. The job is
 // accepted and cancelled while the leader's watch lags; when the watch then shows the acceptance
 // but not yet the cancellation, the leader must not start the job.
-func TestAcceptedAndCancelledUnseen(t *testing.T) {
+func TestAcceptanceAndCancellationUnseenByLeader(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		leader := c.leader()
@@ -158,7 +158,7 @@
 // TestCommandDelayedInOutage guards against a delayed command that starts a task of a cancelled
 // job. The store goes down after the cancellation, so no higher fencing token can be obtained; the
 // agent epoch must be over when the command arrives after the cancellation deadline.
-func TestOrderHeldInOutage(t *testing.T) {
+func TestCommandDelayedInOutage(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
 		c.runServiceAndBatch()
@@ -171,7 +171,7 @@
 			return emulator.Deliver
 		})
 		c.submit("perch-0", batchJob("j-4", 1, 200))
-		c.within(2*time.Second, "the command is in flight", func() bool { return held() > 0 })
+		c.waitFor(2*time.Second, "the command is in flight", func() bool { return held() > 0 })
 		c.cancelJob("perch-1", "j-4")
 		c.advance(100 * time.Millisecond)
 		token := string(c.world.Store.Value("term/token"))
@@ -186,7 +186,7 @@
 		}
 		end()
 		c.world.Store.SetOutage(false)
-		c.withinDone(2*time.Minute, "j-2")
-		c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitForDone(2*time.Minute, "j-2")
+		c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -35,28 +35,28 @@
 // cluster is three controllers with an emulated store, cloud, network and workers, all in one
 // synctest bubble: simulated hours pass in little real time, and every run sees the same clock.
 type cluster struct {
-	t               *testing.T
-	ctx             context.Context
-	world           *emulator.World
-	names           []string            // names of all controllers
-	processes       map[string]*process // the latest of each controller, by its name
-	memory          atomic.Uint64       // memory in use that each controller measures, in bytes
-	adjustSettings  func(*settings.Settings)
-	adaptController func(*Controller) // if set, applied to each controller before it starts
-	randomSources   uint64            // number of sources that newRand has returned
-	duties          sync.WaitGroup
+	t                  *testing.T
+	ctx                context.Context
+	world              *emulator.World
+	names              []string                // names of all controllers
+	incarnations       map[string]*incarnation // the latest of each controller, by its name
+	memoryInUse        atomic.Uint64           // memory in use that each controller measures, in bytes
+	adjustSettings     func(*settings.Settings)
+	adaptController    func(*Controller) // if set, applied to each controller before it starts
+	randomSources      uint64            // number of sources that newRand has returned
+	runningControllers sync.WaitGroup
 }
 
 // incarnation is one run of a controller, from its start to its crash.
-type process struct {
+type incarnation struct {
 	controller *Controller
 	startedAt  time.Time
 	cancel     context.CancelFunc
 	done       chan struct{}
 }
 
-// gangWait and gangPeer are the settings gang_wait_s and gang_peer_s, in seconds.
-var gangWait, gangPeer = 12.0, 4.0
+// gangWaitSeconds and gangPeerSeconds are the settings gang_wait_s and gang_peer_s, in seconds.
+var gangWaitSeconds, gangPeerSeconds = 12.0, 4.0
 
 var testMachineTypes = []jobs.MachineType{{
 	Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"a", "b", "c"},
@@ -81,12 +81,12 @@
 	t.Parallel() // each scenario has a synctest bubble of its own
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{t: t, ctx: ctx, processes: map[string]*process{}, names: []string{"perch-0", "perch-1", "perch-2"}, adjustSettings: adjust}
-		pace := emulator.WorkerConfig{HeartbeatInterval: 2 * time.Second, Lease: 20 * time.Second, FetchTime: time.Second, GangWait: 12 * time.Second, GangStopWindow: 4 * time.Second, Nodes: c.names, Addrs: map[string]string{}}
+		c := &cluster{t: t, ctx: ctx, incarnations: map[string]*incarnation{}, names: []string{"perch-0", "perch-1", "perch-2"}, adjustSettings: adjust}
+		workerConfig := emulator.WorkerConfig{HeartbeatInterval: 2 * time.Second, Lease: 20 * time.Second, FetchTime: time.Second, GangWait: 12 * time.Second, GangStopWindow: 4 * time.Second, Nodes: c.names, Addrs: map[string]string{}}
 		for _, name := range c.names {
-			pace.Addrs[name] = userAddr(name)
+			workerConfig.Addrs[name] = userAddr(name)
 		}
-		c.world = emulator.NewWorld(ctx, types, pace)
+		c.world = emulator.NewWorld(ctx, types, workerConfig)
 		c.world.CancelDeadline = 40 * time.Second
 		c.world.Teams = c.settings(c.names[0]).Deployment.Teams
 		c.world.Network.Attach("state", "10.2.0.1:1", c.world.Store)
@@ -96,14 +96,14 @@
 		}
 		c.advance(5 * time.Second)
 		scenario(c)
-		for _, rule := range c.world.Violations() {
-			t.Errorf("protocol rule violated: %s", rule)
+		for _, violation := range c.world.Violations() {
+			t.Errorf("protocol rule violated: %s", violation)
 		}
 		if len(c.world.Violations()) > 0 {
 			t.Log("trace up to the first violation:\n" + c.world.Trace())
 		}
 		cancel()
-		c.duties.Wait()
+		c.runningControllers.Wait()
 		c.world.Network.SetFaults(nil)
 		c.world.Wait()
 		c.world.Network.Wait()
@@ -119,7 +119,7 @@
 		Deployment: settings.Deployment{
 			Nodes: 3, Zones: []string{"a", "b", "c"},
 			Teams:   []settings.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 16}, {Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 40}},
-			Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWait, GangPeerS: &gangPeer},
+			Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWaitSeconds, GangPeerS: &gangPeerSeconds},
 			Store:   settings.StoreLimits{RPS: 150, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
 			Cloud:   settings.Cloud{RPS: 6, ListLagS: 4},
 			Limits:  settings.Limits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
@@ -144,16 +144,16 @@
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) { return c.world.Network.Dial(ctx, name, addr) },
 		// All controllers of all tests share one process, so its memory is not that of a
 		// controller.
-		Memory: c.memory.Load,
+		Memory: c.memoryInUse.Load,
 	})
 	if c.adaptController != nil {
 		c.adaptController(controller)
 	}
-	started := &process{controller: controller, startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
-	c.processes[name] = started
+	started := &incarnation{controller: controller, startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
+	c.incarnations[name] = started
 	c.world.Network.Attach(name, userAddr(name), controller.Handler())
 	c.world.Tracef("%s starts", name)
-	c.duties.Go(func() {
+	c.runningControllers.Go(func() {
 		controller.RunDuties(ctx, c.world.Network.Listen(name, clusterAddr(name)))
 		close(started.done)
 	})
@@ -170,16 +170,16 @@
 	})()
 	for _, name := range names {
 		c.world.Tracef("%s crashes", name)
-		c.processes[name].cancel()
-		<-c.processes[name].done
+		c.incarnations[name].cancel()
+		<-c.incarnations[name].done
 		c.world.Network.Attach(name, userAddr(name), nil)
 	}
 }
 
 // ended reports whether the incarnation was stopped by crash.
-func (p *process) ended() bool {
+func (i *incarnation) ended() bool {
 	select {
-	case <-p.done:
+	case <-i.done:
 		return true
 	default:
 		return false
@@ -201,15 +201,15 @@
 
 // request sends a user's request to a controller and returns the status and the decoded body of the
 // response.
-func (c *cluster) request(method, node, path string, body any) (int, map[string]any) {
-	return c.world.UserRequest(method, userAddr(node), path, body)
+func (c *cluster) request(method, controllerName, path string, body any) (int, map[string]any) {
+	return c.world.UserRequest(method, userAddr(controllerName), path, body)
 }
 
 // submit submits a job and ends the test unless the first request is accepted.
-func (c *cluster) submit(node string, spec *jobs.Spec) {
+func (c *cluster) submit(controllerName string, spec *jobs.Spec) {
 	c.t.Helper()
 	c.world.UploadSpec(spec)
-	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(spec)); status != http.StatusCreated {
+	if status, view := c.request("POST", controllerName, "/v1/jobs", wireSpec(spec)); status != http.StatusCreated {
 		c.t.Fatalf("submit %s: %d %v", spec.ID, status, view)
 	}
 }
@@ -219,15 +219,15 @@
 
 // cancelJob cancels a job and ends the test unless the first request is confirmed. It retries while
 // the controller is within its startup time.
-func (c *cluster) cancelJob(node, id string) {
+func (c *cluster) cancelJob(controllerName, id string) {
 	c.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	for {
-		status, view := c.request("POST", node, "/v1/jobs/"+id+"/withdraw", nil)
+		status, view := c.request("POST", controllerName, "/v1/jobs/"+id+"/withdraw", nil)
 		if status == http.StatusOK && view["stance"] == "aborted" {
 			return
 		}
-		if status != http.StatusServiceUnavailable || time.Since(c.processes[node].startedAt) > startupTime || time.Since(began) > startupTime {
+		if status != http.StatusServiceUnavailable || time.Since(c.incarnations[controllerName].startedAt) > startupTime || time.Since(startedAt) > startupTime {
 			c.t.Fatalf("withdraw %s: %d %v", id, status, view)
 		}
 		c.advance(100 * time.Millisecond)
@@ -246,20 +246,20 @@
 
 // waitFor waits until a condition holds. If it does not hold in time, it marks the test as failed
 // and returns.
-func (c *cluster) within(timeout time.Duration, what string, condition func() bool) {
+func (c *cluster) waitFor(timeout time.Duration, description string, condition func() bool) {
 	c.t.Helper()
 	for start := time.Now(); time.Since(start) < timeout; c.advance(200 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	c.t.Errorf("timed out after %v waiting for: %s; %s", timeout, what, c.world.Summary())
+	c.t.Errorf("timed out after %v waiting for: %s; %s", timeout, description, c.world.Summary())
 }
 
 // waitForDone waits until a job is done.
-func (c *cluster) withinDone(timeout time.Duration, id string) {
+func (c *cluster) waitForDone(timeout time.Duration, id string) {
 	c.t.Helper()
-	c.within(timeout, id+" done", func() bool { return c.jobState(id) == jobs.Done })
+	c.waitFor(timeout, id+" done", func() bool { return c.jobState(id) == jobs.Done })
 }
 
 // tasksOnMachines returns how many tasks of a job are on machines; a task on two counts twice.
@@ -270,8 +270,8 @@
 	return n
 }
 
-// logPage is the stored form of a segment of the assignment log.
-type logPage struct {
+// logSegment is the stored form of a segment of the assignment log.
+type logSegment struct {
 	Number uint64
 	Begun  []struct {
 		Machine string `json:"M"`
@@ -287,23 +287,23 @@
 // loggedAssignments returns the assignments that have a start record in the log and no end record,
 // each as "task on machine".
 func (c *cluster) loggedAssignments() (live []string) {
-	var pages []logPage
+	var segments []logSegment
 	for _, key := range c.world.Store.Keys("book/") {
-		var page logPage
-		if err := json.Unmarshal(c.world.Store.Value(key), &page); err != nil {
+		var segment logSegment
+		if err := json.Unmarshal(c.world.Store.Value(key), &segment); err != nil {
 			c.t.Errorf("%s: %v", key, err)
 		}
-		pages = append(pages, page)
+		segments = append(segments, segment)
 	}
-	slices.SortFunc(pages, func(a, b logPage) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(segments, func(a, b logSegment) int { return cmp.Compare(a.Number, b.Number) })
 	names := map[uint64]string{}
-	for _, page := range pages {
-		for _, begun := range page.Begun {
-			for _, task := range begun.Tasks {
-				names[task.Assignment] = fmt.Sprintf("%s/%d on %s", task.Job, task.Number, begun.Machine)
+	for _, segment := range segments {
+		for _, started := range segment.Begun {
+			for _, task := range started.Tasks {
+				names[task.Assignment] = fmt.Sprintf("%s/%d on %s", task.Job, task.Number, started.Machine)
 			}
 		}
-		for _, assignment := range page.Over {
+		for _, assignment := range segment.Over {
 			delete(names, assignment)
 		}
 	}
@@ -342,20 +342,20 @@
 	c.t.Helper()
 	old := c.leader()
 	c.crash(old)
-	c.withinAnotherLeader(15*time.Second, old)
+	c.waitForNewLeader(15*time.Second, old)
 	c.start(old)
 }
 
 // waitForNewLeader waits for a leader other than the old one.
-func (c *cluster) withinAnotherLeader(timeout time.Duration, old string) {
+func (c *cluster) waitForNewLeader(timeout time.Duration, old string) {
 	c.t.Helper()
-	c.within(timeout, "a new leader", func() bool { name := c.leader(); return name != "" && name != old })
+	c.waitFor(timeout, "a new leader", func() bool { name := c.leader(); return name != "" && name != old })
 }
 
 // firstRunning returns the first controller that has not crashed, or "" if all have.
 func (c *cluster) firstRunning() string {
 	for _, name := range c.names {
-		if !c.processes[name].ended() {
+		if !c.incarnations[name].ended() {
 			return name
 		}
 	}
@@ -375,7 +375,7 @@
 	c.t.Helper()
 	c.submit("perch-0", serviceJob("j-1", 2))
 	c.submit("perch-0", batchJob("j-2", 6, 60))
-	c.within(40*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
+	c.waitFor(40*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 6) == 6 })
 }
 
 // restartAll crashes all controllers and starts them again after a pause.
@@ -389,9 +389,9 @@
 
 // failoverProgress returns the progress of the leader's failover, or its zero value without a
 // leader.
-func (c *cluster) takeoverProgress() reconcile.Progress {
+func (c *cluster) failoverProgress() reconcile.Progress {
 	for _, name := range c.names {
-		if status := c.processes[name].controller.leaderHandle.Status(c.ctx); status != nil {
+		if status := c.incarnations[name].controller.leaderHandle.Status(c.ctx); status != nil {
 			return status.Takeover
 		}
 	}
@@ -405,11 +405,11 @@
 	for _, name := range names {
 		c.start(name)
 	}
-	began := time.Now()
-	for time.Since(began) < 30*time.Second {
+	startedAt := time.Now()
+	for time.Since(startedAt) < 30*time.Second {
 		for _, name := range names {
-			if c.processes[name].controller.elector.IsLeader() {
-				return time.Since(began)
+			if c.incarnations[name].controller.elector.IsLeader() {
+				return time.Since(startedAt)
 			}
 		}
 		c.advance(10 * time.Millisecond)
@@ -421,7 +421,7 @@
 // queueSummary returns the leader's status of all job classes, for messages of failed tests.
 func (c *cluster) queueSummary() string {
 	for _, name := range c.names {
-		if status := c.processes[name].controller.leaderHandle.Status(c.ctx); status != nil {
+		if status := c.incarnations[name].controller.leaderHandle.Status(c.ctx); status != nil {
 			return fmt.Sprintf("%+v, %d to write", status.Classes, status.WriteQueue)
 		}
 	}
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -23,54 +23,54 @@
 // TestTeamQuotaAcrossFailover guards against exceeding a quota in a failover. A team is at its
 // limit when the leader crashes, one of its machines is unreachable, and its job is cancelled.
 // Tasks that may still run count against the quota until they are known to have ended.
-func TestTeamAtLimitAcrossLeaders(t *testing.T) {
+func TestTeamQuotaAcrossFailover(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		low := batchJob("j-1", 16, 300)
-		low.Team = "red" // 16 CPUs are its limit
-		c.submit("perch-0", low)
-		c.within(60*time.Second, "team at its limit", func() bool { return c.tasksOnMachines("j-1", 16) == 16 })
-		next := batchJob("j-2", 16, 20)
-		next.Team = "red"
-		c.submit("perch-1", next)
-		far := c.world.MachinesOf("j-1/0")[0]
-		kept := 0
+		firstJob := batchJob("j-1", 16, 300)
+		firstJob.Team = "red" // its quota is 16 CPUs
+		c.submit("perch-0", firstJob)
+		c.waitFor(60*time.Second, "team at its limit", func() bool { return c.tasksOnMachines("j-1", 16) == 16 })
+		nextJob := batchJob("j-2", 16, 20)
+		nextJob.Team = "red"
+		c.submit("perch-1", nextJob)
+		unreachable := c.world.MachinesOf("j-1/0")[0]
+		stillThere := 0
 		for i := range 16 {
-			if c.world.MachinesOf(fmt.Sprintf("j-1/%d", i))[0] == far {
-				kept++
+			if c.world.MachinesOf(fmt.Sprintf("j-1/%d", i))[0] == unreachable {
+				stillThere++
 			}
 		}
-		end, hits := c.injectFault(isolate(far))
+		end, hits := c.injectFault(isolate(unreachable))
 		c.crash(c.leader())
 		c.cancelJob(c.firstRunning(), "j-1")
-		c.within(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == kept })
-		c.within(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-kept })
+		c.waitFor(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == stillThere })
+		c.waitFor(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-stillThere })
 		c.advance(3 * time.Second)
-		if n := c.tasksOnMachines("j-2", 16); n != 16-kept || hits() == 0 {
-			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, kept, hits())
+		if n := c.tasksOnMachines("j-2", 16); n != 16-stillThere || hits() == 0 {
+			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, stillThere, hits())
 		}
 		c.advance(30 * time.Second)
 		end()
-		c.withinDone(2*time.Minute, "j-2")
+		c.waitForDone(2*time.Minute, "j-2")
 	})
 }
 
 // TestTaskCompletionsUnderDifferentLeaders checks that a job completes whose tasks end at different
 // times, under different leaders or while no controller leads.
-func TestEndsFarApart(t *testing.T) {
+func TestTaskCompletionsUnderDifferentLeaders(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		spec := batchJob("j-1", 2, 20)
 		c.submit("perch-0", spec)
-		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		// One task is restarted, and so ends much later than the other.
 		c.world.KillMachine(c.world.MachinesOf("j-1/1")[0])
 		c.submit("perch-1", batchJob("j-2", 2, 20))
-		c.within(60*time.Second, "task restarted", func() bool { return c.tasksOnMachines("j-1", 2) > 0 || c.jobState("j-1") == jobs.Done })
+		c.waitFor(60*time.Second, "task restarted", func() bool { return c.tasksOnMachines("j-1", 2) > 0 || c.jobState("j-1") == jobs.Done })
 		for range 4 {
 			c.advance(6 * time.Second)
 			c.replaceLeader()
 		}
-		c.withinDone(2*time.Minute, "j-1")
-		c.withinDone(2*time.Minute, "j-2")
+		c.waitForDone(2*time.Minute, "j-1")
+		c.waitForDone(2*time.Minute, "j-2")
 		c.advance(time.Minute)
 	})
 }
@@ -97,7 +97,7 @@
 				c.world.Store.SetOutage(false)
 			case 3: // the store refuses the leader until another is elected
 				c.world.Store.SetRefused(old, true)
-				c.withinAnotherLeader(15*time.Second, old)
+				c.waitForNewLeader(15*time.Second, old)
 				c.world.Store.SetRefused(old, false)
 			case 4: // all crash, and one is back within a second
 				c.crash(c.names...)
@@ -105,14 +105,14 @@
 				c.start(c.names[i%3])
 				c.advance(6 * time.Second)
 				for _, n := range c.names {
-					if c.processes[n].ended() {
+					if c.incarnations[n].ended() {
 						c.start(n)
 					}
 				}
 			default:
 				c.replaceLeader()
 			}
-			c.within(20*time.Second, "a new term", func() bool { return c.leader() != "" && !tokens[string(c.world.Store.Value("term/token"))] })
+			c.waitFor(20*time.Second, "a new term", func() bool { return c.leader() != "" && !tokens[string(c.world.Store.Value("term/token"))] })
 			tokens[string(c.world.Store.Value("term/token"))] = true
 			c.advance(4 * time.Second)
 		}
@@ -120,18 +120,18 @@
 			t.Errorf("%d terms, want more than 10", len(tokens))
 		}
 		for i := range 6 {
-			c.withinDone(90*time.Second, fmt.Sprintf("j-%d", i+2))
+			c.waitForDone(90*time.Second, fmt.Sprintf("j-%d", i+2))
 		}
-		c.within(20*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(20*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
 
 // TestAllControllersDownBeyondWorkerLease checks that all tasks end when no controller runs for
 // longer than a worker's lease, and that those of unfinished jobs are started again afterwards.
-func TestAllAwayBeyondLease(t *testing.T) {
+func TestAllControllersDownBeyondWorkerLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-3", 4, 200))
-		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
+		c.waitFor(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
 		c.runServiceAndBatch()
 		c.cancelJob("perch-1", "j-3")
 		c.crash(c.names...)
@@ -142,15 +142,15 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
-		c.withinDone(2*time.Minute, "j-2")
+		c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitForDone(2*time.Minute, "j-2")
 	})
 }
 
 // TestLeaderCrashWithUnreachableMachines guards against running a task twice, or not at all, after
 // a failover. The leader crashes while a machine with long tasks is unreachable, receives nothing,
 // or can send nothing. Its tasks are started elsewhere only after they have ended there.
-func TestLeaderEndsWhileMachinesAreAway(t *testing.T) {
+func TestLeaderCrashWithUnreachableMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		rule func(far string) emulator.FaultRule
@@ -186,18 +186,18 @@
 					end, hits := c.injectFault(tc.rule(far))
 					c.replaceLeader()
 					if !cloud { // there is no capacity elsewhere
-						c.within(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), far) })
+						c.waitFor(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), far) })
 						c.world.SetCloudOutage(false)
 					}
-					c.within(90*time.Second, "service running on other machines", func() bool {
+					c.waitFor(90*time.Second, "service running on other machines", func() bool {
 						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), far)
 					})
 					if hits() == 0 {
 						t.Error("no message was affected")
 					}
 					end()
-					c.withinDone(4*time.Minute, "j-2")
-					c.withinDone(4*time.Minute, "j-3")
+					c.waitForDone(4*time.Minute, "j-2")
+					c.waitForDone(4*time.Minute, "j-3")
 				})
 			})
 		}
@@ -207,43 +207,43 @@
 // TestMachineCannotSend checks what happens to a machine that receives requests but whose own
 // requests are lost. Being probed renews no lease: its tasks end with the lease and are started
 // once elsewhere, and the hold on verdicts that its heartbeat counter causes is bounded.
-func TestMuteMachines(t *testing.T) {
+func TestMachineCannotSend(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
 		c.submit("perch-0", batchJob("j-2", 8, 100))
-		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 8) == 8 })
-		mute := c.world.MachinesOf("j-1/0")[0]
-		var asked atomic.Int64
+		c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 8) == 8 })
+		machine := c.world.MachinesOf("j-1/0")[0]
+		var probes atomic.Int64
 		end, hits := c.injectFault(func(from, to, path string) emulator.Fault {
-			if to == mute && path == "/inspect" {
-				asked.Add(1)
+			if to == machine && path == "/inspect" {
+				probes.Add(1)
 			}
-			if from == mute {
+			if from == machine {
 				return emulator.DropRequest
 			}
 			return emulator.Deliver
 		})
-		c.within(35*time.Second, "service running elsewhere", func() bool {
-			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), mute)
+		c.waitFor(35*time.Second, "service running elsewhere", func() bool {
+			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), machine)
 		})
-		if hits() == 0 || asked.Load() == 0 {
-			t.Errorf("%d heartbeats were dropped, %d probes were sent", hits(), asked.Load())
+		if hits() == 0 || probes.Load() == 0 {
+			t.Errorf("%d heartbeats were dropped, %d probes were sent", hits(), probes.Load())
 		}
 		// The hold is over: the failure of another machine is detected in the usual time.
-		dead := c.world.MachinesOf("j-1/0")[0]
-		c.world.KillMachine(dead)
-		c.within(25*time.Second, "service running again", func() bool {
-			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), dead)
+		failed := c.world.MachinesOf("j-1/0")[0]
+		c.world.KillMachine(failed)
+		c.waitFor(25*time.Second, "service running again", func() bool {
+			return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), failed)
 		})
 		end()
-		c.withinDone(4*time.Minute, "j-2")
+		c.waitForDone(4*time.Minute, "j-2")
 	})
 }
 
 // TestDelayedHeartbeatsReachNextLeader guards against trusting stale heartbeats. Copies of
 // heartbeats, also of an earlier agent epoch, arrive after a new leader has acted, and must prove
 // nothing.
-func TestReportsArriveAtNextLeader(t *testing.T) {
+func TestDelayedHeartbeatsReachNextLeader(t *testing.T) {
 	for _, late := range []time.Duration{4 * time.Second, 15 * time.Second, 45 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
@@ -271,9 +271,9 @@
 					t.Error("no heartbeat was copied")
 				}
 				c.advance(late)
-				c.withinDone(2*time.Minute, "j-2")
-				c.withinDone(2*time.Minute, "j-3")
-				c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.waitForDone(2*time.Minute, "j-2")
+				c.waitForDone(2*time.Minute, "j-3")
+				c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 			})
 		})
 	}
@@ -282,7 +282,7 @@
 // TestTransactionsAppliedLate checks that jobs still finish when two of three transactions get no
 // answer and are applied 2 to 12 s later, after newer ones of the same controller. These write
 // acceptances, cancellations, completions, segments of the assignment log, and the term.
-func TestTransactionsLandLate(t *testing.T) {
+func TestTransactionsAppliedLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		var n, tries atomic.Int64
 		c.world.Network.LatenessOf = func(_, _, path string) time.Duration {
@@ -318,8 +318,8 @@
 		if hits() < 20 || c.world.Store.RequestCount("/commit")-before < hits() {
 			t.Errorf("%d transactions were delayed, %d reached the store", hits(), c.world.Store.RequestCount("/commit")-before)
 		}
-		c.within(3*time.Minute, "all jobs finished", func() bool {
-			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return c.world.Accepted(spec.ID) && !users.isOver(spec.ID) })
+		c.waitFor(3*time.Minute, "all jobs finished", func() bool {
+			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return c.world.Accepted(spec.ID) && !users.toldFinished(spec.ID) })
 		})
 		users.stop()
 	})
@@ -327,26 +327,26 @@
 
 // TestCancelThroughNewLeader checks that cancellations through another controller take effect while
 // the former leader, cut off from the store and its peers, still reaches its workers and users.
-func TestCancelThroughTheNewLeader(t *testing.T) {
+func TestCancelThroughNewLeader(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.submit("perch-0", batchJob("j-3", 6, 200))
-		c.within(30*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 6) == 6 })
-		alone := c.leader()
+		c.waitFor(30*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 6) == 6 })
+		isolated := c.leader()
 		end, hits := c.injectFault(func(from, to, _ string) emulator.Fault {
-			if (from == alone || to == alone) && !isMachine(from) && !isMachine(to) && from != "user" {
+			if (from == isolated || to == isolated) && !isMachine(from) && !isMachine(to) && from != "user" {
 				return emulator.DropRequest
 			}
 			return emulator.Deliver
 		})
-		other := c.names[(slices.Index(c.names, alone)+1)%3]
+		other := c.names[(slices.Index(c.names, isolated)+1)%3]
 		c.cancelJob(other, "j-3") // while the isolated controller still leads
-		if status, _ := c.request("GET", alone, "/v1/jobs/j-3", nil); status == http.StatusOK {
+		if status, _ := c.request("GET", isolated, "/v1/jobs/j-3", nil); status == http.StatusOK {
 			t.Errorf("an isolated controller answers a query: %d", status)
 		}
-		c.withinAnotherLeader(15*time.Second, alone)
+		c.waitForNewLeader(15*time.Second, isolated)
 		c.cancelJob(other, "j-2")
-		c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-3", 6)+c.tasksOnMachines("j-2", 6) == 0 })
+		c.waitFor(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-3", 6)+c.tasksOnMachines("j-2", 6) == 0 })
 		c.advance(30 * time.Second)
 		if hits() == 0 {
 			t.Error("no message was dropped")
@@ -362,7 +362,7 @@
 // TestOverCapacityWithSlowNetwork checks that all jobs, of any priority, are done within four
 // minutes each when there is more work than capacity and every message to and from machines is
 // slow.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverCapacityWithSlowNetwork(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
 		c.world.Network.Lateness = 700 * time.Millisecond
@@ -384,7 +384,7 @@
 			c.advance(3 * time.Second)
 		}
 		for _, spec := range all {
-			c.withinDone(4*time.Minute, spec.ID)
+			c.waitForDone(4*time.Minute, spec.ID)
 		}
 		end()
 		if hits() < 100 {
@@ -406,7 +406,7 @@
 		web := serviceJob("j-3", 4)
 		web.OneZone, web.Spread, web.CPUs = true, false, 1
 		c.submit("perch-0", web)
-		c.within(60*time.Second, "running", func() bool {
+		c.waitFor(60*time.Second, "running", func() bool {
 			return c.tasksOnMachines("j-1", 8) == 8 && c.tasksOnMachines("j-2", 6) == 6 && c.tasksOnMachines("j-3", 4) == 4
 		})
 		for _, task := range []string{"j-1/0", "j-2/0", "j-3/0"} {
@@ -416,16 +416,16 @@
 		}
 		c.advance(3 * time.Second)
 		c.replaceLeader()
-		c.withinDone(3*time.Minute, "j-1")
-		c.withinDone(3*time.Minute, "j-2")
-		c.within(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
+		c.waitForDone(3*time.Minute, "j-1")
+		c.waitForDone(3*time.Minute, "j-2")
+		c.waitFor(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-3", 4) == 4 })
 	})
 }
 
-// TestRequestsRaceCompletion guards against a job that is reported as both done and cancelled. Without
-// any fault, cancellations, queries and repeated submissions at every controller race the end of
-// the job's last task.
-func TestRequestsMeetTheEnd(t *testing.T) {
+// TestRequestsRaceCompletion guards against a job that is reported as both done and cancelled.
+// Without any fault, cancellations, queries and repeated submissions at every controller race the
+// end of the job's last task.
+func TestRequestsRaceCompletion(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		users := newSimulatedUsers(c)
 		var all []*jobs.Spec
@@ -434,8 +434,8 @@
 			all = append(all, spec)
 			users.submitAndFollow(c.newRand(), spec, userBehavior{cancelAtEnd: true, resubmits: i%2 == 0})
 		}
-		c.within(3*time.Minute, "all jobs finished", func() bool {
-			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return !users.isOver(spec.ID) })
+		c.waitFor(3*time.Minute, "all jobs finished", func() bool {
+			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return !users.toldFinished(spec.ID) })
 		})
 		c.advance(15 * time.Second)
 		users.stop()
@@ -455,30 +455,30 @@
 }
 
 // checkResubmission submits a job again and checks that the response has its current state.
-func (c *cluster) requireKnown(node string, spec *jobs.Spec, state string) {
+func (c *cluster) checkResubmission(controllerName string, spec *jobs.Spec, state string) {
 	c.t.Helper()
-	if status, view := c.request("POST", node, "/v1/jobs", wireSpec(spec)); status != http.StatusOK || view["stance"] != state {
-		c.t.Errorf("%s submitted again at %s: %d %v", spec.ID, node, status, view)
+	if status, view := c.request("POST", controllerName, "/v1/jobs", wireSpec(spec)); status != http.StatusOK || view["stance"] != state {
+		c.t.Errorf("%s submitted again at %s: %d %v", spec.ID, controllerName, status, view)
 	}
 }
 
 // TestRepeatedAndInvalidRequests checks the responses to repeated submissions of running, done and
 // cancelled jobs, cancellations of done and unknown jobs, and submissions of jobs that can never
 // run, the last also in an outage of the store.
-func TestOddRequests(t *testing.T) {
+func TestRepeatedAndInvalidRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		done, off, runs := batchJob("j-1", 1, 1), batchJob("j-2", 1, 300), serviceJob("j-3", 2)
-		for _, spec := range []*jobs.Spec{done, off, runs} {
+		done, cancelled, running := batchJob("j-1", 1, 1), batchJob("j-2", 1, 300), serviceJob("j-3", 2)
+		for _, spec := range []*jobs.Spec{done, cancelled, running} {
 			c.submit("perch-0", spec)
 		}
-		c.withinDone(60*time.Second, "j-1")
+		c.waitForDone(60*time.Second, "j-1")
 		c.cancelJob("perch-1", "j-2")
-		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 2) == 2 })
+		c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-3", 2) == 2 })
 		c.advance(4 * time.Second)
 		for i, n := range c.names {
-			c.requireKnown(n, done, jobs.Done)
-			c.requireKnown(n, off, jobs.Cancelled)
-			c.requireKnown(n, runs, jobs.Running)
+			c.checkResubmission(n, done, jobs.Done)
+			c.checkResubmission(n, cancelled, jobs.Cancelled)
+			c.checkResubmission(n, running, jobs.Running)
 			if status, view := c.request("POST", n, "/v1/jobs/j-1/withdraw", nil); status != http.StatusOK || view["stance"] != jobs.Done {
 				t.Errorf("cancelling a done job: %d %v", status, view)
 			}
@@ -486,22 +486,22 @@
 				t.Errorf("cancelling an unknown job: %d", status)
 			}
 		}
-		lacks := wireSpec(batchJob("j-4", 1, 1))
-		delete(lacks, "ramGb")
-		never := func(change func(*jobs.Spec)) map[string]any {
+		missingField := wireSpec(batchJob("j-4", 1, 1))
+		delete(missingField, "ramGb")
+		changedSpec := func(change func(*jobs.Spec)) map[string]any {
 			spec := serviceJob("j-5", 2)
 			change(spec)
 			return wireSpec(spec)
 		}
-		cannot := map[string]map[string]any{
-			"too large":               never(func(spec *jobs.Spec) { spec.RAMGB = 33 }),
-			"no such team":            never(func(spec *jobs.Spec) { spec.Team = "green" }),
-			"no such zone":            never(func(spec *jobs.Spec) { spec.Zone = "z" }),
-			"spread within one zone":  never(func(spec *jobs.Spec) { spec.Zone = "a" }),
-			"spread and in one zone":  never(func(spec *jobs.Spec) { spec.OneZone = true }),
-			"gang spread in one zone": never(func(spec *jobs.Spec) { spec.Shape, spec.OneZone = jobs.Gang, true }),
+		invalid := map[string]map[string]any{
+			"too large":               changedSpec(func(spec *jobs.Spec) { spec.RAMGB = 33 }),
+			"no such team":            changedSpec(func(spec *jobs.Spec) { spec.Team = "green" }),
+			"no such zone":            changedSpec(func(spec *jobs.Spec) { spec.Zone = "z" }),
+			"spread within one zone":  changedSpec(func(spec *jobs.Spec) { spec.Zone = "a" }),
+			"spread and in one zone":  changedSpec(func(spec *jobs.Spec) { spec.OneZone = true }),
+			"gang spread in one zone": changedSpec(func(spec *jobs.Spec) { spec.Shape, spec.OneZone = jobs.Gang, true }),
 		}
-		for name, body := range cannot {
+		for name, body := range invalid {
 			if status, view := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusUnprocessableEntity {
 				t.Errorf("%s: %d %v", name, status, view)
 			}
@@ -511,16 +511,16 @@
 		array := batchJob("j-6", 4, 2)
 		array.Zone, array.Spread = "a", true
 		c.submit("perch-2", array)
-		one := serviceJob("j-7", 1)
-		one.Zone, one.OneZone = "a", true
-		c.submit("perch-2", one)
-		c.withinDone(60*time.Second, "j-6")
+		singleReplica := serviceJob("j-7", 1)
+		singleReplica.Zone, singleReplica.OneZone = "a", true
+		c.submit("perch-2", singleReplica)
+		c.waitForDone(60*time.Second, "j-6")
 
 		c.world.Store.SetOutage(true)
-		if status, _ := c.request("POST", "perch-1", "/v1/jobs", lacks); status != http.StatusBadRequest {
+		if status, _ := c.request("POST", "perch-1", "/v1/jobs", missingField); status != http.StatusBadRequest {
 			t.Errorf("missing field, in an outage: %d", status)
 		}
-		for name, body := range cannot {
+		for name, body := range invalid {
 			// Without the store, it is unknown whether the job was accepted under earlier settings.
 			if status, _ := c.request("POST", "perch-1", "/v1/jobs", body); status != http.StatusServiceUnavailable {
 				t.Errorf("%s, in an outage: %d", name, status)
@@ -529,10 +529,10 @@
 		c.world.Store.SetOutage(false)
 		c.advance(2 * time.Second)
 		// A job that an earlier version accepted stays accepted.
-		kept := never(func(spec *jobs.Spec) { spec.ID, spec.Zone = "j-8", "a" })
+		acceptedEarlier := changedSpec(func(spec *jobs.Spec) { spec.ID, spec.Zone = "j-8", "a" })
 		c.world.NoteSubmitted("j-8")
 		c.world.Store.Put("job/j-8", []byte(`{"stance":"queued","tasks":2}`))
-		if status, view := c.request("POST", "perch-1", "/v1/jobs", kept); status != http.StatusOK || view["stance"] != jobs.Queued {
+		if status, view := c.request("POST", "perch-1", "/v1/jobs", acceptedEarlier); status != http.StatusOK || view["stance"] != jobs.Queued {
 			t.Errorf("job accepted by an earlier version: %d %v", status, view)
 		}
 		if keys := c.world.Store.Keys("job/"); slices.ContainsFunc(keys, func(key string) bool { return strings.HasSuffix(key, "j-4") || strings.HasSuffix(key, "j-5") }) {
--- a/internal/controller/connection_limit_test.go
+++ b/internal/controller/connection_limit_test.go
@@ -14,7 +14,7 @@
 // TestIdleConnectionsClosedAtLimit checks that idle connections do not block new ones. A connection
 // whose peer vanished without closing it stays open until the idle timeout; at the limit it is
 // closed to accept a new connection, and connections in use are kept.
-func TestIdleConnectionsMakeWay(t *testing.T) {
+func TestIdleConnectionsClosedAtLimit(t *testing.T) {
 	const most = 4
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -11,17 +11,17 @@
 	"ospreyslip/internal/jobs"
 )
 
-func TestQuietDay(t *testing.T) {
+func TestJobLifecycle(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 10, 15))
 		c.submit("perch-1", serviceJob("j-2", 2))
-		c.withinDone(90*time.Second, "j-1")
-		c.within(30*time.Second, "two replicas running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.waitForDone(90*time.Second, "j-1")
+		c.waitFor(30*time.Second, "two replicas running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		if got := c.jobState("j-2"); got != jobs.Running {
 			t.Errorf("service is %s", got)
 		}
 		c.cancelJob("perch-2", "j-2")
-		c.within(10*time.Second, "replicas stopped", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
+		c.waitFor(10*time.Second, "replicas stopped", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
 		if status, _ := c.request("GET", "perch-1", "/v1/jobs/j-77", nil); status != http.StatusNotFound {
 			t.Errorf("a job that was never submitted: %d", status)
 		}
@@ -29,7 +29,7 @@
 			t.Errorf("repeated submission of a done job: %d %v", status, view)
 		}
 		// Machines without work are released.
-		c.within(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
+		c.waitFor(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("still in the assignment log: %v", live)
 		}
@@ -41,19 +41,19 @@
 func TestLeaderCrashes(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.submit("perch-0", batchJob("j-2", 12, 20))
 		for range 4 {
 			c.advance(7 * time.Second)
 			old := c.leader()
 			c.crash(old)
-			c.withinAnotherLeader(15*time.Second, old)
+			c.waitForNewLeader(15*time.Second, old)
 			c.start(old)
 			if c.tasksOnMachines("j-1", 2) != 2 {
 				t.Error("replicas of the service were lost in a failover")
 			}
 		}
-		c.withinDone(120*time.Second, "j-2")
+		c.waitForDone(120*time.Second, "j-2")
 		if starts := c.world.TaskStarts(); starts != 14 {
 			t.Errorf("%d starts for 14 tasks: tasks were restarted in a failover", starts)
 		}
@@ -64,7 +64,7 @@
 // controllers restart: at once, twice within a worker lease, one after the other in a burst of
 // submissions, or in an outage of the store.
 func TestAllControllersRestart(t *testing.T) {
-	all := func(c *cluster, down time.Duration) {
+	restartAll := func(c *cluster, down time.Duration) {
 		c.crash(c.names...)
 		c.advance(down)
 		for _, n := range c.names {
@@ -73,20 +73,20 @@
 	}
 	for _, tc := range []struct {
 		name    string
-		trouble func(c *cluster)
+		restart func(c *cluster)
 		tasks   int // submitted during the restarts
 	}{
-		{"all at once", func(c *cluster) { all(c, 3*time.Second) }, 0},
-		{"after a short pause", func(c *cluster) { all(c, 200*time.Millisecond) }, 0},
+		{"all at once", func(c *cluster) { restartAll(c, 3*time.Second) }, 0},
+		{"after a short pause", func(c *cluster) { restartAll(c, 200*time.Millisecond) }, 0},
 		{"twice within a lease", func(c *cluster) {
-			all(c, 3*time.Second)
+			restartAll(c, 3*time.Second)
 			c.advance(4 * time.Second)
-			all(c, 3*time.Second)
+			restartAll(c, 3*time.Second)
 		}, 0},
 		{"during an election", func(c *cluster) {
-			all(c, 3*time.Second)
+			restartAll(c, 3*time.Second)
 			c.advance(1500 * time.Millisecond)
-			all(c, 200*time.Millisecond)
+			restartAll(c, 200*time.Millisecond)
 		}, 0},
 		{"one after the other in a burst of submissions", func(c *cluster) {
 			for i, n := range c.names {
@@ -101,7 +101,7 @@
 		{"in an outage of the store", func(c *cluster) {
 			c.world.Store.SetOutage(true)
 			c.advance(3 * time.Second)
-			all(c, time.Second)
+			restartAll(c, time.Second)
 			c.advance(3 * time.Second)
 			c.world.Store.SetOutage(false)
 		}, 0},
@@ -109,8 +109,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.runServiceAndBatch()
-				tc.trouble(c)
-				c.withinDone(120*time.Second, "j-2")
+				tc.restart(c)
+				c.waitForDone(120*time.Second, "j-2")
 				c.advance(60 * time.Second)
 				if starts := c.world.TaskStarts(); c.tasksOnMachines("j-1", 2) != 2 || starts != 8+tc.tasks {
 					t.Errorf("%d starts for %d tasks", starts, 8+tc.tasks)
@@ -125,9 +125,9 @@
 func TestMachineDies(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.world.KillMachine(c.world.MachinesOf("j-1/0")[0])
-		c.within(40*time.Second, "two replicas running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(40*time.Second, "two replicas running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
 
@@ -140,15 +140,15 @@
 			runCluster(t, nil, func(c *cluster) {
 				c.submit("perch-0", serviceJob("j-1", 2))
 				c.submit("perch-0", batchJob("j-2", 3, 60))
-				c.within(40*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 3) == 3 })
+				c.waitFor(40*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 3) == 3 })
 				c.world.SetCloudOutage(true)
 				worker := c.world.Worker(c.world.MachinesOf("j-1/0")[0])
 				worker.SetHung(true)
 				c.advance(hang)
 				worker.SetHung(false)
 				c.world.SetCloudOutage(false)
-				c.within(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
-				c.withinDone(200*time.Second, "j-2")
+				c.waitFor(60*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+				c.waitForDone(200*time.Second, "j-2")
 			})
 		})
 	}
@@ -157,12 +157,12 @@
 // TestCommandArrivesLate guards against a delayed command that starts a task a second time. When
 // the command arrives, the task has run and its completion was cleared; only a higher fencing token
 // that the worker has seen since makes it reject the command.
-func TestOrderArrivesLate(t *testing.T) {
+func TestCommandArrivesLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 4, 300)) // keeps its machines in use
-		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
+		c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
 		c.submit("perch-0", batchJob("j-2", 4, 30)) // occupies and then frees capacity beside j-1
-		c.withinDone(120*time.Second, "j-2")
+		c.waitForDone(120*time.Second, "j-2")
 		c.world.Network.Lateness = 15 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
@@ -172,7 +172,7 @@
 		})
 		before := c.world.TaskStarts()
 		c.submit("perch-0", batchJob("j-3", 2, 2))
-		c.withinDone(60*time.Second, "j-3")
+		c.waitForDone(60*time.Second, "j-3")
 		c.advance(30 * time.Second)
 		if n := c.world.TaskStarts() - before; n != 2 {
 			t.Errorf("%d starts for 2 tasks", n)
@@ -185,7 +185,7 @@
 func TestOldLeaderWritesLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 4, 10))
-		c.withinDone(60*time.Second, "j-1")
+		c.waitForDone(60*time.Second, "j-1")
 		old := c.leader()
 		c.world.Network.Lateness = 8 * time.Second
 		c.world.Network.SetFaults(func(from, _, path string) emulator.Fault {
@@ -201,8 +201,8 @@
 		c.submit(other, batchJob("j-2", 2, 1))
 		c.advance(time.Second)
 		c.crash(old)
-		c.withinDone(60*time.Second, "j-2")
-		c.within(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
+		c.waitForDone(60*time.Second, "j-2")
+		c.waitFor(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("assignments of the former leader were recorded late: %v", live)
 		}
@@ -211,10 +211,10 @@
 
 // TestCancelRacesCompletion checks that a cancellation that reaches the store after the job is done
 // does not change the job's state, and that the user is not told that it was cancelled.
-func TestCancelRacesDone(t *testing.T) {
+func TestCancelRacesCompletion(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 2, 12))
-		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.advance(11 * time.Second)
 		node := c.names[0]
 		if node == c.leader() {
@@ -230,7 +230,7 @@
 		if status, view := c.request("POST", node, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
 			t.Errorf("the late cancellation was answered with %v", view)
 		}
-		c.withinDone(10*time.Second, "j-1")
+		c.waitForDone(10*time.Second, "j-1")
 		c.advance(10 * time.Second)
 		if got := c.jobState("j-1"); got != jobs.Done {
 			t.Errorf("the job was done and is now %s", got)
@@ -263,8 +263,8 @@
 			status, _ := c.request("POST", "perch-1", "/v1/jobs", wireSpec(spec))
 			return status == 200 || status == 201
 		}
-		c.within(30*time.Second, "accepted", accepted)
-		c.withinDone(200*time.Second, "j-1")
+		c.waitFor(30*time.Second, "accepted", accepted)
+		c.waitForDone(200*time.Second, "j-1")
 		c.world.Network.SetFaults(nil)
 		c.advance(2 * time.Minute)
 		if got := c.jobState("j-1"); got != jobs.Done {
@@ -281,10 +281,10 @@
 func TestCancelOnUnreachableMachines(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 8, 300))
-		c.within(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
-		cut := c.world.MachinesOf("j-1/0")[0]
+		c.waitFor(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
+		unreachable := c.world.MachinesOf("j-1/0")[0]
 		c.world.Network.SetFaults(func(from, to, _ string) emulator.Fault {
-			if from == cut || to == cut {
+			if from == unreachable || to == unreachable {
 				return emulator.DropRequest
 			}
 			return emulator.Deliver
@@ -305,15 +305,15 @@
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(4) // 16 CPUs in all
 		c.submit("perch-0", batchJob("j-1", 60, 30))
-		c.within(60*time.Second, "blue uses all capacity", func() bool { return c.tasksOnMachines("j-1", 60) == 16 })
-		red := batchJob("j-2", 8, 20)
-		red.Team = "red"
-		c.submit("perch-1", red)
-		c.within(15*time.Second, "red has its guarantee", func() bool { return c.tasksOnMachines("j-2", 8) == 8 })
-		over := batchJob("j-3", 40, 5)
-		over.Team = "red"
-		c.submit("perch-1", over)
-		c.withinDone(5*time.Minute, "j-3")
+		c.waitFor(60*time.Second, "blue uses all capacity", func() bool { return c.tasksOnMachines("j-1", 60) == 16 })
+		withinGuarantee := batchJob("j-2", 8, 20)
+		withinGuarantee.Team = "red"
+		c.submit("perch-1", withinGuarantee)
+		c.waitFor(15*time.Second, "red has its guarantee", func() bool { return c.tasksOnMachines("j-2", 8) == 8 })
+		aboveQuota := batchJob("j-3", 40, 5)
+		aboveQuota.Team = "red"
+		c.submit("perch-1", aboveQuota)
+		c.waitForDone(5*time.Minute, "j-3")
 	})
 }
 
@@ -321,14 +321,14 @@
 func TestPreemption(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(2)
-		low := batchJob("j-1", 8, 200)
-		low.Priority, low.CheckpointIntervalS, low.CheckpointSaveS, low.Spot = jobs.BestEffort, 10, 2, false
-		c.submit("perch-0", low)
-		c.within(40*time.Second, "all capacity in use", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
+		bestEffortJob := batchJob("j-1", 8, 200)
+		bestEffortJob.Priority, bestEffortJob.CheckpointIntervalS, bestEffortJob.CheckpointSaveS, bestEffortJob.Spot = jobs.BestEffort, 10, 2, false
+		c.submit("perch-0", bestEffortJob)
+		c.waitFor(40*time.Second, "all capacity in use", func() bool { return c.tasksOnMachines("j-1", 8) == 8 })
 		s := serviceJob("j-2", 2)
 		s.Spread = false
 		c.submit("perch-0", s)
-		c.within(15*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.waitFor(15*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 	})
 }
 
@@ -344,7 +344,7 @@
 			}
 			return emulator.Deliver
 		})
-		c.withinAnotherLeader(30*time.Second, old)
+		c.waitForNewLeader(30*time.Second, old)
 		c.advance(20 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 8 {
 			t.Errorf("the failover restarted tasks: %d starts for 8 tasks", c.world.TaskStarts())
@@ -358,8 +358,8 @@
 func TestSlowMachine(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 12, 20))
-		c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 12) >= 8 })
+		c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 12) >= 8 })
 		c.world.Worker(c.world.MachinesOf("j-1/0")[0]).SetSlowness(20)
-		c.withinDone(120*time.Second, "j-1")
+		c.waitForDone(120*time.Second, "j-1")
 	})
 }
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -22,21 +22,21 @@
 
 // scheduledEvent is an action that is due at a time since the start of the schedule.
 type scheduledEvent struct {
-	at time.Duration
-	do func()
+	at     time.Duration
+	action func()
 }
 
-// probability returns a pseudo-random number in [0, 1) for a message. It is a hash, so that a run
+// messageSample returns a pseudo-random number in [0, 1) for a message. It is a hash, so that a run
 // with the same seed gets the same numbers, in whatever order goroutines send their messages.
-func (s *faultSchedule) probability(kind, from, to, path string) float64 {
+func (s *faultSchedule) messageSample(kind, from, to, path string) float64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, s.seed, kind, from, to, path, time.Now().UnixNano())
 	return float64(hash.Sum64()>>11) / (1 << 53)
 }
 
-// once schedules an event that takes place once.
-func (s *faultSchedule) once(at time.Duration, do func()) {
-	s.events = append(s.events, scheduledEvent{at, do})
+// scheduleAt schedules an event that takes place once.
+func (s *faultSchedule) scheduleAt(at time.Duration, action func()) {
+	s.events = append(s.events, scheduledEvent{at, action})
 }
 
 // run executes all events that are due by until, also those scheduled meanwhile, and returns then.
@@ -49,13 +49,13 @@
 		next := s.events[0]
 		s.events = s.events[1:]
 		s.cluster.advance(time.Until(start.Add(next.at)))
-		next.do()
+		next.action()
 	}
 	s.cluster.advance(time.Until(start.Add(until)))
 }
 
-// scheduleRandom draws a fault of any kind that begins at a time. The names given to onMessages are
-// part of a hash: with other names, the same seed affects other messages.
+// scheduleRandom draws a fault of any kind that begins at a time. The names given to injectOnPath
+// are part of a hash: with other names, the same seed affects other messages.
 func (s *faultSchedule) scheduleRandom(at time.Duration) {
 	fault := s.drawFault(at)
 	switch s.random.IntN(20) {
@@ -64,33 +64,33 @@
 	case 1, 2:
 		fault.storeRefusesOne()
 	case 3:
-		fault.onMessages("transactions are carried out late", "/commit", emulator.DeliverLate)
+		fault.injectOnPath("transactions are carried out late", "/commit", emulator.DeliverLate)
 	case 4:
-		fault.onMessages("reports come once more, late", "/v1/report", emulator.DeliverTwice)
+		fault.injectOnPath("reports come once more, late", "/v1/report", emulator.DeliverTwice)
 	case 5:
-		fault.onMessages("reports are held up", "/v1/report", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly))
+		fault.injectOnPath("reports are held up", "/v1/report", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly))
 	case 6:
-		fault.onMessages("orders are held up", "/orders", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly, emulator.DeliverTwice, emulator.DropResponse))
+		fault.injectOnPath("orders are held up", "/orders", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly, emulator.DeliverTwice, emulator.DropResponse))
 	case 7:
-		fault.onMessages("transactions are slow", "/commit", emulator.DeliverSlowly)
+		fault.injectOnPath("transactions are slow", "/commit", emulator.DeliverSlowly)
 	case 8:
-		fault.deafMachines()
+		fault.machinesCannotReceive()
 	case 9:
-		fault.muteMachines()
+		fault.machinesCannotSend()
 	case 10:
 		fault.hangingMachines()
 	case 11:
-		fault.twoMachinesDie()
+		fault.twoMachinesFail()
 	case 12:
-		fault.onTarget("a controller is cut off from the store", func(from, to string) bool { return from == "state" || to == "state" })
+		fault.injectOnTarget("a controller is cut off from the store", func(from, to string) bool { return from == "state" || to == "state" })
 	case 13:
-		fault.onTarget("a controller is cut off from the store and its peers", func(from, to string) bool {
+		fault.injectOnTarget("a controller is cut off from the store and its peers", func(from, to string) bool {
 			return !isMachine(from) && !isMachine(to) && from != "user"
 		})
 	case 14:
-		fault.onTarget("a controller is cut off from all", func(string, string) bool { return true })
+		fault.injectOnTarget("a controller is cut off from all", func(string, string) bool { return true })
 	case 15:
-		fault.onTarget("a controller is cut off from the workers", func(from, to string) bool { return isMachine(from) || isMachine(to) })
+		fault.injectOnTarget("a controller is cut off from the workers", func(from, to string) bool { return isMachine(from) || isMachine(to) })
 	case 16:
 		fault.zoneCutOff()
 	case 17, 18:
@@ -103,30 +103,30 @@
 // randomFault has the parameters that all kinds of faults share.
 type randomFault struct {
 	*faultSchedule
-	begin  time.Duration
-	lasts  time.Duration
-	target func() string  // returns the affected controller: a fixed one, or the leader at the time
-	share  float64        // of machines or messages that are affected
-	effect emulator.Fault // on messages
+	begin         time.Duration
+	duration      time.Duration
+	target        func() string  // returns the affected controller: a fixed one, or the current leader
+	affectedShare float64        // of machines or messages that are affected
+	effect        emulator.Fault // on messages
 }
 
 // drawFault draws the parameters of a fault that begins at a time.
 func (s *faultSchedule) drawFault(at time.Duration) *randomFault {
-	lasts := time.Duration(1+s.random.IntN(12)) * time.Second
+	duration := time.Duration(1+s.random.IntN(12)) * time.Second
 	if s.random.IntN(3) == 0 {
-		lasts *= 6 // may exceed the worker lease and the cancellation deadline
+		duration *= 6 // may exceed the worker lease and the cancellation deadline
 	}
-	node := s.cluster.names[s.random.IntN(3)]
-	target := func() string { return node }
+	fixed := s.cluster.names[s.random.IntN(3)]
+	target := func() string { return fixed }
 	if s.random.IntN(2) == 0 {
 		target = func() string {
 			if name := s.cluster.leader(); name != "" {
 				return name
 			}
-			return node
+			return fixed
 		}
 	}
-	fault := &randomFault{faultSchedule: s, begin: at, lasts: lasts, target: target, share: 0.1 + 0.6*s.random.Float64()}
+	fault := &randomFault{faultSchedule: s, begin: at, duration: duration, target: target, affectedShare: 0.1 + 0.6*s.random.Float64()}
 	fault.effect = fault.oneOf(emulator.DropRequest, emulator.RefuseConnection, emulator.DeliverLate, emulator.DropResponse)
 	return fault
 }
@@ -138,22 +138,22 @@
 
 // schedule calls begin when the fault begins, and the function that begin returns when it ends.
 func (f *randomFault) schedule(name string, begin func() (end func())) {
-	f.once(f.begin, func() {
-		f.cluster.world.Tracef("== %s, for %v", name, f.lasts)
+	f.scheduleAt(f.begin, func() {
+		f.cluster.world.Tracef("== %s, for %v", name, f.duration)
 		end := begin()
-		f.once(f.begin+f.lasts, func() {
+		f.scheduleAt(f.begin+f.duration, func() {
 			f.cluster.world.Tracef("== %s is over", name)
 			end()
 		})
 	})
 }
 
-// onMessages applies an effect to the fault's share of the messages to a path. The choice of
+// injectOnPath applies an effect to the fault's share of the messages to a path. The choice of
 // messages depends on the name.
-func (f *randomFault) onMessages(name, path string, effect emulator.Fault) {
+func (f *randomFault) injectOnPath(name, path string, effect emulator.Fault) {
 	f.schedule(name, func() func() {
 		return f.cluster.world.Network.AddFaults(func(from, to, messagePath string) emulator.Fault {
-			if messagePath == path && f.probability(name, from, to, messagePath) < f.share {
+			if messagePath == path && f.messageSample(name, from, to, messagePath) < f.affectedShare {
 				return effect
 			}
 			return emulator.Deliver
@@ -161,8 +161,8 @@
 	})
 }
 
-// onTarget applies the fault's effect to the messages from and to its target that match.
-func (f *randomFault) onTarget(name string, match func(from, to string) bool) {
+// injectOnTarget applies the fault's effect to the messages from and to its target that match.
+func (f *randomFault) injectOnTarget(name string, match func(from, to string) bool) {
 	f.schedule(name, func() func() {
 		target := f.target()
 		f.cluster.world.Tracef("== target %s, effect %d", target, f.effect)
@@ -183,7 +183,7 @@
 func (f *randomFault) someMachines() map[string]bool {
 	machines := map[string]bool{}
 	for _, name := range f.cluster.world.Machines() {
-		if f.random.Float64() < f.share {
+		if f.random.Float64() < f.affectedShare {
 			machines[name] = true
 		}
 	}
@@ -206,14 +206,14 @@
 	})
 }
 
-func (f *randomFault) deafMachines() {
+func (f *randomFault) machinesCannotReceive() {
 	f.schedule("machines cannot receive", func() func() {
-		deaf := f.someMachines()
+		affected := f.someMachines()
 		return f.cluster.world.Network.AddFaults(func(from, to, _ string) emulator.Fault {
 			switch {
-			case deaf[from]:
+			case affected[from]:
 				return emulator.DropResponse
-			case deaf[to]:
+			case affected[to]:
 				return emulator.DropRequest
 			}
 			return emulator.Deliver
@@ -221,11 +221,11 @@
 	})
 }
 
-func (f *randomFault) muteMachines() {
+func (f *randomFault) machinesCannotSend() {
 	f.schedule("machines cannot send", func() func() {
-		mute := f.someMachines()
+		affected := f.someMachines()
 		return f.cluster.world.Network.AddFaults(func(from, _, _ string) emulator.Fault {
-			if mute[from] {
+			if affected[from] {
 				return emulator.DropRequest
 			}
 			return emulator.Deliver
@@ -249,8 +249,8 @@
 	})
 }
 
-func (f *randomFault) twoMachinesDie() {
-	f.once(f.begin, func() {
+func (f *randomFault) twoMachinesFail() {
+	f.scheduleAt(f.begin, func() {
 		machines := f.cluster.world.Machines()
 		for _, name := range machines[:min(2, len(machines))] {
 			f.cluster.world.Tracef("== %s fails", name)
@@ -280,7 +280,7 @@
 func (f *randomFault) controllersRestart() {
 	pauses := []time.Duration{10 * time.Millisecond, 150 * time.Millisecond, time.Second, 5 * time.Second}
 	pause := pauses[f.random.IntN(len(pauses))]
-	f.once(f.begin, func() {
+	f.scheduleAt(f.begin, func() {
 		names := []string{f.target()}
 		switch f.random.IntN(4) {
 		case 0:
@@ -288,11 +288,11 @@
 		case 1:
 			names = append(names, f.cluster.names[(slices.Index(f.cluster.names, names[0])+1)%3])
 		}
-		names = slices.DeleteFunc(names, func(name string) bool { return f.cluster.processes[name].ended() })
+		names = slices.DeleteFunc(names, func(name string) bool { return f.cluster.incarnations[name].ended() })
 		f.cluster.crash(names...)
 		for i, name := range names {
-			f.once(f.begin+pause+time.Duration(i*f.random.IntN(300))*time.Millisecond, func() {
-				if f.cluster.processes[name].ended() {
+			f.scheduleAt(f.begin+pause+time.Duration(i*f.random.IntN(300))*time.Millisecond, func() {
+				if f.cluster.incarnations[name].ended() {
 					f.cluster.start(name)
 				}
 			})
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -18,17 +18,17 @@
 }
 
 // fillFleet runs batch jobs of two teams that fill their machines, and returns the number of tasks.
-func (c *cluster) fillFleet(arrays int) (tasks int) {
+func (c *cluster) fillFleet(batchJobs int) (tasks int) {
 	c.t.Helper()
-	for i := range arrays {
+	for i := range batchJobs {
 		spec := batchJob(fmt.Sprintf("j-%d", 100+i), 4, 4000)
 		if i%2 == 0 {
 			spec.Team = "red"
 		}
 		c.submit(c.names[i%3], spec)
 	}
-	tasks = 4 * arrays
-	c.within(2*time.Minute, "all tasks running", func() bool { return len(c.world.RunningTasks()) == tasks })
+	tasks = 4 * batchJobs
+	c.waitFor(2*time.Minute, "all tasks running", func() bool { return len(c.world.RunningTasks()) == tasks })
 	c.advance(10 * time.Second)
 	return tasks
 }
@@ -37,7 +37,7 @@
 // stops and loses no task, and that after a longer one each task that ended with the lease is
 // started exactly once. Both teams are above their guarantees, so that preemption between them must
 // not cost a start either.
-func TestRestartOfAllControllers(t *testing.T) {
+func TestFullRestartKeepsRunningTasks(t *testing.T) {
 	for _, pause := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 8 * time.Second, 24 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			runCluster(t, wideQuotas, func(c *cluster) {
@@ -45,14 +45,14 @@
 				before := c.world.TaskStarts()
 				c.restartAll(pause)
 				c.advance(time.Minute)
-				gone := 0
+				ended := 0
 				if pause > 20*time.Second {
-					gone = tasks
+					ended = tasks
 				}
-				if begun := c.world.TaskStarts() - before; begun != gone || len(c.world.RunningTasks()) != tasks {
-					t.Errorf("%d tasks had ended, %d were started, %d of %d are running", gone, begun, len(c.world.RunningTasks()), tasks)
+				if started := c.world.TaskStarts() - before; started != ended || len(c.world.RunningTasks()) != tasks {
+					t.Errorf("%d tasks had ended, %d were started, %d of %d are running", ended, started, len(c.world.RunningTasks()), tasks)
 				}
-				progress := c.takeoverProgress()
+				progress := c.failoverProgress()
 				if progress.Phase != reconcile.FailoverDone || progress.Reported != progress.Expected || progress.Expected != len(c.world.Machines()) {
 					t.Errorf("failover %+v with %d machines", progress, len(c.world.Machines()))
 				}
@@ -64,10 +64,10 @@
 // TestFailoverAfterFullRestart checks that controllers restarted after the leadership lease do not
 // wait out the lease grants of their earlier incarnations: all have restarted and tell each other
 // so. If one does not answer, it may rely on those grants, and the others wait.
-func TestTakeOverAfterARestart(t *testing.T) {
+func TestFailoverAfterFullRestart(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		lease := c.processes[c.names[0]].controller.derived.Election.LeaseDuration
+		lease := c.incarnations[c.names[0]].controller.derived.Election.LeaseDuration
 		for range 5 {
 			c.crash(c.names...)
 			c.advance(2 * lease)
@@ -88,13 +88,13 @@
 // TestRestartWhileLeaderReliesOnPeerLease guards against two leaders. The leader, which alone is
 // cut off from the store, holds a peer lease when the other controllers restart: they have lost
 // their lease grants, and must learn from the leader that it relies on them.
-func TestRestartWhileTheHolderReliesOnPromises(t *testing.T) {
+func TestRestartWhileLeaderReliesOnPeerLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
-		old, lease := c.leader(), c.processes[c.names[0]].controller.derived.Election.LeaseDuration
+		old, lease := c.leader(), c.incarnations[c.names[0]].controller.derived.Election.LeaseDuration
 		c.world.Store.SetOutage(true)
 		c.advance(2 * lease)
-		if !c.processes[old].controller.elector.IsLeader() {
+		if !c.incarnations[old].controller.elector.IsLeader() {
 			t.Fatal("the leader does not hold a peer lease")
 		}
 		var others []string
@@ -112,7 +112,7 @@
 		for range 3000 {
 			led := 0
 			for _, n := range c.names {
-				if c.processes[n].controller.elector.IsLeader() {
+				if c.incarnations[n].controller.elector.IsLeader() {
 					led++
 				}
 			}
@@ -122,6 +122,6 @@
 			c.advance(10 * time.Millisecond)
 		}
 		c.world.Store.SetRefused(old, false)
-		c.within(time.Minute, "a leader", func() bool { return c.leader() != "" })
+		c.waitFor(time.Minute, "a leader", func() bool { return c.leader() != "" })
 	})
 }
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -19,12 +19,12 @@
 		apart := gangJob("j-3", 6, 10)
 		apart.OneZone, apart.Spread = false, true
 		c.submit("perch-2", apart)
-		c.within(40*time.Second, "a gang runs", c.gangRuns("j-1", 5))
+		c.waitFor(40*time.Second, "a gang runs", c.gangRuns("j-1", 5))
 		if status, view := c.request("GET", "perch-2", "/v1/jobs/j-1", nil); status != 200 {
 			t.Errorf("%d %v", status, view)
 		}
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
-			c.withinDone(60*time.Second, id)
+			c.waitForDone(60*time.Second, id)
 			if n := c.world.GangStarts(id); n != 1 {
 				t.Errorf("%s started %d times", id, n)
 			}
@@ -41,7 +41,7 @@
 		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(large)); status != http.StatusUnprocessableEntity {
 			t.Errorf("a gang whose tasks fit no machine: %d", status)
 		}
-		c.within(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
+		c.waitFor(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("still in the assignment log: %v", live)
 		}
@@ -60,22 +60,22 @@
 			c.submit("perch-1", gangJob(fmt.Sprint("j-", i+1), 2, 15))
 		}
 		for i := range 3 {
-			c.withinDone(6*time.Minute, fmt.Sprint("j-", i+1))
+			c.waitForDone(6*time.Minute, fmt.Sprint("j-", i+1))
 		}
-		c.withinDone(10*time.Minute, "j-9")
+		c.waitForDone(10*time.Minute, "j-9")
 	})
 }
 
 // TestGangUnderFaults checks that a gang starts whole or not at all and is done in the end,
 // whichever fault occurs at whichever stage, and that no task is on two machines.
-func TestGangInTrouble(t *testing.T) {
-	leader := func(c *cluster) {
+func TestGangUnderFaults(t *testing.T) {
+	restartLeader := func(c *cluster) {
 		old := c.leader()
 		c.crash(old)
 		c.advance(300 * time.Millisecond)
 		c.start(old)
 	}
-	kill := func(c *cluster) {
+	killMachine := func(c *cluster) {
 		for i := range 4 {
 			if machines := c.world.MachinesOf(fmt.Sprint("j-1/", i)); len(machines) > 0 {
 				c.world.KillMachine(machines[0])
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	hang := func(c *cluster) {
+	hangMachine := func(c *cluster) {
 		if machines := c.world.MachinesOf("j-1/2"); len(machines) > 0 {
 			worker := c.world.Worker(machines[0])
 			worker.SetHung(true)
@@ -91,7 +91,7 @@
 			worker.SetHung(false)
 		}
 	}
-	lateOrders := func(c *cluster) {
+	repeatCommands := func(c *cluster) {
 		c.world.Network.Lateness = 25 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
@@ -100,7 +100,7 @@
 			return emulator.Deliver
 		})
 	}
-	lateReports := func(c *cluster) {
+	repeatHeartbeats := func(c *cluster) {
 		c.world.Network.Lateness = 25 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/v1/report" {
@@ -109,7 +109,7 @@
 			return emulator.Deliver
 		})
 	}
-	lostOrders := func(c *cluster) {
+	delayCommands := func(c *cluster) {
 		n := 0
 		c.world.Network.Lateness = 10 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
@@ -121,11 +121,11 @@
 		c.advance(20 * time.Second)
 		c.world.Network.SetFaults(nil)
 	}
-	for name, trouble := range map[string]func(*cluster){
-		"leader crashes": leader, "machine fails": kill, "machine hangs": hang,
-		"commands repeated": lateOrders, "heartbeats repeated": lateReports, "commands delayed": lostOrders,
-		"machine fails, then leader crashes": func(c *cluster) { kill(c); c.advance(time.Second); leader(c) },
-		"leader crashes, then machine fails": func(c *cluster) { leader(c); kill(c) },
+	for name, injectFault := range map[string]func(*cluster){
+		"leader crashes": restartLeader, "machine fails": killMachine, "machine hangs": hangMachine,
+		"commands repeated": repeatCommands, "heartbeats repeated": repeatHeartbeats, "commands delayed": delayCommands,
+		"machine fails, then leader crashes": func(c *cluster) { killMachine(c); c.advance(time.Second); restartLeader(c) },
+		"leader crashes, then machine fails": func(c *cluster) { restartLeader(c); killMachine(c) },
 	} {
 		// The delays after the submission cover all stages: placed, fetching, gathering, running
 		// and done. In some cases the gang's machines are up, in others they have to be
@@ -135,12 +135,12 @@
 			t.Run(fmt.Sprint(name, " after ", after), func(t *testing.T) {
 				runCluster(t, nil, func(c *cluster) {
 					c.submit("perch-0", gangJob("j-8", 6, 20)) // leaves its machines idle
-					c.within(40*time.Second, "machines up", c.gangRuns("j-8", 6))
-					c.withinDone(40*time.Second, "j-8")
+					c.waitFor(40*time.Second, "machines up", c.gangRuns("j-8", 6))
+					c.waitForDone(40*time.Second, "j-8")
 					c.submit("perch-0", gangJob("j-1", 4, 10))
 					c.advance(after)
-					trouble(c)
-					c.withinDone(4*time.Minute, "j-1")
+					injectFault(c)
+					c.waitForDone(4*time.Minute, "j-1")
 					c.advance(40 * time.Second)
 				})
 			})
@@ -155,7 +155,7 @@
 		t.Run(after.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.submit("perch-0", serviceJob("j-7", 2)) // so that some machines are up
-				c.within(40*time.Second, "machines up", func() bool { return c.tasksOnMachines("j-7", 2) == 2 })
+				c.waitFor(40*time.Second, "machines up", func() bool { return c.tasksOnMachines("j-7", 2) == 2 })
 				c.submit("perch-0", gangJob("j-1", 7, 60))
 				c.advance(after)
 				c.cancelJob("perch-1", "j-1")
@@ -170,37 +170,37 @@
 
 // TestGangPreempted checks that a service preempts a whole gang, which is stopped in time to save a
 // checkpoint and continues from it later.
-func TestGangMakesRoom(t *testing.T) {
+func TestGangPreempted(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(2)
-		low := gangJob("j-1", 4, 60)
-		low.Priority = jobs.BestEffort
-		c.submit("perch-0", low)
-		c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
+		bestEffortGang := gangJob("j-1", 4, 60)
+		bestEffortGang.Priority = jobs.BestEffort
+		c.submit("perch-0", bestEffortGang)
+		c.waitFor(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
 		c.advance(25 * time.Second)
 		spec := serviceJob("j-2", 2)
 		spec.Spread = false
 		c.submit("perch-0", spec)
-		c.within(15*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
-		c.within(10*time.Second, "the gang has stopped", func() bool { return c.tasksOnMachines("j-1", 4) == 0 })
+		c.waitFor(15*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.waitFor(10*time.Second, "the gang has stopped", func() bool { return c.tasksOnMachines("j-1", 4) == 0 })
 		c.cancelJob("perch-0", "j-2")
-		c.withinDone(80*time.Second, "j-1")
+		c.waitForDone(80*time.Second, "j-1")
 	})
 }
 
 // TestLeaderCrashDuringGangStop checks that a preempted gang is done in the end if the leader
 // crashes while some of its tasks have not been told to stop, have not saved their checkpoint, or
 // are not yet known to have ended.
-func TestGangHalfStopped(t *testing.T) {
+func TestLeaderCrashDuringGangStop(t *testing.T) {
 	for _, after := range []time.Duration{50, 150, 300, 700, 1500, 2500} {
 		after *= time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.world.SetCapacity(2)
-				low := gangJob("j-1", 4, 40)
-				low.Priority = jobs.BestEffort
-				c.submit("perch-0", low)
-				c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
+				bestEffortGang := gangJob("j-1", 4, 40)
+				bestEffortGang.Priority = jobs.BestEffort
+				c.submit("perch-0", bestEffortGang)
+				c.waitFor(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
 				spec := serviceJob("j-2", 2)
 				spec.Spread = false
 				c.submit("perch-0", spec)
@@ -209,9 +209,9 @@
 				c.crash(old)
 				c.advance(500 * time.Millisecond)
 				c.start(old)
-				c.within(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+				c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 				c.cancelJob("perch-0", "j-2")
-				c.withinDone(2*time.Minute, "j-1")
+				c.waitForDone(2*time.Minute, "j-1")
 			})
 		})
 	}
@@ -219,10 +219,10 @@
 
 // TestGangInPartitionedZone checks that a gang whose zone is cut off is not started in another zone
 // while one of its tasks may still run there.
-func TestGangInDarkZone(t *testing.T) {
+func TestGangInPartitionedZone(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", gangJob("j-1", 4, 60))
-		c.within(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
+		c.waitFor(40*time.Second, "the gang runs", c.gangRuns("j-1", 4))
 		c.advance(5 * time.Second)
 		zone := c.world.ZoneOf(c.world.MachinesOf("j-1/0")[0])
 		c.world.SetCloudOutage(true)
@@ -236,14 +236,14 @@
 		c.world.SetCloudOutage(false)
 		c.advance(30 * time.Second)
 		c.world.Network.SetFaults(nil)
-		c.withinDone(4*time.Minute, "j-1")
+		c.waitForDone(4*time.Minute, "j-1")
 	})
 }
 
 // TestLeaderCrashDuringLargeGangWrite guards against starting part of a gang. The start records of
 // a large gang take many transactions; if the leader crashes after some of them, the next leader
 // undoes that part.
-func TestLargeGangHalfWritten(t *testing.T) {
+func TestLeaderCrashDuringLargeGangWrite(t *testing.T) {
 	valueKB, writes, ops := 2.0, 35.0, 4
 	adjust := func(set *settings.Settings) {
 		set.Deployment.Store.Next = &settings.UpcomingStoreLimits{ValueKB: &valueKB, WriteRPS: &writes, TxnOps: &ops}
@@ -253,7 +253,7 @@
 		large := gangJob("j-1", 300, 12)
 		large.CPUs, large.RAMGB, large.OneZone = 0.125, 0.125, false
 		c.submit("perch-0", batchJob("j-9", 36, 10)) // leaves its machines idle
-		c.withinDone(60*time.Second, "j-9")
+		c.waitForDone(60*time.Second, "j-9")
 		c.submit("perch-0", large)
 		written := 0
 		for range 6000 {
@@ -275,7 +275,7 @@
 		c.crash(old)
 		c.advance(time.Second)
 		c.start(old)
-		c.withinDone(3*time.Minute, "j-1")
+		c.waitForDone(3*time.Minute, "j-1")
 		if n := c.world.Store.RejectedTransactions(); n > 0 {
 			t.Errorf("%d transactions were too large", n)
 		}
--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -160,16 +160,16 @@
 	wronglyDone               []string // jobs whose records say done, but which are not
 }
 
-// playLossScenario has users submit jobs, and the store lose records meanwhile.
-func playLossScenario(c *cluster, seed uint64, outcome *lossOutcome) {
+// executeLossScenario has users submit jobs, and the store lose records meanwhile.
+func executeLossScenario(c *cluster, seed uint64, outcome *lossOutcome) {
 	random := rand.New(rand.NewPCG(seed, 24))
 	kind, event := lossKinds[random.IntN(len(lossKinds))], concurrentEvents[random.IntN(len(concurrentEvents))]
 	outcome.lossKind, outcome.concurrentEvent = kind.name, event.name
 	users := newSimulatedUsers(c)
 	for number := range 24 {
 		c.advance(time.Duration(random.IntN(3000)) * time.Millisecond)
-		own := rand.New(rand.NewPCG(seed, uint64(number)))
-		users.submitAndFollow(own, randomJob(random, number), randomBehavior(random))
+		userRandom := rand.New(rand.NewPCG(seed, uint64(number)))
+		users.submitAndFollow(userRandom, randomJob(random, number), randomBehavior(random))
 	}
 	before := c.world.Store.Backup()
 	c.advance(time.Duration(1+random.IntN(20)) * time.Second)
@@ -187,11 +187,11 @@
 	}
 	users.stop()
 	outcome.heldJobs = c.recoveryStatus().Held
-	outcome.judgeRecords(c)
+	outcome.compareRecords(c)
 }
 
-// judgeRecords compares the job records with what the emulated machines have done.
-func (o *lossOutcome) judgeRecords(c *cluster) {
+// compareRecords compares the job records with what the emulated machines have done.
+func (o *lossOutcome) compareRecords(c *cluster) {
 	for _, key := range c.world.Store.Keys("job/") {
 		var record jobs.Record
 		if json.Unmarshal(c.world.Store.Value(key), &record) != nil {
@@ -219,10 +219,10 @@
 		c.adaptController = adapt
 		if adapt != nil { // the controllers that run already, too
 			for _, name := range c.names {
-				adapt(c.processes[name].controller)
+				adapt(c.incarnations[name].controller)
 			}
 		}
-		playLossScenario(c, seed, outcome)
+		executeLossScenario(c, seed, outcome)
 	})
 }
 
@@ -230,9 +230,9 @@
 // may be violated, no job may be recorded as done that is not, and work must go on.
 // OSPREYSLIP_SEEDS=100:200 runs other scenarios; OSPREYSLIP_LOSSES=FILE appends the outcome of each
 // to the file as a line of JSON.
-func TestLossesMeet(t *testing.T) {
+func TestRandomLossCombinations(t *testing.T) {
 	write := outcomeWriter(t)
-	for _, seed := range seedsToPlay(t) {
+	for _, seed := range seedsToRun(t) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			var outcome lossOutcome
 			defer func() { // deferred, because a failed test may end early
@@ -296,12 +296,12 @@
 
 // TestLossScenarioCoverage checks that 100 seeds draw every kind of loss and every concurrent
 // event.
-func TestLossDaysAreVaried(t *testing.T) {
-	var kinds, beside []string
+func TestLossScenarioCoverage(t *testing.T) {
+	var kinds, events []string
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 24))
 		kinds = append(kinds, lossKinds[random.IntN(len(lossKinds))].name)
-		beside = append(beside, concurrentEvents[random.IntN(len(concurrentEvents))].name)
+		events = append(events, concurrentEvents[random.IntN(len(concurrentEvents))].name)
 	}
 	for _, kind := range lossKinds {
 		if !slices.Contains(kinds, kind.name) {
@@ -309,7 +309,7 @@
 		}
 	}
 	for _, event := range concurrentEvents {
-		if !slices.Contains(beside, event.name) {
+		if !slices.Contains(events, event.name) {
 			t.Errorf("no scenario draws the concurrent event %q", event.name)
 		}
 	}
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -14,12 +14,12 @@
 
 // TestMemoryLimitRefusesNewJobs checks that controllers near their memory limit refuse new jobs
 // promptly, and still serve polls, repeated submissions and cancellations and run accepted jobs.
-func TestMemoryShort(t *testing.T) {
+func TestMemoryLimitRefusesNewJobs(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.submit("perch-0", batchJob("j-3", 2, 30))
 		c.submit("perch-0", batchJob("j-4", 2, 300))
-		c.memory.Store(1 << 40)
+		c.memoryInUse.Store(1 << 40)
 		c.advance(2 * time.Second)
 		began := time.Now()
 		for _, n := range c.names {
@@ -37,17 +37,17 @@
 			t.Errorf("all answers took %v, want at most 3s", took)
 		}
 		c.cancelJob("perch-1", "j-4")
-		c.withinDone(60*time.Second, "j-3")
-		c.within(40*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
-		c.memory.Store(0)
+		c.waitForDone(60*time.Second, "j-3")
+		c.waitFor(40*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+		c.memoryInUse.Store(0)
 		c.advance(2 * time.Second)
 		c.submit("perch-2", batchJob("j-5", 2, 30))
-		c.withinDone(60*time.Second, "j-5")
+		c.waitForDone(60*time.Second, "j-5")
 	})
 }
 
 // TestMemoryLimitRetryAfter checks that a refusal for lack of memory has a Retry-After header.
-func TestMemoryShortRetryAfter(t *testing.T) {
+func TestMemoryLimitRetryAfter(t *testing.T) {
 	c := &cluster{t: t, names: []string{"perch-0"}}
 	net := emulator.NewNetwork()
 	net.Attach("state", "10.2.0.1:1", emulator.NewKVStore())
--- a/internal/controller/operator_endpoints_test.go
+++ b/internal/controller/operator_endpoints_test.go
@@ -25,9 +25,9 @@
 		}
 		c.world.Store.SetRefused(follower, true)
 		c.request("GET", follower, "/v1/jobs/j-1", nil)
-		c.within(5*time.Second, "the refused controller not ready", func() bool { return !up(follower) })
+		c.waitFor(5*time.Second, "the refused controller not ready", func() bool { return !up(follower) })
 		c.world.Store.SetRefused(follower, false)
-		c.within(5*time.Second, "ready again", func() bool { return up(follower) })
+		c.waitFor(5*time.Second, "ready again", func() bool { return up(follower) })
 		c.world.Store.SetOutage(true)
 		for range 20 {
 			c.advance(500 * time.Millisecond)
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestUserMistakes(t *testing.T) {
+func TestInvalidUserRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		change := func(field string, value any) map[string]any {
 			body := wireSpec(batchJob("j-9", 2, 5))
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -16,7 +16,7 @@
 // TestOverloadWithSlowStore checks an overload while the store answers slowly. More users poll than
 // the controllers can serve: each gets the job's state or a prompt 503 before it gives up, the
 // leader does not change, and no worker loses its lease.
-func TestOverloadBySlowState(t *testing.T) {
+func TestOverloadWithSlowStore(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Limits.MaxSockets = 256 }
 	runCluster(t, adjust, func(c *cluster) {
 		c.world.Network.Lateness = 700 * time.Millisecond // of responses by DeliverSlowly
@@ -59,7 +59,7 @@
 		}
 		c.advance(5 * time.Second)
 		c.submit("perch-1", batchJob("j-9", 2, 5))
-		c.withinDone(60*time.Second, "j-9")
+		c.waitForDone(60*time.Second, "j-9")
 	})
 }
 
@@ -71,7 +71,7 @@
 	noLimit := func(set *settings.Settings) { set.Deployment.Teams = []settings.Team{{Name: "red"}, {Name: "blue"}} }
 	runCluster(t, noLimit, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 4*machines, 300))
-		c.within(90*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
+		c.waitFor(90*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
 		c.advance(10 * time.Second)
 		starts := c.world.TaskStarts()
 		var orders atomic.Int64
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -18,11 +18,11 @@
 // recoveryStatus returns the leader's recovery status, or its zero value if no controller leads.
 func (c *cluster) recoveryStatus() recoverer.Status {
 	for _, name := range c.names {
-		if c.processes[name].ended() {
+		if c.incarnations[name].ended() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-		status, err := c.processes[name].controller.leaderHandle.Recovery(ctx)
+		status, err := c.incarnations[name].controller.leaderHandle.Recovery(ctx)
 		cancel()
 		if err == nil {
 			return status
@@ -33,9 +33,9 @@
 
 // waitForRecovery waits until the leader reports that no record is missing and the store has no
 // recovery record any more.
-func (c *cluster) withinRecovered(timeout time.Duration) {
+func (c *cluster) waitForRecovery(timeout time.Duration) {
 	c.t.Helper()
-	c.within(timeout, "recovery complete", func() bool {
+	c.waitFor(timeout, "recovery complete", func() bool {
 		return c.recoveryStatus().Phase == recoverer.Whole && c.world.Store.Value(jobs.RecoveryStatusKey) == nil
 	})
 	c.advance(2 * time.Second) // all controllers learn of it within a control interval
@@ -76,10 +76,10 @@
 	c.submit("perch-1", batchJob("j-2", 4, 400))
 	c.submit("perch-2", batchJob("j-3", 2, 5))
 	c.submit("perch-0", batchJob("j-4", 2, 400))
-	c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
-	c.withinDone(60*time.Second, "j-3")
+	c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
+	c.waitForDone(60*time.Second, "j-3")
 	c.cancelJob("perch-1", "j-4")
-	c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+	c.waitFor(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
 	c.advance(20 * time.Second) // all caches have the records
 }
 
@@ -97,7 +97,7 @@
 
 // settleJob settles a held job at the leader.
 func (c *cluster) settleJob(id string, as recovery.Settlement) error {
-	return c.processes[c.leader()].controller.leaderHandle.Settle(c.ctx, id, as)
+	return c.incarnations[c.leader()].controller.leaderHandle.Settle(c.ctx, id, as)
 }
 
 // describedHeldJobs returns the number of held jobs whose descriptions are known.
@@ -129,5 +129,5 @@
 			request.Jobs = append(request.Jobs, recoverer.SnapshotFact{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
 		}
 	}
-	return c.processes[c.leader()].controller.leaderHandle.Import(c.ctx, request)
+	return c.incarnations[c.leader()].controller.leaderHandle.Import(c.ctx, request)
 }
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -27,9 +27,9 @@
 	requests atomic.Int64
 }
 
-func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	d.requests.Add(1)
-	return respond(d.handler, r), nil
+func (t *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t.requests.Add(1)
+	return respond(t.handler, r), nil
 }
 
 // storedJobs returns a store with the records of so many jobs, one in eight of them unfinished.
@@ -66,13 +66,13 @@
 		count = 2000
 	}
 	store := storedJobs(count)
-	wire := &handlerTransport{handler: store}
-	client := kvstore.New("state:1", wire, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
+	transport := &handlerTransport{handler: store}
+	client := kvstore.New("state:1", transport, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
 	measure := func(what string, do func()) {
-		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
+		before, requests, began := heapMB(), transport.requests.Load(), time.Now()
 		do()
 		took := time.Since(began)
-		t.Logf("%d jobs, %s: %v, %d requests, heap grew by %.1f MB", count, what, took.Round(time.Millisecond), wire.requests.Load()-requests, heapMB()-before)
+		t.Logf("%d jobs, %s: %v, %d requests, heap grew by %.1f MB", count, what, took.Round(time.Millisecond), transport.requests.Load()-requests, heapMB()-before)
 	}
 
 	var taken *snapshot.Snapshot
@@ -104,19 +104,19 @@
 			time.Sleep(time.Millisecond)
 		}
 	})
-	verified := func() {
+	auditAll := func() {
 		ticket := cache.RequestAudit()
 		for !cache.AuditDone(ticket) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	measure("audit, nothing lost", verified)
+	measure("audit, nothing lost", auditAll)
 	store.LoseKeys(true, emulator.WithPrefix("job/"))
-	measure("audit, everything lost", verified)
+	measure("audit, everything lost", auditAll)
 	if cache.LostCount() != count {
 		t.Errorf("%d of %d lost jobs were detected", cache.LostCount(), count)
 	}
-	view := recovery.KnowledgeByJob{}
+	knowledge := recovery.KnowledgeByJob{}
 	measure("knowledge of unfinished jobs merged and decided", func() {
 		for after, more := "", true; more; {
 			var page []jobcache.LostJob
@@ -124,16 +124,16 @@
 			for _, lost := range page {
 				after = lost.ID
 				if lost.State == jobs.Queued { // finished jobs are written back a page at a time
-					view.Merge(lost.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
+					knowledge.Merge(lost.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
 				}
 			}
 		}
-		for _, id := range view.IDs() {
-			recovery.Decide(view[id], true)
+		for _, id := range knowledge.IDs() {
+			recovery.Decide(knowledge[id], true)
 		}
 	})
-	if want := (count + 7) / 8; len(view) != want {
-		t.Errorf("%d of %d unfinished jobs are known", len(view), want)
+	if want := (count + 7) / 8; len(knowledge) != want {
+		t.Errorf("%d of %d unfinished jobs are known", len(knowledge), want)
 	}
 }
 
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -23,7 +23,7 @@
 // TestLostRecordsWrittenBack checks that the leader writes back all lost records from what it and
 // the caches know, whether a single record, all job records, the assignment log or everything is
 // lost, and whether or not the watch shows the loss.
-func TestRecordsLostAndWrittenAgain(t *testing.T) {
+func TestLostRecordsWrittenBack(t *testing.T) {
 	for name, lost := range map[string]func(string) bool{
 		"one unfinished": emulator.WithKey("job/j-2"),
 		"one done":       emulator.WithKey("job/j-3"),
@@ -35,7 +35,7 @@
 		for _, silently := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silently %v", name, silently), func(t *testing.T) {
 				// Only an audit detects a silent loss.
-				runCluster(t, audited(20), func(c *cluster) {
+				runCluster(t, auditInterval(20), func(c *cluster) {
 					c.runOneJobOfEachKind()
 					c.checkUndisturbed(func() {
 						c.world.Store.LoseKeys(silently, lost)
@@ -44,13 +44,13 @@
 						c.checkStateEverywhere("j-3", jobs.Done, "503")
 						c.checkStateEverywhere("j-4", jobs.Cancelled, "503")
 						c.advance(80 * time.Second)
-						c.withinRecovered(3 * time.Minute)
+						c.waitForRecovery(3 * time.Minute)
 					})
 					c.checkRecords(jobs.Queued, "j-1", "j-2")
 					c.checkRecords(jobs.Done, "j-3")
 					c.checkRecords(jobs.Cancelled, "j-4")
 					c.submit("perch-1", batchJob("j-9", 1, 5))
-					c.withinDone(time.Minute, "j-9")
+					c.waitForDone(time.Minute, "j-9")
 					c.checkStateEverywhere("j-77", "404")
 					for range 3 { // the records survive changes of leader
 						c.replaceLeader()
@@ -65,27 +65,27 @@
 	}
 }
 
-// audited returns an adjustment that sets the audit interval.
-func audited(seconds float64) func(*settings.Settings) {
+// auditInterval returns an adjustment that sets the audit interval.
+func auditInterval(seconds float64) func(*settings.Settings) {
 	return func(set *settings.Settings) { set.Operator.AuditS = seconds }
 }
 
 // TestStoreRolledBack checks that a rollback of the store to before a job's completion, another's
 // cancellation and a third's acceptance reverts none of the three.
-func TestServicePutBack(t *testing.T) {
+func TestStoreRolledBack(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
 		c.submit("perch-1", batchJob("j-2", 4, 400))
 		c.submit("perch-0", batchJob("j-3", 2, 15))
 		c.submit("perch-0", batchJob("j-4", 2, 400))
-		c.within(60*time.Second, "running", func() bool {
+		c.waitFor(60*time.Second, "running", func() bool {
 			return c.tasksOnMachines("j-1", 2)+c.tasksOnMachines("j-2", 4)+c.tasksOnMachines("j-3", 2)+c.tasksOnMachines("j-4", 2) == 10
 		})
 		before := c.world.Store.Backup()
-		c.withinDone(60*time.Second, "j-3")
+		c.waitForDone(60*time.Second, "j-3")
 		c.cancelJob("perch-1", "j-4")
 		c.submit("perch-2", batchJob("j-5", 2, 400))
-		c.within(60*time.Second, "j-5 running", func() bool { return c.tasksOnMachines("j-5", 2) == 2 })
+		c.waitFor(60*time.Second, "j-5 running", func() bool { return c.tasksOnMachines("j-5", 2) == 2 })
 		c.advance(10 * time.Second)
 		c.checkUndisturbed(func() {
 			c.world.Store.Restore(before)
@@ -93,7 +93,7 @@
 			c.checkStateEverywhere("j-3", jobs.Done, "503")
 			c.checkStateEverywhere("j-4", jobs.Cancelled, "503")
 			c.checkStateEverywhere("j-5", jobs.Running, jobs.Queued, "503")
-			c.withinRecovered(3 * time.Minute)
+			c.waitForRecovery(3 * time.Minute)
 		})
 		c.checkRecords(jobs.Done, "j-3")
 		c.checkRecords(jobs.Cancelled, "j-4")
@@ -109,7 +109,7 @@
 // TestLogLostAndLeaderCrashes checks that the next leader adopts running tasks from heartbeats, and
 // starts none twice, when segments of the assignment log or job records are lost and the leader
 // crashes before it can write them back.
-func TestLogLostAndLeaderEnds(t *testing.T) {
+func TestLogLostAndLeaderCrashes(t *testing.T) {
 	for name, lost := range map[string]func(string) bool{
 		"a segment":   emulator.WithKey("book/0"),
 		"most":        func(key string) bool { return strings.HasPrefix(key, "book/") && key != "book/1" },
@@ -123,10 +123,10 @@
 					old := c.leader()
 					c.crash(old)
 					c.world.Store.LoseKeys(true, lost)
-					c.withinAnotherLeader(15*time.Second, old)
+					c.waitForNewLeader(15*time.Second, old)
 					c.advance(5 * time.Second)
 					c.start(old)
-					c.withinRecovered(5 * time.Minute)
+					c.waitForRecovery(5 * time.Minute)
 				})
 				if status := c.recoveryStatus(); len(status.Evidence) == 0 {
 					t.Error("no loss was detected")
@@ -148,7 +148,7 @@
 // controllers crash, all records are lost, and the controllers start again. No task is stopped, and
 // the jobs whose tasks workers list are held. A repeated submission describes such a job, and an
 // operator settles it.
-func TestAllControllersEndAndEverythingIsLost(t *testing.T) {
+func TestFullRestartWithAllRecordsLost(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
 		starts := c.world.TaskStarts()
@@ -158,9 +158,9 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(time.Minute, "loss detected", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
-		c.within(2*time.Minute, "all four jobs held", func() bool { return c.recoveryStatus().Held == 4 })
-		c.withinRecovered(2 * time.Minute)
+		c.waitFor(time.Minute, "loss detected", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
+		c.waitFor(2*time.Minute, "all four jobs held", func() bool { return c.recoveryStatus().Held == 4 })
+		c.waitForRecovery(2 * time.Minute)
 		c.checkStateEverywhere("j-1", jobs.Queued, jobs.Running)
 		c.checkStateEverywhere("j-2", jobs.Queued, jobs.Running)
 		if n := c.tasksOnMachines("j-1", 2) + c.tasksOnMachines("j-2", 4); n != 6 || c.world.TaskStarts() != starts {
@@ -177,7 +177,7 @@
 				t.Errorf("%s submitted again: %d", id, status)
 			}
 		}
-		c.within(time.Minute, "two held jobs described", func() bool { return c.describedHeldJobs() == 2 })
+		c.waitFor(time.Minute, "two held jobs described", func() bool { return c.describedHeldJobs() == 2 })
 		for _, id := range []string{"j-1", "j-2"} {
 			if err := c.settleJob(id, recovery.SettleRun); err != nil {
 				t.Errorf("%s: %v", id, err)
@@ -185,7 +185,7 @@
 		}
 		c.checkUndisturbed(func() {
 			// Workers list the tasks of j-3 and j-4, but no source knows how the two jobs ended.
-			c.within(time.Minute, "two jobs still held", func() bool { return c.recoveryStatus().Held == 2 })
+			c.waitFor(time.Minute, "two jobs still held", func() bool { return c.recoveryStatus().Held == 2 })
 		})
 		c.replaceLeader()
 		c.advance(time.Minute)
@@ -193,13 +193,13 @@
 			t.Errorf("under the next leader: %d of 6 tasks are still running, %d were started", n, c.world.TaskStarts()-starts)
 		}
 		c.cancelJob("perch-0", "j-2")
-		c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
+		c.waitFor(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
 	})
 }
 
 // TestCancelHeldJob checks that the tasks of a held job are stopped in time when its user cancels
 // it, although no record tells on which machines they are.
-func TestHeldJobIsCancelled(t *testing.T) {
+func TestCancelHeldJob(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
 		c.crash(c.names...)
@@ -207,9 +207,9 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(2*time.Minute, "jobs held", func() bool { return c.recoveryStatus().Held == 4 })
+		c.waitFor(2*time.Minute, "jobs held", func() bool { return c.recoveryStatus().Held == 4 })
 		c.cancelJob("perch-2", "j-2")
-		c.within(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
+		c.waitFor(30*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 4) == 0 })
 		c.advance(time.Minute)
 		if n := c.tasksOnMachines("j-1", 2); n != 2 {
 			t.Errorf("%d of 2 tasks of the other job are running", n)
@@ -219,12 +219,12 @@
 
 // TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if all its
 // tasks are known from heartbeats; if only some are, all stop and start again together.
-func TestGangWithoutItsRecords(t *testing.T) {
+func TestGangWithLostLog(t *testing.T) {
 	for _, partly := range []bool{false, true} {
 		t.Run(fmt.Sprint("partly ", partly), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.submit("perch-0", gangJob("j-1", 3, 300))
-				c.within(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 3) == 3 })
+				c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 3) == 3 })
 				c.advance(20 * time.Second)
 				starts := c.world.TaskStarts()
 				old := c.leader()
@@ -233,14 +233,14 @@
 				if partly {
 					c.world.KillMachine(c.world.MachinesOf("j-1/1")[0])
 				}
-				c.withinAnotherLeader(15*time.Second, old)
+				c.waitForNewLeader(15*time.Second, old)
 				c.start(old)
 				c.advance(2 * time.Minute)
-				switch n, began := c.tasksOnMachines("j-1", 3), c.world.TaskStarts()-starts; {
+				switch n, started := c.tasksOnMachines("j-1", 3), c.world.TaskStarts()-starts; {
 				case n != 3:
 					t.Errorf("partly %v: %d of 3 tasks are running", partly, n)
-				case !partly && began > 0:
-					t.Errorf("%d tasks of a complete gang were restarted", began)
+				case !partly && started > 0:
+					t.Errorf("%d tasks of a complete gang were restarted", started)
 				}
 			})
 		})
@@ -251,21 +251,21 @@
 // controllers crashed and all records were lost. It was taken before one job's completion,
 // another's cancellation and a third's acceptance. Jobs that are unfinished in it are held, while
 // their tasks that workers list keep running.
-func TestSnapshotOlderThanTheLoss(t *testing.T) {
+func TestSnapshotOlderThanLoss(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 2, 5))
 		c.submit("perch-0", batchJob("j-2", 2, 400))
 		c.submit("perch-0", batchJob("j-3", 2, 400))
-		c.withinDone(time.Minute, "j-1")
+		c.waitForDone(time.Minute, "j-1")
 		c.submit("perch-0", batchJob("j-4", 2, 25))
-		c.within(time.Minute, "running", func() bool {
+		c.waitFor(time.Minute, "running", func() bool {
 			return c.tasksOnMachines("j-2", 2)+c.tasksOnMachines("j-3", 2)+c.tasksOnMachines("j-4", 2) == 6
 		})
 		taken := c.takeSnapshot()
-		c.withinDone(time.Minute, "j-4") // this and the following changes are not in the snapshot
+		c.waitForDone(time.Minute, "j-4") // this and the following changes are not in the snapshot
 		c.cancelJob("perch-1", "j-3")
 		c.submit("perch-1", batchJob("j-5", 1, 400))
-		c.within(time.Minute, "running", func() bool { return c.tasksOnMachines("j-5", 1) == 1 && c.tasksOnMachines("j-3", 2) == 0 })
+		c.waitFor(time.Minute, "running", func() bool { return c.tasksOnMachines("j-5", 1) == 1 && c.tasksOnMachines("j-3", 2) == 0 })
 		c.advance(15 * time.Second)
 		starts := c.world.TaskStarts()
 		c.crash(c.names...)
@@ -273,7 +273,7 @@
 		for _, n := range c.names {
 			c.start(n)
 		}
-		c.within(time.Minute, "loss detected", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
+		c.waitFor(time.Minute, "loss detected", func() bool { return len(c.recoveryStatus().Evidence) > 0 })
 		foreign := *taken
 		foreign.Manifest.Cluster = "another"
 		if _, err := c.importSnapshot(&foreign); !errors.Is(err, recovery.ErrRefused) {
@@ -283,8 +283,8 @@
 		if err != nil || count.Missing != 4 {
 			t.Errorf("imported: %+v, %v", count, err)
 		}
-		c.within(2*time.Minute, "records written back", func() bool { return len(c.world.Store.Keys("job/")) == 5 })
-		c.withinRecovered(2 * time.Minute)
+		c.waitFor(2*time.Minute, "records written back", func() bool { return len(c.world.Store.Keys("job/")) == 5 })
+		c.waitForRecovery(2 * time.Minute)
 		// Workers still list every task of j-4 as done.
 		c.checkRecords(jobs.Done, "j-1", "j-4")
 		held := map[string]bool{}
@@ -318,7 +318,7 @@
 
 // TestUncertainJobRunsAfterTimeout checks that a described uncertain job runs after, and not
 // before, the time that the operator setting runUncertainAfterS states.
-func TestUncertainJobRunsAfterATime(t *testing.T) {
+func TestUncertainJobRunsAfterTimeout(t *testing.T) {
 	runCluster(t, func(set *settings.Settings) { set.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
 		c.world.SetCapacity(0)
 		c.submit("perch-0", batchJob("j-1", 1, 10))
@@ -333,31 +333,31 @@
 		if _, err := c.importSnapshot(taken); err != nil {
 			t.Error(err)
 		}
-		c.within(2*time.Minute, "jobs held", func() bool { return c.recoveryStatus().Held == 1 })
+		c.waitFor(2*time.Minute, "jobs held", func() bool { return c.recoveryStatus().Held == 1 })
 		c.world.SetCapacity(10)
 		starts := c.world.TaskStarts()
 		c.advance(60 * time.Second)
 		if c.world.TaskStarts() != starts {
 			t.Error("an uncertain job ran before runUncertainAfterS was over")
 		}
-		c.within(4*time.Minute, "held job released and started", func() bool { return c.recoveryStatus().Held == 0 && c.world.TaskStarts() > starts })
-		c.withinDone(time.Minute, "j-1")
+		c.waitFor(4*time.Minute, "held job released and started", func() bool { return c.recoveryStatus().Held == 0 && c.world.TaskStarts() > starts })
+		c.waitForDone(time.Minute, "j-1")
 	})
 }
 
 // TestRecoveryWithPeerThatCannotAnswer checks that a recovery completes when peers, as an earlier
 // version does, neither answer requests for lost jobs nor handle loss notices. Such a version can
 // read the records that are written back.
-func TestRecoveryBesideAPeerThatCannotAnswer(t *testing.T) {
+func TestRecoveryWithPeerThatCannotAnswer(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
 		for _, n := range c.names {
-			c.processes[n].controller.peers.OnLostJobsRequest = nil
-			c.processes[n].controller.peers.OnLossNotice = nil
+			c.incarnations[n].controller.peers.OnLostJobsRequest = nil
+			c.incarnations[n].controller.peers.OnLossNotice = nil
 		}
 		c.checkUndisturbed(func() {
 			c.world.Store.LoseKeys(false, emulator.WithPrefix("job/"))
-			c.withinRecovered(3 * time.Minute)
+			c.waitForRecovery(3 * time.Minute)
 		})
 		c.checkRecords(jobs.Queued, "j-1", "j-2")
 		c.checkRecords(jobs.Done, "j-3")
@@ -367,11 +367,11 @@
 
 // TestOperatorRequests checks that only the leader answers operators' requests, and that invalid
 // requests are refused with the reason.
-func TestOperatorsRequests(t *testing.T) {
+func TestOperatorRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		ask := func(node, method, path, body string) (int, string) {
 			rec := httptest.NewRecorder()
-			c.processes[node].controller.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
+			c.incarnations[node].controller.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
 			return rec.Code, strings.TrimSpace(rec.Body.String())
 		}
 		leader, other := c.leader(), c.names[0]
@@ -403,22 +403,22 @@
 // TestWorkerUnreachableDuringRecovery checks that the tasks of a machine that is unreachable when
 // the assignment log is lost and the leader crashes are started elsewhere only after the worker's
 // lease is over, and that none runs twice when the machine is back.
-func TestWorkerSilentInRecovery(t *testing.T) {
+func TestWorkerUnreachableDuringRecovery(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
-		far := c.world.MachinesOf("j-2/0")[0]
+		unreachable := c.world.MachinesOf("j-2/0")[0]
 		starts := c.world.TaskStarts()
 		old := c.leader()
-		end, hits := c.injectFault(isolate(far))
+		end, hits := c.injectFault(isolate(unreachable))
 		c.crash(old)
 		c.world.Store.LoseKeys(true, emulator.WithPrefix("book/"))
 		c.start(old)
 		c.advance(12 * time.Second)
 		if n := c.world.TaskStarts() - starts; n > 0 || len(c.world.MachinesOf("j-2/0")) != 1 {
-			t.Errorf("%d tasks were started before the lease of %s was over", n, far)
+			t.Errorf("%d tasks were started before the lease of %s was over", n, unreachable)
 		}
 		c.advance(20 * time.Second)
-		c.within(90*time.Second, "tasks running elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
+		c.waitFor(90*time.Second, "tasks running elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
 		if hits() == 0 || c.world.TaskStarts() == starts {
 			t.Errorf("%d messages dropped, %d tasks started", hits(), c.world.TaskStarts()-starts)
 		}
@@ -433,10 +433,10 @@
 // TestFinishedJobWithSegmentLost checks that the tasks of a done job are not started again when its
 // record and the segments of the assignment log with its last completions are lost: the caches
 // prove that it is done.
-func TestFinishedJobWithItsSegmentLost(t *testing.T) {
+func TestFinishedJobWithSegmentLost(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", batchJob("j-1", 6, 10))
-		c.withinDone(time.Minute, "j-1")
+		c.waitForDone(time.Minute, "j-1")
 		c.advance(15 * time.Second)
 		starts := c.world.TaskStarts()
 		old := c.leader()
@@ -444,7 +444,7 @@
 		c.world.Store.LoseKeys(true, func(key string) bool { return strings.HasPrefix(key, "book/") || key == "job/j-1" })
 		c.start(old)
 		c.advance(time.Minute)
-		c.withinRecovered(2 * time.Minute)
+		c.waitForRecovery(2 * time.Minute)
 		c.checkRecords(jobs.Done, "j-1")
 		c.checkStateEverywhere("j-1", jobs.Done)
 		if n := c.world.TaskStarts() - starts; n > 0 {
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -37,10 +37,10 @@
 
 // fakeWorker is a client's connection and, for a worker, the heartbeat that it sent last.
 type fakeWorker struct {
-	conn       net.Conn
-	reader     *bufio.Reader
-	lastReport workers.Heartbeat
-	buf        []byte
+	conn          net.Conn
+	reader        *bufio.Reader
+	lastHeartbeat workers.Heartbeat
+	buf           []byte
 }
 
 // newLoopbackCluster starts a controller and a fleet of so many machines, and returns when each
@@ -58,7 +58,7 @@
 	if status := cluster.dial().requestJob(tb, "POST", "/v1/jobs", job); status != http.StatusCreated {
 		tb.Fatalf("submit: status %d", status)
 	}
-	cluster.reportUntilFull()
+	cluster.heartbeatUntilFull()
 	return cluster
 }
 
@@ -128,20 +128,20 @@
 func (l *loopbackCluster) addWorker(number int) {
 	l.tb.Helper()
 	worker := l.dial()
-	worker.lastReport = workers.Heartbeat{
+	worker.lastHeartbeat = workers.Heartbeat{
 		Machine: fmt.Sprintf("m-%06d", number), Addr: "127.0.0.1:9", Type: "c4", Zone: string(rune('a' + number%3)), AgentEpoch: 1, Tasks: []workers.TaskStatus{},
 	}
 	l.fleet = append(l.fleet, worker)
-	worker.sendReport(l.tb)
+	worker.sendHeartbeat(l.tb)
 }
 
 // heartbeatUntilFull has all workers send heartbeats until each has four tasks.
-func (l *loopbackCluster) reportUntilFull() {
+func (l *loopbackCluster) heartbeatUntilFull() {
 	l.tb.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; {
 		idle := 0
 		for _, worker := range l.fleet {
-			if worker.sendReport(l.tb); len(worker.lastReport.Tasks) < 4 {
+			if worker.sendHeartbeat(l.tb); len(worker.lastHeartbeat.Tasks) < 4 {
 				idle++
 			}
 		}
@@ -220,10 +220,10 @@
 }
 
 // sendHeartbeat sends a heartbeat and executes the commands in the response.
-func (w *fakeWorker) sendReport(tb testing.TB) {
+func (w *fakeWorker) sendHeartbeat(tb testing.TB) {
 	tb.Helper()
-	w.lastReport.Seq++
-	raw, _ := json.Marshal(w.lastReport)
+	w.lastHeartbeat.Seq++
+	raw, _ := json.Marshal(w.lastHeartbeat)
 	status, body := w.send(tb, "POST", "/v1/report", raw)
 	if status != http.StatusOK {
 		tb.Fatalf("heartbeat: status %d", status)
@@ -232,20 +232,20 @@
 	if err := json.Unmarshal(body, &answer); err != nil {
 		tb.Fatal(err)
 	}
-	w.lastReport.FencingToken = answer.FencingToken
+	w.lastHeartbeat.FencingToken = answer.FencingToken
 	for _, command := range answer.Commands {
 		if command.Op == workers.OpRun {
-			w.lastReport.Tasks = append(w.lastReport.Tasks, workers.TaskStatus{Name: command.Task, Attempt: command.Attempt, State: workers.StateRunning})
+			w.lastHeartbeat.Tasks = append(w.lastHeartbeat.Tasks, workers.TaskStatus{Name: command.Task, Attempt: command.Attempt, State: workers.StateRunning})
 		}
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	loop := newLoopbackCluster(b, 400)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		loop.fleet[i%len(loop.fleet)].sendReport(b)
+		loop.fleet[i%len(loop.fleet)].sendHeartbeat(b)
 		i++
 	}
 }
@@ -297,7 +297,7 @@
 		worker.conn.Close()
 		fresh := loop.dial()
 		worker.conn, worker.reader = fresh.conn, fresh.reader
-		worker.sendReport(b)
+		worker.sendHeartbeat(b)
 	}
 }
 
@@ -332,7 +332,7 @@
 		for range conns {
 			fresh := loop.dial()
 			worker.conn, worker.reader = fresh.conn, fresh.reader
-			worker.sendReport(b)
+			worker.sendHeartbeat(b)
 			loop.fleet = append(loop.fleet, &fakeWorker{conn: fresh.conn})
 		}
 		var stats runtime.MemStats
--- a/internal/controller/rollback_detection_test.go
+++ b/internal/controller/rollback_detection_test.go
@@ -13,10 +13,10 @@
 // TestStaleRevisionIsNoLoss guards against a false detection of a rollback. While the leader cannot
 // read the store's revision but its watch continues, the revision read last is lower than those
 // that the watch has shown since; that is no evidence of a loss.
-func TestUnreadRevisionIsNoLoss(t *testing.T) {
+func TestStaleRevisionIsNoLoss(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(time.Minute, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(time.Minute, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		leader := c.leader()
 		end := c.world.Network.AddFaults(func(from, to, path string) emulator.Fault {
 			if from == leader && to == "state" && path == "/keys/nothing" {
@@ -38,7 +38,7 @@
 
 // TestJobAcceptedJustBeforeRollback checks that a job survives when the store goes down right after
 // accepting it and is rolled back to before that: only the accepting controller knows of the job.
-func TestAcceptedJustBeforeAPutBack(t *testing.T) {
+func TestJobAcceptedJustBeforeRollback(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
 		c.advance(20 * time.Second)
@@ -57,6 +57,6 @@
 			c.checkStateEverywhere("j-2", jobs.Queued, jobs.Running, jobs.Done, "503")
 			c.advance(time.Second)
 		}
-		c.withinDone(time.Minute, "j-2")
+		c.waitForDone(time.Minute, "j-2")
 	})
 }
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -27,7 +27,7 @@
 				t.Errorf("%s has %d bytes", key, n)
 			}
 		}
-		c.withinDone(20*time.Minute, "j-1")
+		c.waitForDone(20*time.Minute, "j-1")
 		if n := c.world.TaskStarts(); n < 2500 || n > 2600 {
 			t.Errorf("%d starts for 2500 tasks", n)
 		}
@@ -36,15 +36,15 @@
 
 // TestStoreLimitsLowered checks that no transaction exceeds the announced lower limits when the
 // store switches to them without notice in a burst of submissions, in an outage, or in a failover.
-func TestLimitsFall(t *testing.T) {
+func TestStoreLimitsLowered(t *testing.T) {
 	valueKB, writes, ops := 2.0, 35.0, 4
 	adjust := func(set *settings.Settings) {
 		set.Deployment.Store.Next = &settings.UpcomingStoreLimits{ValueKB: &valueKB, WriteRPS: &writes, TxnOps: &ops}
 	}
 	lower := emulator.StoreLimits{ValueBytes: 2 << 10, TxnOps: 4, WritesPerSecond: 2 * 35} // leaves room for a burst
 	for _, tc := range []struct {
-		name    string
-		trouble func(c *cluster)
+		name        string
+		lowerLimits func(c *cluster)
 	}{
 		{"in a burst", func(c *cluster) { c.world.Store.SetLimits(lower) }},
 		{"in an outage", func(c *cluster) {
@@ -64,9 +64,9 @@
 				c.submit("perch-0", batchJob("j-3", 300, 5))
 				c.submit("perch-1", batchJob("j-4", 100, 5))
 				c.advance(3 * time.Second)
-				tc.trouble(c)
+				tc.lowerLimits(c)
 				for _, id := range []string{"j-2", "j-3", "j-4"} {
-					c.withinDone(10*time.Minute, id)
+					c.waitForDone(10*time.Minute, id)
 				}
 				if n := c.world.Store.RejectedTransactions(); n > 0 {
 					t.Errorf("%d transactions exceeded the limits", n)
@@ -81,14 +81,14 @@
 
 // TestStoreLimitsBelowSettings checks that work goes on when the store's limits fall below those in
 // the settings: a rejected transaction is not repeated as it is, but split into smaller ones.
-func TestLimitsLowerThanSaid(t *testing.T) {
+func TestStoreLimitsBelowSettings(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.world.Store.SetLimits(emulator.StoreLimits{ValueBytes: 700, TxnOps: 12, WritesPerSecond: 1000})
 		c.submit("perch-0", batchJob("j-3", 300, 5))
 		c.submit("perch-1", batchJob("j-4", 300, 5))
 		for _, id := range []string{"j-2", "j-3", "j-4"} {
-			c.withinDone(5*time.Minute, id)
+			c.waitForDone(5*time.Minute, id)
 		}
 		if n := c.world.Store.RejectedTransactions(); n == 0 || n > 20 {
 			t.Errorf("%d transactions were rejected", n)
@@ -98,7 +98,7 @@
 
 // TestRecordsFitSmallValues checks that records omit what they need not contain, so that they fit a
 // low value limit.
-func TestSmallValues(t *testing.T) {
+func TestRecordsFitSmallValues(t *testing.T) {
 	valueKB := 2.0
 	adjust := func(set *settings.Settings) {
 		set.Deployment.Store.Next = &settings.UpcomingStoreLimits{ValueKB: &valueKB}
@@ -111,7 +111,7 @@
 		}
 		spec.Types = append(spec.Types, "c4")
 		c.submit("perch-0", spec)
-		c.withinDone(60*time.Second, "j-1")
+		c.waitForDone(60*time.Second, "j-1")
 
 		// A job that was accepted under a higher value limit can still be cancelled.
 		old := batchJob("j-2", 2, 500)
@@ -120,9 +120,9 @@
 		c.world.Store.Put("job/j-2", raw)
 		c.world.NoteSubmitted("j-2")
 		c.world.UploadSpec(old)
-		c.within(60*time.Second, "j-2 running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
+		c.waitFor(60*time.Second, "j-2 running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		c.cancelJob("perch-1", "j-2")
-		c.within(20*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
+		c.waitFor(20*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-2", 2) == 0 })
 		if n := c.world.Store.RejectedTransactions(); n > 0 {
 			t.Errorf("%d transactions exceeded the limits", n)
 		}
@@ -152,6 +152,6 @@
 		c.advance(10 * time.Second)
 		c.submit("perch-0", batchJob("j-1", 2, 5)) // a controller without machine types would answer 503
 		c.world.SetCloudOutage(false)
-		c.withinDone(2*time.Minute, "j-1")
+		c.waitForDone(2*time.Minute, "j-1")
 	})
 }
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -70,8 +70,8 @@
 	u.following.Wait()
 }
 
-// isOver reports whether a user was told that the job is done or cancelled.
-func (u *simulatedUsers) isOver(id string) bool {
+// toldFinished reports whether a user was told that the job is done or cancelled.
+func (u *simulatedUsers) toldFinished(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.finalStates[id] != ""
@@ -95,44 +95,45 @@
 		cancelDue = time.After(u.behavior.cancelAfter)
 	}
 	for {
-		cancels := false
+		shouldCancel := false
 		select {
 		case <-u.ctx.Done():
 			return
 		case <-cancelDue:
-			cancelDue, cancels = nil, true
+			cancelDue, shouldCancel = nil, true
 		case <-ended:
-			ended, cancels = nil, u.behavior.cancelAtEnd
+			ended, shouldCancel = nil, u.behavior.cancelAtEnd
 		case <-time.After(4*time.Second + time.Duration(u.random.IntN(2000))*time.Millisecond):
 		}
-		status, view := u.cancelOrAsk(cancels)
+		status, view := u.cancelOrQuery(shouldCancel)
 		state, _ := view["stance"].(string)
 		if status == http.StatusOK && (state == jobs.Done || state == jobs.Cancelled) {
-			u.toldOver(state)
+			u.noteFinished(state)
 			return
 		}
 	}
 }
 
-// cancelOrAsk cancels the job if cancels is true, and else resubmits or queries it.
-func (u *jobUser) cancelOrAsk(cancels bool) (status int, view map[string]any) {
+// cancelOrQuery cancels the job if shouldCancel is true, and else resubmits or queries it.
+func (u *jobUser) cancelOrQuery(shouldCancel bool) (status int, view map[string]any) {
 	switch {
-	case cancels:
+	case shouldCancel:
 		return u.requestUntilAnswered("POST", "/v1/jobs/"+u.spec.ID+"/withdraw", nil)
 	case u.behavior.resubmits && u.random.IntN(3) == 0:
-		return u.cluster.request("POST", u.anyNode(), "/v1/jobs", wireSpec(u.spec))
+		return u.cluster.request("POST", u.randomController(), "/v1/jobs", wireSpec(u.spec))
 	default:
-		return u.cluster.request("GET", u.anyNode(), "/v1/jobs/"+u.spec.ID, nil)
+		return u.cluster.request("GET", u.randomController(), "/v1/jobs/"+u.spec.ID, nil)
 	}
 }
 
-// toldOver records the job's final state. A user that resubmits submits the job once more after it.
-func (u *jobUser) toldOver(state string) {
+// noteFinished records the job's final state. A user that resubmits submits the job once more after
+// it.
+func (u *jobUser) noteFinished(state string) {
 	u.mu.Lock()
 	u.finalStates[u.spec.ID] = state
 	u.mu.Unlock()
 	if u.behavior.resubmits && u.ctx.Err() == nil && sleep(u.ctx, 10*time.Second) {
-		u.cluster.request("POST", u.anyNode(), "/v1/jobs", wireSpec(u.spec))
+		u.cluster.request("POST", u.randomController(), "/v1/jobs", wireSpec(u.spec))
 	}
 }
 
@@ -140,7 +141,7 @@
 // returns status 0 if the users are stopped meanwhile.
 func (u *jobUser) requestUntilAnswered(method, path string, body any) (status int, view map[string]any) {
 	for start := time.Now(); ; {
-		status, view := u.cluster.request(method, u.anyNode(), path, body)
+		status, view := u.cluster.request(method, u.randomController(), path, body)
 		answered := status == http.StatusOK || status == http.StatusCreated || status == http.StatusUnprocessableEntity
 		if answered || time.Since(start) > time.Minute {
 			return status, view
@@ -151,6 +152,6 @@
 	}
 }
 
-func (u *jobUser) anyNode() string {
+func (u *jobUser) randomController() string {
 	return u.cluster.names[u.random.IntN(len(u.cluster.names))]
 }
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -10,13 +10,13 @@
 
 // TestLeaderRefusedByStore checks that a leader that the store refuses stops answering workers
 // before another controller can lead, and that the failover costs no replica.
-func TestLeaderRefusedByState(t *testing.T) {
+func TestLeaderRefusedByStore(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
-		c.within(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitFor(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		old := c.leader()
 		c.world.Store.SetRefused(old, true)
-		c.withinAnotherLeader(15*time.Second, old)
+		c.waitForNewLeader(15*time.Second, old)
 		c.advance(30 * time.Second)
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 2 {
 			t.Errorf("the failover restarted replicas: %d starts", c.world.TaskStarts())
@@ -29,7 +29,7 @@
 // TestStoreOutage checks that running tasks survive an outage of the store, and that no job is
 // accepted and no task started in it. While no controller reaches the store, a peer lease lets the
 // leader go on renewing the workers' leases.
-func TestStateOutage(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.world.Store.SetOutage(true)
@@ -38,7 +38,7 @@
 		}
 		c.advance(time.Minute)
 		c.world.Store.SetOutage(false)
-		c.withinDone(30*time.Second, "j-2")
+		c.waitForDone(30*time.Second, "j-2")
 		if c.tasksOnMachines("j-1", 2) != 2 || c.world.TaskStarts() != 8 {
 			t.Errorf("the outage restarted tasks: %d starts for 8 tasks", c.world.TaskStarts())
 		}
@@ -59,7 +59,7 @@
 		})
 		token := string(c.world.Store.Value("term/token"))
 		c.submit("perch-0", batchJob("j-3", 2, 1))
-		c.withinDone(60*time.Second, "j-3")
+		c.waitForDone(60*time.Second, "j-3")
 		if string(c.world.Store.Value("term/token")) == token {
 			t.Fatal("the token was not raised")
 		}
@@ -77,7 +77,7 @@
 // TestOutageWithoutPeerLease checks that a leader without a lease grant of every peer stops
 // answering workers in an outage of the store, so that tasks end with the workers' leases and there
 // are never two leaders.
-func TestOutageWithoutPromises(t *testing.T) {
+func TestOutageWithoutPeerLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		old := c.leader()
@@ -94,14 +94,14 @@
 		}
 		c.world.Store.SetOutage(false)
 		c.world.Network.SetFaults(nil)
-		c.withinDone(3*time.Minute, "j-2")
+		c.waitForDone(3*time.Minute, "j-2")
 	})
 }
 
 // TestFollowerRestartDuringPeerLease guards against two leaders. A follower that restarts during an
 // outage of the store has lost its lease grant; if it reaches the store before the leader does, it
 // has to wait until that grant is over.
-func TestRestartAmidPromises(t *testing.T) {
+func TestFollowerRestartDuringPeerLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		old := c.leader()
@@ -116,10 +116,10 @@
 		}
 		c.world.Store.SetRefused(old, true)
 		c.world.Store.SetOutage(false)
-		c.withinAnotherLeader(30*time.Second, old)
+		c.waitForNewLeader(30*time.Second, old)
 		c.advance(20 * time.Second)
 		c.world.Store.SetRefused(old, false)
-		c.withinDone(3*time.Minute, "j-2")
+		c.waitForDone(3*time.Minute, "j-2")
 	})
 }
 
@@ -137,7 +137,7 @@
 				break
 			}
 		}
-		c.within(30*time.Second, "replicas stopped", func() bool { return c.tasksOnMachines("j-1", 2) == 0 })
+		c.waitFor(30*time.Second, "replicas stopped", func() bool { return c.tasksOnMachines("j-1", 2) == 0 })
 		c.world.Store.SetRefused(old, false)
 	})
 }
