--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -194,11 +194,11 @@
 			}
 			return emulator.Deliver
 		})
-		other := c.names[0]
-		if other == old {
-			other = c.names[1]
+		follower := c.names[0]
+		if follower == old {
+			follower = c.names[1]
 		}
-		c.submit(other, batchJob("j-2", 2, 1))
+		c.submit(follower, batchJob("j-2", 2, 1))
 		c.advance(time.Second)
 		c.crash(old)
 		c.waitForDone(60*time.Second, "j-2")
@@ -216,18 +216,18 @@
 		c.submit("perch-0", batchJob("j-1", 2, 12))
 		c.waitFor(40*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 		c.advance(11 * time.Second)
-		node := c.names[0]
-		if node == c.leader() {
-			node = c.names[1]
+		follower := c.names[0]
+		if follower == c.leader() {
+			follower = c.names[1]
 		}
 		c.world.Network.Lateness = 3 * time.Second
 		c.world.Network.SetFaults(func(from, _, path string) emulator.Fault {
-			if from == node && path == "/commit" {
+			if from == follower && path == "/commit" {
 				return emulator.DeliverLate
 			}
 			return emulator.Deliver
 		})
-		if status, view := c.request("POST", node, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
+		if status, view := c.request("POST", follower, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
 			t.Errorf("the late cancellation was answered with %v", view)
 		}
 		c.waitForDone(10*time.Second, "j-1")
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -110,13 +110,13 @@
 			c.start(n)
 		}
 		for range 3000 {
-			led := 0
+			leaders := 0
 			for _, n := range c.names {
 				if c.incarnations[n].controller.elector.IsLeader() {
-					led++
+					leaders++
 				}
 			}
-			if led > 1 {
+			if leaders > 1 {
 				t.Fatal("two controllers lead")
 			}
 			c.advance(10 * time.Millisecond)
--- a/internal/controller/operator_endpoints_test.go
+++ b/internal/controller/operator_endpoints_test.go
@@ -15,8 +15,8 @@
 // go to others, and that all controllers stay ready in an outage of the store for all.
 func TestReadiness(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		up := func(node string) bool {
-			status, _ := c.request("GET", node, "/up", nil)
+		isReady := func(controllerName string) bool {
+			status, _ := c.request("GET", controllerName, "/up", nil)
 			return status == http.StatusOK
 		}
 		follower := c.names[0]
@@ -25,9 +25,9 @@
 		}
 		c.world.Store.SetRefused(follower, true)
 		c.request("GET", follower, "/v1/jobs/j-1", nil)
-		c.waitFor(5*time.Second, "the refused controller not ready", func() bool { return !up(follower) })
+		c.waitFor(5*time.Second, "the refused controller not ready", func() bool { return !isReady(follower) })
 		c.world.Store.SetRefused(follower, false)
-		c.waitFor(5*time.Second, "ready again", func() bool { return up(follower) })
+		c.waitFor(5*time.Second, "ready again", func() bool { return isReady(follower) })
 		c.world.Store.SetOutage(true)
 		for range 20 {
 			c.advance(500 * time.Millisecond)
@@ -36,7 +36,7 @@
 			}
 		}
 		for _, n := range c.names {
-			if !up(n) {
+			if !isReady(n) {
 				t.Errorf("%s is not ready in an outage of the store for all", n)
 			}
 		}
@@ -49,11 +49,11 @@
 func TestStatusAndMetrics(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
-		get := func(node, path string) string {
+		get := func(controllerName, path string) string {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 				return c.world.Network.Dial(ctx, "operator", addr)
 			}}}
-			resp, err := client.Get("http://" + clusterAddr(node) + path)
+			resp, err := client.Get("http://" + clusterAddr(controllerName) + path)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -369,9 +369,9 @@
 // requests are refused with the reason.
 func TestOperatorRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
-		ask := func(node, method, path, body string) (int, string) {
+		request := func(controllerName, method, path, body string) (int, string) {
 			rec := httptest.NewRecorder()
-			c.incarnations[node].controller.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
+			c.incarnations[controllerName].controller.operatorHandler().ServeHTTP(rec, httptest.NewRequest(method, path, strings.NewReader(body)))
 			return rec.Code, strings.TrimSpace(rec.Body.String())
 		}
 		leader, other := c.leader(), c.names[0]
@@ -379,9 +379,9 @@
 			other = c.names[1]
 		}
 		for _, tc := range []struct {
-			node, method, path, body string
-			status                   int
-			says                     string
+			controllerName, method, path, body string
+			status                             int
+			says                               string
 		}{
 			{leader, "GET", "/recovery", "", http.StatusOK, `"phase":"whole"`},
 			{other, "GET", "/recovery", "", http.StatusMisdirectedRequest, leader},
@@ -393,8 +393,8 @@
 			{leader, "POST", "/recovery/import", strings.Repeat("x", 2<<20), http.StatusBadRequest, ""},
 			{leader, "GET", "/metrics", "", http.StatusOK, `ospreyslip_recovery_phase{phase="whole"} 1`},
 		} {
-			if status, body := ask(tc.node, tc.method, tc.path, tc.body); status != tc.status || !strings.Contains(body, tc.says) {
-				t.Errorf("%s %s %.40s at %s: %d %.200s", tc.method, tc.path, tc.body, tc.node, status, body)
+			if status, body := request(tc.controllerName, tc.method, tc.path, tc.body); status != tc.status || !strings.Contains(body, tc.says) {
+				t.Errorf("%s %s %.40s at %s: %d %.200s", tc.method, tc.path, tc.body, tc.controllerName, status, body)
 			}
 		}
 	})
