--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -14,41 +14,43 @@
 	"ospreyslip/internal/peer"
 )
 
-// unseenCancellation is a cancellation that a controller confirms while the leader does not see it.
+// unseenCancellation is a scenario in which a controller confirms a cancellation that the leader
+// does not see before an outage of the key-value store.
 type unseenCancellation struct {
-	name   string
-	lost   func(c *cluster, teller string) // in the outage
-	lasts  bool                            // the other job's tasks last
-	leader bool                            // the leader confirms, and its own watch lags
-	adapt  func(*Controller)
+	name               string
+	duringOutage       func(c *cluster, confirming string) // if set, restarts or crashes controllers in the outage
+	tasksOutlastOutage bool                                // the tasks of the other jobs outlast the outage
+	leaderConfirms     bool                                // the leader itself confirms, while its watch lags
+	adaptController    func(*Controller)                   // if set, applied to all controllers
 }
 
-// The state service refuses the leader alone, another node confirms a cancellation,
-// and then the service is out for all for longer than a cancellation has, while the
-// workers go on reporting to the leader. That all nodes reach nothing now says
-// nothing of what one of them told its user before: it has to say so itself.
-func TestCancelledUnseenBeforeOutage(t *testing.T) {
+// TestCancellationUnseenByLeaderBeforeOutage guards against a leader that keeps a cancelled job
+// alive. The store refuses the leader alone, another controller confirms a cancellation, and then
+// the store is down for all for longer than the cancellation deadline, while workers keep sending
+// heartbeats to the leader. That no controller reaches the store now does not prove that none
+// confirmed a cancellation before: each has to report its own cancellations.
+func TestCancellationUnseenByLeaderBeforeOutage(t *testing.T) {
 	for _, tc := range []unseenCancellation{
-		{name: "all go on", lasts: true},
-		{name: "promises of an earlier version", adapt: func(n *Controller) {
+		{name: "no restart", tasksOutlastOutage: true},
+		{name: "lease grants of an earlier version", adaptController: func(n *Controller) {
 			n.peers.OnLeaseGrantRequest = func(ctx context.Context, _ string, request peer.LeaseGrantRequest) peer.LeaseGrantResponse {
 				return peer.LeaseGrantResponse{Granted: n.elector.GrantPeerLease(ctx, request.FencingToken)}
 			}
 		}},
-		{name: "the leader confirmed", lasts: true, leader: true},
-		{name: "who confirmed begins anew", lost: func(c *cluster, teller string) {
-			c.crash(teller)
+		{name: "the leader confirms", tasksOutlastOutage: true, leaderConfirms: true},
+		{name: "the confirming controller restarts", duringOutage: func(c *cluster, confirming string) {
+			c.crash(confirming)
 			c.advance(300 * time.Millisecond)
-			c.start(teller)
+			c.start(confirming)
 		}},
-		{name: "who confirmed ends", lost: func(c *cluster, teller string) { c.crash(teller) }},
-		{name: "the leader begins anew", lost: func(c *cluster, _ string) {
+		{name: "the confirming controller crashes", duringOutage: func(c *cluster, confirming string) { c.crash(confirming) }},
+		{name: "the leader restarts", duringOutage: func(c *cluster, _ string) {
 			old := c.leader()
 			c.crash(old)
 			c.advance(300 * time.Millisecond)
 			c.start(old)
 		}},
-		{name: "all begin anew", lost: func(c *cluster, _ string) {
+		{name: "all controllers restart", duringOutage: func(c *cluster, _ string) {
 			c.crash(c.names...)
 			c.advance(300 * time.Millisecond)
 			for _, n := range c.names {
@@ -56,18 +58,18 @@
 			}
 		}},
 	} {
-		for _, wait := range []time.Duration{0, 8 * time.Second} { // from the outage to the loss
+		for _, wait := range []time.Duration{0, 8 * time.Second} { // between outage and tc.duringOutage
 			t.Run(tc.name+" after "+wait.String(), func(t *testing.T) {
-				runCluster(t, nil, func(c *cluster) { tc.play(t, c, wait) })
+				runCluster(t, nil, func(c *cluster) { tc.run(t, c, wait) })
 			})
 		}
 	}
 }
 
-// play has the outage begin after the cancellation, and the loss so much later.
-func (tc *unseenCancellation) play(t *testing.T, c *cluster, wait time.Duration) {
+// run cancels a job, starts the outage, and applies tc.duringOutage after wait.
+func (tc *unseenCancellation) run(t *testing.T, c *cluster, wait time.Duration) {
 	t.Helper()
-	if c.adaptController = tc.adapt; tc.adapt != nil {
+	if c.adaptController = tc.adaptController; tc.adaptController != nil {
 		for _, n := range c.names {
 			c.crash(n)
 			c.start(n)
@@ -76,54 +78,55 @@
 	}
 	c.runServiceAndBatch()
 	c.submit("perch-0", batchJob("j-4", 4, 200))
-	c.within(20*time.Second, "all up", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
+	c.waitFor(20*time.Second, "j-4 running", func() bool { return c.tasksOnMachines("j-4", 4) == 4 })
 	leader, token := c.leader(), string(c.world.Store.Value("term/token"))
-	teller := c.names[(slices.Index(c.names, leader)+1)%3]
-	if tc.leader {
-		teller = leader
+	confirming := c.names[(slices.Index(c.names, leader)+1)%3]
+	if tc.leaderConfirms {
+		confirming = leader
 		c.world.Store.SetWatchLag(1000)
 	} else {
 		c.world.Store.SetRefused(leader, true)
 		c.advance(100 * time.Millisecond)
 		if status, _ := c.request("POST", leader, "/v1/jobs/j-4/withdraw", nil); status != http.StatusServiceUnavailable {
-			t.Fatalf("the leader is not refused: %d", status)
+			t.Fatalf("the store does not refuse the leader: withdraw returned %d", status)
 		}
 	}
-	c.cancelJob(teller, "j-4")
+	c.cancelJob(confirming, "j-4")
 	c.advance(700 * time.Millisecond)
 	c.world.Store.SetOutage(true)
 	c.advance(wait)
-	if n := c.tasksOnMachines("j-4", 4); tc.lasts && wait > 0 && n != 0 {
-		t.Errorf("%d tasks are not stopped at once", n)
+	if n := c.tasksOnMachines("j-4", 4); tc.tasksOutlastOutage && wait > 0 && n != 0 {
+		t.Errorf("%d tasks of the cancelled job were not stopped promptly", n)
 	}
-	if tc.lost != nil {
-		tc.lost(c, teller)
+	if tc.duringOutage != nil {
+		tc.duringOutage(c, confirming)
 	}
 	c.advance(41*time.Second - wait)
-	if n := c.tasksOnMachines("j-1", 2); tc.lasts && n != 2 {
-		t.Errorf("%d of 2 replicas go on in the outage", n)
+	if n := c.tasksOnMachines("j-1", 2); tc.tasksOutlastOutage && n != 2 {
+		t.Errorf("%d of 2 replicas keep running in the outage", n)
 	}
 	c.advance(10 * time.Second)
-	if now := string(c.world.Store.Value("term/token")); tc.lost == nil && (now != token || c.leader() != leader) {
-		t.Errorf("the old leader was to go on: token %s, before %s", now, token)
+	if now := string(c.world.Store.Value("term/token")); tc.duringOutage == nil && (now != token || c.leader() != leader) {
+		t.Errorf("the leader changed: token %s, before %s", now, token)
 	}
 	c.world.Store.SetWatchLag(0)
 	c.world.Store.SetRefused(leader, false)
 	c.world.Store.SetOutage(false)
 	for _, n := range c.names {
-		if c.processes[n].ended() {
+		if c.incarnations[n].ended() {
 			c.start(n)
 		}
 	}
-	c.within(30*time.Second, "whole again", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+	c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	if n := c.tasksOnMachines("j-4", 4); n != 0 {
-		t.Errorf("%d tasks of a cancelled job", n)
+		t.Errorf("%d tasks of a cancelled job are running", n)
 	}
 }
 
-// A job is accepted and cancelled while the leader sees neither. When the changes
-// come in parts, the first of them must not begin it.
-func TestAcceptedAndCancelledUnseen(t *testing.T) {
+// TestAcceptanceAndCancellationUnseenByLeader guards against starting a cancelled job. The job is
+// accepted and cancelled while the leader's watch lags; when the watch then shows the acceptance
+// but not yet the cancellation, the leader must not start the job.
+func TestAcceptanceAndCancellationUnseenByLeader(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		leader := c.leader()
@@ -134,12 +137,12 @@
 		c.world.Store.SetOutage(true)
 		c.advance(41 * time.Second)
 		c.world.Store.SetOutage(false)
-		c.world.Store.SetWatchLag(1) // what was accepted is shown, that it was cancelled is not
+		c.world.Store.SetWatchLag(1) // the watch shows the acceptance, but not the cancellation
 		starts := c.world.TaskStarts()
 		for range 100 {
 			c.advance(100 * time.Millisecond)
 			if n := c.world.TaskStarts() - starts; n > 0 || c.tasksOnMachines("j-4", 4) > 0 {
-				t.Fatalf("a cancelled job was begun: %d starts", n)
+				t.Fatalf("a cancelled job was started: %d starts", n)
 			}
 		}
 		c.world.Store.SetWatchLag(0)
@@ -147,15 +150,15 @@
 			t.Errorf("j-4 is %s", got)
 		}
 		if live := c.loggedAssignments(); slices.ContainsFunc(live, func(s string) bool { return strings.HasPrefix(s, "j-4/") }) {
-			t.Errorf("in the book: %v", live)
+			t.Errorf("in the assignment log: %v", live)
 		}
 	})
 }
 
-// An order to begin a task is held up, its job is cancelled, and then no higher token is
-// to be had, as the state service is out. The order must not find its session still
-// there when it arrives after the time of the cancellation.
-func TestOrderHeldInOutage(t *testing.T) {
+// TestCommandDelayedInOutage guards against a delayed command that starts a task of a cancelled
+// job. The store goes down after the cancellation, so no higher fencing token can be obtained; the
+// agent epoch must be over when the command arrives after the cancellation deadline.
+func TestCommandDelayedInOutage(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
 		c.runServiceAndBatch()
@@ -168,7 +171,7 @@
 			return emulator.Deliver
 		})
 		c.submit("perch-0", batchJob("j-4", 1, 200))
-		c.within(2*time.Second, "the order is on its way", func() bool { return held() > 0 })
+		c.waitFor(2*time.Second, "the command is in flight", func() bool { return held() > 0 })
 		c.cancelJob("perch-1", "j-4")
 		c.advance(100 * time.Millisecond)
 		token := string(c.world.Store.Value("term/token"))
@@ -176,14 +179,14 @@
 		starts := c.world.TaskStarts()
 		c.advance(60 * time.Second)
 		if now := string(c.world.Store.Value("term/token")); now != token {
-			t.Fatalf("a higher token was to be had: %s, before %s", now, token)
+			t.Fatalf("the token was raised in the outage: %s, before %s", now, token)
 		}
 		if n := c.world.TaskStarts() - starts; n != 0 {
 			t.Errorf("%d starts in the outage", n)
 		}
 		end()
 		c.world.Store.SetOutage(false)
-		c.withinDone(2*time.Minute, "j-2")
-		c.within(30*time.Second, "services up", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
+		c.waitForDone(2*time.Minute, "j-2")
+		c.waitFor(30*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
 	})
 }
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -12,49 +12,49 @@
 	"ospreyslip/internal/emulator"
 )
 
-// Near its memory limit a node takes no new jobs, and says at once when to come back.
-// All else goes on: polls, submissions of known jobs, cancellations, and the work.
-func TestMemoryShort(t *testing.T) {
+// TestMemoryLimitRefusesNewJobs checks that controllers near their memory limit refuse new jobs
+// promptly, and still serve polls, repeated submissions and cancellations and run accepted jobs.
+func TestMemoryLimitRefusesNewJobs(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.submit("perch-0", batchJob("j-3", 2, 30))
 		c.submit("perch-0", batchJob("j-4", 2, 300))
-		c.memory.Store(1 << 40)
+		c.memoryInUse.Store(1 << 40)
 		c.advance(2 * time.Second)
 		began := time.Now()
 		for _, n := range c.names {
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-5", 2, 30))); status != http.StatusServiceUnavailable {
-				t.Errorf("%s answers a new job with %d", n, status)
+				t.Errorf("%s answered a new job with %d", n, status)
 			}
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-3", 2, 30))); status != http.StatusOK {
-				t.Errorf("%s answers a known job with %d", n, status)
+				t.Errorf("%s answered a repeated submission with %d", n, status)
 			}
 			if status, _ := c.request("GET", n, "/v1/jobs/j-3", nil); status != http.StatusOK {
-				t.Errorf("%s answers a poll with %d", n, status)
+				t.Errorf("%s answered a poll with %d", n, status)
 			}
 		}
 		if took := time.Since(began); took > 3*time.Second {
-			t.Errorf("answered after %v in all", took)
+			t.Errorf("all answers took %v, want at most 3s", took)
 		}
 		c.cancelJob("perch-1", "j-4")
-		c.withinDone(60*time.Second, "j-3")
-		c.within(40*time.Second, "cancelled tasks are gone", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
-		c.memory.Store(0)
+		c.waitForDone(60*time.Second, "j-3")
+		c.waitFor(40*time.Second, "cancelled tasks stopped", func() bool { return c.tasksOnMachines("j-4", 2) == 0 })
+		c.memoryInUse.Store(0)
 		c.advance(2 * time.Second)
 		c.submit("perch-2", batchJob("j-5", 2, 30))
-		c.withinDone(60*time.Second, "j-5")
+		c.waitForDone(60*time.Second, "j-5")
 	})
 }
 
-// A refusal for want of memory tells when to come back.
-func TestMemoryShortRetryAfter(t *testing.T) {
+// TestMemoryLimitRetryAfter checks that a refusal for lack of memory has a Retry-After header.
+func TestMemoryLimitRetryAfter(t *testing.T) {
 	c := &cluster{t: t, names: []string{"perch-0"}}
 	net := emulator.NewNetwork()
 	net.Attach("state", "10.2.0.1:1", emulator.NewKVStore())
 	controller := New(c.settings("perch-0"), Environment{HTTP: net.Transport("perch-0"), Memory: func() uint64 { return 0 }})
 	controller.machineTypes.current.Store(&testMachineTypes)
 	controller.memory.exceeded.Store(true)
-	controller.cache.Readiness.AssumeComplete() // as RunDuties does where there are no peers
+	controller.cache.Readiness.AssumeComplete() // as RunDuties does without peers
 	body, _ := json.Marshal(wireSpec(batchJob("j-1", 1, 10)))
 	recorder := httptest.NewRecorder()
 	controller.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -21,18 +21,18 @@
 	"ospreyslip/internal/snapshot"
 )
 
-// handlerTransport hands requests to a handler without a network, and counts them.
+// handlerTransport is an http.RoundTripper that calls a handler directly and counts the requests.
 type handlerTransport struct {
 	handler  http.Handler
 	requests atomic.Int64
 }
 
-func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	d.requests.Add(1)
-	return respond(d.handler, r), nil
+func (t *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t.requests.Add(1)
+	return respond(t.handler, r), nil
 }
 
-// storedJobs puts so many jobs into a state service: one of eight is unfinished.
+// storedJobs returns a store with the records of so many jobs, one in eight of them unfinished.
 func storedJobs(count int) *emulator.KVStore {
 	store := emulator.NewKVStore()
 	spec := batchJob("j-0", 12, 300)
@@ -50,6 +50,7 @@
 	return store
 }
 
+// heapMB collects garbage and returns the size of the heap in MiB.
 func heapMB() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -57,21 +58,21 @@
 	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
-// TestRecoveryAtScale measures what a snapshot and the comparison of all records cost, by
-// size, on real time. It is a command: OSPREYSLIP_SCALE=300000 names the number of jobs.
+// TestRecoveryAtScale measures the time, requests and memory that a snapshot and an audit of all
+// records take, in real time. OSPREYSLIP_SCALE sets the number of jobs, for example 300000.
 func TestRecoveryAtScale(t *testing.T) {
 	count, err := strconv.Atoi(os.Getenv("OSPREYSLIP_SCALE"))
 	if err != nil {
 		count = 2000
 	}
 	store := storedJobs(count)
-	wire := &handlerTransport{handler: store}
-	client := kvstore.New("state:1", wire, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
+	transport := &handlerTransport{handler: store}
+	client := kvstore.New("state:1", transport, time.Minute, kvstore.RateLimits{RequestsPerSecond: 1e6, WritesPerSecond: 1e6})
 	measure := func(what string, do func()) {
-		before, requests, began := heapMB(), wire.requests.Load(), time.Now()
+		before, requests, began := heapMB(), transport.requests.Load(), time.Now()
 		do()
 		took := time.Since(began)
-		t.Logf("%d jobs, %s: %v, %d requests, %.1f MB more held", count, what, took.Round(time.Millisecond), wire.requests.Load()-requests, heapMB()-before)
+		t.Logf("%d jobs, %s: %v, %d requests, heap grew by %.1f MB", count, what, took.Round(time.Millisecond), transport.requests.Load()-requests, heapMB()-before)
 	}
 
 	var taken *snapshot.Snapshot
@@ -97,46 +98,46 @@
 	taken = nil
 
 	cache := jobcache.New(client, jobcache.Options{ReadGap: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
-	measure("all records read by a node", func() {
+	measure("all records read by a controller", func() {
 		go cache.Run(t.Context())
 		for !cache.Readiness.InitialReadDone() {
 			time.Sleep(time.Millisecond)
 		}
 	})
-	verified := func() {
+	auditAll := func() {
 		ticket := cache.RequestAudit()
 		for !cache.AuditDone(ticket) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	measure("compared, nothing lost", verified)
+	measure("audit, nothing lost", auditAll)
 	store.LoseKeys(true, emulator.WithPrefix("job/"))
-	measure("compared, everything lost", verified)
+	measure("audit, everything lost", auditAll)
 	if cache.LostCount() != count {
-		t.Errorf("%d of %d jobs are missed", cache.LostCount(), count)
+		t.Errorf("%d of %d lost jobs were detected", cache.LostCount(), count)
 	}
-	view := recovery.KnowledgeByJob{}
-	measure("unfinished jobs joined and decided", func() {
+	knowledge := recovery.KnowledgeByJob{}
+	measure("knowledge of unfinished jobs merged and decided", func() {
 		for after, more := "", true; more; {
 			var page []jobcache.LostJob
 			page, more = cache.LostPage(after, maxLostJobsPerResponse)
 			for _, lost := range page {
 				after = lost.ID
-				if lost.State == jobs.Queued { // the others are written a page at a time
-					view.Merge(lost.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
+				if lost.State == jobs.Queued { // finished jobs are written back a page at a time
+					knowledge.Merge(lost.ID, recovery.Attribute(recovery.FromCache("perch-1"), recovery.Knowledge{Unfinished: true, Tasks: lost.Tasks}))
 				}
 			}
 		}
-		for _, id := range view.IDs() {
-			recovery.Decide(view[id], true)
+		for _, id := range knowledge.IDs() {
+			recovery.Decide(knowledge[id], true)
 		}
 	})
-	if want := (count + 7) / 8; len(view) != want {
-		t.Errorf("%d of %d unfinished jobs are known", len(view), want)
+	if want := (count + 7) / 8; len(knowledge) != want {
+		t.Errorf("%d of %d unfinished jobs are known", len(knowledge), want)
 	}
 }
 
-// respond runs a request through a handler.
+// respond passes a request to a handler and returns its response.
 func respond(h http.Handler, r *http.Request) *http.Response {
 	inner := r.Clone(r.Context())
 	inner.RequestURI = r.URL.RequestURI()
