--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -11,7 +11,7 @@
 func DecideOnHeartbeat(attempt Attempt, observed Observation) Decision {
 	switch {
 	case observed.Session > attempt.Session:
-		return Decision{Action: Reschedule, Reason: SessionEnded}
+		return Decision{Action: Reschedule, Reason: AgentEpochEnded}
 	case observed.Session < attempt.Session:
 		return Decision{Action: Wait, Reason: NoHeartbeat}
 	case observed.Task == nil:
@@ -98,7 +98,7 @@
 	case taskDone:
 		return Decision{Action: Complete, Reason: Reason(workers.CauseDone)}
 	case attempt.Session < newestAgentEpoch:
-		return Decision{Action: Reschedule, Reason: SessionEnded}
+		return Decision{Action: Reschedule, Reason: AgentEpochEnded}
 	}
 	return Decision{Action: Wait, Reason: NoHeartbeat, Until: leaseUntil}
 }
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -34,7 +34,7 @@
 		{"completed while there was no leader", durableAttempt(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Complete, Reason: "done"}},
 		{"a service never completes", durableAttempt(func(a *Attempt) { a.RunsToCompletion = false }), Observation{3, 7, task(workers.StateEnded, workers.CauseDone)}, Decision{Action: Reschedule, Reason: "done"}},
 		{"failed", durableAttempt(nil), Observation{3, 7, task(workers.StateEnded, workers.CauseError)}, Decision{Action: Reschedule, Reason: "error"}},
-		{"a later agent epoch has started", durableAttempt(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: SessionEnded}},
+		{"a later agent epoch has started", durableAttempt(nil), Observation{4, 7, nil}, Decision{Action: Reschedule, Reason: AgentEpochEnded}},
 		{"delayed heartbeat of an earlier agent epoch", durableAttempt(nil), Observation{2, 7, nil}, Decision{Action: Wait, Reason: NoHeartbeat}},
 		{"never started", durableAttempt(nil), Observation{3, 7, nil}, Decision{Action: Start, Reason: Absent}},
 		{"never started, and cancelled", durableAttempt(func(a *Attempt) { a.JobFinished = true }), Observation{3, 7, nil}, Decision{Action: Reschedule, Reason: NotWanted}},
--- a/internal/reconcile/decision.go
+++ b/internal/reconcile/decision.go
@@ -31,7 +31,7 @@
 // the worker reports.
 const (
 	Reported           Reason = "reported as stored"               // the worker lists it
-	SessionEnded       Reason = "session over"                     // a later agent epoch keeps no tasks of the old one
+	AgentEpochEnded    Reason = "session over"                     // a later agent epoch keeps no tasks of the old one
 	LeaseExpired       Reason = "worker lease over"                // the worker has ended its tasks by itself
 	StartNotDurable    Reason = "beginning not written"            // no command may be sent until the start is durable
 	CommandUnanswered  Reason = "order not answered"               // a start command is in flight
