--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -14,7 +14,7 @@
 		l.tasks.Stop(preemption.Assignment, preemption.GraceS)
 	}
 	for _, placed := range plan.Placements {
-		l.tasks.Assign(placed.Job, placed.Job.TakePendingTask(), placed.Machine, now).Overdue = placed.Starved
+		l.tasks.Assign(placed.Job, placed.Job.TakePendingTask(), placed.Machine, now).Starved = placed.Starved
 	}
 }
 
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -227,7 +227,7 @@
 		job = &placement.Job{Spec: assignment.Job.Spec, Guaranteed: assignment.Job.Scheduling.WithinGuarantee}
 		r.jobs[assignment.Job] = job
 	}
-	task := &placement.RunningTask{Job: job, Index: assignment.Index, Starved: assignment.Overdue}
+	task := &placement.RunningTask{Job: job, Index: assignment.Index, Starved: assignment.Starved}
 	if assignment.ObservedState == workers.StateRunning {
 		task.LostRunS = now.Sub(assignment.RunningSince).Seconds()
 	}
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -155,7 +155,7 @@
 		case a.ObservedState == workers.StateRunning && now.Sub(a.RunningSince) > p.config.CountedRunTime:
 			job.Scheduling.LastServedAt = now
 			return 0
-		case a.Overdue:
+		case a.Starved:
 			placedFirst++
 		}
 	}
@@ -176,6 +176,6 @@
 		return
 	}
 	for _, a := range job.Assignments {
-		a.Overdue = true
+		a.Starved = true
 	}
 }
--- a/internal/leader/planner/priority_test.go
+++ b/internal/leader/planner/priority_test.go
@@ -24,7 +24,7 @@
 	if n := p.StarvedTasks(job, starvedAt.Add(time.Second)); n != 1 {
 		t.Errorf("with a task that has just started: %d starved tasks, want 1", n)
 	}
-	a.Overdue = true
+	a.Starved = true
 	if n := p.StarvedTasks(job, starvedAt.Add(time.Second)); n != 0 {
 		t.Errorf("with a task already placed first: %d starved tasks, want 0", n)
 	}
