--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -15,9 +15,9 @@
 	Stopping bool
 }
 
-// GangPart is a task of a gang that a worker has reported and that is not adopted yet, because not
+// ReportedGangTask is a task of a gang that a worker has reported and that is not adopted yet, because not
 // all tasks of the gang are known.
-type GangPart struct {
+type ReportedGangTask struct {
 	Machine *Machine
 	Task    workers.TaskStatus
 	Session uint64 // agent epoch of the worker that reported the task
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -62,9 +62,9 @@
 // Adoption is the recovery of a job's tasks that the assignment log may lack. Until every worker
 // must have reported, no task of the job is placed, and tasks that workers list are adopted.
 type Adoption struct {
-	Until      time.Time
-	GangParts  map[int]GangPart      // tasks of a gang whose tasks are not all known yet, by task index
-	duplicates map[int][]*Assignment // other restored assignments of a task, whose ends the log lacks
+	Until             time.Time
+	ReportedGangTasks map[int]ReportedGangTask // tasks of a gang whose tasks are not all known yet, by task index
+	duplicates        map[int][]*Assignment    // other restored assignments of a task, whose ends the log lacks
 }
 
 // NewJob returns a job with all tasks pending.
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -76,16 +76,16 @@
 		if !ok || job == nil || !a.jobs[job] || !job.MayAdopt(index, &task) || machine.FindAssignment(cluster.RefOf(&task)) != nil {
 			continue
 		}
-		part := cluster.GangPart{Machine: machine, Task: task, Session: report.AgentEpoch}
+		part := cluster.ReportedGangTask{Machine: machine, Task: task, Session: report.AgentEpoch}
 		if !job.IsGang() {
 			a.cfg.Leader.ReserveAttempts(task.Attempt)
 			a.adoptTask(job, index, part, attemptNumbers{own: task.Attempt}, now)
 			continue
 		}
-		if job.Adoption.GangParts == nil {
-			job.Adoption.GangParts = map[int]cluster.GangPart{}
+		if job.Adoption.ReportedGangTasks == nil {
+			job.Adoption.ReportedGangTasks = map[int]cluster.ReportedGangTask{}
 		}
-		job.Adoption.GangParts[index] = part
+		job.Adoption.ReportedGangTasks[index] = part
 		if isGangComplete(job) {
 			a.adoptGang(job, now)
 		}
@@ -99,7 +99,7 @@
 }
 
 // adoptTask creates an assignment for a task that a worker reported, and queues it for the log.
-func (a *adoption) adoptTask(job *cluster.Job, index int, part cluster.GangPart, numbers attemptNumbers, now time.Time) {
+func (a *adoption) adoptTask(job *cluster.Job, index int, part cluster.ReportedGangTask, numbers attemptNumbers, now time.Time) {
 	adopted := &cluster.Assignment{
 		Job: job, Index: index, Attempt: numbers.own, GangAttempt: numbers.gang, Session: part.Session, Machine: part.Machine,
 		Restored: true, Start: cluster.Start{Sent: true}, CreatedAt: now, RunningSince: now,
@@ -119,8 +119,8 @@
 // isGangComplete reports whether all tasks of one attempt of a gang are known.
 func isGangComplete(job *cluster.Job) bool {
 	for index := range job.Spec.Tasks {
-		part, ok := job.Adoption.GangParts[index]
-		if !ok || part.Task.Attempt != job.Adoption.GangParts[0].Task.Attempt {
+		part, ok := job.Adoption.ReportedGangTasks[index]
+		if !ok || part.Task.Attempt != job.Adoption.ReportedGangTasks[0].Task.Attempt {
 			return false
 		}
 	}
@@ -131,7 +131,7 @@
 // workers identify all of them by the number that they share.
 func (a *adoption) adoptGang(job *cluster.Job, now time.Time) {
 	for index := range job.Spec.Tasks {
-		part, ok := job.Adoption.GangParts[index]
+		part, ok := job.Adoption.ReportedGangTasks[index]
 		if !ok || !a.cfg.State.Machines.Contains(part.Machine) || part.Machine.Worker.Session != part.Session && part.Machine.Worker.Session != 0 {
 			continue
 		}
@@ -139,7 +139,7 @@
 		numbers := attemptNumbers{own: a.cfg.Leader.NextAttempt(), gang: part.Task.Attempt}
 		a.adoptTask(job, index, part, numbers, now)
 	}
-	job.Adoption.GangParts = nil
+	job.Adoption.ReportedGangTasks = nil
 }
 
 // endDue ends the adoption for jobs whose tasks must all be known by now. A gang of which only
@@ -150,7 +150,7 @@
 			continue
 		}
 		delete(a.jobs, job)
-		if len(job.Adoption.GangParts) > 0 && !job.IsOver() {
+		if len(job.Adoption.ReportedGangTasks) > 0 && !job.IsOver() {
 			a.adoptGang(job, now)
 			if len(job.Assignments) > 0 {
 				a.cfg.Leader.StopGang(job)
--- a/internal/leader/recoverer/orphans.go
+++ b/internal/leader/recoverer/orphans.go
@@ -103,7 +103,7 @@
 		return false // not a task of this scheduler
 	}
 	if job := r.cfg.State.Jobs[id]; job != nil {
-		return r.adoption.jobs[job] && !job.IsOver() && job.Adoption.GangParts[index].Machine == machine
+		return r.adoption.jobs[job] && !job.IsOver() && job.Adoption.ReportedGangTasks[index].Machine == machine
 	}
 	if known, found := r.cfg.Cache.Known(id); found && known.Finished() {
 		return false
