--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -30,7 +30,7 @@
 	Worker   WorkerState
 	Commands CommandState
 	Health   Health
-	Rental   Rental
+	Cloud    CloudState
 
 	Assignments map[uint64]*Assignment // by attempt
 	Used        placement.Resources    // used by the assignments with CountsAsUsed
@@ -76,8 +76,8 @@
 	avoidUntil map[string]time.Time // until when a job is not placed on the machine
 }
 
-// Rental is the state of the machine in the cloud.
-type Rental struct {
+// CloudState is the state of the machine in the cloud.
+type CloudState struct {
 	KnownSince         time.Time // when this leader learned of the machine, or its listed start
 	IdleSince          time.Time
 	ListedAt           time.Time // when the newest list that contains the machine was requested
@@ -94,7 +94,7 @@
 func NewMachine(id string, now time.Time) *Machine {
 	return &Machine{
 		ID: id, TickGroup: tickGroup(id), Assignments: map[uint64]*Assignment{},
-		Rental:   Rental{KnownSince: now, IdleSince: now},
+		Cloud:    CloudState{KnownSince: now, IdleSince: now},
 		Commands: CommandState{StartedByRequest: map[TaskRef]uint64{}},
 		Health:   Health{FailedJobs: map[string]bool{}, avoidUntil: map[string]time.Time{}},
 		Offer: &placement.Machine{
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -33,7 +33,7 @@
 func (d *Dispatcher) AnnounceToSilent(machine *cluster.Machine, now time.Time) {
 	worker := &machine.Worker
 	isSilent := machine.Phase == cluster.Up && worker.HeartbeatAt.IsZero() && worker.Token < d.Fencing.OfTerm
-	if isSilent && now.Sub(machine.Rental.KnownSince) > d.Derived.Workers.AnnounceDelay {
+	if isSilent && now.Sub(machine.Cloud.KnownSince) > d.Derived.Workers.AnnounceDelay {
 		d.Notify(machine)
 	}
 }
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -48,7 +48,7 @@
 		return 0, true
 	case s.isBootingOnTime(machine, now):
 		boot := s.deps.Catalog.BootTime(machine.Type)
-		return max(boot-now.Sub(machine.Rental.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
+		return max(boot-now.Sub(machine.Cloud.KnownSince), cluster.ScaleDuration(boot, lateBootShare)), true
 	}
 	return 0, false
 }
@@ -57,7 +57,7 @@
 // to be counted on.
 func (s *Scaler) isBootingOnTime(machine *cluster.Machine, now time.Time) bool {
 	slowAfter := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.SlowBootTimes)
-	return machine.Phase == cluster.Booting && now.Sub(machine.Rental.KnownSince) < slowAfter
+	return machine.Phase == cluster.Booting && now.Sub(machine.Cloud.KnownSince) < slowAfter
 }
 
 // forecastReleases returns when the tasks on a machine are expected to end. Services never end.
--- a/internal/leader/scaler/list.go
+++ b/internal/leader/scaler/list.go
@@ -48,9 +48,9 @@
 		if m.Addr == "" {
 			m.Addr = entry.Addr
 		}
-		m.Rental.ListedAt = askedAt
-		if entry.State == cloud.StateRunning && m.Rental.ListedRunningSince.IsZero() {
-			m.Rental.ListedRunningSince = now
+		m.Cloud.ListedAt = askedAt
+		if entry.State == cloud.StateRunning && m.Cloud.ListedRunningSince.IsZero() {
+			m.Cloud.ListedRunningSince = now
 		}
 		if entry.State == cloud.StateFailed && m.Phase != cluster.Releasing {
 			slog.Info("machine failed", "machine", m.ID, "term", s.host.Token(), "reason", "reported by the cloud")
@@ -73,7 +73,7 @@
 	}
 	age := time.Duration(entry.AgeS * float64(time.Second))
 	m := cluster.NewMachine(entry.ID, now.Add(-age))
-	m.Rental.IdleSince = now
+	m.Cloud.IdleSince = now
 	m.Type, m.Zone, m.Spot = entry.Type, entry.Zone, entry.Spot
 	s.deps.State.Machines.Add(m)
 	slog.Info("discovered machine in the cloud's list", "machine", m.ID, "term", s.host.Token(), "state", entry.State)
@@ -84,7 +84,7 @@
 // requested at askedAt, and has not reported since. Such a machine is most likely gone.
 func (s *Scaler) suspectUnlisted(askedAt time.Time) {
 	for _, m := range s.deps.State.Machines.All {
-		unlisted := !m.Rental.ListedAt.IsZero() && m.Rental.ListedAt != askedAt
+		unlisted := !m.Cloud.ListedAt.IsZero() && m.Cloud.ListedAt != askedAt
 		if m.Phase == cluster.Up && unlisted && m.Worker.HeartbeatAt.Before(askedAt) {
 			s.host.SuspectMachine(m.ID)
 		}
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -138,8 +138,8 @@
 // MachineUp marks a booting machine as up after its first heartbeat.
 func (s *Scaler) MachineUp(machine *cluster.Machine, now time.Time) {
 	machine.Phase = cluster.Up
-	machine.Rental.IdleSince = now
-	took := now.Sub(machine.Rental.KnownSince)
+	machine.Cloud.IdleSince = now
+	took := now.Sub(machine.Cloud.KnownSince)
 	slog.Info("machine up", "machine", machine.ID, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.host.Token(), "bootS", took.Seconds())
 	s.host.RequestPlan()
 }
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -61,12 +61,12 @@
 // bootTimedOut reports whether to give up on a machine that has never reported. If the list shows it
 // as running, it may have tasks that no record names, and gets the time of a lease to report.
 func (s *Scaler) bootTimedOut(machine *cluster.Machine, now time.Time) bool {
-	runningSince := machine.Rental.ListedRunningSince
+	runningSince := machine.Cloud.ListedRunningSince
 	if !runningSince.IsZero() && now.Sub(runningSince) < s.deps.Derived.Workers.LeaseExpiry {
 		return false
 	}
 	timeout := cluster.ScaleDuration(s.deps.Catalog.BootTime(machine.Type), s.deps.Settings.Operator.LateBootTimes)
-	return now.Sub(machine.Rental.KnownSince) > timeout
+	return now.Sub(machine.Cloud.KnownSince) > timeout
 }
 
 // isReclaimed reports whether the cloud has reclaimed a machine as announced, since the machine has
@@ -83,7 +83,7 @@
 	if len(machine.Assignments) > 0 {
 		return false
 	}
-	idleTooLong := now.Sub(machine.Rental.IdleSince) > s.idleTimeout(machine)
+	idleTooLong := now.Sub(machine.Cloud.IdleSince) > s.idleTimeout(machine)
 	if !machine.Health.Dead && !machine.Health.Draining && !idleTooLong {
 		return false
 	}
--- a/internal/leader/scaler/release_test.go
+++ b/internal/leader/scaler/release_test.go
@@ -96,7 +96,7 @@
 			f, _ := newFixture(t, rejectAll(t))
 			f.host.unknownTasks = tc.unknown
 			m := &tc.machine
-			m.ID, m.Type, m.Rental = "m-2", "c4", cluster.Rental{KnownSince: f.now, IdleSince: f.now}
+			m.ID, m.Type, m.Cloud = "m-2", "c4", cluster.CloudState{KnownSince: f.now, IdleSince: f.now}
 			if got := f.shouldRelease(m, secondsAfter(f.now, tc.at)); got != tc.want {
 				t.Errorf("shouldRelease = %v", got)
 			}
@@ -109,7 +109,7 @@
 	f, _ := newFixture(t, rejectAll(t))
 	m := f.addMachine("m-2", cluster.Booting)
 	listedAt := secondsAfter(f.now, 39)
-	m.Rental.ListedRunningSince = listedAt
+	m.Cloud.ListedRunningSince = listedAt
 	if f.shouldRelease(m, secondsAfter(f.now, 50)) {
 		t.Error("released before its lease could have expired")
 	}
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -214,7 +214,7 @@
 	job, machine := assignment.Job, assignment.Machine
 	delete(machine.Assignments, assignment.Attempt)
 	if len(machine.Assignments) == 0 {
-		machine.Rental.IdleSince = time.Now()
+		machine.Cloud.IdleSince = time.Now()
 	}
 	if job.RemoveAssignment(assignment) {
 		if len(job.Assignments) == 0 {
