--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -70,7 +70,7 @@
 	Dead        bool            // declared dead by the failure detector
 	Draining    bool            // gets no new tasks until it is released
 	SlowLogOdds float64         // log odds, by completed tasks, that the machine is a straggler
-	NoticeUntil time.Time       // when the cloud reclaims the machine, by its notice; zero without one
+	ReclaimAt   time.Time       // when the cloud reclaims the machine, by its notice; zero without one
 	FailedJobs  map[string]bool // jobs that failed on the machine since a task last completed there
 
 	avoidUntil map[string]time.Time // until when a job is not placed on the machine
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -239,7 +239,7 @@
 			}
 			// A machine that is silent after the notice period is gone and is released at once.
 			leader.catalog.Types = func() []jobs.MachineType { return []jobs.MachineType{{Name: "c4", CPUs: 4, BootS: 10}} }
-			leader.scale(t.Context(), machine.Health.NoticeUntil.Add(time.Millisecond))
+			leader.scale(t.Context(), machine.Health.ReclaimAt.Add(time.Millisecond))
 			if machine.Phase != cluster.Releasing {
 				t.Error("not released after the notice period")
 			}
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -73,7 +73,7 @@
 // not reported after the notice period. Its release confirms that and frees its tasks before
 // the failure detector or the worker's lease would.
 func isReclaimed(machine *cluster.Machine, now time.Time) bool {
-	notice := machine.Health.NoticeUntil
+	notice := machine.Health.ReclaimAt
 	return !notice.IsZero() && now.After(notice) && !machine.Worker.HeartbeatAt.After(notice)
 }
 
@@ -87,7 +87,7 @@
 	if !machine.Health.Dead && !machine.Health.Draining && !idleTooLong {
 		return false
 	}
-	notice := machine.Health.NoticeUntil
+	notice := machine.Health.ReclaimAt
 	return machine.Health.Dead || notice.IsZero() || now.After(notice.Add(s.deps.Derived.Cloud.ListLag))
 }
 
--- a/internal/leader/scaler/release_test.go
+++ b/internal/leader/scaler/release_test.go
@@ -123,7 +123,7 @@
 func TestReleaseAfterNotice(t *testing.T) {
 	f, m := newFixture(t, rejectAll(t))
 	notice := secondsAfter(f.now, 30)
-	m.Health.NoticeUntil, m.Health.Draining = notice, true
+	m.Health.ReclaimAt, m.Health.Draining = notice, true
 	if f.shouldRelease(m, notice) {
 		t.Error("released before its notice period ended")
 	}
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -14,12 +14,12 @@
 // save a checkpoint in time are stopped to do so. Tasks that are likely to complete in time keep
 // running. All others are stopped at once, to restart elsewhere.
 func (m *Manager) applySpotNotice(machine *cluster.Machine, reclaimInS float64, now time.Time) {
-	if machine.Health.NoticeUntil.IsZero() {
+	if machine.Health.ReclaimAt.IsZero() {
 		slog.Info("machine will be reclaimed", "machine", machine.ID, "term", m.Fencing.Current, "inS", reclaimInS)
 	}
 	machine.Health.Draining = true
 	m.Planner.Capacity.Withdraw(machine)
-	machine.Health.NoticeUntil = now.Add(time.Duration(reclaimInS * float64(time.Second)))
+	machine.Health.ReclaimAt = now.Add(time.Duration(reclaimInS * float64(time.Second)))
 	for _, a := range machine.Assignments {
 		switch {
 		case a.Outcome != cluster.Open || a.Stop.Requested:
