--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -54,15 +54,15 @@
 
 // CommandState is the state of the delivery of commands to the machine's worker.
 type CommandState struct {
-	NotifyPending      bool // a command request is to be sent at once
-	RequestInFlight    bool
-	RetryAfter         time.Time          // no request is sent before this time
-	FailedRequests     int                // consecutive failed requests
-	InDoubtSince       time.Time          // since when a request is in doubt; zero if none is
-	StartedByRequest   map[TaskRef]uint64 // tasks started by a direct request, with its fencing token
-	NeedsHigherToken   bool               // ended tasks wait for the worker to see a higher token
-	LastAnswer         []workers.Command  // the commands of the last response to a heartbeat
-	UndeliveredAnswers int                // consecutive responses of which no command was executed
+	NotifyPending        bool // a command request is to be sent at once
+	RequestInFlight      bool
+	RetryAfter           time.Time          // no request is sent before this time
+	FailedRequests       int                // consecutive failed requests
+	InDoubtSince         time.Time          // since when a request is in doubt; zero if none is
+	StartedByRequest     map[TaskRef]uint64 // tasks started by a direct request, with its fencing token
+	NeedsHigherToken     bool               // ended tasks wait for the worker to see a higher token
+	LastResponse         []workers.Command  // the commands of the last response to a heartbeat
+	UndeliveredResponses int                // consecutive responses of which no command was executed
 }
 
 // Health is the state that can exclude a machine from new work.
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -12,7 +12,7 @@
 // worker, and remembers these commands for CheckDelivery.
 func (d *Dispatcher) Answer(machine *cluster.Machine) *workers.HeartbeatResponse {
 	commands := d.CommandsFor(machine, true)
-	machine.Commands.LastAnswer = commands
+	machine.Commands.LastResponse = commands
 	return &workers.HeartbeatResponse{FencingToken: d.TokenFor(machine), Commands: commands}
 }
 
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -7,25 +7,25 @@
 	"ospreyslip/internal/workers"
 )
 
-// MaxUndelivered is the number of consecutive undelivered heartbeat responses at which a machine
+// MaxUndeliveredResponses is the number of consecutive undelivered heartbeat responses at which a machine
 // is marked unreachable.
-const MaxUndelivered = 2
+const MaxUndeliveredResponses = 2
 
 // CheckDelivery detects machines whose heartbeats arrive while the responses to them are lost: the
 // next heartbeat shows that no command of the last response was executed. Without this check such
 // a machine would look healthy forever, and tasks would be assigned to it in vain.
 func (d *Dispatcher) CheckDelivery(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
 	commands := &machine.Commands
-	if heartbeat.AgentEpoch > machine.Worker.Session || len(commands.LastAnswer) == 0 {
+	if heartbeat.AgentEpoch > machine.Worker.Session || len(commands.LastResponse) == 0 {
 		return // a new agent epoch or no commands: the heartbeat proves nothing about delivery
 	}
 	if anyExecuted(machine, heartbeat) {
-		commands.UndeliveredAnswers = 0
+		commands.UndeliveredResponses = 0
 		d.Detector.MarkReachable(machine.ID)
 		return
 	}
-	commands.UndeliveredAnswers++
-	if commands.UndeliveredAnswers == MaxUndelivered {
+	commands.UndeliveredResponses++
+	if commands.UndeliveredResponses == MaxUndeliveredResponses {
 		slog.Info("machine does not carry out commands", "machine", machine.ID, "term", d.Fencing.Current)
 		d.Detector.MarkUnreachable(machine.ID)
 		d.Planner.Requested = true
@@ -35,7 +35,7 @@
 // anyExecuted reports whether the heartbeat shows that any command of the last response was
 // executed.
 func anyExecuted(machine *cluster.Machine, heartbeat *workers.Heartbeat) bool {
-	for _, command := range machine.Commands.LastAnswer {
+	for _, command := range machine.Commands.LastResponse {
 		ref := cluster.CommandRef(&command)
 		if isExecuted(command.Op, cluster.FindTask(heartbeat, ref), machine.FindAssignment(ref)) {
 			return true
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -191,7 +191,7 @@
 		d.Detector.Suspect(machine.ID)
 		return
 	}
-	machine.Commands.UndeliveredAnswers, machine.Commands.FailedRequests = 0, 0
+	machine.Commands.UndeliveredResponses, machine.Commands.FailedRequests = 0, 0
 	d.Detector.MarkReachable(machine.ID)
 	d.Detector.CommandAnswered(machine.ID, HeartbeatSeq(response.heartbeat))
 	d.Tasks.Observe(machine, response.heartbeat, now)
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -49,7 +49,7 @@
 		l.detector.ProbeDone(machine.ID, false, liveness.HeartbeatSeq{}, now)
 		return
 	}
-	machine.Commands.UndeliveredAnswers = 0
+	machine.Commands.UndeliveredResponses = 0
 	// The answer shows the current tasks, but does not renew the worker's lease.
 	l.detector.ProbeDone(machine.ID, true, dispatch.HeartbeatSeq(heartbeat), now)
 	l.tasks.Observe(machine, heartbeat, now)
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -182,7 +182,7 @@
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
 	leader.tasks.Stop(job.Assignments[1], 3)
-	for range dispatch.MaxUndelivered + 2 {
+	for range dispatch.MaxUndeliveredResponses + 2 {
 		if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))); d != "" {
 			t.Fatal(d)
 		}
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -186,7 +186,7 @@
 // executes a command. Such a machine must not look healthy forever.
 func TestLostHeartbeatResponses(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
-	for seq := uint64(2); seq < 2+dispatch.MaxUndelivered+1; seq++ {
+	for seq := uint64(2); seq < 2+dispatch.MaxUndeliveredResponses+1; seq++ {
 		if commands := leader.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(commands) != 1 {
 			t.Fatalf("heartbeat %d: %v", seq, describeCommands(commands))
 		}
@@ -203,7 +203,7 @@
 	}
 	leader.answerHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	leader.answerHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if machine.Commands.UndeliveredAnswers != 0 || !leader.acceptsWork(machine, now) {
+	if machine.Commands.UndeliveredResponses != 0 || !leader.acceptsWork(machine, now) {
 		t.Error("a machine that executes its commands is suspect")
 	}
 }
