--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -55,8 +55,8 @@
 // dropEnded ends the assignments that are recorded only in this segment. Rewriting the segment
 // without them is sufficient to record their ends.
 func (l *Log) dropEnded(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment) {
-	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
-		if a := segment.Begun[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
+	for _, attempt := range cluster.SortedAttempts(segment.Assignments) {
+		if a := segment.Assignments[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
 			a.Log.EndInFlight = true
 			draft.ended = append(draft.ended, a)
 		}
@@ -66,8 +66,8 @@
 // carryOver adds the entries of a segment that are still valid, while the draft stays within
 // maxBytes.
 func (l *Log) carryOver(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment, maxBytes int) {
-	for _, attempt := range cluster.SortedAttempts(segment.Begun) {
-		a := segment.Begun[attempt]
+	for _, attempt := range cluster.SortedAttempts(segment.Assignments) {
+		a := segment.Assignments[attempt]
 		switch {
 		case a.Log.EndInFlight || a.Log.MoveInFlight || l.endMayBeWritten(batch, a):
 		case draft.bytes+startSize(a) <= maxBytes:
@@ -97,7 +97,7 @@
 		return false
 	}
 	d := newSegmentDraft(0, math.MaxInt)
-	for _, a := range segment.Begun {
+	for _, a := range segment.Assignments {
 		if !a.Log.MoveInFlight {
 			d.addBegin(a)
 		}
@@ -116,7 +116,7 @@
 // so that the ends of the moved entries, which are in later segments, outlive it.
 func (l *Log) moveFromOversized(batch *transaction.Batch, draft *segmentDraft, position int) {
 	for _, segment := range l.segments[position+1 : min(position+1+l.config.MaxOps, len(l.segments))] {
-		if len(segment.Begun)+len(segment.Completions) == 0 {
+		if len(segment.Assignments)+len(segment.Completions) == 0 {
 			continue // never written, or of unknown outcome
 		}
 		if l.isOversized(segment) {
@@ -267,13 +267,13 @@
 // segmentWritten updates the entries of a segment after it was written.
 func (l *Log) segmentWritten(segment *cluster.Segment, draft *segmentDraft, revision uint64) {
 	segment.Revision = revision
-	clear(segment.Begun)
+	clear(segment.Assignments)
 	clear(segment.Completions)
 	for _, a := range draft.begun {
 		if a.Log.Segment != nil && a.Log.Segment != segment {
-			delete(a.Log.Segment.Begun, a.Attempt)
+			delete(a.Log.Segment.Assignments, a.Attempt)
 		}
-		segment.Begun[a.Attempt] = a
+		segment.Assignments[a.Attempt] = a
 		a.Log.Segment, a.Log.MoveInFlight = segment, false
 		if !a.Log.Durable {
 			a.Log.Durable = true
@@ -288,7 +288,7 @@
 	}
 	for _, a := range draft.ended {
 		if a.Log.Segment != nil {
-			delete(a.Log.Segment.Begun, a.Attempt)
+			delete(a.Log.Segment.Assignments, a.Attempt)
 		}
 		l.events = append(l.events, Event{EndDurable, a})
 	}
--- a/internal/leader/cluster/segment.go
+++ b/internal/leader/cluster/segment.go
@@ -7,13 +7,13 @@
 	Key         string
 	Revision    uint64 // of its key in the store; 0 if it was never written
 	Bytes       int    // size as stored
-	Begun       map[uint64]*Assignment
+	Assignments map[uint64]*Assignment
 	Completions map[ChunkRef]bool
 }
 
 // NewSegment returns an empty segment.
 func NewSegment(key string, revision uint64) *Segment {
-	return &Segment{Key: key, Revision: revision, Begun: map[uint64]*Assignment{}, Completions: map[ChunkRef]bool{}}
+	return &Segment{Key: key, Revision: revision, Assignments: map[uint64]*Assignment{}, Completions: map[ChunkRef]bool{}}
 }
 
 // SortedAttempts returns the attempt numbers of the assignments in ascending order.
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -19,8 +19,8 @@
 func (d *Dispatcher) AnnounceTerm(segments []*cluster.Segment) {
 	requests := d.pendingResourceRequests()
 	for _, segment := range segments {
-		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
-			a := segment.Begun[attempt]
+		for _, attempt := range cluster.SortedAttempts(segment.Assignments) {
+			a := segment.Assignments[attempt]
 			if a.Job.IsOver() || a.Stop.Requested || d.mayHaveRoom(a.Machine, requests) {
 				d.Notify(a.Machine)
 			}
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -174,8 +174,8 @@
 // forEachAssignment calls visit for all assignments in the segments, oldest segment first.
 func (l *Loader) forEachAssignment(visit func(a *cluster.Assignment)) {
 	for _, segment := range l.Log.Segments() {
-		for _, attempt := range cluster.SortedAttempts(segment.Begun) {
-			visit(segment.Begun[attempt])
+		for _, attempt := range cluster.SortedAttempts(segment.Assignments) {
+			visit(segment.Assignments[attempt])
 		}
 	}
 }
@@ -189,7 +189,7 @@
 			machine := l.restoreMachine(begun, now)
 			for _, task := range begun.Tasks {
 				if earlier := segmentByAttempt[task.Attempt]; earlier != nil {
-					delete(earlier.Begun, task.Attempt) // carried over to a later segment
+					delete(earlier.Assignments, task.Attempt) // carried over to a later segment
 				}
 				segmentByAttempt[task.Attempt] = segment
 				l.restoreTask(segment, machine, begun.Session, task, ended, now)
@@ -197,7 +197,7 @@
 		}
 		for _, attempt := range stored.Record.Over {
 			if earlier := segmentByAttempt[attempt]; earlier != nil {
-				delete(earlier.Begun, attempt)
+				delete(earlier.Assignments, attempt)
 			}
 		}
 		for _, done := range stored.Record.Done {
@@ -253,7 +253,7 @@
 		}
 		job.GrowTo(task.Index + 1)
 	}
-	segment.Begun[task.Attempt] = &cluster.Assignment{
+	segment.Assignments[task.Attempt] = &cluster.Assignment{
 		Job: job, Index: task.Index, Attempt: task.Attempt, GangAttempt: task.Gang, Session: session, Machine: machine,
 		Restored: true, CreatedAt: now, RunningSince: now,
 		Start: cluster.Start{InDoubtToken: l.Fencing.Current - 1},
