--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -8,19 +8,19 @@
 	"ospreyslip/internal/workers"
 )
 
-// Answer returns the response to a heartbeat that has been processed, with the commands for the
+// HeartbeatResponse returns the response to a heartbeat that has been processed, with the commands for the
 // worker, and remembers these commands for CheckDelivery.
-func (d *Dispatcher) Answer(machine *cluster.Machine) *workers.HeartbeatResponse {
+func (d *Dispatcher) HeartbeatResponse(machine *cluster.Machine) *workers.HeartbeatResponse {
 	commands := d.CommandsFor(machine, true)
 	machine.Commands.LastResponse = commands
 	return &workers.HeartbeatResponse{FencingToken: d.TokenFor(machine), Commands: commands}
 }
 
-// AnswerStale returns the response to a heartbeat with a fencing token of an earlier term. It stops
+// StaleHeartbeatResponse returns the response to a heartbeat with a fencing token of an earlier term. It stops
 // the tasks of cancelled jobs. Any response renews the worker's lease, so without these stops the
 // tasks would run for another whole lease if this leader ended before the next heartbeat, and each
 // of its successors could extend that again. Stopping them is correct however old the heartbeat is.
-func (d *Dispatcher) AnswerStale(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
+func (d *Dispatcher) StaleHeartbeatResponse(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	commands := []workers.Command{}
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -42,7 +42,7 @@
 		if machine.Worker.Seq != r.Seq {
 			t.Fatalf("%s: heartbeat was ignored", r.Machine)
 		}
-		a := s.Answer(machine)
+		a := s.HeartbeatResponse(machine)
 		r.FencingToken = a.FencingToken
 		return a
 	}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -37,14 +37,14 @@
 		// The worker sent this heartbeat before it knew of this term, or it is a copy of such a
 		// heartbeat with an arbitrary delay. It proves nothing. The response carries the current
 		// token, so that the worker's next heartbeat does.
-		return l.dispatcher.AnswerStale(heartbeat)
+		return l.dispatcher.StaleHeartbeatResponse(heartbeat)
 	}
 	l.failover.MachineReported(heartbeat.Machine)
 	if machine == nil {
 		machine = l.addReportedMachine(heartbeat, seq, now)
 	}
 	l.applyHeartbeat(machine, heartbeat, seq, now)
-	return l.dispatcher.Answer(machine)
+	return l.dispatcher.HeartbeatResponse(machine)
 }
 
 // mayRenewLease reports whether a heartbeat of a known machine may be answered, which renews its
