--- a/internal/leader/announcement_test.go
+++ b/internal/leader/announcement_test.go
@@ -48,7 +48,7 @@
 		for range cluster.TickGroups {
 			next.loop.tickGroup = (next.loop.tickGroup + 1) % cluster.TickGroups
 			for m := range next.state.Machines.Groups[next.loop.tickGroup] {
-				next.dispatcher.AnnounceToSilent(m, at)
+				next.dispatcher.AnnounceToSilentMachine(m, at)
 			}
 		}
 	}
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// AnnounceToSilent notifies a machine that has not reported to this leader on its own within the
+// AnnounceToSilentMachine notifies a machine that has not reported to this leader on its own within the
 // announce delay.
-func (d *Dispatcher) AnnounceToSilent(machine *cluster.Machine, now time.Time) {
+func (d *Dispatcher) AnnounceToSilentMachine(machine *cluster.Machine, now time.Time) {
 	worker := &machine.Worker
 	isSilent := machine.Phase == cluster.Up && worker.HeartbeatAt.IsZero() && worker.Token < d.Fencing.OfTerm
 	if isSilent && now.Sub(machine.Cloud.KnownSince) > d.Derived.Workers.AnnounceDelay {
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -34,7 +34,7 @@
 func (l *Leader) checkMachineGroup(now time.Time) {
 	l.loop.tickGroup = (l.loop.tickGroup + 1) % cluster.TickGroups
 	for machine := range l.state.Machines.Groups[l.loop.tickGroup] {
-		l.dispatcher.AnnounceToSilent(machine, now)
+		l.dispatcher.AnnounceToSilentMachine(machine, now)
 		l.updateOffer(machine, now) // a machine that has fallen silent accepts no work
 		if machine.ExpireAvoidance(now) {
 			l.planner.Requested = true
