--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Queued returns the number of queue entries, each for a machine to be sent a command request.
-func (d *Dispatcher) Queued() int { return len(d.responsiveQueue) + len(d.unresponsiveQueue) }
+// QueueLength returns the number of queue entries, each for a machine to be sent a command request.
+func (d *Dispatcher) QueueLength() int { return len(d.responsiveQueue) + len(d.unresponsiveQueue) }
 
 // enqueue queues a machine that has a notification pending. Machines that may not respond have a
 // queue of their own, so that requests to a partitioned zone, which time out, do not delay requests
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -22,7 +22,7 @@
 		l.dispatcher = dispatch.New(dispatchDeps(l))
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, heartbeats[20], now) })
-		if l.planner.Requested || l.log.HasWork() || l.dispatcher.Queued() > 0 {
+		if l.planner.Requested || l.log.HasWork() || l.dispatcher.QueueLength() > 0 {
 			t.Errorf("an unchanged heartbeat in a fleet of %d causes a plan, a write or a command", size)
 		}
 		return n
