--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -75,7 +75,7 @@
 		job, _, _ := workers.SplitTask(task.Name)
 		orphan := reconcile.OrphanedTask{
 			Ended: task.State == workers.StateEnded, JobCancelled: d.Host.IsCancelled(job),
-			RecordsIncomplete: d.Host.LeaveAlone(machine, task),
+			RecordsIncomplete: d.Host.MustKeepOrphan(machine, task),
 			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inHeartbeatResponse,
 		}
 		switch decision := orphan.DecideCommand(); {
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -29,9 +29,9 @@
 	IsLeader() bool
 	// IsCancelled reports whether the job is known to be cancelled.
 	IsCancelled(job string) bool
-	// LeaveAlone reports whether an orphaned task must be neither stopped nor cleared because
+	// MustKeepOrphan reports whether an orphaned task must be neither stopped nor cleared because
 	// the record of its job or its assignment may have been lost.
-	LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool
+	MustKeepOrphan(machine *cluster.Machine, task *workers.TaskStatus) bool
 	// Post runs a function on the event loop. It may be called by any goroutine.
 	Post(ctx context.Context, apply func(now time.Time))
 	// PostAfter runs a function on the event loop after a delay.
--- a/internal/leader/dispatch/scenario_test.go
+++ b/internal/leader/dispatch/scenario_test.go
@@ -23,16 +23,16 @@
 // cancelled, and posted functions are dropped.
 type fakeHost struct{}
 
-func (fakeHost) IsLeader() bool                                        { return true }
-func (fakeHost) IsCancelled(string) bool                               { return false }
-func (fakeHost) LeaveAlone(*cluster.Machine, *workers.TaskStatus) bool { return false }
-func (fakeHost) Post(context.Context, func(time.Time))                 {}
-func (fakeHost) PostAfter(context.Context, time.Duration, func())      {}
-func (fakeHost) Notify(*cluster.Machine)                               {}
-func (fakeHost) JobCompleted(*cluster.Job)                             {}
-func (fakeHost) CountsChanged(*cluster.Job)                            {}
-func (fakeHost) RemoveIfSettled(*cluster.Job)                          {}
-func (fakeHost) MayHaveUnknownTasks(*cluster.Job, time.Time) bool      { return false }
+func (fakeHost) IsLeader() bool                                            { return true }
+func (fakeHost) IsCancelled(string) bool                                   { return false }
+func (fakeHost) MustKeepOrphan(*cluster.Machine, *workers.TaskStatus) bool { return false }
+func (fakeHost) Post(context.Context, func(time.Time))                     {}
+func (fakeHost) PostAfter(context.Context, time.Duration, func())          {}
+func (fakeHost) Notify(*cluster.Machine)                                   {}
+func (fakeHost) JobCompleted(*cluster.Job)                                 {}
+func (fakeHost) CountsChanged(*cluster.Job)                                {}
+func (fakeHost) RemoveIfSettled(*cluster.Job)                              {}
+func (fakeHost) MayHaveUnknownTasks(*cluster.Job, time.Time) bool          { return false }
 
 // blockingTransport is an HTTP transport that blocks each request until its context is done.
 type blockingTransport struct{}
--- a/internal/leader/recoverer/held_jobs_test.go
+++ b/internal/leader/recoverer/held_jobs_test.go
@@ -24,7 +24,7 @@
 	s := newScenario(t)
 	s.HoldJob("j-000001", heldRecord(nil, s.now), 7)
 	task := runningTask("j-000001", 0, 3)
-	if machine := s.addMachine("m-1"); !s.LeaveAlone(machine, &task) {
+	if machine := s.addMachine("m-1"); !s.MustKeepOrphan(machine, &task) {
 		t.Fatal("a held job's task may be stopped")
 	}
 	s.HoldJob("j-000001", heldRecord(batchSpec("j-000001"), s.now), 6)
@@ -47,12 +47,12 @@
 	s.HoldJob("j-000001", heldRecord(batchSpec("j-000001"), s.now), 7)
 	machine := s.addMachine("m-1")
 	task := runningTask("j-000001", 0, 3)
-	if s.LeaveAlone(machine, &task); len(s.writeBack.queue) != 0 {
+	if s.MustKeepOrphan(machine, &task); len(s.writeBack.queue) != 0 {
 		t.Error("a running task decided the outcome of its job")
 	}
 	task.State, task.Cause = workers.StateEnded, workers.CauseDone
 	for range 2 {
-		if !s.LeaveAlone(machine, &task) {
+		if !s.MustKeepOrphan(machine, &task) {
 			t.Error("the task may be cleared before its job's record is written")
 		}
 	}
--- a/internal/leader/recoverer/orphans.go
+++ b/internal/leader/recoverer/orphans.go
@@ -94,10 +94,10 @@
 	o.cfg.Leader.JobChanged(kvstore.Change{Set: record.Key, Value: record.Value, Revision: record.Revision}, now)
 }
 
-// LeaveAlone reports whether a task without an assignment must be neither stopped nor cleared,
+// MustKeepOrphan reports whether a task without an assignment must be neither stopped nor cleared,
 // because its job or its assignment may have been lost. It also records what the task proves
 // about its job.
-func (r *Recoverer) LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool {
+func (r *Recoverer) MustKeepOrphan(machine *cluster.Machine, task *workers.TaskStatus) bool {
 	id, index, ok := workers.SplitTask(task.Name)
 	if !ok || !jobs.ValidID(id) {
 		return false // not a task of this scheduler
--- a/internal/leader/recoverer/orphans_test.go
+++ b/internal/leader/recoverer/orphans_test.go
@@ -16,7 +16,7 @@
 	for n := range maxOrphanReads + 2 {
 		task := runningTask(fmt.Sprintf("j-%06d", n), 0, uint64(n))
 		for range 2 { // the next heartbeat reports the task again
-			if !s.LeaveAlone(machine, &task) {
+			if !s.MustKeepOrphan(machine, &task) {
 				t.Errorf("%s may be stopped", task.Name)
 			}
 		}
@@ -39,7 +39,7 @@
 	s := newScenario(t)
 	s.addJob(jobs.Batch)
 	for _, task := range []workers.TaskStatus{{Name: "not a task"}, {Name: "no-job/0"}, runningTask("j-000001", 0, 3)} {
-		if s.LeaveAlone(s.addMachine("m-"+task.Name), &task) {
+		if s.MustKeepOrphan(s.addMachine("m-"+task.Name), &task) {
 			t.Errorf("%s is neither stopped nor cleared", task.Name)
 		}
 	}
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -73,8 +73,8 @@
 
 func (h dispatchHost) IsCancelled(job string) bool { return h.l.isCancelled(job) }
 
-func (h dispatchHost) LeaveAlone(machine *cluster.Machine, task *workers.TaskStatus) bool {
-	return h.l.recovery.LeaveAlone(machine, task)
+func (h dispatchHost) MustKeepOrphan(machine *cluster.Machine, task *workers.TaskStatus) bool {
+	return h.l.recovery.MustKeepOrphan(machine, task)
 }
 
 // trackerDeps returns the dependencies of the job tracker.
