--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -28,7 +28,7 @@
 	if commands.UndeliveredResponses == MaxUndeliveredResponses {
 		slog.Info("machine does not carry out commands", "machine", machine.ID, "term", d.Fencing.Current)
 		d.Detector.MarkUnreachable(machine.ID)
-		d.Planner.Requested = true
+		d.Planner.PlanRequested = true
 	}
 }
 
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -19,7 +19,7 @@
 	slog.Info("failover settled", "term", l.fencing.Current, "afterS", progress.DoneS, "machines", progress.Expected,
 		"heard", progress.Reported, "never", progress.NeverReported, "answerS", progress.FirstAnswerS,
 		"orderS", progress.FirstCommandS, "commands", progress.Commands)
-	l.planner.Requested = true
+	l.planner.PlanRequested = true
 }
 
 // mayPreempt reports whether tasks of other jobs may be preempted for job. After a failover,
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -70,7 +70,7 @@
 	}
 	l.log.QueueDeath(machine.ID)
 	l.updateOffer(machine, now)
-	l.planner.Requested = true
+	l.planner.PlanRequested = true
 	if reason == liveness.ProbeFailed {
 		l.scaler.Release(ctx, machine)
 	}
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -133,7 +133,7 @@
 	t.PublishCounts(job)
 	t.Planner.Enqueue(job)
 	t.Scaler.JobArrived(job, 0, now)
-	t.Planner.Requested, t.Planner.GuaranteesStale = true, true
+	t.Planner.PlanRequested, t.Planner.GuaranteesStale = true, true
 }
 
 func (t *Tracker) applyToJob(job *cluster.Job, record *jobs.Record, revision uint64) {
@@ -185,7 +185,7 @@
 	for _, a := range job.Assignments {
 		t.Tasks.EndIfUnsent(a)
 	}
-	t.Planner.Requested = true
+	t.Planner.PlanRequested = true
 	t.RemoveIfSettled(job)
 }
 
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -72,7 +72,7 @@
 	l.Recovery.CheckRecords(records.counts, segments, records.hasEnded, now)
 	l.Restore(segments, records.ended, now)
 	l.resumeJobs(now)
-	l.Planner.Requested, l.Planner.GuaranteesStale = true, true
+	l.Planner.PlanRequested, l.Planner.GuaranteesStale = true, true
 	l.Fencing.RaisedAt = now
 	l.Scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.Jobs.Loaded(now, after)
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -30,6 +30,6 @@
 		return
 	}
 	if l.planner.Capacity.Offer(machine) {
-		l.planner.Requested = true
+		l.planner.PlanRequested = true
 	}
 }
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -22,17 +22,17 @@
 	}
 	restoreMachine(t, leader, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
 	leader.plan(now)
-	if leader.planner.Requested {
+	if leader.planner.PlanRequested {
 		t.Fatal("a plan is requested before any event")
 	}
 	r := newHeartbeat(1, 7)
 	r.Machine = "m-9"
-	if leader.answerHeartbeat(r, now); !leader.planner.Requested {
+	if leader.answerHeartbeat(r, now); !leader.planner.PlanRequested {
 		t.Error("no plan requested when a machine starts to accept work")
 	}
 	leader.plan(now)
 	r.Seq++
-	if leader.answerHeartbeat(r, now); leader.planner.Requested {
+	if leader.answerHeartbeat(r, now); leader.planner.PlanRequested {
 		t.Error("a plan requested by an unchanged heartbeat")
 	}
 }
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -42,8 +42,8 @@
 type Planner struct {
 	Capacity *Capacity
 
-	// Requested is set while a plan is wanted. The plan is made once IsDue permits.
-	Requested bool
+	// PlanRequested is set while a plan is wanted. The plan is made once IsDue permits.
+	PlanRequested bool
 	// GuaranteesStale is set when the jobs within their teams' guarantees must be determined
 	// again.
 	GuaranteesStale bool
@@ -99,7 +99,7 @@
 
 // IsDue reports whether a plan is requested and enough time has passed since the last one started.
 func (p *Planner) IsDue(now time.Time) bool {
-	return p.Requested && now.Sub(p.lastStartedAt) >= max(p.config.ControlInterval/maxPlansPerInterval, cluster.ScaleDuration(p.lastDuration, 1/MaxTimeShare))
+	return p.PlanRequested && now.Sub(p.lastStartedAt) >= max(p.config.ControlInterval/maxPlansPerInterval, cluster.ScaleDuration(p.lastDuration, 1/MaxTimeShare))
 }
 
 // Enqueue adds the job to the queue if it has pending tasks and is not over.
@@ -118,7 +118,7 @@
 
 // Plan returns a plan for the current state of the cluster.
 func (p *Planner) Plan(now time.Time) Plan {
-	p.Requested, p.lastStartedAt = false, now
+	p.PlanRequested, p.lastStartedAt = false, now
 	if p.GuaranteesStale {
 		p.updateGuarantees(now)
 	}
@@ -157,7 +157,7 @@
 			// the next attempt began with only the tasks whose ends are durable, the
 			// gang would never be complete.
 		case now.Before(job.Scheduling.BackoffUntil), p.constraints.MayHaveUnknownTasks(job, now):
-			p.Requested = true
+			p.PlanRequested = true
 		default:
 			planned := p.placementJob(job, now, wallMs)
 			jobOf[planned] = job
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -29,7 +29,7 @@
 			m.Stop(a, 0)
 		}
 	}
-	m.Planner.Requested = true
+	m.Planner.PlanRequested = true
 }
 
 // canSaveCheckpoint reports whether the task can save a checkpoint within withinS seconds.
@@ -77,7 +77,7 @@
 		}
 		if a.Outcome == cluster.Open && !a.Stop.Requested && m.RunTimes.SoonerElsewhere(a, now) {
 			m.Stop(a, a.Job.Spec.CheckpointSaveS)
-			m.Planner.Requested = true
+			m.Planner.PlanRequested = true
 		}
 	}
 	machine.Health.Draining = machine.Health.Draining || !runsServices
--- a/internal/leader/tasks/gang.go
+++ b/internal/leader/tasks/gang.go
@@ -40,5 +40,5 @@
 			m.EndIfUnsent(a)
 		}
 	}
-	m.Planner.Requested = true
+	m.Planner.PlanRequested = true
 }
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -161,7 +161,7 @@
 	dropUnneededFetch(assignment)
 	m.Log.QueueEnd(assignment)
 	m.Host.CountsChanged(assignment.Job)
-	m.Planner.Requested = true
+	m.Planner.PlanRequested = true
 	if assignment.Job.IsGang() {
 		m.removeFromGang(assignment.Job)
 	}
@@ -225,7 +225,7 @@
 			m.Planner.Enqueue(job)
 		}
 	}
-	m.Planner.Requested = true
+	m.Planner.PlanRequested = true
 	m.Host.RemoveIfSettled(job)
 }
 
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -23,7 +23,7 @@
 		// heartbeat. Tasks that start in the new epoch may run for a whole lease from now.
 		worker.LeaseUntil = now.Add(m.Derived.Workers.LeaseExpiry)
 		machine.Commands.InDoubtSince = time.Time{}
-		m.Planner.Requested = true
+		m.Planner.PlanRequested = true
 	}
 	worker.Session, worker.Seq = heartbeat.AgentEpoch, heartbeat.Seq
 	worker.Token, worker.Tasks = heartbeat.FencingToken, heartbeat.Tasks
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -37,7 +37,7 @@
 		l.dispatcher.AnnounceToSilentMachine(machine, now)
 		l.updateOffer(machine, now) // a machine that has fallen silent accepts no work
 		if machine.ExpireAvoidance(now) {
-			l.planner.Requested = true
+			l.planner.PlanRequested = true
 		}
 	}
 	if l.loop.tickGroup == 0 && l.canPersistWork(now) {
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -159,7 +159,7 @@
 	h.l.failover.MachineGone(machine.ID)
 }
 
-func (h scalerHost) RequestPlan() { h.l.planner.Requested = true }
+func (h scalerHost) RequestPlan() { h.l.planner.PlanRequested = true }
 
 // recoveryHost implements recoverer.Leader.
 type recoveryHost struct{ l *Leader }
@@ -194,4 +194,4 @@
 
 func (c recoveryHost) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
 
-func (c recoveryHost) RequestPlan() { c.l.planner.Requested = true }
+func (c recoveryHost) RequestPlan() { c.l.planner.PlanRequested = true }
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -18,11 +18,11 @@
 func TestHeartbeatCostIndependentOfFleetSize(t *testing.T) {
 	cost := func(size int) float64 {
 		l, heartbeats, now := newFullFleet(t, size)
-		l.planner.Requested = false
+		l.planner.PlanRequested = false
 		l.dispatcher = dispatch.New(dispatchDeps(l))
 		l.readLog(nil)
 		n := testing.AllocsPerRun(100, func() { repeatHeartbeat(l, heartbeats[20], now) })
-		if l.planner.Requested || l.log.HasWork() || l.dispatcher.QueueLength() > 0 {
+		if l.planner.PlanRequested || l.log.HasWork() || l.dispatcher.QueueLength() > 0 {
 			t.Errorf("an unchanged heartbeat in a fleet of %d causes a plan, a write or a command", size)
 		}
 		return n
