--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -47,8 +47,8 @@
 	// GuaranteesStale is set when the jobs within their teams' guarantees must be determined
 	// again.
 	GuaranteesStale bool
-	// Unmet holds the tasks for which the last plan found no room.
-	Unmet []placement.Demand
+	// UnmetDemand holds the tasks for which the last plan found no room.
+	UnmetDemand []placement.Demand
 
 	config      Config
 	state       *cluster.State
@@ -137,7 +137,7 @@
 	for _, job := range output.Preempting {
 		jobOf[job].Scheduling.PreemptingForGangAt = now
 	}
-	p.Unmet = output.Unmet
+	p.UnmetDemand = output.Unmet
 	return p.convertPlan(output, jobOf, running)
 }
 
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -24,6 +24,6 @@
 // scale provisions and releases machines when that is due.
 func (l *Leader) scale(ctx context.Context, now time.Time) {
 	if l.scaler.IsDue(now) {
-		l.scaler.Reconcile(ctx, now, l.planner.Unmet)
+		l.scaler.Reconcile(ctx, now, l.planner.UnmetDemand)
 	}
 }
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -46,7 +46,7 @@
 // until then. The expected gain of staying is weighed against the expected loss.
 func (m *Manager) shouldRestartElsewhere(assignment *cluster.Assignment, withinS float64, now time.Time) bool {
 	if !assignment.Job.Spec.RunsToCompletion() {
-		return len(m.Planner.Unmet) == 0 // it never completes, and would have to wait while others do
+		return len(m.Planner.UnmetDemand) == 0 // it never completes, and would have to wait while others do
 	}
 	ranS := 0.0
 	if assignment.ObservedState == workers.StateRunning {
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -98,10 +98,10 @@
 	cost := func(size int) float64 {
 		l, _, now := newFullFleet(t, size)
 		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
-		l.planner.Unmet, l.loop.broadcastAt = nil, now
+		l.planner.UnmetDemand, l.loop.broadcastAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.tick(t.Context(), now)
-			l.scaler.Reconcile(t.Context(), now, l.planner.Unmet) // in each tick, as if it were due
+			l.scaler.Reconcile(t.Context(), now, l.planner.UnmetDemand) // in each tick, as if it were due
 		})
 	}
 	if few, many := cost(25), cost(largestFleet); many > few+5 {
@@ -116,7 +116,7 @@
 	l.scaler.DeferRentals(now.Add(time.Hour)) // no machine is provisioned
 	for b.Loop() {
 		l.tick(b.Context(), now)
-		l.scaler.Reconcile(b.Context(), now, l.planner.Unmet) // in each tick, as if it were due
+		l.scaler.Reconcile(b.Context(), now, l.planner.UnmetDemand) // in each tick, as if it were due
 	}
 }
 
