--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -8,7 +8,7 @@
 
 // plan makes a plan for the present state, and applies its preemptions and placements.
 func (l *Leader) plan(now time.Time) {
-	defer func() { l.planner.Finished(time.Since(now)) }()
+	defer func() { l.planner.RecordDuration(time.Since(now)) }()
 	plan := l.planner.Plan(now)
 	for _, preemption := range plan.Preemptions {
 		l.tasks.Stop(preemption.Assignment, preemption.GraceS)
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -141,8 +141,8 @@
 	return p.convertPlan(output, jobOf, running)
 }
 
-// Finished records how long it took to make a plan and to carry it out.
-func (p *Planner) Finished(took time.Duration) { p.lastDuration = took }
+// RecordDuration records how long it took to make a plan and to carry it out.
+func (p *Planner) RecordDuration(took time.Duration) { p.lastDuration = took }
 
 // placementQueue returns the queue as input for placement, in the order of acceptance, and adds its
 // jobs to jobOf. It drops jobs without pending tasks from the queue.
