--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -153,7 +153,7 @@
 func (l *Loader) Restore(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
 	l.restoreSegments(segments, ended, now)
 	l.forEachAssignment(func(a *cluster.Assignment) {
-		l.Planner.Capacity.Count(a)
+		l.Planner.Capacity.Allocate(a)
 		a.Machine.Assignments[a.Attempt] = a
 		a.Job.RestoreAssignment(a)
 	})
--- a/internal/leader/planner/capacity.go
+++ b/internal/leader/planner/capacity.go
@@ -23,9 +23,9 @@
 // UsedBy returns the resources of the team's tasks that are, or may be, on machines.
 func (c *Capacity) UsedBy(team string) placement.Resources { return c.usedByTeam[team] }
 
-// Count counts an assignment against its machine's free resources, its team's quota and its job's
+// Allocate counts an assignment against its machine's free resources, its team's quota and its job's
 // spread over zones.
-func (c *Capacity) Count(assignment *cluster.Assignment) {
+func (c *Capacity) Allocate(assignment *cluster.Assignment) {
 	assignment.CountsAsUsed = true
 	c.add(assignment, 1)
 }
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -79,7 +79,7 @@
 		job.JoinGang(a)
 	}
 	slog.Debug("task placed", "task", a.TaskName(), "machine", machine.ID, "term", m.Fencing.Current, "class", job.Spec.Class)
-	m.Planner.Capacity.Count(a)
+	m.Planner.Capacity.Allocate(a)
 	machine.Assignments[a.Attempt] = a
 	job.Assignments[task] = a
 	m.Log.QueueBegin(a)
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -192,6 +192,6 @@
 
 func (c recoveryHost) StopGang(job *cluster.Job) { c.l.tasks.StopGang(job, 0) }
 
-func (c recoveryHost) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Count(a) }
+func (c recoveryHost) CountAssignment(a *cluster.Assignment) { c.l.planner.Capacity.Allocate(a) }
 
 func (c recoveryHost) RequestPlan() { c.l.planner.PlanRequested = true }
