--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -90,16 +90,16 @@
 }
 
 const (
-	// MaxTimeShare is the largest share of the event loop's time that planning may take, so
+	// MaxPlanningTimeShare is the largest share of the event loop's time that planning may take, so
 	// that it does not delay heartbeats, lease renewals and cancellations.
-	MaxTimeShare = 0.2
+	MaxPlanningTimeShare = 0.2
 
 	maxPlansPerInterval = 32 // limit of plans per control interval
 )
 
 // IsDue reports whether a plan is requested and enough time has passed since the last one started.
 func (p *Planner) IsDue(now time.Time) bool {
-	return p.PlanRequested && now.Sub(p.lastStartedAt) >= max(p.config.ControlInterval/maxPlansPerInterval, cluster.ScaleDuration(p.lastDuration, 1/MaxTimeShare))
+	return p.PlanRequested && now.Sub(p.lastStartedAt) >= max(p.config.ControlInterval/maxPlansPerInterval, cluster.ScaleDuration(p.lastDuration, 1/MaxPlanningTimeShare))
 }
 
 // Enqueue adds the job to the queue if it has pending tasks and is not over.
