--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -34,7 +34,7 @@
 
 // preemptionDelay returns how long a job waits after a failover before tasks of other jobs are
 // preempted for it. Production does not wait, because its users notice each second. A job with a
-// wait objective or within a guarantee waits for planner.PatienceShare of the time in which it
+// wait objective or within a guarantee waits for planner.PreemptionDelayShare of the time in which it
 // should start. Other jobs wait until the machines that have not reported are overdue.
 func (l *Leader) preemptionDelay(job *cluster.Job) time.Duration {
 	if job.Spec.Priority == jobs.Prod {
@@ -45,7 +45,7 @@
 		hasWaitObjective := objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class
 		hasGuarantee := objective.Kind == settings.ObjectiveGuarantee && job.Scheduling.WithinGuarantee && job.Spec.Shape == jobs.Batch
 		if hasWaitObjective || hasGuarantee {
-			delay = min(delay, cluster.ScaleDuration(time.Second, planner.PatienceShare*objective.WithinS))
+			delay = min(delay, cluster.ScaleDuration(time.Second, planner.PreemptionDelayShare*objective.WithinS))
 		}
 	}
 	return cluster.ScaleDuration(delay, l.Settings.Operator.TakeoverPatience)
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -23,9 +23,9 @@
 	// and where many tasks end all the time the reservation usually suffices.
 	reservationShare = 0.25
 
-	// PatienceShare is the share of the time in which a job within its team's guarantee should
+	// PreemptionDelayShare is the share of the time in which a job within its team's guarantee should
 	// start that is spent waiting for other tasks to end on their own before any is preempted.
-	PatienceShare = 0.5
+	PreemptionDelayShare = 0.5
 
 	// startMarginShare is the share of a control interval allowed for sending a start command
 	// and learning that the task runs.
@@ -127,7 +127,7 @@
 func (p *Planner) applyObjectives(planned *placement.Job, job *cluster.Job, now time.Time, wallMs int64) {
 	for _, objective := range p.config.Objectives {
 		if objective.Kind == settings.ObjectiveGuarantee && job.Spec.Shape == jobs.Batch {
-			planned.ReclaimDeferred = now.Sub(job.Scheduling.GuaranteedSince).Seconds() < PatienceShare*objective.WithinS
+			planned.ReclaimDeferred = now.Sub(job.Scheduling.GuaranteedSince).Seconds() < PreemptionDelayShare*objective.WithinS
 		}
 		if objective.Kind == settings.ObjectiveWait && objective.Class == job.Spec.Class {
 			planned.StartWithinS = objective.WithinS - p.config.ControlInterval.Seconds()*startMarginShare
