--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -89,9 +89,9 @@
 	return a
 }
 
-// BeginDurable notifies the worker of an assignment that has become durable. For a gang, all
+// AssignmentDurable notifies the worker of an assignment that has become durable. For a gang, all
 // workers are notified once all assignments are durable.
-func (m *Manager) BeginDurable(assignment *cluster.Assignment) {
+func (m *Manager) AssignmentDurable(assignment *cluster.Assignment) {
 	if assignment.Job.IsGang() {
 		m.countDurableGangAssignment(assignment.Job)
 		return
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -204,7 +204,7 @@
 	for _, event := range w.Log.TakeEvents() {
 		switch event.Kind {
 		case assignmentlog.BeginDurable:
-			w.Tasks.BeginDurable(event.Assignment)
+			w.Tasks.AssignmentDurable(event.Assignment)
 		case assignmentlog.EndDurable:
 			w.Tasks.Remove(event.Assignment)
 		}
