--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -51,7 +51,7 @@
 		if a.Outcome != cluster.Open || a.Session != machine.Worker.Session {
 			continue
 		}
-		switch decision := reconcile.DecideCommand(d.Tasks.Facts(a, now)); decision.Action {
+		switch decision := reconcile.DecideCommand(d.Tasks.AttemptState(a, now)); decision.Action {
 		case reconcile.Stop:
 			commands = append(commands, d.countCommand(newStopCommand(a.TaskName(), a.WireAttempt(), decision.GraceS), decision))
 		case reconcile.Start:
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -159,7 +159,7 @@
 	})
 	l.forEachAssignment(func(a *cluster.Assignment) {
 		worker := &a.Machine.Worker
-		decision := reconcile.DecideOnRecords(l.Tasks.Facts(a, now), a.Job.IsTaskDone(a.Index), worker.Session, worker.LeaseUntil)
+		decision := reconcile.DecideOnRecords(l.Tasks.AttemptState(a, now), a.Job.IsTaskDone(a.Index), worker.Session, worker.LeaseUntil)
 		switch decision.Action {
 		case reconcile.Complete:
 			l.Tasks.End(a, cluster.Success)
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -99,8 +99,8 @@
 	m.Host.Notify(assignment.Machine)
 }
 
-// Facts returns the input of reconciliation for an assignment.
-func (m *Manager) Facts(assignment *cluster.Assignment, now time.Time) reconcile.Attempt {
+// AttemptState returns the input of reconciliation for an assignment.
+func (m *Manager) AttemptState(assignment *cluster.Assignment, now time.Time) reconcile.Attempt {
 	job := assignment.Job
 	return reconcile.Attempt{
 		Session: assignment.Session, Durable: assignment.Log.Durable, ObservedState: assignment.ObservedState,
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -55,7 +55,7 @@
 		if a.Session == heartbeat.AgentEpoch {
 			observation.Task = cluster.FindTask(heartbeat, a.Ref())
 		}
-		m.applyDecision(a, observation.Task, reconcile.DecideOnHeartbeat(m.Facts(a, now), observation), now)
+		m.applyDecision(a, observation.Task, reconcile.DecideOnHeartbeat(m.AttemptState(a, now), observation), now)
 	}
 }
 
