--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -40,7 +40,7 @@
 	types := []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 32, CacheGB: 50, FetchGBPS: 1, BootS: 30}}
 	leader.MachineTypes = func() []jobs.MachineType { return types }
 	leader.catalog.Types = leader.MachineTypes
-	leader.tasks.EndAllOn(m, "test setup")
+	leader.tasks.EndAssignmentsOn(m, "test setup")
 	leader.state.Machines.Remove(m)
 	leader.detector.Forget(m.ID)
 	leader.state.Jobs = map[string]*cluster.Job{}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -115,7 +115,7 @@
 	commandsAfterHeartbeat(leader, "m-2", now)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
-	leader.tasks.EndAllOn(leader.state.Machines.ByID["m-2"], "lease expired")
+	leader.tasks.EndAssignmentsOn(leader.state.Machines.ByID["m-2"], "lease expired")
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))); d != "" {
 		t.Error(d)
 	}
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -134,9 +134,9 @@
 	m.Host.Notify(assignment.Machine)
 }
 
-// EndAllOn ends all open assignments of a machine on which no task can be running any more. The
+// EndAssignmentsOn ends all open assignments of a machine on which no task can be running any more. The
 // reason is logged.
-func (m *Manager) EndAllOn(machine *cluster.Machine, reason string) {
+func (m *Manager) EndAssignmentsOn(machine *cluster.Machine, reason string) {
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open {
 			slog.Info("task lost", "task", a.TaskName(), "machine", machine.ID, "term", m.Fencing.Current, "reason", reason)
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -63,7 +63,7 @@
 			l.loop.nextLeaseExpiry = earlier(l.loop.nextLeaseExpiry, decision.Until)
 			continue
 		}
-		l.tasks.EndAllOn(machine, string(decision.Reason))
+		l.tasks.EndAssignmentsOn(machine, string(decision.Reason))
 		l.failover.MachineGone(machine.ID)
 		// Anything that still arrives from the expired agent epoch is out of date.
 		if worker.Session != 0 {
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -153,7 +153,7 @@
 func (h scalerHost) WithdrawOffer(machine *cluster.Machine) { h.l.planner.Capacity.Withdraw(machine) }
 
 func (h scalerHost) RemoveMachine(machine *cluster.Machine) {
-	h.l.tasks.EndAllOn(machine, "machine given back")
+	h.l.tasks.EndAssignmentsOn(machine, "machine given back")
 	h.l.detector.Forget(machine.ID)
 	h.l.state.Machines.Remove(machine)
 	h.l.failover.MachineGone(machine.ID)
