--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -103,8 +103,8 @@
 	planned := &placement.Job{
 		Spec: spec, AcceptanceOrder: job.SubmissionOrder, DeadlineS: p.deadlineS(job, wallMs),
 		Pending: job.Pending.Count, Guaranteed: job.Scheduling.WithinGuarantee,
-		RemainingCPUS: float64(spec.Tasks-job.Completions.Count) * expectedRunS * spec.CPUs,
-		TasksByZone:   make(map[string]int, len(job.Zones)),
+		RemainingCPUSeconds: float64(spec.Tasks-job.Completions.Count) * expectedRunS * spec.CPUs,
+		TasksByZone:         make(map[string]int, len(job.Zones)),
 	}
 	for zone, tasks := range job.Zones {
 		planned.TasksByZone[zone] = tasks
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -8,15 +8,15 @@
 // Job is an unfinished job. Either it has tasks to place, or its running tasks may be preempted;
 // in the latter case only Spec and Guaranteed are used.
 type Job struct {
-	Spec            *jobs.Spec
-	AcceptanceOrder uint64         // increases with the time of acceptance
-	DeadlineS       float64        // seconds left until the next deadline it can meet, or NoDeadline or DeadlineMissed
-	RemainingCPUS   float64        // CPU seconds that its unfinished tasks will take
-	Pending         int            // number of tasks to place
-	StarvedTasks    int            // pending tasks that go first: the job has been given no machine for too long
-	TasksByZone     map[string]int // number of tasks that are, or may be, in each zone
-	Guaranteed      bool           // within its team's guarantee
-	StartWithinS    float64        // seconds left to meet its start objective; 0 if it has none
+	Spec                *jobs.Spec
+	AcceptanceOrder     uint64         // increases with the time of acceptance
+	DeadlineS           float64        // seconds left until the next deadline it can meet, or NoDeadline or DeadlineMissed
+	RemainingCPUSeconds float64        // CPU seconds that its unfinished tasks will take
+	Pending             int            // number of tasks to place
+	StarvedTasks        int            // pending tasks that go first: the job has been given no machine for too long
+	TasksByZone         map[string]int // number of tasks that are, or may be, in each zone
+	Guaranteed          bool           // within its team's guarantee
+	StartWithinS        float64        // seconds left to meet its start objective; 0 if it has none
 
 	// ReclaimDeferred keeps a job within its team's guarantee from preempting tasks of teams that
 	// have borrowed the capacity: enough may still become free in time without preemption.
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -234,9 +234,9 @@
 		{"overload: small job first, job with missed deadlines last", func(in *scenario) {
 			in.Machines = []*Machine{newMachine("a1", 1), newMachine("a2", 1)}
 			missed, large, small := newJob("j-1", 1, 1, nil), newJob("j-2", 1, 1, nil), newJob("j-3", 1, 1, nil)
-			missed.DeadlineS, missed.RemainingCPUS = DeadlineMissed, 1
-			large.DeadlineS, large.RemainingCPUS = 50, 900
-			small.DeadlineS, small.RemainingCPUS = 60, 30
+			missed.DeadlineS, missed.RemainingCPUSeconds = DeadlineMissed, 1
+			large.DeadlineS, large.RemainingCPUSeconds = 50, 900
+			small.DeadlineS, small.RemainingCPUSeconds = 60, 30
 			in.Jobs = []*Job{missed, large, small}
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
 		{"preempts the lower-priority tasks that have run least", func(in *scenario) {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -33,7 +33,7 @@
 		cmp.Compare(b.Spec.Rank(), a.Spec.Rank()),
 		trueFirst(a.ReserveRoom, b.ReserveRoom),
 		cmp.Compare(deadlineStage(a.Job), deadlineStage(b.Job)),
-		cmp.Compare(a.DeadlineS*a.RemainingCPUS, b.DeadlineS*b.RemainingCPUS),
+		cmp.Compare(a.DeadlineS*a.RemainingCPUSeconds, b.DeadlineS*b.RemainingCPUSeconds),
 		cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder),
 	)
 }
