--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -134,7 +134,7 @@
 		running.load(offer, p.state.Machines.ByID[offer.ID].Assignments, now)
 	}
 	output := placement.Plan(input)
-	for _, job := range output.Preempting {
+	for _, job := range output.PreemptingGangs {
 		jobOf[job].Scheduling.PreemptingForGangAt = now
 	}
 	p.UnmetDemand = output.Unmet
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -139,6 +139,6 @@
 	machines, _ := p.placeAsManyAsFit(job, zones[best])
 	p.preemptFor(job, job.Pending-len(machines), out, p.requireImage)
 	job.roomReserved = true
-	out.Preempting = append(out.Preempting, job)
+	out.PreemptingGangs = append(out.PreemptingGangs, job)
 	return true
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -29,10 +29,10 @@
 
 // Output is a plan for the caller to carry out.
 type Output struct {
-	Assignments []Assignment // for each job in the order of its tasks
-	Preemptions []Preemption
-	Preempting  []*Job   // gangs for which victims have been found
-	Unmet       []Demand // in the order of the queue
+	Assignments     []Assignment // for each job in the order of its tasks
+	Preemptions     []Preemption
+	PreemptingGangs []*Job   // gangs for which victims have been found
+	Unmet           []Demand // in the order of the queue
 }
 
 // Plan decides which tasks to place and which to preempt. It restores the index but modifies the
