--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -46,9 +46,9 @@
 	return plan.provisioned
 }
 
-// LargestFirst returns the pools of a plan in a deterministic order, those with most machines
+// PoolsLargestFirst returns the pools of a plan in a deterministic order, those with most machines
 // first.
-func LargestFirst(plan map[MachinePool]int) []MachinePool {
+func PoolsLargestFirst(plan map[MachinePool]int) []MachinePool {
 	pools := make([]MachinePool, 0, len(plan))
 	for pool := range plan {
 		pools = append(pools, pool)
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -54,7 +54,7 @@
 		Types: s.deps.Catalog.Types(), MachineCounts: existing,
 		OutOfCapacity: func(pool autoscaler.MachinePool) bool { return s.isUnavailable(pool, now) },
 	})
-	for _, pool := range autoscaler.LargestFirst(plan) {
+	for _, pool := range autoscaler.PoolsLargestFirst(plan) {
 		for remaining := plan[pool]; remaining > 0 && s.provisioning.inFlight < s.deps.Derived.Cloud.RentalsInFlight; remaining -= autoscaler.MaxMachinesPerRequest {
 			s.startProvision(ctx, pool, min(remaining, autoscaler.MaxMachinesPerRequest))
 		}
