--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -78,8 +78,8 @@
 	return read
 }
 
-// JobsNamed returns the ids of all jobs that have tasks in the segments.
-func JobsNamed(segments []StoredSegment) map[string]bool {
+// ReferencedJobs returns the ids of all jobs that have tasks in the segments.
+func ReferencedJobs(segments []StoredSegment) map[string]bool {
 	named := map[string]bool{}
 	for _, segment := range segments {
 		for _, machine := range segment.Record.Begun {
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -96,7 +96,7 @@
 	}
 	log := next.readLog(segments)
 	ended := map[string]kvstore.KeyValue{} // records of the cancelled jobs
-	for id := range assignmentlog.JobsNamed(log) {
+	for id := range assignmentlog.ReferencedJobs(log) {
 		if next.state.Jobs[id] == nil {
 			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -62,7 +62,7 @@
 	segments := l.Log.Load(l.LogConfig, stored)
 	l.Recovery.CheckLog(segments, now)
 	records := loadedRecords{
-		referencedInLog: assignmentlog.JobsNamed(segments), ended: EndedRecords{},
+		referencedInLog: assignmentlog.ReferencedJobs(segments), ended: EndedRecords{},
 		counts: recoverer.RecordCounts{Known: l.Cache.RecordedCount()},
 	}
 	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(record kvstore.KeyValue) { l.loadRecord(record, &records, now) })
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -89,7 +89,7 @@
 		r.adoption.expectUnloggedTasks(now)
 		r.ReportLoss(detection.Evidence{Kind: detection.RecordMissing, Known: uint64(counts.Known), Found: uint64(counts.Read)}, now)
 	}
-	for id := range assignmentlog.JobsNamed(log) {
+	for id := range assignmentlog.ReferencedJobs(log) {
 		if !isOver(id) && r.cfg.State.Jobs[id] == nil && !r.held.contains(id) {
 			r.adoption.expectUnloggedTasks(now)
 			r.ReportLoss(detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
