--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -15,7 +15,7 @@
 type SegmentRecord struct {
 	Number uint64             `json:"number"`
 	Begun  []MachineRecord    `json:"begun,omitempty"`
-	Over   []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
+	Ended  []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
 	Done   []CompletionRecord `json:"done,omitempty"`
 	Dead   []string           `json:"dead,omitempty"` // machines newly judged dead
 }
--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -204,7 +204,7 @@
 		case draft.fits(endSize(a)) && l.endMayBeWritten(batch, a):
 			a.Log.EndInFlight, a.Log.EndQueued = true, false
 			if a.Log.Segment != nil {
-				draft.record.Over = append(draft.record.Over, a.Attempt)
+				draft.record.Ended = append(draft.record.Ended, a.Attempt)
 				draft.bytes += endSize(a)
 			}
 			draft.ended = append(draft.ended, a)
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -195,7 +195,7 @@
 				l.restoreTask(segment, machine, begun.Session, task, ended, now)
 			}
 		}
-		for _, attempt := range stored.Record.Over {
+		for _, attempt := range stored.Record.Ended {
 			if earlier := segmentByAttempt[attempt]; earlier != nil {
 				delete(earlier.Assignments, attempt)
 			}
