--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -43,12 +43,12 @@
 		l, _, _, now := newTestLeader()
 		discardLogs(t)
 		l.inbox.events = make(chan func(time.Time), 1)
-		l.writer.Returned(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
+		l.writer.HandleOutcome(t.Context(), transaction.New(), 0, nil, kvstore.ErrOutcomeUnknown)
 		if l.canPersistWork(now) {
 			t.Error("planning continues while nothing can be made durable")
 		}
 		l.readLog(nil)
-		l.writer.Returned(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
+		l.writer.HandleOutcome(t.Context(), transaction.New(), 0, nil, fmt.Errorf("%w: %w", kvstore.ErrNotExecuted, kvstore.ErrInvalidRequest))
 		if !l.canPersistWork(now) {
 			t.Error("planning stopped after a rejected transaction")
 		}
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -95,7 +95,7 @@
 	w.inFlight = true
 	go func() {
 		revision, failedGuards, err := w.Store.Commit(ctx, batch.Guards, batch.Writes)
-		w.Host.Post(ctx, func(time.Time) { w.Returned(ctx, batch, revision, failedGuards, err) })
+		w.Host.Post(ctx, func(time.Time) { w.HandleOutcome(ctx, batch, revision, failedGuards, err) })
 	}()
 }
 
@@ -157,8 +157,8 @@
 	})
 }
 
-// Returned processes the outcome of a transaction.
-func (w *Writer) Returned(ctx context.Context, batch *transaction.Batch, revision uint64, failedGuards []string, err error) {
+// HandleOutcome processes the outcome of a transaction.
+func (w *Writer) HandleOutcome(ctx context.Context, batch *transaction.Batch, revision uint64, failedGuards []string, err error) {
 	// A transaction that is too large is not an outage. If it counted as one and nothing remained
 	// to be written, the leader would never plan again.
 	w.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
