--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -134,7 +134,7 @@
 			h.leader.writer.ApplyConflict(batch, key, h.store.keys[key])
 		}
 	default:
-		h.leader.writer.Committed(batch, h.store.revision)
+		h.leader.writer.HandleCommit(batch, h.store.revision)
 		return true
 	}
 	return before == nil
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -78,7 +78,7 @@
 		l.log.Grow(1)
 		batch := transaction.New()
 		l.log.AddSegments(batch, 1)
-		l.writer.Committed(batch, rev)
+		l.writer.HandleCommit(batch, rev)
 		w := batch.Writes[0]
 		segments[w.Set] = kvstore.KeyValue{Key: w.Set, Value: w.Value, Revision: rev}
 	}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -47,7 +47,7 @@
 	}
 	batch := transaction.New()
 	l.log.AddSegments(batch, 1)
-	l.writer.Committed(batch, 1)
+	l.writer.HandleCommit(batch, 1)
 }
 
 // lastHeartbeatSeq numbers the heartbeats of commandsAfterHeartbeat.
--- a/internal/leader/log_compatibility_test.go
+++ b/internal/leader/log_compatibility_test.go
@@ -151,7 +151,7 @@
 		if failed := store.apply(b); len(failed) > 0 {
 			t.Fatal(failed)
 		}
-		leader.writer.Committed(b, store.revision)
+		leader.writer.HandleCommit(b, store.revision)
 		if d := gocmp.Diff(readAsVersion030(t, store.pairs(), leader.Derived.Store.ChunkTasks), durableRecords(leader)); d != "" {
 			t.Fatalf("step %d: version 0.3.0 reads the log differently: %s", step, d)
 		}
@@ -162,7 +162,7 @@
 				startAndEndTasks(leader, random)
 				b := leader.writer.Compose()
 				store.apply(b)
-				leader.writer.Committed(b, store.revision)
+				leader.writer.HandleCommit(b, store.revision)
 			}
 			store.maxValueBytes, store.maxOps = 2<<10, 4
 			leader = newLeaderFromLog(store, uint64(7+step), specs)
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -164,7 +164,7 @@
 	w.storeUnavailable = err != nil && !errors.Is(err, kvstore.ErrInvalidRequest)
 	if err == nil && len(failedGuards) == 0 {
 		w.inFlight = false
-		w.Committed(batch, revision)
+		w.HandleCommit(batch, revision)
 		return
 	}
 	batch.Failed()
@@ -198,8 +198,8 @@
 	w.Host.PostAfter(ctx, w.Derived.Election.RenewInterval/retriesPerRenewal, func() { w.inFlight = false })
 }
 
-// Committed processes a transaction that was executed.
-func (w *Writer) Committed(batch *transaction.Batch, revision uint64) {
+// HandleCommit processes a transaction that was executed.
+func (w *Writer) HandleCommit(batch *transaction.Batch, revision uint64) {
 	batch.Committed(revision)
 	for _, event := range w.Log.TakeEvents() {
 		switch event.Kind {
