--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -89,7 +89,7 @@
 // but has received no heartbeat. All other jobs that the segments name are cancelled.
 func newSuccessor(l *Leader, segments []kvstore.KeyValue, now time.Time, specs ...*jobs.Spec) *Leader {
 	next := newLeader(l.Deps, election.Term{FencingToken: 6})
-	next.jobs.Loaded(now, next.jobs.SeenRevision())
+	next.jobs.MarkLoaded(now, next.jobs.SeenRevision())
 	next.detector = liveness.New(liveness.Config{})
 	for _, s := range specs {
 		next.state.Jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -232,7 +232,7 @@
 			r := newHeartbeat(1, 4, task)
 			r.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
-			leader.jobs.Loaded(now, leader.jobs.SeenRevision())
+			leader.jobs.MarkLoaded(now, leader.jobs.SeenRevision())
 			leader.answerHeartbeat(r, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
 				t.Errorf("stop requested: %v", a.Stop.Requested)
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -69,9 +69,9 @@
 // Age returns for how long users may have been told of changes that the leader does not know.
 func (t *Tracker) Age(now time.Time) time.Duration { return now.Sub(t.currentAsOf) }
 
-// Loaded sets the state after the initial read: all records that existed at asOf, and all
+// MarkLoaded sets the state after the initial read: all records that existed at asOf, and all
 // changes up to revision, have been applied.
-func (t *Tracker) Loaded(asOf time.Time, revision uint64) {
+func (t *Tracker) MarkLoaded(asOf time.Time, revision uint64) {
 	t.currentAsOf = asOf
 	t.seenRevision.Store(revision)
 }
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -26,7 +26,7 @@
 	l, heartbeats, now := newFullFleet(t, lostFleetSize)
 	spec := *l.state.Jobs["j-7"].Spec
 	next := newLeader(l.Deps, election.Term{FencingToken: 6, Since: now})
-	next.jobs.Loaded(now, next.jobs.SeenRevision())
+	next.jobs.MarkLoaded(now, next.jobs.SeenRevision())
 	next.detector = liveness.New(liveness.Config{})
 	next.readLog(nil)
 	job := cluster.NewJob(spec.ID, &spec, 1, 0, now)
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -47,7 +47,7 @@
 		Cloud: cloud.NewClient("cloud:1", silentNetwork, time.Minute, 10),
 		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
-	leader.jobs.Loaded(now, leader.jobs.SeenRevision())
+	leader.jobs.MarkLoaded(now, leader.jobs.SeenRevision())
 	*leader.tasks = *tasks.NewManager(leader.tasks.Deps, 100)
 	*leader.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -129,7 +129,7 @@
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
 	for now := start; now.Sub(start) < 20*leader.Derived.Workers.LeaseExpiry; now = now.Add(step) {
-		leader.jobs.Loaded(now, leader.jobs.SeenRevision())
+		leader.jobs.MarkLoaded(now, leader.jobs.SeenRevision())
 		if rnd.IntN(8) == 0 {
 			seq++
 			r := newHeartbeat(1, seq)
