--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -178,7 +178,7 @@
 	job.End.Complete = true
 	t.DropCompleted(job.ID)
 	t.endTasksOf(job)
-	t.CompletionDurable(job)
+	t.MarkCompletionDurable(job)
 }
 
 func (t *Tracker) endTasksOf(job *cluster.Job) {
@@ -212,8 +212,8 @@
 	t.unwrittenCompletions = slices.DeleteFunc(t.unwrittenCompletions, func(job *cluster.Job) bool { return job.ID == id })
 }
 
-// CompletionDurable marks a job's record as written as done.
-func (t *Tracker) CompletionDurable(job *cluster.Job) {
+// MarkCompletionDurable marks a job's record as written as done.
+func (t *Tracker) MarkCompletionDurable(job *cluster.Job) {
 	job.End.CompletionDurable = true
 	t.RemoveIfSettled(job)
 }
--- a/internal/leader/writer/conflict.go
+++ b/internal/leader/writer/conflict.go
@@ -69,7 +69,7 @@
 	w.Jobs.DropCompleted(id)
 	switch record.State {
 	case jobs.Done:
-		w.Jobs.CompletionDurable(job)
+		w.Jobs.MarkCompletionDurable(job)
 	case jobs.Cancelled:
 		if !job.End.Cancelled {
 			w.Jobs.Cancel(job, found.Revision)
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -153,7 +153,7 @@
 	batch.OnFailure(func() { w.Jobs.QueueCompleted(job) })
 	batch.OnCommit(func(uint64) {
 		slog.Debug("job completed", "job", job.ID, "term", w.Fencing.Current)
-		w.Jobs.CompletionDurable(job)
+		w.Jobs.MarkCompletionDurable(job)
 	})
 }
 
