--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -74,7 +74,7 @@
 	l.resumeJobs(now)
 	l.Planner.PlanRequested, l.Planner.GuaranteesStale = true, true
 	l.Fencing.RaisedAt = now
-	l.Scaler.DeferRentals(now.Add(2 * l.Derived.Cloud.ListLag))
+	l.Scaler.DeferProvisioning(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.Jobs.MarkLoaded(now, after)
 	l.Failover.RecordsLoaded(time.Now())
 	slog.Info("records read", "term", l.Fencing.Current, "jobs", len(l.State.Jobs), "ended", records.endedCount, "machines", len(l.State.Machines.All))
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -66,7 +66,7 @@
 				f, _ := newFixture(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"hosts":["m-7"]}`) })
 				f.host.term = tc.term
 				f.host.unknownTasks = true // prevents releases
-				f.DeferRentals(secondsAfter(f.now, 8))
+				f.DeferProvisioning(secondsAfter(f.now, 8))
 				f.Reconcile(t.Context(), secondsAfter(f.now, tc.at), []placement.Demand{serviceDemand(1)})
 				if f.provisioning.count != tc.requests {
 					t.Errorf("%d provisioning requests made", f.provisioning.count)
--- a/internal/leader/scaler/scaler.go
+++ b/internal/leader/scaler/scaler.go
@@ -108,9 +108,9 @@
 	s.provision(ctx, now, unmet)
 }
 
-// DeferRentals prevents provisioning before the given time, except in the very first term. The
+// DeferProvisioning prevents provisioning before the given time, except in the very first term. The
 // cloud's list may lack machines that an earlier leader provisioned until then.
-func (s *Scaler) DeferRentals(until time.Time) { s.provisionAfter = until }
+func (s *Scaler) DeferProvisioning(until time.Time) { s.provisionAfter = until }
 
 // JobArrived counts the work of a new job, or of an older job that a new leader has read.
 func (s *Scaler) JobArrived(job *cluster.Job, age time.Duration, now time.Time) {
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -113,7 +113,7 @@
 func BenchmarkTick(b *testing.B) {
 	l, _, now := newFullFleet(b, largestFleet)
 	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
-	l.scaler.DeferRentals(now.Add(time.Hour)) // no machine is provisioned
+	l.scaler.DeferProvisioning(now.Add(time.Hour)) // no machine is provisioned
 	for b.Loop() {
 		l.tick(b.Context(), now)
 		l.scaler.Reconcile(b.Context(), now, l.planner.UnmetDemand) // in each tick, as if it were due
