--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -38,8 +38,8 @@
 	Jobs       float64 // number observed for the variance
 }
 
-// Of returns the distribution of a class, which the caller may modify.
-func (e *Estimator) Of(class string) *Distribution {
+// ForClass returns the distribution of a class, which the caller may modify.
+func (e *Estimator) ForClass(class string) *Distribution {
 	distribution := e.byClass[class]
 	if distribution == nil {
 		distribution = &Distribution{Variance: priorDeviation * priorDeviation}
@@ -72,7 +72,7 @@
 	if startUnobserved || job.Spec.EstimatedRuntimeS <= 0 || seconds <= 0 {
 		return
 	}
-	distribution, logSeconds := e.Of(job.Spec.Class), math.Log(seconds)
+	distribution, logSeconds := e.ForClass(job.Spec.Class), math.Log(seconds)
 	// The run time of a gang is that of its slowest task and says little about one machine.
 	if median, known := job.MedianRunTime(); known && !job.IsGang() {
 		health := &assignment.Machine.Health
@@ -98,7 +98,7 @@
 	for _, logSeconds := range job.RunTimeLogs {
 		squares += (logSeconds - mean) * (logSeconds - mean)
 	}
-	distribution := e.Of(job.Spec.Class)
+	distribution := e.ForClass(job.Spec.Class)
 	distribution.Jobs++
 	weight := max(minJobWeight, 1/(distribution.Jobs+1))
 	distribution.Variance += weight * (squares/(count-1) - distribution.Variance)
--- a/internal/leader/runtimes/straggler.go
+++ b/internal/leader/runtimes/straggler.go
@@ -37,7 +37,7 @@
 		// A task that an earlier leader started has run for longer than this leader has observed.
 		if median, known := a.Job.MedianRunTime(); known {
 			ran := max(now.Sub(a.RunningSince).Seconds(), minRunTimeS)
-			logOdds += e.Of(a.Job.Spec.Class).runningLogOdds(math.Log(ran) - median)
+			logOdds += e.ForClass(a.Job.Spec.Class).runningLogOdds(math.Log(ran) - median)
 		}
 	}
 	return logOdds
--- a/internal/leader/runtimes/straggler_test.go
+++ b/internal/leader/runtimes/straggler_test.go
@@ -30,7 +30,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			estimator, machine := NewEstimator(), cluster.NewMachine("m-1", now)
-			*estimator.Of("sums") = Distribution{Variance: 0.25, Tasks: 100, Jobs: 100}
+			*estimator.ForClass("sums") = Distribution{Variance: 0.25, Tasks: 100, Jobs: 100}
 			spec := &jobs.Spec{ID: "j-2", Class: "sums", Shape: jobs.Batch, Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10}
 			job := cluster.NewJob("j-2", spec, 1, 0, now)
 			for range 25 {
