--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -44,7 +44,7 @@
 	if !job.Spec.RunsToCompletion() {
 		return placement.NoDeadline
 	}
-	ageS, expectedRunS := float64(wallMs-job.AcceptedMs)/1000, p.runTimes.Seconds(job.Spec)
+	ageS, expectedRunS := float64(wallMs-job.AcceptedMs)/1000, p.runTimes.RunTimeS(job.Spec)
 	deadlineS, hasObjective := float64(placement.DeadlineMissed), false
 	for _, objective := range p.config.Objectives {
 		if objective.Class != job.Spec.Class {
@@ -99,7 +99,7 @@
 
 // placementJob returns a job as input for placement.
 func (p *Planner) placementJob(job *cluster.Job, now time.Time, wallMs int64) *placement.Job {
-	spec, expectedRunS := job.Spec, p.runTimes.Seconds(job.Spec)
+	spec, expectedRunS := job.Spec, p.runTimes.RunTimeS(job.Spec)
 	planned := &placement.Job{
 		Spec: spec, AcceptanceOrder: job.SubmissionOrder, DeadlineS: p.deadlineS(job, wallMs),
 		Pending: job.Pending.Count, Guaranteed: job.Scheduling.WithinGuarantee,
--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -48,21 +48,21 @@
 	return distribution
 }
 
-// Seconds returns the expected run time of a task in seconds: its owner's estimate, corrected by
+// RunTimeS returns the expected run time of a task in seconds: its owner's estimate, corrected by
 // the recent error of the estimates of its class.
-func (e *Estimator) Seconds(spec *jobs.Spec) float64 {
+func (e *Estimator) RunTimeS(spec *jobs.Spec) float64 {
 	if distribution := e.byClass[spec.Class]; distribution != nil {
 		return spec.EstimatedRuntimeS * math.Exp(distribution.Correction)
 	}
 	return spec.EstimatedRuntimeS
 }
 
-// JobSeconds returns the same, but prefers the observed run times of the job itself if it has any.
-func (e *Estimator) JobSeconds(job *cluster.Job) float64 {
+// JobRunTimeS returns the same, but prefers the observed run times of the job itself if it has any.
+func (e *Estimator) JobRunTimeS(job *cluster.Job) float64 {
 	if median, known := job.MedianRunTime(); known {
 		return math.Exp(median)
 	}
-	return e.Seconds(job.Spec)
+	return e.RunTimeS(job.Spec)
 }
 
 // TaskCompleted records a completed task. A task whose start was not observed is ignored.
--- a/internal/leader/runtimes/straggler.go
+++ b/internal/leader/runtimes/straggler.go
@@ -46,7 +46,7 @@
 // SoonerElsewhere reports whether a task on a slow machine would end sooner if it were
 // restarted on another machine.
 func (e *Estimator) SoonerElsewhere(assignment *cluster.Assignment, now time.Time) bool {
-	ran, seconds := now.Sub(assignment.RunningSince).Seconds(), e.Seconds(assignment.Job.Spec)
+	ran, seconds := now.Sub(assignment.RunningSince).Seconds(), e.RunTimeS(assignment.Job.Spec)
 	return SlowdownFactor*seconds-ran > seconds || ran > SlowdownFactor*seconds
 }
 
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -52,7 +52,7 @@
 	if assignment.ObservedState == workers.StateRunning {
 		ranS = now.Sub(assignment.RunningSince).Seconds()
 	}
-	expectedRunS := m.RunTimes.JobSeconds(assignment.Job)
+	expectedRunS := m.RunTimes.JobRunTimeS(assignment.Job)
 	completionChance := m.RunTimes.ForClass(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, expectedRunS)
 	return completionChance*expectedRunS < (1-completionChance)*withinS
 }
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -134,7 +134,7 @@
 
 func (h scalerHost) Token() uint64 { return h.l.fencing.Current }
 
-func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.Seconds(spec) }
+func (h scalerHost) RunTimeS(spec *jobs.Spec) float64 { return h.l.runTimes.RunTimeS(spec) }
 
 func (h scalerHost) IsUsable(machine *cluster.Machine, now time.Time) bool {
 	return h.l.acceptsWork(machine, now)
