--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -104,9 +104,9 @@
 	distribution.Variance += weight * (squares/(count-1) - distribution.Variance)
 }
 
-// ChanceToEnd returns the probability that a task which has run for ranS seconds ends
+// CompletionProbability returns the probability that a task which has run for ranS seconds ends
 // within moreS seconds, given that such a task usually takes usualS seconds.
-func (d *Distribution) ChanceToEnd(ranS, moreS, usualS float64) float64 {
+func (d *Distribution) CompletionProbability(ranS, moreS, usualS float64) float64 {
 	if ranS <= 0 {
 		return 1 - d.doubledTailProbability(math.Log(moreS/usualS))/2
 	}
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -53,7 +53,7 @@
 		ranS = now.Sub(assignment.RunningSince).Seconds()
 	}
 	expectedRunS := m.RunTimes.JobRunTimeS(assignment.Job)
-	completionChance := m.RunTimes.ForClass(assignment.Job.Spec.Class).ChanceToEnd(ranS, withinS, expectedRunS)
+	completionChance := m.RunTimes.ForClass(assignment.Job.Spec.Class).CompletionProbability(ranS, withinS, expectedRunS)
 	return completionChance*expectedRunS < (1-completionChance)*withinS
 }
 
