--- a/internal/leader/runtimes/straggler.go
+++ b/internal/leader/runtimes/straggler.go
@@ -43,9 +43,9 @@
 	return logOdds
 }
 
-// SoonerElsewhere reports whether a task on a slow machine would end sooner if it were
+// FinishesSoonerElsewhere reports whether a task on a slow machine would end sooner if it were
 // restarted on another machine.
-func (e *Estimator) SoonerElsewhere(assignment *cluster.Assignment, now time.Time) bool {
+func (e *Estimator) FinishesSoonerElsewhere(assignment *cluster.Assignment, now time.Time) bool {
 	ran, seconds := now.Sub(assignment.RunningSince).Seconds(), e.RunTimeS(assignment.Job.Spec)
 	return SlowdownFactor*seconds-ran > seconds || ran > SlowdownFactor*seconds
 }
--- a/internal/leader/tasks/drain.go
+++ b/internal/leader/tasks/drain.go
@@ -75,7 +75,7 @@
 			runsServices = true
 			continue
 		}
-		if a.Outcome == cluster.Open && !a.Stop.Requested && m.RunTimes.SoonerElsewhere(a, now) {
+		if a.Outcome == cluster.Open && !a.Stop.Requested && m.RunTimes.FinishesSoonerElsewhere(a, now) {
 			m.Stop(a, a.Job.Spec.CheckpointSaveS)
 			m.Planner.PlanRequested = true
 		}
