--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -32,7 +32,7 @@
 // announce delay.
 func (d *Dispatcher) AnnounceToSilentMachine(machine *cluster.Machine, now time.Time) {
 	worker := &machine.Worker
-	isSilent := machine.Phase == cluster.Up && worker.HeartbeatAt.IsZero() && worker.Token < d.Fencing.OfTerm
+	isSilent := machine.Phase == cluster.Up && worker.HeartbeatAt.IsZero() && worker.Token < d.Fencing.TermToken
 	if isSilent && now.Sub(machine.Cloud.KnownSince) > d.Derived.Workers.AnnounceDelay {
 		d.Notify(machine)
 	}
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -30,7 +30,7 @@
 			commands = append(commands, d.countCommand(newStopCommand(task.Name, task.Attempt, 0), decision))
 		}
 	}
-	return &workers.HeartbeatResponse{FencingToken: d.Fencing.OfTerm, Commands: commands}
+	return &workers.HeartbeatResponse{FencingToken: d.Fencing.TermToken, Commands: commands}
 }
 
 // CommandsFor returns the commands for the machine's worker, derived from the difference between
--- a/internal/leader/dispatch/token.go
+++ b/internal/leader/dispatch/token.go
@@ -18,7 +18,7 @@
 	if machine.Commands.NeedsHigherToken || !machine.Commands.InDoubtSince.IsZero() {
 		return d.Fencing.Current
 	}
-	return max(machine.Worker.Token, d.Fencing.OfTerm)
+	return max(machine.Worker.Token, d.Fencing.TermToken)
 }
 
 // MaxHeldAcknowledgements is the number of ended tasks awaiting a higher token at which the machine
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -79,7 +79,7 @@
 	if got := s.TokenFor(s.State.Machines.ByID[belowLimit.Machine]); got != 5 {
 		t.Errorf("token %d for a machine where nothing waits for a higher one, want 5", got)
 	}
-	s.Fencing.OfTerm, s.Fencing.Current = 7, 7
+	s.Fencing.TermToken, s.Fencing.Current = 7, 7
 	if got := s.TokenFor(s.State.Machines.ByID[belowLimit.Machine]); got != 7 {
 		t.Errorf("token %d is of an earlier term, want 7", got)
 	}
--- a/internal/leader/fencing/token.go
+++ b/internal/leader/fencing/token.go
@@ -7,10 +7,10 @@
 
 // Token is the fencing token of a term. It may be used only on the leader's event loop.
 type Token struct {
-	// OfTerm is the token with which the term began. A heartbeat with a lower token was, or may
-	// have been, sent before the term. OfTerm is raised if the store has lost the token.
-	OfTerm uint64
-	// Current is the highest durable token; it is never below OfTerm.
+	// TermToken is the token with which the term began. A heartbeat with a lower token was, or may
+	// have been, sent before the term. TermToken is raised if the store has lost the token.
+	TermToken uint64
+	// Current is the highest durable token; it is never below TermToken.
 	Current  uint64
 	Revision uint64 // revision of the token's key in the store
 
@@ -25,7 +25,7 @@
 
 // New returns the Token of a term that begins with the given token, stored at the given revision.
 func New(token, revision uint64) *Token {
-	return &Token{OfTerm: token, Current: token, Revision: revision}
+	return &Token{TermToken: token, Current: token, Revision: revision}
 }
 
 // Next returns the token that the next raise writes.
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -33,7 +33,7 @@
 		machine.Worker.LeaseUntil, machine.Worker.NewestHeartbeat = now.Add(l.Derived.Workers.LeaseExpiry), seq
 	}
 	l.failover.HeartbeatAnswered(now)
-	if heartbeat.FencingToken < l.fencing.OfTerm {
+	if heartbeat.FencingToken < l.fencing.TermToken {
 		// The worker sent this heartbeat before it knew of this term, or it is a copy of such a
 		// heartbeat with an arbitrary delay. It proves nothing. The response carries the current
 		// token, so that the worker's next heartbeat does.
--- a/internal/leader/recoverer/control_keys.go
+++ b/internal/leader/recoverer/control_keys.go
@@ -43,7 +43,7 @@
 	if k.statusWritten || !k.committer.mayCommit(now) {
 		return
 	}
-	value, _ := json.Marshal(recoveryStatus{Token: k.cfg.Leader.Tokens().OfTerm, SinceMs: now.UnixMilli(), LogIncomplete: logIncomplete})
+	value, _ := json.Marshal(recoveryStatus{Token: k.cfg.Leader.Tokens().TermToken, SinceMs: now.UnixMilli(), LogIncomplete: logIncomplete})
 	k.commitStatus(ctx, kvstore.Write{Set: jobs.RecoveryStatusKey, Value: value}, true)
 }
 
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -65,9 +65,9 @@
 
 // Tokens holds the leader's fencing tokens.
 type Tokens struct {
-	Current uint64 // highest token that this leader has issued
-	OfTerm  uint64 // a heartbeat with a lower token belongs to an earlier term
-	Floor   uint64 // the next token will be above this one
+	Current   uint64 // highest token that this leader has issued
+	TermToken uint64 // a heartbeat with a lower token belongs to an earlier term
+	Floor     uint64 // the next token will be above this one
 }
 
 // Leader is what a recovery needs from the other parts of the leader. All methods are called on
@@ -216,7 +216,7 @@
 	r.evidence.workerKnowsMore = true
 	// An earlier leader may have had the same fencing token as this one and have allocated
 	// the same attempt numbers.
-	if tokens := r.cfg.Leader.Tokens(); tokens.OfTerm > tokens.Floor {
+	if tokens := r.cfg.Leader.Tokens(); tokens.TermToken > tokens.Floor {
 		r.cfg.Leader.RaiseTokenAbove(tokens.Current)
 	}
 	r.adoption.expectTasksOfAllJobs(now)
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -87,7 +87,7 @@
 	}}
 	state := cluster.NewState()
 	store := kvstore.New("state:1", emulator.NewNetwork().Transport("node-0"), time.Second, kvstore.RateLimits{})
-	s := &scenario{leader: &fakeLeader{tokens: Tokens{Current: termToken, OfTerm: termToken}}, machines: &state.Machines, now: now}
+	s := &scenario{leader: &fakeLeader{tokens: Tokens{Current: termToken, TermToken: termToken}}, machines: &state.Machines, now: now}
 	s.log = assignmentlog.New(assignmentlog.Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10})
 	s.Recoverer = New(Config{
 		Settings: set, Derived: set.Derive(), Node: "node-0", Term: election.Term{FencingToken: termToken, Since: now}, AttemptBits: 24,
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -41,10 +41,10 @@
 // numbers below it belong to earlier terms.
 func (l *Leader) applyTokenRaise() {
 	l.TokenRaised(l.fencing.Current)
-	if l.fencing.RaiseAbove < l.fencing.OfTerm {
+	if l.fencing.RaiseAbove < l.fencing.TermToken {
 		return
 	}
-	l.fencing.OfTerm = l.fencing.Current
+	l.fencing.TermToken = l.fencing.Current
 	l.tasks.ReserveAttempts(l.fencing.Current << attemptBits)
 	for _, machine := range l.state.Machines.All {
 		for _, assignment := range machine.Assignments {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -66,7 +66,7 @@
 
 func (l *Leader) status(now time.Time) *Status {
 	return &Status{
-		Term: l.fencing.OfTerm, Token: l.fencing.Current, PictureS: l.jobs.Age(now).Seconds(),
+		Term: l.fencing.TermToken, Token: l.fencing.Current, PictureS: l.jobs.Age(now).Seconds(),
 		Held: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
 		WriteQueue: l.writer.QueueLength(),
 		Machines:   l.machineStatuses(now), Classes: l.classStatuses(), Teams: l.teamStatuses(),
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -130,7 +130,7 @@
 // scalerHost implements scaler.Host.
 type scalerHost struct{ l *Leader }
 
-func (h scalerHost) Term() uint64 { return h.l.fencing.OfTerm }
+func (h scalerHost) Term() uint64 { return h.l.fencing.TermToken }
 
 func (h scalerHost) Token() uint64 { return h.l.fencing.Current }
 
@@ -167,7 +167,7 @@
 var _ recoverer.Leader = recoveryHost{}
 
 func (c recoveryHost) Tokens() recoverer.Tokens {
-	return recoverer.Tokens{Current: c.l.fencing.Current, OfTerm: c.l.fencing.OfTerm, Floor: c.l.fencing.RaiseAbove}
+	return recoverer.Tokens{Current: c.l.fencing.Current, TermToken: c.l.fencing.TermToken, Floor: c.l.fencing.RaiseAbove}
 }
 
 func (c recoveryHost) RequestTokenRaise() { c.l.fencing.RequestRaise() }
