--- a/internal/leader/dispatch/token.go
+++ b/internal/leader/dispatch/token.go
@@ -48,7 +48,7 @@
 // in-doubt timeout, and at most once per worker lease if ended tasks cannot be cleared without one.
 // It clears the in-doubt state of machines on which no start command is in doubt any more.
 func (d *Dispatcher) ResolveInDoubt(now time.Time) {
-	raise := d.Fencing.AcknowledgementsHeld && now.Sub(d.Fencing.RaisedAt) > d.Derived.Workers.Lease
+	raise := d.Fencing.AcknowledgementsHeld && now.Sub(d.Fencing.RaiseRequestedAt) > d.Derived.Workers.Lease
 	for machine := range d.machinesInDoubt {
 		if machine.Commands.InDoubtSince.IsZero() || !d.State.Machines.Contains(machine) {
 			delete(d.machinesInDoubt, machine)
@@ -63,7 +63,7 @@
 	}
 	if raise {
 		d.Fencing.RequestRaise()
-		d.Fencing.RaisedAt = now // the time of the request: a slow write must not cause a second one
+		d.Fencing.RaiseRequestedAt = now // the time of the request: a slow write must not cause a second one
 	}
 }
 
@@ -71,7 +71,7 @@
 // been in doubt for so long that the token should be raised to invalidate it.
 func (d *Dispatcher) startsInDoubt(machine *cluster.Machine, now time.Time) (inDoubt, overdue bool) {
 	timedOut := now.Sub(machine.Commands.InDoubtSince) > d.Derived.Workers.InDoubtTimeout &&
-		now.Sub(d.Fencing.RaisedAt) > d.Derived.Leader.ControlInterval
+		now.Sub(d.Fencing.RaiseRequestedAt) > d.Derived.Leader.ControlInterval
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open && a.Start.InDoubtToken != 0 {
 			inDoubt = true
--- a/internal/leader/fencing/token.go
+++ b/internal/leader/fencing/token.go
@@ -14,9 +14,9 @@
 	Current  uint64
 	Revision uint64 // revision of the token's key in the store
 
-	RaisePending bool      // the next transaction has to write a higher token
-	RaiseAbove   uint64    // the next token must exceed it; seen on a worker or in the log
-	RaisedAt     time.Time // when a raise was last requested
+	RaisePending     bool      // the next transaction has to write a higher token
+	RaiseAbove       uint64    // the next token must exceed it; seen on a worker or in the log
+	RaiseRequestedAt time.Time // when a raise was last requested
 
 	// AcknowledgementsHeld is set while an ended task cannot be cleared from its worker until
 	// that worker has seen a higher token.
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -73,7 +73,7 @@
 	l.Restore(segments, records.ended, now)
 	l.resumeJobs(now)
 	l.Planner.PlanRequested, l.Planner.GuaranteesStale = true, true
-	l.Fencing.RaisedAt = now
+	l.Fencing.RaiseRequestedAt = now
 	l.Scaler.DeferProvisioning(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.Jobs.MarkLoaded(now, after)
 	l.Failover.RecordsLoaded(time.Now())
