--- a/internal/leader/recoverer/committer.go
+++ b/internal/leader/recoverer/committer.go
@@ -19,7 +19,7 @@
 
 // mayCommit reports whether a transaction may start now.
 func (c *committer) mayCommit(now time.Time) bool {
-	return !c.inFlight && !now.Before(c.notBefore) && c.cfg.Valid()
+	return !c.inFlight && !now.Before(c.notBefore) && c.cfg.IsLeader()
 }
 
 // termGuard returns a guard that makes a transaction fail once the term has ended.
--- a/internal/leader/recoverer/control_keys.go
+++ b/internal/leader/recoverer/control_keys.go
@@ -65,7 +65,7 @@
 // writeLogSize updates the log size key after the log has grown. It writes at most once per worker
 // lease, which suffices because the log rarely grows.
 func (k *controlKeys) writeLogSize(ctx context.Context, now time.Time) {
-	if k.committer.inFlight || now.Sub(k.logSizeWrittenAt) < k.cfg.Derived.Workers.Lease || !k.cfg.Valid() {
+	if k.committer.inFlight || now.Sub(k.logSizeWrittenAt) < k.cfg.Derived.Workers.Lease || !k.cfg.IsLeader() {
 		return
 	}
 	written := k.cfg.AssignmentLog().WrittenSegments()
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -48,8 +48,8 @@
 	Store *kvstore.Client
 	Cache *jobcache.Cache
 	Peers PeerClient
-	// Valid reports whether this controller still holds the term.
-	Valid func() bool
+	// IsLeader reports whether this controller still holds the term.
+	IsLeader func() bool
 	// Post runs outcome on the event loop. It gives up when the context or the loop ends. It
 	// may be called from any goroutine.
 	Post func(ctx context.Context, outcome func(now time.Time))
--- a/internal/leader/recoverer/token.go
+++ b/internal/leader/recoverer/token.go
@@ -23,7 +23,7 @@
 
 func (c *tokenCheck) check(seen uint64) {
 	tokens := c.cfg.Leader.Tokens()
-	if c.inFlight || seen <= tokens.Floor || !c.cfg.Valid() {
+	if c.inFlight || seen <= tokens.Floor || !c.cfg.IsLeader() {
 		return
 	}
 	if !detection.PlausibleToken(seen, tokens.Current) {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -19,7 +19,7 @@
 	return recoverer.Config{
 		Settings: l.Settings, Derived: l.Derived, Node: l.Node, Term: l.term, AttemptBits: attemptBits,
 		Store: l.Store, Cache: l.Cache, Peers: l.Peers,
-		Valid:         func() bool { return l.IsLeader() },
+		IsLeader:      func() bool { return l.IsLeader() },
 		Post:          l.post,
 		Leader:        recoveryHost{l},
 		State:         l.state,
