--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -181,7 +181,7 @@
 	for range 200 {
 		c.advance(time.Second)
 		status := c.recoveryStatus()
-		if status.Phase == recoverer.Whole && len(status.Evidence) > 0 && outcome.recoveredAfter == 0 {
+		if status.Phase == recoverer.NotRecovering && len(status.Evidence) > 0 && outcome.recoveredAfter == 0 {
 			outcome.recoveredAfter = time.Since(lostAt)
 		}
 	}
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -36,7 +36,7 @@
 func (c *cluster) waitForRecovery(timeout time.Duration) {
 	c.t.Helper()
 	c.waitFor(timeout, "recovery complete", func() bool {
-		return c.recoveryStatus().Phase == recoverer.Whole && c.world.Store.Value(jobs.RecoveryStatusKey) == nil
+		return c.recoveryStatus().Phase == recoverer.NotRecovering && c.world.Store.Value(jobs.RecoveryStatusKey) == nil
 	})
 	c.advance(2 * time.Second) // all controllers learn of it within a control interval
 }
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -196,7 +196,7 @@
 	if now.Before(job.Adoption.Until) || r.awaitsStartupCheck(now) {
 		return true
 	}
-	if r.phase == Whole && len(r.adoption.jobs) == 0 {
+	if r.phase == NotRecovering && len(r.adoption.jobs) == 0 {
 		return false
 	}
 	if r.phase == Comparing && (r.evidence.workerKnowsMore || !r.cfg.Cache.Readiness.ReadAllBeforeLoss()) {
--- a/internal/leader/recoverer/held_jobs.go
+++ b/internal/leader/recoverer/held_jobs.go
@@ -95,7 +95,7 @@
 // that they run. The event loop calls it once per control interval.
 func (r *Recoverer) RunUncertainJobs(now time.Time) {
 	afterS := r.cfg.Settings.Operator.RunUncertainAfterS
-	if afterS <= 0 || r.phase != Whole || r.committer.inFlight {
+	if afterS <= 0 || r.phase != NotRecovering || r.committer.inFlight {
 		return
 	}
 	for _, id := range r.held.releaseOverdue(int64(afterS*1000), now) {
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -30,7 +30,7 @@
 		}
 		r.ReportLoss(detection.Evidence{Kind: detection.NoticedByPredecessor, Known: status.Token}, now)
 	}
-	if r.phase == Whole && (r.cfg.Cache.Readiness.LossSuspected() || r.cfg.Cache.LostCount() > 0) {
+	if r.phase == NotRecovering && (r.cfg.Cache.Readiness.LossSuspected() || r.cfg.Cache.LostCount() > 0) {
 		// A loss was noticed while there was no leader.
 		r.adoption.expectUnloggedTasks(now)
 		r.ReportLoss(detection.Evidence{Kind: detection.NoticedByPredecessor}, now)
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -23,9 +23,9 @@
 
 // The phases.
 const (
-	Whole     Phase = "whole"     // no recovery is under way: no record is known to be missing
-	Comparing Phase = "comparing" // the controllers' caches are compared with the records
-	Restoring Phase = "restoring" // lost records are being written back
+	NotRecovering Phase = "whole"     // no recovery is under way: no record is known to be missing
+	Comparing     Phase = "comparing" // the controllers' caches are compared with the records
+	Restoring     Phase = "restoring" // lost records are being written back
 )
 
 // PeerClient requests from the other controllers what they know beyond the records.
@@ -131,8 +131,8 @@
 
 // New returns a Recoverer for a term in which no loss has been reported yet.
 func New(config Config) *Recoverer {
-	r := &Recoverer{cfg: &config, phase: Whole}
-	r.shared.phase.Store(Whole)
+	r := &Recoverer{cfg: &config, phase: NotRecovering}
+	r.shared.phase.Store(NotRecovering)
 	r.evidence.counts = map[detection.Kind]int{}
 	r.committer.cfg = r.cfg
 	r.tokens = tokenCheck{cfg: r.cfg, reportLoss: r.ReportLoss}
@@ -169,7 +169,7 @@
 // ReportLoss records evidence that records are lost. It starts a comparison round unless a
 // recovery is under way. Evidence reported while restoring makes another round follow.
 func (r *Recoverer) ReportLoss(loss detection.Evidence, now time.Time) {
-	if first := r.evidence.count(loss.Kind); first || r.phase == Whole {
+	if first := r.evidence.count(loss.Kind); first || r.phase == NotRecovering {
 		slog.Error("records may be lost", "term", r.cfg.token(), "evidence", loss.String())
 	}
 	r.events.add(now, "evidence", loss.String())
@@ -185,7 +185,7 @@
 	case r.evidence.startupUnconfirmed || loss.Kind.AffectsLog() || loss.Kind == detection.ReportedByPeer:
 		r.adoption.expectTasksOfAllJobs(now)
 	}
-	if r.phase != Whole {
+	if r.phase != NotRecovering {
 		r.evidence.anotherRoundDue = r.evidence.anotherRoundDue || r.phase == Restoring
 		return
 	}
@@ -255,7 +255,7 @@
 		if len(r.writeBack.queue) == 0 && !r.committer.inFlight && !r.writeBack.queueFinishedJobs() {
 			r.finish(now)
 		}
-	case Whole:
+	case NotRecovering:
 		r.endStartupWait(now)
 		r.controlKeys.removeStatus(ctx, now, len(r.adoption.jobs) > 0)
 		r.controlKeys.writeLogSize(ctx, now)
@@ -287,7 +287,7 @@
 		r.beginRound(now)
 		return
 	}
-	r.setPhase(Whole)
+	r.setPhase(NotRecovering)
 	r.controlKeys.statusRemovalDue, r.evidence.logDamaged = true, false
 	r.shared.rolledBack.Store(false)
 	clear(r.knowledge.lost)
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -169,7 +169,7 @@
 		t.Errorf("phase %s, round %d after %d", s.Phase(), s.comparison.round, first)
 	}
 	s.endRound(s.now)
-	if s.finish(s.now); s.Phase() != Whole {
+	if s.finish(s.now); s.Phase() != NotRecovering {
 		t.Errorf("phase %s", s.Phase())
 	}
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -61,7 +61,7 @@
 	if l := h.leader.Load(); l != nil {
 		return l.recovery.Phase()
 	}
-	return recoverer.Whole
+	return recoverer.NotRecovering
 }
 
 // StoreRolledBack reports whether this controller's leader knows that records may lack changes that
--- a/internal/recovery/report/report_test.go
+++ b/internal/recovery/report/report_test.go
@@ -18,7 +18,7 @@
 func TestReport(t *testing.T) {
 	at := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	status := recoverer.Status{
-		Phase: recoverer.Whole, Since: at, Held: 1,
+		Phase: recoverer.NotRecovering, Since: at, Held: 1,
 		Evidence: map[detection.Kind]int{detection.RecordMissing: 3},
 		Written:  map[recovery.Outcome]int{recovery.Recovered: 2, recovery.Uncertain: 1},
 		Peers:    []recoverer.PeerStatus{{Node: "perch-1", Heard: true}, {Node: "perch-2", Gone: true}},
@@ -53,7 +53,7 @@
 // Checks the page before anything has happened.
 func TestEmptyReport(t *testing.T) {
 	var page bytes.Buffer
-	if err := Write(&page, "abc", recoverer.Status{Phase: recoverer.Whole}, time.Unix(0, 0)); err != nil {
+	if err := Write(&page, "abc", recoverer.Status{Phase: recoverer.NotRecovering}, time.Unix(0, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(page.String(), "<svg") || !strings.Contains(page.String(), "nothing") {
