--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -32,7 +32,7 @@
 	job := cluster.NewJob(spec.ID, &spec, 1, 0, now)
 	next.state.Jobs[spec.ID] = job
 	next.recovery.ReportLoss(detection.Evidence{Kind: detection.SegmentMissing, Key: assignmentlog.Prefix}, now)
-	if !next.recovery.AwaitsWorkers(job, now) {
+	if !next.recovery.BlocksPlacement(job, now) {
 		t.Fatal("tasks would be placed before the running ones are known")
 	}
 	began := time.Now()
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -188,11 +188,11 @@
 	return lost || r.orphans.byJob[id] != nil
 }
 
-// AwaitsWorkers reports whether a job must not be placed yet. That is so while the job may have
+// BlocksPlacement reports whether a job must not be placed yet. That is so while the job may have
 // unknown tasks on machines, and while its team may, as the team could then exceed its limit. A
 // controller that started after a loss cannot tell which jobs are new, and places none before
 // the comparison has ended.
-func (r *Recoverer) AwaitsWorkers(job *cluster.Job, now time.Time) bool {
+func (r *Recoverer) BlocksPlacement(job *cluster.Job, now time.Time) bool {
 	if now.Before(job.Adoption.Until) || r.awaitsStartupCheck(now) {
 		return true
 	}
--- a/internal/leader/recoverer/adoption_test.go
+++ b/internal/leader/recoverer/adoption_test.go
@@ -19,7 +19,7 @@
 		t.Fatal("a task was adopted although its job was not under adoption")
 	}
 	s.AdoptTasksOf(job, s.now)
-	if !s.AwaitsWorkers(job, s.now) {
+	if !s.BlocksPlacement(job, s.now) {
 		t.Error("the job may be placed before its tasks are known")
 	}
 	for range 2 { // the second heartbeat reports nothing new
@@ -33,7 +33,7 @@
 		t.Errorf("attempt numbers reserved up to %d, %d records queued for the log", s.leader.lastAttempt, s.log.QueueLength())
 	}
 	expired := s.now.Add(s.cfg.Derived.Workers.LeaseExpiry)
-	if s.EndAdoptions(expired); s.AwaitsWorkers(job, expired) || !s.leader.called("queue j-000001") {
+	if s.EndAdoptions(expired); s.BlocksPlacement(job, expired) || !s.leader.called("queue j-000001") {
 		t.Error("the job still waits after every lease has expired")
 	}
 }
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -55,7 +55,7 @@
 func (h taskHost) JobCompleted(job *cluster.Job)    { h.l.jobs.QueueCompleted(job) }
 
 func (h taskHost) MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool {
-	return h.l.recovery.AwaitsWorkers(job, now)
+	return h.l.recovery.BlocksPlacement(job, now)
 }
 
 // dispatchDeps returns the dependencies of the command dispatcher.
@@ -120,7 +120,7 @@
 }
 
 func (c planConstraints) MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool {
-	return c.l.recovery.AwaitsWorkers(job, now)
+	return c.l.recovery.BlocksPlacement(job, now)
 }
 
 func (c planConstraints) AddHeldUsage(usedByTeam map[string]placement.Resources) {
