--- a/internal/leader/jobtracker/follow.go
+++ b/internal/leader/jobtracker/follow.go
@@ -75,7 +75,7 @@
 // records instead.
 func (t *Tracker) readChanges(ctx context.Context, after uint64, rolledBack bool) (uint64, []kvstore.Change, error) {
 	revision, changes, err := t.Store.Watch(ctx, jobs.RecordPrefix, after, t.Derived.Store.WatchTimeout)
-	if !rolledBack && !t.Recovery.TakeRelist() && !errors.Is(err, kvstore.ErrCompacted) {
+	if !rolledBack && !t.Recovery.TakeRelistRequest() && !errors.Is(err, kvstore.ErrCompacted) {
 		return revision, changes, err
 	}
 	records, revision, err := t.Store.List(ctx, jobs.RecordPrefix)
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -102,7 +102,7 @@
 	RequestPlan()
 }
 
-// Recoverer recovers lost records for one term. Except for Phase, RolledBack and TakeRelist, its
+// Recoverer recovers lost records for one term. Except for Phase, RolledBack and TakeRelistRequest, its
 // methods may be called only on the event loop.
 type Recoverer struct {
 	cfg    *Config
@@ -161,10 +161,10 @@
 // were told. It may be called from any goroutine.
 func (r *Recoverer) RolledBack() bool { return r.shared.rolledBack.Load() }
 
-// TakeRelist reports, once after each start of a comparison round, that the watch has to list
+// TakeRelistRequest reports, once after each start of a comparison round, that the watch has to list
 // all records. A store that was rolled back may reuse revisions, which makes a watch miss
 // changes. It may be called from any goroutine.
-func (r *Recoverer) TakeRelist() bool { return r.shared.relist.Swap(false) }
+func (r *Recoverer) TakeRelistRequest() bool { return r.shared.relist.Swap(false) }
 
 // ReportLoss records evidence that records are lost. It starts a comparison round unless a
 // recovery is under way. Evidence reported while restoring makes another round follow.
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -139,7 +139,7 @@
 			s := newScenario(t)
 			job := s.addJob(jobs.Batch)
 			s.ReportLoss(detection.Evidence{Kind: test.kind}, s.now)
-			if s.Phase() != Comparing || !s.TakeRelist() || s.TakeRelist() {
+			if s.Phase() != Comparing || !s.TakeRelistRequest() || s.TakeRelistRequest() {
 				t.Errorf("phase %s: want a comparison and exactly one request to relist", s.Phase())
 			}
 			if s.RolledBack() != test.rolledBack {
