--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -91,10 +91,10 @@
 	return time.Time{}
 }
 
-// TokenRaised records that the leader has raised its fencing token within the term. Requests for
+// ObserveRaisedToken records that the leader has raised its fencing token within the term. Requests for
 // peer leases must carry the newest token: peers refuse a leader whose token is lower than the
 // highest that they know, because they assume that it has been succeeded.
-func (e *Elector) TokenRaised(token uint64) {
+func (e *Elector) ObserveRaisedToken(token uint64) {
 	e.ownToken.Store(token)
 	e.grantor.observeToken(token)
 }
