--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -44,7 +44,7 @@
 func (r *Recoverer) CheckLog(log []assignmentlog.StoredSegment, now time.Time) {
 	var segments []detection.Segment
 	for _, stored := range log {
-		segments = append(segments, detection.Segment{Key: stored.Key, Number: stored.Record.Number, Broken: stored.Unreadable})
+		segments = append(segments, detection.Segment{Key: stored.Key, Number: stored.Record.Number, Unreadable: stored.Unreadable})
 	}
 	if len(log) < r.controlKeys.logSize {
 		r.adoption.expectUnloggedTasks(now)
--- a/internal/recovery/detection/ring.go
+++ b/internal/recovery/detection/ring.go
@@ -8,9 +8,9 @@
 
 // Segment is a segment of the assignment log as read from the store.
 type Segment struct {
-	Key    string
-	Number uint64
-	Broken bool // the segment could not be decoded
+	Key        string
+	Number     uint64
+	Unreadable bool // the segment could not be decoded
 }
 
 // CheckRing returns evidence of gaps in the ring of segments, whose keys consist of prefix and a
@@ -24,7 +24,7 @@
 		if name, err := strconv.Atoi(strings.TrimPrefix(segment.Key, prefix)); err == nil {
 			names[name] = true
 		}
-		if segment.Broken {
+		if segment.Unreadable {
 			found = append(found, Evidence{Kind: SegmentUnreadable, Key: segment.Key})
 			continue
 		}
--- a/internal/recovery/detection/ring_test.go
+++ b/internal/recovery/detection/ring_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("the newest segment is missing: found %v, want one gap", found)
 	}
 	broken := ring(1, 2, 3)
-	broken[1].Broken = true
+	broken[1].Unreadable = true
 	if found := CheckRing("book/", broken); len(found) == 0 || found[0].Kind != SegmentUnreadable {
 		t.Errorf("unreadable segment: found %v", found)
 	}
