--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -62,7 +62,7 @@
 // the evidence if this controller does not lead. Only evidence that affects the assignment log
 // keeps its kind.
 func (c *Controller) handleLossNotice(_ string, loss detection.Evidence) {
-	if !loss.Kind.AffectsLog() {
+	if !loss.Kind.AffectsAssignmentLog() {
 		loss.Kind = detection.ReportedByPeer
 	}
 	c.leaderHandle.ReportLoss(loss)
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -176,13 +176,13 @@
 	if mayBeRollback(loss.Kind) {
 		r.shared.rolledBack.Store(true)
 	}
-	if loss.Kind.AffectsLog() {
+	if loss.Kind.AffectsAssignmentLog() {
 		r.protectAssignmentLog()
 	}
 	switch {
 	case loss.Kind == detection.TaskUnknown || loss.Kind == detection.TokenBack:
 		r.noteWorkerKnowsMore(now)
-	case r.evidence.startupUnconfirmed || loss.Kind.AffectsLog() || loss.Kind == detection.ReportedByPeer:
+	case r.evidence.startupUnconfirmed || loss.Kind.AffectsAssignmentLog() || loss.Kind == detection.ReportedByPeer:
 		r.adoption.expectTasksOfAllJobs(now)
 	}
 	if r.phase != NotRecovering {
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -28,9 +28,9 @@
 	Imported             Kind = "snapshot knows more" // an imported snapshot contains a job without a record
 )
 
-// AffectsLog reports whether segments of the assignment log may be missing too. If so, the stored
+// AffectsAssignmentLog reports whether segments of the assignment log may be missing too. If so, the stored
 // records no longer show all tasks that may be running.
-func (k Kind) AffectsLog() bool {
+func (k Kind) AffectsAssignmentLog() bool {
 	switch k {
 	case RevisionBack, SegmentMissing, SegmentUnreadable, SegmentOlder, TokenBack:
 		return true
--- a/internal/recovery/detection/evidence_test.go
+++ b/internal/recovery/detection/evidence_test.go
@@ -8,7 +8,7 @@
 	if got := Summary(all); got != "record missing: 2, token back: 1" {
 		t.Error(got)
 	}
-	if RecordMissing.AffectsLog() || !RevisionBack.AffectsLog() {
+	if RecordMissing.AffectsAssignmentLog() || !RevisionBack.AffectsAssignmentLog() {
 		t.Error("want a rollback of the store, but not a lost job record, to affect the assignment log")
 	}
 }
