--- a/internal/leader/recoverer/held_jobs.go
+++ b/internal/leader/recoverer/held_jobs.go
@@ -44,7 +44,7 @@
 	}
 	job := &heldJob{
 		revision: revision, reason: record.Held.Reason, heldSinceMs: record.Held.HeldSinceMs,
-		known: recovery.Attribute(recovery.FromService, recorded),
+		known: recovery.Attribute(recovery.FromStore, recorded),
 	}
 	if earlier != nil {
 		job.known = job.known.Join(earlier.known)
--- a/internal/recovery/source.go
+++ b/internal/recovery/source.go
@@ -7,9 +7,9 @@
 
 // The sources that exist once. Other sources are named by the functions below.
 const (
-	FromService Source = "state service"
-	FromLeader  Source = "leader"
-	FromLog     Source = "assignment log"
+	FromStore  Source = "state service"
+	FromLeader Source = "leader"
+	FromLog    Source = "assignment log"
 )
 
 // FromCache returns the source for a controller's cache of all jobs.
