--- a/internal/leader/recoverer/held_jobs_test.go
+++ b/internal/leader/recoverer/held_jobs_test.go
@@ -11,7 +11,7 @@
 )
 
 func heldRecord(spec *jobs.Spec, at time.Time) *jobs.Record {
-	return &jobs.Record{State: jobs.Queued, Tasks: 1, Held: &jobs.Held{Reason: string(recovery.RuleOnWorker), Spec: spec, HeldSinceMs: at.UnixMilli()}}
+	return &jobs.Record{State: jobs.Queued, Tasks: 1, Held: &jobs.Held{Reason: string(recovery.RuleTasksOnWorkers), Spec: spec, HeldSinceMs: at.UnixMilli()}}
 }
 
 func batchSpec(id string) *jobs.Spec {
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -27,7 +27,7 @@
 	RuleUnfinished         Rule = "unfinished as of the loss"
 	RuleNoDescription      Rule = "unfinished as of the loss, but nobody has its description"
 	RuleControllerNotHeard Rule = "a controller that may know more has not answered"
-	RuleOnWorker           Rule = "tasks on workers prove that it was accepted, not that it was not cancelled"
+	RuleTasksOnWorkers     Rule = "tasks on workers prove that it was accepted, not that it was not cancelled"
 	RuleOldSource          Rule = "accepted by an old source, which proves neither that it is over nor that it is not"
 )
 
@@ -67,7 +67,7 @@
 	case known.Unfinished:
 		return Decision{Outcome: PartiallyRecovered, Rule: RuleNoDescription, State: jobs.Queued, Held: true, DescriptionMissing: true}
 	case len(known.RunningTasks)+len(known.CompletedTasks) > 0:
-		return Decision{Outcome: Uncertain, Rule: RuleOnWorker, State: jobs.Queued, Held: true}
+		return Decision{Outcome: Uncertain, Rule: RuleTasksOnWorkers, State: jobs.Queued, Held: true}
 	}
 	return Decision{Outcome: Uncertain, Rule: RuleOldSource, State: jobs.Queued, Held: true}
 }
