--- a/internal/leader/recoverer/held_jobs.go
+++ b/internal/leader/recoverer/held_jobs.go
@@ -33,7 +33,7 @@
 	if earlier != nil && earlier.revision >= revision {
 		return
 	}
-	recorded := recovery.Knowledge{Spec: record.Held.Spec, AcceptedMs: record.Held.AcceptedAtMs, Unfinished: record.Held.OnlySpecMissing}
+	recorded := recovery.Knowledge{Spec: record.Held.Spec, AcceptedAtMs: record.Held.AcceptedAtMs, Unfinished: record.Held.OnlySpecMissing}
 	if record.Held.Spec != nil {
 		recorded.Tasks = record.Tasks
 	} else {
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -48,7 +48,7 @@
 	}
 	observed := recovery.Knowledge{
 		Done: job.End.CompletionDurable, Cancelled: job.End.Cancelled, Unfinished: !job.IsOver(),
-		Spec: job.Spec, AcceptedMs: job.AcceptedMs,
+		Spec: job.Spec, AcceptedAtMs: job.AcceptedMs,
 	}
 	if job.End.Complete && !job.End.CompletionDurable {
 		for n := range job.Spec.Tasks { // not written yet: until then the job may be cancelled
@@ -74,7 +74,7 @@
 		cached.Unfinished = true
 	}
 	if record != nil {
-		cached.Spec, cached.AcceptedMs = record.Spec, record.AcceptedAtMs
+		cached.Spec, cached.AcceptedAtMs = record.Spec, record.AcceptedAtMs
 	}
 	k.lost.Merge(id, recovery.Attribute(from, cached))
 	// A job that is over is stopped at once, even if other facts about it are still uncertain.
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -170,7 +170,7 @@
 func (r *Recoverer) importRecord(id string, record *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
 	snapshotKnowledge := recovery.Attribute(from, recovery.Knowledge{
 		Done: record.State == jobs.Done, Cancelled: record.State == jobs.Cancelled,
-		Spec: record.Description(), AcceptedMs: record.AcceptedAtMs, Tasks: record.Tasks,
+		Spec: record.Description(), AcceptedAtMs: record.AcceptedAtMs, Tasks: record.Tasks,
 	})
 	known, found := r.cfg.Cache.Known(id)
 	switch {
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -82,9 +82,9 @@
 	rec := jobs.Record{State: decision.State, Tasks: max(1, k.TaskCount())}
 	switch {
 	case decision.Held:
-		rec.Held = &jobs.Held{Reason: string(decision.Rule), Spec: k.Spec, AcceptedAtMs: k.AcceptedMs, HeldSinceMs: nowMs, OnlySpecMissing: decision.DescriptionMissing}
+		rec.Held = &jobs.Held{Reason: string(decision.Rule), Spec: k.Spec, AcceptedAtMs: k.AcceptedAtMs, HeldSinceMs: nowMs, OnlySpecMissing: decision.DescriptionMissing}
 	case decision.State == jobs.Queued:
-		rec.Spec, rec.AcceptedAtMs, rec.Restored = k.Spec, k.AcceptedMs, true
+		rec.Spec, rec.AcceptedAtMs, rec.Restored = k.Spec, k.AcceptedAtMs, true
 	case decision.State == jobs.Cancelled:
 		rec.Spec = k.Spec // its tasks use resources until they are gone
 	}
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -20,7 +20,7 @@
 	Tasks          int        // number of tasks; 0 if not known
 	MinTasks       int        // lower bound of Tasks, from the index of a task that was seen
 	Spec           *jobs.Spec // nil if not known
-	AcceptedMs     int64      // wall-clock time of the acceptance in milliseconds; 0 if not known
+	AcceptedAtMs   int64      // wall-clock time of the acceptance in milliseconds; 0 if not known
 	CompletedTasks []int      // sorted
 	RunningTasks   []int      // tasks that were last seen running; sorted
 	Statements     []string   // what each source knows, in words; sorted
@@ -70,7 +70,7 @@
 		Tasks:          max(k.Tasks, other.Tasks),
 		MinTasks:       max(k.MinTasks, other.MinTasks),
 		Spec:           joinSpecs(k.Spec, other.Spec),
-		AcceptedMs:     max(k.AcceptedMs, other.AcceptedMs),
+		AcceptedAtMs:   max(k.AcceptedAtMs, other.AcceptedAtMs),
 		CompletedTasks: union(k.CompletedTasks, other.CompletedTasks),
 		RunningTasks:   union(k.RunningTasks, other.RunningTasks),
 		Statements:     union(k.Statements, other.Statements),
