--- a/internal/jobs/jobapi/withdraw.go
+++ b/internal/jobs/jobapi/withdraw.go
@@ -35,7 +35,7 @@
 	case a.mayBeFinished(id, rec):
 		return unavailableResponse(notCurrentText), nil
 	}
-	value := rec.FinalForm(jobs.Cancelled, a.Derived.Store.ValueBytes)
+	value := rec.EncodeFinal(jobs.Cancelled, a.Derived.Store.ValueBytes)
 	baseline := a.Cache.RequestBaseline()
 	newRevision, ok, err := a.replaceRecord(ctx, id, revision, value)
 	if !ok {
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -25,11 +25,11 @@
 // again.
 func (r *Record) Finished() bool { return r.State == Done || r.State == Cancelled }
 
-// FinalForm returns the encoded record of the job in the finished state given, Done or Cancelled,
+// EncodeFinal returns the encoded record of the job in the finished state given, Done or Cancelled,
 // in at most maxBytes. The record of a cancelled job may date from a time when records could be
 // larger; in that case its description keeps only the fields needed to account for its tasks
 // until they have stopped.
-func (r *Record) FinalForm(state string, maxBytes int) json.RawMessage {
+func (r *Record) EncodeFinal(state string, maxBytes int) json.RawMessage {
 	final := Record{State: state, Tasks: r.Tasks}
 	if r.Held != nil && r.Held.Contradicts {
 		final.Held = r.Held
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -122,7 +122,7 @@
 	}
 	lost := lostRecord{id: id, decision: decision, revision: w.cfg.Cache.RecordRevision(id)}
 	if decision.Final() {
-		lost.value = record.FinalForm(decision.State, w.cfg.Derived.Store.ValueBytes)
+		lost.value = record.EncodeFinal(decision.State, w.cfg.Derived.Store.ValueBytes)
 	} else {
 		lost.value, _ = json.Marshal(record)
 	}
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -148,7 +148,7 @@
 		return // the user cancelled the job first
 	}
 	record := jobs.Record{Tasks: job.Spec.Tasks, Spec: job.Spec}
-	value := record.FinalForm(jobs.Done, w.Derived.Store.ValueBytes)
+	value := record.EncodeFinal(jobs.Done, w.Derived.Store.ValueBytes)
 	batch.Set(jobs.RecordKey(job.ID), job.Revision, value, func(uint64) {})
 	batch.OnFailure(func() { w.Jobs.QueueCompleted(job) })
 	batch.OnCommit(func(uint64) {
