--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -181,7 +181,7 @@
 	mux := http.NewServeMux()
 	userAPI := &jobapi.API{
 		Settings: c.settings, Derived: c.derived, Store: c.store, Cache: c.cache,
-		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, Room: c.memory.hasRoom,
+		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, HasMemory: c.memory.hasRoom,
 	}
 	userAPI.Register(mux)
 	heartbeatHandler := &workers.Handler{HandleHeartbeat: c.leaderHandle.HandleHeartbeat, Leader: c.otherLeader}
--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -31,8 +31,8 @@
 	Counts func(id string) (jobs.Counts, bool)
 	// Ready reports whether this controller should receive users' requests.
 	Ready func() bool
-	// Room reports whether there is enough memory for more jobs.
-	Room func() bool
+	// HasMemory reports whether there is enough memory for more jobs.
+	HasMemory func() bool
 
 	slots chan struct{} // one per request in progress
 }
--- a/internal/jobs/jobapi/api_test.go
+++ b/internal/jobs/jobapi/api_test.go
@@ -53,10 +53,10 @@
 				Store:    settings.StoreBudget{RequestTimeout: time.Second, ValueBytes: 1 << 10},
 				Election: settings.ElectionTiming{LeaseDuration: 9 * time.Second},
 			},
-			Catalog: func() []jobs.MachineType { return h.types },
-			Counts:  func(string) (jobs.Counts, bool) { return h.counts, true },
-			Ready:   func() bool { return true },
-			Room:    func() bool { return h.hasRoom },
+			Catalog:   func() []jobs.MachineType { return h.types },
+			Counts:    func(string) (jobs.Counts, bool) { return h.counts, true },
+			Ready:     func() bool { return true },
+			HasMemory: func() bool { return h.hasRoom },
 		}
 		h.api.Register(h.mux)
 		scenario(h)
--- a/internal/jobs/jobapi/submit.go
+++ b/internal/jobs/jobapi/submit.go
@@ -61,7 +61,7 @@
 	if err := jobs.CheckRunnable(spec, types, a.Settings); err != nil {
 		return rejectionResponse(http.StatusUnprocessableEntity, err.Error())
 	}
-	if !a.Room() {
+	if !a.HasMemory() {
 		return unavailableResponse(memoryShortText)
 	}
 	if _, known := a.Cache.Known(spec.ID); !known && !a.Cache.Readiness.ProvenCurrent() {
