--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -86,7 +86,7 @@
 		return nil, 0, err
 	}
 	if !found {
-		if known, ok := a.Cache.NoteMissing(id); ok {
+		if known, ok := a.Cache.MarkMissing(id); ok {
 			return &known, 0, nil
 		}
 		return nil, 0, nil
--- a/internal/jobs/jobcache/apply.go
+++ b/internal/jobs/jobcache/apply.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// NoteMissing records that a read did not find a job's record. It returns what this controller
+// MarkMissing records that a read did not find a job's record. It returns what this controller
 // knows of the job.
-func (c *Cache) NoteMissing(id string) (rec jobs.Record, known bool) {
+func (c *Cache) MarkMissing(id string) (rec jobs.Record, known bool) {
 	c.mu.Lock()
 	e, known := c.entries.get(id)
 	isNew := known && c.addMissingLocked(id, e)
--- a/internal/leader/recoverer/orphans.go
+++ b/internal/leader/recoverer/orphans.go
@@ -80,7 +80,7 @@
 			o.recordFound(id, record, now)
 		case !job.recordMissing:
 			job.recordMissing = true
-			o.cfg.Cache.NoteMissing(id)
+			o.cfg.Cache.MarkMissing(id)
 			o.knowledge.lost.Merge(id, proof)
 			o.reportLoss(detection.Evidence{Kind: detection.TaskUnknown, Key: id}, now)
 		}
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -231,7 +231,7 @@
 // as much as the one to be written, so that nothing has to be written any more.
 func (w *writeBack) reconcileStored(lost lostRecord, stored kvstore.KeyValue) bool {
 	if stored.Revision == 0 {
-		w.cfg.Cache.NoteMissing(lost.id)
+		w.cfg.Cache.MarkMissing(lost.id)
 		return false
 	}
 	w.cfg.Cache.Apply(stored.Key, stored.Value, stored.Revision)
