--- a/internal/controller/currency.go
+++ b/internal/controller/currency.go
@@ -38,7 +38,7 @@
 		case peers.lossNoticedBy != "":
 			v.lossReporter.enqueue(detection.Evidence{Kind: detection.ReportedByPeer, Key: peers.lossNoticedBy})
 		case v.cache.Readiness.InitialReadDone() && !v.storeRolledBack(ctx, peers.newestRevision):
-			v.cache.Readiness.NotePeerCount(peers.knownJobs, false)
+			v.cache.Readiness.NotePeerJobCount(peers.knownJobs, false)
 		}
 		if !sleep(ctx, v.derived.Election.RenewInterval/2) {
 			return
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -95,7 +95,7 @@
 		c.cache.NoteAnnounced(change.ID, change.State, change.Tasks)
 	}
 	c.recoveryFollower.applyUpdate(update)
-	c.cache.Readiness.NotePeerCount(update.KnownJobs, update.ComparingRecords)
+	c.cache.Readiness.NotePeerJobCount(update.KnownJobs, update.ComparingRecords)
 	c.readiness.noteLeaderHeard()
 	if update.StoreAvailable {
 		c.readiness.noteLeaderReachedStore()
--- a/internal/jobs/jobcache/readiness.go
+++ b/internal/jobs/jobcache/readiness.go
@@ -150,10 +150,10 @@
 	r.complete = true
 }
 
-// NotePeerCount records the number of jobs that another controller knows. The next read of all
+// NotePeerJobCount records the number of jobs that another controller knows. The next read of all
 // changes must find at least as many. If uncertain is set, the other controller is comparing
 // records, and its count does not make the cache complete.
-func (r *Readiness) NotePeerCount(jobs int, uncertain bool) {
+func (r *Readiness) NotePeerJobCount(jobs int, uncertain bool) {
 	r.mu.Lock()
 	r.peers = peerJobCount{jobs: max(r.peers.jobs, jobs), certain: !uncertain}
 	complete := r.complete
--- a/internal/jobs/jobcache/readiness_test.go
+++ b/internal/jobs/jobcache/readiness_test.go
@@ -22,15 +22,15 @@
 		{"just started", func(*Readiness, *uint64) {}, conclusions{confirmed: true}},
 		{"assumed complete", func(r *Readiness, _ *uint64) { r.AssumeComplete() }, ready},
 		{"as many jobs as peers know", func(r *Readiness, _ *uint64) {
-			r.NotePeerCount(3, false)
+			r.NotePeerJobCount(3, false)
 			r.compareJobCountLocked(3, r.peerJobCount())
 		}, ready},
 		{"fewer jobs than peers know", func(r *Readiness, _ *uint64) {
-			r.NotePeerCount(3, false)
+			r.NotePeerJobCount(3, false)
 			r.compareJobCountLocked(2, r.peerJobCount())
 		}, conclusions{confirmed: true}},
 		{"peers compare records", func(r *Readiness, _ *uint64) {
-			r.NotePeerCount(3, true)
+			r.NotePeerJobCount(3, true)
 			r.compareJobCountLocked(3, r.peerJobCount())
 		}, conclusions{confirmed: true}},
 		{"outage", func(r *Readiness, outages *uint64) {
@@ -85,8 +85,8 @@
 func TestMissingJobsAreReportedOnce(t *testing.T) {
 	reads := 0
 	r := &Readiness{mu: &sync.RWMutex{}, outages: func() uint64 { return 0 }, requestRead: func() { reads++ }}
-	r.NotePeerCount(5, false)
-	r.NotePeerCount(4, false) // another peer
+	r.NotePeerJobCount(5, false)
+	r.NotePeerJobCount(4, false) // another peer
 	if peers := r.peerJobCount(); reads != 2 || peers.jobs != 5 || !r.completenessPending() {
 		t.Errorf("%d reads requested, want 2; peers %+v", reads, peers)
 	}
@@ -95,13 +95,13 @@
 			t.Errorf("comparison %d: missing is %v", i, missing)
 		}
 	}
-	r.NotePeerCount(6, false)
+	r.NotePeerJobCount(6, false)
 	if !r.compareJobCountLocked(4, r.peerJobCount()) {
 		t.Error("further missing jobs are not reported")
 	}
 	r.compareJobCountLocked(6, r.peerJobCount())
 	reads = 0
-	if r.NotePeerCount(7, false); reads != 0 || r.completenessPending() {
+	if r.NotePeerJobCount(7, false); reads != 0 || r.completenessPending() {
 		t.Error("a read is requested although the cache is complete")
 	}
 }
