--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -95,7 +95,7 @@
 	c.store = kvstore.New(config.Endpoints.Store, env.transport(derived.Host.StoreConns, 0, derived.Store.RequestTimeout), derived.Store.RequestTimeout, storeRateLimits(config, false))
 	c.cloud = cloud.NewClient(config.Endpoints.Cloud, env.transport(derived.Host.CloudConns, 0, derived.Cloud.RequestTimeout), derived.Cloud.RequestTimeout,
 		config.Deployment.Cloud.RPS*cloudRequestShare)
-	c.cache = jobcache.New(c.store, jobcache.Options{ReadGap: derived.API.PollReadInterval, IdleReadInterval: derived.Workers.CancelDeadline / 4, SuspectFor: derived.Workers.CancelDeadline, CancellationsKept: derived.API.CancellationHistory})
+	c.cache = jobcache.New(c.store, jobcache.Options{MinReadInterval: derived.API.PollReadInterval, IdleReadInterval: derived.Workers.CancelDeadline / 4, SuspectFor: derived.Workers.CancelDeadline, CancellationsKept: derived.API.CancellationHistory})
 	c.elector = election.NewElector(config.Node, c.store, election.Timing{
 		LeaseDuration: derived.Election.LeaseDuration, RenewPeriod: derived.Election.RenewInterval, ValidFor: derived.Election.LeaseValidity, WatchTimeout: derived.Store.WatchTimeout, RetryPeriod: derived.Election.RenewInterval,
 	})
--- a/internal/controller/recovery_scale_test.go
+++ b/internal/controller/recovery_scale_test.go
@@ -97,7 +97,7 @@
 	})
 	taken = nil
 
-	cache := jobcache.New(client, jobcache.Options{ReadGap: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
+	cache := jobcache.New(client, jobcache.Options{MinReadInterval: time.Millisecond, IdleReadInterval: time.Millisecond, SuspectFor: time.Minute, CancellationsKept: 100})
 	measure("all records read by a controller", func() {
 		go cache.Run(t.Context())
 		for !cache.Readiness.InitialReadDone() {
--- a/internal/jobs/jobapi/api_test.go
+++ b/internal/jobs/jobapi/api_test.go
@@ -35,7 +35,7 @@
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
 		client := kvstore.New("state:1", network.Transport("node-0"), time.Second, kvstore.RateLimits{RequestsPerSecond: 1000, WritesPerSecond: 1000})
-		cache := jobcache.New(client, jobcache.Options{ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8})
+		cache := jobcache.New(client, jobcache.Options{MinReadInterval: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8})
 		cache.Readiness.AssumeComplete()
 		ctx, cancel := context.WithCancel(t.Context())
 		var background sync.WaitGroup
--- a/internal/jobs/jobcache/cache.go
+++ b/internal/jobs/jobcache/cache.go
@@ -48,8 +48,8 @@
 
 // Options are the time intervals and limits of a cache.
 type Options struct {
-	// ReadGap is the minimum time between two reads of the key-value store.
-	ReadGap time.Duration
+	// MinReadInterval is the minimum time between two reads of the key-value store.
+	MinReadInterval time.Duration
 	// IdleReadInterval is the time after which the cache reads even without a poll.
 	IdleReadInterval time.Duration
 	// SuspectFor is the time for which a piece of evidence of a loss makes it uncertain whether
@@ -66,7 +66,7 @@
 		cancellations: cancellationLog{minKept: options.CancellationsKept}, lost: newLostJobs(), announced: announcements{},
 	}
 	c.auditor = &auditor{cache: c, store: store}
-	c.reader = &reader{cache: c, store: store, minReadInterval: options.ReadGap, idleReadInterval: options.IdleReadInterval, requests: make(chan chan error)}
+	c.reader = &reader{cache: c, store: store, minReadInterval: options.MinReadInterval, idleReadInterval: options.IdleReadInterval, requests: make(chan chan error)}
 	c.Readiness = &Readiness{mu: &c.mu, outages: store.Outages, requestRead: c.reader.requestRead}
 	return c
 }
--- a/internal/jobs/jobcache/scenario_test.go
+++ b/internal/jobs/jobcache/scenario_test.go
@@ -36,7 +36,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		// There are no peers that could know more jobs.
 		cache := jobcache.New(client("node-0"), jobcache.Options{
-			ReadGap: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8,
+			MinReadInterval: 100 * time.Millisecond, IdleReadInterval: 10 * time.Second, SuspectFor: 30 * time.Second, CancellationsKept: 8,
 		})
 		cache.Readiness.AssumeComplete()
 		var background sync.WaitGroup
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -45,7 +45,7 @@
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
 		PeerLeasesRequestedAt: func() time.Time { return time.Time{} }, MachineTypes: func() []jobs.MachineType { return nil },
 		Cloud: cloud.NewClient("cloud:1", silentNetwork, time.Minute, 10),
-		Cache: jobcache.New(nil, jobcache.Options{ReadGap: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
+		Cache: jobcache.New(nil, jobcache.Options{MinReadInterval: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}), Peers: noPeers{}, Store: kvstore.New("state:1", emulator.NewNetwork().Transport("perch-0"), time.Second, kvstore.RateLimits{}),
 	}, election.Term{FencingToken: 5})
 	leader.jobs.MarkLoaded(now, leader.jobs.SeenRevision())
 	*leader.tasks = *tasks.NewManager(leader.tasks.Deps, 100)
