--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -59,8 +59,8 @@
 	recoveryFollower *recoveryFollower
 
 	// Admission control of requests.
-	readiness *readiness
-	memory    *memoryLimit
+	readiness   *readiness
+	memoryLimit *memoryLimit
 }
 
 // listeners holds the sources of a controller's incoming connections.
@@ -101,7 +101,7 @@
 	})
 	c.peers = peer.NewHub(config.Node, config.Peers, env.Dial, derived.Election.RenewInterval)
 
-	c.memory = &memoryLimit{limitBytes: uint64(derived.Host.RefuseBytes), inUseBytes: env.Memory}
+	c.memoryLimit = &memoryLimit{limitBytes: uint64(derived.Host.RefuseBytes), inUseBytes: env.Memory}
 	c.readiness = &readiness{startedAt: startedAt, derived: derived, store: c.store, cache: c.cache}
 	c.machineTypes = &machineTypeCatalog{derived: derived, store: c.store, cloud: c.cloud}
 	c.lossReporter = newLossReporter(config.Node, derived, c.cache, c.elector, c.leaderHandle, c.peers)
@@ -181,7 +181,7 @@
 	mux := http.NewServeMux()
 	userAPI := &jobapi.API{
 		Settings: c.settings, Derived: c.derived, Store: c.store, Cache: c.cache,
-		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, HasMemory: c.memory.hasRoom,
+		Catalog: c.machineTypes.types, Counts: c.jobCounts.Get, Ready: c.readiness.ready, HasMemory: c.memoryLimit.hasRoom,
 	}
 	userAPI.Register(mux)
 	heartbeatHandler := &workers.Handler{HandleHeartbeat: c.leaderHandle.HandleHeartbeat, Leader: c.otherLeader}
@@ -202,7 +202,7 @@
 	background.Go(func() { c.cacheVerifier.verifyAfterStart(ctx) })
 	background.Go(func() { c.cacheVerifier.verifyAfterOutages(ctx) })
 	background.Go(func() { c.cache.RunAudits(ctx, c.derived.Store.AuditInterval, c.derived.Store.AuditPagePause) })
-	background.Go(func() { c.memory.watch(ctx, c.derived.Election.RenewInterval) })
+	background.Go(func() { c.memoryLimit.watch(ctx, c.derived.Election.RenewInterval) })
 	background.Go(func() { c.campaign(ctx) })
 	background.Wait()
 }
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -53,7 +53,7 @@
 	net.Attach("state", "10.2.0.1:1", emulator.NewKVStore())
 	controller := New(c.settings("perch-0"), Environment{HTTP: net.Transport("perch-0"), Memory: func() uint64 { return 0 }})
 	controller.machineTypes.current.Store(&testMachineTypes)
-	controller.memory.exceeded.Store(true)
+	controller.memoryLimit.exceeded.Store(true)
 	controller.cache.Readiness.AssumeComplete() // as RunDuties does without peers
 	body, _ := json.Marshal(wireSpec(batchJob("j-1", 1, 10)))
 	recorder := httptest.NewRecorder()
