--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,6 +1,6 @@
-// Package cloud is the HTTP client of the cloud that provides machines: its catalog, and the
-// requests that provision, release and list machines. It keeps within the rate of requests
-// that the cloud allows. What to provision is decided by package autoscaler.
+// Package cloud is the HTTP client of the cloud that provides machines. It reads the catalog of
+// machine types, and provisions, releases and lists machines, within the request rate that the cloud
+// allows. Package autoscaler decides what to provision.
 package cloud
 
 import (
@@ -20,23 +20,23 @@
 	"ospreyslip/internal/jobs"
 )
 
-// The cloud's limits for one request, from the protocol. That for provisioning is
-// [autoscaler.MaxMachinesPerRequest], because plans are made by it.
+// Limits of the cloud's protocol for one request. The limit for provisioning is
+// [autoscaler.MaxMachinesPerRequest], because the autoscaler plans with it.
 const (
-	// MaxMachinesPerRelease is how many machines one call of Release may name.
+	// MaxMachinesPerRelease is the maximum number of machines in one call of Release.
 	MaxMachinesPerRelease = 100
-	// maxPageSize is how many machines one page of the list may hold.
+	// maxPageSize is the maximum number of machines in one page of the list.
 	maxPageSize = 500
 )
 
-// ErrNoCapacity means that the cloud has none of the machines asked for at present, and has
-// provisioned none.
+// ErrNoCapacity means that the cloud currently has no machine of the requested kind and provisioned
+// none.
 var ErrNoCapacity = errors.New(noCapacityMessage)
 
-// StatusError is an answer of the cloud with another status than 200.
+// StatusError means that the cloud responded with a status other than 200.
 type StatusError struct {
 	Code    int
-	Message string // the cloud's own; may be empty
+	Message string // error message of the cloud; may be empty
 }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("cloud: status %d %s", e.Code, e.Message) }
@@ -44,17 +44,17 @@
 // MachineState is the state of a machine in the cloud's list.
 type MachineState string
 
-// The states that the cloud names.
+// The states that the cloud reports.
 const (
 	StateBooting MachineState = "booting"
 	StateRunning MachineState = "running"
 	StateFailed  MachineState = "failed"
 )
 
-// ListedMachine is a machine as the cloud lists it.
+// ListedMachine is an entry of the cloud's list of machines.
 type ListedMachine struct {
 	ID    string
-	Addr  string // where its worker listens, host:port
+	Addr  string // host:port on which the machine's worker listens
 	Type  string
 	Zone  string
 	Spot  bool
@@ -62,29 +62,30 @@
 	AgeS  float64 // seconds since it was provisioned
 }
 
-// ProvisionRequest asks for Count machines of one pool. Its name identifies it: the cloud
-// carries out a request once, however often it is sent, so that a name must never be used for
-// another request.
+// ProvisionRequest requests Count machines of one pool. Name is its idempotency key: the cloud
+// executes a request once, however often it is sent, so a name must never be reused for another
+// request.
 type ProvisionRequest struct {
 	Name string
 	autoscaler.MachinePool
 	Count int
 }
 
-// Client is a client of the cloud. It may be used by several goroutines at a time.
+// Client is a client of the cloud. It is safe for concurrent use by multiple goroutines.
 type Client struct {
 	baseURL        string
 	http           *http.Client
-	timeout        time.Duration // of one request, with the wait for its turn
+	timeout        time.Duration // of one request, including its wait for the rate limit
 	limiter        *rate.Limiter
-	releaseLimiter *rate.Limiter // a release waits for no other kind of request
+	releaseLimiter *rate.Limiter // separate, so that a release never waits for other requests
 }
 
-// releaseShare is the part of the rate of requests that is kept for releases.
+// releaseShare is the fraction of the request rate that is reserved for releases.
 const releaseShare = 0.25
 
-// NewClient makes a client of the cloud at a host:port that sends at most requestsPerS
-// requests a second. Each call, with its wait for a turn, takes timeout at most.
+// NewClient returns a client of the cloud at addr, a host:port, that sends at most requestsPerS
+// requests per second through transport. Each request takes at most timeout, including its wait for
+// the rate limit.
 func NewClient(addr string, transport http.RoundTripper, timeout time.Duration, requestsPerS float64) *Client {
 	return &Client{
 		baseURL:        "http://" + addr,
@@ -95,41 +96,40 @@
 	}
 }
 
-// newLimiter allows as many requests at once as come due in a second, and one at least.
+// newLimiter returns a limiter with a burst of one second's worth of requests, but at least one.
 func newLimiter(requestsPerS float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(requestsPerS), max(1, int(requestsPerS)))
 }
 
-// Catalog returns the machine types with their current prices; it is an error if there are
-// none.
+// Catalog returns the machine types with their current prices. An empty catalog is an error.
 func (c *Client) Catalog(ctx context.Context) ([]jobs.MachineType, error) {
 	var catalog wireCatalog
 	if err := c.call(ctx, c.limiter, http.MethodGet, "/catalog", nil, &catalog); err != nil {
 		return nil, err
 	}
 	if len(catalog.Types) == 0 {
-		return nil, errors.New("cloud: empty catalog")
+		return nil, errors.New("cloud: catalog has no machine types")
 	}
 	return catalog.Types, nil
 }
 
-// Provision asks for machines and returns their names, which may be fewer than were asked
-// for. After any error but ErrNoCapacity the outcome is unknown, and the same request must be
-// sent again.
+// Provision requests machines and returns the IDs of those provisioned, which may be fewer than
+// requested. After any error other than ErrNoCapacity the outcome is unknown, and the caller must
+// send the same request again.
 func (c *Client) Provision(ctx context.Context, request ProvisionRequest) ([]string, error) {
 	var provisioned wireProvisioned
 	err := c.call(ctx, c.limiter, http.MethodPost, "/rentals", encodeProvisionRequest(request), &provisioned)
 	return provisioned.Machines, err
 }
 
-// Release gives up to MaxMachinesPerRelease machines back. Without an error they, and all that
-// ran on them, are gone.
+// Release releases up to MaxMachinesPerRelease machines. If it returns nil, the machines and
+// everything that ran on them are gone.
 func (c *Client) Release(ctx context.Context, ids []string) error {
 	return c.call(ctx, c.releaseLimiter, http.MethodPost, "/rentals/release", wireReleaseRequest{Machines: ids}, nil)
 }
 
-// ListMachines returns the cloud's machines as they were some time ago, and how many requests
-// that took, also if one of them failed.
+// ListMachines returns all machines of the cloud's list, which lags behind their actual state, and
+// the number of requests that it sent, also after an error.
 func (c *Client) ListMachines(ctx context.Context) (all []ListedMachine, pages int, err error) {
 	after := ""
 	for {
@@ -149,9 +149,9 @@
 	}
 }
 
-// call waits for its turn, sends a request with a body as JSON, if there is one, and decodes
-// the answer into result, if that is wanted. Any status but 200 is an error: ErrNoCapacity or
-// a *StatusError.
+// call waits for limiter, sends a request with body as JSON, unless it is nil, and decodes the
+// response into result, unless that is nil. It returns ErrNoCapacity or a *StatusError for any
+// status other than 200.
 func (c *Client) call(ctx context.Context, limiter *rate.Limiter, method, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -192,8 +192,7 @@
 	return http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
 }
 
-// errorOf is the error that an answer stands for. A body that is no JSON leaves only the
-// status to tell by.
+// errorOf returns the error that a response means. If the body is not JSON, only the status counts.
 func errorOf(status int, body []byte) error {
 	var answer wireError
 	_ = json.Unmarshal(body, &answer)
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,7 +15,7 @@
 	"ospreyslip/internal/autoscaler"
 )
 
-// serve returns a client of a cloud that answers by a handler.
+// serve returns a client of a test server that runs handler.
 func serve(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -41,8 +41,8 @@
 	}
 }
 
-// A refusal for want of machines is told from every other one: only after it is the outcome
-// of a request known.
+// Only a response that reports no capacity makes the outcome of a request known, so no other error
+// may be taken for it.
 func TestErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -53,8 +53,8 @@
 	}{
 		{"no capacity", http.StatusServiceUnavailable, `{"error":"no capacity"}`, true, ""},
 		{"unavailable", http.StatusServiceUnavailable, `{"error":"down"}`, false, "cloud: status 503 down"},
-		{"no capacity under another status", http.StatusBadRequest, `{"error":"no capacity"}`, false, "cloud: status 400 no capacity"},
-		{"no JSON", http.StatusBadGateway, "bad gateway", false, "cloud: status 502 "},
+		{"no capacity with another status", http.StatusBadRequest, `{"error":"no capacity"}`, false, "cloud: status 400 no capacity"},
+		{"not JSON", http.StatusBadGateway, "bad gateway", false, "cloud: status 502 "},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			client := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -63,14 +63,14 @@
 			})
 			_, err := client.Provision(t.Context(), ProvisionRequest{Name: "r-1", Count: 1})
 			if got := errors.Is(err, ErrNoCapacity); got != tc.noCapacity {
-				t.Errorf("no capacity: %v, want %v", got, tc.noCapacity)
+				t.Errorf("error is ErrNoCapacity: %v, want %v", got, tc.noCapacity)
 			}
 			if tc.noCapacity {
 				return
 			}
 			var status *StatusError
 			if !errors.As(err, &status) || status.Code != tc.status || err.Error() != tc.message {
-				t.Errorf("%v, want %q", err, tc.message)
+				t.Errorf("error %v, want %q", err, tc.message)
 			}
 		})
 	}
@@ -115,6 +115,6 @@
 func TestEmptyCatalogIsAnError(t *testing.T) {
 	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"perches":[]}`) })
 	if _, err := client.Catalog(t.Context()); err == nil {
-		t.Error("an empty catalog is taken for one")
+		t.Error("empty catalog returned no error")
 	}
 }
--- a/internal/cloud/wire.go
+++ b/internal/cloud/wire.go
@@ -4,18 +4,18 @@
 	"ospreyslip/internal/jobs"
 )
 
-// This file holds the bodies of the cloud's HTTP interface, in its own words, and their
-// translation. Nothing outside it uses those words.
+// This file defines the bodies of the cloud's HTTP interface and their conversion. The cloud's names
+// appear only here.
 
-// wireError is the body of an answer with another status than 200.
+// wireError is the body of a response with a status other than 200.
 type wireError struct {
 	Error string `json:"error"`
 }
 
-// noCapacityMessage is the error with which the cloud refuses to provide machines for now.
+// noCapacityMessage is the error with which the cloud reports that it has no machines for now.
 const noCapacityMessage = "no capacity"
 
-// wireCatalog answers GET /catalog.
+// wireCatalog is the body of the response to GET /catalog.
 type wireCatalog struct {
 	Types []jobs.MachineType `json:"perches"`
 }
@@ -33,7 +33,7 @@
 	return wireProvisionRequest{Name: r.Name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// wireProvisioned answers POST /rentals.
+// wireProvisioned is the body of the response to POST /rentals.
 type wireProvisioned struct {
 	Machines []string `json:"hosts"`
 }
@@ -43,13 +43,13 @@
 	Machines []string `json:"hosts"`
 }
 
-// wireMachinePage answers GET /rentals.
+// wireMachinePage is the body of the response to GET /rentals.
 type wireMachinePage struct {
 	Machines []wireMachine `json:"hosts"`
 	More     bool          `json:"hasNext"`
 }
 
-// wireMachine is one machine of a page.
+// wireMachine is one machine of a wireMachinePage.
 type wireMachine struct {
 	ID    string  `json:"id"`
 	Addr  string  `json:"addr"`
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -15,28 +15,29 @@
 	"golang.org/x/time/rate"
 )
 
-// Client sends requests to the store, within rate limits of its own. It is safe for use by many
-// goroutines.
+// Client sends requests to the key-value store at a limited rate. It is safe for concurrent use by
+// multiple goroutines.
 type Client struct {
 	baseURL        string
 	http           *http.Client
-	timeout        time.Duration // of a request, without the time that a watch is to wait
+	timeout        time.Duration // of one request; a watch adds its own wait
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
 
-	failing atomic.Bool   // the last request that tells of outages had no good answer
-	outages atomic.Uint64 // how often that began
+	failing atomic.Bool   // set by no response or a 503, cleared by any other response but a watch's
+	outages atomic.Uint64 // how many times failing became true
 }
 
-// RateLimits are this node's share of the rates that the store takes from all nodes together,
-// and how much of each it may use in one burst.
+// RateLimits is this controller's share of the rates that the store allows all controllers in
+// total. Each rate also sets the size of a burst: one second's worth, but at least 1.
 type RateLimits struct {
 	RequestsPerSecond float64
-	WritesPerSecond   float64 // keys that transactions set or remove
+	WritesPerSecond   float64 // keys set or removed by transactions
 }
 
-// New makes a client of the store at an address, on a transport. Each request is given up after
-// a timeout, which includes the wait for its turn within the rate limits.
+// New returns a client of the store at addr, a host:port, that sends its requests through
+// transport. Each request fails after timeout, which includes its wait for the rate limits; Watch
+// adds its own wait, and only the context bounds RenewLease.
 func New(addr string, transport http.RoundTripper, timeout time.Duration, limits RateLimits) *Client {
 	return &Client{
 		baseURL:        "http://" + addr,
@@ -47,7 +48,8 @@
 	}
 }
 
-// SetRateLimits changes this node's share; the leader needs more than the others.
+// SetRateLimits changes this controller's share of the rates. The leader needs a larger share than
+// the other controllers.
 func (c *Client) SetRateLimits(limits RateLimits) {
 	c.requestLimiter.SetLimit(rate.Limit(limits.RequestsPerSecond))
 	c.requestLimiter.SetBurst(burst(limits.RequestsPerSecond))
@@ -55,34 +57,37 @@
 	c.writeLimiter.SetBurst(burst(limits.WritesPerSecond))
 }
 
-// burst is what a limiter lets through at once: what comes due in a second, but always something.
+// burst returns the burst size of a rate: one second's worth, but at least 1, because a limiter with
+// a burst of 0 lets no request through.
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
-// Failing tells whether the store has stopped answering this node.
+// Failing reports whether the store has stopped answering this controller.
 func (c *Client) Failing() bool { return c.failing.Load() }
 
-// Outages returns how often the store has stopped answering this node.
+// Outages returns how many times the store has stopped answering this controller.
 func (c *Client) Outages() uint64 { return c.outages.Load() }
 
-// noteFailure notes a request without a good answer.
+// noteFailure records that the store was unavailable to a request. It counts an outage unless one
+// is already under way.
 func (c *Client) noteFailure() {
 	if !c.failing.Swap(true) {
 		c.outages.Add(1)
 	}
 }
 
-// request is one HTTP request to the store.
+// request describes one HTTP request to the store.
 type request struct {
-	operation string // for errors
+	operation string // RequestError.Operation
 	method    string
 	path      string
-	body      any  // sent as JSON; nil: none
-	answer    any  // what the JSON of the answer is read into; nil: it is not read
-	longPoll  bool // it is held open, and its end is no proof that the store answers again
+	body      any  // sent as JSON; nil sends no body
+	answer    any  // destination of the response's JSON body; nil discards the body
+	longPoll  bool // the store delays the response, which therefore does not prove it available
 }
 
-// do sends a request within the rate limits, and returns the status of the answer. It fails for
-// statuses that say the same of all requests; the others are for the caller to judge.
+// do sends a request within the request rate and a timeout, and returns the status of the response.
+// A status that means the same for every request is returned as an error; the caller interprets all
+// others.
 func (c *Client) do(ctx context.Context, timeout time.Duration, req *request) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -92,7 +97,7 @@
 	return c.send(ctx, req)
 }
 
-// send is do without rate limits and without a timeout.
+// send is like do, but applies neither the rate limit nor a timeout.
 func (c *Client) send(ctx context.Context, req *request) (status int, err error) {
 	httpRequest, err := c.httpRequest(ctx, req)
 	if err != nil {
@@ -113,7 +118,7 @@
 	if err := statusError(status); err != nil {
 		return status, req.failed(status, err)
 	}
-	// The body of a rejection is for the log only: without it, the status still counts.
+	// A rejection is definite even if its body, which only states the reason, cannot be read.
 	if err := req.readAnswer(response.Body); err != nil && status != http.StatusBadRequest {
 		return status, req.failed(status, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 	}
@@ -136,7 +141,8 @@
 	return httpRequest, nil
 }
 
-// statusError is what a status says of any request; nil if its meaning depends on the request.
+// statusError returns the error that a status means for every request, or nil if its meaning depends
+// on the request.
 func statusError(status int) error {
 	switch status {
 	case http.StatusTooManyRequests:
@@ -149,7 +155,8 @@
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// readAnswer reads a body to its end, so that the connection can be used again.
+// readAnswer decodes or discards a response body. It reads to the end of the body, so that the
+// connection can be reused.
 func (r *request) readAnswer(body io.Reader) error {
 	if r.answer == nil {
 		_, err := io.Copy(io.Discard, body)
@@ -157,7 +164,7 @@
 	}
 	err := jsonv2.UnmarshalRead(body, r.answer)
 	if errors.Is(err, io.EOF) {
-		return nil // an answer without a body
+		return nil // the response has no body
 	}
 	return err
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// cannedAnswer is a transport that gives one answer to every request.
+// cannedAnswer is a transport that gives every request the same response.
 type cannedAnswer struct {
 	status int
 	body   string
-	err    error // instead of an answer
+	err    error // returned instead of a response if set
 }
 
 func (a cannedAnswer) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -30,7 +30,8 @@
 
 var errConnection = errors.New("connection reset")
 
-// What a caller may conclude from an error: whether the request was executed, and why it failed.
+// Callers conclude from an error whether the request was executed and why it failed, so each
+// response must map to exactly the right set of errors.
 func TestWhatErrorsSay(t *testing.T) {
 	sentinels := map[string]error{
 		"not executed": ErrNotExecuted, "outcome unknown": ErrOutcomeUnknown, "rate limited": ErrRateLimited,
@@ -65,30 +66,30 @@
 		name   string
 		answer cannedAnswer
 		call   func(*Client) error
-		want   []string // of the sentinels, exactly these; none: no error
+		want   []string // exactly the sentinels that the error wraps; empty if the call succeeds
 	}{
-		{"commit without an answer", cannedAnswer{err: errConnection}, commit, []string{"outcome unknown", "connection"}},
-		{"commit over the limit", cannedAnswer{status: 429}, commit, []string{"not executed", "rate limited"}},
-		{"commit in an outage", cannedAnswer{status: 503}, commit, []string{"not executed"}},
-		{"commit with an unheard-of status", cannedAnswer{status: 500}, commit, []string{"outcome unknown"}},
-		{"commit with an unreadable answer", cannedAnswer{status: 200, body: "{"}, commit, []string{"outcome unknown"}},
+		{"commit without a response", cannedAnswer{err: errConnection}, commit, []string{"outcome unknown", "connection"}},
+		{"commit over the rate limit", cannedAnswer{status: 429}, commit, []string{"not executed", "rate limited"}},
+		{"commit during an outage", cannedAnswer{status: 503}, commit, []string{"not executed"}},
+		{"commit with an undefined status", cannedAnswer{status: 500}, commit, []string{"outcome unknown"}},
+		{"commit with a malformed response", cannedAnswer{status: 200, body: "{"}, commit, []string{"outcome unknown"}},
 		{"commit that is too large", cannedAnswer{status: 400, body: `{"error":"value too large"}`}, commit, []string{"not executed", "invalid"}},
-		{"commit rejected without a reason", cannedAnswer{status: 400, body: "no JSON"}, commit, []string{"not executed", "invalid"}},
-		{"commit under a lease that has ended", cannedAnswer{status: 400, body: `{"error":"no such lease"}`}, commit, []string{"no lease"}},
-		{"commit whose guards fail", cannedAnswer{status: 409, body: `{"tide":8,"failed":["a"]}`}, commit, nil},
-		{"commit answered by 410", cannedAnswer{status: 410, body: "{}"}, commit, []string{"not executed"}},
+		{"commit rejected without a JSON reason", cannedAnswer{status: 400, body: "no JSON"}, commit, []string{"not executed", "invalid"}},
+		{"commit with a lease that has ended", cannedAnswer{status: 400, body: `{"error":"no such lease"}`}, commit, []string{"no lease"}},
+		{"commit with a failed guard", cannedAnswer{status: 409, body: `{"tide":8,"failed":["a"]}`}, commit, nil},
+		{"commit with status 410", cannedAnswer{status: 410, body: "{}"}, commit, []string{"not executed"}},
 		{"commit", cannedAnswer{status: 200, body: `{"tide":8}`}, commit, nil},
-		{"watch of changes no longer kept", cannedAnswer{status: 410, body: "{}"}, watch, []string{"compacted"}},
-		{"watch answered by 404", cannedAnswer{status: 404, body: "{}"}, watch, []string{"not executed"}},
-		{"watch without an answer", cannedAnswer{err: errConnection}, watch, []string{"outcome unknown", "connection"}},
-		{"get of a key that does not exist", cannedAnswer{status: 404, body: "{}"}, get, nil},
-		{"get answered by 409", cannedAnswer{status: 409, body: "{}"}, get, []string{"not executed"}},
-		{"list answered by 404", cannedAnswer{status: 404, body: "{}"}, list, []string{"not executed"}},
-		{"revision of a service with the key", cannedAnswer{status: 200, body: "{}"}, revision, []string{"not executed"}},
+		{"watch of compacted changes", cannedAnswer{status: 410, body: "{}"}, watch, []string{"compacted"}},
+		{"watch with status 404", cannedAnswer{status: 404, body: "{}"}, watch, []string{"not executed"}},
+		{"watch without a response", cannedAnswer{err: errConnection}, watch, []string{"outcome unknown", "connection"}},
+		{"get of a missing key", cannedAnswer{status: 404, body: "{}"}, get, nil},
+		{"get with status 409", cannedAnswer{status: 409, body: "{}"}, get, []string{"not executed"}},
+		{"list with status 404", cannedAnswer{status: 404, body: "{}"}, list, []string{"not executed"}},
+		{"revision while the absent key exists", cannedAnswer{status: 200, body: "{}"}, revision, []string{"not executed"}},
 		{"lease granted", cannedAnswer{status: 200, body: `{"tether":7}`}, grant, nil},
-		{"lease answered by 404", cannedAnswer{status: 404, body: "{}"}, grant, []string{"not executed"}},
+		{"lease with status 404", cannedAnswer{status: 404, body: "{}"}, grant, []string{"not executed"}},
 		{"renewal of a lease that has ended", cannedAnswer{status: 404, body: "{}"}, renew, []string{"no lease"}},
-		{"renewal answered by 409", cannedAnswer{status: 409, body: "{}"}, renew, []string{"not executed"}},
+		{"renewal with status 409", cannedAnswer{status: 409, body: "{}"}, renew, []string{"not executed"}},
 		{"renewal", cannedAnswer{status: 200}, renew, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -102,32 +103,32 @@
 			}
 			for name, sentinel := range sentinels {
 				if errors.Is(err, sentinel) != wanted[name] {
-					t.Errorf("%v: is %q: %v", err, name, !wanted[name])
+					t.Errorf("error %v: errors.Is for %q is %v", err, name, !wanted[name])
 				}
 			}
 		})
 	}
 }
 
-// A node's own limits refuse before anything is sent. Only that of requests is told from an
-// outage: a write that waits too long for its turn says nothing of the reason.
+// The client's own rate limits fail a request before it is sent. Only the limit of requests is
+// reported as ErrRateLimited; the error of the limit of writes does not tell the reason.
 func TestOwnLimitsSendNothing(t *testing.T) {
 	sent := cannedAnswer{err: errConnection}
 	limits := RateLimits{RequestsPerSecond: 0.001, WritesPerSecond: 0.001}
 	for name, write := range map[string][]Write{"requests": nil, "writes": {{Remove: "a"}}} {
 		client := New("state:1", sent, 10*time.Millisecond, limits)
 		if _, _, err := client.Commit(t.Context(), nil, write); !errors.Is(err, ErrOutcomeUnknown) {
-			t.Errorf("%s: the first request is within the limits: %v", name, err)
+			t.Errorf("limit of %s: first request, which is within the limit: %v", name, err)
 		}
 		_, _, err := client.Commit(t.Context(), nil, write)
 		if !errors.Is(err, ErrNotExecuted) || errors.Is(err, errConnection) || errors.Is(err, ErrRateLimited) != (write == nil) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("limit of %s: second request: %v", name, err)
 		}
 	}
 }
 
-// An outage begins with a request that has no good answer, and ends with one that has. Watches
-// tell of its beginning only, as an open one may end in it with an answer.
+// An outage begins with a request that gets no response or a 503, and ends with another response. A
+// watch can only begin one, as an open watch may get its response during the outage.
 func TestOutages(t *testing.T) {
 	answer := &cannedAnswer{}
 	client := New("state:1", transportFunc(func(r *http.Request) (*http.Response, error) { return answer.RoundTrip(r) }),
@@ -160,12 +161,12 @@
 
 func (f transportFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// Errors name the request, and the status of the answer if there was one.
+// A RequestError names the operation and the status of the response, if there was one.
 func TestErrorsNameTheRequest(t *testing.T) {
 	for _, test := range []struct {
 		answer cannedAnswer
 		call   func(*Client) error
-		want   RequestError // without Err
+		want   RequestError // Err is not compared
 		text   string
 	}{
 		{
@@ -178,7 +179,7 @@
 			cannedAnswer{status: 400, body: `{"error":"value too large"}`},
 			func(c *Client) error { _, _, err := c.Commit(t.Context(), nil, nil); return err },
 			RequestError{Operation: "commit", Status: 400},
-			"commit: state service refused the request: rejected as it is: value too large",
+			"commit: state service refused the request: invalid request: value too large",
 		},
 		{
 			cannedAnswer{err: errConnection},
@@ -196,7 +197,7 @@
 		err := test.call(clientWith(test.answer))
 		var failed *RequestError
 		if !errors.As(err, &failed) {
-			t.Errorf("%v is no RequestError", err)
+			t.Errorf("%v is not a RequestError", err)
 			continue
 		}
 		if failed.Operation != test.want.Operation || failed.Status != test.want.Status || err.Error() != test.text {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -6,40 +6,41 @@
 )
 
 var (
-	// ErrNotExecuted means that the request was certainly not executed.
+	// ErrNotExecuted means that the request was definitely not executed.
 	ErrNotExecuted = errors.New("state service refused the request")
-	// ErrRateLimited comes with ErrNotExecuted where a rate limit was the reason, the store's
-	// or this client's own: it says nothing of an outage.
-	ErrRateLimited = errors.New("over the limit")
-	// ErrInvalidRequest comes with ErrNotExecuted where the request itself was the reason, as
-	// it is larger than the store takes: sent again, it would be refused again.
-	ErrInvalidRequest = errors.New("rejected as it is")
-	// ErrOutcomeUnknown means that the request may have been executed, or may be later.
+	// ErrRateLimited accompanies ErrNotExecuted if the reason was a rate limit of the store, or
+	// this client's own limit of requests. It is no sign of an outage.
+	ErrRateLimited = errors.New("rate limit exceeded")
+	// ErrInvalidRequest accompanies ErrNotExecuted if the store rejected the request itself, for
+	// example as too large. A retry of the same request would be rejected again.
+	ErrInvalidRequest = errors.New("invalid request")
+	// ErrOutcomeUnknown means that the request may have been executed, or may still be.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
-	// ErrLeaseNotFound means that the lease has ended. Nothing was written.
+	// ErrLeaseNotFound means that the lease has ended. The request wrote nothing.
 	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted means that a watch asked for changes that the store no longer keeps.
-	ErrCompacted = errors.New("changes no longer kept")
+	// ErrCompacted means that a watch requested changes that the store no longer keeps.
+	ErrCompacted = errors.New("requested changes have been compacted")
 )
 
-// RequestError is the failure of one request.
+// RequestError is the error of a failed request.
 type RequestError struct {
-	Operation string // what was requested, such as "get term/holder"
-	Status    int    // HTTP status of the answer; 0 if there was none
+	Operation string // for example "get term/holder"
+	Status    int    // HTTP status of the response; 0 if there was none
 	Err       error  // wraps one of the Err values of this package
 }
 
 func (e *RequestError) Error() string { return e.Operation + ": " + e.Err.Error() }
 
-// Unwrap returns the reason, for errors.Is and errors.As.
+// Unwrap returns the wrapped error, for errors.Is and errors.As.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// failed is the error of a request whose answer had a status, or that got none (0).
+// failed returns the error of a request with the status of its response, or 0 if it got none.
 func (r *request) failed(status int, reason error) error {
 	return &RequestError{Operation: r.operation, Status: status, Err: reason}
 }
 
-// unexpected is the error of a request whose answer has a status that has no meaning for it.
+// unexpected returns the error of a request whose response has a status that the protocol does not
+// define for it.
 func (r *request) unexpected(status int) error {
 	return r.failed(status, fmt.Errorf("%w: status %d", ErrNotExecuted, status))
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// GrantLease makes a lease that ends when it has not been renewed for a duration. Keys that are
-// tied to it are removed with it.
+// GrantLease creates a lease that expires once it has not been renewed for duration. When a lease
+// ends, the store removes the keys that are tied to it.
 func (c *Client) GrantLease(ctx context.Context, duration time.Duration) (lease uint64, err error) {
 	var granted leaseAnswer
 	req := request{
@@ -23,9 +23,9 @@
 	return granted.Lease, err
 }
 
-// RenewLease gives a lease its full duration again. It fails with ErrLeaseNotFound if the lease
-// has ended. It does not wait for this client's own rate limits, as nothing else is worth
-// sending once leadership is lost, and only the caller's context bounds how long it takes.
+// RenewLease extends a lease to its full duration. It returns ErrLeaseNotFound if the lease has
+// ended. It bypasses this client's rate limits, because no other request is worth sending once
+// leadership is lost. Only ctx bounds how long it takes.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	req := request{operation: "renew lease", method: http.MethodPost, path: leasePath(lease) + "/renew"}
 	status, err := c.send(ctx, &req)
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// RevokeLeaseIfAlive ends a lease that still lives, and tells whether it did.
+// RevokeLeaseIfAlive revokes a lease that has not ended, and reports whether there was one to revoke.
+// It learns that by renewing the lease. alive is true even if the revocation itself fails.
 func (c *Client) RevokeLeaseIfAlive(ctx context.Context, lease uint64) (alive bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -54,8 +55,8 @@
 	return true, c.RevokeLease(ctx, lease)
 }
 
-// RevokeLease ends a lease and removes the keys that are tied to it. One that has ended already
-// is no error.
+// RevokeLease ends a lease and removes the keys that are tied to it. A lease that has already ended
+// is not an error.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := c.do(ctx, c.timeout, &request{operation: "revoke lease", method: http.MethodDelete, path: leasePath(lease)})
 	return err
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// pageSize is how many keys a listing asks for at a time.
+// pageSize is the maximum number of keys that one list request returns.
 const pageSize = 1000
 
-// Get reads one key. A key that does not exist is found == false with no error.
+// Get reads one key. If the key does not exist, found is false and err is nil.
 func (c *Client) Get(ctx context.Context, key string) (keyValue KeyValue, found bool, err error) {
 	req := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, answer: &keyValue}
 	status, err := c.do(ctx, c.timeout, &req)
@@ -26,8 +26,8 @@
 	return KeyValue{}, false, req.unexpected(status)
 }
 
-// List reads all keys with a prefix. The revision is that of the first page:
-// a watch from there sees every change that later pages may have missed.
+// List returns all keys with a prefix, in order. The revision is that of the first page: a watch
+// from there delivers every change that later pages may have missed.
 func (c *Client) List(ctx context.Context, prefix string) (keyValues []KeyValue, revision uint64, err error) {
 	revision, err = c.ForEach(ctx, prefix, func(keyValue KeyValue) { keyValues = append(keyValues, keyValue) })
 	if err != nil {
@@ -36,14 +36,13 @@
 	return keyValues, revision, nil
 }
 
-// ForEach is List for keys of which there may be more than fit into memory: it hands them to
-// visit one after the other, in the order of their names. After an error, visit may have got
-// some of them.
+// ForEach is like List, for more keys than fit into memory: it calls visit for each key, in order.
+// If it returns an error, it may already have called visit for some of the keys.
 func (c *Client) ForEach(ctx context.Context, prefix string, visit func(KeyValue)) (revision uint64, err error) {
 	return c.ForEachPaced(ctx, prefix, 0, visit)
 }
 
-// ForEachPaced is ForEach with a pause between two pages, so that other requests get their turn.
+// ForEachPaced is like ForEach, but pauses between pages to leave capacity for other requests.
 func (c *Client) ForEachPaced(ctx context.Context, prefix string, pause time.Duration, visit func(KeyValue)) (revision uint64, err error) {
 	after := ""
 	for {
@@ -71,7 +70,8 @@
 	}
 }
 
-// page reads the keys with a prefix that come after one, as many as fit into an answer.
+// page reads the first page of the keys with a prefix that sort after the key after, or of all keys
+// with the prefix if after is empty.
 func (c *Client) page(ctx context.Context, prefix, after string) (page keyPage, err error) {
 	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(pageSize)
 	if after != "" {
@@ -85,11 +85,11 @@
 	return page, err
 }
 
-// noKey is a key that is never written: the answer that it does not exist tells
-// the revision.
+// noKey is a key that is never written. The response that it does not exist carries the store's
+// revision.
 const noKey = "nothing"
 
-// Revision returns a revision of the store that is no older than the call.
+// Revision returns a revision of the store that is at least as new as the start of the call.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
 	var current revisionAnswer
 	req := request{operation: "revision", method: http.MethodGet, path: "/keys/" + noKey, answer: &current}
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// Commit executes a transaction: all writes if all guards hold, else none. Guards that do not
-// hold are returned by key with no error; then nothing was written. The revision is that of the
-// transaction, or of the store where guards have failed.
+// Commit executes a guarded transaction: all writes if every guard holds, otherwise none. If guards
+// do not hold, failed names their keys and err is nil. The revision is that of the transaction, or
+// that of the store if guards failed.
 //
-// ErrOutcomeUnknown leaves open whether the transaction was executed, or will be. If it writes a
-// key that it guards, a repetition with the same guards is safe: whichever of the two comes
-// second finds the revision changed, and fails.
+// After ErrOutcomeUnknown the transaction may have been executed, or may still be. If it writes a
+// key that it guards, a retry with the same guards is safe: whichever copy is executed second finds
+// the revision of that key changed, and fails.
 func (c *Client) Commit(ctx context.Context, guards []Guard, writes []Write) (revision uint64, failed []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Watch waits for changes under a prefix after a revision and returns them, with the revision
-// up to which they are complete. An empty result means that there was none while it waited, or
-// that the store cannot tell: only a revision that has reached one that Revision returned
-// proves anything. It fails with ErrCompacted if the changes are no longer kept.
+// Watch waits for changes after a revision to keys with a prefix, for at most wait. It returns the
+// changes and the revision up to which they are complete. An empty result does not prove that
+// nothing changed, as the store may be unable to tell: it does so only once the returned revision has
+// reached one that Revision returned. Watch returns ErrCompacted if the store no longer keeps the
+// changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (revision uint64, changes []Change, err error) {
 	var seen watchAnswer
 	req := request{
--- a/internal/kvstore/wire.go
+++ b/internal/kvstore/wire.go
@@ -2,15 +2,16 @@
 
 import "encoding/json"
 
-// KeyValue is a key, its value and the revision of its last change.
+// KeyValue is a key with its value and the revision of its last change.
 type KeyValue struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"value"`
 	Revision uint64          `json:"mark"`
-	Lease    uint64          `json:"tether,omitempty"` // that the key is tied to; 0: none
+	Lease    uint64          `json:"tether,omitempty"` // lease that the key is tied to; 0 if there is none
 }
 
-// Guard is a condition of a transaction: the key is at a revision, or absent where that is 0.
+// Guard is a condition of a transaction: the key has the given revision, or does not exist if
+// Revision is 0.
 type Guard struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"mark"`
@@ -20,11 +21,11 @@
 type Write struct {
 	Set    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
-	Lease  uint64          `json:"tether,omitempty"` // to tie the key to, so that it ends with it
+	Lease  uint64          `json:"tether,omitempty"` // lease to tie the key to, which removes the key when it ends
 	Remove string          `json:"remove,omitempty"`
 }
 
-// Change is one change of a key that a watch has seen. Exactly one of Set and Remove names it.
+// Change is one change of a key, as returned by a watch. Exactly one of Set and Remove names the key.
 type Change struct {
 	Set      string          `json:"set"`
 	Value    json.RawMessage `json:"value"`
@@ -54,11 +55,11 @@
 
 type commitAnswer struct {
 	Revision uint64   `json:"tide"`
-	Failed   []string `json:"failed"` // keys of guards
+	Failed   []string `json:"failed"` // keys of the guards that did not hold
 	Error    string   `json:"error"`
 }
 
-// leaseNotFoundText is commitAnswer.Error where a lease that a write names has ended.
+// leaseNotFoundText is the value of commitAnswer.Error if a write names a lease that has ended.
 const leaseNotFoundText = "no such lease"
 
 type leaseRequest struct {
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// outboxSize is how many messages wait for a connection. More would be out of date by
+	// outboxSize is the number of messages queued for a connection. More would be out of date by
 	// the time they are sent.
 	outboxSize = 4
-	// timeoutRetries is how many retry delays an attempt to connect, or to send a message,
-	// may last.
+	// timeoutRetries is the timeout for connecting and for sending a message, as a multiple of the
+	// retry delay.
 	timeoutRetries = 4
 )
 
 // peerLink is the connection that this controller opens to another one.
 type peerLink struct {
 	addr   string
-	outbox chan []byte // encoded messages to be sent
+	outbox chan []byte // encoded messages to send
 }
 
 func newPeerLink(addr string) *peerLink {
 	return &peerLink{addr: addr, outbox: make(chan []byte, outboxSize)}
 }
 
-// enqueue queues an encoded message. It returns false, and drops it, if the queue is full.
+// enqueue queues an encoded message. It drops the message and returns false if the queue is full.
 func (l *peerLink) enqueue(raw []byte) bool {
 	select {
 	case l.outbox <- raw:
@@ -40,8 +40,8 @@
 	}
 }
 
-// discardQueued drops what was meant for a connection that is gone: it is out of date by the
-// time there is another.
+// discardQueued drops the messages queued for a connection that has failed. They would be out of date
+// by the time there is another connection.
 func (l *peerLink) discardQueued() {
 	for {
 		select {
@@ -52,7 +52,7 @@
 	}
 }
 
-// maintainConnection keeps a connection to another controller open until the context ends.
+// maintainConnection keeps a connection to another controller open until ctx is done.
 func (h *Hub) maintainConnection(ctx context.Context, link *peerLink) {
 	for ctx.Err() == nil {
 		dialCtx, cancel := context.WithTimeout(ctx, h.timeout())
@@ -69,7 +69,7 @@
 
 func (h *Hub) timeout() time.Duration { return timeoutRetries * h.retryDelay }
 
-// waitBeforeRetry waits for the retry delay, or until the context ends.
+// waitBeforeRetry waits for the retry delay, or until ctx is done.
 func (h *Hub) waitBeforeRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -77,11 +77,11 @@
 	}
 }
 
-// sendQueued sends what is queued and takes in the responses, until the connection breaks or
-// the context ends. It closes the connection.
+// sendQueued sends queued messages and delivers the responses until the connection breaks or ctx is
+// done. It closes the connection.
 func (h *Hub) sendQueued(ctx context.Context, conn net.Conn, link *peerLink) {
 	var reader sync.WaitGroup
-	defer reader.Wait() // last of all: closing the connection ends it
+	defer reader.Wait() // runs last, as closing the connection ends the reader
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -90,7 +90,7 @@
 	reader.Go(func() {
 		defer cancel()
 		err := h.readMessages(bufio.NewReader(conn), h.deliverResponse)
-		slog.Debug("peer connection ended", "peer", link.addr, "reason", err)
+		slog.Debug("outgoing peer connection closed", "peer", link.addr, "reason", err)
 	})
 	for {
 		select {
@@ -106,7 +106,7 @@
 	}
 }
 
-// peekedConn is a connection whose first bytes have been read ahead.
+// peekedConn is a connection whose first bytes are already in a buffer.
 type peekedConn struct {
 	net.Conn
 	buffered *bufio.Reader
@@ -114,9 +114,9 @@
 
 func (c *peekedConn) Read(p []byte) (int, error) { return c.buffered.Read(p) }
 
-// serveConnection handles the messages on a connection that another controller opened, or
-// hands the connection over if it speaks HTTP: read as a size, "GET " and "POST" are far
-// beyond any message.
+// serveConnection handles the messages on a connection that another controller opened, or passes an
+// HTTP connection to OnHTTP. The two cannot be confused: read as a message size, "GET " and "POST"
+// far exceed maxMessage.
 func (h *Hub) serveConnection(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -128,11 +128,11 @@
 	}
 	defer conn.Close()
 	err = h.readMessages(reader, func(m message) error { return h.handleMessage(ctx, conn, m) })
-	slog.Debug("peer connection ended", "reason", err)
+	slog.Debug("incoming peer connection closed", "reason", err)
 }
 
-// handleMessage passes a message of another controller to its handler, and sends the
-// response to a request. An error ends the connection.
+// handleMessage passes a message from another controller to its handler, and sends the response if it
+// is a request. An error closes the connection.
 func (h *Hub) handleMessage(ctx context.Context, conn net.Conn, received message) error {
 	if _, known := h.links[received.from]; !known {
 		return &UnknownPeerError{received.from}
@@ -158,8 +158,7 @@
 	return err
 }
 
-// readMessages passes all messages to handle until the connection ends or handle fails, and
-// returns why it did.
+// readMessages passes each message to handle until reading or handle fails, and returns that error.
 func (h *Hub) readMessages(reader *bufio.Reader, handle func(message) error) error {
 	var size [4]byte
 	for {
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -8,32 +8,32 @@
 )
 
 var (
-	// ErrNoResponse means that a controller did not respond in time: it can not be reached,
-	// its queue is full, or its version does not know the request.
-	ErrNoResponse = errors.New("no answer")
+	// ErrNoResponse means that a controller did not respond in time: it cannot be reached, the
+	// queue of messages to it is full, or its version does not support the request.
+	ErrNoResponse = errors.New("no response from the peer")
 
-	// ErrMalformedMessage means that the bytes of a message do not hold together. The
-	// connection on which it came is closed.
+	// ErrMalformedMessage means that a message is not a valid FlatBuffers message. The
+	// connection on which it arrived is closed.
 	ErrMalformedMessage = errors.New("malformed message")
 
-	// errTooManyRows refuses a broken length before memory is set aside for it.
-	errTooManyRows = errors.New("more rows than the message can hold")
+	// errTooManyRows rejects a corrupt vector length before memory is allocated for it.
+	errTooManyRows = errors.New("vector length exceeds the message size")
 
-	errNoBody             = errors.New("message without a body")
-	errUnexpectedResponse = errors.New("unexpected message")
+	errNoBody             = errors.New("message has no body")
+	errUnexpectedResponse = errors.New("received a message that is not a response")
 )
 
-// UnknownPeerError names a controller that is not among the peers of the settings.
+// UnknownPeerError names a controller that is not one of the peers in the settings.
 type UnknownPeerError struct{ Node string }
 
 func (e *UnknownPeerError) Error() string { return fmt.Sprintf("unknown node %q", e.Node) }
 
-// messageSizeError refuses a message of more than maxMessage bytes.
+// messageSizeError rejects a message that is larger than maxMessage.
 type messageSizeError struct{ bytes uint32 }
 
 func (e *messageSizeError) Error() string { return fmt.Sprintf("message of %d bytes", e.bytes) }
 
-// unknownBodyError refuses a kind of message that this version does not know.
+// unknownBodyError rejects a message of a type that this version does not know.
 type unknownBodyError struct{ body wire.Body }
 
 func (e *unknownBodyError) Error() string { return fmt.Sprintf("unknown kind of message %d", e.body) }
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -18,23 +18,23 @@
 
 // Hub exchanges messages with all other controllers.
 //
-// The On fields are called from the goroutines of the connections, several at a time, and
-// have to be set before Run. All methods may be called from any goroutine.
+// The goroutines of the connections call the functions in the On fields concurrently. Those fields
+// must be set before Run. All methods are safe for concurrent use.
 type Hub struct {
 	node       string // name of this controller
 	dial       Dial
 	retryDelay time.Duration
 	links      map[string]*peerLink // by name of the other controller
 
-	// OnLeaderUpdate takes in what the leader broadcasts.
+	// OnLeaderUpdate receives the updates that the leader broadcasts.
 	OnLeaderUpdate func(from string, update LeaderUpdate)
-	// OnHTTP takes over a connection on which somebody speaks HTTP, and closes it; nil refuses.
+	// OnHTTP takes over an HTTP connection and has to close it; if nil, HTTP is refused.
 	OnHTTP func(net.Conn)
 	// OnLeaseGrantRequest decides on a request for a lease grant.
 	OnLeaseGrantRequest func(ctx context.Context, from string, request LeaseGrantRequest) LeaseGrantResponse
-	// OnLostJobsRequest responds to a request for lost jobs; nil leaves it without a response.
+	// OnLostJobsRequest responds to a request for lost jobs; if nil, there is no response.
 	OnLostJobsRequest func(LostJobsRequest) LostJobsResponse
-	// OnLossNotice takes in another controller's evidence of lost records; nil drops it.
+	// OnLossNotice receives another controller's evidence of lost records; if nil, it is dropped.
 	OnLossNotice func(from string, loss detection.Evidence)
 
 	requestNumber       atomic.Uint64 // of the last request; a response carries the number of its request
@@ -42,8 +42,8 @@
 	lostJobResponses    pendingResponses[LostJobsResponse]
 }
 
-// NewHub makes the hub of the controller named node. A connection that has failed is tried
-// again after retryDelay.
+// NewHub returns the hub of the controller with the given name. It retries a failed connection after
+// retryDelay.
 func NewHub(node string, peers []settings.Peer, dial Dial, retryDelay time.Duration) *Hub {
 	h := &Hub{node: node, dial: dial, retryDelay: retryDelay, links: make(map[string]*peerLink, len(peers))}
 	for _, p := range peers {
@@ -52,8 +52,8 @@
 	return h
 }
 
-// Run connects to all other controllers and serves the connections that listener accepts,
-// until the context ends. It closes the listener and returns when all connections are closed.
+// Run connects to all other controllers and serves the connections that listener accepts, until ctx
+// is done. It closes the listener, and returns when all connections are closed.
 func (h *Hub) Run(ctx context.Context, listener net.Listener) {
 	var connections sync.WaitGroup
 	for _, link := range h.links {
@@ -69,7 +69,7 @@
 			if ctx.Err() != nil {
 				break
 			}
-			slog.Debug("peer not accepted", "reason", err)
+			slog.Debug("failed to accept a peer connection", "reason", err)
 			h.waitBeforeRetry(ctx)
 			continue
 		}
@@ -78,8 +78,8 @@
 	connections.Wait()
 }
 
-// Broadcast sends the leader's update to all other controllers. One whose queue is full
-// misses it; the next update holds all that matters.
+// Broadcast sends the leader's update to all other controllers. A controller whose queue is full
+// misses the update; the next one contains everything that matters.
 func (h *Hub) Broadcast(update LeaderUpdate) {
 	raw := encodeLeaderUpdate(h.node, update)
 	for _, link := range h.links {
@@ -87,15 +87,15 @@
 	}
 }
 
-// SendLossNotice sends evidence of lost records to the named controller. It is dropped if
-// the controller is unknown or its queue is full; the next evidence may arrive.
+// SendLossNotice sends evidence of lost records to the named controller. The notice is dropped if the
+// controller is unknown or its queue is full; a later one may arrive.
 func (h *Hub) SendLossNotice(node string, loss detection.Evidence) {
 	if link := h.links[node]; link != nil {
 		link.enqueue(encodeLossNotice(h.node, loss))
 	}
 }
 
-// Peers returns the names of all other controllers, in order.
+// Peers returns the names of all other controllers, sorted.
 func (h *Hub) Peers() []string {
 	names := make([]string, 0, len(h.links))
 	for name := range h.links {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -5,16 +5,16 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Bounds of a message. What one may make this process hold in memory is maxMessage bytes;
-// the others keep the kinds of message whose size depends on the cluster well below that.
+// Limits of a message. maxMessage, in bytes, bounds the memory that one message can make this process
+// allocate. The others keep the messages that grow with the cluster well below it.
 const (
 	maxMessage       = 1 << 20
-	maxChanges       = maxMessage / 256 // in one LeaderUpdate
-	maxCancellations = maxMessage / 128 // in one LeaseGrantResponse
-	maxLostJobsBytes = maxMessage / 4   // in one LostJobsResponse
+	maxChanges       = maxMessage / 256 // per LeaderUpdate
+	maxCancellations = maxMessage / 128 // per LeaseGrantResponse
+	maxLostJobsBytes = maxMessage / 4   // per LostJobsResponse
 )
 
-// message is one decoded message; exactly one of the fields after from is set.
+// message is a decoded message. Exactly one of the fields after from is set.
 type message struct {
 	from               string // name of the controller that sent it
 	leaderUpdate       *LeaderUpdate
@@ -25,91 +25,93 @@
 	lossNotice         *detection.Evidence
 }
 
-// LeaderUpdate is what a leader broadcasts with every round of its loop.
+// LeaderUpdate is the status that the leader broadcasts periodically.
 type LeaderUpdate struct {
 	// JobCounts are the task counts of all unfinished jobs that have any, by job ID.
 	JobCounts map[string]jobs.Counts
-	// StoreAvailable tells that the key-value store answers the leader.
+	// StoreAvailable reports whether the key-value store answers the leader.
 	StoreAvailable bool
-	// ComparingRecords tells that records may be lost, and are being compared: a job without
-	// a record must not be taken for one that was never accepted.
+	// ComparingRecords reports whether records may be lost and are being compared. Until that is
+	// done, a job without a record must not be treated as never accepted.
 	ComparingRecords bool
-	// KnownJobs is how many jobs the leader knows.
+	// KnownJobs is the number of jobs that the leader knows.
 	KnownJobs int
-	// RecordsRolledBack tells that records may say less than users were told.
+	// RecordsRolledBack reports whether records may be older than what users were told.
 	RecordsRolledBack bool
-	// RestoringRecords tells that lost records are being written again.
+	// RestoringRecords reports whether lost records are being written back. Until that is done, a
+	// controller that does not know a job must not say that there is no such job.
 	RestoringRecords bool
-	// Changes are those of job records since the last update, oldest first. If the store loses
-	// them and the leader ends, the other controllers still know.
+	// Changes lists the changes of job records since the last update, oldest first. The other
+	// controllers then still know them if the store loses them and the leader fails.
 	Changes []JobChange
 }
 
-// JobChange is what a job's record has come to say.
+// JobChange is the new state of a changed job record, with the number of tasks of the job.
 type JobChange struct {
 	ID    string
 	State string
 	Tasks int
 }
 
-// LeaseGrantRequest is how a leader that can not reach the key-value store asks another
-// controller not to take over leadership for a while.
+// LeaseGrantRequest is sent by a leader that cannot reach the key-value store. It asks another
+// controller for a peer lease, during which that controller does not take over leadership.
 type LeaseGrantRequest struct {
-	FencingToken uint64 // of the asking leader
-	// SeenRevision is up to which revision of the store the leader has seen all changes of
-	// jobs; 0 if it does not say.
+	FencingToken uint64 // of the requesting leader
+	// SeenRevision is the revision of the store up to which the leader has seen all changes of
+	// jobs; 0 if unknown.
 	SeenRevision uint64
 }
 
 // LeaseGrantResponse is the response to a LeaseGrantRequest.
 type LeaseGrantResponse struct {
-	// Granted tells that the controller does not take over leadership for a while.
+	// Granted reports whether the controller granted the peer lease.
 	Granted bool
-	// CancellationsComplete tells that Cancellations are all that the controller may have told
-	// a user of and that are newer than what the leader has seen.
+	// CancellationsComplete reports whether Cancellations lists every cancellation that is newer
+	// than SeenRevision and that the controller may have confirmed to a user.
 	CancellationsComplete bool
 	Cancellations         []jobs.Cancellation
 }
 
-// LostJobsRequest asks another controller for jobs of which it knows more than the records
-// in the key-value store say.
+// LostJobsRequest asks another controller for the jobs about which it knows more than their records
+// in the key-value store contain.
 type LostJobsRequest struct {
-	// ComparisonRound is the leader's comparison that this belongs to: in a new one the other
-	// controller first compares all records with what it knows. 0 asks only for a summary: how
+	// ComparisonRound identifies the leader's comparison of records. In a new round the other
+	// controller first compares all records with what it knows. 0 requests only a summary: how
 	// much the other controller knows, and whether it has noticed a loss.
 	ComparisonRound uint64
-	// AfterID asks for jobs whose ID is greater than this one.
+	// AfterID limits the response to jobs with a greater ID.
 	AfterID string
 }
 
 // LostJobsResponse is one page of a controller's lost jobs, or its summary.
 type LostJobsResponse struct {
-	// Compared tells that the controller has compared the records with what it knows: all of
-	// them in a comparison round, the newest that it knows for a summary.
+	// Compared reports whether the controller has compared the records with what it knows: all
+	// records in a comparison round, the newest that it knows for a summary.
 	Compared bool
-	More     bool // there are jobs after the last of Jobs
+	More     bool // there are lost jobs after the last one of Jobs
 	Jobs     []LostJob
-	// KnownJobs is how many jobs the controller knows.
+	// KnownJobs is the number of jobs that the controller knows.
 	KnownJobs int
-	// LossNoticed tells that the controller has noticed lost records.
+	// LossNoticed reports whether the controller has noticed lost records.
 	LossNoticed bool
-	// NewestRevision is the newest revision of the store that it has read.
+	// NewestRevision is the newest revision of the store that the controller has read.
 	NewestRevision uint64
-	// ReliesOnNoGrant tells that the controller, since its process started, neither leads
-	// nor may come to act by a lease that it took: no grant to it has to be kept. A version
+	// ReliesOnNoGrant reports whether the controller, in its current incarnation, neither leads
+	// nor may still act on a lease that it took, so that no grant to it has to be kept. A version
 	// that does not know the field leaves it false.
 	ReliesOnNoGrant bool
 }
 
-// LostJob is a job of which a controller knows more than its record says.
+// LostJob is a job about which a controller knows more than the job's record contains.
 type LostJob struct {
 	ID     string
 	State  string
 	Tasks  int
-	Record []byte // as JSON; nil if the controller does not know the job's description
+	Record []byte // JSON; nil if the controller does not know the job's description
 }
 
-// The numbered forms add to a request the number that its response repeats.
+// These types add to a request or response the number that matches them: a response repeats the
+// number of its request.
 type (
 	leaseGrantRequest struct {
 		number uint64
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// pendingResponses matches responses with the requests that still wait for one. Its zero
-// value is ready to use.
+// pendingResponses matches responses with the requests that wait for them. Its zero value is ready to
+// use.
 type pendingResponses[Response any] struct {
 	mu       sync.Mutex
 	byNumber map[uint64]chan<- Response
 }
 
-// expect has the response to a request sent to a channel, which must have room for it. The
-// returned function gives the request up.
+// expect registers a channel for the response to a request. The channel needs buffer space for the
+// response, as deliver sends while it holds the mutex. cancel removes the registration.
 func (p *pendingResponses[Response]) expect(number uint64, response chan<- Response) (cancel func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// deliver hands a response to who waits for it. One that comes too late, or twice, is dropped.
+// deliver sends a response to the channel registered for it. It drops a late or duplicate response.
 func (p *pendingResponses[Response]) deliver(number uint64, response Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,15 +38,15 @@
 	}
 }
 
-// RequestLeaseGrants asks every other controller for a lease grant and joins the responses: the
-// grant counts only if each of them grants it before the context ends.
+// RequestLeaseGrants requests a lease grant from every other controller and combines the responses.
+// The result is granted only if every controller grants it before ctx is done.
 func (h *Hub) RequestLeaseGrants(ctx context.Context, request LeaseGrantRequest) LeaseGrantResponse {
 	responses := make(chan LeaseGrantResponse, len(h.links))
 	for _, link := range h.links {
 		number := h.requestNumber.Add(1)
 		defer h.leaseGrantResponses.expect(number, responses)()
 		if !link.enqueue(encodeLeaseGrantRequest(h.node, leaseGrantRequest{number, request})) {
-			return LeaseGrantResponse{} // a queue that is stuck will bring no response in time
+			return LeaseGrantResponse{} // a full queue means that no response can arrive in time
 		}
 	}
 	joined := LeaseGrantResponse{Granted: true, CancellationsComplete: true}
@@ -65,9 +65,9 @@
 	return joined
 }
 
-// RequestLostJobs asks the named controller for jobs of which it knows more than the records
-// say. It fails with an UnknownPeerError, or with ErrNoResponse if none comes before the
-// context ends.
+// RequestLostJobs asks the named controller for the jobs about which it knows more than their records
+// contain. It returns an *UnknownPeerError if there is no such controller, and ErrNoResponse if no
+// response arrives before ctx is done.
 func (h *Hub) RequestLostJobs(ctx context.Context, node string, request LostJobsRequest) (LostJobsResponse, error) {
 	link := h.links[node]
 	if link == nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// deliverResponse hands a response to who waits for it. Nothing else may come on a
-// connection that this controller opened.
+// deliverResponse delivers a response to the request that waits for it. Any other message is an error
+// on a connection that this controller opened.
 func (h *Hub) deliverResponse(received message) error {
 	switch {
 	case received.leaseGrantResponse != nil:
--- a/internal/peer/request_test.go
+++ b/internal/peer/request_test.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// connectedHub returns the first of two hubs on loopback; the second answers requests for
-// lost jobs by answer.
+// connectedHub returns the first of two connected hubs on loopback. The second one responds to requests
+// for lost jobs with answer.
 func connectedHub(t *testing.T, answer func(LostJobsRequest) LostJobsResponse) *Hub {
 	t.Helper()
 	listen := func() net.Listener {
@@ -42,7 +42,7 @@
 	return asking
 }
 
-// requestUntilAnswered repeats the request until the connection stands and there is an answer.
+// requestUntilAnswered repeats a request until the hubs are connected and there is a response.
 func requestUntilAnswered(h *Hub, after string) (response LostJobsResponse, err error) {
 	for range 100 {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -61,14 +61,15 @@
 	})
 	p, err := requestUntilAnswered(h, "j-")
 	if err != nil || !p.Compared || len(p.Jobs) != 1 || p.Jobs[0].ID != "j-1" {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("response %+v, error %v", p, err)
 	}
 	if _, err := h.RequestLostJobs(context.Background(), "perch-9", LostJobsRequest{ComparisonRound: 1}); err == nil {
-		t.Error("asked a node that there is not")
+		t.Error("request to an unknown controller returned no error")
 	}
 }
 
-// A controller that does not know the request does not respond, and who asked is not kept waiting.
+// A controller that does not support the request does not respond. The requester must get an error
+// when its context is done.
 func TestPeerThatCannotAnswer(t *testing.T) {
 	h := connectedHub(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
--- a/internal/peer/wire_decode.go
+++ b/internal/peer/wire_decode.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// decode reads a message without its size prefix. FlatBuffers has no verifier in Go: what is
-// out of bounds panics, and that is turned into an ErrMalformedMessage.
+// decode decodes a message without its size prefix. FlatBuffers has no verifier for Go, and an access
+// out of bounds panics; decode returns such a panic as ErrMalformedMessage.
 func decode(raw []byte) (decoded message, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -25,8 +25,8 @@
 	if !envelope.Body(&body) {
 		return decoded, errNoBody
 	}
-	// A length is only a number in the message: a broken one must not make this process set
-	// memory aside for it. Each row takes at least one offset.
+	// The length of a vector is only a number in the message. A corrupt one must not make this
+	// process allocate memory for it. Each row takes at least one offset.
 	maxRows := len(raw) / flatbuffers.SizeUOffsetT
 	switch envelope.BodyType() {
 	case wire.BodyProgress:
--- a/internal/peer/wire_encode.go
+++ b/internal/peer/wire_encode.go
@@ -10,7 +10,7 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Sizes, in bytes, for which builders set memory aside. They are estimates: a builder grows.
+// Estimated sizes, in bytes, for the initial capacity of a builder, which grows as needed.
 const (
 	messageBytes      = 128
 	jobCountsBytes    = 64
@@ -18,7 +18,7 @@
 	lostJobBytes      = 64
 )
 
-// finishMessage puts a body into a message and returns that behind its size.
+// finishMessage wraps a body in a message and returns the message with its size prefix.
 func finishMessage(b *flatbuffers.Builder, from string, kind wire.Body, body flatbuffers.UOffsetT) []byte {
 	name := b.CreateString(from)
 	wire.MessageStart(b)
@@ -29,7 +29,8 @@
 	return b.FinishedBytes()
 }
 
-// endVector writes the rows of a vector that was started. A builder writes from the back.
+// endVector writes the rows of a vector that has been started, last row first, because a builder
+// writes from back to front.
 func endVector(b *flatbuffers.Builder, rows []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	for _, row := range slices.Backward(rows) {
 		b.PrependUOffsetT(row)
@@ -66,10 +67,10 @@
 	return endVector(b, rows)
 }
 
-// encodeChanges writes changes, only the newest if there are more than maxChanges.
+// encodeChanges writes changes, or only the newest maxChanges if there are more.
 func encodeChanges(b *flatbuffers.Builder, changes []JobChange) flatbuffers.UOffsetT {
 	if len(changes) == 0 {
-		return 0 // the field is left out
+		return 0 // omits the field
 	}
 	changes = changes[max(0, len(changes)-maxChanges):]
 	rows := make([]flatbuffers.UOffsetT, 0, len(changes))
@@ -94,8 +95,8 @@
 	return finishMessage(b, from, wire.BodyAsk, wire.AskEnd(b))
 }
 
-// encodeLeaseGrantResponse writes a response. Cancellations that are too many for one message
-// are left out, and not called complete.
+// encodeLeaseGrantResponse encodes a response. If there are too many cancellations for one message, it
+// omits all of them and marks them as incomplete.
 func encodeLeaseGrantResponse(from string, response leaseGrantResponse) []byte {
 	if len(response.Cancellations) > maxCancellations {
 		response.CancellationsComplete, response.Cancellations = false, nil
@@ -136,7 +137,8 @@
 	return finishMessage(b, from, wire.BodyLostAsk, wire.LostAskEnd(b))
 }
 
-// encodeLostJobsResponse writes a response, or as much of it as one message may hold.
+// encodeLostJobsResponse encodes a response. If there are too many jobs for one message, it omits the
+// rest and sets More.
 func encodeLostJobsResponse(from string, response lostJobsResponse) []byte {
 	b := flatbuffers.NewBuilder(messageBytes + lostJobBytes*len(response.Jobs))
 	rows := make([]flatbuffers.UOffsetT, 0, len(response.Jobs))
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -14,8 +14,8 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Controllers of the version before this one send and read these very bytes, side
-// by side with this one while an upgrade goes on.
+// During an upgrade, controllers of the previous version run alongside this one, and send and read
+// exactly these bytes.
 func TestProductionMessages(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production.txt")
 	if err != nil {
@@ -28,7 +28,7 @@
 	for line := range strings.Lines(string(raw)) {
 		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if got := hex.EncodeToString(ours[kind]); got != digits {
-			t.Errorf("%s is sent as\n%s, production sends\n%s", kind, got, digits)
+			t.Errorf("%s is encoded as\n%s, production encodes it as\n%s", kind, got, digits)
 		}
 	}
 }
@@ -43,14 +43,14 @@
 		raw  []byte
 		want message
 	}{
-		{"progress", encodeLeaderUpdate("perch-0", progress), message{from: "perch-0", leaderUpdate: &progress}},
-		{"ask", encodeLeaseGrantRequest("perch-1", leaseGrantRequest{7, LeaseGrantRequest{41, 430}}), message{from: "perch-1", leaseGrantRequest: &leaseGrantRequest{7, LeaseGrantRequest{41, 430}}}},
-		{"promise", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, told}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, told}}},
-		{"promise of production", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}}},
-		{"promise with too many", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}}},
+		{"leader update", encodeLeaderUpdate("perch-0", progress), message{from: "perch-0", leaderUpdate: &progress}},
+		{"lease grant request", encodeLeaseGrantRequest("perch-1", leaseGrantRequest{7, LeaseGrantRequest{41, 430}}), message{from: "perch-1", leaseGrantRequest: &leaseGrantRequest{7, LeaseGrantRequest{41, 430}}}},
+		{"lease grant response", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, told}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, told}}},
+		{"lease grant response of production", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}}},
+		{"lease grant response with too many cancellations", encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{true, true, make([]jobs.Cancellation, maxCancellations+1)}}), message{from: "perch-2", leaseGrantResponse: &leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			body := tc.raw[4:] // behind its size
+			body := tc.raw[4:] // skip the size prefix
 			got, err := decode(body)
 			if err != nil {
 				t.Fatal(err)
@@ -58,8 +58,8 @@
 			if diff := cmp.Diff(tc.want, got, cmp.AllowUnexported(message{}, leaseGrantRequest{}, leaseGrantResponse{})); diff != "" {
 				t.Error(diff)
 			}
-			// Whatever a broken sender does must end in an error or in some
-			// message, never in a panic.
+			// A truncated or corrupt message must decode to an error or to some
+			// message, and never panic.
 			for n := range body {
 				_, _ = decode(body[:n])
 				broken := append([]byte(nil), body...)
@@ -69,12 +69,12 @@
 		})
 	}
 	if _, err := decode(nil); err == nil {
-		t.Error("an empty message was taken")
+		t.Error("empty message decoded without an error")
 	}
 }
 
-// Requests and responses for lost jobs, and loss notices, come out as they went in, and no
-// broken ones end a process.
+// Requests and responses for lost jobs, and loss notices, decode to what was encoded. Truncated or
+// corrupt ones must not panic.
 func TestLostMessages(t *testing.T) {
 	response := lostJobsResponse{9, LostJobsResponse{Compared: true, More: true, KnownJobs: 7, LossNoticed: true, NewestRevision: 500, ReliesOnNoGrant: true, Jobs: []LostJob{
 		{ID: "j-1", State: "done", Tasks: 4}, {ID: "j-2", State: "queued", Tasks: 1, Record: []byte(`{"stance":"queued"}`)},
@@ -105,8 +105,8 @@
 	}
 }
 
-// A response stays within a message, however large the records are; the rest comes with the
-// next.
+// A response stays within the limit of a message, however large the records are. The remaining jobs
+// come with the next response.
 func TestLargePage(t *testing.T) {
 	response := lostJobsResponse{1, LostJobsResponse{Compared: true}}
 	for i := range 100 {
--- a/internal/workers/client.go
+++ b/internal/workers/client.go
@@ -13,20 +13,20 @@
 	"github.com/go-json-experiment/json"
 )
 
-// maxResponseBytes bounds what is read of a worker's heartbeat: the protocol's limit for a
-// line is 64 KiB, and lists of tasks may take several times that.
+// maxResponseBytes limits how much of a worker's heartbeat is read. The protocol limits a line to
+// 64 KiB, and task lists may take several times that.
 const maxResponseBytes = 16 * 64 << 10
 
-// ErrProbeRefused means that a worker answered a probe, but not with a heartbeat.
-var ErrProbeRefused = errors.New("inspect refused")
+// ErrProbeRefused means that a worker answered a probe with status 409 instead of 200.
+var ErrProbeRefused = errors.New("worker refused the probe")
 
-// StatusError is a worker's answer with a status that the protocol does not know.
+// StatusError means that a worker responded with a status that the protocol does not define.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// OutOfSockets tells whether a request failed since this process has no socket left: that
-// says nothing of the worker.
+// OutOfSockets reports whether a request failed because this process could not get a socket, which
+// says nothing about the worker.
 func OutOfSockets(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, errno) {
@@ -36,21 +36,22 @@
 	return false
 }
 
-// Client sends requests to workers. It may be used by several goroutines.
+// Client sends requests to workers. It is safe for concurrent use by multiple goroutines.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
 
-// NewClient makes a client on a transport. Each request takes at most timeout.
+// NewClient returns a client that sends its requests through transport. Each request takes at most
+// timeout.
 func NewClient(transport http.RoundTripper, timeout time.Duration) *Client {
 	return &Client{timeout: timeout, http: &http.Client{Transport: transport}}
 }
 
-// SendCommands sends commands to the worker at addr, once. It returns the worker's heartbeat
-// after them, and whether they were executed: a worker refuses them for a fencing token or
-// an epoch that is not current. With an error the outcome is unknown, and they may still be
-// executed at any later time.
+// SendCommands sends commands once to the worker at addr. It returns the heartbeat with which the
+// worker responds, and whether the worker executed the commands: it refuses a fencing token or an
+// agent epoch that is not current. After an error the outcome is unknown, and the worker may still
+// execute the commands at any later time.
 func (c *Client) SendCommands(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, executed bool, err error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return c.do(ctx, http.MethodPost, "http://"+addr+"/orders", body)
 }
 
-// Probe asks the worker at addr for a heartbeat.
+// Probe requests a heartbeat from the worker at addr.
 func (c *Client) Probe(ctx context.Context, addr string) (*Heartbeat, error) {
 	heartbeat, ok, err := c.do(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 	if err == nil && !ok {
@@ -68,7 +69,8 @@
 	return heartbeat, err
 }
 
-// do sends one request. Executed is false where the worker answered 409.
+// do sends one request and decodes the heartbeat in the response. executed is false if the worker
+// answered 409.
 func (c *Client) do(ctx context.Context, method, url string, body []byte) (heartbeat *Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -76,8 +78,8 @@
 	if err != nil {
 		return nil, false, err
 	}
-	// One message is sent once: a copy that the transport made by itself
-	// could start a task again after its end was cleared.
+	// Without GetBody the transport cannot resend the request on its own. A second copy could
+	// start a task again after its ended attempt was cleared.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/internal/workers/client_test.go
+++ b/internal/workers/client_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// A worker's answer tells whether commands were executed; any other status leaves that open.
+// Status 200 or 409 tells whether the worker executed the commands. Any other status must leave the
+// outcome unknown.
 func TestClientOutcomes(t *testing.T) {
 	status := 0
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -31,10 +32,10 @@
 		status = tc.status
 		heartbeat, executed, err := client.SendCommands(t.Context(), addr, CommandRequest{FencingToken: 41, AgentEpoch: 2})
 		if executed != tc.executed || (err != nil) != tc.unknown {
-			t.Errorf("status %d: commands executed %v, %v", tc.status, executed, err)
+			t.Errorf("status %d: commands executed %v, error %v", tc.status, executed, err)
 		}
 		if err == nil && (heartbeat.Machine != "m-000231" || heartbeat.AgentEpoch != 2) {
-			t.Errorf("status %d: read as %+v", tc.status, heartbeat)
+			t.Errorf("status %d: decoded heartbeat %+v", tc.status, heartbeat)
 		}
 		_, err = client.Probe(t.Context(), addr)
 		var unexpected *StatusError
@@ -42,10 +43,10 @@
 		case errors.As(tc.probeErr, &unexpected):
 			var got *StatusError
 			if !errors.As(err, &got) || got.Status != unexpected.Status {
-				t.Errorf("status %d: probe: %v", tc.status, err)
+				t.Errorf("status %d: probe error %v", tc.status, err)
 			}
 		case !errors.Is(err, tc.probeErr):
-			t.Errorf("status %d: probe: %v", tc.status, err)
+			t.Errorf("status %d: probe error %v", tc.status, err)
 		}
 	}
 }
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -9,26 +9,26 @@
 	"ospreyslip/internal/httpreply"
 )
 
-// maxHeartbeatBytes is the protocol's limit for a request body.
+// maxHeartbeatBytes is the protocol's size limit for a request body.
 const maxHeartbeatBytes = 64 << 10
 
-// Handler takes in workers' heartbeats over HTTP. Its functions are called by the server's
-// goroutines, several at a time.
+// Handler receives workers' heartbeats over HTTP. The server's goroutines call its functions
+// concurrently.
 type Handler struct {
-	// HandleHeartbeat returns nil where this node has no right to answer.
+	// HandleHeartbeat returns the response to a heartbeat, or nil if this controller may not answer.
 	HandleHeartbeat func(context.Context, *Heartbeat) *HeartbeatResponse
-	// Leader names the node to send heartbeats to, if it is known and another one; else it
-	// returns "".
+	// Leader returns the name of the controller to send heartbeats to, or "" if it is unknown or
+	// this controller itself.
 	Leader func() string
 }
 
-// Register adds the workers' path.
+// Register adds the endpoint for heartbeats to mux.
 func (h *Handler) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/report", h.serveHeartbeat)
 }
 
-// serveHeartbeat answers 200 with commands, 421 with the leader's name, 503 where no leader
-// is known, or 400.
+// serveHeartbeat answers 200 with commands, 421 with the leader's name, 503 if no leader is known, or
+// 400 to a malformed heartbeat.
 func (h *Handler) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var heartbeat Heartbeat
 	body := http.MaxBytesReader(w, r.Body, maxHeartbeatBytes)
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -21,7 +21,8 @@
 	return rec
 }
 
-// What a worker sends is read whole, and what it gets is exactly the protocol's.
+// A heartbeat is decoded completely, whatever unknown fields it has, and each response has exactly
+// the protocol's form.
 func TestHeartbeatOnTheWire(t *testing.T) {
 	var got *Heartbeat
 	grace := 0.0
@@ -40,28 +41,28 @@
 		t.Errorf("%d %s, want %s", rec.Code, rec.Body, want)
 	}
 	if got.Machine != "m-000231" || got.SpotNoticeS != nil || len(got.Tasks) != 4 || got.Tasks[3] != (TaskStatus{"j-000398/0", 1, StateEnded, CauseStopped, true}) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("decoded heartbeat %+v", got)
 	}
 	handler.HandleHeartbeat = func(context.Context, *Heartbeat) *HeartbeatResponse { return nil }
 	if rec := serve(handler, fourTasks); rec.Code != http.StatusServiceUnavailable {
-		t.Errorf("nobody leads: %d", rec.Code)
+		t.Errorf("no known leader: status %d", rec.Code)
 	}
 	handler.Leader = func() string { return "perch-2" }
 	if rec := serve(handler, fourTasks); rec.Code != http.StatusMisdirectedRequest || rec.Body.String() != `{"nest":"perch-2"}` {
-		t.Errorf("another leads: %d %s", rec.Code, rec.Body)
+		t.Errorf("another controller leads: status %d, body %s", rec.Code, rec.Body)
 	}
 	for name, body := range map[string]string{
-		"no machine": `{"soar":1}`, "half of it": fourTasks[:300], "nothing": "", "not an object": "[1]", "a large one": `{"host":"` + strings.Repeat("m", maxHeartbeatBytes) + `"}`,
+		"no machine name": `{"soar":1}`, "truncated": fourTasks[:300], "empty body": "", "not an object": "[1]", "oversized": `{"host":"` + strings.Repeat("m", maxHeartbeatBytes) + `"}`,
 	} {
 		if rec := serve(handler, body); rec.Code != http.StatusBadRequest {
-			t.Errorf("%s: %d", name, rec.Code)
+			t.Errorf("%s: status %d", name, rec.Code)
 		}
 	}
 }
 
-// A heartbeat of four tasks costs few allocations beyond those of net/http: a string for
-// each name, the list of tasks, and the answer. Thousands come in ten seconds, and with
-// the first version of encoding/json there were 17 more.
+// Guards against extra allocations per heartbeat, thousands of which arrive within ten seconds.
+// Beyond those of net/http, a heartbeat of four tasks needs one allocation for each name, the task
+// list and the response. The first version of encoding/json needed 17 more.
 func TestAllocationsPerHeartbeat(t *testing.T) {
 	handler := &Handler{HandleHeartbeat: func(context.Context, *Heartbeat) *HeartbeatResponse {
 		return &HeartbeatResponse{FencingToken: 41, Commands: []Command{}}
@@ -81,7 +82,7 @@
 		i++
 	})
 	if n > 22 {
-		t.Errorf("%v allocations a heartbeat", n)
+		t.Errorf("%v allocations per heartbeat, want at most 22", n)
 	}
-	t.Logf("%v allocations a heartbeat", n)
+	t.Logf("%v allocations per heartbeat", n)
 }
--- a/internal/workers/task_name.go
+++ b/internal/workers/task_name.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// TaskName joins the id of a job and the number of one of its tasks, counted from 0.
+// TaskName returns the name of a task from the ID of its job and its index in the job, counted from 0.
 func TaskName(job string, n int) string { return job + "/" + strconv.Itoa(n) }
 
-// SplitTask takes a task's name apart. It returns false if name is not one.
+// SplitTask splits a task name into the ID of its job and its index in the job. ok is false if name is
+// not a task name.
 func SplitTask(name string) (job string, n int, ok bool) {
 	job, digits, found := strings.Cut(name, "/")
 	n, err := strconv.Atoi(digits)
