--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -80,8 +80,8 @@
 	releaseLimiter *rate.Limiter // separate, so that a release never waits for other requests
 }
 
-// releaseShare is the fraction of the request rate that is reserved for releases.
-const releaseShare = 0.25
+// releaseRateShare is the fraction of the request rate that is reserved for releases.
+const releaseRateShare = 0.25
 
 // NewClient returns a client of the cloud at addr, a host:port, that sends at most requestsPerS
 // requests per second through transport. Each request takes at most timeout, including its wait for
@@ -90,8 +90,8 @@
 	return &Client{
 		baseURL:        "http://" + addr,
 		timeout:        timeout,
-		limiter:        newLimiter(requestsPerS * (1 - releaseShare)),
-		releaseLimiter: newLimiter(requestsPerS * releaseShare),
+		limiter:        newLimiter(requestsPerS * (1 - releaseRateShare)),
+		releaseLimiter: newLimiter(requestsPerS * releaseRateShare),
 		http:           &http.Client{Transport: transport},
 	}
 }
@@ -117,9 +117,9 @@
 // requested. After any error other than ErrNoCapacity the outcome is unknown, and the caller must
 // send the same request again.
 func (c *Client) Provision(ctx context.Context, request ProvisionRequest) ([]string, error) {
-	var provisioned wireProvisioned
-	err := c.call(ctx, c.limiter, http.MethodPost, "/rentals", encodeProvisionRequest(request), &provisioned)
-	return provisioned.Machines, err
+	var response wireProvisionResponse
+	err := c.call(ctx, c.limiter, http.MethodPost, "/rentals", encodeProvisionRequest(request), &response)
+	return response.Machines, err
 }
 
 // Release releases up to MaxMachinesPerRelease machines. If it returns nil, the machines and
@@ -172,7 +172,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return errorOf(response.StatusCode, raw)
+		return responseError(response.StatusCode, raw)
 	}
 	if result == nil {
 		return nil
@@ -192,12 +192,13 @@
 	return http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
 }
 
-// errorOf returns the error that a response means. If the body is not JSON, only the status counts.
-func errorOf(status int, body []byte) error {
-	var answer wireError
-	_ = json.Unmarshal(body, &answer)
-	if status == http.StatusServiceUnavailable && answer.Error == noCapacityMessage {
+// responseError returns the error that a response means. If the body is not JSON, the error has only
+// the status.
+func responseError(status int, body []byte) error {
+	var decoded wireError
+	_ = json.Unmarshal(body, &decoded)
+	if status == http.StatusServiceUnavailable && decoded.Error == noCapacityMessage {
 		return ErrNoCapacity
 	}
-	return &StatusError{Code: status, Message: answer.Error}
+	return &StatusError{Code: status, Message: decoded.Error}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,8 +15,8 @@
 	"ospreyslip/internal/autoscaler"
 )
 
-// serve returns a client of a test server that runs handler.
-func serve(t *testing.T, handler http.HandlerFunc) *Client {
+// newTestClient returns a client of a test server that runs handler.
+func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -25,7 +25,7 @@
 
 func TestProvision(t *testing.T) {
 	pool := autoscaler.MachinePool{Type: "small", Zone: "a", Spot: true}
-	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if d := cmp.Diff(`{"charter":"r-1","perchKind":"small","eyrie":"a","driftwood":true,"number":2}`, string(body)); d != "" {
 			t.Errorf("request (-want +got):\n%s", d)
@@ -43,7 +43,7 @@
 
 // Only a response that reports no capacity makes the outcome of a request known, so no other error
 // may be taken for it.
-func TestErrors(t *testing.T) {
+func TestProvisionErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		status     int
@@ -57,7 +57,7 @@
 		{"not JSON", http.StatusBadGateway, "bad gateway", false, "cloud: status 502 "},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			client := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+			client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(tc.status)
 				_, _ = io.WriteString(w, tc.body)
 			})
@@ -81,7 +81,7 @@
 		"":    `{"hosts":[{"id":"m-1","addr":"h:1","perchKind":"small","eyrie":"a","driftwood":true,"stance":"running","ageS":3}],"hasNext":true}`,
 		"m-1": `{"hosts":[{"id":"m-2","stance":"failed"}],"hasNext":false}`,
 	}
-	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, pages[r.URL.Query().Get("after")])
 	})
 	got, count, err := client.ListMachines(t.Context())
@@ -97,8 +97,8 @@
 	}
 }
 
-func TestReleaseNamesTheMachines(t *testing.T) {
-	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+func TestReleaseRequestBody(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		var body map[string][]string
 		if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 			t.Error(err)
@@ -112,8 +112,8 @@
 	}
 }
 
-func TestEmptyCatalogIsAnError(t *testing.T) {
-	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"perches":[]}`) })
+func TestCatalogRejectsEmptyResponse(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"perches":[]}`) })
 	if _, err := client.Catalog(t.Context()); err == nil {
 		t.Error("empty catalog returned no error")
 	}
--- a/internal/cloud/wire.go
+++ b/internal/cloud/wire.go
@@ -33,8 +33,8 @@
 	return wireProvisionRequest{Name: r.Name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// wireProvisioned is the body of the response to POST /rentals.
-type wireProvisioned struct {
+// wireProvisionResponse is the body of the response to POST /rentals.
+type wireProvisionResponse struct {
 	Machines []string `json:"hosts"`
 }
 
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -81,7 +81,7 @@
 	method    string
 	path      string
 	body      any  // sent as JSON; nil sends no body
-	answer    any  // destination of the response's JSON body; nil discards the body
+	result    any  // destination of the response's JSON body; nil discards the body
 	longPoll  bool // the store delays the response, which therefore does not prove it available
 }
 
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := c.requestLimiter.Wait(ctx); err != nil {
-		return 0, req.failed(0, fmt.Errorf("%w: request rate: %w: %w", ErrNotExecuted, ErrRateLimited, err))
+		return 0, req.newError(0, fmt.Errorf("%w: request rate: %w: %w", ErrNotExecuted, ErrRateLimited, err))
 	}
 	return c.send(ctx, req)
 }
@@ -101,12 +101,12 @@
 func (c *Client) send(ctx context.Context, req *request) (status int, err error) {
 	httpRequest, err := c.httpRequest(ctx, req)
 	if err != nil {
-		return 0, req.failed(0, fmt.Errorf("%w: %w", ErrNotExecuted, err))
+		return 0, req.newError(0, fmt.Errorf("%w: %w", ErrNotExecuted, err))
 	}
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		c.noteFailure()
-		return 0, req.failed(0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+		return 0, req.newError(0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 	}
 	defer response.Body.Close()
 	status = response.StatusCode
@@ -116,11 +116,11 @@
 		c.failing.Store(false)
 	}
 	if err := statusError(status); err != nil {
-		return status, req.failed(status, err)
+		return status, req.newError(status, err)
 	}
 	// A rejection is definite even if its body, which only states the reason, cannot be read.
-	if err := req.readAnswer(response.Body); err != nil && status != http.StatusBadRequest {
-		return status, req.failed(status, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+	if err := req.decodeResponse(response.Body); err != nil && status != http.StatusBadRequest {
+		return status, req.newError(status, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 	}
 	return status, nil
 }
@@ -155,14 +155,14 @@
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// readAnswer decodes or discards a response body. It reads to the end of the body, so that the
+// decodeResponse decodes or discards a response body. It reads to the end of the body, so that the
 // connection can be reused.
-func (r *request) readAnswer(body io.Reader) error {
-	if r.answer == nil {
+func (r *request) decodeResponse(body io.Reader) error {
+	if r.result == nil {
 		_, err := io.Copy(io.Discard, body)
 		return err
 	}
-	err := jsonv2.UnmarshalRead(body, r.answer)
+	err := jsonv2.UnmarshalRead(body, r.result)
 	if errors.Is(err, io.EOF) {
 		return nil // the response has no body
 	}
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -34,13 +34,13 @@
 // Unwrap returns the wrapped error, for errors.Is and errors.As.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// failed returns the error of a request with the status of its response, or 0 if it got none.
-func (r *request) failed(status int, reason error) error {
+// newError returns the error of a request with the status of its response, or 0 if it got none.
+func (r *request) newError(status int, reason error) error {
 	return &RequestError{Operation: r.operation, Status: status, Err: reason}
 }
 
-// unexpected returns the error of a request whose response has a status that the protocol does not
-// define for it.
-func (r *request) unexpected(status int) error {
-	return r.failed(status, fmt.Errorf("%w: status %d", ErrNotExecuted, status))
+// unexpectedStatus returns the error of a request whose response has a status that the protocol does
+// not define for it.
+func (r *request) unexpectedStatus(status int) error {
+	return r.newError(status, fmt.Errorf("%w: status %d", ErrNotExecuted, status))
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -11,16 +11,16 @@
 // GrantLease creates a lease that expires once it has not been renewed for duration. When a lease
 // ends, the store removes the keys that are tied to it.
 func (c *Client) GrantLease(ctx context.Context, duration time.Duration) (lease uint64, err error) {
-	var granted leaseAnswer
+	var response leaseResponse
 	req := request{
 		operation: "grant lease", method: http.MethodPost, path: "/grants",
-		body: leaseRequest{Milliseconds: duration.Milliseconds()}, answer: &granted,
+		body: leaseRequest{Milliseconds: duration.Milliseconds()}, result: &response,
 	}
 	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusOK {
-		err = req.unexpected(status)
+		err = req.unexpectedStatus(status)
 	}
-	return granted.Lease, err
+	return response.Lease, err
 }
 
 // RenewLease extends a lease to its full duration. It returns ErrLeaseNotFound if the lease has
@@ -33,9 +33,9 @@
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return req.failed(status, ErrLeaseNotFound)
+		return req.newError(status, ErrLeaseNotFound)
 	case status != http.StatusOK:
-		return req.unexpected(status)
+		return req.unexpectedStatus(status)
 	}
 	return nil
 }
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -13,7 +13,7 @@
 
 // Get reads one key. If the key does not exist, found is false and err is nil.
 func (c *Client) Get(ctx context.Context, key string) (keyValue KeyValue, found bool, err error) {
-	req := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, answer: &keyValue}
+	req := request{operation: "get " + key, method: http.MethodGet, path: "/keys/" + key, result: &keyValue}
 	status, err := c.do(ctx, c.timeout, &req)
 	switch {
 	case err != nil:
@@ -23,7 +23,7 @@
 	case status == http.StatusNotFound:
 		return KeyValue{}, false, nil
 	}
-	return KeyValue{}, false, req.unexpected(status)
+	return KeyValue{}, false, req.unexpectedStatus(status)
 }
 
 // List returns all keys with a prefix, in order. The revision is that of the first page: a watch
@@ -77,25 +77,25 @@
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
-	req := request{operation: "list " + prefix, method: http.MethodGet, path: path, answer: &page}
+	req := request{operation: "list " + prefix, method: http.MethodGet, path: path, result: &page}
 	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusOK {
-		err = req.unexpected(status)
+		err = req.unexpectedStatus(status)
 	}
 	return page, err
 }
 
-// noKey is a key that is never written. The response that it does not exist carries the store's
+// absentKey is a key that is never written. The response that it does not exist carries the store's
 // revision.
-const noKey = "nothing"
+const absentKey = "nothing"
 
 // Revision returns a revision of the store that is at least as new as the start of the call.
 func (c *Client) Revision(ctx context.Context) (uint64, error) {
-	var current revisionAnswer
-	req := request{operation: "revision", method: http.MethodGet, path: "/keys/" + noKey, answer: &current}
+	var response revisionResponse
+	req := request{operation: "revision", method: http.MethodGet, path: "/keys/" + absentKey, result: &response}
 	status, err := c.do(ctx, c.timeout, &req)
 	if err == nil && status != http.StatusNotFound {
-		err = req.unexpected(status)
+		err = req.unexpectedStatus(status)
 	}
-	return current.Revision, err
+	return response.Revision, err
 }
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -16,14 +16,14 @@
 func (c *Client) Commit(ctx context.Context, guards []Guard, writes []Write) (revision uint64, failed []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var result commitAnswer
+	var response commitResponse
 	req := request{
 		operation: "commit", method: http.MethodPost, path: "/commit",
-		body: commitRequest{Guards: guards, Writes: writes}, answer: &result,
+		body: commitRequest{Guards: guards, Writes: writes}, result: &response,
 	}
 	if n := len(writes); n > 0 {
 		if err := c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst())); err != nil {
-			return 0, nil, req.failed(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
+			return 0, nil, req.newError(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
 		}
 	}
 	status, err := c.do(ctx, c.timeout, &req)
@@ -31,13 +31,13 @@
 	case err != nil:
 		return 0, nil, err
 	case status == http.StatusOK:
-		return result.Revision, nil, nil
+		return response.Revision, nil, nil
 	case status == http.StatusConflict:
-		return result.Revision, result.Failed, nil
-	case status == http.StatusBadRequest && result.Error == leaseNotFoundText:
-		return 0, nil, req.failed(status, ErrLeaseNotFound)
+		return response.Revision, response.Failed, nil
+	case status == http.StatusBadRequest && response.Error == leaseNotFoundText:
+		return 0, nil, req.newError(status, ErrLeaseNotFound)
 	case status == http.StatusBadRequest:
-		return 0, nil, req.failed(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, result.Error))
+		return 0, nil, req.newError(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, response.Error))
 	}
-	return 0, nil, req.unexpected(status)
+	return 0, nil, req.unexpectedStatus(status)
 }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -14,20 +14,20 @@
 // reached one that Revision returned. Watch returns ErrCompacted if the store no longer keeps the
 // changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (revision uint64, changes []Change, err error) {
-	var seen watchAnswer
+	var response watchResponse
 	req := request{
 		operation: "watch " + prefix, method: http.MethodGet,
 		path:   fmt.Sprintf("/watch?prefix=%s&after=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds()),
-		answer: &seen, longPoll: true,
+		result: &response, longPoll: true,
 	}
 	status, err := c.do(ctx, wait+c.timeout, &req)
 	switch {
 	case err != nil:
 		return 0, nil, err
 	case status == http.StatusGone:
-		return 0, nil, req.failed(status, ErrCompacted)
+		return 0, nil, req.newError(status, ErrCompacted)
 	case status != http.StatusOK:
-		return 0, nil, req.unexpected(status)
+		return 0, nil, req.unexpectedStatus(status)
 	}
-	return seen.Revision, seen.Changes, nil
+	return response.Revision, response.Changes, nil
 }
--- a/internal/kvstore/wire.go
+++ b/internal/kvstore/wire.go
@@ -39,11 +39,11 @@
 	Revision  uint64     `json:"tide"`
 }
 
-type revisionAnswer struct {
+type revisionResponse struct {
 	Revision uint64 `json:"tide"`
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Revision uint64   `json:"tide"`
 	Changes  []Change `json:"log"`
 }
@@ -53,19 +53,19 @@
 	Writes []Write `json:"writes"`
 }
 
-type commitAnswer struct {
+type commitResponse struct {
 	Revision uint64   `json:"tide"`
 	Failed   []string `json:"failed"` // keys of the guards that did not hold
 	Error    string   `json:"error"`
 }
 
-// leaseNotFoundText is the value of commitAnswer.Error if a write names a lease that has ended.
+// leaseNotFoundText is the value of commitResponse.Error if a write names a lease that has ended.
 const leaseNotFoundText = "no such lease"
 
 type leaseRequest struct {
 	Milliseconds int64 `json:"lifeMs"`
 }
 
-type leaseAnswer struct {
+type leaseResponse struct {
 	Lease uint64 `json:"tether"`
 }
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// outboxSize is the number of messages queued for a connection. More would be out of date by
+	// queueSize is the number of messages queued for a connection. More would be out of date by
 	// the time they are sent.
-	outboxSize = 4
-	// timeoutRetries is the timeout for connecting and for sending a message, as a multiple of the
+	queueSize = 4
+	// timeoutRetryDelays is the timeout for connecting and for sending a message, as a multiple of the
 	// retry delay.
-	timeoutRetries = 4
+	timeoutRetryDelays = 4
 )
 
 // peerLink is the connection that this controller opens to another one.
 type peerLink struct {
-	addr   string
-	outbox chan []byte // encoded messages to send
+	addr  string
+	queue chan []byte // encoded messages to send
 }
 
 func newPeerLink(addr string) *peerLink {
-	return &peerLink{addr: addr, outbox: make(chan []byte, outboxSize)}
+	return &peerLink{addr: addr, queue: make(chan []byte, queueSize)}
 }
 
 // enqueue queues an encoded message. It drops the message and returns false if the queue is full.
 func (l *peerLink) enqueue(raw []byte) bool {
 	select {
-	case l.outbox <- raw:
+	case l.queue <- raw:
 		return true
 	default:
 		return false
@@ -45,7 +45,7 @@
 func (l *peerLink) discardQueued() {
 	for {
 		select {
-		case <-l.outbox:
+		case <-l.queue:
 		default:
 			return
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-func (h *Hub) timeout() time.Duration { return timeoutRetries * h.retryDelay }
+func (h *Hub) timeout() time.Duration { return timeoutRetryDelays * h.retryDelay }
 
 // waitBeforeRetry waits for the retry delay, or until ctx is done.
 func (h *Hub) waitBeforeRetry(ctx context.Context) {
@@ -97,7 +97,7 @@
 		case <-ctx.Done():
 			link.discardQueued()
 			return
-		case raw := <-link.outbox:
+		case raw := <-link.queue:
 			if err := h.writeMessage(conn, raw); err != nil {
 				link.discardQueued()
 				return
@@ -106,24 +106,24 @@
 	}
 }
 
-// peekedConn is a connection whose first bytes are already in a buffer.
-type peekedConn struct {
+// bufferedConn is a connection whose first bytes are already in a buffer.
+type bufferedConn struct {
 	net.Conn
 	buffered *bufio.Reader
 }
 
-func (c *peekedConn) Read(p []byte) (int, error) { return c.buffered.Read(p) }
+func (c *bufferedConn) Read(p []byte) (int, error) { return c.buffered.Read(p) }
 
 // serveConnection handles the messages on a connection that another controller opened, or passes an
 // HTTP connection to OnHTTP. The two cannot be confused: read as a message size, "GET " and "POST"
-// far exceed maxMessage.
+// far exceed maxMessageBytes.
 func (h *Hub) serveConnection(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	reader := bufio.NewReader(conn)
-	method, err := reader.Peek(4)
-	if err == nil && (string(method) == "GET " || string(method) == "POST") && h.OnHTTP != nil {
-		h.OnHTTP(&peekedConn{conn, reader})
+	prefix, err := reader.Peek(4)
+	if err == nil && (string(prefix) == "GET " || string(prefix) == "POST") && h.OnHTTP != nil {
+		h.OnHTTP(&bufferedConn{conn, reader})
 		return
 	}
 	defer conn.Close()
@@ -142,12 +142,12 @@
 		h.OnLeaderUpdate(received.from, *received.leaderUpdate)
 	case received.leaseGrantRequest != nil:
 		response := h.OnLeaseGrantRequest(ctx, received.from, received.leaseGrantRequest.LeaseGrantRequest)
-		return h.writeMessage(conn, encodeLeaseGrantResponse(h.node, leaseGrantResponse{received.leaseGrantRequest.number, response}))
+		return h.writeMessage(conn, encodeLeaseGrantResponse(h.name, leaseGrantResponse{received.leaseGrantRequest.number, response}))
 	case received.lossNotice != nil && h.OnLossNotice != nil:
 		h.OnLossNotice(received.from, *received.lossNotice)
 	case received.lostJobsRequest != nil && h.OnLostJobsRequest != nil:
 		response := h.OnLostJobsRequest(received.lostJobsRequest.LostJobsRequest)
-		return h.writeMessage(conn, encodeLostJobsResponse(h.node, lostJobsResponse{received.lostJobsRequest.number, response}))
+		return h.writeMessage(conn, encodeLostJobsResponse(h.name, lostJobsResponse{received.lostJobsRequest.number, response}))
 	}
 	return nil
 }
@@ -160,16 +160,16 @@
 
 // readMessages passes each message to handle until reading or handle fails, and returns that error.
 func (h *Hub) readMessages(reader *bufio.Reader, handle func(message) error) error {
-	var size [4]byte
+	var prefix [4]byte
 	for {
-		if _, err := io.ReadFull(reader, size[:]); err != nil {
+		if _, err := io.ReadFull(reader, prefix[:]); err != nil {
 			return err
 		}
-		bytes := binary.LittleEndian.Uint32(size[:])
-		if bytes > maxMessage {
-			return &messageSizeError{bytes}
+		size := binary.LittleEndian.Uint32(prefix[:])
+		if size > maxMessageBytes {
+			return &messageSizeError{size}
 		}
-		raw := make([]byte, bytes)
+		raw := make([]byte, size)
 		if _, err := io.ReadFull(reader, raw); err != nil {
 			return err
 		}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -16,19 +16,19 @@
 	// connection on which it arrived is closed.
 	ErrMalformedMessage = errors.New("malformed message")
 
-	// errTooManyRows rejects a corrupt vector length before memory is allocated for it.
-	errTooManyRows = errors.New("vector length exceeds the message size")
+	// errVectorTooLong rejects a corrupt vector length before memory is allocated for it.
+	errVectorTooLong = errors.New("vector length exceeds the message size")
 
 	errNoBody             = errors.New("message has no body")
 	errUnexpectedResponse = errors.New("received a message that is not a response")
 )
 
 // UnknownPeerError names a controller that is not one of the peers in the settings.
-type UnknownPeerError struct{ Node string }
+type UnknownPeerError struct{ Name string }
 
-func (e *UnknownPeerError) Error() string { return fmt.Sprintf("unknown node %q", e.Node) }
+func (e *UnknownPeerError) Error() string { return fmt.Sprintf("unknown node %q", e.Name) }
 
-// messageSizeError rejects a message that is larger than maxMessage.
+// messageSizeError rejects a message that is larger than maxMessageBytes.
 type messageSizeError struct{ bytes uint32 }
 
 func (e *messageSizeError) Error() string { return fmt.Sprintf("message of %d bytes", e.bytes) }
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -21,7 +21,7 @@
 // The goroutines of the connections call the functions in the On fields concurrently. Those fields
 // must be set before Run. All methods are safe for concurrent use.
 type Hub struct {
-	node       string // name of this controller
+	name       string // name of this controller
 	dial       Dial
 	retryDelay time.Duration
 	links      map[string]*peerLink // by name of the other controller
@@ -44,8 +44,8 @@
 
 // NewHub returns the hub of the controller with the given name. It retries a failed connection after
 // retryDelay.
-func NewHub(node string, peers []settings.Peer, dial Dial, retryDelay time.Duration) *Hub {
-	h := &Hub{node: node, dial: dial, retryDelay: retryDelay, links: make(map[string]*peerLink, len(peers))}
+func NewHub(name string, peers []settings.Peer, dial Dial, retryDelay time.Duration) *Hub {
+	h := &Hub{name: name, dial: dial, retryDelay: retryDelay, links: make(map[string]*peerLink, len(peers))}
 	for _, p := range peers {
 		h.links[p.Node] = newPeerLink(p.Addr)
 	}
@@ -81,7 +81,7 @@
 // Broadcast sends the leader's update to all other controllers. A controller whose queue is full
 // misses the update; the next one contains everything that matters.
 func (h *Hub) Broadcast(update LeaderUpdate) {
-	raw := encodeLeaderUpdate(h.node, update)
+	raw := encodeLeaderUpdate(h.name, update)
 	for _, link := range h.links {
 		link.enqueue(raw)
 	}
@@ -89,9 +89,9 @@
 
 // SendLossNotice sends evidence of lost records to the named controller. The notice is dropped if the
 // controller is unknown or its queue is full; a later one may arrive.
-func (h *Hub) SendLossNotice(node string, loss detection.Evidence) {
-	if link := h.links[node]; link != nil {
-		link.enqueue(encodeLossNotice(h.node, loss))
+func (h *Hub) SendLossNotice(name string, loss detection.Evidence) {
+	if link := h.links[name]; link != nil {
+		link.enqueue(encodeLossNotice(h.name, loss))
 	}
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -5,13 +5,13 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// Limits of a message. maxMessage, in bytes, bounds the memory that one message can make this process
+// Limits of a message. maxMessageBytes bounds the memory that one message can make this process
 // allocate. The others keep the messages that grow with the cluster well below it.
 const (
-	maxMessage       = 1 << 20
-	maxChanges       = maxMessage / 256 // per LeaderUpdate
-	maxCancellations = maxMessage / 128 // per LeaseGrantResponse
-	maxLostJobsBytes = maxMessage / 4   // per LostJobsResponse
+	maxMessageBytes  = 1 << 20
+	maxChanges       = maxMessageBytes / 256 // per LeaderUpdate
+	maxCancellations = maxMessageBytes / 128 // per LeaseGrantResponse
+	maxLostJobsBytes = maxMessageBytes / 4   // per LostJobsResponse
 )
 
 // message is a decoded message. Exactly one of the fields after from is set.
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -32,9 +32,9 @@
 func (p *pendingResponses[Response]) deliver(number uint64, response Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if waiting := p.byNumber[number]; waiting != nil {
+	if receiver := p.byNumber[number]; receiver != nil {
 		delete(p.byNumber, number)
-		waiting <- response
+		receiver <- response
 	}
 }
 
@@ -45,38 +45,38 @@
 	for _, link := range h.links {
 		number := h.requestNumber.Add(1)
 		defer h.leaseGrantResponses.expect(number, responses)()
-		if !link.enqueue(encodeLeaseGrantRequest(h.node, leaseGrantRequest{number, request})) {
+		if !link.enqueue(encodeLeaseGrantRequest(h.name, leaseGrantRequest{number, request})) {
 			return LeaseGrantResponse{} // a full queue means that no response can arrive in time
 		}
 	}
-	joined := LeaseGrantResponse{Granted: true, CancellationsComplete: true}
+	combined := LeaseGrantResponse{Granted: true, CancellationsComplete: true}
 	for range h.links {
 		select {
 		case response := <-responses:
 			if !response.Granted {
 				return LeaseGrantResponse{}
 			}
-			joined.CancellationsComplete = joined.CancellationsComplete && response.CancellationsComplete
-			joined.Cancellations = append(joined.Cancellations, response.Cancellations...)
+			combined.CancellationsComplete = combined.CancellationsComplete && response.CancellationsComplete
+			combined.Cancellations = append(combined.Cancellations, response.Cancellations...)
 		case <-ctx.Done():
 			return LeaseGrantResponse{}
 		}
 	}
-	return joined
+	return combined
 }
 
 // RequestLostJobs asks the named controller for the jobs about which it knows more than their records
 // contain. It returns an *UnknownPeerError if there is no such controller, and ErrNoResponse if no
 // response arrives before ctx is done.
-func (h *Hub) RequestLostJobs(ctx context.Context, node string, request LostJobsRequest) (LostJobsResponse, error) {
-	link := h.links[node]
+func (h *Hub) RequestLostJobs(ctx context.Context, name string, request LostJobsRequest) (LostJobsResponse, error) {
+	link := h.links[name]
 	if link == nil {
-		return LostJobsResponse{}, &UnknownPeerError{node}
+		return LostJobsResponse{}, &UnknownPeerError{name}
 	}
 	responses := make(chan LostJobsResponse, 1)
 	number := h.requestNumber.Add(1)
 	defer h.lostJobResponses.expect(number, responses)()
-	if !link.enqueue(encodeLostJobsRequest(h.node, lostJobsRequest{number, request})) {
+	if !link.enqueue(encodeLostJobsRequest(h.name, lostJobsRequest{number, request})) {
 		return LostJobsResponse{}, ErrNoResponse
 	}
 	select {
--- a/internal/peer/request_test.go
+++ b/internal/peer/request_test.go
@@ -11,8 +11,8 @@
 	"ospreyslip/internal/settings"
 )
 
-// connectedHub returns the first of two connected hubs on loopback. The second one responds to requests
-// for lost jobs with answer.
+// connectedHub returns the first of two connected hubs on loopback. The second one responds to
+// requests for lost jobs with answer.
 func connectedHub(t *testing.T, answer func(LostJobsRequest) LostJobsResponse) *Hub {
 	t.Helper()
 	listen := func() net.Listener {
@@ -27,23 +27,23 @@
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}
-	newHub := func(node, other string, at net.Listener) *Hub {
-		h := NewHub(node, []settings.Peer{{Node: other, Addr: at.Addr().String()}}, dial, 20*time.Millisecond)
+	newHub := func(name, other string, listener net.Listener) *Hub {
+		h := NewHub(name, []settings.Peer{{Node: other, Addr: listener.Addr().String()}}, dial, 20*time.Millisecond)
 		h.OnLeaderUpdate = func(string, LeaderUpdate) {}
 		return h
 	}
-	asking, answering := newHub("perch-0", "perch-1", second), newHub("perch-1", "perch-0", first)
-	answering.OnLostJobsRequest = answer
+	requester, responder := newHub("perch-0", "perch-1", second), newHub("perch-1", "perch-0", first)
+	responder.OnLostJobsRequest = answer
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() { asking.Run(ctx, first) })
-	duties.Go(func() { answering.Run(ctx, second) })
-	t.Cleanup(func() { cancel(); duties.Wait() })
-	return asking
+	var running sync.WaitGroup
+	running.Go(func() { requester.Run(ctx, first) })
+	running.Go(func() { responder.Run(ctx, second) })
+	t.Cleanup(func() { cancel(); running.Wait() })
+	return requester
 }
 
-// requestUntilAnswered repeats a request until the hubs are connected and there is a response.
-func requestUntilAnswered(h *Hub, after string) (response LostJobsResponse, err error) {
+// requestUntilResponse repeats a request until the hubs are connected and there is a response.
+func requestUntilResponse(h *Hub, after string) (response LostJobsResponse, err error) {
 	for range 100 {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		response, err = h.RequestLostJobs(ctx, "perch-1", LostJobsRequest{ComparisonRound: 41, AfterID: after})
@@ -55,11 +55,11 @@
 	return response, err
 }
 
-func TestAskLost(t *testing.T) {
+func TestRequestLostJobs(t *testing.T) {
 	h := connectedHub(t, func(q LostJobsRequest) LostJobsResponse {
 		return LostJobsResponse{Compared: q.ComparisonRound == 41, Jobs: []LostJob{{ID: q.AfterID + "1"}}}
 	})
-	p, err := requestUntilAnswered(h, "j-")
+	p, err := requestUntilResponse(h, "j-")
 	if err != nil || !p.Compared || len(p.Jobs) != 1 || p.Jobs[0].ID != "j-1" {
 		t.Errorf("response %+v, error %v", p, err)
 	}
@@ -70,7 +70,7 @@
 
 // A controller that does not support the request does not respond. The requester must get an error
 // when its context is done.
-func TestPeerThatCannotAnswer(t *testing.T) {
+func TestRequestLostJobsWithoutResponse(t *testing.T) {
 	h := connectedHub(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
--- a/internal/peer/wire_decode.go
+++ b/internal/peer/wire_decode.go
@@ -51,7 +51,7 @@
 	var table wire.Progress
 	table.Init(body.Bytes, body.Pos)
 	if table.JobsLength() > maxRows || table.ChangesLength() > maxRows {
-		return nil, errTooManyRows
+		return nil, errVectorTooLong
 	}
 	update := &LeaderUpdate{
 		JobCounts:         make(map[string]jobs.Counts, table.JobsLength()),
@@ -86,7 +86,7 @@
 	var table wire.Promise
 	table.Init(body.Bytes, body.Pos)
 	if table.CancellationsLength() > maxRows {
-		return nil, errTooManyRows
+		return nil, errVectorTooLong
 	}
 	response := &leaseGrantResponse{table.Number(), LeaseGrantResponse{Granted: table.Given(), CancellationsComplete: table.Complete()}}
 	var row wire.Cancellation
@@ -108,7 +108,7 @@
 	var table wire.LostPage
 	table.Init(body.Bytes, body.Pos)
 	if table.JobsLength() > maxRows {
-		return nil, errTooManyRows
+		return nil, errVectorTooLong
 	}
 	response := &lostJobsResponse{table.Number(), LostJobsResponse{
 		Compared:        table.Ready(),
--- a/internal/peer/wire_encode.go
+++ b/internal/peer/wire_encode.go
@@ -95,8 +95,8 @@
 	return finishMessage(b, from, wire.BodyAsk, wire.AskEnd(b))
 }
 
-// encodeLeaseGrantResponse encodes a response. If there are too many cancellations for one message, it
-// omits all of them and marks them as incomplete.
+// encodeLeaseGrantResponse encodes a response. If there are too many cancellations for one message,
+// it omits all of them and marks them as incomplete.
 func encodeLeaseGrantResponse(from string, response leaseGrantResponse) []byte {
 	if len(response.Cancellations) > maxCancellations {
 		response.CancellationsComplete, response.Cancellations = false, nil
--- a/internal/workers/client_test.go
+++ b/internal/workers/client_test.go
@@ -11,7 +11,7 @@
 
 // Status 200 or 409 tells whether the worker executed the commands. Any other status must leave the
 // outcome unknown.
-func TestClientOutcomes(t *testing.T) {
+func TestClientResponseStatus(t *testing.T) {
 	status := 0
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -38,11 +38,11 @@
 			t.Errorf("status %d: decoded heartbeat %+v", tc.status, heartbeat)
 		}
 		_, err = client.Probe(t.Context(), addr)
-		var unexpected *StatusError
+		var wantStatus *StatusError
 		switch {
-		case errors.As(tc.probeErr, &unexpected):
+		case errors.As(tc.probeErr, &wantStatus):
 			var got *StatusError
-			if !errors.As(err, &got) || got.Status != unexpected.Status {
+			if !errors.As(err, &got) || got.Status != wantStatus.Status {
 				t.Errorf("status %d: probe error %v", tc.status, err)
 			}
 		case !errors.Is(err, tc.probeErr):
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const fourTasks = `{"host":"m-000231","addr":"10.1.0.232:9000","perchKind":"g8","eyrie":"a","driftwood":true,
+const fourTaskHeartbeat = `{"host":"m-000231","addr":"10.1.0.232:9000","perchKind":"g8","eyrie":"a","driftwood":true,
  "soar":1,"beat":88,"crest":41,"warningS":null,"colour":"of no meaning",
  "talons":[{"talon":"j-000412/3","dive":2,"stance":"running"},{"talon":"j-000412/4","dive":2,"stance":"running"},
  {"talon":"j-000412/5","dive":2,"stance":"saving"},{"talon":"j-000398/0","dive":1,"stance":"ended","cause":"stopped","stored":true}]}`
@@ -23,7 +23,7 @@
 
 // A heartbeat is decoded completely, whatever unknown fields it has, and each response has exactly
 // the protocol's form.
-func TestHeartbeatOnTheWire(t *testing.T) {
+func TestHandlerRequestAndResponse(t *testing.T) {
 	var got *Heartbeat
 	grace := 0.0
 	handler := &Handler{
@@ -35,7 +35,7 @@
 		},
 		Leader: func() string { return "" },
 	}
-	rec := serve(handler, fourTasks)
+	rec := serve(handler, fourTaskHeartbeat)
 	want := `{"crest":41,"calls":[{"call":"run","talon":"j-000412/4","dive":2},{"call":"stop","talon":"j-000377/1","dive":1,"glideS":0}]}`
 	if rec.Code != http.StatusOK || rec.Body.String() != want {
 		t.Errorf("%d %s, want %s", rec.Code, rec.Body, want)
@@ -44,15 +44,15 @@
 		t.Errorf("decoded heartbeat %+v", got)
 	}
 	handler.HandleHeartbeat = func(context.Context, *Heartbeat) *HeartbeatResponse { return nil }
-	if rec := serve(handler, fourTasks); rec.Code != http.StatusServiceUnavailable {
+	if rec := serve(handler, fourTaskHeartbeat); rec.Code != http.StatusServiceUnavailable {
 		t.Errorf("no known leader: status %d", rec.Code)
 	}
 	handler.Leader = func() string { return "perch-2" }
-	if rec := serve(handler, fourTasks); rec.Code != http.StatusMisdirectedRequest || rec.Body.String() != `{"nest":"perch-2"}` {
+	if rec := serve(handler, fourTaskHeartbeat); rec.Code != http.StatusMisdirectedRequest || rec.Body.String() != `{"nest":"perch-2"}` {
 		t.Errorf("another controller leads: status %d, body %s", rec.Code, rec.Body)
 	}
 	for name, body := range map[string]string{
-		"no machine name": `{"soar":1}`, "truncated": fourTasks[:300], "empty body": "", "not an object": "[1]", "oversized": `{"host":"` + strings.Repeat("m", maxHeartbeatBytes) + `"}`,
+		"no machine name": `{"soar":1}`, "truncated": fourTaskHeartbeat[:300], "nothing": "", "not an object": "[1]", "oversized": `{"host":"` + strings.Repeat("m", maxHeartbeatBytes) + `"}`,
 	} {
 		if rec := serve(handler, body); rec.Code != http.StatusBadRequest {
 			t.Errorf("%s: status %d", name, rec.Code)
@@ -73,7 +73,7 @@
 	var reqs []*http.Request
 	var recs []*httptest.ResponseRecorder
 	for range runs + 1 {
-		reqs = append(reqs, httptest.NewRequest(http.MethodPost, "/v1/report", strings.NewReader(fourTasks)))
+		reqs = append(reqs, httptest.NewRequest(http.MethodPost, "/v1/report", strings.NewReader(fourTaskHeartbeat)))
 		recs = append(recs, httptest.NewRecorder())
 	}
 	i := 0
--- a/internal/workers/task_name.go
+++ b/internal/workers/task_name.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// TaskName returns the name of a task from the ID of its job and its index in the job, counted from 0.
-func TaskName(job string, n int) string { return job + "/" + strconv.Itoa(n) }
+// TaskName returns the name of a task from the ID of its job and its index in the job, counted
+// from 0.
+func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask splits a task name into the ID of its job and its index in the job. ok is false if name is
-// not a task name.
-func SplitTask(name string) (job string, n int, ok bool) {
+// SplitTask splits a task name into the ID of its job and its index in the job. ok is false if name
+// is not a task name.
+func SplitTask(name string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(name, "/")
-	n, err := strconv.Atoi(digits)
-	return job, n, found && err == nil && n >= 0
+	index, err := strconv.Atoi(digits)
+	return job, index, found && err == nil && index >= 0
 }
