--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -24,7 +24,7 @@
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
 
-	failing atomic.Bool   // set by no response or a 503, cleared by any other response but a watch's
+	failing atomic.Bool   // the last request, answered watches aside, got no response or a 503
 	outages atomic.Uint64 // how many times failing became true
 }
 
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// The client's own rate limits fail a request before it is sent. Only the limit of requests is
-// reported as ErrRateLimited; the error of the limit of writes does not tell the reason.
+// A request that exceeds the client's own rate limits must fail before it is sent. Only the limit of
+// requests is reported as ErrRateLimited; the error of the limit of writes does not tell the reason.
 func TestClientRateLimitsPreventSending(t *testing.T) {
 	transport := cannedResponse{err: errConnection}
 	limits := RateLimits{RequestsPerSecond: 0.001, WritesPerSecond: 0.001}
