--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -6,24 +6,24 @@
 	"net/http"
 )
 
-// Commit executes a transaction: all writes if all guards hold, else none. Guards that do not
-// hold are returned by key with no error; then nothing was written. The revision is that of the
-// transaction, or of the store where guards have failed.
+// Commit executes a guarded transaction: all writes if every guard holds, otherwise none. If guards
+// do not hold, failed names their keys and err is nil. The revision is that of the transaction, or
+// that of the store if guards failed.
 //
-// ErrOutcomeUnknown leaves open whether the transaction was executed, or will be. If it writes a
-// key that it guards, a repetition with the same guards is safe: whichever of the two comes
-// second finds the revision changed, and fails.
+// After ErrOutcomeUnknown the transaction may have been executed, or may still be. If it writes a
+// key that it guards, a retry with the same guards is safe: whichever copy is executed second finds
+// the revision of that key changed, and fails.
 func (c *Client) Commit(ctx context.Context, guards []Guard, writes []Write) (revision uint64, failed []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var result commitAnswer
+	var response commitResponse
 	req := request{
 		operation: "commit", method: http.MethodPost, path: "/commit",
-		body: commitRequest{Guards: guards, Writes: writes}, answer: &result,
+		body: commitRequest{Guards: guards, Writes: writes}, result: &response,
 	}
 	if n := len(writes); n > 0 {
 		if err := c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst())); err != nil {
-			return 0, nil, req.failed(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
+			return 0, nil, req.newError(0, fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err))
 		}
 	}
 	status, err := c.do(ctx, c.timeout, &req)
@@ -31,13 +31,13 @@
 	case err != nil:
 		return 0, nil, err
 	case status == http.StatusOK:
-		return result.Revision, nil, nil
+		return response.Revision, nil, nil
 	case status == http.StatusConflict:
-		return result.Revision, result.Failed, nil
-	case status == http.StatusBadRequest && result.Error == leaseNotFoundText:
-		return 0, nil, req.failed(status, ErrLeaseNotFound)
+		return response.Revision, response.Failed, nil
+	case status == http.StatusBadRequest && response.Error == leaseNotFoundText:
+		return 0, nil, req.newError(status, ErrLeaseNotFound)
 	case status == http.StatusBadRequest:
-		return 0, nil, req.failed(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, result.Error))
+		return 0, nil, req.newError(status, fmt.Errorf("%w: %w: %s", ErrNotExecuted, ErrInvalidRequest, response.Error))
 	}
-	return 0, nil, req.unexpected(status)
+	return 0, nil, req.unexpectedStatus(status)
 }
