--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -13,21 +13,21 @@
 	"ospreyslip/internal/workers"
 )
 
-// SetCapacity limits how many machines can be rented at a time.
+// SetCapacity sets the most machines that can be rented at a time.
 func (w *World) SetCapacity(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cloud.capacity = n
 }
 
-// SetCloudOutage starts or ends an outage of the cloud's interface.
+// SetCloudOutage starts or ends an outage of the cloud's API.
 func (w *World) SetCloudOutage(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cloud.outage = on
 }
 
-// ServeHTTP is the cloud's interface.
+// ServeHTTP implements http.Handler with the cloud's API.
 func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	outage := w.cloud.outage
@@ -84,7 +84,7 @@
 		if released == nil {
 			continue
 		}
-		released.worker.powerOff() // takes the world's lock
+		released.worker.powerOff() // acquires w.mu, so it must not be held here
 		w.mu.Lock()
 		released.up = false
 		delete(w.cloud.machines, name)
@@ -114,7 +114,7 @@
 	writeJSON(rw, http.StatusOK, machinePage{Machines: entries})
 }
 
-// addMachine rents out one machine, which boots, and returns its name. The lock is held.
+// addMachine adds a rented machine, starts to boot it and returns its name. w.mu must be held.
 func (w *World) addMachine(machineType jobs.MachineType, zone string, spot bool) string {
 	name := fmt.Sprintf("m-%06d", w.cloud.nextMachine)
 	addr := defaultAddr(w.cloud.nextMachine)
@@ -147,5 +147,5 @@
 	return name
 }
 
-// defaultAddr is the address of the n-th machine in the emulated network.
+// defaultAddr returns the address of the n-th machine in the emulated network.
 func defaultAddr(n int) string { return fmt.Sprintf("10.1.%d.%d:9000", n/200, n%200+1) }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,9 +1,9 @@
-// Package emulator plays the outside world of the controllers in one process, for tests: the
-// state service (KVStore), the cloud, its machines and the users (World), the workers (Worker)
-// and the network between them (Network), as the protocol describes them. It also judges: a
-// World records every broken rule of the protocol.
+// Package emulator implements in one process, for tests, the services that controllers depend
+// on: the key-value store (KVStore), the cloud with its machines and users (World), the workers
+// (Worker) and the network between them (Network). They follow the protocol, and a World records
+// every violation of its rules.
 //
-// Time is the process's: in tests that of a testing/synctest bubble. All exported methods may
-// be called by several goroutines; exported fields are to be set before the first request.
-// wire.go has the protocol's messages, and nothing else knows their names.
+// The package uses the time of the process, which in tests is the fake clock of a
+// testing/synctest bubble. All exported methods are safe for concurrent use. Exported fields must
+// be set before the first request. Only wire.go contains the field names of protocol messages.
 package emulator
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Fault is what happens to a message.
+// Fault is the treatment of a message by the network.
 type Fault int
 
-// The faults.
+// Faults that a FaultRule can choose.
 const (
-	Deliver          Fault = iota
-	RefuseConnection       // the connection is refused
-	DropRequest            // nothing arrives and nothing comes back
-	DropResponse           // it is executed, but the answer never comes
-	DeliverLate            // it is executed after the lateness, when nobody waits any more
-	DeliverTwice           // it is delivered, and executed once more after the lateness
-	DeliverSlowly          // it arrives, and its answer comes, after the lateness
+	Deliver          Fault = iota // delivers the message without a fault
+	RefuseConnection              // refuses the connection
+	DropRequest                   // drops the request; the sender gets no response
+	DropResponse                  // executes the request and drops the response
+	DeliverLate                   // executes the request after the lateness; the sender gets no response
+	DeliverTwice                  // delivers the request and executes it again after the lateness
+	DeliverSlowly                 // executes the request after the lateness and delivers the response
 )
 
-// FaultRule decides what happens to a message. It is called with the network's lock held.
+// FaultRule returns the fault of a message. It is called with the lock of the Network held, so it
+// must not call the Network.
 type FaultRule func(from, to, path string) Fault
 
-// SetFaults sets the rule that decides each message's fate; nil delivers all.
+// SetFaults sets the base fault rule. A nil rule delivers all messages.
 func (n *Network) SetFaults(rule FaultRule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults = rule
 }
 
-// AddFaults adds a rule to those in force, until it is ended.
+// AddFaults adds a rule to those in effect. The returned function removes it.
 func (n *Network) AddFaults(rule FaultRule) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -42,7 +43,7 @@
 	}
 }
 
-// faultOf returns what happens to a message: the first fault by any rule in force.
+// faultOf returns the first fault that a rule in effect chooses for a message, or Deliver.
 func (n *Network) faultOf(from, to, path string) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -6,25 +6,26 @@
 	"ospreyslip/internal/workers"
 )
 
-// gang is one attempt of a gang, wherever its tasks are.
+// gang is the state of one attempt of a gang, across all machines.
 type gang struct {
 	size            int
-	joined          map[string]*Worker // tasks that have their image
-	startedAt       time.Time          // when all had it
-	brokenAt        time.Time          // when one was lost after that
-	stopRequestedAt time.Time          // when the first was told to stop, with time to save
-	toldToStop      map[string]bool
+	joined          map[string]*Worker // workers of the tasks whose image is fetched, by task
+	startedAt       time.Time          // when all tasks had joined
+	brokenAt        time.Time          // when a task was lost, or not told to stop in time, after the start
+	stopRequestedAt time.Time          // when the first task was told to stop with enough time to save
+	toldToStop      map[string]bool    // tasks that were told to stop with enough time to save
 	done            bool
-	saved           bool
+	saved           bool // the checkpoint is saved
 }
 
-// gangKey names one attempt of a job's gang.
+// gangKey identifies one attempt of a job's gang.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
-// gangOf returns the attempt that a task is of. The lock is held.
+// gangOf returns the attempt that a task belongs to, and adds it if it is new. The World's lock
+// must be held.
 func (l *taskLedger) gangOf(member workers.TaskStatus) *gang {
 	jobID, _, _ := workers.SplitTask(member.Name)
 	key := gangKey{jobID, member.Attempt}
@@ -36,7 +37,7 @@
 	return attempt
 }
 
-// GangStarts returns how many attempts of a job's gang have started.
+// GangStarts returns the number of attempts of a job's gang that have started.
 func (w *World) GangStarts(id string) (started int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,8 +49,8 @@
 	return started
 }
 
-// gangStep brings a task of a gang up to now. It returns its state and, if it has
-// ended, why, and whether its progress was saved.
+// gangStep returns the current state of a task of a gang. If the task has ended, it also returns
+// the cause and whether the gang's progress was saved.
 func (w *World) gangStep(worker *Worker, member *task) (state, cause string, saved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +87,8 @@
 	return member.State, "", false
 }
 
-// gather lets a task that has its image wait for the others of its gang. The lock is held.
+// gather adds a task whose image is fetched to its gang, which starts once all tasks have joined. A
+// task that has waited for longer than GangWait ends. w.mu must be held.
 func (w *World) gather(attempt *gang, worker *Worker, member *task, now time.Time) (state, cause string) {
 	if attempt.joined[member.Name] == nil {
 		attempt.joined[member.Name] = worker
@@ -104,8 +106,8 @@
 	return member.State, ""
 }
 
-// gangStop tells a task of a running gang to stop. It returns false if it exits at
-// once.
+// gangStop tells a task of a running gang to save and stop. It returns false if the task must exit
+// at once, because it is not running, has no checkpoints or gets too short a grace period.
 func (w *World) gangStop(member *task, grace float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,7 +123,8 @@
 	return true
 }
 
-// gangLeft takes in that a task of a gang is gone. The lock is held.
+// gangLeft records that a task of a gang has left its machine, which breaks an unfinished attempt
+// that has started. The World's lock must be held.
 func (l *taskLedger) gangLeft(left workers.TaskStatus) {
 	attempt := l.gangOf(left)
 	delete(attempt.joined, left.Name)
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// loopbackHosts puts hosts on this machine's loopback, for controllers that are processes of
-// their own. Faults have no effect on them.
+// loopbackHosts serves hosts on loopback addresses, for controllers that run as separate
+// processes. Fault rules do not apply to them.
 type loopbackHosts struct {
 	transport *http.Transport
 	servers   map[string]*http.Server // by address
 }
 
-// NewLoopbackNetwork makes a network whose hosts listen on loopback addresses.
+// NewLoopbackNetwork returns a network whose hosts listen on loopback addresses.
 func NewLoopbackNetwork() *Network {
 	network := NewNetwork()
 	network.loopback = &loopbackHosts{transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}, servers: map[string]*http.Server{}}
 	return network
 }
 
-// attach listens on an address, or ends what listens there.
+// attach serves a host on an address in place of the previous one. A nil handler only closes the
+// server at the address.
 func (s *loopbackHosts) attach(addr string, handler http.Handler) {
 	if old := s.servers[addr]; old != nil {
 		old.Close()
@@ -32,7 +33,7 @@
 	}
 	listening, err := net.Listen("tcp", addr)
 	if err != nil {
-		slog.Error("not listening", "addr", addr, "reason", err)
+		slog.Error("listening for emulated host failed", "addr", addr, "reason", err)
 		return
 	}
 	srv := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Network carries requests and streams between named hosts. Its methods may be called by
-// several goroutines.
+// Network carries requests and streams between named hosts and applies fault rules to them. Its
+// methods are safe for concurrent use.
 type Network struct {
-	Lateness   time.Duration                             // of messages that are late
-	LatenessOf func(from, to, path string) time.Duration // for each message; nil means Lateness
+	Lateness   time.Duration                             // delay of late, slow and repeated messages
+	LatenessOf func(from, to, path string) time.Duration // delay of each such message; nil means Lateness
 
 	mu          sync.Mutex
-	hosts       map[string]http.Handler // by address
-	names       map[string]string       // of hosts, by address
-	streams     map[string]*listener    // by address
-	faults      FaultRule               // nil delivers all
-	addedFaults []*FaultRule            // on top of it, the first to begin first
-	deliveries  sync.WaitGroup          // messages that are being executed
-	loopback    *loopbackHosts          // nil unless hosts are on this machine's loopback
+	hosts       map[string]http.Handler // request handlers by address
+	names       map[string]string       // host names by address
+	streams     map[string]*listener    // stream listeners by address
+	faults      FaultRule               // base rule; nil delivers all messages
+	addedFaults []*FaultRule            // consulted after the base rule, in the order in which they were added
+	deliveries  sync.WaitGroup          // requests that are being executed
+	loopback    *loopbackHosts          // nil unless hosts listen on loopback addresses
 }
 
-// NewNetwork makes a network without hosts.
+// NewNetwork returns an emulated network without hosts.
 func NewNetwork() *Network {
 	return &Network{
 		hosts: map[string]http.Handler{}, names: map[string]string{}, streams: map[string]*listener{},
@@ -30,7 +30,7 @@
 	}
 }
 
-// Attach puts a host on an address; a nil handler takes it off.
+// Attach connects a host to an address. A nil handler disconnects it.
 func (n *Network) Attach(host, addr string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,15 +45,15 @@
 	n.hosts[addr] = handler
 }
 
-// handlerAt returns who is at an address by now, and the host's name; the handler is nil if
-// nobody is.
+// handlerAt returns the handler and the name of the host that is currently at an address. The
+// handler is nil if there is none.
 func (n *Network) handlerAt(addr string) (handler http.Handler, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[addr], n.names[addr]
 }
 
-// Transport returns the network as one host sees it.
+// Transport returns an http.RoundTripper that sends requests from a host.
 func (n *Network) Transport(host string) http.RoundTripper {
 	if n.loopback != nil {
 		return n.loopback.transport
@@ -61,5 +61,5 @@
 	return &hostTransport{network: n, host: host}
 }
 
-// Wait waits for messages that are still being executed.
+// Wait waits for requests that are still being executed, also those without a waiting sender.
 func (n *Network) Wait() { n.deliveries.Wait() }
--- a/internal/emulator/restart/experiment.go
+++ b/internal/emulator/restart/experiment.go
@@ -18,17 +18,17 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Pattern is which controllers are ended, and when.
+// Pattern defines which controllers are killed, and in which order.
 type Pattern string
 
-// The patterns.
+// Supported patterns.
 const (
-	PatternAll     Pattern = "all"     // all at once
-	PatternTwice   Pattern = "twice"   // all at once, and again soon after they are back
-	PatternRolling Pattern = "rolling" // one after the other
+	PatternAll     Pattern = "all"     // all controllers at once
+	PatternTwice   Pattern = "twice"   // all controllers at once, and again shortly after they serve
+	PatternRolling Pattern = "rolling" // one controller after the other
 )
 
-// Patterns lists all of them.
+// Patterns lists the supported patterns.
 var Patterns = []Pattern{PatternAll, PatternTwice, PatternRolling}
 
 const (
@@ -36,37 +36,37 @@
 	betweenKills    = 2 * time.Second
 	startTimeout    = 20 * time.Second
 	settleTime      = 3 * time.Second
-	taskDurationS   = 100_000 // no task ends by itself
-	// Distributions are kept in milliseconds, up to ten minutes, to three digits.
+	taskDurationS   = 100_000 // in seconds; so long that no task completes by itself
+	// Range and precision of histograms of milliseconds: up to ten minutes, three digits.
 	maxMs, significantDigits = 600_000, 3
 )
 
-// Setup is what an experiment runs.
+// Setup configures an experiment.
 type Setup struct {
-	Program   string   // of the controllers
-	Settings  []string // a file for each controller
-	UserAddrs []string // where each takes users and workers
+	Program   string   // path of the controllers' executable
+	Settings  []string // settings file of each controller
+	UserAddrs []string // address on which each controller serves users and workers
 	LogDir    string
 	Machines  int
 	Pattern   Pattern
-	Lease     time.Duration // of workers
-	Progress  io.Writer     // gets a line for each trial
+	Lease     time.Duration // worker lease
+	Progress  io.Writer     // receives one line per trial
 }
 
-// Experiment is controllers as child processes, and the world that they run in. Its methods
-// are for one goroutine; the world's callback may come from others.
+// Experiment runs controllers as child processes in an emulated world. Its methods must be called
+// from one goroutine; the callback from the world may run in others.
 type Experiment struct {
 	setup     Setup
 	world     *emulator.World
 	processes []*process
 
 	mu          sync.Mutex
-	gaps        *hdrhistogram.Histogram // between two answered heartbeats of a worker, in ms
-	firstAnswer time.Time               // to a heartbeat since controllers were last ended
+	gaps        *hdrhistogram.Histogram // milliseconds between consecutive answered heartbeats of a worker
+	firstAnswer time.Time               // time of the first answered heartbeat since controllers were last killed
 }
 
-// New makes an experiment in a world that is served on loopback. It takes the world's
-// HeartbeatAnswered. Its processes are ended by Stop.
+// New returns an experiment in a world that is served on loopback addresses. It sets
+// HeartbeatAnswered of the world. The caller must call Stop to end the controllers.
 func New(world *emulator.World, setup Setup) *Experiment {
 	x := &Experiment{setup: setup, world: world, gaps: newHistogram()}
 	for i, path := range setup.Settings {
@@ -90,14 +90,15 @@
 	}
 }
 
-// Stop ends all processes.
+// Stop kills all controllers.
 func (x *Experiment) Stop() {
 	for _, controller := range x.processes {
 		controller.kill()
 	}
 }
 
-// Run fills the fleet and goes through all trials.
+// Run starts the controllers, fills the machines with tasks and runs the trials for each pause. On
+// error it also returns the results so far.
 func (x *Experiment) Run(ctx context.Context, pauses []time.Duration, trials int) (results []Result, err error) {
 	if _, err := startAll(x.processes, startTimeout); err != nil {
 		return nil, err
@@ -119,7 +120,7 @@
 	return results, nil
 }
 
-// fillFleet submits arrays of two teams until every machine is full.
+// fillFleet submits one job per machine, for two teams in turn, and waits until all tasks run.
 func (x *Experiment) fillFleet(ctx context.Context) error {
 	for i := range x.setup.Machines {
 		spec := &jobs.Spec{
@@ -132,12 +133,12 @@
 	}
 	tasks := x.setup.Machines * tasksPerMachine
 	if !x.waitFor(ctx, time.Minute+time.Duration(x.setup.Machines)*200*time.Millisecond, func() bool { return len(x.world.RunningTasks()) == tasks }) {
-		return fmt.Errorf("%d of %d tasks run: %w", len(x.world.RunningTasks()), tasks, errNotFull)
+		return fmt.Errorf("%d of %d tasks are running: %w", len(x.world.RunningTasks()), tasks, errNotFull)
 	}
 	return x.sleep(ctx, settleTime)
 }
 
-var errNotFull = errors.New("the fleet could not be filled")
+var errNotFull = errors.New("machines were not filled with tasks in time")
 
 func (x *Experiment) submit(ctx context.Context, addr string, spec *jobs.Spec) error {
 	body, err := wireBody(spec)
@@ -155,12 +156,12 @@
 		return status == http.StatusCreated || status == http.StatusOK
 	})
 	if !accepted {
-		return fmt.Errorf("%s was not accepted: status %d", spec.ID, status)
+		return fmt.Errorf("job %s was not accepted: last status %d", spec.ID, status)
 	}
 	return nil
 }
 
-// wireBody is a description as users send it: any zone is null there.
+// wireBody returns the JSON description of a job as users send it, with null for any zone.
 func wireBody(spec *jobs.Spec) ([]byte, error) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -185,7 +186,7 @@
 	}
 }
 
-// waitFor waits for something to become true.
+// waitFor polls a condition for up to d and reports whether it became true.
 func (x *Experiment) waitFor(ctx context.Context, d time.Duration, is func() bool) bool {
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); {
 		if is() {
--- a/internal/emulator/restart/processes.go
+++ b/internal/emulator/restart/processes.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// process is a controller as a child process. Its methods are for one goroutine.
+// process is a controller that runs as a child process. Its methods must be called from one
+// goroutine.
 type process struct {
 	program, settingsPath, logPath, addr string
 
 	cmd *exec.Cmd
 }
 
-// start begins the process; its log is appended to.
+// start starts the process and appends its log to the file at logPath.
 func (p *process) start() error {
 	log, err := os.OpenFile(p.logPath, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return p.cmd.Start()
 }
 
-// kill ends the process without a last word, by its own id.
+// kill ends this process only, by SIGKILL, so that it cannot shut down cleanly, and waits for it.
 func (p *process) kill() {
 	if p.cmd == nil {
 		return
@@ -42,7 +43,7 @@
 	p.cmd = nil
 }
 
-// serves tells whether it takes connections.
+// serves reports whether the process accepts connections.
 func (p *process) serves() bool {
 	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
@@ -54,7 +55,7 @@
 
 const dialTimeout = 100 * time.Millisecond
 
-// peakMemoryMB is the most memory that the process has held; 0 if that cannot be read.
+// peakMemoryMB returns the peak resident memory of the process, or 0 if it cannot be read.
 func (p *process) peakMemoryMB() float64 {
 	if p.cmd == nil {
 		return 0
@@ -72,7 +73,7 @@
 	return 0
 }
 
-// openSockets is how many sockets the process has open by now.
+// openSockets returns the number of sockets that the process has open, or 0 if it cannot be read.
 func (p *process) openSockets() (open int) {
 	if p.cmd == nil {
 		return 0
@@ -90,7 +91,8 @@
 	return open
 }
 
-// startAll starts processes, and returns when each takes connections.
+// startAll starts processes, waits until all accept connections and returns the time. It fails if
+// they do not within the given time.
 func startAll(processes []*process, within time.Duration) (serving time.Time, err error) {
 	for _, started := range processes {
 		if err := started.start(); err != nil {
@@ -109,6 +111,6 @@
 	return time.Now(), nil
 }
 
-var errNotServing = errors.New("controller does not serve")
+var errNotServing = errors.New("controller does not accept connections")
 
 const pollInterval = 5 * time.Millisecond
--- a/internal/emulator/restart/report.go
+++ b/internal/emulator/restart/report.go
@@ -22,7 +22,8 @@
 
 var pageTemplate = template.Must(template.New("report").Parse(page))
 
-// WriteAll prints a table, and writes results.jsonl and report.html into a folder.
+// WriteAll writes a table of the results to table, and results.jsonl and report.html to the
+// directory dir.
 func WriteAll(dir string, table io.Writer, results []Result) error {
 	if err := writeTable(table, results); err != nil {
 		return err
@@ -70,8 +71,8 @@
 	}{results, gaps, counts})
 }
 
-// drawGaps plots, for each pause, which part of all heartbeats was answered within which time
-// after the one before.
+// drawGaps plots, for each pause, the cumulative distribution of the time between consecutive
+// answered heartbeats of a worker.
 func drawGaps(results []Result) (template.HTML, error) {
 	gaps := plot.New()
 	gaps.Title.Text = "time between two answered reports of a worker"
@@ -103,7 +104,7 @@
 	return svgplot.Draw(gaps)
 }
 
-// drawCounts plots tasks gone and begun, by trial.
+// drawCounts plots the numbers of lost and started tasks of each trial.
 func drawCounts(results []Result) (template.HTML, error) {
 	counts := plot.New()
 	counts.Title.Text = "tasks gone, and begun"
--- a/internal/emulator/restart/report_test.go
+++ b/internal/emulator/restart/report_test.go
@@ -23,28 +23,29 @@
 	return r
 }
 
-// A trial is wrong if a task ran twice, a healthy one was stopped, or a count differs.
+// A trial fails if a rule was violated, a healthy task was stopped, or the counts of started, lost
+// and running tasks do not match.
 func TestVerdict(t *testing.T) {
 	if err := CheckResults([]Result{result(nil), result(nil)}); err != nil {
 		t.Error(err)
 	}
 	for what, change := range map[string]func(*Result){
-		"begun too often": func(r *Result) { r.Started++ },
-		"not begun":       func(r *Result) { r.Started-- },
-		"stopped":         func(r *Result) { r.Stopped, r.Started, r.Lost = 1, 485, 485 },
-		"ran twice":       func(r *Result) { r.Violations = 1 },
-		"one is missing":  func(r *Result) { r.Running-- },
+		"started too often": func(r *Result) { r.Started++ },
+		"not restarted":     func(r *Result) { r.Started-- },
+		"stopped":           func(r *Result) { r.Stopped, r.Started, r.Lost = 1, 485, 485 },
+		"ran twice":         func(r *Result) { r.Violations = 1 },
+		"task is missing":   func(r *Result) { r.Running-- },
 	} {
 		if err := CheckResults([]Result{result(nil), result(change)}); !errors.Is(err, ErrHarm) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	if CheckResults(nil) == nil {
-		t.Error("no trial is no success")
+		t.Error("CheckResults succeeds without any trial")
 	}
 }
 
-// The table, the lines and the page show each trial.
+// Every trial must appear in the table, the JSON lines and the HTML page.
 func TestResultsAreWritten(t *testing.T) {
 	dir, table := t.TempDir(), &bytes.Buffer{}
 	all := []Result{result(nil), result(func(r *Result) { r.PauseS, r.Lost, r.Started, r.Stopped = 0.2, 0, 3, 3 })}
@@ -60,15 +61,15 @@
 	}
 	var back Result
 	if err := json.NewDecoder(bytes.NewReader(raw)).Decode(&back); err != nil || back.Started != 484 || back.PauseS != 14 {
-		t.Errorf("lines: %+v, %v", back, err)
+		t.Errorf("first line of results.jsonl: %+v, %v", back, err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || strings.Count(string(page), "<svg") != 2 || !strings.Contains(string(page), "healthy tasks stopped") {
-		t.Errorf("page of %d bytes: %v", len(page), err)
+		t.Errorf("report.html has %d bytes: %v", len(page), err)
 	}
 }
 
-// Controllers take what is submitted: any zone is null on the wire.
+// Controllers must accept the submitted description, in which any zone is encoded as null.
 func TestSubmissionIsValid(t *testing.T) {
 	raw, err := wireBody(&jobs.Spec{
 		ID: "j-000001", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 4, CPUs: 1, RAMGB: 1, Image: "img", EstimatedRuntimeS: 5,
--- a/internal/emulator/restart/result.go
+++ b/internal/emulator/restart/result.go
@@ -7,30 +7,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what one trial has shown.
+// Result holds the measurements of one trial.
 type Result struct {
 	Pattern      Pattern `json:"pattern"`
 	PauseS       float64 `json:"pauseS"`
 	Trial        int     `json:"trial"`
 	Tasks        int     `json:"tasks"`
-	Lost         int     `json:"gone"`    // ended by their lease or with their machine
-	Started      int     `json:"begun"`   // starts on the workers' side
-	Stopped      int     `json:"stopped"` // by command
-	Running      int     `json:"running"` // in the end
-	Violations   int     `json:"broken"`  // rules
+	Lost         int     `json:"gone"`    // tasks that ended with their worker lease or their machine
+	Started      int     `json:"begun"`   // task starts that the emulator counted
+	Stopped      int     `json:"stopped"` // tasks stopped by a command
+	Running      int     `json:"running"` // tasks running at the end of the trial
+	Violations   int     `json:"broken"`  // number of violated rules
 	Terms        uint64  `json:"terms"`
-	AnswerMs     int64   `json:"answerMs"` // from the last node serving to the first answered heartbeat; -1: none
-	AllRunningMs int64   `json:"wholeMs"`  // from there until all tasks ran; -1: not in time
-	MemoryMB     float64 `json:"memoryMB"` // the most that a controller held
-	Sockets      int     `json:"sockets"`  // the most that a controller had open in the end
-	// Gaps is how long workers were without an answered heartbeat.
+	AnswerMs     int64   `json:"answerMs"` // from the last restart to the first answered heartbeat; -1 if none
+	AllRunningMs int64   `json:"wholeMs"`  // from the last restart until all tasks ran; -1 if not in time
+	MemoryMB     float64 `json:"memoryMB"` // highest peak memory of a controller
+	Sockets      int     `json:"sockets"`  // most sockets open in a controller at the end of the trial
+	// Gaps is the distribution of milliseconds between answered heartbeats of a worker.
 	Gaps *hdrhistogram.Histogram `json:"-"`
 	P50  int64                   `json:"gapP50Ms"`
 	P99  int64                   `json:"gapP99Ms"`
 	Max  int64                   `json:"gapMaxMs"`
 }
 
-// Fault says what is wrong with a result; it is empty if nothing is.
+// Fault describes what is wrong with the result. It is empty if the restart did no harm.
 func (r Result) Fault() string {
 	switch {
 	case r.Violations > 0:
@@ -45,11 +45,11 @@
 	return ""
 }
 
-// ErrHarm means that a restart did harm.
-var ErrHarm = errors.New("a restart did harm")
+// ErrHarm means that a trial has a fault, as described by Result.Fault.
+var ErrHarm = errors.New("restart of controllers harmed running tasks")
 
-// CheckResults returns an error that wraps ErrHarm if any result shows a
-// fault, and another one if there is no result.
+// CheckResults returns an error that wraps ErrHarm if a result has a fault, and a different error
+// if there are no results.
 func CheckResults(results []Result) error {
 	if len(results) == 0 {
 		return errors.New("no trial was completed")
--- a/internal/emulator/restart/trial.go
+++ b/internal/emulator/restart/trial.go
@@ -10,7 +10,7 @@
 	"ospreyslip/internal/workers"
 )
 
-// counts is what the workers' side had counted at a moment.
+// counts holds the counters of the emulator and the fencing token at one time.
 type counts struct {
 	starts     int
 	ends       map[string]int
@@ -24,7 +24,7 @@
 	return now
 }
 
-// runTrial ends and starts controllers once, in the pattern.
+// runTrial kills and restarts controllers once according to the pattern, and measures the effect.
 func (x *Experiment) runTrial(ctx context.Context, pause time.Duration) (Result, error) {
 	before, tasks := x.countNow(), x.setup.Machines*tasksPerMachine
 	x.mu.Lock()
@@ -39,7 +39,7 @@
 	if allRunning {
 		allRunningMs = time.Since(serving).Milliseconds()
 	}
-	if err := x.sleep(ctx, x.setup.Lease+settleTime); err != nil { // whatever else the failover does
+	if err := x.sleep(ctx, x.setup.Lease+settleTime); err != nil { // includes later effects of the failover
 		return Result{}, err
 	}
 	after := x.countNow()
@@ -59,13 +59,13 @@
 	return result, nil
 }
 
-// lostTasks counts the tasks that no controller has ended.
+// lostTasks returns the number of tasks that ended without a command from a controller.
 func lostTasks(ends map[string]int) int {
 	return ends[emulator.EndOfLease] + ends[emulator.EndOfMachine]
 }
 
-// firstAnswerMs is how many milliseconds after a moment the first heartbeat was answered; -1 if none
-// was.
+// firstAnswerMs returns the milliseconds from serving until the first answered heartbeat, or -1 if
+// there was none. It returns 0 if the heartbeat was answered earlier.
 func (x *Experiment) firstAnswerMs(serving time.Time) int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -75,7 +75,8 @@
 	return max(0, x.firstAnswer.Sub(serving).Milliseconds())
 }
 
-// restartAll ends and starts controllers, and returns when the last one served.
+// restartAll kills and restarts controllers according to the pattern, and returns the time at which
+// the last one accepted connections.
 func (x *Experiment) restartAll(ctx context.Context, pause time.Duration) (serving time.Time, err error) {
 	groups := [][]*process{x.processes}
 	switch x.setup.Pattern {
--- a/internal/emulator/restart/wire.go
+++ b/internal/emulator/restart/wire.go
@@ -1,4 +1,4 @@
 package restart
 
-// zoneField is the field of a submitted job that is null for any zone.
+// zoneField is the JSON field of a submitted job that is null if the job may run in any zone.
 const zoneField = "eyrie"
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -9,51 +9,51 @@
 	"time"
 )
 
-// KVStore is the state service: a small key-value store with strong consistency, leases and
-// watches. It is an http.Handler; faults are injected by its other methods. All may be
-// called by several goroutines.
+// KVStore emulates the key-value store, which is strongly consistent and has leases and watches.
+// It implements http.Handler; other methods inject faults. All methods are safe for concurrent
+// use.
 type KVStore struct {
 	mu         sync.Mutex
 	keys       map[string]entry
-	sortedKeys []string // all keys in order; nil if one has come or gone since
-	revision   uint64   // of the last change
+	sortedKeys []string // all keys in order; nil after a key was added or removed
+	revision   uint64   // revision of the last change
 	history    []change // in order of revision
 	leases     map[uint64]*lease
 	lastLease  uint64
-	changed    chan struct{} // closed when watches have to look again
+	changed    chan struct{} // closed and replaced when open watches must check for changes
 
 	limits         StoreLimits
-	windowStart    time.Time // of the second in which writes are counted
+	windowStart    time.Time // start of the second in which writes are counted
 	writesInWindow int
 
 	outage        bool
 	overloaded    bool
 	refusedHosts  map[string]bool
-	watchLag      int            // newest changes that watches do not show yet
-	historyLength int            // changes that watches can ask for
-	requests      map[string]int // by path
-	rejected      int            // transactions larger than the limits
+	watchLag      int            // number of newest changes that watches do not show yet
+	historyLength int            // number of changes that watches can ask for
+	requests      map[string]int // number of requests by path
+	rejected      int            // number of malformed transactions and of those that exceed the limits
 }
 
-// entry is the value of a key.
+// entry is the value of a key with its metadata.
 type entry struct {
 	value    json.RawMessage
-	revision uint64 // of its last change
-	lease    uint64 // 0: none
+	revision uint64 // revision of the last change of the key
+	lease    uint64 // lease that the key is attached to; 0 for none
 }
 
 type lease struct {
 	life  time.Duration
-	timer *time.Timer // ends it
+	timer *time.Timer // ends the lease
 }
 
-// StoreLimits is what the state service takes: bytes in a value, writes in a transaction and
-// in a second.
+// StoreLimits limits the bytes in a value, the writes in a transaction and the writes per second
+// that the store accepts.
 type StoreLimits struct {
 	ValueBytes, TxnOps, WritesPerSecond int
 }
 
-// NewKVStore makes an empty store with the protocol's usual limits, and many writes a second.
+// NewKVStore returns an empty store with the protocol's default sizes and a high write rate.
 func NewKVStore() *KVStore {
 	return &KVStore{
 		keys: map[string]entry{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
@@ -62,14 +62,14 @@
 	}
 }
 
-// Value returns a key's value, nil if there is no such key.
+// Value returns the value of a key, or nil if the key does not exist.
 func (s *KVStore) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keys[key].value
 }
 
-// Put sets a key, whatever its size: it is from an earlier time.
+// Put sets a key without checking limits, as if its value had been stored earlier.
 func (s *KVStore) Put(key string, value json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	s.wakeWatches()
 }
 
-// Keys returns all keys with a prefix, in order.
+// Keys returns all keys with a prefix, sorted.
 func (s *KVStore) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 	return s.revision
 }
 
-// keysWithPrefix returns a part of the sorted keys. The lock is held.
+// keysWithPrefix returns the keys with a prefix as a subslice of sortedKeys. s.mu must be held.
 func (s *KVStore) keysWithPrefix(prefix string) []string {
 	if len(s.sortedKeys) != len(s.keys) {
 		s.sortedKeys = slices.Sorted(maps.Keys(s.keys))
@@ -106,7 +106,7 @@
 	return s.sortedKeys[from:to]
 }
 
-// setKey writes a key. The lock is held.
+// setKey sets a key without recording a change. s.mu must be held.
 func (s *KVStore) setKey(key string, e entry) {
 	if _, had := s.keys[key]; !had {
 		s.sortedKeys = nil
@@ -114,19 +114,19 @@
 	s.keys[key] = e
 }
 
-// removeKey takes a key away. The lock is held.
+// removeKey removes a key without recording a change. s.mu must be held.
 func (s *KVStore) removeKey(key string) {
 	s.sortedKeys = nil
 	delete(s.keys, key)
 }
 
-// wakeWatches has open watches look for changes. The lock is held.
+// wakeWatches makes open watches check for changes. s.mu must be held.
 func (s *KVStore) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expireLease ends a lease that was not renewed in time; none ends in an outage.
+// expireLease ends a lease that was not renewed in time. Leases do not expire during an outage.
 func (s *KVStore) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,7 @@
 	s.endLease(id)
 }
 
-// endLease removes a lease and the keys tied to it. The lock is held.
+// endLease removes a lease and the keys that are attached to it. s.mu must be held.
 func (s *KVStore) endLease(id uint64) {
 	s.leases[id].timer.Stop()
 	delete(s.leases, id)
--- a/internal/emulator/store_commit.go
+++ b/internal/emulator/store_commit.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Of the protocol: bytes in a transaction, and conditions for each write that it may have.
+// Limits of the protocol: the bytes in a transaction, and its guards per allowed write.
 const (
 	maxTxnBytes = 64 << 10
 	guardsPerOp = 4
 )
 
-// serveCommit executes a transaction. The lock is held.
+// serveCommit executes a guarded transaction. s.mu must be held.
 func (s *KVStore) serveCommit(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	var txn commitRequest
@@ -40,7 +40,7 @@
 	writeJSON(w, http.StatusOK, revisionResponse{s.revision})
 }
 
-// withinLimits tells whether a transaction is no larger than is taken.
+// withinLimits reports whether a transaction respects the limits on values, writes and guards.
 func (s *KVStore) withinLimits(txn commitRequest) bool {
 	for _, write := range txn.Writes {
 		if len(write.Value) > s.limits.ValueBytes {
@@ -50,8 +50,8 @@
 	return len(txn.Writes) <= s.limits.TxnOps && len(txn.Guards) <= guardsPerOp*s.limits.TxnOps
 }
 
-// exceedsWriteRate counts writes, and tells whether more are written in this second than is
-// taken.
+// exceedsWriteRate counts writes and reports whether those in the current second exceed the
+// limit.
 func (s *KVStore) exceedsWriteRate(writes int) bool {
 	if now := time.Now(); now.Sub(s.windowStart) >= time.Second {
 		s.windowStart, s.writesInWindow = now, 0
@@ -60,7 +60,7 @@
 	return s.writesInWindow > s.limits.WritesPerSecond
 }
 
-// failedGuards returns the keys that are at another revision than they have to be.
+// failedGuards returns the keys whose revision differs from the one that their guard requires.
 func (s *KVStore) failedGuards(guards []commitGuard) (failed []string) {
 	for _, guard := range guards {
 		if s.keys[guard.Key].revision != guard.Revision {
@@ -70,7 +70,7 @@
 	return failed
 }
 
-// apply executes all writes at one revision.
+// apply executes all writes of a transaction at one new revision.
 func (s *KVStore) apply(writes []commitWrite) {
 	if len(writes) > 0 {
 		s.revision++
--- a/internal/emulator/store_faults.go
+++ b/internal/emulator/store_faults.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// SetLimits changes what is taken from now on, without notice.
+// SetLimits changes the limits for later requests. Clients are not told.
 func (s *KVStore) SetLimits(limits StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = limits
 }
 
-// SetOutage starts or ends an outage. Leases do not end during it, and every one
-// has its full time again when it ends.
+// SetOutage starts or ends an outage. Leases do not expire during an outage, and each gets its
+// full duration again when the outage ends.
 func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,21 +30,21 @@
 	s.wakeWatches()
 }
 
-// SetOverloaded answers every request 429, or no longer does.
+// SetOverloaded sets whether the store responds to all requests but watches with status 429.
 func (s *KVStore) SetOverloaded(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.overloaded = on
 }
 
-// SetRefused answers one host 503, or no longer does, while the others are served.
+// SetRefused sets whether the store responds to one host with status 503 and serves the others.
 func (s *KVStore) SetRefused(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusedHosts[host] = on
 }
 
-// SetWatchLag makes watches miss so many of the newest changes.
+// SetWatchLag hides the given number of newest changes from watches.
 func (s *KVStore) SetWatchLag(changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,29 +52,30 @@
 	s.wakeWatches()
 }
 
-// SetHistoryLength sets how many changes watches can ask for.
+// SetHistoryLength sets how many of the newest changes watches can ask for.
 func (s *KVStore) SetHistoryLength(changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.historyLength = changes
 }
 
-// RequestCount returns how many requests came under a path.
+// RequestCount returns the number of requests for a path.
 func (s *KVStore) RequestCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests[path]
 }
 
-// RejectedTransactions returns how many transactions were larger than is taken.
+// RejectedTransactions returns the number of transactions that were malformed or too large.
 func (s *KVStore) RejectedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejected
 }
 
-// LoseKeys removes the keys that match and returns them. The watch shows it as a change, as
-// of a service that is told to delete; silently, nothing shows and the revision stays.
+// LoseKeys removes the keys that match and returns them. Watches show the removal as a change at a
+// new revision, as they do for a delete request. If silently is true, watches show nothing and
+// the revision does not change.
 func (s *KVStore) LoseKeys(silently bool, match func(key string) bool) (lost []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,32 +96,32 @@
 	return lost
 }
 
-// WithPrefix matches all keys with a prefix.
+// WithPrefix returns a function that reports whether a key has the prefix.
 func WithPrefix(prefix string) func(string) bool {
 	return func(key string) bool { return strings.HasPrefix(key, prefix) }
 }
 
-// WithKey matches one key.
+// WithKey returns a function that reports whether a key is the given one.
 func WithKey(key string) func(string) bool {
 	return func(other string) bool { return other == key }
 }
 
-// StoreBackup is the state service as of a moment.
+// StoreBackup is a copy of the keys, history and revision of a KVStore.
 type StoreBackup struct {
 	keys     map[string]entry
 	history  []change
 	revision uint64
 }
 
-// Backup copies all keys and changes.
+// Backup returns a copy of all keys and changes. Leases are not included.
 func (s *KVStore) Backup() StoreBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return StoreBackup{keys: maps.Clone(s.keys), history: slices.Clone(s.history), revision: s.revision}
 }
 
-// Restore puts the service back to a backup: all changes since are lost, and revisions
-// are given out again. Leases live on, as they are not part of it.
+// Restore replaces the contents of the store with a backup. All later changes are lost and their
+// revisions are used again. Leases remain, because a backup does not contain them.
 func (s *KVStore) Restore(b StoreBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,7 @@
 	s.wakeWatches()
 }
 
-// Values returns the revision and the value of every key.
+// Values returns, for every key, its revision and value as text.
 func (b StoreBackup) Values() map[string]string {
 	values := map[string]string{}
 	for key, e := range b.keys {
--- a/internal/emulator/store_http.go
+++ b/internal/emulator/store_http.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The methods of this file that serve a request run with the lock held, but for ServeHTTP.
+// The request handlers in this file, other than ServeHTTP, expect s.mu to be held.
 
-// ServeHTTP implements the service's protocol.
+// ServeHTTP implements http.Handler with the protocol of the key-value store.
 func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.requests[r.URL.Path]++
@@ -83,7 +83,7 @@
 	writeJSON(w, http.StatusOK, leaseResponse{id})
 }
 
-// serveLease renews or ends the lease that rest of a path names.
+// serveLease renews or revokes a lease. rest is the request path after /grants/.
 func (s *KVStore) serveLease(w http.ResponseWriter, r *http.Request, rest string) {
 	number, renews := strings.CutSuffix(rest, "/renew")
 	id, _ := strconv.ParseUint(number, 10, 64)
@@ -100,7 +100,7 @@
 	writeJSON(w, http.StatusOK, nil)
 }
 
-// writeJSON answers with a message; its goroutine is a handler's.
+// writeJSON writes a response with the given status and body encoded as JSON.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, _ := json.Marshal(body)
 	w.WriteHeader(status)
--- a/internal/emulator/store_watch.go
+++ b/internal/emulator/store_watch.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// watch is a request for changes.
+// watch is a long-polling request for changes.
 type watch struct {
-	host   string // who asks
-	prefix string // of keys
-	after  uint64 // revision
+	host   string // name of the requesting host
+	prefix string // only changes of keys with this prefix are returned
+	after  uint64 // only changes after this revision are returned
 	wait   time.Duration
 }
 
-// serveWatch answers with changes. In an outage new watches are refused, and open ones
-// wait; what they say when their time runs out is as old as the outage.
+// serveWatch responds with changes once there are any, or when the wait of the watch is over.
+// During an outage it refuses new watches; open ones see no changes, and on timeout they return
+// the revision that they asked from.
 func (s *KVStore) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -46,7 +47,7 @@
 	}
 }
 
-// checkWatch tells whether a new watch is refused, or asks for changes no longer kept.
+// checkWatch reports whether a new watch is refused, and whether it asks for compacted changes.
 func (s *KVStore) checkWatch(request watch) (refused, compacted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,8 +56,8 @@
 	return refused, compacted
 }
 
-// changesFor returns the changes that a watch is shown by now, the revision up to which it
-// is, and a channel that is closed when there may be more.
+// changesFor returns the changes that are visible to a watch, the revision that they lead to, and
+// a channel that is closed when there may be more changes.
 func (s *KVStore) changesFor(request watch) (found []change, revision uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +74,8 @@
 	return found, revision, s.changed
 }
 
-// shownHistory returns the changes that watches show: without the newest ones, if they lag.
-// A transaction is shown whole or not at all.
+// shownHistory returns the changes that are visible to watches, which excludes the newest ones if
+// watches lag. The changes of one transaction become visible together. s.mu must be held.
 func (s *KVStore) shownHistory() []change {
 	end := max(0, len(s.history)-s.watchLag)
 	for end > 0 && end < len(s.history) && s.history[end-1].Revision == s.history[end].Revision {
--- a/internal/emulator/streams.go
+++ b/internal/emulator/streams.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// Stream is the path under which fault rules see messages between nodes.
+// Stream is the path that fault rules see for messages between controllers.
 const Stream = "stream"
 
-// listener takes the stream connections of a host.
+// listener implements net.Listener for the stream connections of a host.
 type listener struct {
 	network *Network
 	addr    string
@@ -19,7 +19,7 @@
 	once    sync.Once
 }
 
-// Listen opens an address for streams.
+// Listen returns a listener for streams to a host at an address.
 func (n *Network) Listen(host, addr string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,8 +52,8 @@
 
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Dial opens a stream from a host. Each write is one message to the fault rule:
-// what is not delivered is dropped, as a cut would hold it for ever.
+// Dial opens a stream from a host to an address. Fault rules see each write as one message. A
+// message with any fault is dropped, because a network partition would hold it back forever.
 func (n *Network) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	opened, target := n.streams[addr], n.names[addr]
@@ -71,7 +71,7 @@
 	return nil, dialError(syscall.ECONNREFUSED)
 }
 
-// stream is one end of a connection. Each write is one message to the fault rules.
+// stream is one end of a connection. Fault rules see each write as one message.
 type stream struct {
 	net.Conn
 	network  *Network
@@ -85,5 +85,5 @@
 	return s.Conn.Write(p)
 }
 
-// dialError is what a transport returns if a connection is not made.
+// dialError returns err as the error of a failed TCP dial.
 func dialError(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: err} }
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -11,35 +11,34 @@
 	"ospreyslip/internal/workers"
 )
 
-// Why a task leaves its machine without the worker's doing; the other causes are the
-// workers' own.
+// Causes of task ends in addition to those that workers report.
 const (
 	EndOfLease   = "lease"
 	EndOfMachine = "machine gone"
 )
 
-// TaskStarts returns how many tasks have started.
+// TaskStarts returns the number of task attempts that have started.
 func (w *World) TaskStarts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tasks.starts
 }
 
-// TaskEnds returns how many tasks have left their machines, by cause.
+// TaskEnds returns the number of task attempts that have left their machines, by cause.
 func (w *World) TaskEnds() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.tasks.ends)
 }
 
-// MachinesOf returns the machines that a task is on, in order.
+// MachinesOf returns the sorted names of the machines that a task is on.
 func (w *World) MachinesOf(task string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Sorted(maps.Keys(w.tasks.machinesOf[task]))
 }
 
-// RunningTasks returns all tasks that are on machines, in order.
+// RunningTasks returns the sorted names of all tasks that are on machines.
 func (w *World) RunningTasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,7 +52,7 @@
 	return running
 }
 
-// Summary says on one line what is where, for failing tests.
+// Summary returns one line that lists all tasks with their machines, for messages of failing tests.
 func (w *World) Summary() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,14 +66,14 @@
 	return strings.Join(parts, "; ")
 }
 
-// AllTasksDone tells whether every task of a job has completed on some machine.
+// AllTasksDone reports whether every task of a job has completed.
 func (w *World) AllTasksDone(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tasks.allDone(id)
 }
 
-// allDone tells whether every task of a job has completed. The lock is held.
+// allDone reports whether every task of a job has completed. The World's lock must be held.
 func (l *taskLedger) allDone(id string) bool {
 	spec := l.specs[id]
 	if spec == nil {
@@ -94,7 +93,7 @@
 	return w.tasks.done[workers.TaskName(id, n)]
 }
 
-// taskStarted judges the start of a task by the rules.
+// taskStarted records the start of a task and checks it against the rules.
 func (w *World) taskStarted(worker *Worker, started workers.TaskStatus) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,8 +116,8 @@
 	w.judgePlace(worker, started.Name, jobID)
 }
 
-// judgePlace judges a started task by its team's limit and by where its job may run.
-// The lock is held.
+// judgePlace checks a started task against the quota of its team and the placement constraints of
+// its job. w.mu must be held.
 func (w *World) judgePlace(worker *Worker, task, jobID string) {
 	job := w.tasks.specs[jobID]
 	tasksByZone, cpusOfTeam := map[string]int{}, 0.0
@@ -144,13 +143,13 @@
 	}
 }
 
-// taskLeft takes in that a task is on a machine no more, and why.
+// taskLeft records that a task has left its machine, and the cause.
 func (w *World) taskLeft(worker *Worker, left workers.TaskStatus, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.tasks.machinesOf[left.Name], worker.status.Machine)
 	w.tasks.ends[cause]++
-	w.record.tracef("%s attempt %d is off %s: %s", left.Name, left.Attempt, worker.status.Machine, cause)
+	w.record.tracef("%s attempt %d left %s: %s", left.Name, left.Attempt, worker.status.Machine, cause)
 	jobID, _, _ := workers.SplitTask(left.Name)
 	if spec := w.tasks.specs[jobID]; spec != nil && spec.Shape == jobs.Gang && cause != workers.CauseDone {
 		w.tasks.gangLeft(left)
@@ -163,8 +162,8 @@
 	}
 }
 
-// noteCancelled notes that a user was told that a job is cancelled. When its time is
-// over, no task of it may be anywhere.
+// noteCancelled records that a user was told that a job is cancelled. It is a violation if a task
+// of the job is on a machine after CancelDeadline. w.mu must be held.
 func (w *World) noteCancelled(jobID string) {
 	if _, ok := w.tasks.cancelled[jobID]; ok {
 		return
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// record is what happened, and what users asked for and were told.
+// record holds the trace, the violations, and the requests of users with their responses.
 type record struct {
 	began      time.Time
-	lines      []string                // in order
-	violations []string                // of rules
-	asked      map[string]*userHistory // by job
+	lines      []string                // of the trace, in order
+	violations []string                // descriptions of violated rules, in order
+	asked      map[string]*userHistory // histories by job
 }
 
-// Violations returns the rules that were broken, and how.
+// Violations returns descriptions of the rule violations so far, in order.
 func (w *World) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.record.violations...)
 }
 
-// Tracef adds a line to the trace.
+// Tracef adds a formatted line to the trace.
 func (w *World) Tracef(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.record.tracef(format, args...)
 }
 
-// tracef adds a line to the trace. The lock is held.
+// tracef adds a formatted line to the trace, after the seconds since the start. The World's lock
+// must be held.
 func (r *record) tracef(format string, args ...any) {
 	r.lines = append(r.lines, fmt.Sprintf("%8.3f ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// violate records a broken rule. The lock is held.
+// violate records a rule violation, also in the trace. The World's lock must be held.
 func (r *record) violate(format string, args ...any) {
 	r.tracef(violationMark+" "+format, args...)
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// Trace returns what happened up to the first broken rule, or all if there is none:
-// what is about the job named there, and all troubles.
+// Trace returns the trace up to the first rule violation, or the whole trace if there is none. If
+// the violation names a job, lines that name only other jobs are left out.
 func (w *World) Trace() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,13 +64,13 @@
 	return text.String()
 }
 
-// Of lines of the trace: what a job's id begins with, and what marks a broken rule.
+// Text in lines of the trace: the prefix of job IDs, and the mark of a rule violation.
 const (
 	jobPrefix     = "j-"
 	violationMark = "BROKEN"
 )
 
-// jobIn returns the last job that a line names, or nothing.
+// jobIn returns the last job ID in a line, or an empty string if there is none.
 func jobIn(line string) (job string) {
 	for _, field := range strings.FieldsFunc(line, func(r rune) bool { return r == ' ' || r == '/' }) {
 		if strings.HasPrefix(field, jobPrefix) {
--- a/internal/emulator/transport.go
+++ b/internal/emulator/transport.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// hostTransport is the network as one host sees it.
+// hostTransport sends the requests of one host over the emulated network.
 type hostTransport struct {
 	network *Network
 	host    string
@@ -58,7 +58,7 @@
 	}
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoAnswer = errors.New("response has no status code")
 
 func readBody(req *http.Request) ([]byte, error) {
 	if req.Body == nil {
@@ -72,8 +72,8 @@
 	return body, nil
 }
 
-// received returns a request as the other side gets it, which goes on with it when the
-// sender gives up.
+// received returns the server's copy of a request. Its context is not cancelled with the
+// sender's, because the receiver executes a request even if the sender gives up.
 func (t *hostTransport) received(req *http.Request, body []byte) *http.Request {
 	in := req.Clone(context.WithoutCancel(req.Context()))
 	in.RequestURI = req.URL.RequestURI()
@@ -82,7 +82,7 @@
 	return in
 }
 
-// deliver has a request executed after a delay, and returns where the answer comes.
+// deliver executes a request after a delay, and returns a channel that receives the response.
 func (t *hostTransport) deliver(handler http.Handler, req *http.Request, delay time.Duration) <-chan *http.Response {
 	answer := make(chan *http.Response, 1)
 	t.network.deliveries.Go(func() {
@@ -98,10 +98,11 @@
 	return answer
 }
 
-// transit is how long a message is on its way in each direction.
+// transit is the network latency of a message in each direction.
 const transit = time.Millisecond
 
-// deliverAgain has a copy of a request executed later, by whoever is at the address by then.
+// deliverAgain executes a copy of a request after the lateness, on the host that is at the
+// address by then.
 func (t *hostTransport) deliverAgain(addr string, again *http.Request, lateness time.Duration) {
 	t.network.deliveries.Go(func() {
 		time.Sleep(lateness)
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -11,16 +11,16 @@
 	"ospreyslip/internal/jobs"
 )
 
-// userHistory is what users did about a job, and what they were told.
+// userHistory holds the requests of users about one job and the responses that they received.
 type userHistory struct {
 	submitted, cancelled, accepted bool
-	final                          string    // the end that a user was told of
-	answeredAt                     time.Time // when a question about it was last answered
+	final                          string    // final state that a user was told, or empty
+	answeredAt                     time.Time // when a request about the job last succeeded
 }
 
-// UserRequest sends a user's request to a node, and judges the answer by the rules. It
-// returns the status, or 0 if there was no answer, and the answer's fields. Whoever asks about
-// a job waits for the answer before asking about it again.
+// UserRequest sends a user's request to a controller and checks the response against the rules. It
+// returns the status, or 0 if there was no response, and the fields of the response. Requests about
+// the same job must not be concurrent.
 func (w *World) UserRequest(method, addr, path string, body any) (int, map[string]any) {
 	raw, _ := json.Marshal(body)
 	req, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(raw))
@@ -55,8 +55,8 @@
 	return resp.StatusCode, fields
 }
 
-// noteRequest notes that a user asks for something about a job. It returns the job's history
-// and a copy of it as the request is sent.
+// noteRequest records that a user sends a request about a job. It returns the job's history and a
+// copy of the history as of the request.
 func (w *World) noteRequest(jobID string, submits, cancels bool) (history *userHistory, before userHistory) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -69,15 +69,15 @@
 	return history, *history
 }
 
-// NoteSubmitted notes a job that a user has submitted before the day began.
+// NoteSubmitted records that a user submitted a job before the emulation started.
 func (w *World) NoteSubmitted(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.record.asked[id] = &userHistory{submitted: true}
 }
 
-// judgeAnswer takes in an answer; before is the history as it was when the request
-// was sent. The lock is held.
+// judgeAnswer records a response and checks it against the rules. before is the job's history as
+// of the request. w.mu must be held.
 func (w *World) judgeAnswer(jobID string, history *userHistory, before userHistory, submits bool, status int, state string) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -114,8 +114,8 @@
 	}
 }
 
-// UnansweredJobs returns the accepted jobs about which no question was answered since a
-// moment.
+// UnansweredJobs returns the IDs of accepted jobs about which no request has succeeded since the
+// given time.
 func (w *World) UnansweredJobs(since time.Time) (ids []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +127,7 @@
 	return ids
 }
 
-// Accepted tells whether a user was told that a job is accepted.
+// Accepted reports whether a user was told that a job is accepted.
 func (w *World) Accepted(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -6,7 +6,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Messages of the state service.
+// Messages of the key-value store's protocol.
 
 type revisionResponse struct {
 	Revision uint64 `json:"tide"`
@@ -66,7 +66,7 @@
 	Changes  []change `json:"log"`
 }
 
-// Messages of the cloud.
+// Messages of the cloud's API.
 
 type catalogResponse struct {
 	Types []jobs.MachineType `json:"perches"`
@@ -103,7 +103,8 @@
 	Error string `json:"error"`
 }
 
-// Of the users' API: what is read of an answer, and the end of a cancellation's path.
+// Parts of the users' API: the response field with the job's state, and the suffix of a
+// cancellation's path.
 const (
 	jobStateField = "stance"
 	cancelSuffix  = "/withdraw"
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -13,44 +13,44 @@
 	"ospreyslip/internal/workers"
 )
 
-// Of the workers' protocol.
+// Timing of the workers' protocol.
 const (
-	responseTimeout = 4 * time.Second // for one heartbeat
-	retryPause      = time.Second     // before the next node is tried
+	responseTimeout = 4 * time.Second // response timeout of a heartbeat
+	retryPause      = time.Second     // delay before another controller is tried
 )
 
-// WorkerConfig is what all workers have in common.
+// WorkerConfig is the configuration that all workers share.
 type WorkerConfig struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // of the tasks, from the sending of the last answered heartbeat
-	FetchTime         time.Duration // of an image
-	GangWait          time.Duration // a gang that is not complete by then ends
-	GangStopWindow    time.Duration // within it all tasks of a gang must be told to stop
+	Lease             time.Duration // worker lease, counted from the sending of the last answered heartbeat
+	FetchTime         time.Duration // time to fetch an image
+	GangWait          time.Duration // a gang task ends if its gang is not complete after this time
+	GangStopWindow    time.Duration // time within which all tasks of a gang must be told to stop
 
-	Nodes []string          // the controllers' names, in the order in which they are tried
-	Addrs map[string]string // where they listen, by name
+	Nodes []string          // names of the controllers in the order in which workers try them
+	Addrs map[string]string // addresses of the controllers, by name
 }
 
-// Worker plays one machine. Its methods may be called by several goroutines. A worker calls
-// its world with its own lock held, never the other way round.
+// Worker emulates the worker on one machine. Its methods are safe for concurrent use. A Worker calls
+// its World with its own lock held, so a World must not call a Worker with the World's lock held.
 type Worker struct {
 	world       *World
 	config      WorkerConfig
 	machineType jobs.MachineType
-	cancel      context.CancelFunc // ends run
-	changed     chan struct{}      // of one: something is worth a heartbeat before its time
+	cancel      context.CancelFunc // stops run
+	changed     chan struct{}      // capacity 1; requests a heartbeat ahead of schedule
 
 	mu         sync.Mutex
-	status     workers.Heartbeat // without tasks
+	status     workers.Heartbeat // heartbeat to send, without tasks
 	tasks      []*task
-	images     map[string]bool // that were fetched
-	answeredAt time.Time       // when the last heartbeat that got an answer was sent
+	images     map[string]bool // names of the images that were fetched
+	answeredAt time.Time       // start of the lease: when the last answered heartbeat was sent
 	hung       bool
 	dead       bool
-	slowness   float64 // tasks take so many times as long
+	slowness   float64 // factor by which run times of batch tasks grow; below 1 has no effect
 }
 
-// run sends heartbeats until the context ends.
+// run sends heartbeats until ctx is done. If a controller does not accept one, it tries another.
 func (w *Worker) run(ctx context.Context) {
 	w.world.running.Go(func() { w.keepLease(ctx) })
 	client := &http.Client{Transport: w.world.Network.Transport(w.status.Machine), Timeout: responseTimeout}
@@ -70,8 +70,8 @@
 	}
 }
 
-// keepLease ends the tasks with the lease, also while a heartbeat waits in vain
-// for its answer.
+// keepLease ends the tasks when the lease expires. It has its own goroutine, because run may be
+// blocked on a heartbeat that gets no answer.
 func (w *Worker) keepLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to a node and executes the commands in its answer. It
-// returns the node to send the next one to; both are indices of the configured nodes.
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. It
+// returns the controller for the next heartbeat. Both are indices into config.Nodes.
 func (w *Worker) sendHeartbeat(client *http.Client, node int) int {
 	w.mu.Lock()
 	if w.hung || w.dead {
@@ -126,8 +126,8 @@
 	return otherNode
 }
 
-// accept renews the lease and executes the commands, unless the answer is to a heartbeat of an
-// earlier epoch, or its fencing token is not current.
+// accept renews the lease and executes the commands in a response. It ignores responses to
+// heartbeats of an earlier agent epoch and those with an outdated or missing fencing token.
 func (w *Worker) accept(response workers.HeartbeatResponse, epoch uint64, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// signalChange has the next heartbeat sent soon.
+// signalChange requests a heartbeat ahead of schedule.
 func (w *Worker) signalChange() {
 	select {
 	case w.changed <- struct{}{}:
@@ -161,7 +161,8 @@
 	}
 }
 
-// nextHeartbeat raises the sequence number, as every heartbeat and every answer does.
+// nextHeartbeat returns the current status of the worker under a new sequence number, which every
+// heartbeat and every response to a controller needs.
 func (w *Worker) nextHeartbeat() workers.Heartbeat {
 	w.status.Seq++
 	heartbeat := w.status
@@ -172,7 +173,7 @@
 	return heartbeat
 }
 
-// expireLease ends the tasks once the lease is over, and begins the next epoch.
+// expireLease ends all tasks and begins a new agent epoch if the lease has expired.
 func (w *Worker) expireLease() {
 	now := time.Now()
 	if now.Sub(w.answeredAt) <= w.config.Lease {
@@ -186,7 +187,8 @@
 	w.signalChange()
 }
 
-// ServeHTTP takes commands and probes.
+// ServeHTTP implements http.Handler for commands and probes. A hung worker does not respond until
+// it resumes or is powered off.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -215,14 +217,15 @@
 	writeJSON(rw, status, w.nextHeartbeat())
 }
 
-// SetSlowness makes tasks take so many times as long.
+// SetSlowness sets the factor by which batch tasks take longer.
 func (w *Worker) SetSlowness(times float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowness = times
 }
 
-// SetHung stops a machine, or lets it go on. It can go on within its lease only.
+// SetHung suspends or resumes the worker. Its tasks end when the lease expires, also while it is
+// suspended.
 func (w *Worker) SetHung(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -240,7 +243,7 @@
 	})
 }
 
-// powerOff ends the machine and everything on it.
+// powerOff stops the machine, ends its tasks and disconnects it from the network.
 func (w *Worker) powerOff() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -11,15 +11,16 @@
 // task is one attempt at a task on a worker.
 type task struct {
 	workers.TaskStatus
-	stateSince time.Time // when it began to fetch, or to run
-	savedBy    time.Time // when a task that saves is done with that
+	stateSince time.Time // when the task began to fetch its image or, after that, to run or gather
+	savedBy    time.Time // when a task in StateSaving has saved its checkpoint
 }
 
 func (t *task) isOnMachine() bool {
 	return t.State == workers.StateGathering || t.State == workers.StateRunning || t.State == workers.StateSaving
 }
 
-// advance brings the tasks up to now, and ends them with the lease.
+// advance updates the states of all tasks to the current time, and ends them if the lease has
+// expired. w.mu must be held.
 func (w *Worker) advance() {
 	w.expireLease()
 	now := time.Now()
@@ -42,7 +43,7 @@
 	}
 }
 
-// beginTask begins a task that has its image.
+// beginTask starts a task whose image is available. A task of a gang waits for the other tasks.
 func (w *Worker) beginTask(t *task, job *jobs.Spec, now time.Time) {
 	w.images[job.Image] = true
 	t.State, t.stateSince = workers.StateRunning, now
@@ -53,7 +54,7 @@
 	w.signalChange()
 }
 
-// advanceGangTask does what the rest of the gang brings about.
+// advanceGangTask updates a task of a gang according to the state of the whole gang.
 func (w *Worker) advanceGangTask(t *task) {
 	state, cause, saved := w.world.gangStep(w, t)
 	switch {
@@ -74,7 +75,7 @@
 	w.signalChange()
 }
 
-// executeCommands executes commands in order.
+// executeCommands executes commands in order. w.mu must be held.
 func (w *Worker) executeCommands(commands []workers.Command) {
 	for _, command := range commands {
 		t := w.findTask(command)
@@ -95,7 +96,7 @@
 	}
 }
 
-// findTask returns the task and attempt that a command names, or nil.
+// findTask returns the task with the name and attempt in the command, or nil.
 func (w *Worker) findTask(command workers.Command) (found *task) {
 	for _, t := range w.tasks {
 		if t.Name == command.Task && t.Attempt == command.Attempt {
@@ -105,7 +106,8 @@
 	return found
 }
 
-// startTask takes a new attempt in, or refuses it: then it is there as one that has ended.
+// startTask adds a new attempt at a task. A refused attempt is added in StateEnded, so that the
+// heartbeat reports the cause.
 func (w *Worker) startTask(command workers.Command) {
 	jobID, number, ok := workers.SplitTask(command.Task)
 	job := w.world.spec(jobID)
@@ -137,7 +139,8 @@
 	w.signalChange()
 }
 
-// stopTask ends a task, or lets it save first if it can and has the time. A nil graceS is none.
+// stopTask ends a task. If the task has checkpoints and graceS seconds suffice to save one, the
+// task saves first. A nil graceS means no grace period.
 func (w *Worker) stopTask(t *task, graceS *float64) {
 	jobID, _, _ := workers.SplitTask(t.Name)
 	job := w.world.spec(jobID)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -10,32 +10,35 @@
 	"ospreyslip/internal/settings"
 )
 
-// World is the cloud with its machines, the users, and the judge of the protocol's rules. Its
-// methods may be called by several goroutines.
+// World emulates the cloud with its machines and the users, and records violations of the
+// protocol's rules. Its methods are safe for concurrent use.
 type World struct {
 	Network *Network
 	Store   *KVStore
-	Workers WorkerConfig // of machines that are rented from now on
+	Workers WorkerConfig // for machines that are rented from now on
 
-	Types    []jobs.MachineType // the cloud's catalog
-	BootTime time.Duration      // from the rental of a machine until its worker reports
-	ListLag  time.Duration      // by which the cloud's list of machines is behind
+	Types    []jobs.MachineType // the machine types in the cloud's catalog
+	BootTime time.Duration      // from the rental of a machine until its worker sends heartbeats
+	ListLag  time.Duration      // how long a rented machine is missing from the cloud's list
 
-	Teams          []settings.Team // whose limits are judged
-	CancelDeadline time.Duration   // from a cancellation until no task of the job may be anywhere
+	Teams          []settings.Team // teams whose CPU quotas are checked
+	CancelDeadline time.Duration   // from a confirmed cancellation until no task of the job may run
 
-	// AddrOf is where the n-th machine listens; nil is an address of the emulated network.
+	// AddrOf returns the address on which the n-th machine listens. If it is nil, machines get
+	// addresses of the emulated network.
 	AddrOf func(n int) string
-	// LookUpSpec returns a job's description where no user has uploaded it; it may be nil.
+	// LookUpSpec returns the description of a job that no user has uploaded, or nil if there is
+	// none. It may be nil.
 	LookUpSpec func(id string) *jobs.Spec
-	// HeartbeatAnswered is told of each heartbeat that was answered, and of the time between
-	// the sending of the answered one before and of this one; it may be nil.
+	// HeartbeatAnswered is called for each answered heartbeat with the current time and the time
+	// between sending the previous answered heartbeat and this one. It may be nil.
 	HeartbeatAnswered func(at time.Time, gap time.Duration)
-	// JobEnded is called in a goroutine when a job's last task has completed; it may be nil.
+	// JobEnded is called in its own goroutine when the last task of a job completes. It may be
+	// nil.
 	JobEnded func(id string)
 
-	ctx     context.Context // the machines' life
-	running sync.WaitGroup  // machines and deadlines
+	ctx     context.Context // machines stop when it ends
+	running sync.WaitGroup  // goroutines of machines and of cancellation deadlines
 
 	mu     sync.Mutex
 	cloud  cloud
@@ -43,12 +46,12 @@
 	record record
 }
 
-// cloud is what the cloud has rented out.
+// cloud is the state of the emulated cloud.
 type cloud struct {
 	machines    map[string]*machine // by name
-	rentals     map[string][]string // names of machines by request
-	nextMachine int                 // number of the next one
-	capacity    int                 // machines that can be rented at a time
+	rentals     map[string][]string // names of machines, by name of the rental request
+	nextMachine int                 // number of the next machine to be rented
+	capacity    int                 // the most machines that can be rented at a time
 	outage      bool
 }
 
@@ -58,22 +61,22 @@
 	zone        string
 	spot        bool
 	rentedAt    time.Time
-	up          bool
+	up          bool // has booted and was not released
 }
 
-// taskLedger is what truly became of jobs and their tasks.
+// taskLedger holds the actual state of jobs and their tasks, whatever controllers believe.
 type taskLedger struct {
-	specs        map[string]*jobs.Spec      // of jobs, as uploaded
-	machinesOf   map[string]map[string]bool // machines by task
-	done         map[string]bool            // tasks that have completed
-	cancelled    map[string]time.Time       // when a user was told so, by job
+	specs        map[string]*jobs.Spec      // job descriptions as uploaded, by job
+	machinesOf   map[string]map[string]bool // names of the machines that a task is on, by task
+	done         map[string]bool            // whether a task has completed, by task
+	cancelled    map[string]time.Time       // when a user was first told that a job is cancelled, by job
 	starts       int
-	ends         map[string]int // of tasks that were on machines, by cause
+	ends         map[string]int // tasks that have left their machines, by cause
 	gangs        map[gangKey]*gang
-	gangProgress map[string]time.Duration // saved run time by job
+	gangProgress map[string]time.Duration // run time saved in checkpoints, by job
 }
 
-// NewWorld makes a world whose machines live until the context ends.
+// NewWorld returns a World whose machines run until ctx is done.
 func NewWorld(ctx context.Context, types []jobs.MachineType, config WorkerConfig) *World {
 	return &World{
 		Network: NewNetwork(), Store: NewKVStore(), Workers: config,
@@ -89,10 +92,10 @@
 	}
 }
 
-// Wait waits until all machines have ended with their context.
+// Wait waits for the goroutines of all machines, which stop when the World's context is done.
 func (w *World) Wait() { w.running.Wait() }
 
-// Machines returns the names of all machines that are up, in order.
+// Machines returns the sorted names of all machines that have booted and were not released.
 func (w *World) Machines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,17 +109,17 @@
 	return out
 }
 
-// Worker returns a machine's worker.
+// Worker returns the worker of a machine. It panics if the machine does not exist.
 func (w *World) Worker(id string) *Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cloud.machines[id].worker
 }
 
-// KillMachine takes a machine's power; the cloud goes on listing it.
+// KillMachine powers off a machine, which the cloud still lists.
 func (w *World) KillMachine(id string) { w.Worker(id).powerOff() }
 
-// ZoneOf returns the zone of a machine, and nothing for other hosts.
+// ZoneOf returns the zone of a machine, or an empty string if host is not a machine.
 func (w *World) ZoneOf(host string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,14 +129,14 @@
 	return ""
 }
 
-// UploadSpec gives workers a job's description; users do that.
+// UploadSpec makes a job description available to workers, as users do.
 func (w *World) UploadSpec(spec *jobs.Spec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.tasks.specs[spec.ID] = spec
 }
 
-// Spec returns a job's description as its user uploaded it.
+// Spec returns the description of a job, from its upload or from LookUpSpec, or nil.
 func (w *World) Spec(id string) *jobs.Spec { return w.spec(id) }
 
 func (w *World) spec(id string) *jobs.Spec {
