--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -79,14 +79,14 @@
 	_ = json.NewDecoder(r.Body).Decode(&request)
 	for _, name := range request.Machines {
 		w.mu.Lock()
-		released := w.cloud.machines[name]
+		releasedMachine := w.cloud.machines[name]
 		w.mu.Unlock()
-		if released == nil {
+		if releasedMachine == nil {
 			continue
 		}
-		released.worker.powerOff() // acquires w.mu, so it must not be held here
+		releasedMachine.worker.powerOff() // acquires w.mu, so it must not be held here
 		w.mu.Lock()
-		released.up = false
+		releasedMachine.up = false
 		delete(w.cloud.machines, name)
 		w.mu.Unlock()
 	}
@@ -98,17 +98,17 @@
 	defer w.mu.Unlock()
 	entries := []machineEntry{}
 	for _, name := range slices.Sorted(maps.Keys(w.cloud.machines)) {
-		listed := w.cloud.machines[name]
-		if time.Since(listed.rentedAt) < w.ListLag {
+		listedMachine := w.cloud.machines[name]
+		if time.Since(listedMachine.rentedAt) < w.ListLag {
 			continue
 		}
 		state := "booting"
-		if listed.up {
+		if listedMachine.up {
 			state = "running"
 		}
 		entries = append(entries, machineEntry{
-			ID: name, Addr: listed.worker.status.Addr, Type: listed.machineType.Name, Zone: listed.zone, Spot: listed.spot,
-			State: state, AgeS: time.Since(listed.rentedAt).Seconds(),
+			ID: name, Addr: listedMachine.worker.status.Addr, Type: listedMachine.machineType.Name, Zone: listedMachine.zone, Spot: listedMachine.spot,
+			State: state, AgeS: time.Since(listedMachine.rentedAt).Seconds(),
 		})
 	}
 	writeJSON(rw, http.StatusOK, machinePage{Machines: entries})
@@ -124,22 +124,22 @@
 	w.cloud.nextMachine++
 	ctx, cancel := context.WithCancel(w.ctx)
 	worker := &Worker{
-		world: w, config: w.Workers, machineType: machineType, cancel: cancel, images: map[string]bool{}, changed: make(chan struct{}, 1),
+		world: w, config: w.Workers, machineType: machineType, cancel: cancel, images: map[string]bool{}, heartbeatRequested: make(chan struct{}, 1),
 		status: workers.Heartbeat{Machine: name, Addr: addr, Type: machineType.Name, Zone: zone, Spot: spot, AgentEpoch: 1},
 	}
-	added := &machine{worker: worker, machineType: machineType, zone: zone, spot: spot, rentedAt: time.Now()}
-	w.cloud.machines[name] = added
-	w.running.Go(func() {
+	newMachine := &machine{worker: worker, machineType: machineType, zone: zone, spot: spot, rentedAt: time.Now()}
+	w.cloud.machines[name] = newMachine
+	w.goroutines.Go(func() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(w.BootTime):
 		}
 		w.mu.Lock()
-		added.up = true
+		newMachine.up = true
 		w.mu.Unlock()
 		worker.mu.Lock()
-		worker.answeredAt = time.Now()
+		worker.leaseStartedAt = time.Now()
 		worker.mu.Unlock()
 		w.Network.Attach(name, addr, worker)
 		worker.run(ctx)
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,5 +1,5 @@
-// Package emulator implements in one process, for tests, the services that controllers depend
-// on: the key-value store (KVStore), the cloud with its machines and users (World), the workers
+// Package emulator implements in one process, for tests, the services that controllers depend on:
+// the key-value store (KVStore), the cloud with its machines and users (World), the workers
 // (Worker) and the network between them (Network). They follow the protocol, and a World records
 // every violation of its rules.
 //
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -27,19 +27,19 @@
 func (n *Network) SetFaults(rule FaultRule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.faults = rule
+	n.baseRule = rule
 }
 
 // AddFaults adds a rule to those in effect. The returned function removes it.
 func (n *Network) AddFaults(rule FaultRule) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	added := &rule
-	n.addedFaults = append(n.addedFaults, added)
+	addedRule := &rule
+	n.addedRules = append(n.addedRules, addedRule)
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.addedFaults = slices.DeleteFunc(n.addedFaults, func(r *FaultRule) bool { return r == added })
+		n.addedRules = slices.DeleteFunc(n.addedRules, func(r *FaultRule) bool { return r == addedRule })
 	}
 }
 
@@ -47,13 +47,13 @@
 func (n *Network) faultOf(from, to, path string) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.faults != nil {
-		if fault := n.faults(from, to, path); fault != Deliver {
+	if n.baseRule != nil {
+		if fault := n.baseRule(from, to, path); fault != Deliver {
 			return fault
 		}
 	}
-	for _, added := range n.addedFaults {
-		if fault := (*added)(from, to, path); fault != Deliver {
+	for _, addedRule := range n.addedRules {
+		if fault := (*addedRule)(from, to, path); fault != Deliver {
 			return fault
 		}
 	}
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -13,7 +13,7 @@
 	startedAt       time.Time          // when all tasks had joined
 	brokenAt        time.Time          // when a task was lost, or not told to stop in time, after the start
 	stopRequestedAt time.Time          // when the first task was told to stop with enough time to save
-	toldToStop      map[string]bool    // tasks that were told to stop with enough time to save
+	stopRequested   map[string]bool    // tasks that were told to stop with enough time to save
 	done            bool
 	saved           bool // the checkpoint is saved
 }
@@ -26,13 +26,13 @@
 
 // gangOf returns the attempt that a task belongs to, and adds it if it is new. The World's lock
 // must be held.
-func (l *taskLedger) gangOf(member workers.TaskStatus) *gang {
+func (s *taskState) gangOf(member workers.TaskStatus) *gang {
 	jobID, _, _ := workers.SplitTask(member.Name)
 	key := gangKey{jobID, member.Attempt}
-	attempt := l.gangs[key]
+	attempt := s.gangs[key]
 	if attempt == nil {
-		attempt = &gang{size: l.specs[jobID].Tasks, joined: map[string]*Worker{}, toldToStop: map[string]bool{}}
-		l.gangs[key] = attempt
+		attempt = &gang{size: s.specs[jobID].Tasks, joined: map[string]*Worker{}, stopRequested: map[string]bool{}}
+		s.gangs[key] = attempt
 	}
 	return attempt
 }
@@ -49,24 +49,24 @@
 	return started
 }
 
-// gangStep returns the current state of a task of a gang. If the task has ended, it also returns
-// the cause and whether the gang's progress was saved.
-func (w *World) gangStep(worker *Worker, member *task) (state, cause string, saved bool) {
+// advanceGang returns the current state of a task of a gang. If the task has ended, it also
+// returns the cause and whether the gang's progress was saved.
+func (w *World) advanceGang(worker *Worker, member *task) (state, cause string, saved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	attempt, now := w.tasks.gangOf(member.TaskStatus), time.Now()
 	if member.State == workers.StateGathering {
-		state, cause = w.gather(attempt, worker, member, now)
+		state, cause = w.gatherTask(attempt, worker, member, now)
 		return state, cause, false
 	}
 	jobID, _, _ := workers.SplitTask(member.Name)
 	job := w.tasks.specs[jobID]
 	runTime := time.Duration(job.EstimatedRuntimeS*float64(time.Second)) - w.tasks.gangProgress[jobID]
-	stopRequested := !attempt.stopRequestedAt.IsZero()
+	isStopping := !attempt.stopRequestedAt.IsZero()
 	sinceStop := now.Sub(attempt.stopRequestedAt)
-	allTold := len(attempt.toldToStop) == attempt.size
+	allStopRequested := len(attempt.stopRequested) == attempt.size
 	switch {
-	case attempt.done || attempt.brokenAt.IsZero() && !stopRequested && !now.Before(attempt.startedAt.Add(runTime)):
+	case attempt.done || attempt.brokenAt.IsZero() && !isStopping && !now.Before(attempt.startedAt.Add(runTime)):
 		attempt.done = true
 		for n := range job.Tasks {
 			w.tasks.done[workers.TaskName(jobID, n)] = true
@@ -76,20 +76,20 @@
 		return workers.StateEnded, workers.CauseStopped, true
 	case !attempt.brokenAt.IsZero():
 		return workers.StateEnded, workers.CauseMatesGone, false
-	case stopRequested && allTold && sinceStop.Seconds() >= job.CheckpointSaveS:
+	case isStopping && allStopRequested && sinceStop.Seconds() >= job.CheckpointSaveS:
 		attempt.saved = true
 		w.tasks.gangProgress[jobID] += attempt.stopRequestedAt.Sub(attempt.startedAt)
 		return workers.StateEnded, workers.CauseStopped, true
-	case stopRequested && !allTold && sinceStop > w.Workers.GangStopWindow:
+	case isStopping && !allStopRequested && sinceStop > w.Workers.GangStopWindow:
 		attempt.brokenAt = now
 		return workers.StateEnded, workers.CauseMatesGone, false
 	}
 	return member.State, "", false
 }
 
-// gather adds a task whose image is fetched to its gang, which starts once all tasks have joined. A
-// task that has waited for longer than GangWait ends. w.mu must be held.
-func (w *World) gather(attempt *gang, worker *Worker, member *task, now time.Time) (state, cause string) {
+// gatherTask adds a task whose image is fetched to its gang, which starts once all tasks have
+// joined. A task that has waited for longer than GangWait ends. w.mu must be held.
+func (w *World) gatherTask(attempt *gang, worker *Worker, member *task, now time.Time) (state, cause string) {
 	if attempt.joined[member.Name] == nil {
 		attempt.joined[member.Name] = worker
 		if len(attempt.joined) == attempt.size && attempt.startedAt.IsZero() {
@@ -106,9 +106,10 @@
 	return member.State, ""
 }
 
-// gangStop tells a task of a running gang to save and stop. It returns false if the task must exit
-// at once, because it is not running, has no checkpoints or gets too short a grace period.
-func (w *World) gangStop(member *task, grace float64) bool {
+// requestGangStop tells a task of a running gang to save and stop. It returns false if the task
+// must exit at once, because it is not running, has no checkpoints or gets too short a grace
+// period.
+func (w *World) requestGangStop(member *task, grace float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	jobID, _, _ := workers.SplitTask(member.Name)
@@ -119,15 +120,15 @@
 	if attempt.stopRequestedAt.IsZero() {
 		attempt.stopRequestedAt = time.Now()
 	}
-	attempt.toldToStop[member.Name] = true
+	attempt.stopRequested[member.Name] = true
 	return true
 }
 
-// gangLeft records that a task of a gang has left its machine, which breaks an unfinished attempt
-// that has started. The World's lock must be held.
-func (l *taskLedger) gangLeft(left workers.TaskStatus) {
-	attempt := l.gangOf(left)
-	delete(attempt.joined, left.Name)
+// gangTaskLeft records that a task of a gang has left its machine, which breaks an unfinished
+// attempt that has started. The World's lock must be held.
+func (s *taskState) gangTaskLeft(member workers.TaskStatus) {
+	attempt := s.gangOf(member)
+	delete(attempt.joined, member.Name)
 	if !attempt.startedAt.IsZero() && !attempt.done && !attempt.saved && attempt.brokenAt.IsZero() {
 		attempt.brokenAt = time.Now()
 	}
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -23,20 +23,20 @@
 
 // attach serves a host on an address in place of the previous one. A nil handler only closes the
 // server at the address.
-func (s *loopbackHosts) attach(addr string, handler http.Handler) {
-	if old := s.servers[addr]; old != nil {
+func (h *loopbackHosts) attach(addr string, handler http.Handler) {
+	if old := h.servers[addr]; old != nil {
 		old.Close()
-		delete(s.servers, addr)
+		delete(h.servers, addr)
 	}
 	if handler == nil {
 		return
 	}
-	listening, err := net.Listen("tcp", addr)
+	tcpListener, err := net.Listen("tcp", addr)
 	if err != nil {
 		slog.Error("listening for emulated host failed", "addr", addr, "reason", err)
 		return
 	}
-	srv := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	s.servers[addr] = srv
-	go func() { _ = srv.Serve(listening) }()
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
+	h.servers[addr] = server
+	go func() { _ = server.Serve(tcpListener) }()
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -12,14 +12,14 @@
 	Lateness   time.Duration                             // delay of late, slow and repeated messages
 	LatenessOf func(from, to, path string) time.Duration // delay of each such message; nil means Lateness
 
-	mu          sync.Mutex
-	hosts       map[string]http.Handler // request handlers by address
-	names       map[string]string       // host names by address
-	streams     map[string]*listener    // stream listeners by address
-	faults      FaultRule               // base rule; nil delivers all messages
-	addedFaults []*FaultRule            // consulted after the base rule, in the order in which they were added
-	deliveries  sync.WaitGroup          // requests that are being executed
-	loopback    *loopbackHosts          // nil unless hosts listen on loopback addresses
+	mu         sync.Mutex
+	hosts      map[string]http.Handler // request handlers by address
+	names      map[string]string       // host names by address
+	streams    map[string]*listener    // stream listeners by address
+	baseRule   FaultRule               // base rule; nil delivers all messages
+	addedRules []*FaultRule            // consulted after the base rule, in the order in which they were added
+	deliveries sync.WaitGroup          // requests that are being executed
+	loopback   *loopbackHosts          // nil unless hosts listen on loopback addresses
 }
 
 // NewNetwork returns an emulated network without hosts.
@@ -47,7 +47,7 @@
 
 // handlerAt returns the handler and the name of the host that is currently at an address. The
 // handler is nil if there is none.
-func (n *Network) handlerAt(addr string) (handler http.Handler, host string) {
+func (n *Network) handlerAt(addr string) (handler http.Handler, hostName string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[addr], n.names[addr]
--- a/internal/emulator/restart/experiment.go
+++ b/internal/emulator/restart/experiment.go
@@ -33,7 +33,7 @@
 
 const (
 	tasksPerMachine = 4
-	betweenKills    = 2 * time.Second
+	killInterval    = 2 * time.Second
 	startTimeout    = 20 * time.Second
 	settleTime      = 3 * time.Second
 	taskDurationS   = 100_000 // in seconds; so long that no task completes by itself
@@ -60,9 +60,9 @@
 	world     *emulator.World
 	processes []*process
 
-	mu          sync.Mutex
-	gaps        *hdrhistogram.Histogram // milliseconds between consecutive answered heartbeats of a worker
-	firstAnswer time.Time               // time of the first answered heartbeat since controllers were last killed
+	mu              sync.Mutex
+	gaps            *hdrhistogram.Histogram // milliseconds between consecutive answered heartbeats of a worker
+	firstAnsweredAt time.Time               // time of the first answered heartbeat since controllers were last killed
 }
 
 // New returns an experiment in a world that is served on loopback addresses. It sets
@@ -75,18 +75,18 @@
 			logPath: filepath.Join(setup.LogDir, fmt.Sprintf("controller-%d.log", i)),
 		})
 	}
-	world.HeartbeatAnswered = x.noteAnswer
+	world.HeartbeatAnswered = x.recordAnsweredHeartbeat
 	return x
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMs, significantDigits) }
 
-func (x *Experiment) noteAnswer(at time.Time, gap time.Duration) {
+func (x *Experiment) recordAnsweredHeartbeat(at time.Time, gap time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	_ = x.gaps.RecordValue(min(maxMs, max(1, gap.Milliseconds())))
-	if x.firstAnswer.IsZero() {
-		x.firstAnswer = at
+	if x.firstAnsweredAt.IsZero() {
+		x.firstAnsweredAt = at
 	}
 }
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// Run starts the controllers, fills the machines with tasks and runs the trials for each pause. On
-// error it also returns the results so far.
+// Run starts the controllers, fills the machines with tasks and runs the trials for each pause.
+// On error it also returns the results so far.
 func (x *Experiment) Run(ctx context.Context, pauses []time.Duration, trials int) (results []Result, err error) {
 	if _, err := startAll(x.processes, startTimeout); err != nil {
 		return nil, err
@@ -133,15 +133,15 @@
 	}
 	tasks := x.setup.Machines * tasksPerMachine
 	if !x.waitFor(ctx, time.Minute+time.Duration(x.setup.Machines)*200*time.Millisecond, func() bool { return len(x.world.RunningTasks()) == tasks }) {
-		return fmt.Errorf("%d of %d tasks are running: %w", len(x.world.RunningTasks()), tasks, errNotFull)
+		return fmt.Errorf("%d of %d tasks are running: %w", len(x.world.RunningTasks()), tasks, errTasksNotRunning)
 	}
 	return x.sleep(ctx, settleTime)
 }
 
-var errNotFull = errors.New("machines were not filled with tasks in time")
+var errTasksNotRunning = errors.New("machines were not filled with tasks in time")
 
 func (x *Experiment) submit(ctx context.Context, addr string, spec *jobs.Spec) error {
-	body, err := wireBody(spec)
+	body, err := submissionBody(spec)
 	if err != nil {
 		return err
 	}
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// wireBody returns the JSON description of a job as users send it, with null for any zone.
-func wireBody(spec *jobs.Spec) ([]byte, error) {
+// submissionBody returns the JSON description of a job as users send it, with null for any zone.
+func submissionBody(spec *jobs.Spec) ([]byte, error) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
 		return nil, err
@@ -186,10 +186,10 @@
 	}
 }
 
-// waitFor polls a condition for up to d and reports whether it became true.
-func (x *Experiment) waitFor(ctx context.Context, d time.Duration, is func() bool) bool {
-	for deadline := time.Now().Add(d); time.Now().Before(deadline); {
-		if is() {
+// waitFor polls a condition until the timeout and reports whether it became true.
+func (x *Experiment) waitFor(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
+		if condition() {
 			return true
 		}
 		if x.sleep(ctx, 10*pollInterval) != nil {
--- a/internal/emulator/restart/processes.go
+++ b/internal/emulator/restart/processes.go
@@ -43,8 +43,8 @@
 	p.cmd = nil
 }
 
-// serves reports whether the process accepts connections.
-func (p *process) serves() bool {
+// isServing reports whether the process accepts connections.
+func (p *process) isServing() bool {
 	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		return false
@@ -65,8 +65,8 @@
 		return 0
 	}
 	for line := range strings.Lines(string(raw)) {
-		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kilobytes, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(rest), "kB")), 64)
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			kilobytes, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(value), "kB")), 64)
 			return kilobytes / 1024
 		}
 	}
@@ -93,17 +93,17 @@
 
 // startAll starts processes, waits until all accept connections and returns the time. It fails if
 // they do not within the given time.
-func startAll(processes []*process, within time.Duration) (serving time.Time, err error) {
-	for _, started := range processes {
-		if err := started.start(); err != nil {
+func startAll(processes []*process, timeout time.Duration) (servingAt time.Time, err error) {
+	for _, controller := range processes {
+		if err := controller.start(); err != nil {
 			return time.Time{}, err
 		}
 	}
-	deadline := time.Now().Add(within)
-	for _, started := range processes {
-		for !started.serves() {
+	deadline := time.Now().Add(timeout)
+	for _, controller := range processes {
+		for !controller.isServing() {
 			if time.Now().After(deadline) {
-				return time.Time{}, fmt.Errorf("%s: %w, see %s", started.addr, errNotServing, started.logPath)
+				return time.Time{}, fmt.Errorf("%s: %w, see %s", controller.addr, errNotServing, controller.logPath)
 			}
 			time.Sleep(pollInterval)
 		}
--- a/internal/emulator/restart/report.go
+++ b/internal/emulator/restart/report.go
@@ -18,9 +18,9 @@
 )
 
 //go:embed report.html
-var page string
+var reportHTML string
 
-var pageTemplate = template.Must(template.New("report").Parse(page))
+var pageTemplate = template.Must(template.New("report").Parse(reportHTML))
 
 // WriteAll writes a table of the results to table, and results.jsonl and report.html to the
 // directory dir.
@@ -111,15 +111,15 @@
 	counts.X.Label.Text, counts.Y.Label.Text = "trial", "tasks"
 	counts.Legend.Top = true
 	counts.Add(plotter.NewGrid())
-	var gone, begun plotter.XYs
+	var lostPoints, startedPoints plotter.XYs
 	for i, result := range results {
-		gone = append(gone, plotter.XY{X: float64(i + 1), Y: float64(result.Lost)})
-		begun = append(begun, plotter.XY{X: float64(i + 1), Y: float64(result.Started)})
+		lostPoints = append(lostPoints, plotter.XY{X: float64(i + 1), Y: float64(result.Lost)})
+		startedPoints = append(startedPoints, plotter.XY{X: float64(i + 1), Y: float64(result.Started)})
 	}
 	for i, series := range []struct {
 		name   string
 		points plotter.XYs
-	}{{"gone", gone}, {"begun", begun}} {
+	}{{"gone", lostPoints}, {"begun", startedPoints}} {
 		marks, err := plotter.NewScatter(series.points)
 		if err != nil {
 			return "", err
@@ -133,10 +133,10 @@
 
 func pausesOf(results []Result) (pauses []float64) {
 	seen := map[float64]bool{}
-	for _, r := range results {
-		if !seen[r.PauseS] {
-			seen[r.PauseS] = true
-			pauses = append(pauses, r.PauseS)
+	for _, result := range results {
+		if !seen[result.PauseS] {
+			seen[result.PauseS] = true
+			pauses = append(pauses, result.PauseS)
 		}
 	}
 	return pauses
--- a/internal/emulator/restart/report_test.go
+++ b/internal/emulator/restart/report_test.go
@@ -12,7 +12,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-func result(change func(*Result)) Result {
+func newResult(change func(*Result)) Result {
 	r := Result{Pattern: PatternAll, PauseS: 14, Trial: 1, Tasks: 484, Lost: 484, Started: 484, Running: 484, AnswerMs: 20, Gaps: newHistogram()}
 	for _, ms := range []int64{1000, 1001, 3000, 6350} {
 		_ = r.Gaps.RecordValue(ms)
@@ -23,10 +23,10 @@
 	return r
 }
 
-// A trial fails if a rule was violated, a healthy task was stopped, or the counts of started, lost
-// and running tasks do not match.
-func TestVerdict(t *testing.T) {
-	if err := CheckResults([]Result{result(nil), result(nil)}); err != nil {
+// A trial fails if a rule was violated, a healthy task was stopped, or the counts of started,
+// lost and running tasks do not match.
+func TestCheckResults(t *testing.T) {
+	if err := CheckResults([]Result{newResult(nil), newResult(nil)}); err != nil {
 		t.Error(err)
 	}
 	for what, change := range map[string]func(*Result){
@@ -36,7 +36,7 @@
 		"ran twice":         func(r *Result) { r.Violations = 1 },
 		"task is missing":   func(r *Result) { r.Running-- },
 	} {
-		if err := CheckResults([]Result{result(nil), result(change)}); !errors.Is(err, ErrHarm) {
+		if err := CheckResults([]Result{newResult(nil), newResult(change)}); !errors.Is(err, ErrTrialFailed) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -46,9 +46,9 @@
 }
 
 // Every trial must appear in the table, the JSON lines and the HTML page.
-func TestResultsAreWritten(t *testing.T) {
+func TestWriteAll(t *testing.T) {
 	dir, table := t.TempDir(), &bytes.Buffer{}
-	all := []Result{result(nil), result(func(r *Result) { r.PauseS, r.Lost, r.Started, r.Stopped = 0.2, 0, 3, 3 })}
+	all := []Result{newResult(nil), newResult(func(r *Result) { r.PauseS, r.Lost, r.Started, r.Stopped = 0.2, 0, 3, 3 })}
 	if err := WriteAll(dir, table, all); err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 }
 
 // Controllers must accept the submitted description, in which any zone is encoded as null.
-func TestSubmissionIsValid(t *testing.T) {
-	raw, err := wireBody(&jobs.Spec{
+func TestSubmissionBodyIsValid(t *testing.T) {
+	raw, err := submissionBody(&jobs.Spec{
 		ID: "j-000001", Class: "sums", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 4, CPUs: 1, RAMGB: 1, Image: "img", EstimatedRuntimeS: 5,
 	})
 	if err != nil {
--- a/internal/emulator/restart/result.go
+++ b/internal/emulator/restart/result.go
@@ -45,18 +45,18 @@
 	return ""
 }
 
-// ErrHarm means that a trial has a fault, as described by Result.Fault.
-var ErrHarm = errors.New("restart of controllers harmed running tasks")
+// ErrTrialFailed means that a trial has a fault, as described by Result.Fault.
+var ErrTrialFailed = errors.New("restart of controllers harmed running tasks")
 
-// CheckResults returns an error that wraps ErrHarm if a result has a fault, and a different error
-// if there are no results.
+// CheckResults returns an error that wraps ErrTrialFailed if a result has a fault, and a different
+// error if there are no results.
 func CheckResults(results []Result) error {
 	if len(results) == 0 {
 		return errors.New("no trial was completed")
 	}
 	for _, result := range results {
 		if fault := result.Fault(); fault != "" {
-			return fmt.Errorf("%w: pause %gs, trial %d: %s", ErrHarm, result.PauseS, result.Trial, fault)
+			return fmt.Errorf("%w: pause %gs, trial %d: %s", ErrTrialFailed, result.PauseS, result.Trial, fault)
 		}
 	}
 	return nil
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -43,8 +43,8 @@
 }
 
 type lease struct {
-	life  time.Duration
-	timer *time.Timer // ends the lease
+	duration time.Duration
+	timer    *time.Timer // ends the lease
 }
 
 // StoreLimits limits the bytes in a value, the writes in a transaction and the writes per second
@@ -98,17 +98,17 @@
 	if len(s.sortedKeys) != len(s.keys) {
 		s.sortedKeys = slices.Sorted(maps.Keys(s.keys))
 	}
-	from, _ := slices.BinarySearch(s.sortedKeys, prefix)
-	to := from
-	for to < len(s.sortedKeys) && strings.HasPrefix(s.sortedKeys[to], prefix) {
-		to++
+	first, _ := slices.BinarySearch(s.sortedKeys, prefix)
+	end := first
+	for end < len(s.sortedKeys) && strings.HasPrefix(s.sortedKeys[end], prefix) {
+		end++
 	}
-	return s.sortedKeys[from:to]
+	return s.sortedKeys[first:end]
 }
 
 // setKey sets a key without recording a change. s.mu must be held.
 func (s *KVStore) setKey(key string, e entry) {
-	if _, had := s.keys[key]; !had {
+	if _, exists := s.keys[key]; !exists {
 		s.sortedKeys = nil
 	}
 	s.keys[key] = e
@@ -140,17 +140,17 @@
 func (s *KVStore) endLease(id uint64) {
 	s.leases[id].timer.Stop()
 	delete(s.leases, id)
-	var tied []string
+	var attachedKeys []string
 	for key, stored := range s.keys {
 		if stored.lease == id {
-			tied = append(tied, key)
+			attachedKeys = append(attachedKeys, key)
 		}
 	}
-	if len(tied) == 0 {
+	if len(attachedKeys) == 0 {
 		return
 	}
 	s.revision++
-	for _, key := range tied {
+	for _, key := range attachedKeys {
 		s.removeKey(key)
 		s.history = append(s.history, change{Remove: key, Revision: s.revision})
 	}
--- a/internal/emulator/store_faults.go
+++ b/internal/emulator/store_faults.go
@@ -21,10 +21,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage = on
-	for id, held := range s.leases {
-		held.timer.Stop()
+	for id, granted := range s.leases {
+		granted.timer.Stop()
 		if !on {
-			held.timer = time.AfterFunc(held.life, func() { s.expireLease(id) })
+			granted.timer = time.AfterFunc(granted.duration, func() { s.expireLease(id) })
 		}
 	}
 	s.wakeWatches()
@@ -73,8 +73,8 @@
 	return s.rejected
 }
 
-// LoseKeys removes the keys that match and returns them. Watches show the removal as a change at a
-// new revision, as they do for a delete request. If silently is true, watches show nothing and
+// LoseKeys removes the keys that match and returns them. Watches show the removal as a change at
+// a new revision, as they do for a delete request. If silently is true, watches show nothing and
 // the revision does not change.
 func (s *KVStore) LoseKeys(silently bool, match func(key string) bool) (lost []string) {
 	s.mu.Lock()
--- a/internal/emulator/store_http.go
+++ b/internal/emulator/store_http.go
@@ -59,12 +59,12 @@
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("most"))
 	keys := s.keysWithPrefix(query.Get("prefix"))
-	from, found := slices.BinarySearch(keys, query.Get("after"))
+	first, found := slices.BinarySearch(keys, query.Get("after"))
 	if found {
-		from++
+		first++
 	}
 	page := pairPage{Pairs: []pairResponse{}, Revision: s.revision}
-	for _, key := range keys[from:] {
+	for _, key := range keys[first:] {
 		if len(page.Pairs) == limit {
 			page.HasNext = true
 			break
@@ -78,22 +78,22 @@
 	var request leaseRequest
 	_ = json.NewDecoder(r.Body).Decode(&request)
 	s.lastLease++
-	id, life := s.lastLease, time.Duration(request.LifeMs)*time.Millisecond
-	s.leases[id] = &lease{life, time.AfterFunc(life, func() { s.expireLease(id) })}
+	id, duration := s.lastLease, time.Duration(request.LifeMs)*time.Millisecond
+	s.leases[id] = &lease{duration, time.AfterFunc(duration, func() { s.expireLease(id) })}
 	writeJSON(w, http.StatusOK, leaseResponse{id})
 }
 
-// serveLease renews or revokes a lease. rest is the request path after /grants/.
-func (s *KVStore) serveLease(w http.ResponseWriter, r *http.Request, rest string) {
-	number, renews := strings.CutSuffix(rest, "/renew")
-	id, _ := strconv.ParseUint(number, 10, 64)
-	held := s.leases[id]
+// serveLease renews or revokes a lease. path is the part of the request path after /grants/.
+func (s *KVStore) serveLease(w http.ResponseWriter, r *http.Request, path string) {
+	leaseID, isRenewal := strings.CutSuffix(path, "/renew")
+	id, _ := strconv.ParseUint(leaseID, 10, 64)
+	granted := s.leases[id]
 	switch {
-	case held == nil:
+	case granted == nil:
 		writeJSON(w, http.StatusNotFound, nil)
 		return
-	case renews:
-		held.timer.Reset(held.life)
+	case isRenewal:
+		granted.timer.Reset(granted.duration)
 	case r.Method == http.MethodDelete:
 		s.endLease(id)
 	}
--- a/internal/emulator/store_watch.go
+++ b/internal/emulator/store_watch.go
@@ -34,9 +34,9 @@
 	}
 	timedOut := waitMs == 0
 	for {
-		found, revision, changed := s.changesFor(request)
-		if len(found) > 0 || timedOut {
-			writeJSON(w, http.StatusOK, watchResponse{Revision: revision, Changes: found})
+		changes, revision, changed := s.changesFor(request)
+		if len(changes) > 0 || timedOut {
+			writeJSON(w, http.StatusOK, watchResponse{Revision: revision, Changes: changes})
 			return
 		}
 		select {
@@ -58,25 +58,25 @@
 
 // changesFor returns the changes that are visible to a watch, the revision that they lead to, and
 // a channel that is closed when there may be more changes.
-func (s *KVStore) changesFor(request watch) (found []change, revision uint64, changed <-chan struct{}) {
+func (s *KVStore) changesFor(request watch) (matches []change, revision uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, revision = []change{}, request.after
+	matches, revision = []change{}, request.after
 	if s.outage || s.refusedHosts[request.host] {
-		return found, revision, s.changed
+		return matches, revision, s.changed
 	}
-	for _, entry := range s.shownHistory() {
+	for _, entry := range s.visibleHistory() {
 		if entry.Revision > request.after && strings.HasPrefix(entry.Set+entry.Remove, request.prefix) {
-			found = append(found, entry)
+			matches = append(matches, entry)
 		}
 		revision = max(revision, entry.Revision)
 	}
-	return found, revision, s.changed
+	return matches, revision, s.changed
 }
 
-// shownHistory returns the changes that are visible to watches, which excludes the newest ones if
-// watches lag. The changes of one transaction become visible together. s.mu must be held.
-func (s *KVStore) shownHistory() []change {
+// visibleHistory returns the changes that are visible to watches, which excludes the newest ones
+// if watches lag. The changes of one transaction become visible together. s.mu must be held.
+func (s *KVStore) visibleHistory() []change {
 	end := max(0, len(s.history)-s.watchLag)
 	for end > 0 && end < len(s.history) && s.history[end-1].Revision == s.history[end].Revision {
 		end--
--- a/internal/emulator/streams.go
+++ b/internal/emulator/streams.go
@@ -23,10 +23,10 @@
 func (n *Network) Listen(host, addr string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	opened := &listener{network: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+	newListener := &listener{network: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 	n.names[addr] = host
-	n.streams[addr] = opened
-	return opened
+	n.streams[addr] = newListener
+	return newListener
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -56,16 +56,16 @@
 // message with any fault is dropped, because a network partition would hold it back forever.
 func (n *Network) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	n.mu.Lock()
-	opened, target := n.streams[addr], n.names[addr]
+	target, targetHost := n.streams[addr], n.names[addr]
 	n.mu.Unlock()
-	if opened == nil || n.faultOf(from, target, Stream) != Deliver {
+	if target == nil || n.faultOf(from, targetHost, Stream) != Deliver {
 		return nil, dialError(syscall.ECONNREFUSED)
 	}
-	here, there := net.Pipe()
+	localConn, remoteConn := net.Pipe()
 	select {
-	case opened.conns <- &stream{Conn: there, network: n, from: target, to: from}:
-		return &stream{Conn: here, network: n, from: from, to: target}, nil
-	case <-opened.done:
+	case target.conns <- &stream{Conn: remoteConn, network: n, from: targetHost, to: from}:
+		return &stream{Conn: localConn, network: n, from: from, to: targetHost}, nil
+	case <-target.done:
 	case <-ctx.Done():
 	}
 	return nil, dialError(syscall.ECONNREFUSED)
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -13,8 +13,8 @@
 
 // Causes of task ends in addition to those that workers report.
 const (
-	EndOfLease   = "lease"
-	EndOfMachine = "machine gone"
+	CauseLeaseExpired = "lease"
+	CauseMachineGone  = "machine gone"
 )
 
 // TaskStarts returns the number of task attempts that have started.
@@ -52,7 +52,8 @@
 	return running
 }
 
-// Summary returns one line that lists all tasks with their machines, for messages of failing tests.
+// Summary returns one line that lists all tasks with their machines, for messages of failing
+// tests.
 func (w *World) Summary() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,13 +75,13 @@
 }
 
 // allDone reports whether every task of a job has completed. The World's lock must be held.
-func (l *taskLedger) allDone(id string) bool {
-	spec := l.specs[id]
+func (s *taskState) allDone(id string) bool {
+	spec := s.specs[id]
 	if spec == nil {
 		return false
 	}
 	for n := range spec.Tasks {
-		if !l.done[workers.TaskName(id, n)] {
+		if !s.done[workers.TaskName(id, n)] {
 			return false
 		}
 	}
@@ -94,31 +95,31 @@
 }
 
 // taskStarted records the start of a task and checks it against the rules.
-func (w *World) taskStarted(worker *Worker, started workers.TaskStatus) {
+func (w *World) taskStarted(worker *Worker, status workers.TaskStatus) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.tasks.starts++
 	machine := worker.status.Machine
-	jobID, _, _ := workers.SplitTask(started.Name)
-	machines := w.tasks.machinesOf[started.Name]
+	jobID, _, _ := workers.SplitTask(status.Name)
+	machines := w.tasks.machinesOf[status.Name]
 	if len(machines) > 0 {
-		w.record.violate("ran_twice: %s on %s, while on %v", started.Name, machine, machines)
+		w.traceLog.recordViolation("ran_twice: %s on %s, while on %v", status.Name, machine, machines)
 	}
 	if machines == nil {
 		machines = map[string]bool{}
-		w.tasks.machinesOf[started.Name] = machines
+		w.tasks.machinesOf[status.Name] = machines
 	}
 	machines[machine] = true
-	w.record.tracef("%s attempt %d starts on %s in %s", started.Name, started.Attempt, machine, worker.status.Zone)
+	w.traceLog.tracef("%s attempt %d starts on %s in %s", status.Name, status.Attempt, machine, worker.status.Zone)
 	if cancelledAt, ok := w.tasks.cancelled[jobID]; ok && time.Since(cancelledAt) > w.CancelDeadline {
-		w.record.violate("ran_cancelled: %s starts", started.Name)
+		w.traceLog.recordViolation("ran_cancelled: %s starts", status.Name)
 	}
-	w.judgePlace(worker, started.Name, jobID)
+	w.checkPlacement(worker, status.Name, jobID)
 }
 
-// judgePlace checks a started task against the quota of its team and the placement constraints of
-// its job. w.mu must be held.
-func (w *World) judgePlace(worker *Worker, task, jobID string) {
+// checkPlacement checks a started task against the quota of its team and the placement
+// constraints of its job. w.mu must be held.
+func (w *World) checkPlacement(worker *Worker, task, jobID string) {
 	job := w.tasks.specs[jobID]
 	tasksByZone, cpusOfTeam := map[string]int{}, 0.0
 	for other, machines := range w.tasks.machinesOf {
@@ -134,42 +135,42 @@
 	}
 	for _, team := range w.Teams {
 		if team.Name == job.Team && team.MaxCPUs > 0 && cpusOfTeam > team.MaxCPUs+1e-6 {
-			w.record.violate("quota: %s uses %v for %s", team.Name, cpusOfTeam, task)
+			w.traceLog.recordViolation("quota: %s uses %v for %s", team.Name, cpusOfTeam, task)
 		}
 	}
-	where := &worker.status
-	if !job.Allows(where.Type, where.Zone, where.Spot) || job.OneZone && len(tasksByZone) > 1 || tasksByZone[where.Zone] > job.ZoneLimit() {
-		w.record.violate("wrong_place: %s on %s", task, where.Machine)
+	status := &worker.status
+	if !job.Allows(status.Type, status.Zone, status.Spot) || job.OneZone && len(tasksByZone) > 1 || tasksByZone[status.Zone] > job.ZoneLimit() {
+		w.traceLog.recordViolation("wrong_place: %s on %s", task, status.Machine)
 	}
 }
 
 // taskLeft records that a task has left its machine, and the cause.
-func (w *World) taskLeft(worker *Worker, left workers.TaskStatus, cause string) {
+func (w *World) taskLeft(worker *Worker, status workers.TaskStatus, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.tasks.machinesOf[left.Name], worker.status.Machine)
+	delete(w.tasks.machinesOf[status.Name], worker.status.Machine)
 	w.tasks.ends[cause]++
-	w.record.tracef("%s attempt %d left %s: %s", left.Name, left.Attempt, worker.status.Machine, cause)
-	jobID, _, _ := workers.SplitTask(left.Name)
+	w.traceLog.tracef("%s attempt %d left %s: %s", status.Name, status.Attempt, worker.status.Machine, cause)
+	jobID, _, _ := workers.SplitTask(status.Name)
 	if spec := w.tasks.specs[jobID]; spec != nil && spec.Shape == jobs.Gang && cause != workers.CauseDone {
-		w.tasks.gangLeft(left)
+		w.tasks.gangTaskLeft(status)
 	}
-	if cause == workers.CauseDone && !w.tasks.done[left.Name] {
-		w.tasks.done[left.Name] = true
+	if cause == workers.CauseDone && !w.tasks.done[status.Name] {
+		w.tasks.done[status.Name] = true
 		if w.JobEnded != nil && w.tasks.allDone(jobID) {
 			go w.JobEnded(jobID)
 		}
 	}
 }
 
-// noteCancelled records that a user was told that a job is cancelled. It is a violation if a task
-// of the job is on a machine after CancelDeadline. w.mu must be held.
-func (w *World) noteCancelled(jobID string) {
+// recordCancellation records that a user was told that a job is cancelled. It is a violation if a
+// task of the job is on a machine after CancelDeadline. w.mu must be held.
+func (w *World) recordCancellation(jobID string) {
 	if _, ok := w.tasks.cancelled[jobID]; ok {
 		return
 	}
 	w.tasks.cancelled[jobID] = time.Now()
-	w.running.Go(func() {
+	w.goroutines.Go(func() {
 		select {
 		case <-w.ctx.Done():
 			return
@@ -179,7 +180,7 @@
 		defer w.mu.Unlock()
 		for task, machines := range w.tasks.machinesOf {
 			if job, _, _ := workers.SplitTask(task); job == jobID && len(machines) > 0 {
-				w.record.violate("ran_cancelled: %s on %v", task, machines)
+				w.traceLog.recordViolation("ran_cancelled: %s on %v", task, machines)
 			}
 		}
 	})
--- a/internal/emulator/transport.go
+++ b/internal/emulator/transport.go
@@ -24,9 +24,9 @@
 		return nil, err
 	}
 	addr, path := req.URL.Host, req.URL.Path
-	handler, target := t.network.handlerAt(addr)
-	fault := t.network.faultOf(t.host, target, path)
-	lateness := t.network.latenessOf(t.host, target, path)
+	handler, targetHost := t.network.handlerAt(addr)
+	fault := t.network.faultOf(t.host, targetHost, path)
+	lateness := t.network.latenessOf(t.host, targetHost, path)
 	ctx := req.Context()
 	switch {
 	case fault == DropRequest:
@@ -36,21 +36,21 @@
 		return nil, dialError(syscall.ECONNREFUSED)
 	}
 	if fault == DeliverTwice {
-		t.deliverAgain(addr, t.received(req, body), lateness)
+		t.deliverAgain(addr, t.serverRequest(req, body), lateness)
 	}
 	delay := time.Duration(0)
 	if fault == DeliverLate || fault == DeliverSlowly {
 		delay = lateness
 	}
-	answer := t.deliver(handler, t.received(req, body), delay)
+	response := t.deliver(handler, t.serverRequest(req, body), delay)
 	if fault == DropResponse || fault == DeliverLate {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	select {
-	case resp := <-answer:
+	case resp := <-response:
 		if resp.StatusCode == 0 {
-			return nil, errNoAnswer
+			return nil, errNoStatusCode
 		}
 		return resp, nil
 	case <-ctx.Done():
@@ -58,7 +58,7 @@
 	}
 }
 
-var errNoAnswer = errors.New("response has no status code")
+var errNoStatusCode = errors.New("response has no status code")
 
 func readBody(req *http.Request) ([]byte, error) {
 	if req.Body == nil {
@@ -72,9 +72,9 @@
 	return body, nil
 }
 
-// received returns the server's copy of a request. Its context is not cancelled with the
+// serverRequest returns the server's copy of a request. Its context is not cancelled with the
 // sender's, because the receiver executes a request even if the sender gives up.
-func (t *hostTransport) received(req *http.Request, body []byte) *http.Request {
+func (t *hostTransport) serverRequest(req *http.Request, body []byte) *http.Request {
 	in := req.Clone(context.WithoutCancel(req.Context()))
 	in.RequestURI = req.URL.RequestURI()
 	in.Body = io.NopCloser(bytes.NewReader(body))
@@ -84,30 +84,30 @@
 
 // deliver executes a request after a delay, and returns a channel that receives the response.
 func (t *hostTransport) deliver(handler http.Handler, req *http.Request, delay time.Duration) <-chan *http.Response {
-	answer := make(chan *http.Response, 1)
+	response := make(chan *http.Response, 1)
 	t.network.deliveries.Go(func() {
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		time.Sleep(transit)
+		time.Sleep(transitDelay)
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, req)
-		time.Sleep(transit)
-		answer <- recorder.Result()
+		time.Sleep(transitDelay)
+		response <- recorder.Result()
 	})
-	return answer
+	return response
 }
 
-// transit is the network latency of a message in each direction.
-const transit = time.Millisecond
+// transitDelay is the network latency of a message in each direction.
+const transitDelay = time.Millisecond
 
 // deliverAgain executes a copy of a request after the lateness, on the host that is at the
 // address by then.
-func (t *hostTransport) deliverAgain(addr string, again *http.Request, lateness time.Duration) {
+func (t *hostTransport) deliverAgain(addr string, request *http.Request, lateness time.Duration) {
 	t.network.deliveries.Go(func() {
 		time.Sleep(lateness)
 		if handler, _ := t.network.handlerAt(addr); handler != nil {
-			handler.ServeHTTP(httptest.NewRecorder(), again)
+			handler.ServeHTTP(httptest.NewRecorder(), request)
 		}
 	})
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -31,79 +31,80 @@
 	Addrs map[string]string // addresses of the controllers, by name
 }
 
-// Worker emulates the worker on one machine. Its methods are safe for concurrent use. A Worker calls
-// its World with its own lock held, so a World must not call a Worker with the World's lock held.
+// Worker emulates the worker on one machine. Its methods are safe for concurrent use. A Worker
+// calls its World with its own lock held, so a World must not call a Worker with the World's lock
+// held.
 type Worker struct {
-	world       *World
-	config      WorkerConfig
-	machineType jobs.MachineType
-	cancel      context.CancelFunc // stops run
-	changed     chan struct{}      // capacity 1; requests a heartbeat ahead of schedule
+	world              *World
+	config             WorkerConfig
+	machineType        jobs.MachineType
+	cancel             context.CancelFunc // stops run
+	heartbeatRequested chan struct{}      // capacity 1; requests a heartbeat ahead of schedule
 
-	mu         sync.Mutex
-	status     workers.Heartbeat // heartbeat to send, without tasks
-	tasks      []*task
-	images     map[string]bool // names of the images that were fetched
-	answeredAt time.Time       // start of the lease: when the last answered heartbeat was sent
-	hung       bool
-	dead       bool
-	slowness   float64 // factor by which run times of batch tasks grow; below 1 has no effect
+	mu             sync.Mutex
+	status         workers.Heartbeat // heartbeat to send, without tasks
+	tasks          []*task
+	images         map[string]bool // names of the images that were fetched
+	leaseStartedAt time.Time       // start of the lease: when the last answered heartbeat was sent
+	hung           bool
+	poweredOff     bool
+	slowness       float64 // factor by which run times of batch tasks grow; below 1 has no effect
 }
 
 // run sends heartbeats until ctx is done. If a controller does not accept one, it tries another.
 func (w *Worker) run(ctx context.Context) {
-	w.world.running.Go(func() { w.keepLease(ctx) })
+	w.world.goroutines.Go(func() { w.enforceLease(ctx) })
 	client := &http.Client{Transport: w.world.Network.Transport(w.status.Machine), Timeout: responseTimeout}
-	node := 0
+	controller := 0
 	for ctx.Err() == nil {
-		next := w.sendHeartbeat(client, node)
+		next := w.sendHeartbeat(client, controller)
 		pause := w.config.HeartbeatInterval
-		if next != node {
-			node, pause = next, retryPause
+		if next != controller {
+			controller, pause = next, retryPause
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
-		case <-w.changed:
+		case <-w.heartbeatRequested:
 			time.Sleep(w.config.HeartbeatInterval / 3)
 		}
 	}
 }
 
-// keepLease ends the tasks when the lease expires. It has its own goroutine, because run may be
-// blocked on a heartbeat that gets no answer.
-func (w *Worker) keepLease(ctx context.Context) {
+// enforceLease ends the tasks when the lease expires. It has its own goroutine, because run may
+// be blocked on a heartbeat that gets no answer.
+func (w *Worker) enforceLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		if !w.dead && !w.hung {
+		if !w.poweredOff && !w.hung {
 			w.expireLease()
 		}
-		left := time.Until(w.answeredAt.Add(w.config.Lease)) + time.Millisecond
+		remaining := time.Until(w.leaseStartedAt.Add(w.config.Lease)) + time.Millisecond
 		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(left, time.Millisecond)):
+		case <-time.After(max(remaining, time.Millisecond)):
 		}
 	}
 }
 
 // sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. It
 // returns the controller for the next heartbeat. Both are indices into config.Nodes.
-func (w *Worker) sendHeartbeat(client *http.Client, node int) int {
+func (w *Worker) sendHeartbeat(client *http.Client, controller int) int {
 	w.mu.Lock()
-	if w.hung || w.dead {
+	if w.hung || w.poweredOff {
 		w.mu.Unlock()
-		return node
+		return controller
 	}
 	w.advance()
 	heartbeat := w.nextHeartbeat()
 	w.mu.Unlock()
-	sent, otherNode := time.Now(), (node+1)%len(w.config.Nodes)
+	sentAt, nextController := time.Now(), (controller+1)%len(w.config.Nodes)
 	raw, _ := json.Marshal(heartbeat)
-	url := "http://" + w.config.Addrs[w.config.Nodes[node]] + "/v1/report"
+	url := "http://" + w.config.Addrs[w.config.Nodes[controller]] + "/v1/report"
 	resp, err := client.Post(url, "application/json", bytes.NewReader(raw))
 	if err != nil {
-		return otherNode
+		return nextController
 	}
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
@@ -111,52 +112,52 @@
 	case http.StatusOK:
 		var response workers.HeartbeatResponse
 		if json.Unmarshal(body, &response) == nil {
-			w.accept(response, heartbeat.AgentEpoch, sent)
+			w.applyResponse(response, heartbeat.AgentEpoch, sentAt)
 		}
-		return node
+		return controller
 	case http.StatusMisdirectedRequest:
 		var redirect workers.Redirect
 		_ = json.Unmarshal(body, &redirect)
 		for i, name := range w.config.Nodes {
-			if name == redirect.Leader && i != node {
+			if name == redirect.Leader && i != controller {
 				return i
 			}
 		}
 	}
-	return otherNode
+	return nextController
 }
 
-// accept renews the lease and executes the commands in a response. It ignores responses to
+// applyResponse renews the lease and executes the commands in a response. It ignores responses to
 // heartbeats of an earlier agent epoch and those with an outdated or missing fencing token.
-func (w *Worker) accept(response workers.HeartbeatResponse, epoch uint64, sent time.Time) {
+func (w *Worker) applyResponse(response workers.HeartbeatResponse, epoch uint64, sentAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	if w.dead || w.hung || w.status.AgentEpoch != epoch {
+	if w.poweredOff || w.hung || w.status.AgentEpoch != epoch {
 		return
 	}
 	if response.FencingToken < w.status.FencingToken || response.FencingToken == 0 {
 		return
 	}
-	w.raiseToken(response.FencingToken)
+	w.raiseFencingToken(response.FencingToken)
 	if w.world.HeartbeatAnswered != nil {
-		w.world.HeartbeatAnswered(time.Now(), sent.Sub(w.answeredAt))
+		w.world.HeartbeatAnswered(time.Now(), sentAt.Sub(w.leaseStartedAt))
 	}
-	w.answeredAt = sent
+	w.leaseStartedAt = sentAt
 	w.executeCommands(response.Commands)
 }
 
-func (w *Worker) raiseToken(token uint64) {
+func (w *Worker) raiseFencingToken(token uint64) {
 	if token > w.status.FencingToken {
 		w.status.FencingToken = token
-		w.signalChange()
+		w.requestHeartbeat()
 	}
 }
 
-// signalChange requests a heartbeat ahead of schedule.
-func (w *Worker) signalChange() {
+// requestHeartbeat requests a heartbeat ahead of schedule.
+func (w *Worker) requestHeartbeat() {
 	select {
-	case w.changed <- struct{}{}:
+	case w.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
@@ -176,15 +177,15 @@
 // expireLease ends all tasks and begins a new agent epoch if the lease has expired.
 func (w *Worker) expireLease() {
 	now := time.Now()
-	if now.Sub(w.answeredAt) <= w.config.Lease {
+	if now.Sub(w.leaseStartedAt) <= w.config.Lease {
 		return
 	}
 	for _, t := range w.tasks {
-		w.world.taskLeft(w, t.TaskStatus, EndOfLease)
+		w.world.taskLeft(w, t.TaskStatus, CauseLeaseExpired)
 	}
-	w.tasks, w.answeredAt = nil, now
+	w.tasks, w.leaseStartedAt = nil, now
 	w.status.AgentEpoch++
-	w.signalChange()
+	w.requestHeartbeat()
 }
 
 // ServeHTTP implements http.Handler for commands and probes. A hung worker does not respond until
@@ -192,12 +193,12 @@
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.hung && !w.dead {
+	for w.hung && !w.poweredOff {
 		w.mu.Unlock()
 		time.Sleep(w.config.HeartbeatInterval)
 		w.mu.Lock()
 	}
-	if w.dead {
+	if w.poweredOff {
 		rw.WriteHeader(http.StatusBadGateway)
 		return
 	}
@@ -209,7 +210,7 @@
 		if request.FencingToken < w.status.FencingToken || request.AgentEpoch != w.status.AgentEpoch {
 			status = http.StatusConflict
 		} else {
-			w.raiseToken(request.FencingToken)
+			w.raiseFencingToken(request.FencingToken)
 			w.executeCommands(request.Commands)
 			w.advance()
 		}
@@ -234,7 +235,7 @@
 		w.advance()
 		return
 	}
-	time.AfterFunc(time.Until(w.answeredAt.Add(w.config.Lease+time.Millisecond)), func() {
+	time.AfterFunc(time.Until(w.leaseStartedAt.Add(w.config.Lease+time.Millisecond)), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.hung {
@@ -247,13 +248,13 @@
 func (w *Worker) powerOff() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.dead {
+	if w.poweredOff {
 		return
 	}
 	for _, t := range w.tasks {
-		w.world.taskLeft(w, t.TaskStatus, EndOfMachine)
+		w.world.taskLeft(w, t.TaskStatus, CauseMachineGone)
 	}
-	w.dead, w.tasks = true, nil
+	w.poweredOff, w.tasks = true, nil
 	w.cancel()
 	w.world.Network.Attach(w.status.Machine, w.status.Addr, nil)
 }
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -12,7 +12,7 @@
 type task struct {
 	workers.TaskStatus
 	stateSince time.Time // when the task began to fetch its image or, after that, to run or gather
-	savedBy    time.Time // when a task in StateSaving has saved its checkpoint
+	savedAt    time.Time // when a task in StateSaving has saved its checkpoint
 }
 
 func (t *task) isOnMachine() bool {
@@ -36,7 +36,7 @@
 		if t.State == workers.StateRunning && job.Shape == jobs.Batch && (w.world.isTaskDone(jobID, number) || now.Sub(t.stateSince).Seconds() >= job.EstimatedRuntimeS*max(1, w.slowness)) {
 			w.endTask(t, workers.CauseDone)
 		}
-		if t.State == workers.StateSaving && !now.Before(t.savedBy) {
+		if t.State == workers.StateSaving && !now.Before(t.savedAt) {
 			t.Saved = true
 			w.endTask(t, workers.CauseStopped)
 		}
@@ -51,19 +51,19 @@
 		t.State = workers.StateGathering
 	}
 	w.world.taskStarted(w, t.TaskStatus)
-	w.signalChange()
+	w.requestHeartbeat()
 }
 
 // advanceGangTask updates a task of a gang according to the state of the whole gang.
 func (w *Worker) advanceGangTask(t *task) {
-	state, cause, saved := w.world.gangStep(w, t)
+	state, cause, saved := w.world.advanceGang(w, t)
 	switch {
 	case state == workers.StateEnded:
 		t.Saved = saved
 		w.endTask(t, cause)
 	case state != t.State:
 		t.State = state
-		w.signalChange()
+		w.requestHeartbeat()
 	}
 }
 
@@ -72,7 +72,7 @@
 		w.world.taskLeft(w, t.TaskStatus, cause)
 	}
 	t.State, t.Cause = workers.StateEnded, cause
-	w.signalChange()
+	w.requestHeartbeat()
 }
 
 // executeCommands executes commands in order. w.mu must be held.
@@ -111,11 +111,11 @@
 func (w *Worker) startTask(command workers.Command) {
 	jobID, number, ok := workers.SplitTask(command.Task)
 	job := w.world.spec(jobID)
-	started := &task{
+	newTask := &task{
 		TaskStatus: workers.TaskStatus{Name: command.Task, Attempt: command.Attempt, State: workers.StateFetching},
 		stateSince: time.Now(),
 	}
-	w.tasks = append(w.tasks, started)
+	w.tasks = append(w.tasks, newTask)
 	cpus := 0.0
 	for _, t := range w.tasks {
 		if t.State == workers.StateEnded {
@@ -125,18 +125,18 @@
 		if spec := w.world.spec(jobOfTask); spec != nil {
 			cpus += spec.CPUs
 		}
-		if t != started && t.Name == command.Task {
-			started.State, started.Cause = workers.StateEnded, workers.CauseBusy
+		if t != newTask && t.Name == command.Task {
+			newTask.State, newTask.Cause = workers.StateEnded, workers.CauseBusy
 			return
 		}
 	}
 	switch {
 	case !ok || job == nil || number >= job.Tasks:
-		started.State, started.Cause = workers.StateEnded, workers.CauseUnknown
+		newTask.State, newTask.Cause = workers.StateEnded, workers.CauseUnknown
 	case cpus > w.machineType.CPUs:
-		started.State, started.Cause = workers.StateEnded, workers.CauseNoRoom
+		newTask.State, newTask.Cause = workers.StateEnded, workers.CauseNoRoom
 	}
-	w.signalChange()
+	w.requestHeartbeat()
 }
 
 // stopTask ends a task. If the task has checkpoints and graceS seconds suffice to save one, the
@@ -144,12 +144,12 @@
 func (w *Worker) stopTask(t *task, graceS *float64) {
 	jobID, _, _ := workers.SplitTask(t.Name)
 	job := w.world.spec(jobID)
-	if job.Shape == jobs.Gang && graceS != nil && w.world.gangStop(t, *graceS) {
+	if job.Shape == jobs.Gang && graceS != nil && w.world.requestGangStop(t, *graceS) {
 		return
 	}
 	if t.State == workers.StateRunning && job.CheckpointIntervalS > 0 && graceS != nil && *graceS >= job.CheckpointSaveS {
 		t.State = workers.StateSaving
-		t.savedBy = time.Now().Add(time.Duration(job.CheckpointSaveS * float64(time.Second)))
+		t.savedAt = time.Now().Add(time.Duration(job.CheckpointSaveS * float64(time.Second)))
 		return
 	}
 	w.endTask(t, workers.CauseStopped)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -37,13 +37,13 @@
 	// nil.
 	JobEnded func(id string)
 
-	ctx     context.Context // machines stop when it ends
-	running sync.WaitGroup  // goroutines of machines and of cancellation deadlines
+	ctx        context.Context // machines stop when it ends
+	goroutines sync.WaitGroup  // goroutines of machines and of cancellation deadlines
 
-	mu     sync.Mutex
-	cloud  cloud
-	tasks  taskLedger
-	record record
+	mu       sync.Mutex
+	cloud    cloud
+	tasks    taskState
+	traceLog traceLog
 }
 
 // cloud is the state of the emulated cloud.
@@ -64,8 +64,8 @@
 	up          bool // has booted and was not released
 }
 
-// taskLedger holds the actual state of jobs and their tasks, whatever controllers believe.
-type taskLedger struct {
+// taskState holds the actual state of jobs and their tasks, whatever controllers believe.
+type taskState struct {
 	specs        map[string]*jobs.Spec      // job descriptions as uploaded, by job
 	machinesOf   map[string]map[string]bool // names of the machines that a task is on, by task
 	done         map[string]bool            // whether a task has completed, by task
@@ -83,17 +83,17 @@
 		Types: types, BootTime: 10 * time.Second, ListLag: 4 * time.Second, CancelDeadline: time.Hour,
 		ctx:   ctx,
 		cloud: cloud{machines: map[string]*machine{}, rentals: map[string][]string{}, capacity: 1000},
-		tasks: taskLedger{
+		tasks: taskState{
 			specs: map[string]*jobs.Spec{}, machinesOf: map[string]map[string]bool{}, done: map[string]bool{},
 			cancelled: map[string]time.Time{}, ends: map[string]int{},
 			gangs: map[gangKey]*gang{}, gangProgress: map[string]time.Duration{},
 		},
-		record: record{began: time.Now(), asked: map[string]*userHistory{}},
+		traceLog: traceLog{startedAt: time.Now(), userHistories: map[string]*userHistory{}},
 	}
 }
 
 // Wait waits for the goroutines of all machines, which stop when the World's context is done.
-func (w *World) Wait() { w.running.Wait() }
+func (w *World) Wait() { w.goroutines.Wait() }
 
 // Machines returns the sorted names of all machines that have booted and were not released.
 func (w *World) Machines() []string {
