--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -14,9 +14,9 @@
 	RefuseConnection              // refuses the connection
 	DropRequest                   // drops the request; the sender gets no response
 	DropResponse                  // executes the request and drops the response
-	DeliverLate                   // executes the request after the lateness; the sender gets no response
-	DeliverTwice                  // delivers the request and executes it again after the lateness
-	DeliverSlowly                 // executes the request after the lateness and delivers the response
+	DeliverLate                   // executes the request after the delay; the sender gets no response
+	DeliverTwice                  // delivers the request and executes it again after the delay
+	DeliverSlowly                 // executes the request after the delay and delivers the response
 )
 
 // FaultRule returns the fault of a message. It is called with the lock of the Network held, so it
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -10,7 +10,7 @@
 // methods are safe for concurrent use.
 type Network struct {
 	Lateness   time.Duration                             // delay of late, slow and repeated messages
-	LatenessOf func(from, to, path string) time.Duration // delay of each such message; nil means Lateness
+	LatenessOf func(from, to, path string) time.Duration // delay of each such message; nil means the same for all
 
 	mu         sync.Mutex
 	hosts      map[string]http.Handler // request handlers by address
--- a/internal/emulator/transport.go
+++ b/internal/emulator/transport.go
@@ -101,7 +101,7 @@
 // transitDelay is the network latency of a message in each direction.
 const transitDelay = time.Millisecond
 
-// deliverAgain executes a copy of a request after the lateness, on the host that is at the
+// deliverAgain executes a copy of a request after the delay, on the host that is at the
 // address by then.
 func (t *hostTransport) deliverAgain(addr string, request *http.Request, lateness time.Duration) {
 	t.network.deliveries.Go(func() {
