--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -6,37 +6,38 @@
 	"ospreyslip/internal/workers"
 )
 
-// gang is one attempt of a gang, wherever its tasks are.
+// gang is the state of one attempt of a gang, across all machines.
 type gang struct {
 	size            int
-	joined          map[string]*Worker // tasks that have their image
-	startedAt       time.Time          // when all had it
-	brokenAt        time.Time          // when one was lost after that
-	stopRequestedAt time.Time          // when the first was told to stop, with time to save
-	toldToStop      map[string]bool
+	joined          map[string]*Worker // workers of the tasks whose image is fetched, by task
+	startedAt       time.Time          // when all tasks had joined
+	brokenAt        time.Time          // when a task was lost, or not told to stop in time, after the start
+	stopRequestedAt time.Time          // when the first task was told to stop with enough time to save
+	stopRequested   map[string]bool    // tasks that were told to stop with enough time to save
 	done            bool
-	saved           bool
+	saved           bool // the checkpoint is saved
 }
 
-// gangKey names one attempt of a job's gang.
+// gangKey identifies one attempt of a job's gang.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
-// gangOf returns the attempt that a task is of. The lock is held.
-func (l *taskLedger) gangOf(member workers.TaskStatus) *gang {
+// gangOf returns the attempt that a task belongs to, and adds it if it is new. The World's lock
+// must be held.
+func (s *taskState) gangOf(member workers.TaskStatus) *gang {
 	jobID, _, _ := workers.SplitTask(member.Name)
 	key := gangKey{jobID, member.Attempt}
-	attempt := l.gangs[key]
+	attempt := s.gangs[key]
 	if attempt == nil {
-		attempt = &gang{size: l.specs[jobID].Tasks, joined: map[string]*Worker{}, toldToStop: map[string]bool{}}
-		l.gangs[key] = attempt
+		attempt = &gang{size: s.specs[jobID].Tasks, joined: map[string]*Worker{}, stopRequested: map[string]bool{}}
+		s.gangs[key] = attempt
 	}
 	return attempt
 }
 
-// GangStarts returns how many attempts of a job's gang have started.
+// GangStarts returns the number of attempts of a job's gang that have started.
 func (w *World) GangStarts(id string) (started int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,24 +49,24 @@
 	return started
 }
 
-// gangStep brings a task of a gang up to now. It returns its state and, if it has
-// ended, why, and whether its progress was saved.
-func (w *World) gangStep(worker *Worker, member *task) (state, cause string, saved bool) {
+// advanceGang returns the current state of a task of a gang. If the task has ended, it also
+// returns the cause and whether the gang's progress was saved.
+func (w *World) advanceGang(worker *Worker, member *task) (state, cause string, saved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	attempt, now := w.tasks.gangOf(member.TaskStatus), time.Now()
 	if member.State == workers.StateGathering {
-		state, cause = w.gather(attempt, worker, member, now)
+		state, cause = w.gatherTask(attempt, worker, member, now)
 		return state, cause, false
 	}
 	jobID, _, _ := workers.SplitTask(member.Name)
 	job := w.tasks.specs[jobID]
 	runTime := time.Duration(job.EstimatedRuntimeS*float64(time.Second)) - w.tasks.gangProgress[jobID]
-	stopRequested := !attempt.stopRequestedAt.IsZero()
+	isStopping := !attempt.stopRequestedAt.IsZero()
 	sinceStop := now.Sub(attempt.stopRequestedAt)
-	allTold := len(attempt.toldToStop) == attempt.size
+	allStopRequested := len(attempt.stopRequested) == attempt.size
 	switch {
-	case attempt.done || attempt.brokenAt.IsZero() && !stopRequested && !now.Before(attempt.startedAt.Add(runTime)):
+	case attempt.done || attempt.brokenAt.IsZero() && !isStopping && !now.Before(attempt.startedAt.Add(runTime)):
 		attempt.done = true
 		for n := range job.Tasks {
 			w.tasks.done[workers.TaskName(jobID, n)] = true
@@ -75,19 +76,20 @@
 		return workers.StateEnded, workers.CauseStopped, true
 	case !attempt.brokenAt.IsZero():
 		return workers.StateEnded, workers.CauseMatesGone, false
-	case stopRequested && allTold && sinceStop.Seconds() >= job.CheckpointSaveS:
+	case isStopping && allStopRequested && sinceStop.Seconds() >= job.CheckpointSaveS:
 		attempt.saved = true
 		w.tasks.gangProgress[jobID] += attempt.stopRequestedAt.Sub(attempt.startedAt)
 		return workers.StateEnded, workers.CauseStopped, true
-	case stopRequested && !allTold && sinceStop > w.Workers.GangStopWindow:
+	case isStopping && !allStopRequested && sinceStop > w.Workers.GangStopWindow:
 		attempt.brokenAt = now
 		return workers.StateEnded, workers.CauseMatesGone, false
 	}
 	return member.State, "", false
 }
 
-// gather lets a task that has its image wait for the others of its gang. The lock is held.
-func (w *World) gather(attempt *gang, worker *Worker, member *task, now time.Time) (state, cause string) {
+// gatherTask adds a task whose image is fetched to its gang, which starts once all tasks have
+// joined. A task that has waited for longer than GangWait ends. w.mu must be held.
+func (w *World) gatherTask(attempt *gang, worker *Worker, member *task, now time.Time) (state, cause string) {
 	if attempt.joined[member.Name] == nil {
 		attempt.joined[member.Name] = worker
 		if len(attempt.joined) == attempt.size && attempt.startedAt.IsZero() {
@@ -104,9 +106,10 @@
 	return member.State, ""
 }
 
-// gangStop tells a task of a running gang to stop. It returns false if it exits at
-// once.
-func (w *World) gangStop(member *task, grace float64) bool {
+// requestGangStop tells a task of a running gang to save and stop. It returns false if the task
+// must exit at once, because it is not running, has no checkpoints or gets too short a grace
+// period.
+func (w *World) requestGangStop(member *task, grace float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	jobID, _, _ := workers.SplitTask(member.Name)
@@ -117,14 +120,15 @@
 	if attempt.stopRequestedAt.IsZero() {
 		attempt.stopRequestedAt = time.Now()
 	}
-	attempt.toldToStop[member.Name] = true
+	attempt.stopRequested[member.Name] = true
 	return true
 }
 
-// gangLeft takes in that a task of a gang is gone. The lock is held.
-func (l *taskLedger) gangLeft(left workers.TaskStatus) {
-	attempt := l.gangOf(left)
-	delete(attempt.joined, left.Name)
+// gangTaskLeft records that a task of a gang has left its machine, which breaks an unfinished
+// attempt that has started. The World's lock must be held.
+func (s *taskState) gangTaskLeft(member workers.TaskStatus) {
+	attempt := s.gangOf(member)
+	delete(attempt.joined, member.Name)
 	if !attempt.startedAt.IsZero() && !attempt.done && !attempt.saved && attempt.brokenAt.IsZero() {
 		attempt.brokenAt = time.Now()
 	}
--- a/internal/emulator/restart/processes.go
+++ b/internal/emulator/restart/processes.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// process is a controller as a child process. Its methods are for one goroutine.
+// process is a controller that runs as a child process. Its methods must be called from one
+// goroutine.
 type process struct {
 	program, settingsPath, logPath, addr string
 
 	cmd *exec.Cmd
 }
 
-// start begins the process; its log is appended to.
+// start starts the process and appends its log to the file at logPath.
 func (p *process) start() error {
 	log, err := os.OpenFile(p.logPath, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return p.cmd.Start()
 }
 
-// kill ends the process without a last word, by its own id.
+// kill ends this process only, by SIGKILL, so that it cannot shut down cleanly, and waits for it.
 func (p *process) kill() {
 	if p.cmd == nil {
 		return
@@ -42,8 +43,8 @@
 	p.cmd = nil
 }
 
-// serves tells whether it takes connections.
-func (p *process) serves() bool {
+// isServing reports whether the process accepts connections.
+func (p *process) isServing() bool {
 	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		return false
@@ -54,7 +55,7 @@
 
 const dialTimeout = 100 * time.Millisecond
 
-// peakMemoryMB is the most memory that the process has held; 0 if that cannot be read.
+// peakMemoryMB returns the peak resident memory of the process, or 0 if it cannot be read.
 func (p *process) peakMemoryMB() float64 {
 	if p.cmd == nil {
 		return 0
@@ -64,15 +65,15 @@
 		return 0
 	}
 	for line := range strings.Lines(string(raw)) {
-		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kilobytes, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(rest), "kB")), 64)
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			kilobytes, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(value), "kB")), 64)
 			return kilobytes / 1024
 		}
 	}
 	return 0
 }
 
-// openSockets is how many sockets the process has open by now.
+// openSockets returns the number of sockets that the process has open, or 0 if it cannot be read.
 func (p *process) openSockets() (open int) {
 	if p.cmd == nil {
 		return 0
@@ -90,18 +91,19 @@
 	return open
 }
 
-// startAll starts processes, and returns when each takes connections.
-func startAll(processes []*process, within time.Duration) (serving time.Time, err error) {
-	for _, started := range processes {
-		if err := started.start(); err != nil {
+// startAll starts processes, waits until all accept connections and returns the time. It fails if
+// they do not within the given time.
+func startAll(processes []*process, timeout time.Duration) (servingAt time.Time, err error) {
+	for _, controller := range processes {
+		if err := controller.start(); err != nil {
 			return time.Time{}, err
 		}
 	}
-	deadline := time.Now().Add(within)
-	for _, started := range processes {
-		for !started.serves() {
+	deadline := time.Now().Add(timeout)
+	for _, controller := range processes {
+		for !controller.isServing() {
 			if time.Now().After(deadline) {
-				return time.Time{}, fmt.Errorf("%s: %w, see %s", started.addr, errNotServing, started.logPath)
+				return time.Time{}, fmt.Errorf("%s: %w, see %s", controller.addr, errNotServing, controller.logPath)
 			}
 			time.Sleep(pollInterval)
 		}
@@ -109,6 +111,6 @@
 	return time.Now(), nil
 }
 
-var errNotServing = errors.New("controller does not serve")
+var errNotServing = errors.New("controller does not accept connections")
 
 const pollInterval = 5 * time.Millisecond
--- a/internal/emulator/restart/report.go
+++ b/internal/emulator/restart/report.go
@@ -18,11 +18,12 @@
 )
 
 //go:embed report.html
-var page string
+var reportHTML string
 
-var pageTemplate = template.Must(template.New("report").Parse(page))
+var pageTemplate = template.Must(template.New("report").Parse(reportHTML))
 
-// WriteAll prints a table, and writes results.jsonl and report.html into a folder.
+// WriteAll writes a table of the results to table, and results.jsonl and report.html to the
+// directory dir.
 func WriteAll(dir string, table io.Writer, results []Result) error {
 	if err := writeTable(table, results); err != nil {
 		return err
@@ -70,8 +71,8 @@
 	}{results, gaps, counts})
 }
 
-// drawGaps plots, for each pause, which part of all heartbeats was answered within which time
-// after the one before.
+// drawGaps plots, for each pause, the cumulative distribution of the time between consecutive
+// answered heartbeats of a worker.
 func drawGaps(results []Result) (template.HTML, error) {
 	gaps := plot.New()
 	gaps.Title.Text = "time between two answered reports of a worker"
@@ -103,22 +104,22 @@
 	return svgplot.Draw(gaps)
 }
 
-// drawCounts plots tasks gone and begun, by trial.
+// drawCounts plots the numbers of lost and started tasks of each trial.
 func drawCounts(results []Result) (template.HTML, error) {
 	counts := plot.New()
 	counts.Title.Text = "tasks gone, and begun"
 	counts.X.Label.Text, counts.Y.Label.Text = "trial", "tasks"
 	counts.Legend.Top = true
 	counts.Add(plotter.NewGrid())
-	var gone, begun plotter.XYs
+	var lostPoints, startedPoints plotter.XYs
 	for i, result := range results {
-		gone = append(gone, plotter.XY{X: float64(i + 1), Y: float64(result.Lost)})
-		begun = append(begun, plotter.XY{X: float64(i + 1), Y: float64(result.Started)})
+		lostPoints = append(lostPoints, plotter.XY{X: float64(i + 1), Y: float64(result.Lost)})
+		startedPoints = append(startedPoints, plotter.XY{X: float64(i + 1), Y: float64(result.Started)})
 	}
 	for i, series := range []struct {
 		name   string
 		points plotter.XYs
-	}{{"gone", gone}, {"begun", begun}} {
+	}{{"gone", lostPoints}, {"begun", startedPoints}} {
 		marks, err := plotter.NewScatter(series.points)
 		if err != nil {
 			return "", err
@@ -132,10 +133,10 @@
 
 func pausesOf(results []Result) (pauses []float64) {
 	seen := map[float64]bool{}
-	for _, r := range results {
-		if !seen[r.PauseS] {
-			seen[r.PauseS] = true
-			pauses = append(pauses, r.PauseS)
+	for _, result := range results {
+		if !seen[result.PauseS] {
+			seen[result.PauseS] = true
+			pauses = append(pauses, result.PauseS)
 		}
 	}
 	return pauses
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -13,97 +13,98 @@
 	"ospreyslip/internal/workers"
 )
 
-// Of the workers' protocol.
+// Timing of the workers' protocol.
 const (
-	responseTimeout = 4 * time.Second // for one heartbeat
-	retryPause      = time.Second     // before the next node is tried
+	responseTimeout = 4 * time.Second // response timeout of a heartbeat
+	retryPause      = time.Second     // delay before another controller is tried
 )
 
-// WorkerConfig is what all workers have in common.
+// WorkerConfig is the configuration that all workers share.
 type WorkerConfig struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // of the tasks, from the sending of the last answered heartbeat
-	FetchTime         time.Duration // of an image
-	GangWait          time.Duration // a gang that is not complete by then ends
-	GangStopWindow    time.Duration // within it all tasks of a gang must be told to stop
+	Lease             time.Duration // worker lease, counted from the sending of the last answered heartbeat
+	FetchTime         time.Duration // time to fetch an image
+	GangWait          time.Duration // a gang task ends if its gang is not complete after this time
+	GangStopWindow    time.Duration // time within which all tasks of a gang must be told to stop
 
-	Nodes []string          // the controllers' names, in the order in which they are tried
-	Addrs map[string]string // where they listen, by name
+	Nodes []string          // names of the controllers in the order in which workers try them
+	Addrs map[string]string // addresses of the controllers, by name
 }
 
-// Worker plays one machine. Its methods may be called by several goroutines. A worker calls
-// its world with its own lock held, never the other way round.
+// Worker emulates the worker on one machine. Its methods are safe for concurrent use. A Worker
+// calls its World with its own lock held, so a World must not call a Worker with the World's lock
+// held.
 type Worker struct {
-	world       *World
-	config      WorkerConfig
-	machineType jobs.MachineType
-	cancel      context.CancelFunc // ends run
-	changed     chan struct{}      // of one: something is worth a heartbeat before its time
+	world              *World
+	config             WorkerConfig
+	machineType        jobs.MachineType
+	cancel             context.CancelFunc // stops run
+	heartbeatRequested chan struct{}      // capacity 1; requests a heartbeat ahead of schedule
 
-	mu         sync.Mutex
-	status     workers.Heartbeat // without tasks
-	tasks      []*task
-	images     map[string]bool // that were fetched
-	answeredAt time.Time       // when the last heartbeat that got an answer was sent
-	hung       bool
-	dead       bool
-	slowness   float64 // tasks take so many times as long
+	mu             sync.Mutex
+	status         workers.Heartbeat // heartbeat to send, without tasks
+	tasks          []*task
+	images         map[string]bool // names of the images that were fetched
+	leaseStartedAt time.Time       // start of the lease: when the last answered heartbeat was sent
+	hung           bool
+	poweredOff     bool
+	slowness       float64 // factor by which run times of batch tasks grow; below 1 has no effect
 }
 
-// run sends heartbeats until the context ends.
+// run sends heartbeats until ctx is done. If a controller does not accept one, it tries another.
 func (w *Worker) run(ctx context.Context) {
-	w.world.running.Go(func() { w.keepLease(ctx) })
+	w.world.goroutines.Go(func() { w.enforceLease(ctx) })
 	client := &http.Client{Transport: w.world.Network.Transport(w.status.Machine), Timeout: responseTimeout}
-	node := 0
+	controller := 0
 	for ctx.Err() == nil {
-		next := w.sendHeartbeat(client, node)
+		next := w.sendHeartbeat(client, controller)
 		pause := w.config.HeartbeatInterval
-		if next != node {
-			node, pause = next, retryPause
+		if next != controller {
+			controller, pause = next, retryPause
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
-		case <-w.changed:
+		case <-w.heartbeatRequested:
 			time.Sleep(w.config.HeartbeatInterval / 3)
 		}
 	}
 }
 
-// keepLease ends the tasks with the lease, also while a heartbeat waits in vain
-// for its answer.
-func (w *Worker) keepLease(ctx context.Context) {
+// enforceLease ends the tasks when the lease expires. It has its own goroutine, because run may
+// be blocked on a heartbeat that gets no answer.
+func (w *Worker) enforceLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		if !w.dead && !w.hung {
+		if !w.poweredOff && !w.hung {
 			w.expireLease()
 		}
-		left := time.Until(w.answeredAt.Add(w.config.Lease)) + time.Millisecond
+		remaining := time.Until(w.leaseStartedAt.Add(w.config.Lease)) + time.Millisecond
 		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(left, time.Millisecond)):
+		case <-time.After(max(remaining, time.Millisecond)):
 		}
 	}
 }
 
-// sendHeartbeat sends a heartbeat to a node and executes the commands in its answer. It
-// returns the node to send the next one to; both are indices of the configured nodes.
-func (w *Worker) sendHeartbeat(client *http.Client, node int) int {
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. It
+// returns the controller for the next heartbeat. Both are indices into config.Nodes.
+func (w *Worker) sendHeartbeat(client *http.Client, controller int) int {
 	w.mu.Lock()
-	if w.hung || w.dead {
+	if w.hung || w.poweredOff {
 		w.mu.Unlock()
-		return node
+		return controller
 	}
 	w.advance()
 	heartbeat := w.nextHeartbeat()
 	w.mu.Unlock()
-	sent, otherNode := time.Now(), (node+1)%len(w.config.Nodes)
+	sentAt, nextController := time.Now(), (controller+1)%len(w.config.Nodes)
 	raw, _ := json.Marshal(heartbeat)
-	url := "http://" + w.config.Addrs[w.config.Nodes[node]] + "/v1/report"
+	url := "http://" + w.config.Addrs[w.config.Nodes[controller]] + "/v1/report"
 	resp, err := client.Post(url, "application/json", bytes.NewReader(raw))
 	if err != nil {
-		return otherNode
+		return nextController
 	}
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
@@ -111,57 +112,58 @@
 	case http.StatusOK:
 		var response workers.HeartbeatResponse
 		if json.Unmarshal(body, &response) == nil {
-			w.accept(response, heartbeat.AgentEpoch, sent)
+			w.applyResponse(response, heartbeat.AgentEpoch, sentAt)
 		}
-		return node
+		return controller
 	case http.StatusMisdirectedRequest:
 		var redirect workers.Redirect
 		_ = json.Unmarshal(body, &redirect)
 		for i, name := range w.config.Nodes {
-			if name == redirect.Leader && i != node {
+			if name == redirect.Leader && i != controller {
 				return i
 			}
 		}
 	}
-	return otherNode
+	return nextController
 }
 
-// accept renews the lease and executes the commands, unless the answer is to a heartbeat of an
-// earlier epoch, or its fencing token is not current.
-func (w *Worker) accept(response workers.HeartbeatResponse, epoch uint64, sent time.Time) {
+// applyResponse renews the lease and executes the commands in a response. It ignores responses to
+// heartbeats of an earlier agent epoch and those with an outdated or missing fencing token.
+func (w *Worker) applyResponse(response workers.HeartbeatResponse, epoch uint64, sentAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	if w.dead || w.hung || w.status.AgentEpoch != epoch {
+	if w.poweredOff || w.hung || w.status.AgentEpoch != epoch {
 		return
 	}
 	if response.FencingToken < w.status.FencingToken || response.FencingToken == 0 {
 		return
 	}
-	w.raiseToken(response.FencingToken)
+	w.raiseFencingToken(response.FencingToken)
 	if w.world.HeartbeatAnswered != nil {
-		w.world.HeartbeatAnswered(time.Now(), sent.Sub(w.answeredAt))
+		w.world.HeartbeatAnswered(time.Now(), sentAt.Sub(w.leaseStartedAt))
 	}
-	w.answeredAt = sent
+	w.leaseStartedAt = sentAt
 	w.executeCommands(response.Commands)
 }
 
-func (w *Worker) raiseToken(token uint64) {
+func (w *Worker) raiseFencingToken(token uint64) {
 	if token > w.status.FencingToken {
 		w.status.FencingToken = token
-		w.signalChange()
+		w.requestHeartbeat()
 	}
 }
 
-// signalChange has the next heartbeat sent soon.
-func (w *Worker) signalChange() {
+// requestHeartbeat requests a heartbeat ahead of schedule.
+func (w *Worker) requestHeartbeat() {
 	select {
-	case w.changed <- struct{}{}:
+	case w.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
 
-// nextHeartbeat raises the sequence number, as every heartbeat and every answer does.
+// nextHeartbeat returns the current status of the worker under a new sequence number, which every
+// heartbeat and every response to a controller needs.
 func (w *Worker) nextHeartbeat() workers.Heartbeat {
 	w.status.Seq++
 	heartbeat := w.status
@@ -172,30 +174,31 @@
 	return heartbeat
 }
 
-// expireLease ends the tasks once the lease is over, and begins the next epoch.
+// expireLease ends all tasks and begins a new agent epoch if the lease has expired.
 func (w *Worker) expireLease() {
 	now := time.Now()
-	if now.Sub(w.answeredAt) <= w.config.Lease {
+	if now.Sub(w.leaseStartedAt) <= w.config.Lease {
 		return
 	}
 	for _, t := range w.tasks {
-		w.world.taskLeft(w, t.TaskStatus, EndOfLease)
+		w.world.taskLeft(w, t.TaskStatus, CauseLeaseExpired)
 	}
-	w.tasks, w.answeredAt = nil, now
+	w.tasks, w.leaseStartedAt = nil, now
 	w.status.AgentEpoch++
-	w.signalChange()
+	w.requestHeartbeat()
 }
 
-// ServeHTTP takes commands and probes.
+// ServeHTTP implements http.Handler for commands and probes. A hung worker does not respond until
+// it resumes or is powered off.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.hung && !w.dead {
+	for w.hung && !w.poweredOff {
 		w.mu.Unlock()
 		time.Sleep(w.config.HeartbeatInterval)
 		w.mu.Lock()
 	}
-	if w.dead {
+	if w.poweredOff {
 		rw.WriteHeader(http.StatusBadGateway)
 		return
 	}
@@ -207,7 +210,7 @@
 		if request.FencingToken < w.status.FencingToken || request.AgentEpoch != w.status.AgentEpoch {
 			status = http.StatusConflict
 		} else {
-			w.raiseToken(request.FencingToken)
+			w.raiseFencingToken(request.FencingToken)
 			w.executeCommands(request.Commands)
 			w.advance()
 		}
@@ -215,14 +218,15 @@
 	writeJSON(rw, status, w.nextHeartbeat())
 }
 
-// SetSlowness makes tasks take so many times as long.
+// SetSlowness sets the factor by which batch tasks take longer.
 func (w *Worker) SetSlowness(times float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowness = times
 }
 
-// SetHung stops a machine, or lets it go on. It can go on within its lease only.
+// SetHung suspends or resumes the worker. Its tasks end when the lease expires, also while it is
+// suspended.
 func (w *Worker) SetHung(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -231,7 +235,7 @@
 		w.advance()
 		return
 	}
-	time.AfterFunc(time.Until(w.answeredAt.Add(w.config.Lease+time.Millisecond)), func() {
+	time.AfterFunc(time.Until(w.leaseStartedAt.Add(w.config.Lease+time.Millisecond)), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.hung {
@@ -240,17 +244,17 @@
 	})
 }
 
-// powerOff ends the machine and everything on it.
+// powerOff stops the machine, ends its tasks and disconnects it from the network.
 func (w *Worker) powerOff() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.dead {
+	if w.poweredOff {
 		return
 	}
 	for _, t := range w.tasks {
-		w.world.taskLeft(w, t.TaskStatus, EndOfMachine)
+		w.world.taskLeft(w, t.TaskStatus, CauseMachineGone)
 	}
-	w.dead, w.tasks = true, nil
+	w.poweredOff, w.tasks = true, nil
 	w.cancel()
 	w.world.Network.Attach(w.status.Machine, w.status.Addr, nil)
 }
