--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -170,7 +170,7 @@
 	RentalsInFlight int
 }
 
-// HostBudget is what one controller may use of its host.
+// HostBudget holds the limits of what one controller uses of its host.
 type HostBudget struct {
 	GCBytes     int64 // memory use above which GC is more aggressive: gcShare of the limit
 	RefuseBytes int64 // memory use above which new jobs are refused: refuseShare of the limit
