--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -75,14 +75,14 @@
 	case attempt.saved:
 		return workers.StateEnded, workers.CauseStopped, true
 	case !attempt.brokenAt.IsZero():
-		return workers.StateEnded, workers.CauseMatesGone, false
+		return workers.StateEnded, workers.CauseGangMemberGone, false
 	case isStopping && allStopRequested && sinceStop.Seconds() >= job.CheckpointSaveS:
 		attempt.saved = true
 		w.tasks.gangProgress[jobID] += attempt.stopRequestedAt.Sub(attempt.startedAt)
 		return workers.StateEnded, workers.CauseStopped, true
 	case isStopping && !allStopRequested && sinceStop > w.Workers.GangStopWindow:
 		attempt.brokenAt = now
-		return workers.StateEnded, workers.CauseMatesGone, false
+		return workers.StateEnded, workers.CauseGangMemberGone, false
 	}
 	return member.State, "", false
 }
@@ -101,7 +101,7 @@
 		return workers.StateRunning, ""
 	case now.Sub(member.stateSince) > w.Workers.GangWait:
 		delete(attempt.joined, member.Name)
-		return workers.StateEnded, workers.CauseIncomplete
+		return workers.StateEnded, workers.CauseGangIncomplete
 	}
 	return member.State, ""
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -126,7 +126,7 @@
 		t.Error("a task was assigned while others of the gang may still run")
 	}
 	first := job.Assignments[0].GangAttempt
-	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseMatesGone), gangTaskStatus(job, 1, workers.StateEnded, workers.CauseMatesGone))
+	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseGangMemberGone), gangTaskStatus(job, 1, workers.StateEnded, workers.CauseGangMemberGone))
 	leader.tasks.Remove(job.Assignments[0])
 	leader.plan(now)
 	if len(job.Assignments) != 1 {
@@ -157,7 +157,7 @@
 	makeBeginsDurable(leader, job, 0, 1, 2)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
-	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseMatesGone), gangTaskStatus(job, 1, workers.StateRunning, ""))
+	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseGangMemberGone), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	if job.Completions.Count != 0 || job.End.Complete {
 		t.Fatal("the loss of a gang member completed the job")
 	}
--- a/internal/leader/tasks/failure.go
+++ b/internal/leader/tasks/failure.go
@@ -20,7 +20,7 @@
 func (m *Manager) recordFailure(assignment *cluster.Assignment, task *workers.TaskStatus, now time.Time) {
 	job, machine := assignment.Job, assignment.Machine
 	switch task.Cause {
-	case workers.CauseStopped, workers.CauseMatesGone, workers.CauseIncomplete:
+	case workers.CauseStopped, workers.CauseGangMemberGone, workers.CauseGangIncomplete:
 	case workers.CauseError:
 		m.backOff(job, now)
 		m.recordFailureOnMachine(machine, job, now)
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -18,14 +18,14 @@
 
 // Values of TaskStatus.Cause, the reason why a task ended.
 const (
-	CauseDone       = "done"
-	CauseStopped    = "stopped"
-	CauseError      = "error"
-	CauseNoRoom     = "no_room"
-	CauseBusy       = "busy"
-	CauseUnknown    = "unknown"
-	CauseMatesGone  = "mates_gone" // another task of the gang is gone
-	CauseIncomplete = "incomplete" // the gang did not become complete in time
+	CauseDone           = "done"
+	CauseStopped        = "stopped"
+	CauseError          = "error"
+	CauseNoRoom         = "no_room"
+	CauseBusy           = "busy"
+	CauseUnknown        = "unknown"
+	CauseGangMemberGone = "mates_gone" // another task of the gang is gone
+	CauseGangIncomplete = "incomplete" // the gang did not become complete in time
 )
 
 // Heartbeat is the status of a worker. The worker sends it periodically, and in response to commands
