--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -48,5 +48,5 @@
 			delay = min(delay, cluster.ScaleDuration(time.Second, planner.PreemptionDelayShare*objective.WithinS))
 		}
 	}
-	return cluster.ScaleDuration(delay, l.Settings.Operator.TakeoverPatience)
+	return cluster.ScaleDuration(delay, l.Settings.Operator.FailoverPatience)
 }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -43,11 +43,11 @@
 	if !leader.mayPreempt(newPendingJob("web", jobs.Prod, false), now) {
 		t.Error("production may not preempt at once")
 	}
-	leader.Settings.Operator.TakeoverPatience = 0
+	leader.Settings.Operator.FailoverPatience = 0
 	if !leader.mayPreempt(newPendingJob("sums", jobs.Urgent, false), now) {
 		t.Error("preemption is delayed although TakeoverPatience is 0")
 	}
-	leader.Settings.Operator.TakeoverPatience = 1
+	leader.Settings.Operator.FailoverPatience = 1
 	leader.failover.MachineReported("m-2")
 	if !leader.mayPreempt(newPendingJob("sums", jobs.Urgent, false), now) {
 		t.Error("preemption is delayed although all machines have reported")
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -41,10 +41,10 @@
 	// TimeLeftShare is the share of a batch job's remaining time within which the forecast must
 	// expect it to finish. Otherwise machines are provisioned.
 	TimeLeftShare float64 `json:"dueShare"`
-	// TakeoverPatience scales how long tasks wait in a failover before others are preempted for
+	// FailoverPatience scales how long tasks wait in a failover before others are preempted for
 	// them, while machines that may have room have not sent a heartbeat. With 0 they do not
 	// wait.
-	TakeoverPatience float64 `json:"takeoverPatience"`
+	FailoverPatience float64 `json:"takeoverPatience"`
 	// AuditS is the time in seconds between two comparisons of all records with the state of a
 	// controller, which detect lost records; 0 disables them.
 	AuditS float64 `json:"auditS"`
--- a/internal/settings/operator_test.go
+++ b/internal/settings/operator_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLoadOperator(t *testing.T) {
-	if defaults := DefaultOperator(); defaults.SuspectHeartbeats != 3 || defaults.HoldHeartbeats != 2 || defaults.VerdictIntervalS != 1 || defaults.TimeLeftShare != 0.4 || defaults.TakeoverPatience != 1 || defaults.IdleBootTimes != 0.5 || defaults.SlowBootTimes != 2 || defaults.LateBootTimes != 4 {
+	if defaults := DefaultOperator(); defaults.SuspectHeartbeats != 3 || defaults.HoldHeartbeats != 2 || defaults.VerdictIntervalS != 1 || defaults.TimeLeftShare != 0.4 || defaults.FailoverPatience != 1 || defaults.IdleBootTimes != 0.5 || defaults.SlowBootTimes != 2 || defaults.LateBootTimes != 4 {
 		t.Errorf("defaults: %+v", defaults)
 	}
 	for _, tc := range []struct{ name, body, want string }{
