--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -214,7 +214,7 @@
 func runLossScenario(t *testing.T, seed uint64, adapt func(*Controller), outcome *lossOutcome) {
 	t.Helper()
 	runCluster(t, func(set *settings.Settings) {
-		set.Operator.AuditS = 15 // a silent loss is detected only by an audit
+		set.Operator.AuditIntervalS = 15 // a silent loss is detected only by an audit
 	}, func(c *cluster) {
 		c.adaptController = adapt
 		if adapt != nil { // the controllers that run already, too
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -67,7 +67,7 @@
 
 // auditInterval returns an adjustment that sets the audit interval.
 func auditInterval(seconds float64) func(*settings.Settings) {
-	return func(set *settings.Settings) { set.Operator.AuditS = seconds }
+	return func(set *settings.Settings) { set.Operator.AuditIntervalS = seconds }
 }
 
 // TestStoreRolledBack checks that a rollback of the store to before a job's completion, another's
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -259,7 +259,7 @@
 		RequestTimeout: election.LeaseDuration / 2,
 		WatchTimeout:   leaseToCancel / 8,
 		MaxStaleness:   leaseToCancel / 2,
-		AuditInterval:  seconds(s.Operator.AuditS),
+		AuditInterval:  seconds(s.Operator.AuditIntervalS),
 		AuditPagePause: seconds(1 / (auditReadShare * limits.RPS)),
 		TxnOps:         limits.TxnOps,
 		ValueBytes:     int(limits.ValueKB * 1024),
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -45,9 +45,9 @@
 	// them, while machines that may have room have not sent a heartbeat. With 0 they do not
 	// wait.
 	FailoverPatience float64 `json:"takeoverPatience"`
-	// AuditS is the time in seconds between two comparisons of all records with the state of a
+	// AuditIntervalS is the time in seconds between two comparisons of all records with the state of a
 	// controller, which detect lost records; 0 disables them.
-	AuditS float64 `json:"auditS"`
+	AuditIntervalS float64 `json:"auditS"`
 	// RunUncertainAfterS is the time in seconds after which a job whose record was lost is run
 	// although it may already have ended; 0 holds it until an operator decides.
 	RunUncertainAfterS float64 `json:"runUncertainAfterS"`
