--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -319,7 +319,7 @@
 // TestUncertainJobRunsAfterTimeout checks that a described uncertain job runs after, and not
 // before, the time that the operator setting runUncertainAfterS states.
 func TestUncertainJobRunsAfterTimeout(t *testing.T) {
-	runCluster(t, func(set *settings.Settings) { set.Operator.RunUncertainAfterS = 90 }, func(c *cluster) {
+	runCluster(t, func(set *settings.Settings) { set.Operator.RunHeldJobsAfterS = 90 }, func(c *cluster) {
 		c.world.SetCapacity(0)
 		c.submit("perch-0", batchJob("j-1", 1, 10))
 		taken := c.takeSnapshot()
--- a/internal/leader/recoverer/held_jobs.go
+++ b/internal/leader/recoverer/held_jobs.go
@@ -94,7 +94,7 @@
 // RunUncertainJobs releases jobs that have been held for the time set by the operator, if any, so
 // that they run. The event loop calls it once per control interval.
 func (r *Recoverer) RunUncertainJobs(now time.Time) {
-	afterS := r.cfg.Settings.Operator.RunUncertainAfterS
+	afterS := r.cfg.Settings.Operator.RunHeldJobsAfterS
 	if afterS <= 0 || r.phase != NotRecovering || r.committer.inFlight {
 		return
 	}
--- a/internal/leader/recoverer/held_jobs_test.go
+++ b/internal/leader/recoverer/held_jobs_test.go
@@ -78,7 +78,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := newScenario(t)
-			s.cfg.Settings.Operator.RunUncertainAfterS = test.afterS
+			s.cfg.Settings.Operator.RunHeldJobsAfterS = test.afterS
 			s.HoldJob("j-000001", heldRecord(test.spec, s.now), 7)
 			s.RunUncertainJobs(s.now.Add(time.Duration(test.heldS) * time.Second))
 			if runs := len(s.writeBack.queue) == 1; runs != test.runs {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -48,9 +48,9 @@
 	// AuditIntervalS is the time in seconds between two comparisons of all records with the state of a
 	// controller, which detect lost records; 0 disables them.
 	AuditIntervalS float64 `json:"auditS"`
-	// RunUncertainAfterS is the time in seconds after which a job whose record was lost is run
+	// RunHeldJobsAfterS is the time in seconds after which a job whose record was lost is run
 	// although it may already have ended; 0 holds it until an operator decides.
-	RunUncertainAfterS float64 `json:"runUncertainAfterS"`
+	RunHeldJobsAfterS float64 `json:"runUncertainAfterS"`
 }
 
 // DefaultOperator returns the defaults. They are read from the published schema, so that the two
