--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -120,7 +120,7 @@
 		Node:     name, Zone: "a", Bind: userAddr(name), ClusterListen: clusterAddr(name),
 		Endpoints: settings.Endpoints{Cloud: cloudAddr, Store: stateAddr},
 		Deployment: settings.Deployment{
-			Nodes: len(all), Zones: []string{"a", "b", "c"},
+			ControllerCount: len(all), Zones: []string{"a", "b", "c"},
 			Teams:   []settings.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 16}, {Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 40}},
 			Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWait, GangPeerS: &gangPeer},
 			Store:   settings.StoreLimits{RPS: 150, WriteRPS: 50, ValueKB: valueKB, TxnOps: 12},
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -117,7 +117,7 @@
 		Node:     name, Zone: "a", Bind: userAddr(name), ClusterListen: clusterAddr(name),
 		Endpoints: settings.Endpoints{Cloud: "10.2.0.2:1", Store: "10.2.0.1:1"},
 		Deployment: settings.Deployment{
-			Nodes: 3, Zones: []string{"a", "b", "c"},
+			ControllerCount: 3, Zones: []string{"a", "b", "c"},
 			Teams:   []settings.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 16}, {Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 40}},
 			Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWaitSeconds, GangPeerS: &gangPeerSeconds},
 			Store:   settings.StoreLimits{RPS: 150, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -121,7 +121,7 @@
 	c.peers.OnLostJobsRequest = newLostJobsResponder(c.derived, c.cache, c.elector).respond
 	c.peers.OnLossNotice = c.handleLossNotice
 	// A leader may rely on peer leases only if it can ask every other controller.
-	if len(c.settings.Peers) == c.settings.Deployment.Nodes-1 {
+	if len(c.settings.Peers) == c.settings.Deployment.ControllerCount-1 {
 		c.elector.RequestPeerLeases = c.requestLeaseGrants
 		c.elector.NoPeerReliesOnGrants = c.cacheVerifier.noPeerReliesOnGrants
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -35,7 +35,7 @@
 func storeRateLimits(config *settings.Settings, leading bool) kvstore.RateLimits {
 	total := config.Deployment.Store.Effective()
 	limits := kvstore.RateLimits{RequestsPerSecond: settings.LeaderRequestShare * total.RPS, WritesPerSecond: settings.LeaderWriteShare * total.WriteRPS}
-	if followers := float64(config.Deployment.Nodes - 1); !leading && followers > 0 {
+	if followers := float64(config.Deployment.ControllerCount - 1); !leading && followers > 0 {
 		limits.RequestsPerSecond = (1 - settings.LeaderRequestShare) * total.RPS / followers
 		limits.WritesPerSecond = (1 - settings.LeaderWriteShare) * total.WriteRPS / followers
 	}
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -271,7 +271,7 @@
 	limits := s.Deployment.Store.Effective()
 	return APILimits{
 		RequestTimeout:      4 * time.Second * 2 / 5,
-		PollReadInterval:    seconds(readsPerPollRound * float64(s.Deployment.Nodes) / (pollReadShare * limits.RPS)),
+		PollReadInterval:    seconds(readsPerPollRound * float64(s.Deployment.ControllerCount) / (pollReadShare * limits.RPS)),
 		CancellationHistory: int(limits.WriteRPS * seconds(s.Deployment.Workers.CancelS).Seconds()),
 		QueueLength:         max(8, s.Deployment.Limits.MaxSockets/16),
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,15 +37,15 @@
 
 // Deployment holds the settings that all controllers of a deployment share.
 type Deployment struct {
-	Nodes      int         `toml:"nodes"` // number of controllers
-	Zones      []string    `toml:"zones"`
-	ClockOffMs float64     `toml:"clock_off_ms"` // maximum error of wall clocks
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	Store      StoreLimits `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"machine_limits"`
+	ControllerCount int         `toml:"nodes"` // number of controllers
+	Zones           []string    `toml:"zones"`
+	ClockOffMs      float64     `toml:"clock_off_ms"` // maximum error of wall clocks
+	Teams           []Team      `toml:"teams"`
+	Objectives      []Objective `toml:"objectives"`
+	Workers         Workers     `toml:"workers"`
+	Store           StoreLimits `toml:"state"`
+	Cloud           Cloud       `toml:"cloud"`
+	Limits          Limits      `toml:"machine_limits"`
 }
 
 // Team holds the guaranteed resources of a team and its limits. A limit of 0 means no limit.
