--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,7 +39,7 @@
 type Deployment struct {
 	ControllerCount int         `toml:"nodes"` // number of controllers
 	Zones           []string    `toml:"zones"`
-	ClockOffMs      float64     `toml:"clock_off_ms"` // maximum error of wall clocks
+	MaxClockErrorMs float64     `toml:"clock_off_ms"` // maximum error of wall clocks
 	Teams           []Team      `toml:"teams"`
 	Objectives      []Objective `toml:"objectives"`
 	Workers         Workers     `toml:"workers"`
