--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -125,7 +125,7 @@
 			Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWait, GangPeerS: &gangPeer},
 			Store:   settings.StoreLimits{RPS: 150, WriteRPS: 50, ValueKB: valueKB, TxnOps: 12},
 			Cloud:   settings.Cloud{RPS: 6, ListLagS: 4},
-			Limits:  settings.Limits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
+			Limits:  settings.HostLimits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
 		},
 	}
 	for _, n := range all {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -122,7 +122,7 @@
 			Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40, GangWaitS: &gangWaitSeconds, GangPeerS: &gangPeerSeconds},
 			Store:   settings.StoreLimits{RPS: 150, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
 			Cloud:   settings.Cloud{RPS: 6, ListLagS: 4},
-			Limits:  settings.Limits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
+			Limits:  settings.HostLimits{Cores: 0.1, MemoryMB: 100, MaxSockets: 1000},
 		},
 	}
 	for _, other := range c.names {
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -85,7 +85,7 @@
 			ControllerCount: 1, Zones: []string{"a", "b", "c"}, Teams: []settings.Team{{Name: "blue"}},
 			Workers: settings.Workers{HeartbeatS: 300, LeaseS: 2000, CancelS: 4000},
 			Store:   settings.StoreLimits{RPS: 100000, WriteRPS: 100000, ValueKB: 32, TxnOps: 12},
-			Cloud:   settings.Cloud{RPS: 1000, ListLagS: 4}, Limits: settings.Limits{Cores: 1, MemoryMB: 2000, MaxSockets: 8000},
+			Cloud:   settings.Cloud{RPS: 1000, ListLagS: 4}, Limits: settings.HostLimits{Cores: 1, MemoryMB: 2000, MaxSockets: 8000},
 		},
 	}
 }
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -76,7 +76,7 @@
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
 		Workers: settings.Workers{HeartbeatS: 1, LeaseS: 20, CancelS: 40},
 		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
-		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
+		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.HostLimits{MemoryMB: 100, MaxSockets: 100},
 	}}
 	state := cluster.NewState()
 	f := &fixture{
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -39,7 +39,7 @@
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
 		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40},
 		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
-		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.Limits{MemoryMB: 100, MaxSockets: 100},
+		Cloud:   settings.Cloud{RPS: 6, ListLagS: 4}, Limits: settings.HostLimits{MemoryMB: 100, MaxSockets: 100},
 	}}
 	leader := newLeader(Deps{
 		Settings: set, Derived: set.Derive(), Counts: NewCounts(), IsLeader: func() bool { return true },
--- a/internal/settings/budget.go
+++ b/internal/settings/budget.go
@@ -38,7 +38,7 @@
 // the sockets, but no more than fit into memory while they are idle. A sixteenth of the
 // sockets stays unassigned, for the state service, the cloud, the other controllers and
 // connections that are being closed.
-func (l Limits) servedConns() int {
+func (l HostLimits) servedConns() int {
 	inMemory := (gcShare*l.MemoryMB*(1<<20) - idleProcessBytes) / idleConnBytes
 	return min(l.MaxSockets*13/16, int(inMemory))
 }
@@ -111,7 +111,7 @@
 
 // fitsLimits reports whether a controller can run within limits. They must cover the
 // allocations of fixed size and at least minServedConns connections from users and workers.
-func (s *Settings) fitsLimits(limits Limits) bool {
+func (s *Settings) fitsLimits(limits HostLimits) bool {
 	candidate := *s
 	candidate.Deployment.Limits = limits
 	budget := candidate.Budget()
@@ -123,10 +123,10 @@
 func (s *Settings) checkLimits(addf func(format string, args ...any)) {
 	const unlimited = 1 << 20
 	limits := s.Deployment.Limits
-	if least := smallestSatisfying(func(n int) bool { return s.fitsLimits(Limits{MemoryMB: unlimited, MaxSockets: n}) }); limits.MaxSockets < least {
+	if least := smallestSatisfying(func(n int) bool { return s.fitsLimits(HostLimits{MemoryMB: unlimited, MaxSockets: n}) }); limits.MaxSockets < least {
 		addf("deployment.machine_limits.max_sockets must be at least %d, is %d", least, limits.MaxSockets)
 	}
-	if least := smallestSatisfying(func(n int) bool { return s.fitsLimits(Limits{MemoryMB: float64(n), MaxSockets: unlimited}) }); limits.MemoryMB < float64(least) {
+	if least := smallestSatisfying(func(n int) bool { return s.fitsLimits(HostLimits{MemoryMB: float64(n), MaxSockets: unlimited}) }); limits.MemoryMB < float64(least) {
 		addf("deployment.machine_limits.memory_mb must be at least %d, is %v", least, limits.MemoryMB)
 	}
 }
--- a/internal/settings/budget_test.go
+++ b/internal/settings/budget_test.go
@@ -6,7 +6,7 @@
 
 // The allocations of a budget add up to the limits, and none is negative.
 func TestBudgetAddsUp(t *testing.T) {
-	for _, limits := range []Limits{
+	for _, limits := range []HostLimits{
 		{MemoryMB: 65, MaxSockets: 1000},
 		{MemoryMB: 212, MaxSockets: 5000},
 		{MemoryMB: 322, MaxSockets: 3163},
--- a/internal/settings/derived_test.go
+++ b/internal/settings/derived_test.go
@@ -13,7 +13,7 @@
 		{HeartbeatS: 0.5, LeaseS: 4, CancelS: 9},
 		{HeartbeatS: 10, LeaseS: 40, CancelS: 41},
 	} {
-		settings := Settings{Operator: DefaultOperator(), Deployment: Deployment{Workers: workers, Store: StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12}, Cloud: Cloud{RPS: 5, ListLagS: 5}, Limits: Limits{MemoryMB: 100, MaxSockets: 100}}}
+		settings := Settings{Operator: DefaultOperator(), Deployment: Deployment{Workers: workers, Store: StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12}, Cloud: Cloud{RPS: 5, ListLagS: 5}, Limits: HostLimits{MemoryMB: 100, MaxSockets: 100}}}
 		derived := settings.Derive()
 		if derived.Election.LeaseValidity >= derived.Election.LeaseDuration {
 			t.Errorf("%+v: the leader may rely on its lease after the lease expired", workers)
@@ -45,7 +45,7 @@
 	settings := Settings{Operator: DefaultOperator(), Deployment: Deployment{
 		Workers: Workers{HeartbeatS: 2, LeaseS: 20, CancelS: 40},
 		Store:   StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 32, TxnOps: 12},
-		Cloud:   Cloud{RPS: 5, ListLagS: 5}, Limits: Limits{MemoryMB: 100, MaxSockets: 100},
+		Cloud:   Cloud{RPS: 5, ListLagS: 5}, Limits: HostLimits{MemoryMB: 100, MaxSockets: 100},
 	}}
 	current := settings.Derive()
 	settings.Deployment.Store.Next = &UpcomingStoreLimits{ValueKB: &valueKB, WriteRPS: &writes, TxnOps: &ops}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -45,7 +45,7 @@
 	Workers         Workers     `toml:"workers"`
 	Store           StoreLimits `toml:"state"`
 	Cloud           Cloud       `toml:"cloud"`
-	Limits          Limits      `toml:"machine_limits"`
+	Limits          HostLimits  `toml:"machine_limits"`
 }
 
 // Team holds the guaranteed resources of a team and its limits. A limit of 0 means no limit.
@@ -135,8 +135,8 @@
 	ListLagS float64 `toml:"list_lag_s"` // maximum age of the machine list
 }
 
-// Limits holds the resources of its host that one controller may use.
-type Limits struct {
+// HostLimits holds the resources of its host that one controller may use.
+type HostLimits struct {
 	Cores      float64 `toml:"cores"`
 	MemoryMB   float64 `toml:"memory_mb"`
 	MaxSockets int     `toml:"max_sockets"`
