--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -33,10 +33,10 @@
 	Workers   WorkerTiming
 	Detection FailureDetection
 	Election  ElectionTiming
-	Leader    LeaderPacing
+	Leader    LeaderTiming
 	Store     StoreBudget
 	API       APILimits
-	Cloud     CloudPacing
+	Cloud     CloudTiming
 	Host      HostBudget
 }
 
@@ -100,8 +100,8 @@
 	LeaseValidity time.Duration
 }
 
-// LeaderPacing is the timing of the leader's own work.
-type LeaderPacing struct {
+// LeaderTiming is the timing of the leader's own work.
+type LeaderTiming struct {
 	// ControlInterval is the period of the control loop: the heartbeat interval, or the
 	// leadership lease if that is shorter.
 	ControlInterval time.Duration
@@ -160,8 +160,8 @@
 	QueueLength int
 }
 
-// CloudPacing is the timing of requests to the cloud.
-type CloudPacing struct {
+// CloudTiming is the timing of requests to the cloud.
+type CloudTiming struct {
 	RequestTimeout time.Duration // twice ListLag
 	ListInterval   time.Duration // between two reads of the machine list: half of ListLag
 	ListLag        time.Duration // maximum age of the machine list that the cloud returns: list_lag_s
@@ -216,8 +216,8 @@
 	}
 }
 
-func (s *Settings) deriveLeader(election ElectionTiming) LeaderPacing {
-	return LeaderPacing{
+func (s *Settings) deriveLeader(election ElectionTiming) LeaderTiming {
+	return LeaderTiming{
 		ControlInterval: min(seconds(s.Deployment.Workers.HeartbeatS), election.LeaseDuration),
 		FlushInterval:   seconds(writesPerFlush / s.Deployment.Store.Effective().WriteRPS),
 		StarvationLimit: maxStartDelay / 2,
@@ -225,7 +225,7 @@
 	}
 }
 
-func (s *Settings) deriveWorkers(leader LeaderPacing) WorkerTiming {
+func (s *Settings) deriveWorkers(leader LeaderTiming) WorkerTiming {
 	workers := s.Deployment.Workers
 	heartbeat, lease, cancel := seconds(workers.HeartbeatS), seconds(workers.LeaseS), seconds(workers.CancelS)
 	return WorkerTiming{
@@ -277,9 +277,9 @@
 	}
 }
 
-func (s *Settings) deriveCloud(leader LeaderPacing) CloudPacing {
+func (s *Settings) deriveCloud(leader LeaderTiming) CloudTiming {
 	lag := seconds(s.Deployment.Cloud.ListLagS)
-	return CloudPacing{
+	return CloudTiming{
 		RequestTimeout:  2 * lag,
 		ListInterval:    lag / 2,
 		ListLag:         lag,
