--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -167,7 +167,7 @@
 		target := f.target()
 		f.cluster.world.Tracef("== target %s, effect %d", target, f.effect)
 		return f.cluster.world.Network.AddFaults(func(from, to, path string) emulator.Fault {
-			if path == emulator.Stream && f.effect == emulator.DeliverLate {
+			if path == emulator.StreamPath && f.effect == emulator.DeliverLate {
 				return emulator.Deliver
 			}
 			if (from == target || to == target) && match(from, to) {
@@ -267,7 +267,7 @@
 		target := f.target()
 		inside := func(host string) bool { return withTarget && host == target || f.cluster.world.ZoneOf(host) == zone }
 		return f.cluster.world.Network.AddFaults(func(from, to, path string) emulator.Fault {
-			if from != "user" && inside(from) != inside(to) && (path != emulator.Stream || f.effect != emulator.DeliverLate) {
+			if from != "user" && inside(from) != inside(to) && (path != emulator.StreamPath || f.effect != emulator.DeliverLate) {
 				return f.effect
 			}
 			return emulator.Deliver
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -53,7 +53,7 @@
 			runCluster(t, nil, func(c *cluster) {
 				c.world.Network.Lateness = late
 				deliverTwice := func(_, _, path string) emulator.Fault {
-					if path == emulator.Stream {
+					if path == emulator.StreamPath {
 						return emulator.Deliver
 					}
 					return emulator.DeliverTwice
@@ -186,7 +186,7 @@
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
-			if path == emulator.Stream {
+			if path == emulator.StreamPath {
 				return emulator.RefuseConnection
 			}
 			return emulator.Deliver
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -82,7 +82,7 @@
 		c.runServiceAndBatch()
 		old := c.leader()
 		c.world.Network.SetFaults(func(from, to, path string) emulator.Fault {
-			if path == emulator.Stream {
+			if path == emulator.StreamPath {
 				return emulator.RefuseConnection
 			}
 			return emulator.Deliver
--- a/internal/emulator/streams.go
+++ b/internal/emulator/streams.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Stream is the path that fault rules see for messages between controllers.
-const Stream = "stream"
+// StreamPath is the path that fault rules see for messages between controllers.
+const StreamPath = "stream"
 
 // listener implements net.Listener for the stream connections of a host.
 type listener struct {
@@ -58,7 +58,7 @@
 	n.mu.Lock()
 	target, targetHost := n.streams[addr], n.names[addr]
 	n.mu.Unlock()
-	if target == nil || n.faultOf(from, targetHost, Stream) != Deliver {
+	if target == nil || n.faultOf(from, targetHost, StreamPath) != Deliver {
 		return nil, dialError(syscall.ECONNREFUSED)
 	}
 	localConn, remoteConn := net.Pipe()
@@ -79,7 +79,7 @@
 }
 
 func (s *stream) Write(p []byte) (int, error) {
-	if s.network.faultOf(s.from, s.to, Stream) != Deliver {
+	if s.network.faultOf(s.from, s.to, StreamPath) != Deliver {
 		return len(p), nil
 	}
 	return s.Conn.Write(p)
