--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -163,7 +163,7 @@
 		c.world.SetCapacity(3)
 		c.runServiceAndBatch()
 		var first atomic.Bool
-		c.world.Network.Lateness = 55 * time.Second
+		c.world.Network.Delay = 55 * time.Second
 		end, held := c.injectFault(func(_, to, path string) emulator.Fault {
 			if path == "/orders" && first.CompareAndSwap(false, true) {
 				return emulator.DeliverLate
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -248,7 +248,7 @@
 		t.Run(late.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.runServiceAndBatch()
-				c.world.Network.Lateness = late
+				c.world.Network.Delay = late
 				end, hits := c.injectFault(func(from, _, path string) emulator.Fault {
 					if path == "/v1/report" && isMachine(from) {
 						return emulator.DeliverTwice
@@ -285,7 +285,7 @@
 func TestTransactionsAppliedLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		var n, tries atomic.Int64
-		c.world.Network.LatenessOf = func(_, _, path string) time.Duration {
+		c.world.Network.DelayOf = func(_, _, path string) time.Duration {
 			return 2*time.Second + time.Duration(n.Add(1)*2731%10000)*time.Millisecond
 		}
 		end, hits := c.injectFault(func(_, _, path string) emulator.Fault {
@@ -365,7 +365,7 @@
 func TestOverCapacityWithSlowNetwork(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
-		c.world.Network.Lateness = 700 * time.Millisecond
+		c.world.Network.Delay = 700 * time.Millisecond
 		end, hits := c.injectFault(func(from, to, path string) emulator.Fault {
 			if isMachine(from) || isMachine(to) {
 				return emulator.DeliverSlowly
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -163,7 +163,7 @@
 		c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 4) == 4 })
 		c.submit("perch-0", batchJob("j-2", 4, 30)) // occupies and then frees capacity beside j-1
 		c.waitForDone(120*time.Second, "j-2")
-		c.world.Network.Lateness = 15 * time.Second
+		c.world.Network.Delay = 15 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
 				return emulator.DeliverLate
@@ -187,7 +187,7 @@
 		c.submit("perch-0", batchJob("j-1", 4, 10))
 		c.waitForDone(60*time.Second, "j-1")
 		old := c.leader()
-		c.world.Network.Lateness = 8 * time.Second
+		c.world.Network.Delay = 8 * time.Second
 		c.world.Network.SetFaults(func(from, _, path string) emulator.Fault {
 			if from == old && path == "/commit" {
 				return emulator.DeliverLate
@@ -220,7 +220,7 @@
 		if follower == c.leader() {
 			follower = c.names[1]
 		}
-		c.world.Network.Lateness = 3 * time.Second
+		c.world.Network.Delay = 3 * time.Second
 		c.world.Network.SetFaults(func(from, _, path string) emulator.Fault {
 			if from == follower && path == "/commit" {
 				return emulator.DeliverLate
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -47,7 +47,7 @@
 		cluster: c, random: random, seed: seed, users: newSimulatedUsers(c),
 		faults: &faultSchedule{cluster: c, random: random, seed: seed},
 	}
-	c.world.Network.LatenessOf = scenario.lateness
+	c.world.Network.DelayOf = scenario.lateness
 	c.world.SetCapacity(8)
 	for number := range 26 {
 		scenario.scheduleJob(number)
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -92,7 +92,7 @@
 		}
 	}
 	repeatCommands := func(c *cluster) {
-		c.world.Network.Lateness = 25 * time.Second
+		c.world.Network.Delay = 25 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
 				return emulator.DeliverTwice
@@ -101,7 +101,7 @@
 		})
 	}
 	repeatHeartbeats := func(c *cluster) {
-		c.world.Network.Lateness = 25 * time.Second
+		c.world.Network.Delay = 25 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/v1/report" {
 				return emulator.DeliverTwice
@@ -111,7 +111,7 @@
 	}
 	delayCommands := func(c *cluster) {
 		n := 0
-		c.world.Network.Lateness = 10 * time.Second
+		c.world.Network.Delay = 10 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if n++; path == "/orders" && n%3 == 0 {
 				return emulator.DeliverLate
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -51,7 +51,7 @@
 	for _, late := range []time.Duration{3 * time.Second, 12 * time.Second, 35 * time.Second, 70 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
-				c.world.Network.Lateness = late
+				c.world.Network.Delay = late
 				deliverTwice := func(_, _, path string) emulator.Fault {
 					if path == emulator.StreamPath {
 						return emulator.Deliver
@@ -94,7 +94,7 @@
 		longJob.Spot = false
 		c.submit("perch-0", longJob)
 		c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 1) == 1 })
-		c.world.Network.Lateness = 60 * time.Second
+		c.world.Network.Delay = 60 * time.Second
 		c.world.Network.SetFaults(func(_, _, path string) emulator.Fault {
 			if path == "/orders" {
 				return emulator.DeliverTwice
@@ -228,7 +228,7 @@
 	}
 	zone := c.world.ZoneOf(c.world.MachinesOf("j-1/0")[0])
 	isolated := func(host string) bool { return host == controllerName || c.world.ZoneOf(host) == zone }
-	c.world.Network.Lateness = 40 * time.Second
+	c.world.Network.Delay = 40 * time.Second
 	c.world.Network.SetFaults(func(from, to, _ string) emulator.Fault {
 		if from != "user" && isolated(from) != isolated(to) {
 			return fault
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -19,7 +19,7 @@
 func TestOverloadWithSlowStore(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Limits.MaxSockets = 256 }
 	runCluster(t, adjust, func(c *cluster) {
-		c.world.Network.Lateness = 700 * time.Millisecond // of responses by DeliverSlowly
+		c.world.Network.Delay = 700 * time.Millisecond // of responses by DeliverSlowly
 		c.runServiceAndBatch()
 		leader, starts := c.leader(), c.world.TaskStarts()
 		end, hits := c.injectFault(func(_, to, _ string) emulator.Fault {
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
-		network.Lateness = testTiming.ValidFor * 7 / 10 // the delay of DeliverSlowly
+		network.Delay = testTiming.ValidFor * 7 / 10 // the delay of DeliverSlowly
 		elector := startElector(t, network, "perch-0", grantingAfter(0, false))
 		time.Sleep(time.Second)
 		network.SetFaults(func(_, _, path string) emulator.Fault {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -60,9 +60,9 @@
 	return Deliver
 }
 
-func (n *Network) latenessOf(from, to, path string) time.Duration {
-	if n.LatenessOf != nil {
-		return n.LatenessOf(from, to, path)
+func (n *Network) delayOf(from, to, path string) time.Duration {
+	if n.DelayOf != nil {
+		return n.DelayOf(from, to, path)
 	}
-	return n.Lateness
+	return n.Delay
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -9,8 +9,8 @@
 // Network carries requests and streams between named hosts and applies fault rules to them. Its
 // methods are safe for concurrent use.
 type Network struct {
-	Lateness   time.Duration                             // delay of late, slow and repeated messages
-	LatenessOf func(from, to, path string) time.Duration // delay of each such message; nil means the same for all
+	Delay   time.Duration                             // delay of late, slow and repeated messages
+	DelayOf func(from, to, path string) time.Duration // delay of each such message; nil means the same for all
 
 	mu         sync.Mutex
 	hosts      map[string]http.Handler // request handlers by address
@@ -26,7 +26,7 @@
 func NewNetwork() *Network {
 	return &Network{
 		hosts: map[string]http.Handler{}, names: map[string]string{}, streams: map[string]*listener{},
-		Lateness: time.Minute,
+		Delay: time.Minute,
 	}
 }
 
--- a/internal/emulator/transport.go
+++ b/internal/emulator/transport.go
@@ -26,7 +26,7 @@
 	addr, path := req.URL.Host, req.URL.Path
 	handler, targetHost := t.network.handlerAt(addr)
 	fault := t.network.faultOf(t.host, targetHost, path)
-	lateness := t.network.latenessOf(t.host, targetHost, path)
+	delay := t.network.delayOf(t.host, targetHost, path)
 	ctx := req.Context()
 	switch {
 	case fault == DropRequest:
@@ -36,13 +36,13 @@
 		return nil, dialError(syscall.ECONNREFUSED)
 	}
 	if fault == DeliverTwice {
-		t.deliverAgain(addr, t.serverRequest(req, body), lateness)
+		t.deliverAgain(addr, t.serverRequest(req, body), delay)
 	}
-	delay := time.Duration(0)
+	deliveryDelay := time.Duration(0)
 	if fault == DeliverLate || fault == DeliverSlowly {
-		delay = lateness
+		deliveryDelay = delay
 	}
-	response := t.deliver(handler, t.serverRequest(req, body), delay)
+	response := t.deliver(handler, t.serverRequest(req, body), deliveryDelay)
 	if fault == DropResponse || fault == DeliverLate {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -103,9 +103,9 @@
 
 // deliverAgain executes a copy of a request after the delay, on the host that is at the
 // address by then.
-func (t *hostTransport) deliverAgain(addr string, request *http.Request, lateness time.Duration) {
+func (t *hostTransport) deliverAgain(addr string, request *http.Request, delay time.Duration) {
 	t.network.deliveries.Go(func() {
-		time.Sleep(lateness)
+		time.Sleep(delay)
 		if handler, _ := t.network.handlerAt(addr); handler != nil {
 			handler.ServeHTTP(httptest.NewRecorder(), request)
 		}
