--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -530,7 +530,7 @@
 		c.advance(2 * time.Second)
 		// A job that an earlier version accepted stays accepted.
 		acceptedEarlier := changedSpec(func(spec *jobs.Spec) { spec.ID, spec.Zone = "j-8", "a" })
-		c.world.NoteSubmitted("j-8")
+		c.world.RecordSubmission("j-8")
 		c.world.Store.Put("job/j-8", []byte(`{"stance":"queued","tasks":2}`))
 		if status, view := c.request("POST", "perch-1", "/v1/jobs", acceptedEarlier); status != http.StatusOK || view["stance"] != jobs.Queued {
 			t.Errorf("job accepted by an earlier version: %d %v", status, view)
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -118,7 +118,7 @@
 		old.Types = spec.Types
 		raw, _ := json.Marshal(jobs.Record{State: jobs.Queued, Tasks: 2, Spec: old})
 		c.world.Store.Put("job/j-2", raw)
-		c.world.NoteSubmitted("j-2")
+		c.world.RecordSubmission("j-2")
 		c.world.UploadSpec(old)
 		c.waitFor(60*time.Second, "j-2 running", func() bool { return c.tasksOnMachines("j-2", 2) == 2 })
 		c.cancelJob("perch-1", "j-2")
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -69,8 +69,8 @@
 	return history, *history
 }
 
-// NoteSubmitted records that a user submitted a job before the emulation started.
-func (w *World) NoteSubmitted(id string) {
+// RecordSubmission records that a user submitted a job before the emulation started.
+func (w *World) RecordSubmission(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.traceLog.userHistories[id] = &userHistory{submitted: true}
