--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -319,7 +319,7 @@
 			t.Errorf("%d transactions were delayed, %d reached the store", hits(), c.world.Store.RequestCount("/commit")-before)
 		}
 		c.waitFor(3*time.Minute, "all jobs finished", func() bool {
-			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return c.world.Accepted(spec.ID) && !users.toldFinished(spec.ID) })
+			return !slices.ContainsFunc(all, func(spec *jobs.Spec) bool { return c.world.IsJobAccepted(spec.ID) && !users.toldFinished(spec.ID) })
 		})
 		users.stop()
 	})
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -151,12 +151,12 @@
 				}
 				c.waitFor(4*time.Minute, "all jobs finished", func() bool {
 					return !slices.ContainsFunc(scenario.finiteJobs, func(spec *jobs.Spec) bool {
-						return c.world.Accepted(spec.ID) && !scenario.users.toldFinished(spec.ID)
+						return c.world.IsJobAccepted(spec.ID) && !scenario.users.toldFinished(spec.ID)
 					})
 				})
 				c.waitFor(30*time.Second, "services running", func() bool {
 					return !slices.ContainsFunc(scenario.services, func(spec *jobs.Spec) bool {
-						return c.world.Accepted(spec.ID) && c.tasksOnMachines(spec.ID, spec.Tasks) != spec.Tasks
+						return c.world.IsJobAccepted(spec.ID) && c.tasksOnMachines(spec.ID, spec.Tasks) != spec.Tasks
 					})
 				})
 				scenario.users.stop()
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -127,8 +127,8 @@
 	return ids
 }
 
-// Accepted reports whether a user was told that a job is accepted.
-func (w *World) Accepted(id string) bool {
+// IsJobAccepted reports whether a user was told that a job is accepted.
+func (w *World) IsJobAccepted(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.traceLog.userHistories[id] != nil && w.traceLog.userHistories[id].accepted
