--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -143,7 +143,7 @@
 	takeover := view.Takeover
 	fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n",
 		takeover.Phase, takeover.Expected, takeover.Reported, takeover.Overdue, takeover.NeverReported)
-	fmt.Fprintf(w, "picture\t%.1f s old, %d records to write\n", view.PictureS, view.WriteQueue)
+	fmt.Fprintf(w, "picture\t%.1f s old, %d records to write\n", view.RecordsAgeS, view.WriteQueue)
 	fmt.Fprintf(w, "\nCLASS\tJOBS\tWAITING\tPLACED\tDONE\n")
 	for _, class := range view.Classes {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", class.Class, class.Jobs, class.Waiting, class.Placed, class.Done)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -85,7 +85,7 @@
 // collectLeader emits the leader's observed state of machines, tasks and teams.
 func collectLeader(gauge gaugeFunc, status *leader.Status) {
 	gauge(tokenDesc, float64(status.Token))
-	gauge(recordsAgeDesc, status.PictureS)
+	gauge(recordsAgeDesc, status.RecordsAgeS)
 	gauge(verdictsOnHoldDesc, boolToFloat(status.Held))
 	gauge(fullDisruptionDesc, boolToFloat(status.Disrupted))
 	gauge(writeQueueDesc, float64(status.WriteQueue))
