--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -86,7 +86,7 @@
 func collectLeader(gauge gaugeFunc, status *leader.Status) {
 	gauge(tokenDesc, float64(status.Token))
 	gauge(recordsAgeDesc, status.RecordsAgeS)
-	gauge(verdictsOnHoldDesc, boolToFloat(status.Held))
+	gauge(verdictsOnHoldDesc, boolToFloat(status.VerdictsOnHold))
 	gauge(fullDisruptionDesc, boolToFloat(status.Disrupted))
 	gauge(writeQueueDesc, float64(status.WriteQueue))
 	machinesByState := map[string]float64{}
