--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -139,7 +139,7 @@
 // showView prints the leader's own state, followed by tables of job classes, teams and machines.
 func showView(w io.Writer, view *leader.Status) {
 	fmt.Fprintf(w, "term\t%d, token %d\n", view.Term, view.Token)
-	fmt.Fprintf(w, "verdicts\theld %v, every zone dead %v\n", view.VerdictsOnHold, view.Disrupted)
+	fmt.Fprintf(w, "verdicts\theld %v, every zone dead %v\n", view.VerdictsOnHold, view.FullDisruption)
 	takeover := view.Takeover
 	fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n",
 		takeover.Phase, takeover.Expected, takeover.Reported, takeover.Overdue, takeover.NeverReported)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -87,7 +87,7 @@
 	gauge(tokenDesc, float64(status.Token))
 	gauge(recordsAgeDesc, status.RecordsAgeS)
 	gauge(verdictsOnHoldDesc, boolToFloat(status.VerdictsOnHold))
-	gauge(fullDisruptionDesc, boolToFloat(status.Disrupted))
+	gauge(fullDisruptionDesc, boolToFloat(status.FullDisruption))
 	gauge(writeQueueDesc, float64(status.WriteQueue))
 	machinesByState := map[string]float64{}
 	for _, machine := range status.Machines {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -16,7 +16,7 @@
 	Token          uint64          `json:"token"`
 	RecordsAgeS    float64         `json:"pictureS"` // age of the view of the job records
 	VerdictsOnHold bool            `json:"held"`
-	Disrupted      bool            `json:"disrupted"`
+	FullDisruption bool            `json:"disrupted"`
 	WriteQueue     int             `json:"writeQueue"` // number of records that wait to be written
 	Machines       []MachineStatus `json:"machines"`
 	Classes        []ClassStatus   `json:"classes"`
@@ -67,7 +67,7 @@
 func (l *Leader) status(now time.Time) *Status {
 	return &Status{
 		Term: l.fencing.TermToken, Token: l.fencing.Current, RecordsAgeS: l.jobs.Age(now).Seconds(),
-		VerdictsOnHold: l.detector.VerdictsOnHold(now), Disrupted: l.detector.FullDisruption(),
+		VerdictsOnHold: l.detector.VerdictsOnHold(now), FullDisruption: l.detector.FullDisruption(),
 		WriteQueue: l.writer.QueueLength(),
 		Machines:   l.machineStatuses(now), Classes: l.classStatuses(), Teams: l.teamStatuses(),
 		Takeover: l.failover.Progress(now),
