--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -140,7 +140,7 @@
 func showView(w io.Writer, view *leader.Status) {
 	fmt.Fprintf(w, "term\t%d, token %d\n", view.Term, view.Token)
 	fmt.Fprintf(w, "verdicts\theld %v, every zone dead %v\n", view.VerdictsOnHold, view.FullDisruption)
-	takeover := view.Takeover
+	takeover := view.Failover
 	fmt.Fprintf(w, "take-over\t%s: %d machines expected, %d heard, %d late, %d never\n",
 		takeover.Phase, takeover.Expected, takeover.Reported, takeover.Overdue, takeover.NeverReported)
 	fmt.Fprintf(w, "picture\t%.1f s old, %d records to write\n", view.RecordsAgeS, view.WriteQueue)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -392,7 +392,7 @@
 func (c *cluster) failoverProgress() reconcile.Progress {
 	for _, name := range c.names {
 		if status := c.incarnations[name].controller.leaderHandle.Status(c.ctx); status != nil {
-			return status.Takeover
+			return status.Failover
 		}
 	}
 	return reconcile.Progress{}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -62,7 +62,7 @@
 		collectRecovery(gauge, recovery)
 	}
 	collectLeader(gauge, status.View)
-	collectFailover(gauge, status.View.Takeover)
+	collectFailover(gauge, status.View.Failover)
 }
 
 func boolToFloat(b bool) float64 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -21,8 +21,8 @@
 	Machines       []MachineStatus `json:"machines"`
 	Classes        []ClassStatus   `json:"classes"`
 	Teams          []TeamStatus    `json:"teams"`
-	// Takeover is the progress of the failover to this leader.
-	Takeover reconcile.Progress `json:"takeover"`
+	// Failover is the progress of the failover to this leader.
+	Failover reconcile.Progress `json:"takeover"`
 }
 
 // MachineStatus is the status of one machine.
@@ -70,7 +70,7 @@
 		VerdictsOnHold: l.detector.VerdictsOnHold(now), FullDisruption: l.detector.FullDisruption(),
 		WriteQueue: l.writer.QueueLength(),
 		Machines:   l.machineStatuses(now), Classes: l.classStatuses(), Teams: l.teamStatuses(),
-		Takeover: l.failover.Progress(now),
+		Failover: l.failover.Progress(now),
 	}
 }
 
