--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -35,7 +35,7 @@
 	Session uint64  `json:"session"`
 	Tasks   int     `json:"tasks"`
 	CPUs    float64 `json:"cpus"` // used by tasks that are, or may be, on the machine
-	Doubt   bool    `json:"doubt"`
+	InDoubt bool    `json:"doubt"`
 }
 
 // ClassStatus sums up the unfinished jobs of one class.
@@ -80,7 +80,7 @@
 		statuses = append(statuses, MachineStatus{
 			ID: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, State: l.machineState(machine, now),
 			Session: machine.Worker.Session, Tasks: len(machine.Assignments), CPUs: machine.Used.CPUs,
-			Doubt: !machine.Commands.InDoubtSince.IsZero(),
+			InDoubt: !machine.Commands.InDoubtSince.IsZero(),
 		})
 	}
 	slices.SortFunc(statuses, func(a, b MachineStatus) int { return cmp.Compare(a.ID, b.ID) })
