--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -129,7 +129,7 @@
 // showStatus prints a controller's status and, if it is the leader, the leader's view.
 func showStatus(out io.Writer, status controller.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "node\t%s (%s)\nleader\t%s\n", status.Node, status.Zone, orNoneKnown(status.Leader))
+	fmt.Fprintf(w, "node\t%s (%s)\nleader\t%s\n", status.ControllerName, status.Zone, orNoneKnown(status.Leader))
 	if status.View != nil {
 		showView(w, status.View)
 	}
--- a/cmd/ospreyslip/status_test.go
+++ b/cmd/ospreyslip/status_test.go
@@ -41,8 +41,8 @@
 // The command shows the leader's status if the leader answers, otherwise the first answer, and names
 // the controllers that do not answer.
 func TestStatusPrefersLeader(t *testing.T) {
-	follower := serveStatus(t, controller.Status{Node: "perch-0", Zone: "a", Leader: "perch-1"})
-	leading := serveStatus(t, controller.Status{Node: "perch-1", Zone: "b", Leader: "perch-1", Leading: true, View: &leader.Status{Term: 7, Token: 9}})
+	follower := serveStatus(t, controller.Status{ControllerName: "perch-0", Zone: "a", Leader: "perch-1"})
+	leading := serveStatus(t, controller.Status{ControllerName: "perch-1", Zone: "b", Leader: "perch-1", Leading: true, View: &leader.Status{Term: 7, Token: 9}})
 	absent := unusedAddr(t)
 	for _, tc := range []struct {
 		name  string
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -18,7 +18,7 @@
 // controller is elected.
 func (c *Controller) campaign(ctx context.Context) {
 	deps := leader.Deps{
-		Settings: c.settings, Derived: c.derived, Node: c.settings.Node,
+		Settings: c.settings, Derived: c.derived, ControllerName: c.settings.Node,
 		Store: c.store, Cloud: c.cloud, Workers: c.workers, Cache: c.cache, Counts: c.jobCounts, MachineTypes: c.machineTypes.types,
 		IsLeader: c.elector.IsLeader, PeerLeasesRequestedAt: c.elector.PeerLeasesRequestedAt, TokenRaised: c.elector.ObserveRaisedToken,
 		Peers: c.peers, Broadcast: c.broadcastUpdate,
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,17 +8,17 @@
 
 // Status is a controller's status as shown to operators.
 type Status struct {
-	Node    string         `json:"node"`
-	Zone    string         `json:"zone"`
-	Leader  string         `json:"leader"` // as known to this controller; empty if unknown
-	Leading bool           `json:"leading"`
-	View    *leader.Status `json:"view,omitempty"` // set only on the leader
+	ControllerName string         `json:"node"`
+	Zone           string         `json:"zone"`
+	Leader         string         `json:"leader"` // as known to this controller; empty if unknown
+	Leading        bool           `json:"leading"`
+	View           *leader.Status `json:"view,omitempty"` // set only on the leader
 }
 
 // status returns this controller's status, with that of the event loop if this controller leads.
 func (c *Controller) status(ctx context.Context) Status {
 	return Status{
-		Node: c.settings.Node, Zone: c.settings.Zone, Leader: c.elector.Leader(), Leading: c.elector.IsLeader(),
+		ControllerName: c.settings.Node, Zone: c.settings.Zone, Leader: c.elector.Leader(), Leading: c.elector.IsLeader(),
 		View: c.leaderHandle.Status(ctx),
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -45,7 +45,7 @@
 	Counts                *Counts
 	Cache                 *jobcache.Cache // what this controller knows of all jobs
 	Peers                 recoverer.PeerClient
-	Node                  string
+	ControllerName        string
 }
 
 // Leader does the work of one term. One goroutine, the event loop, owns all of it but the inbox
--- a/internal/leader/recoverer/comparison.go
+++ b/internal/leader/recoverer/comparison.go
@@ -64,7 +64,7 @@
 		}
 		c.knowledge.addLeaderState(lost.ID)
 		record := decodeRecord(c.cfg.Cache.UnfinishedRecord(lost.ID))
-		c.knowledge.addCached(lost.ID, recovery.FromCache(c.cfg.Node), lost.State, lost.Tasks, record)
+		c.knowledge.addCached(lost.ID, recovery.FromCache(c.cfg.ControllerName), lost.State, lost.Tasks, record)
 	}
 	c.cacheDone = !more
 }
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -91,7 +91,7 @@
 // controller's cache has learnt about it since.
 func (k *knowledge) refresh(id string) (known recovery.Knowledge, found bool) {
 	if cached, inCache := k.cfg.Cache.Known(id); inCache && cached.Finished() {
-		k.addCached(id, recovery.FromCache(k.cfg.Node), cached.State, cached.Tasks, nil)
+		k.addCached(id, recovery.FromCache(k.cfg.ControllerName), cached.State, cached.Tasks, nil)
 	}
 	if job := k.held.byID[id]; job != nil {
 		return job.known.Join(k.lost[id]), true
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -190,7 +190,7 @@
 	case r.cfg.Cache.RecordRevision(id) == 0:
 		count.Missing++
 		r.knowledge.lost.Merge(id, snapshotKnowledge)
-		r.knowledge.addCached(id, recovery.FromCache(r.cfg.Node), known.State, known.Tasks, nil)
+		r.knowledge.addCached(id, recovery.FromCache(r.cfg.ControllerName), known.State, known.Tasks, nil)
 	default:
 		count.Same++
 	}
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -38,10 +38,10 @@
 
 // Config holds the settings and dependencies of a Recoverer. It is read only on the event loop.
 type Config struct {
-	Settings *settings.Settings
-	Derived  settings.Derived
-	Node     string        // this controller's name
-	Term     election.Term // as it was won; Leader.Tokens has the token if it was raised since
+	Settings       *settings.Settings
+	Derived        settings.Derived
+	ControllerName string        // this controller's name
+	Term           election.Term // as it was won; Leader.Tokens has the token if it was raised since
 	// AttemptBits is the number of low bits of an attempt number that are not its fencing token.
 	AttemptBits int
 
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -90,7 +90,7 @@
 	s := &scenario{leader: &fakeLeader{tokens: Tokens{Current: termToken, TermToken: termToken}}, machines: &state.Machines, now: now}
 	s.log = assignmentlog.New(assignmentlog.Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10})
 	s.Recoverer = New(Config{
-		Settings: set, Derived: set.Derive(), Node: "node-0", Term: election.Term{FencingToken: termToken, Since: now}, AttemptBits: 24,
+		Settings: set, Derived: set.Derive(), ControllerName: "node-0", Term: election.Term{FencingToken: termToken, Since: now}, AttemptBits: 24,
 		Store: store, Cache: jobcache.New(store, jobcache.Options{MinReadInterval: time.Second, IdleReadInterval: time.Second, SuspectFor: time.Second, CancellationsKept: 8}),
 		Peers:    unresponsivePeers(peers),
 		IsLeader: func() bool { return true }, Post: func(context.Context, func(time.Time)) {},
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -91,7 +91,7 @@
 		if _, isPending := w.knowledge.lost[lost.ID]; isPending || recordFinished || !w.knowledge.isOverInCache(lost) {
 			continue
 		}
-		w.knowledge.addCached(lost.ID, recovery.FromCache(w.cfg.Node), lost.State, lost.Tasks, nil)
+		w.knowledge.addCached(lost.ID, recovery.FromCache(w.cfg.ControllerName), lost.State, lost.Tasks, nil)
 		w.ranks[lost.ID] = rankDone
 		w.enqueue(lost.ID)
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -17,7 +17,7 @@
 // recoveryConfig returns the configuration of the leader's recovery.
 func recoveryConfig(l *Leader) recoverer.Config {
 	return recoverer.Config{
-		Settings: l.Settings, Derived: l.Derived, Node: l.Node, Term: l.term, AttemptBits: attemptBits,
+		Settings: l.Settings, Derived: l.Derived, ControllerName: l.ControllerName, Term: l.term, AttemptBits: attemptBits,
 		Store: l.Store, Cache: l.Cache, Peers: l.Peers,
 		IsLeader:      func() bool { return l.IsLeader() },
 		Post:          l.post,
