--- a/cmd/ospreyslip-operator/main_test.go
+++ b/cmd/ospreyslip-operator/main_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(state.Close)
 	follower := func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
-		_ = json.NewEncoder(w).Encode(recoverer.Status{Following: "perch-1"})
+		_ = json.NewEncoder(w).Encode(recoverer.Status{Leader: "perch-1"})
 	}
 	for _, handler := range []http.HandlerFunc{follower, leaderHandler} {
 		srv := httptest.NewServer(handler)
--- a/internal/controller/recovery_handlers.go
+++ b/internal/controller/recovery_handlers.go
@@ -25,7 +25,7 @@
 	defer cancel()
 	status, err := c.leaderHandle.Recovery(ctx)
 	if errors.Is(err, leader.ErrNotLeading) {
-		writeJSON(w, http.StatusMisdirectedRequest, recoverer.Status{Following: c.elector.Leader()})
+		writeJSON(w, http.StatusMisdirectedRequest, recoverer.Status{Leader: c.elector.Leader()})
 		return
 	}
 	if err != nil {
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -27,19 +27,19 @@
 
 // Status is the state of a recovery as shown to operators.
 type Status struct {
-	Phase     Phase                    `json:"phase"`
-	Since     time.Time                `json:"since,omitzero"`
-	Evidence  map[detection.Kind]int   `json:"evidence"`
-	Lost      int                      `json:"lost"`    // jobs with outdated or missing records
-	ToWrite   int                      `json:"toWrite"` // records still to be written
-	Written   map[recovery.Outcome]int `json:"written"`
-	Adopting  int                      `json:"adopting"` // jobs whose tasks are still being adopted
-	Peers     []PeerStatus             `json:"peers,omitempty"`
-	Held      int                      `json:"held"`
-	HeldJobs  []HeldStatus             `json:"heldJobs"` // the first maxHeldShown by job id
-	Events    []Event                  `json:"events"`
-	NotShown  int                      `json:"notShown,omitempty"` // dropped earlier events
-	Following string                   `json:"leader,omitempty"`   // leader to ask instead of this controller
+	Phase    Phase                    `json:"phase"`
+	Since    time.Time                `json:"since,omitzero"`
+	Evidence map[detection.Kind]int   `json:"evidence"`
+	Lost     int                      `json:"lost"`    // jobs with outdated or missing records
+	ToWrite  int                      `json:"toWrite"` // records still to be written
+	Written  map[recovery.Outcome]int `json:"written"`
+	Adopting int                      `json:"adopting"` // jobs whose tasks are still being adopted
+	Peers    []PeerStatus             `json:"peers,omitempty"`
+	Held     int                      `json:"held"`
+	HeldJobs []HeldStatus             `json:"heldJobs"` // the first maxHeldShown by job id
+	Events   []Event                  `json:"events"`
+	NotShown int                      `json:"notShown,omitempty"` // dropped earlier events
+	Leader   string                   `json:"leader,omitempty"`   // leader to ask instead of this controller
 }
 
 // PeerStatus says whether another controller has answered in the current comparison.
