--- a/cmd/ospreyslip-operator/import.go
+++ b/cmd/ospreyslip-operator/import.go
@@ -20,7 +20,7 @@
 // importer sends the jobs of a snapshot to the leader page by page.
 type importer struct {
 	client *leaderClient
-	page   recoverer.Import
+	page   recoverer.ImportRequest
 	bytes  int                // size of the jobs in page
 	total  recoverer.Imported // sum of the leader's results for the pages sent
 }
@@ -36,7 +36,7 @@
 	if own := cfg.ClusterID(); manifest.Cluster != own {
 		return fmt.Errorf("snapshot %s belongs to deployment %s, not to %s", path, manifest.Cluster, own)
 	}
-	sender := importer{client: client, page: recoverer.Import{Cluster: manifest.Cluster, Revision: manifest.Revision}}
+	sender := importer{client: client, page: recoverer.ImportRequest{Cluster: manifest.Cluster, Revision: manifest.Revision}}
 	for _, record := range contents.Records {
 		if err := sender.add(ctx, record); err != nil {
 			return err
--- a/cmd/ospreyslip-operator/main_test.go
+++ b/cmd/ospreyslip-operator/main_test.go
@@ -81,9 +81,9 @@
 
 // Snapshots are taken, pruned to --keep, verified, shown and imported page by page.
 func TestSnapshotCommands(t *testing.T) {
-	var imported []recoverer.Import
+	var imported []recoverer.ImportRequest
 	env := newOperatorEnvironment(t, func(w http.ResponseWriter, r *http.Request) {
-		var request recoverer.Import
+		var request recoverer.ImportRequest
 		if err := json.NewDecoder(r.Body).Decode(&request); err != nil || r.URL.Path != "/recovery/import" {
 			t.Errorf("%s: %v", r.URL.Path, err)
 		}
--- a/internal/controller/recovery_handlers.go
+++ b/internal/controller/recovery_handlers.go
@@ -39,7 +39,7 @@
 const maxRequestBytes = 1 << 20
 
 func (c *Controller) importSnapshot(w http.ResponseWriter, r *http.Request) {
-	var request recoverer.Import
+	var request recoverer.ImportRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -123,7 +123,7 @@
 
 // importSnapshot imports a snapshot at the leader.
 func (c *cluster) importSnapshot(taken *snapshot.Snapshot) (recoverer.Imported, error) {
-	request := recoverer.Import{Cluster: taken.Manifest.Cluster, Revision: taken.Manifest.Revision}
+	request := recoverer.ImportRequest{Cluster: taken.Manifest.Cluster, Revision: taken.Manifest.Revision}
 	for _, record := range taken.Records {
 		if strings.HasPrefix(record.Key, jobs.RecordPrefix) {
 			request.Jobs = append(request.Jobs, recoverer.SnapshotFact{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -112,8 +112,8 @@
 	Record json.RawMessage `json:"record"`
 }
 
-// Import is a part of a snapshot that is sent to the leader.
-type Import struct {
+// ImportRequest is a part of a snapshot that is sent to the leader.
+type ImportRequest struct {
 	Cluster  string         `json:"cluster"`
 	Revision uint64         `json:"revision"` // revision of the snapshot
 	Jobs     []SnapshotFact `json:"jobs"`
@@ -144,7 +144,7 @@
 // Import compares a part of a snapshot with the records and with what is known, and starts a
 // recovery if records are missing or say less. It returns an error that wraps recovery.ErrRefused
 // if the snapshot is of another deployment, and ErrNotReady before all records are read.
-func (r *Recoverer) Import(in Import, now time.Time) (count Imported, err error) {
+func (r *Recoverer) Import(in ImportRequest, now time.Time) (count Imported, err error) {
 	if own := r.cfg.Settings.ClusterID(); in.Cluster != own {
 		return count, fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -100,7 +100,7 @@
 
 // Import imports a part of a snapshot. It fails with ErrNotLeading, an error of ctx, or one that
 // recoverer.Recoverer.Import documents.
-func (h *Handle) Import(ctx context.Context, part recoverer.Import) (recoverer.Imported, error) {
+func (h *Handle) Import(ctx context.Context, part recoverer.ImportRequest) (recoverer.Imported, error) {
 	type answer struct {
 		recoverer.Imported
 		err error
