--- a/cmd/ospreyslip-operator/import.go
+++ b/cmd/ospreyslip-operator/import.go
@@ -21,8 +21,8 @@
 type importer struct {
 	client *leaderClient
 	page   recoverer.ImportRequest
-	bytes  int                // size of the jobs in page
-	total  recoverer.Imported // sum of the leader's results for the pages sent
+	bytes  int                    // size of the jobs in page
+	total  recoverer.ImportResult // sum of the leader's results for the pages sent
 }
 
 // importFile sends the jobs of a snapshot to the leader, page by page, and prints the result. It
@@ -67,7 +67,7 @@
 
 // flush sends the page, even if it is empty, and starts a new one.
 func (s *importer) flush(ctx context.Context) error {
-	var found recoverer.Imported
+	var found recoverer.ImportResult
 	if err := s.client.do(ctx, http.MethodPost, "/recovery/import", s.page, &found); err != nil {
 		return err
 	}
--- a/cmd/ospreyslip-operator/main_test.go
+++ b/cmd/ospreyslip-operator/main_test.go
@@ -88,7 +88,7 @@
 			t.Errorf("%s: %v", r.URL.Path, err)
 		}
 		imported = append(imported, request)
-		_ = json.NewEncoder(w).Encode(recoverer.Imported{Same: len(request.Jobs)})
+		_ = json.NewEncoder(w).Encode(recoverer.ImportResult{Same: len(request.Jobs)})
 	})
 	value := fmt.Sprintf(`{"stance":"done","tasks":2,"x":%q}`, strings.Repeat("x", 1000))
 	for i := range 700 {
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -122,7 +122,7 @@
 }
 
 // importSnapshot imports a snapshot at the leader.
-func (c *cluster) importSnapshot(taken *snapshot.Snapshot) (recoverer.Imported, error) {
+func (c *cluster) importSnapshot(taken *snapshot.Snapshot) (recoverer.ImportResult, error) {
 	request := recoverer.ImportRequest{Cluster: taken.Manifest.Cluster, Revision: taken.Manifest.Revision}
 	for _, record := range taken.Records {
 		if strings.HasPrefix(record.Key, jobs.RecordPrefix) {
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -119,8 +119,8 @@
 	Jobs     []SnapshotFact `json:"jobs"`
 }
 
-// Imported counts the jobs of a part of a snapshot by the result of their comparison.
-type Imported struct {
+// ImportResult counts the jobs of a part of a snapshot by the result of their comparison.
+type ImportResult struct {
 	Same      int `json:"same"`      // jobs whose records say as much or more
 	Missing   int `json:"missing"`   // jobs without a record
 	Ended     int `json:"ended"`     // jobs that are over, with unfinished records
@@ -132,7 +132,7 @@
 }
 
 // Add adds the counts of o to i.
-func (i *Imported) Add(o Imported) {
+func (i *ImportResult) Add(o ImportResult) {
 	i.Same += o.Same
 	i.Missing += o.Missing
 	i.Ended += o.Ended
@@ -144,7 +144,7 @@
 // Import compares a part of a snapshot with the records and with what is known, and starts a
 // recovery if records are missing or say less. It returns an error that wraps recovery.ErrRefused
 // if the snapshot is of another deployment, and ErrNotReady before all records are read.
-func (r *Recoverer) Import(in ImportRequest, now time.Time) (count Imported, err error) {
+func (r *Recoverer) Import(in ImportRequest, now time.Time) (count ImportResult, err error) {
 	if own := r.cfg.Settings.ClusterID(); in.Cluster != own {
 		return count, fmt.Errorf("%w: the snapshot is of deployment %s, this is %s", recovery.ErrRefused, in.Cluster, own)
 	}
@@ -167,7 +167,7 @@
 
 // importRecord compares a snapshot's record with what is known. However old the snapshot is, a job
 // that is over in it stays over. Anything else in it only proves that the job was accepted.
-func (r *Recoverer) importRecord(id string, record *jobs.Record, from recovery.Source, count *Imported, now time.Time) {
+func (r *Recoverer) importRecord(id string, record *jobs.Record, from recovery.Source, count *ImportResult, now time.Time) {
 	snapshotKnowledge := recovery.Attribute(from, recovery.Knowledge{
 		Done: record.State == jobs.Done, Cancelled: record.State == jobs.Cancelled,
 		Spec: record.Description(), AcceptedAtMs: record.AcceptedAtMs, Tasks: record.Tasks,
@@ -198,7 +198,7 @@
 
 // importHeld merges what a snapshot says into what is known about a held job. The job's record is
 // written if that decides the job's outcome or adds its missing description.
-func (r *Recoverer) importHeld(id string, snapshotKnowledge recovery.Knowledge, count *Imported) {
+func (r *Recoverer) importHeld(id string, snapshotKnowledge recovery.Knowledge, count *ImportResult) {
 	job := r.held.byID[id]
 	hadDescription := job.known.Spec != nil
 	job.known = job.known.Join(snapshotKnowledge)
