--- a/cmd/ospreyslip-operator/import.go
+++ b/cmd/ospreyslip-operator/import.go
@@ -57,7 +57,7 @@
 	if !strings.HasPrefix(record.Key, jobs.RecordPrefix) || !json.Valid(record.Value) {
 		return nil
 	}
-	s.page.Jobs = append(s.page.Jobs, recoverer.SnapshotFact{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
+	s.page.Jobs = append(s.page.Jobs, recoverer.SnapshotRecord{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
 	s.bytes += len(record.Key) + len(record.Value)
 	if s.bytes < importPageBytes {
 		return nil
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -126,7 +126,7 @@
 	request := recoverer.ImportRequest{Cluster: taken.Manifest.Cluster, Revision: taken.Manifest.Revision}
 	for _, record := range taken.Records {
 		if strings.HasPrefix(record.Key, jobs.RecordPrefix) {
-			request.Jobs = append(request.Jobs, recoverer.SnapshotFact{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
+			request.Jobs = append(request.Jobs, recoverer.SnapshotRecord{ID: jobs.JobIDFromKey(record.Key), Record: record.Value})
 		}
 	}
 	return c.incarnations[c.leader()].controller.leaderHandle.Import(c.ctx, request)
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -106,17 +106,17 @@
 	go func() { reply(r.writeBack.commitSettled(ctx, record)) }()
 }
 
-// SnapshotFact is a job's record in a snapshot.
-type SnapshotFact struct {
+// SnapshotRecord is a job's record in a snapshot.
+type SnapshotRecord struct {
 	ID     string          `json:"id"`
 	Record json.RawMessage `json:"record"`
 }
 
 // ImportRequest is a part of a snapshot that is sent to the leader.
 type ImportRequest struct {
-	Cluster  string         `json:"cluster"`
-	Revision uint64         `json:"revision"` // revision of the snapshot
-	Jobs     []SnapshotFact `json:"jobs"`
+	Cluster  string           `json:"cluster"`
+	Revision uint64           `json:"revision"` // revision of the snapshot
+	Jobs     []SnapshotRecord `json:"jobs"`
 }
 
 // ImportResult counts the jobs of a part of a snapshot by the result of their comparison.
