--- a/internal/controller/currency.go
+++ b/internal/controller/currency.go
@@ -128,7 +128,7 @@
 func (v *cacheVerifier) storeRolledBack(ctx context.Context, newestRevision uint64) bool {
 	current, err := v.store.Revision(ctx)
 	if err == nil && current < newestRevision {
-		v.lossReporter.enqueue(detection.Evidence{Kind: detection.RevisionBack, Known: newestRevision, Found: current})
+		v.lossReporter.enqueue(detection.Evidence{Kind: detection.RevisionRolledBack, Known: newestRevision, Found: current})
 	}
 	return err != nil || current < newestRevision
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -79,7 +79,7 @@
 // be issued twice.
 func (e *Elector) highestIssuedToken(stored uint64) uint64 {
 	if known := e.grantor.highestToken(); stored < known {
-		e.ReportLoss(detection.Evidence{Kind: detection.TokenBack, Key: TokenKey, Known: known, Found: stored})
+		e.ReportLoss(detection.Evidence{Kind: detection.TokenRolledBack, Key: TokenKey, Known: known, Found: stored})
 		return known
 	}
 	e.grantor.observeToken(stored)
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -94,7 +94,7 @@
 func TestTokensGrowAfterLossOfElectionKeys(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithPrefix(keyPrefix)) })
-		if !reported.has(detection.HolderLost) || !reported.has(detection.TokenBack) {
+		if !reported.has(detection.HolderLost) || !reported.has(detection.TokenRolledBack) {
 			t.Errorf("silently %v: reported losses %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
@@ -115,7 +115,7 @@
 		if tokens := elector.wonTokens(); len(tokens) < 2 || tokens[1] <= tokens[0] || !elector.IsLeader() {
 			t.Errorf("tokens %v after the store was rolled back, leading: %v", tokens, elector.IsLeader())
 		}
-		if !reported.has(detection.TokenBack) {
+		if !reported.has(detection.TokenRolledBack) {
 			t.Error("the lower token was not reported")
 		}
 		elector.stop()
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return storedElection{}, err
 	}
-	if loss, rolledBack := e.newestRevision.Observe(baseline, detection.RevisionBack, keyPrefix, revision); rolledBack {
+	if loss, rolledBack := e.newestRevision.Observe(baseline, detection.RevisionRolledBack, keyPrefix, revision); rolledBack {
 		e.ReportLoss(loss)
 	}
 	stored := storedElection{revision: revision}
--- a/internal/jobs/jobcache/loss_test.go
+++ b/internal/jobs/jobcache/loss_test.go
@@ -118,7 +118,7 @@
 		s.wantState("j-3", jobs.Cancelled, "its record is gone")
 		s.wantState("j-1", jobs.Queued, "its record is unchanged")
 		s.wantLost("after the restore", "j-2 done", "j-3 aborted")
-		if evidence.count(detection.RevisionBack) != 1 || evidence.count(detection.RecordOlder) != 1 {
+		if evidence.count(detection.RevisionRolledBack) != 1 || evidence.count(detection.RecordOlder) != 1 {
 			t.Errorf("evidence: %v", evidence.kinds)
 		}
 		// The store assigns revisions again that the cache knew before the loss.
@@ -209,7 +209,7 @@
 			s.writeRecord(fmt.Sprintf("j-6%d", i), jobs.Queued)
 		}
 		s.wantState("j-60", jobs.Queued, "after the outage")
-		if evidence.count(detection.RevisionBack) != 1 {
+		if evidence.count(detection.RevisionRolledBack) != 1 {
 			t.Errorf("evidence: %v", evidence.kinds)
 		}
 		s.wantState("j-51", jobs.Cancelled, "the state that its user was told")
--- a/internal/jobs/jobcache/reader.go
+++ b/internal/jobs/jobcache/reader.go
@@ -216,7 +216,7 @@
 // checkRevision checks a revision just read against the baseline. A lower revision proves that
 // the store was rolled back. It then assigns revisions again, so everything has to be read anew.
 func (r *reader) checkRevision(baseline detection.Baseline, found uint64) (rolledBack bool) {
-	loss, rolledBack := r.cache.newest.Observe(baseline, detection.RevisionBack, "", found)
+	loss, rolledBack := r.cache.newest.Observe(baseline, detection.RevisionRolledBack, "", found)
 	if !rolledBack {
 		return false
 	}
--- a/internal/jobs/jobcache/recent_changes.go
+++ b/internal/jobs/jobcache/recent_changes.go
@@ -132,7 +132,7 @@
 			return nil, err
 		}
 		if pair.Revision < revisions[key] {
-			return &detection.Evidence{Kind: detection.RevisionBack, Key: key, Known: revisions[key], Found: pair.Revision}, nil
+			return &detection.Evidence{Kind: detection.RevisionRolledBack, Key: key, Known: revisions[key], Found: pair.Revision}, nil
 		}
 	}
 	return nil, nil
--- a/internal/leader/jobtracker/follow.go
+++ b/internal/leader/jobtracker/follow.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	watch.storeRevision, watch.storeRevisionAskedAt = revision, askedAt
-	evidence, rolledBack := watch.watermark.Observe(baseline, detection.RevisionBack, "", revision)
+	evidence, rolledBack := watch.watermark.Observe(baseline, detection.RevisionRolledBack, "", revision)
 	if rolledBack {
 		t.Post(ctx, func(now time.Time) { t.Recovery.ReportLoss(evidence, now) })
 		watch.seenRevision = 0
--- a/internal/leader/recoverer/evidence.go
+++ b/internal/leader/recoverer/evidence.go
@@ -27,7 +27,7 @@
 // makes records older than what users were told.
 func mayBeRollback(kind detection.Kind) bool {
 	switch kind {
-	case detection.RevisionBack, detection.RecordOlder:
+	case detection.RevisionRolledBack, detection.RecordOlder:
 		return true
 	case detection.NoticedByPredecessor, detection.ReportedByPeer: // may be about a rollback
 		return true
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -59,7 +59,7 @@
 	if token, own := detection.TokenOfAttempt(newest, r.cfg.AttemptBits), r.cfg.token(); token > own {
 		r.adoption.expectUnloggedTasks(now)
 		r.cfg.Leader.RaiseTokenAbove(token)
-		r.ReportLoss(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: token, Found: own}, now)
+		r.ReportLoss(detection.Evidence{Kind: detection.TokenRolledBack, Key: election.TokenKey, Known: token, Found: own}, now)
 	}
 }
 
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -180,7 +180,7 @@
 		r.protectAssignmentLog()
 	}
 	switch {
-	case loss.Kind == detection.TaskUnknown || loss.Kind == detection.TokenBack:
+	case loss.Kind == detection.TaskUnknown || loss.Kind == detection.TokenRolledBack:
 		r.noteWorkerKnowsMore(now)
 	case r.evidence.startupUnconfirmed || loss.Kind.AffectsAssignmentLog() || loss.Kind == detection.ReportedByPeer:
 		r.adoption.expectTasksOfAllJobs(now)
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -129,7 +129,7 @@
 	}{
 		{kind: detection.RecordRemoved},
 		{kind: detection.RecordOlder, rolledBack: true},
-		{kind: detection.RevisionBack, rolledBack: true, rewritten: true, awaitWorkers: true},
+		{kind: detection.RevisionRolledBack, rolledBack: true, rewritten: true, awaitWorkers: true},
 		{kind: detection.SegmentMissing, rewritten: true, awaitWorkers: true},
 		{kind: detection.TaskUnknown, awaitWorkers: true},
 		{kind: detection.ReportedByPeer, rolledBack: true, awaitWorkers: true},
--- a/internal/leader/recoverer/token.go
+++ b/internal/leader/recoverer/token.go
@@ -61,5 +61,5 @@
 		return
 	}
 	c.cfg.Leader.RaiseTokenAbove(seen)
-	c.reportLoss(detection.Evidence{Kind: detection.TokenBack, Key: election.TokenKey, Known: seen, Found: tokens.Current}, now)
+	c.reportLoss(detection.Evidence{Kind: detection.TokenRolledBack, Key: election.TokenKey, Known: seen, Found: tokens.Current}, now)
 }
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -16,8 +16,8 @@
 	RecordMissing        Kind = "record missing"         // a read lacks a record that this controller knows
 	RecordOlder          Kind = "record older"           // a record says less than this controller knows
 	RecordContradicts    Kind = "record contradicts"     // a record has another final state than known here
-	RevisionBack         Kind = "revision back"          // the store's revision is lower than one read before
-	TokenBack            Kind = "token back"             // the fencing token is lower than one issued before
+	RevisionRolledBack   Kind = "revision back"          // the store's revision is lower than one read before
+	TokenRolledBack      Kind = "token back"             // the fencing token is lower than one issued before
 	HolderLost           Kind = "holder key lost"        // the holder key is gone while its lease is alive
 	SegmentMissing       Kind = "segment missing"        // the ring of the assignment log has a gap
 	SegmentUnreadable    Kind = "segment unreadable"     // a segment cannot be decoded
@@ -32,7 +32,7 @@
 // records no longer show all tasks that may be running.
 func (k Kind) AffectsAssignmentLog() bool {
 	switch k {
-	case RevisionBack, SegmentMissing, SegmentUnreadable, SegmentOlder, TokenBack:
+	case RevisionRolledBack, SegmentMissing, SegmentUnreadable, SegmentOlder, TokenRolledBack:
 		return true
 	}
 	return false
