--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -309,7 +309,7 @@
 // evidenceKinds returns all kinds of evidence, as named in messages, metrics and recovery reports.
 func evidenceKinds() []detection.Kind {
 	return []detection.Kind{
-		detection.RecordRemoved, detection.RecordMissing, detection.RecordOlder, detection.RecordContradicts, detection.RevisionRolledBack, detection.TokenRolledBack, detection.HolderLost,
+		detection.RecordRemoved, detection.RecordMissing, detection.RecordOlder, detection.RecordContradicts, detection.RevisionRolledBack, detection.TokenRolledBack, detection.HolderKeyLost,
 		detection.SegmentMissing, detection.SegmentUnreadable, detection.SegmentOlder, detection.TaskUnknown, detection.ReportedByPeer, detection.NoticedByPredecessor, detection.Imported,
 	}
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -112,7 +112,7 @@
 		return false, err
 	}
 	if wasAlive {
-		e.ReportLoss(detection.Evidence{Kind: detection.HolderLost, Key: HolderKey, Known: e.lastHolder.FencingToken})
+		e.ReportLoss(detection.Evidence{Kind: detection.HolderKeyLost, Key: HolderKey, Known: e.lastHolder.FencingToken})
 	}
 	e.lastHolder.Lease = 0
 	return wasAlive, nil
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		if ctx.Err() == nil && e.IsLeader() {
-			e.ReportLoss(detection.Evidence{Kind: detection.HolderLost, Key: HolderKey, Known: term.HolderRevision, Found: current.Revision})
+			e.ReportLoss(detection.Evidence{Kind: detection.HolderKeyLost, Key: HolderKey, Known: term.HolderRevision, Found: current.Revision})
 		}
 		close(lost)
 		return
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -83,7 +83,7 @@
 func TestNoTwoLeadersAfterHolderKeyLoss(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithKey(HolderKey)) })
-		if !reported.has(detection.HolderLost) || len(tokens) < 2 {
+		if !reported.has(detection.HolderKeyLost) || len(tokens) < 2 {
 			t.Errorf("silently %v: reported losses %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
@@ -94,7 +94,7 @@
 func TestTokensGrowAfterLossOfElectionKeys(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithPrefix(keyPrefix)) })
-		if !reported.has(detection.HolderLost) || !reported.has(detection.TokenRolledBack) {
+		if !reported.has(detection.HolderKeyLost) || !reported.has(detection.TokenRolledBack) {
 			t.Errorf("silently %v: reported losses %v, tokens %v", silently, reported.all(), tokens)
 		}
 	}
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -115,7 +115,7 @@
 	case outcome.err == nil: // a renewal that was sent later has already been answered
 	case errors.Is(outcome.err, kvstore.ErrLeaseNotFound):
 		if elector.IsLeader() { // a lease that was renewed in time cannot have expired
-			elector.ReportLoss(detection.Evidence{Kind: detection.HolderLost, Key: HolderKey, Known: k.term.FencingToken})
+			elector.ReportLoss(detection.Evidence{Kind: detection.HolderKeyLost, Key: HolderKey, Known: k.term.FencingToken})
 		}
 		return true
 	default:
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -18,7 +18,7 @@
 	RecordContradicts    Kind = "record contradicts"     // a record has another final state than known here
 	RevisionRolledBack   Kind = "revision back"          // the store's revision is lower than one read before
 	TokenRolledBack      Kind = "token back"             // the fencing token is lower than one issued before
-	HolderLost           Kind = "holder key lost"        // the holder key is gone while its lease is alive
+	HolderKeyLost        Kind = "holder key lost"        // the holder key is gone while its lease is alive
 	SegmentMissing       Kind = "segment missing"        // the ring of the assignment log has a gap
 	SegmentUnreadable    Kind = "segment unreadable"     // a segment cannot be decoded
 	SegmentOlder         Kind = "segment not as written" // a segment has another revision than the leader wrote
