--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -112,7 +112,7 @@
 	if !strings.HasPrefix(key, assignmentlog.Prefix) || r.cfg.AssignmentLog().OutcomeUnknown() {
 		return
 	}
-	kind := detection.SegmentOlder
+	kind := detection.SegmentMismatch
 	if found.Revision == 0 {
 		kind = detection.SegmentMissing
 	}
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -21,7 +21,7 @@
 	HolderKeyLost        Kind = "holder key lost"        // the holder key is gone while its lease is alive
 	SegmentMissing       Kind = "segment missing"        // the ring of the assignment log has a gap
 	SegmentUnreadable    Kind = "segment unreadable"     // a segment cannot be decoded
-	SegmentOlder         Kind = "segment not as written" // a segment has another revision than the leader wrote
+	SegmentMismatch      Kind = "segment not as written" // a segment has another revision than the leader wrote
 	TaskUnknown          Kind = "task of an unknown job" // a worker has a task of a job without a record
 	ReportedByPeer       Kind = "a peer knows of a loss" // another controller has found evidence
 	NoticedByPredecessor Kind = "noticed by an earlier leader"
@@ -32,7 +32,7 @@
 // records no longer show all tasks that may be running.
 func (k Kind) AffectsAssignmentLog() bool {
 	switch k {
-	case RevisionRolledBack, SegmentMissing, SegmentUnreadable, SegmentOlder, TokenRolledBack:
+	case RevisionRolledBack, SegmentMissing, SegmentUnreadable, SegmentMismatch, TokenRolledBack:
 		return true
 	}
 	return false
