--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -310,6 +310,6 @@
 func evidenceKinds() []detection.Kind {
 	return []detection.Kind{
 		detection.RecordRemoved, detection.RecordMissing, detection.RecordOlder, detection.RecordContradicts, detection.RevisionRolledBack, detection.TokenRolledBack, detection.HolderKeyLost,
-		detection.SegmentMissing, detection.SegmentUnreadable, detection.SegmentMismatch, detection.TaskUnknown, detection.ReportedByPeer, detection.NoticedByPredecessor, detection.Imported,
+		detection.SegmentMissing, detection.SegmentUnreadable, detection.SegmentMismatch, detection.TaskUnknown, detection.ReportedByPeer, detection.NoticedByPredecessor, detection.FoundInSnapshot,
 	}
 }
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -160,7 +160,7 @@
 		r.importRecord(fact.ID, record, recovery.FromSnapshot(in.Revision), &count, now)
 	}
 	if count.Missing+count.Ended > 0 {
-		r.ReportLoss(detection.Evidence{Kind: detection.Imported, Known: in.Revision}, now)
+		r.ReportLoss(detection.Evidence{Kind: detection.FoundInSnapshot, Known: in.Revision}, now)
 	}
 	return count, nil
 }
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -25,7 +25,7 @@
 	TaskUnknown          Kind = "task of an unknown job" // a worker has a task of a job without a record
 	ReportedByPeer       Kind = "a peer knows of a loss" // another controller has found evidence
 	NoticedByPredecessor Kind = "noticed by an earlier leader"
-	Imported             Kind = "snapshot knows more" // an imported snapshot contains a job without a record
+	FoundInSnapshot      Kind = "snapshot knows more" // an imported snapshot contains a job without a record
 )
 
 // AffectsAssignmentLog reports whether segments of the assignment log may be missing too. If so, the stored
