--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -285,7 +285,7 @@
 	go func() { receiver.Run(ctx, links); stopped <- struct{}{} }()
 	sender.Broadcast(peer.LeaderUpdate{
 		StoreAvailable: true, ComparingRecords: true, KnownJobs: 9, RecordsRolledBack: true, RestoringRecords: true,
-		JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}},
+		JobCounts: map[string]jobs.TaskCounts{"j-000412": {Done: 3, Running: 13}},
 		Changes:   []peer.JobChange{{ID: "j-3", State: "queued", Tasks: 4}, {ID: "j-000004", State: "aborted", Tasks: 1}},
 	})
 	grants := sender.RequestLeaseGrants(ctx, peer.LeaseGrantRequest{FencingToken: 41, SeenRevision: 430})
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -69,7 +69,7 @@
 }
 
 // broadcastUpdate sends the leader's update to the other controllers. It is called by the leader.
-func (c *Controller) broadcastUpdate(counts map[string]jobs.Counts, changes []peer.JobChange) {
+func (c *Controller) broadcastUpdate(counts map[string]jobs.TaskCounts, changes []peer.JobChange) {
 	c.readiness.noteLeaderHeard()
 	c.cache.Readiness.SetRolledBack(c.leaderHandle.StoreRolledBack())
 	phase := c.leaderHandle.RecoveryPhase()
--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -28,7 +28,7 @@
 	// Catalog returns the machine types, or nil while they are not known.
 	Catalog func() []jobs.MachineType
 	// Counts returns a job's task counts for display, and whether this controller knows them.
-	Counts func(id string) (jobs.Counts, bool)
+	Counts func(id string) (jobs.TaskCounts, bool)
 	// Ready reports whether this controller should receive users' requests.
 	Ready func() bool
 	// HasMemory reports whether there is enough memory for more jobs.
@@ -123,9 +123,9 @@
 
 // runningCounts returns a job's task counts and whether this controller knows that some of its
 // tasks are running.
-func (a *API) runningCounts(id string) (counts jobs.Counts, running bool) {
+func (a *API) runningCounts(id string) (counts jobs.TaskCounts, running bool) {
 	if a.Counts == nil {
-		return jobs.Counts{}, false
+		return jobs.TaskCounts{}, false
 	}
 	counts, known := a.Counts(id)
 	return counts, known && counts.Running > 0
--- a/internal/jobs/jobapi/api_test.go
+++ b/internal/jobs/jobapi/api_test.go
@@ -26,7 +26,7 @@
 	store   *emulator.KVStore
 	types   []jobs.MachineType
 	hasRoom bool
-	counts  jobs.Counts
+	counts  jobs.TaskCounts
 }
 
 func withAPI(t *testing.T, scenario func(*apiHarness)) {
@@ -54,7 +54,7 @@
 				Election: settings.ElectionTiming{LeaseDuration: 9 * time.Second},
 			},
 			Catalog:   func() []jobs.MachineType { return h.types },
-			Counts:    func(string) (jobs.Counts, bool) { return h.counts, true },
+			Counts:    func(string) (jobs.TaskCounts, bool) { return h.counts, true },
 			Ready:     func() bool { return true },
 			HasMemory: func() bool { return h.hasRoom },
 		}
@@ -93,7 +93,7 @@
 		h.checkResponse("POST /v1/jobs", submission("j-1", 4), 201, `{"id":"j-1","stance":"queued"}`)
 		h.checkResponse("POST /v1/jobs", submission("j-1", 4), 200, `{"id":"j-1","stance":"queued"}`)
 		h.checkResponse("GET /v1/jobs/j-1", "", 200, `{"id":"j-1","stance":"queued","done":0,"running":0}`)
-		h.counts = jobs.Counts{Done: 1, Running: 2}
+		h.counts = jobs.TaskCounts{Done: 1, Running: 2}
 		h.checkResponse("GET /v1/jobs/j-1", "", 200, `{"id":"j-1","stance":"running","done":1,"running":2}`)
 		h.checkResponse("POST /v1/jobs", submission("j-1", 4), 200, `{"id":"j-1","stance":"running"}`)
 		h.checkResponse("POST /v1/jobs/j-1/withdraw", "", 200, `{"id":"j-1","stance":"aborted"}`)
--- a/internal/jobs/jobapi/show.go
+++ b/internal/jobs/jobapi/show.go
@@ -30,13 +30,13 @@
 }
 
 // detailsResponse returns a response with a job's state and task counts.
-func detailsResponse(id, state string, counts jobs.Counts) *response {
+func detailsResponse(id, state string, counts jobs.TaskCounts) *response {
 	return &response{status: http.StatusOK, body: jobView{ID: id, State: state, Done: &counts.Done, Running: &counts.Running}}
 }
 
 // displayCounts returns the task counts that users are shown. They are 0 if this controller does
 // not know them.
-func (a *API) displayCounts(id string, rec *jobs.Record) (counts jobs.Counts) {
+func (a *API) displayCounts(id string, rec *jobs.Record) (counts jobs.TaskCounts) {
 	if rec.State == jobs.Done {
 		counts.Done = rec.Tasks
 	} else if a.Counts != nil && !rec.Finished() {
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -88,5 +88,5 @@
 	Revision uint64
 }
 
-// Counts holds the number of a job's tasks that are done and running, for display.
-type Counts struct{ Done, Running int }
+// TaskCounts holds the number of a job's tasks that are done and running, for display.
+type TaskCounts struct{ Done, Running int }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -27,7 +27,7 @@
 	Adoption    Adoption
 
 	// PublishedCounts holds the counts last published to users.
-	PublishedCounts jobs.Counts
+	PublishedCounts jobs.TaskCounts
 	// RunTimeLogs holds run times of completed tasks as logarithms of seconds, ascending.
 	RunTimeLogs []float64
 }
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -9,14 +9,14 @@
 // Counts holds the task counts of each job that users are shown. It is safe for concurrent use.
 type Counts struct {
 	mu    sync.RWMutex
-	byJob map[string]jobs.Counts
+	byJob map[string]jobs.TaskCounts
 }
 
 // NewCounts returns an empty Counts.
-func NewCounts() *Counts { return &Counts{byJob: map[string]jobs.Counts{}} }
+func NewCounts() *Counts { return &Counts{byJob: map[string]jobs.TaskCounts{}} }
 
 // Get returns a job's counts and reports whether there are any.
-func (c *Counts) Get(id string) (jobs.Counts, bool) {
+func (c *Counts) Get(id string) (jobs.TaskCounts, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	v, ok := c.byJob[id]
@@ -24,7 +24,7 @@
 }
 
 // Set stores a job's counts.
-func (c *Counts) Set(id string, v jobs.Counts) {
+func (c *Counts) Set(id string, v jobs.TaskCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byJob[id] = v
@@ -38,19 +38,19 @@
 }
 
 // Replace replaces all counts with those that a leader has broadcast, and keeps the map.
-func (c *Counts) Replace(counts map[string]jobs.Counts) {
+func (c *Counts) Replace(counts map[string]jobs.TaskCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byJob = counts
 }
 
 // nonZero returns the counts of all jobs whose counts are not zero.
-func (c *Counts) nonZero() map[string]jobs.Counts {
+func (c *Counts) nonZero() map[string]jobs.TaskCounts {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	out := make(map[string]jobs.Counts, len(c.byJob))
+	out := make(map[string]jobs.TaskCounts, len(c.byJob))
 	for id, v := range c.byJob {
-		if v != (jobs.Counts{}) {
+		if v != (jobs.TaskCounts{}) {
 			out[id] = v
 		}
 	}
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -29,7 +29,7 @@
 
 // Counts publishes to users how many tasks of a job are done and running.
 type Counts interface {
-	Set(job string, counts jobs.Counts)
+	Set(job string, counts jobs.TaskCounts)
 	Drop(job string)
 }
 
@@ -233,8 +233,8 @@
 
 // PublishCounts publishes a job's counts to users if they have changed.
 func (t *Tracker) PublishCounts(job *cluster.Job) {
-	counts := jobs.Counts{Done: job.Completions.Count, Running: job.Running}
-	if counts != job.PublishedCounts || counts == (jobs.Counts{}) {
+	counts := jobs.TaskCounts{Done: job.Completions.Count, Running: job.Running}
+	if counts != job.PublishedCounts || counts == (jobs.TaskCounts{}) {
 		job.PublishedCounts = counts
 		t.Counts.Set(job.ID, counts)
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,7 +40,7 @@
 	// granted. They keep the term during an outage of the store.
 	PeerLeasesRequestedAt func() time.Time
 	TokenRaised           func(token uint64) // called after the token is raised within the term
-	Broadcast             func(map[string]jobs.Counts, []peer.JobChange)
+	Broadcast             func(map[string]jobs.TaskCounts, []peer.JobChange)
 	MachineTypes          func() []jobs.MachineType
 	Counts                *Counts
 	Cache                 *jobcache.Cache // what this controller knows of all jobs
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -72,7 +72,7 @@
 			requests++
 			return nil, http.ErrHandlerTimeout
 		}), time.Second, 100)
-		leader.Broadcast, leader.inbox.events = func(map[string]jobs.Counts, []peer.JobChange) {}, make(chan func(time.Time), 1)
+		leader.Broadcast, leader.inbox.events = func(map[string]jobs.TaskCounts, []peer.JobChange) {}, make(chan func(time.Time), 1)
 		for _, a := range j.Assignments {
 			leader.tasks.End(a, cluster.Retry)
 			leader.tasks.Remove(a)
@@ -124,7 +124,7 @@
 // its expiry.
 func TestLeasesExpireOnTime(t *testing.T) {
 	leader, _, _, start := newTestLeader()
-	leader.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+	leader.Broadcast = func(map[string]jobs.TaskCounts, []peer.JobChange) {}
 	rnd := rand.New(rand.NewPCG(7, 0))
 	seq := uint64(100)
 	const step = 100 * time.Millisecond
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -97,7 +97,7 @@
 func TestTickCostIndependentOfFleetSize(t *testing.T) {
 	cost := func(size int) float64 {
 		l, _, now := newFullFleet(t, size)
-		l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+		l.Broadcast = func(map[string]jobs.TaskCounts, []peer.JobChange) {}
 		l.planner.UnmetDemand, l.loop.broadcastAt = nil, now
 		return testing.AllocsPerRun(3*cluster.TickGroups, func() {
 			l.tick(t.Context(), now)
@@ -112,7 +112,7 @@
 // BenchmarkTick runs ticks over all machines without events, including a run of the scaler in each.
 func BenchmarkTick(b *testing.B) {
 	l, _, now := newFullFleet(b, largestFleet)
-	l.Broadcast = func(map[string]jobs.Counts, []peer.JobChange) {}
+	l.Broadcast = func(map[string]jobs.TaskCounts, []peer.JobChange) {}
 	l.scaler.DeferProvisioning(now.Add(time.Hour)) // no machine is provisioned
 	for b.Loop() {
 		l.tick(b.Context(), now)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -28,7 +28,7 @@
 // LeaderUpdate is the status that the leader broadcasts periodically.
 type LeaderUpdate struct {
 	// JobCounts are the task counts of all unfinished jobs that have any, by job ID.
-	JobCounts map[string]jobs.Counts
+	JobCounts map[string]jobs.TaskCounts
 	// StoreAvailable reports whether the key-value store answers the leader.
 	StoreAvailable bool
 	// ComparingRecords reports whether records may be lost and are being compared. Until that is
--- a/internal/peer/wire_decode.go
+++ b/internal/peer/wire_decode.go
@@ -54,7 +54,7 @@
 		return nil, errVectorTooLong
 	}
 	update := &LeaderUpdate{
-		JobCounts:         make(map[string]jobs.Counts, table.JobsLength()),
+		JobCounts:         make(map[string]jobs.TaskCounts, table.JobsLength()),
 		StoreAvailable:    table.Served(),
 		ComparingRecords:  table.Uncertain(),
 		KnownJobs:         int(table.Known()),
@@ -64,7 +64,7 @@
 	var counts wire.JobCounts
 	for i := range table.JobsLength() {
 		if table.Jobs(&counts, i) {
-			update.JobCounts[string(counts.Id())] = jobs.Counts{Done: int(counts.Done()), Running: int(counts.Running())}
+			update.JobCounts[string(counts.Id())] = jobs.TaskCounts{Done: int(counts.Done()), Running: int(counts.Running())}
 		}
 	}
 	var change wire.JobChange
--- a/internal/peer/wire_encode.go
+++ b/internal/peer/wire_encode.go
@@ -53,7 +53,7 @@
 	return finishMessage(b, from, wire.BodyProgress, wire.ProgressEnd(b))
 }
 
-func encodeJobCounts(b *flatbuffers.Builder, counts map[string]jobs.Counts) flatbuffers.UOffsetT {
+func encodeJobCounts(b *flatbuffers.Builder, counts map[string]jobs.TaskCounts) flatbuffers.UOffsetT {
 	rows := make([]flatbuffers.UOffsetT, 0, len(counts))
 	for jobID, c := range counts {
 		id := b.CreateString(jobID)
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	update := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-000412": {Done: 3, Running: 13}}}
+	update := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.TaskCounts{"j-000412": {Done: 3, Running: 13}}}
 	encoded := map[string][]byte{
 		"progress": encodeLeaderUpdate("perch-0", update), "ask": encodeLeaseGrantRequest("perch-1", leaseGrantRequest{7, LeaseGrantRequest{41, 0}}), "promise": encodeLeaseGrantResponse("perch-2", leaseGrantResponse{7, LeaseGrantResponse{Granted: true}}),
 	}
@@ -34,7 +34,7 @@
 }
 
 func TestMessageRoundTrip(t *testing.T) {
-	update := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.Counts{"j-1": {Done: 3, Running: 2}, "j-2": {Running: 1}}}
+	update := LeaderUpdate{StoreAvailable: true, JobCounts: map[string]jobs.TaskCounts{"j-1": {Done: 3, Running: 2}, "j-2": {Running: 1}}}
 	update.RestoringRecords = true
 	update.Changes = []JobChange{{ID: "j-3", State: jobs.Queued, Tasks: 4}, {ID: "j-000004", State: jobs.Cancelled, Tasks: 1}}
 	grantResponse := LeaseGrantResponse{Granted: true, CancellationsComplete: true, Cancellations: []jobs.Cancellation{{Job: "j-1", Revision: 431}, {Job: "j-000002", Revision: 1 << 40}}}
