--- a/internal/compat/adapter_test.go
+++ b/internal/compat/adapter_test.go
@@ -102,7 +102,7 @@
 	done = make(chan struct{})
 	go func() {
 		defer close(done)
-		n.RunDuties(ctx, e.world.Network.Listen(name, clusterAddr(name)))
+		n.RunBackground(ctx, e.world.Network.Listen(name, clusterAddr(name)))
 		e.world.Network.Attach(name, userAddr(name), nil)
 	}()
 	return done
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -154,7 +154,7 @@
 	c.world.Network.Attach(name, userAddr(name), controller.Handler())
 	c.world.Tracef("%s starts", name)
 	c.runningControllers.Go(func() {
-		controller.RunDuties(ctx, c.world.Network.Listen(name, clusterAddr(name)))
+		controller.RunBackground(ctx, c.world.Network.Listen(name, clusterAddr(name)))
 		close(started.done)
 	})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,7 +84,7 @@
 }
 
 // New returns a controller for validated settings. The controller opens no connection and starts
-// no goroutine before Run or RunDuties is called.
+// no goroutine before Run or RunBackground is called.
 func New(config *settings.Settings, env Environment) *Controller {
 	startedAt := time.Now()
 	derived := config.Derive()
@@ -146,7 +146,7 @@
 	slog.Info("serving", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind)
 	group, ctx := errgroup.WithContext(ctx)
 	c.serveUsers(ctx, group, userListener)
-	group.Go(func() error { c.RunDuties(ctx, clusterListener); return nil })
+	group.Go(func() error { c.RunBackground(ctx, clusterListener); return nil })
 	return group.Wait()
 }
 
@@ -189,10 +189,10 @@
 	return mux
 }
 
-// RunDuties runs the background goroutines until the context ends and returns when all of them
+// RunBackground runs the background goroutines until the context ends and returns when all of them
 // have stopped. It closes clusterListener, which accepts connections from controllers and
 // operators.
-func (c *Controller) RunDuties(ctx context.Context, clusterListener net.Listener) {
+func (c *Controller) RunBackground(ctx context.Context, clusterListener net.Listener) {
 	var background sync.WaitGroup
 	background.Go(func() { c.peers.Run(ctx, clusterListener) })
 	background.Go(func() { c.serveOperators(ctx) })
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -54,7 +54,7 @@
 	controller := New(c.settings("perch-0"), Environment{HTTP: net.Transport("perch-0"), Memory: func() uint64 { return 0 }})
 	controller.machineTypes.current.Store(&testMachineTypes)
 	controller.memoryLimit.exceeded.Store(true)
-	controller.cache.Readiness.AssumeComplete() // as RunDuties does without peers
+	controller.cache.Readiness.AssumeComplete() // as RunBackground does without peers
 	body, _ := json.Marshal(wireSpec(batchJob("j-1", 1, 10)))
 	recorder := httptest.NewRecorder()
 	controller.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body)))
