--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -82,7 +82,7 @@
 			fmt.Fprintf(warnings, "ospreyslip: %s: %v\n", addr, err)
 			continue
 		}
-		if answer.status.View != nil {
+		if answer.status.LeaderStatus != nil {
 			return answer, nil
 		}
 		if best.body == nil {
@@ -130,8 +130,8 @@
 func showStatus(out io.Writer, status controller.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "node\t%s (%s)\nleader\t%s\n", status.ControllerName, status.Zone, orNoneKnown(status.Leader))
-	if status.View != nil {
-		showView(w, status.View)
+	if status.LeaderStatus != nil {
+		showView(w, status.LeaderStatus)
 	}
 	return w.Flush()
 }
--- a/cmd/ospreyslip/status_test.go
+++ b/cmd/ospreyslip/status_test.go
@@ -42,7 +42,7 @@
 // the controllers that do not answer.
 func TestStatusPrefersLeader(t *testing.T) {
 	follower := serveStatus(t, controller.Status{ControllerName: "perch-0", Zone: "a", Leader: "perch-1"})
-	leading := serveStatus(t, controller.Status{ControllerName: "perch-1", Zone: "b", Leader: "perch-1", Leading: true, View: &leader.Status{Term: 7, Token: 9}})
+	leading := serveStatus(t, controller.Status{ControllerName: "perch-1", Zone: "b", Leader: "perch-1", Leading: true, LeaderStatus: &leader.Status{Term: 7, Token: 9}})
 	absent := unusedAddr(t)
 	for _, tc := range []struct {
 		name  string
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -55,14 +55,14 @@
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
 	gauge(leadingDesc, boolToFloat(status.Leading))
-	if status.View == nil {
+	if status.LeaderStatus == nil {
 		return
 	}
 	if recovery, err := m.controller.leaderHandle.Recovery(ctx); err == nil {
 		collectRecovery(gauge, recovery)
 	}
-	collectLeader(gauge, status.View)
-	collectFailover(gauge, status.View.Failover)
+	collectLeader(gauge, status.LeaderStatus)
+	collectFailover(gauge, status.LeaderStatus.Failover)
 }
 
 func boolToFloat(b bool) float64 {
--- a/internal/controller/operator_endpoints_test.go
+++ b/internal/controller/operator_endpoints_test.go
@@ -69,7 +69,7 @@
 		if err := json.Unmarshal([]byte(get(leader, "/status")), &status); err != nil {
 			t.Fatal(err)
 		}
-		if !status.Leading || status.View == nil || len(status.View.Machines) == 0 || len(status.View.Classes) != 2 {
+		if !status.Leading || status.LeaderStatus == nil || len(status.LeaderStatus.Machines) == 0 || len(status.LeaderStatus.Classes) != 2 {
 			t.Errorf("status of the leader: %+v", status)
 		}
 		for _, n := range c.names {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,13 +12,13 @@
 	Zone           string         `json:"zone"`
 	Leader         string         `json:"leader"` // as known to this controller; empty if unknown
 	Leading        bool           `json:"leading"`
-	View           *leader.Status `json:"view,omitempty"` // set only on the leader
+	LeaderStatus   *leader.Status `json:"view,omitempty"` // set only on the leader
 }
 
 // status returns this controller's status, with that of the event loop if this controller leads.
 func (c *Controller) status(ctx context.Context) Status {
 	return Status{
 		ControllerName: c.settings.Node, Zone: c.settings.Zone, Leader: c.elector.Leader(), Leading: c.elector.IsLeader(),
-		View: c.leaderHandle.Status(ctx),
+		LeaderStatus: c.leaderHandle.Status(ctx),
 	}
 }
