--- a/cmd/ospreyslip/status.go
+++ b/cmd/ospreyslip/status.go
@@ -155,7 +155,7 @@
 	fmt.Fprintf(w, "\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tSESSION\tTASKS\tCPUS\tIN DOUBT\n")
 	for _, machine := range view.Machines {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\t%g\t%v\n",
-			machine.ID, machine.Type, machine.Zone, machine.Spot, machine.State, machine.Session, machine.Tasks, machine.CPUs, machine.InDoubt)
+			machine.ID, machine.Type, machine.Zone, machine.Spot, machine.State, machine.AgentEpoch, machine.Tasks, machine.CPUs, machine.InDoubt)
 	}
 }
 
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -85,7 +85,7 @@
 	for _, m := range l.state.Machines.All {
 		for _, a := range m.Assignments {
 			if a.Log.Durable {
-				out = append(out, fmt.Sprint(a.TaskName(), " ", a.Attempt, " on ", m.ID, " ", a.Session))
+				out = append(out, fmt.Sprint(a.TaskName(), " ", a.Attempt, " on ", m.ID, " ", a.AgentEpoch))
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 		m := leader.state.Machines.ByID[id]
 		if m == nil {
 			m = cluster.NewMachine(id, now)
-			m.Addr, m.Type, m.Zone, m.Worker.Session = "10.1.0.232:9000", "c4", "far <away>", 1
+			m.Addr, m.Type, m.Zone, m.Worker.AgentEpoch = "10.1.0.232:9000", "c4", "far <away>", 1
 			leader.state.Machines.Add(m)
 		}
 		if j := leader.state.Jobs[fmt.Sprint("j-", 1+random.IntN(3))]; j != nil && j.Pending.Count > 0 && len(m.Assignments) < 8 {
--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -42,12 +42,12 @@
 
 func (d *segmentDraft) addBegin(assignment *cluster.Assignment) {
 	i, ok := d.machineAt[assignment.Machine]
-	if !ok || d.record.Begun[i].Session != assignment.Session {
+	if !ok || d.record.Begun[i].Session != assignment.AgentEpoch {
 		i = len(d.record.Begun)
 		d.machineAt[assignment.Machine] = i
 		m := assignment.Machine
 		d.record.Begun = append(d.record.Begun, MachineRecord{
-			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: assignment.Session,
+			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: assignment.AgentEpoch,
 		})
 		d.bytes += startSize(assignment)
 	} else {
@@ -86,7 +86,7 @@
 func startSize(assignment *cluster.Assignment) int {
 	m := assignment.Machine
 	names := textBytes(m.ID) + textBytes(m.Addr) + textBytes(m.Type) + textBytes(m.Zone)
-	return machineBytes + names + digits(assignment.Session) + taskSize(assignment)
+	return machineBytes + names + digits(assignment.AgentEpoch) + taskSize(assignment)
 }
 
 func endSize(assignment *cluster.Assignment) int { return digits(assignment.Attempt) + len(",") }
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -24,7 +24,7 @@
 	machine := cluster.NewMachine("m-1", now)
 	for range tasks {
 		index := job.TakePendingTask()
-		a := &cluster.Assignment{Job: job, Index: index, Attempt: uint64(102 + index), GangAttempt: 101, Session: 1, Machine: machine}
+		a := &cluster.Assignment{Job: job, Index: index, Attempt: uint64(102 + index), GangAttempt: 101, AgentEpoch: 1, Machine: machine}
 		job.Assignments[index], machine.Assignments[a.Attempt] = a, a
 		log.QueueBegin(a)
 		queued = append(queued, a)
--- a/internal/leader/cluster/assignment.go
+++ b/internal/leader/cluster/assignment.go
@@ -23,7 +23,7 @@
 	Index       int    // of the task in its job
 	Attempt     uint64 // unique number of this assignment
 	GangAttempt uint64 // shared by all tasks of one attempt of a gang; 0 for other tasks
-	Session     uint64 // agent epoch of the worker when the task was assigned
+	AgentEpoch  uint64 // agent epoch of the worker when the task was assigned
 	Machine     *Machine
 
 	Restored      bool // from records or an adopted task: this leader did not see the task start
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -18,9 +18,9 @@
 // ReportedGangTask is a task of a gang that a worker has reported and that is not adopted yet, because not
 // all tasks of the gang are known.
 type ReportedGangTask struct {
-	Machine *Machine
-	Task    workers.TaskStatus
-	Session uint64 // agent epoch of the worker that reported the task
+	Machine    *Machine
+	Task       workers.TaskStatus
+	AgentEpoch uint64 // agent epoch of the worker that reported the task
 }
 
 // IsGang reports whether the job's tasks run together or not at all.
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -43,7 +43,7 @@
 
 // WorkerState is the state reported by the machine's worker.
 type WorkerState struct {
-	Session         uint64                // agent epoch; a new one begins when the lease expires
+	AgentEpoch      uint64                // agent epoch; a new one begins when the lease expires
 	Seq             uint64                // of the newest message: a heartbeat or a response to a request
 	Token           uint64                // the highest fencing token that the worker has seen
 	Tasks           []workers.TaskStatus  // of the newest message
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -48,7 +48,7 @@
 	}
 	now := time.Now()
 	for _, a := range machine.Assignments {
-		if a.Outcome != cluster.Open || a.Session != machine.Worker.Session {
+		if a.Outcome != cluster.Open || a.AgentEpoch != machine.Worker.AgentEpoch {
 			continue
 		}
 		switch decision := reconcile.DecideCommand(d.Tasks.AttemptState(a, now)); decision.Action {
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -16,7 +16,7 @@
 // a machine would look healthy forever, and tasks would be assigned to it in vain.
 func (d *Dispatcher) CheckDelivery(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
 	commands := &machine.Commands
-	if heartbeat.AgentEpoch > machine.Worker.Session || len(commands.LastResponse) == 0 {
+	if heartbeat.AgentEpoch > machine.Worker.AgentEpoch || len(commands.LastResponse) == 0 {
 		return // a new agent epoch or no commands: the heartbeat proves nothing about delivery
 	}
 	if anyExecuted(machine, heartbeat) {
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -129,7 +129,7 @@
 // outcome of an earlier one is unknown.
 func (d *Dispatcher) mayCommand(machine *cluster.Machine, now time.Time) bool {
 	worker := &machine.Worker
-	return machine.Phase == cluster.Up && worker.Session != 0 && machine.Addr != "" &&
+	return machine.Phase == cluster.Up && worker.AgentEpoch != 0 && machine.Addr != "" &&
 		machine.Commands.InDoubtSince.IsZero() && !now.After(worker.LeaseUntil) && d.Host.IsLeader()
 }
 
@@ -148,7 +148,7 @@
 			machine.Commands.StartedByRequest[cluster.CommandRef(&command)] = token
 		}
 	}
-	request := workers.CommandRequest{FencingToken: token, AgentEpoch: machine.Worker.Session, Commands: commands}
+	request := workers.CommandRequest{FencingToken: token, AgentEpoch: machine.Worker.AgentEpoch, Commands: commands}
 	addr := machine.Addr // read here, as a heartbeat may change it while the goroutine runs
 	go func() {
 		heartbeat, executed, err := d.Client.SendCommands(ctx, addr, request)
@@ -233,5 +233,5 @@
 
 // HeartbeatSeq returns the position of a heartbeat in the sequence of a worker's messages.
 func HeartbeatSeq(heartbeat *workers.Heartbeat) liveness.HeartbeatSeq {
-	return liveness.HeartbeatSeq{Session: heartbeat.AgentEpoch, Seq: heartbeat.Seq}
+	return liveness.HeartbeatSeq{AgentEpoch: heartbeat.AgentEpoch, Seq: heartbeat.Seq}
 }
--- a/internal/leader/dispatch/dispatcher_test.go
+++ b/internal/leader/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 		defer cancel()
 		for i := range 20 {
 			unresponsive := cluster.NewMachine(fmt.Sprint("m-9", i), now)
-			unresponsive.Phase, unresponsive.Worker.Session, unresponsive.Addr, unresponsive.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
+			unresponsive.Phase, unresponsive.Worker.AgentEpoch, unresponsive.Addr, unresponsive.Worker.LeaseUntil = cluster.Up, 1, "10.1.0.9:9000", now.Add(time.Hour)
 			s.Notify(unresponsive) // known from records only: it has not reported to this leader
 		}
 		s.Send(ctx, now)
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -61,7 +61,7 @@
 	}
 	// A heartbeat from before an expired lease, or a late copy of one, renews nothing.
 	newest := machine.Worker.NewestHeartbeat
-	return seq.Session >= machine.Worker.Session && seq != newest && !seq.Before(newest)
+	return seq.AgentEpoch >= machine.Worker.AgentEpoch && seq != newest && !seq.Before(newest)
 }
 
 // addReportedMachine adds a machine that this leader first learns of from a heartbeat.
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -159,7 +159,7 @@
 	})
 	l.forEachAssignment(func(a *cluster.Assignment) {
 		worker := &a.Machine.Worker
-		decision := reconcile.DecideOnRecords(l.Tasks.AttemptState(a, now), a.Job.IsTaskDone(a.Index), worker.Session, worker.LeaseUntil)
+		decision := reconcile.DecideOnRecords(l.Tasks.AttemptState(a, now), a.Job.IsTaskDone(a.Index), worker.AgentEpoch, worker.LeaseUntil)
 		switch decision.Action {
 		case reconcile.Complete:
 			l.Tasks.End(a, cluster.Success)
@@ -231,7 +231,7 @@
 		l.Failover.ExpectMachine(machine.ID)
 	}
 	machine.Addr, machine.Type, machine.Zone, machine.Spot = record.Addr, record.Type, record.Zone, record.Spot
-	machine.Worker.Session = max(machine.Worker.Session, record.Session)
+	machine.Worker.AgentEpoch = max(machine.Worker.AgentEpoch, record.Session)
 	return machine
 }
 
@@ -254,7 +254,7 @@
 		job.GrowTo(task.Index + 1)
 	}
 	segment.Assignments[task.Attempt] = &cluster.Assignment{
-		Job: job, Index: task.Index, Attempt: task.Attempt, GangAttempt: task.Gang, Session: session, Machine: machine,
+		Job: job, Index: task.Index, Attempt: task.Attempt, GangAttempt: task.Gang, AgentEpoch: session, Machine: machine,
 		Restored: true, CreatedAt: now, RunningSince: now,
 		Start: cluster.Start{InDoubtToken: l.Fencing.Current - 1},
 		Log:   cluster.LogState{Segment: segment, Durable: true},
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -20,7 +20,7 @@
 
 // acceptsWork reports whether tasks may be placed on a machine.
 func (l *Leader) acceptsWork(machine *cluster.Machine, now time.Time) bool {
-	return machine.Phase == cluster.Up && !machine.Health.Dead && !machine.Health.Draining && machine.Worker.Session != 0 && machine.Worker.Token <= l.fencing.Current && l.detector.Schedulable(machine.ID, now)
+	return machine.Phase == cluster.Up && !machine.Health.Dead && !machine.Health.Draining && machine.Worker.AgentEpoch != 0 && machine.Worker.Token <= l.fencing.Current && l.detector.Schedulable(machine.ID, now)
 }
 
 // updateOffer makes a machine available for placement if it accepts work, and withdraws it if not.
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -29,15 +29,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, m, _, now := newTestLeader()
-			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 1}, now)
+			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{AgentEpoch: 1, Seq: 1}, now)
 			now = now.Add(3 * time.Second) // m-1 is silent
-			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 2}, now)
+			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{AgentEpoch: 1, Seq: 2}, now)
 			if probes, _ := l.detector.Tick(now, 9); len(probes) != 1 || probes[0] != m.ID {
 				t.Fatalf("probes: %v", probes)
 			}
 			l.handleProbeResult(m, nil, tc.err, now)
 			now = now.Add(500 * time.Millisecond)
-			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{Session: 1, Seq: 3}, now)
+			l.detector.Heartbeat("m-2", "b", liveness.HeartbeatSeq{AgentEpoch: 1, Seq: 3}, now)
 			probes, verdicts := l.detector.Tick(now, 9)
 			if dead := len(verdicts) > 0; dead != tc.dead || (len(probes) == 1) == tc.dead {
 				t.Errorf("repeated probes: %v, verdicts: %v", probes, verdicts)
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -76,7 +76,7 @@
 		if !ok || job == nil || !a.jobs[job] || !job.MayAdopt(index, &task) || machine.FindAssignment(cluster.RefOf(&task)) != nil {
 			continue
 		}
-		part := cluster.ReportedGangTask{Machine: machine, Task: task, Session: report.AgentEpoch}
+		part := cluster.ReportedGangTask{Machine: machine, Task: task, AgentEpoch: report.AgentEpoch}
 		if !job.IsGang() {
 			a.cfg.Leader.ReserveAttempts(task.Attempt)
 			a.adoptTask(job, index, part, attemptNumbers{own: task.Attempt}, now)
@@ -101,7 +101,7 @@
 // adoptTask creates an assignment for a task that a worker reported, and queues it for the log.
 func (a *adoption) adoptTask(job *cluster.Job, index int, part cluster.ReportedGangTask, numbers attemptNumbers, now time.Time) {
 	adopted := &cluster.Assignment{
-		Job: job, Index: index, Attempt: numbers.own, GangAttempt: numbers.gang, Session: part.Session, Machine: part.Machine,
+		Job: job, Index: index, Attempt: numbers.own, GangAttempt: numbers.gang, AgentEpoch: part.AgentEpoch, Machine: part.Machine,
 		Restored: true, Start: cluster.Start{Sent: true}, CreatedAt: now, RunningSince: now,
 	}
 	slog.Info("task adopted", "task", adopted.TaskName(), "machine", adopted.Machine.ID, "term", a.cfg.token(), "state", part.Task.State)
@@ -132,7 +132,7 @@
 func (a *adoption) adoptGang(job *cluster.Job, now time.Time) {
 	for index := range job.Spec.Tasks {
 		part, ok := job.Adoption.ReportedGangTasks[index]
-		if !ok || !a.cfg.State.Machines.Contains(part.Machine) || part.Machine.Worker.Session != part.Session && part.Machine.Worker.Session != 0 {
+		if !ok || !a.cfg.State.Machines.Contains(part.Machine) || part.Machine.Worker.AgentEpoch != part.AgentEpoch && part.Machine.Worker.AgentEpoch != 0 {
 			continue
 		}
 		a.cfg.Leader.ReserveAttempts(part.Task.Attempt)
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -102,7 +102,7 @@
 
 func (s *scenario) addMachine(id string) *cluster.Machine {
 	m := cluster.NewMachine(id, s.now)
-	m.Worker.Session = 1
+	m.Worker.AgentEpoch = 1
 	s.machines.Add(m)
 	return m
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -27,15 +27,15 @@
 
 // MachineStatus is the status of one machine.
 type MachineStatus struct {
-	ID      string  `json:"id"`
-	Type    string  `json:"type"`
-	Zone    string  `json:"zone"`
-	Spot    bool    `json:"spot"`
-	State   string  `json:"state"`
-	Session uint64  `json:"session"`
-	Tasks   int     `json:"tasks"`
-	CPUs    float64 `json:"cpus"` // used by tasks that are, or may be, on the machine
-	InDoubt bool    `json:"doubt"`
+	ID         string  `json:"id"`
+	Type       string  `json:"type"`
+	Zone       string  `json:"zone"`
+	Spot       bool    `json:"spot"`
+	State      string  `json:"state"`
+	AgentEpoch uint64  `json:"session"`
+	Tasks      int     `json:"tasks"`
+	CPUs       float64 `json:"cpus"` // used by tasks that are, or may be, on the machine
+	InDoubt    bool    `json:"doubt"`
 }
 
 // ClassStatus sums up the unfinished jobs of one class.
@@ -79,7 +79,7 @@
 	for _, machine := range l.state.Machines.All {
 		statuses = append(statuses, MachineStatus{
 			ID: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, State: l.machineState(machine, now),
-			Session: machine.Worker.Session, Tasks: len(machine.Assignments), CPUs: machine.Used.CPUs,
+			AgentEpoch: machine.Worker.AgentEpoch, Tasks: len(machine.Assignments), CPUs: machine.Used.CPUs,
 			InDoubt: !machine.Commands.InDoubtSince.IsZero(),
 		})
 	}
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -68,7 +68,7 @@
 // command is sent only once the assignment is durable.
 func (m *Manager) Assign(job *cluster.Job, task int, machine *cluster.Machine, now time.Time) *cluster.Assignment {
 	a := &cluster.Assignment{
-		Job: job, Index: task, Attempt: m.NextAttempt(), Session: machine.Worker.Session, Machine: machine,
+		Job: job, Index: task, Attempt: m.NextAttempt(), AgentEpoch: machine.Worker.AgentEpoch, Machine: machine,
 		RunningSince: now, CreatedAt: now,
 	}
 	if job.IsGang() {
@@ -103,7 +103,7 @@
 func (m *Manager) AttemptState(assignment *cluster.Assignment, now time.Time) reconcile.Attempt {
 	job := assignment.Job
 	return reconcile.Attempt{
-		Session: assignment.Session, Durable: assignment.Log.Durable, ObservedState: assignment.ObservedState,
+		AgentEpoch: assignment.AgentEpoch, Durable: assignment.Log.Durable, ObservedState: assignment.ObservedState,
 		CommandPending: assignment.Start.RequestInFlight, Sent: assignment.Start.Sent, InDoubtToken: assignment.Start.InDoubtToken,
 		RunsToCompletion: job.Spec.RunsToCompletion(), JobFinished: job.IsOver(), JobCancelled: job.End.Cancelled,
 		Preempted: assignment.Stop.Requested, GraceS: assignment.Stop.GraceS,
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -13,11 +13,11 @@
 // heartbeat is ignored, as it must not overwrite newer state.
 func (m *Manager) Observe(machine *cluster.Machine, heartbeat *workers.Heartbeat, now time.Time) {
 	worker := &machine.Worker
-	isStale := heartbeat.AgentEpoch == worker.Session && worker.Seq != 0 && heartbeat.Seq <= worker.Seq
-	if heartbeat.AgentEpoch < worker.Session || isStale {
+	isStale := heartbeat.AgentEpoch == worker.AgentEpoch && worker.Seq != 0 && heartbeat.Seq <= worker.Seq
+	if heartbeat.AgentEpoch < worker.AgentEpoch || isStale {
 		return
 	}
-	if heartbeat.AgentEpoch > worker.Session {
+	if heartbeat.AgentEpoch > worker.AgentEpoch {
 		// The response to a command or a probe may show the new agent epoch before the
 		// lease of the old one has expired here, as it is counted from the arrival of a
 		// heartbeat. Tasks that start in the new epoch may run for a whole lease from now.
@@ -25,7 +25,7 @@
 		machine.Commands.InDoubtSince = time.Time{}
 		m.Planner.PlanRequested = true
 	}
-	worker.Session, worker.Seq = heartbeat.AgentEpoch, heartbeat.Seq
+	worker.AgentEpoch, worker.Seq = heartbeat.AgentEpoch, heartbeat.Seq
 	worker.Token, worker.Tasks = heartbeat.FencingToken, heartbeat.Tasks
 	machine.Addr, machine.Type, machine.Zone, machine.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 	if heartbeat.SpotNoticeS != nil {
@@ -51,8 +51,8 @@
 		if a.Outcome != cluster.Open {
 			continue
 		}
-		observation := reconcile.Observation{Session: heartbeat.AgentEpoch, Token: heartbeat.FencingToken}
-		if a.Session == heartbeat.AgentEpoch {
+		observation := reconcile.Observation{AgentEpoch: heartbeat.AgentEpoch, Token: heartbeat.FencingToken}
+		if a.AgentEpoch == heartbeat.AgentEpoch {
 			observation.Task = cluster.FindTask(heartbeat, a.Ref())
 		}
 		m.applyDecision(a, observation.Task, reconcile.DecideOnHeartbeat(m.AttemptState(a, now), observation), now)
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -66,8 +66,8 @@
 		l.tasks.EndAssignmentsOn(machine, string(decision.Reason))
 		l.failover.MachineGone(machine.ID)
 		// Anything that still arrives from the expired agent epoch is out of date.
-		if worker.Session != 0 {
-			worker.Session, worker.Seq, worker.Tasks = worker.Session+1, 0, nil
+		if worker.AgentEpoch != 0 {
+			worker.AgentEpoch, worker.Seq, worker.Tasks = worker.AgentEpoch+1, 0, nil
 			machine.Commands.InDoubtSince = time.Time{}
 		}
 		worker.LeaseUntil = now.Add(l.Derived.Workers.LeaseExpiry)
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -135,7 +135,7 @@
 			r := newHeartbeat(1, seq)
 			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), leader.fencing.Current
 			if m := leader.state.Machines.ByID[r.Machine]; m != nil {
-				r.AgentEpoch = m.Worker.Session + uint64(rnd.IntN(2))
+				r.AgentEpoch = m.Worker.AgentEpoch + uint64(rnd.IntN(2))
 			}
 			leader.answerHeartbeat(r, now)
 		}
--- a/internal/liveness/probe.go
+++ b/internal/liveness/probe.go
@@ -44,7 +44,7 @@
 func (d *Detector) judgeSilentWorker(target *machine, seq HeartbeatSeq, now time.Time) {
 	// Every command that arrived, this probe included, has incremented the counter by one.
 	// Anything beyond that is heartbeats that were sent but not received.
-	expected := HeartbeatSeq{target.newestSeq.Session, target.newestSeq.Seq + target.commandsSinceNewestSeq}
+	expected := HeartbeatSeq{target.newestSeq.AgentEpoch, target.newestSeq.Seq + target.commandsSinceNewestSeq}
 	heartbeatsMissed := target.synced && expected.Before(seq)
 	target.advance(seq)
 	switch {
--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -146,7 +146,7 @@
 func parseSeq(t *testing.T, location, s string) HeartbeatSeq {
 	t.Helper()
 	var seq HeartbeatSeq
-	if _, err := fmt.Sscanf(s, "%d/%d", &seq.Session, &seq.Seq); err != nil {
+	if _, err := fmt.Sscanf(s, "%d/%d", &seq.AgentEpoch, &seq.Seq); err != nil {
 		t.Fatalf("%s: %v", location, err)
 	}
 	return seq
--- a/internal/reconcile/attempt.go
+++ b/internal/reconcile/attempt.go
@@ -6,7 +6,7 @@
 
 // Attempt is the known state of one attempt to run a task on a machine.
 type Attempt struct {
-	Session          uint64 // agent epoch in which the attempt was or is to be started
+	AgentEpoch       uint64 // agent epoch in which the attempt was or is to be started
 	Durable          bool   // its start is in the records
 	CommandPending   bool   // a start command, sent other than in the answer to a heartbeat, is unanswered
 	Sent             bool   // a start command was sent and is not known to have failed
@@ -32,7 +32,7 @@
 
 // Observation is the content of a worker's newest message that concerns an attempt.
 type Observation struct {
-	Session uint64
-	Token   uint64              // highest fencing token that the worker has seen
-	Task    *workers.TaskStatus // nil if the worker does not list the task
+	AgentEpoch uint64
+	Token      uint64              // highest fencing token that the worker has seen
+	Task       *workers.TaskStatus // nil if the worker does not list the task
 }
--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -10,9 +10,9 @@
 // proves only what no command in flight can change any more.
 func DecideOnHeartbeat(attempt Attempt, observed Observation) Decision {
 	switch {
-	case observed.Session > attempt.Session:
+	case observed.AgentEpoch > attempt.AgentEpoch:
 		return Decision{Action: Reschedule, Reason: AgentEpochEnded}
-	case observed.Session < attempt.Session:
+	case observed.AgentEpoch < attempt.AgentEpoch:
 		return Decision{Action: Wait, Reason: NoHeartbeat}
 	case observed.Task == nil:
 		return decideOnAbsence(attempt, observed.Token)
@@ -97,7 +97,7 @@
 	switch {
 	case taskDone:
 		return Decision{Action: Complete, Reason: Reason(workers.CauseDone)}
-	case attempt.Session < newestAgentEpoch:
+	case attempt.AgentEpoch < newestAgentEpoch:
 		return Decision{Action: Reschedule, Reason: AgentEpochEnded}
 	}
 	return Decision{Action: Wait, Reason: NoHeartbeat, Until: leaseUntil}
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -11,7 +11,7 @@
 
 // durableAttempt returns an attempt in agent epoch 3 whose start is durable, of an unfinished job.
 func durableAttempt(change func(*Attempt)) Attempt {
-	a := Attempt{Session: 3, Durable: true, RunsToCompletion: true, GangReady: true}
+	a := Attempt{AgentEpoch: 3, Durable: true, RunsToCompletion: true, GangReady: true}
 	if change != nil {
 		change(&a)
 	}
@@ -126,13 +126,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
-			Session: 3, Durable: flag("durable"), CommandPending: flag("command pending"), Sent: flag("sent"), RunsToCompletion: flag("runs to completion"),
+			AgentEpoch: 3, Durable: flag("durable"), CommandPending: flag("command pending"), Sent: flag("sent"), RunsToCompletion: flag("runs to completion"),
 			InDoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), ObservedState: rapid.SampledFrom([]string{"", workers.StateRunning, workers.StateSaving}).Draw(t, "seen"),
 			JobFinished: flag("over"), Preempted: flag("preempted"), GangReady: flag("whole"), RecordsIncomplete: flag("incomplete"),
 		}
 		workerToken := rapid.Uint64Range(1, 9).Draw(t, "worker token")
 		commandMayArrive := a.CommandPending || a.InDoubtToken != 0 && workerToken <= a.InDoubtToken
-		d := DecideOnHeartbeat(a, Observation{Session: 3, Token: workerToken})
+		d := DecideOnHeartbeat(a, Observation{AgentEpoch: 3, Token: workerToken})
 		if (d.Action == Reschedule || d.Action == Start) && (commandMayArrive || !a.Durable) {
 			t.Fatalf("%+v with token %d: %v (%s)", a, workerToken, d.Action, d.Reason)
 		}
