--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -31,10 +31,10 @@
 	DeadlineS float64 // time by which the last task should have ended, in seconds from now
 }
 
-// ForecastLateTasks simulates how the existing machines work off the queue in its order, and
+// ForecastLateTasks simulates how the existing machines process the queue in its order, and
 // returns for each entry how many of its tasks would miss the deadline. Provisioning for these
 // tasks only, rather than for all pending ones, avoids machines that idle after a burst that the
-// existing ones would have worked off in time. It modifies machines.
+// existing ones would have processed in time. It modifies machines.
 func ForecastLateTasks(machines []MachineForecast, queue []PendingTasks) []int {
 	for i := range machines {
 		slices.SortFunc(machines[i].Releases, compareReleases)
@@ -88,9 +88,9 @@
 	return math.Inf(1)
 }
 
-// placeTask places a task on the machine. No other task starts there before it any more, even in
-// resources that are free. The forecast is thus slightly too cautious, but needs only one time per
-// machine.
+// placeTask places a task on the machine. Tasks placed later do not start there before it, even if
+// they fit into free resources. The forecast is thus slightly too cautious, but needs only one time
+// per machine.
 func (m *MachineForecast) placeTask(request placement.Resources, startS, runS float64) {
 	for len(m.Releases) > 0 && !m.Free.Fits(request) {
 		m.Free = m.Free.AddTimes(m.Releases[0].Resources, 1)
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -46,8 +46,8 @@
 	return plan.provisioned
 }
 
-// PoolsLargestFirst returns the pools of a plan in a deterministic order, those with most machines
-// first.
+// PoolsLargestFirst returns the pools of a plan in a deterministic order, those with the most
+// machines first.
 func PoolsLargestFirst(plan map[MachinePool]int) []MachinePool {
 	pools := make([]MachinePool, 0, len(plan))
 	for pool := range plan {
@@ -62,7 +62,7 @@
 // scaleOutPlan is a plan under construction.
 type scaleOutPlan struct {
 	market      Market
-	available   map[capacity]int // number of machines that are booting or to be provisioned, by free resources
+	available   map[capacity]int // machines that are booting or to be provisioned, counted by capacity
 	provisioned map[MachinePool]int
 }
 
@@ -169,8 +169,8 @@
 }
 
 // compare orders options by price per task. At the same price, a pool without a partly filled
-// request comes first, then the pool with fewest machines, which spreads new machines over the
-// zones.
+// request comes first, then the pool with the fewest machines, which spreads new machines over
+// the zones.
 func (o poolOption) compare(other poolOption) int {
 	return cmp.Or(
 		cmp.Compare(o.pricePerTask, other.pricePerTask),
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -16,7 +16,7 @@
 // Run campaigns until the context ends. For each term that this controller wins, Run calls lead
 // with a context that ends with the term, and waits until lead returns.
 func (e *Elector) Run(ctx context.Context, lead LeadFunc) {
-	var standDownUntil time.Time // this controller does not campaign before
+	var standDownUntil time.Time // this controller does not campaign before this time
 	for ctx.Err() == nil {
 		stored, err := e.observeElection(ctx)
 		if err != nil {
@@ -87,8 +87,8 @@
 }
 
 // dropSucceededHolder clears a holder that has been succeeded. Its key exists only because the
-// store was rolled back. The lease that the key was tied to has ended, so nothing else would ever
-// remove the key.
+// store was rolled back. The lease that the key was tied to no longer exists, so nothing else would
+// ever remove the key.
 func (e *Elector) dropSucceededHolder(stored *storedElection) {
 	switch {
 	case stored.holder == nil:
@@ -130,7 +130,7 @@
 		return true
 	}
 	if e.grantor.boundByEarlierIncarnation(e.clock()) {
-		wait = min(wait, e.timing.RetryPeriod/2) // ask peers that have not answered again soon
+		wait = min(wait, e.timing.RetryPeriod/2) // ask the remaining peers again soon
 	}
 	e.awaitChange(ctx, stored.revision, min(wait, e.timing.WatchTimeout))
 	return true
@@ -171,7 +171,7 @@
 		return wonTerm{Term: term, lease: lease, requestedAt: requestedAt}, nil
 	}
 	// A transaction with an unknown outcome is not followed up. If it is executed late, its lease
-	// is not renewed, so the key is released when the lease ends. Revoking the lease now saves
+	// is not renewed, so the key is released when the lease expires. Revoking the lease now saves
 	// waiting a whole lease duration in that case.
 	e.tryRevokeLease(ctx, lease)
 	return wonTerm{}, errors.Join(err, fmt.Errorf("transaction guards failed: %v", failed))
@@ -181,8 +181,8 @@
 // campaign.
 var errBoundByGrant = errors.New("bound by a peer lease")
 
-// tryRevokeLease revokes a lease that is no longer renewed, so that others need not wait for its
-// end. Errors are ignored, because the lease ends by itself.
+// tryRevokeLease revokes a lease that is no longer renewed, so that others need not wait until it
+// expires. Errors are ignored, because the lease expires in any case.
 func (e *Elector) tryRevokeLease(ctx context.Context, lease uint64) {
 	ctx, cancel := context.WithTimeout(ctx, e.timing.RetryPeriod)
 	defer cancel()
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -39,7 +39,7 @@
 	grantor  lockedGrantor  // of peer leases to other controllers
 	ownToken atomic.Uint64  // newest fencing token of the term that this controller holds
 
-	// Times on the clock of the decisions.
+	// Times on the elector's clock.
 	peerLeasesRequestedAt atomic.Int64 // of the last leases that all peers granted; 0: never
 	holderObservedAt      atomic.Int64 // time as of which observedHolder is known
 
@@ -50,7 +50,7 @@
 	// RequestPeerLeases requests a lease for the leader with a fencing token from every peer and
 	// reports whether all granted it. If nil, no peer leases are available. Set it before Run.
 	RequestPeerLeases func(ctx context.Context, token uint64) bool
-	// NoPeerReliesOnGrants asks every peer and reports whether each has answered this incarnation
+	// NoPeerReliesOnGrants asks every peer and reports whether each has told this incarnation
 	// that it relies on no grant. If nil, the peers cannot be asked. Set it before Run.
 	NoPeerReliesOnGrants func(ctx context.Context) bool
 	// ReportLoss is called with evidence that the store has lost keys of the election. Set it
@@ -58,7 +58,7 @@
 	ReportLoss func(detection.Evidence)
 }
 
-// NewElector returns an Elector for the controller of the given name. It takes the present time as
+// NewElector returns an Elector for the controller of the given name. It takes the current time as
 // the start of the controller's incarnation.
 func NewElector(controller string, store *kvstore.Client, timing Timing) *Elector {
 	e := &Elector{
@@ -69,10 +69,10 @@
 	return e
 }
 
-// clock returns the time on the monotonic clock that all decisions use.
+// clock returns the time on the elector's monotonic clock, which all decisions use.
 func (e *Elector) clock() time.Duration { return time.Since(e.clockStart) }
 
-// clockAt converts a time to the clock of the decisions.
+// clockAt converts a time to the elector's clock.
 func (e *Elector) clockAt(at time.Time) time.Duration { return at.Sub(e.clockStart) }
 
 // IsLeader reports whether this controller may act as the leader now, by its own clock.
@@ -91,8 +91,8 @@
 	return time.Time{}
 }
 
-// ObserveRaisedToken records that the leader has raised its fencing token within the term. Requests for
-// peer leases must carry the newest token: peers refuse a leader whose token is lower than the
+// ObserveRaisedToken records that the leader has raised its fencing token within the term. Requests
+// for peer leases must carry the newest token: peers refuse a leader whose token is lower than the
 // highest that they know, because they assume that it has been succeeded.
 func (e *Elector) ObserveRaisedToken(token uint64) {
 	e.ownToken.Store(token)
@@ -100,8 +100,8 @@
 }
 
 // Leader returns the name of the controller that was last observed to be the leader. It returns
-// the empty string if there is none, or if the last observation is too old: a controller that is
-// cut off must not direct workers to a leader that may no longer lead.
+// the empty string if there is none, or if the last observation is too old: a controller that
+// cannot reach the store must not direct workers to a leader that may no longer lead.
 func (e *Elector) Leader() string {
 	holder := e.observedHolder.Load()
 	if holder == nil || e.clock()-time.Duration(e.holderObservedAt.Load()) > e.timing.WatchTimeout+2*e.timing.LeaseDuration {
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -65,8 +65,8 @@
 	return slices.Clone(r.tokens)
 }
 
-// grantingAfter returns a function that configures an elector whose peers all answer a request for
-// peer leases after a delay: all grant it, or all refuse it.
+// grantingAfter returns a function that configures an elector whose peers all respond to a request
+// for peer leases after a delay: all grant it, or all refuse it.
 func grantingAfter(delay time.Duration, granted bool) func(*Elector) {
 	return func(e *Elector) {
 		e.RequestPeerLeases = func(context.Context, uint64) bool {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Checks that grants that arrive after the validity has ended do not restore the old term, because
+// Checks that grants that arrive after the validity has expired do not restore the old term, because
 // another controller may have won a term since.
 func TestLatePeerLeaseDoesNotRestoreTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -130,7 +130,7 @@
 }
 
 // Checks with two controllers and one store that the second leads only after the first has
-// stopped, and that the token of a holder that resigned or was cut off is never used again.
+// stopped, and that the token of a holder that resigned or lost its connection is never used again.
 func TestLeadershipHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -176,9 +176,9 @@
 	})
 }
 
-// Checks that a term is kept if answers to renewals take most of the lease, as on a starved
-// processor or with a slow store. The next renewal must not wait for the answer, and each answered
-// renewal must count from when it was sent.
+// Checks that a term is kept if responses to renewals take most of the lease, as on a starved
+// processor or with a slow store. The next renewal must not wait for the response, and each
+// successful renewal must count from when it was sent.
 func TestSlowRenewalAnswersKeepTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -12,16 +12,16 @@
 type endReason string
 
 const (
-	wonTooSlowly  endReason = "taken too slowly"             // the validity had ended when the term was won
+	wonTooSlowly  endReason = "taken too slowly"             // the validity had expired by the time the term was won
 	shuttingDown  endReason = "shutting down"                // the context of Run has ended
 	resigned      endReason = "resigned"                     // the LeadFunc returned by itself
-	holderKeyLost endReason = "holder key lost"              // the key was lost although the lease is renewed
+	holderKeyLost endReason = "holder key lost"              // the key is gone or another controller's, although the lease is renewed
 	leaseEnded    endReason = "lease ended"                  // the store no longer has the lease
-	validityEnded endReason = "neither renewed nor promised" // neither the store nor all peers answered
+	validityEnded endReason = "neither renewed nor promised" // the validity expired: neither the store nor all peers have extended it
 )
 
-// serveTerm runs lead for a term until the term's lease can no longer be proven valid, and returns
-// the reason for the end of the term.
+// serveTerm runs lead for a term and returns the reason for the end of the term. The term ends at
+// the latest when its lease can no longer be proven valid.
 func (e *Elector) serveTerm(ctx context.Context, won wonTerm, lead LeadFunc) endReason {
 	e.validity.begin(e.clockAt(won.requestedAt), e.timing.ValidFor)
 	if !e.IsLeader() {
@@ -57,7 +57,7 @@
 
 // watchHolderKey reads the holder key once per lease duration and closes lost when the key no
 // longer belongs to this term. Without this check, a leader whose key the store has lost would
-// lead beside its successor for as long as it renews its lease.
+// lead alongside its successor for as long as it renews its lease.
 func (e *Elector) watchHolderKey(ctx context.Context, term Term, lost chan<- struct{}) {
 	ticker := time.NewTicker(e.timing.LeaseDuration)
 	defer ticker.Stop()
--- a/internal/election/locked.go
+++ b/internal/election/locked.go
@@ -56,7 +56,7 @@
 	return g.grantor.Grant(now, leaseDuration, token)
 }
 
-// boundByEarlierIncarnation reports whether this controller is waiting for the end of leases that
+// boundByEarlierIncarnation reports whether this controller is waiting for leases to expire that
 // an earlier incarnation may have granted.
 func (g *lockedGrantor) boundByEarlierIncarnation(now time.Duration) bool {
 	g.mu.Lock()
--- a/internal/election/locked_test.go
+++ b/internal/election/locked_test.go
@@ -13,7 +13,7 @@
 	lease := time.Second
 	at := func(units float64) time.Duration { return time.Duration(units * float64(lease)) }
 
-	t.Run("a grant forbids campaigns until it ends", func(t *testing.T) {
+	t.Run("a grant forbids campaigns until it expires", func(t *testing.T) {
 		var grantor lockedGrantor
 		if !grantor.grant(at(0), lease, 7) {
 			t.Fatal("refused a lease although nothing conflicts with it")
@@ -22,7 +22,7 @@
 			t.Error("campaigned while the granted lease binds")
 		}
 		if !grantor.beginCampaign(at(1.1), false, 7) {
-			t.Error("refused to campaign after the granted lease has ended")
+			t.Error("refused to campaign after the granted lease has expired")
 		}
 	})
 	t.Run("no grant while a campaign may still succeed", func(t *testing.T) {
@@ -43,7 +43,7 @@
 			t.Error("refused a lease although no campaign is pending")
 		}
 	})
-	t.Run("a new incarnation waits for the end of leases that an earlier one may have granted", func(t *testing.T) {
+	t.Run("a new incarnation waits until leases that an earlier one may have granted have expired", func(t *testing.T) {
 		grantor := lockedGrantor{grantor: rules.NewRestartedGrantor(at(0), lease)}
 		if grantor.beginCampaign(at(0.5), false, 7) {
 			t.Error("campaigned while a lease granted by an earlier incarnation may bind")
--- a/internal/election/loss_test.go
+++ b/internal/election/loss_test.go
@@ -79,7 +79,8 @@
 }
 
 // Checks that a leader stops before another controller leads if the holder key is lost while its
-// lease is alive. The leader can still renew the lease, but holds nothing by it.
+// lease is alive. The leader can still renew the lease, but the lease no longer
+// protects the key.
 func TestNoTwoLeadersAfterHolderKeyLoss(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		reported, tokens := loseKeys(t, func(s *emulator.KVStore) { s.LoseKeys(silently, emulator.WithKey(HolderKey)) })
@@ -124,7 +125,7 @@
 }
 
 // Checks that no loss is reported for a term that ends because the holder stops, or because its
-// lease ends.
+// lease expires.
 func TestTermEndIsNotReportedAsLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -134,7 +135,7 @@
 		time.Sleep(time.Second)
 		second := startElector(t, network, "perch-1", reported.record)
 		time.Sleep(3 * time.Second)
-		store.SetRefused("perch-0", true) // the lease of perch-0 ends
+		store.SetRefused("perch-0", true) // the lease of perch-0 expires
 		time.Sleep(10 * time.Second)
 		if !second.IsLeader() {
 			t.Error("perch-1 does not lead")
@@ -156,8 +157,8 @@
 }
 
 // Checks that a controller becomes leader after the store was rolled back to an earlier term. The
-// lease of that term has ended, so nothing else would ever remove its holder key. A controller
-// that knows that the holder has been succeeded must campaign all the same.
+// lease of that term no longer exists, so nothing else would ever remove its holder key. A
+// controller that knows that the holder has been succeeded must therefore campaign.
 func TestNewTermAfterRollbackToEarlierHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
--- a/internal/election/model/campaign_steps.go
+++ b/internal/election/model/campaign_steps.go
@@ -3,7 +3,7 @@
 import "ospreyslip/internal/election/rules"
 
 // transactionArrivalSteps adds the steps in which a transaction of a controller reaches the store.
-// The answer may arrive at any later time, or never.
+// The response may arrive at any later time, or never.
 func (e *explorer) transactionArrivalSteps(state *clusterState, controller int) {
 	for slot, txn := range state.transactions[controller] {
 		if !txn.inFlight {
--- a/internal/election/model/environment_steps.go
+++ b/internal/election/model/environment_steps.go
@@ -48,13 +48,13 @@
 		for slot := range s.transactions[controller] {
 			txn := &s.transactions[controller][slot]
 			if txn.leaseLeft = max(0, txn.leaseLeft-1); txn.leaseLeft == 0 {
-				*txn = transaction{} // the store refuses a write under a lease that has ended
+				*txn = transaction{} // the store refuses a write under a lease that has expired
 			}
 		}
 	}
 }
 
-// outageSteps adds the step that begins or ends an outage of the store. When the outage ends,
+// outageSteps adds the step that starts or ends an outage of the store. When the outage ends,
 // every lease has its full duration again.
 func (e *explorer) outageSteps(state *clusterState) {
 	next := *state
@@ -77,7 +77,7 @@
 }
 
 // processSteps adds the step that ends a controller's process or starts its next incarnation.
-// Answers that it has sent to others are still delivered.
+// Responses that it has sent to others are still delivered.
 func (e *explorer) processSteps(state *clusterState, controller int) {
 	next := *state
 	self := &next.controllers[controller]
--- a/internal/election/model/explore.go
+++ b/internal/election/model/explore.go
@@ -19,7 +19,7 @@
 // Result is the result of an exploration.
 type Result struct {
 	States int      // distinct states that were reached
-	Depth  int      // number of steps up to which everything was explored
+	Depth  int      // steps up to which all states were visited, or after which two leaders were found
 	Trace  []string // steps to a state with two leaders; empty if none was found
 }
 
--- a/internal/election/model/explorer.go
+++ b/internal/election/model/explorer.go
@@ -55,7 +55,7 @@
 func contains(set uint8, controller int) bool { return set&(1<<controller) != 0 }
 
 // sentAt returns when a request of the given age was sent, on the controller's clock, which always
-// reads 0 at the present state.
+// reads 0 in the current state.
 func (e *explorer) sentAt(age int8) time.Duration {
 	if e.omittedGuard == CountFromSending {
 		return 0
--- a/internal/election/model/leader_steps.go
+++ b/internal/election/model/leader_steps.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// giveUpTerm ends a term for good. Answers that are still in flight to the leader are discarded.
+// giveUpTerm ends a term for good. Responses that are still in flight to the leader are discarded.
 func (c *controllerState) giveUpTerm() {
 	c.holdsTerm, c.validFor, c.token = false, 0, 0
 	c.renewalSucceeded, c.requestingPeerLeases, c.grantedBy = false, false, 0
@@ -34,7 +34,7 @@
 }
 
 // renewSteps adds the steps in which a renewal succeeds in the store, and in which the leader
-// receives the answer.
+// receives the response.
 func (e *explorer) renewSteps(state *clusterState, controller int) {
 	self := &state.controllers[controller]
 	alive := state.store.up && int(state.store.holder) == controller && state.store.incarnation == self.incarnation
@@ -55,8 +55,8 @@
 	}
 }
 
-// peerLeaseSteps adds the steps that answer a request for peer leases: each peer grants it, and
-// the leader receives all grants.
+// peerLeaseSteps adds the steps that follow a request for peer leases: each peer grants it, and the
+// leader receives all grants.
 func (e *explorer) peerLeaseSteps(state *clusterState, controller int) {
 	self := &state.controllers[controller]
 	for peer := range e.controllers {
--- a/internal/election/model/restart_steps.go
+++ b/internal/election/model/restart_steps.go
@@ -11,7 +11,7 @@
 }
 
 // voidGrantsSteps adds the steps of a restarted controller that asks its peers whether they rely on
-// grants: the peers' answers, and the step that voids the leases that its earlier incarnation may
+// grants: the peers' responses, and the step that voids the leases that its earlier incarnation may
 // have granted.
 func (e *explorer) voidGrantsSteps(state *clusterState, controller int) {
 	self := &state.controllers[controller]
@@ -38,7 +38,7 @@
 	}
 }
 
-// reliesOnGrants returns a peer's answer to a restarted controller.
+// reliesOnGrants reports whether a peer tells a restarted controller that it relies on grants.
 func (e *explorer) reliesOnGrants(peer *controllerState) bool {
 	validity := peer.validity()
 	if e.omittedGuard == InvalidStillRelies {
--- a/internal/election/model/state.go
+++ b/internal/election/model/state.go
@@ -20,7 +20,7 @@
 type clusterState struct {
 	store       storeState
 	controllers [MaxControllers]controllerState
-	// Each controller has two slots: one for its present incarnation and one for an earlier one.
+	// Each controller has two slots: one for its current incarnation and one for an earlier one.
 	transactions      [MaxControllers][2]transaction
 	untilNextLostTick int8 // ticks until the slow clock may lose another tick
 }
@@ -60,19 +60,19 @@
 	holdsTerm            bool
 	token                int8
 	validFor             int8
-	renewalSucceeded     bool // a renewal has succeeded and its answer is in flight
+	renewalSucceeded     bool // a renewal has succeeded and its response is in flight
 	renewAge             int8
 	requestingPeerLeases bool // a request for peer leases is in flight
 	requestAge           int8
-	grantedBy            uint8 // peers that have granted; their answers may be in flight
+	grantedBy            uint8 // peers that have granted; their responses may be in flight
 
-	// The state as a peer: rules.Grantor and the answers to a restarted controller.
+	// The state as a peer: rules.Grantor and the peers' responses to a restarted controller.
 	boundFor                  int8
 	boundByEarlierIncarnation bool
 	campaignPending           bool
 	campaignBaseToken         int8
 	highestToken              int8
-	relyOnNoGrant             uint8 // peers that have answered that they rely on no grant
+	relyOnNoGrant             uint8 // peers that have responded that they rely on no grant
 }
 
 // grantor returns the controller's state as a peer, on a clock that reads 0.
@@ -83,8 +83,8 @@
 	}
 }
 
-// setGrantor stores the controller's state as a peer. It clears fields that have no meaning any
-// more, because states that differ only in such fields must be equal.
+// setGrantor stores the controller's state as a peer. It clears fields that no longer have a
+// meaning, because states that differ only in such fields must be equal.
 func (c *controllerState) setGrantor(grantor rules.Grantor) {
 	c.boundFor, c.boundByEarlierIncarnation = int8(max(0, grantor.BoundUntil)), grantor.BoundByEarlierIncarnation
 	c.campaignPending, c.campaignBaseToken = grantor.CampaignPending, int8(grantor.CampaignBaseToken)
--- a/internal/election/peer_leases.go
+++ b/internal/election/peer_leases.go
@@ -12,7 +12,7 @@
 // GrantPeerLease decides whether to grant a lease to the leader with the given fencing token. A
 // grant forbids this controller to campaign for one lease duration. The lease is granted only if
 // this controller cannot reach the store either, which GrantPeerLease checks by a read. If the
-// store answers, only the leader is cut off, and another controller should lead.
+// store responds, only the leader has lost its connection, and another controller should lead.
 func (e *Elector) GrantPeerLease(ctx context.Context, token uint64) bool {
 	if e.IsLeader() {
 		return false
@@ -33,8 +33,8 @@
 }
 
 // voidEarlierGrants asks all peers whether they rely on leases that an earlier incarnation of this
-// controller may have granted. It returns true if no peer does, and then this controller no longer
-// waits for the end of those leases.
+// controller may have granted. It returns true if no peer does, in which case this controller no
+// longer waits for those leases to expire.
 func (e *Elector) voidEarlierGrants(ctx context.Context) bool {
 	if e.NoPeerReliesOnGrants == nil || !e.grantor.boundByEarlierIncarnation(e.clock()) {
 		return false
--- a/internal/election/records.go
+++ b/internal/election/records.go
@@ -29,9 +29,9 @@
 
 // Term identifies a term that this controller has won.
 type Term struct {
-	FencingToken   uint64 // the token with which the term began
+	FencingToken   uint64 // the token with which the term started
 	HolderRevision uint64 // revision of HolderKey
-	TokenRevision  uint64 // revision of TokenKey when the term began
+	TokenRevision  uint64 // revision of TokenKey when the term started
 	Since          time.Time
 }
 
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -10,8 +10,8 @@
 	"ospreyslip/internal/recovery/detection"
 )
 
-// maxRenewalsInFlight is the maximum number of renewals that wait for their answers at a time. It
-// is the number of renewals sent while one is valid; with a lower limit, slow answers would leave
+// maxRenewalsInFlight is the maximum number of renewals that wait for their responses at a time. It
+// is the number of renewals sent while one is valid; with a lower limit, slow responses would leave
 // gaps in the validity.
 const maxRenewalsInFlight = 5
 
@@ -22,7 +22,7 @@
 }
 
 // leaseKeeper extends the validity of one term: by renewals of its lease in the store, and by peer
-// leases while the store does not answer. docs/design.md ("Peer leases during an outage") explains
+// leases while the store does not respond. docs/design.md ("Peer leases during an outage") explains
 // why this is safe.
 //
 // It is owned by one goroutine. Each request runs in its own goroutine, which ends with the
@@ -87,9 +87,9 @@
 	return now.Sub(sentAt) >= k.elector.timing.RenewPeriod*9/10
 }
 
-// renew sends a renewal if one is due. On a busy processor, an answer may take most of the time
-// for which the renewal is valid. The next renewal is therefore sent without waiting for it, and a
-// later renewal does not cancel an earlier one.
+// renew sends a renewal if one is due. On a busy processor, a response may take most of the
+// time for which the renewal is valid. The next renewal is therefore sent without waiting for it,
+// and a later renewal does not cancel an earlier one.
 func (k *leaseKeeper) renew(ctx context.Context, now time.Time) {
 	if k.renewalsInFlight >= maxRenewalsInFlight || !k.isDue(now, k.renewalSentAt) {
 		return
@@ -103,8 +103,8 @@
 	}()
 }
 
-// handleRenewalOutcome handles the outcome of a renewal and reports whether the lease has ended in
-// the store.
+// handleRenewalOutcome handles the outcome of a renewal and reports whether the term has ended
+// because the store no longer has the lease.
 func (k *leaseKeeper) handleRenewalOutcome(outcome requestOutcome) (ended bool) {
 	k.renewalsInFlight--
 	elector := k.elector
@@ -112,7 +112,7 @@
 	case outcome.err == nil && outcome.sentAt.After(k.renewedAt):
 		k.renewedAt = outcome.sentAt
 		elector.validity.extendByRenewal(elector.clockAt(outcome.sentAt), elector.timing.ValidFor)
-	case outcome.err == nil: // a renewal that was sent later has already been answered
+	case outcome.err == nil: // a renewal that was sent later has already succeeded
 	case errors.Is(outcome.err, kvstore.ErrLeaseNotFound):
 		if elector.IsLeader() { // a lease that was renewed in time cannot have expired
 			elector.ReportLoss(detection.Evidence{Kind: detection.HolderKeyLost, Key: HolderKey, Known: k.term.FencingToken})
--- a/internal/election/rules/grantor.go
+++ b/internal/election/rules/grantor.go
@@ -5,11 +5,11 @@
 // Grantor tracks the leases that a controller has granted to leaders, and its own campaign, with
 // which a grant may conflict. The zero value has granted nothing.
 //
-// Two invariants protect a leader that relies on a grant. While a grant binds, its grantor begins
+// Two invariants protect a leader that relies on a grant. While a grant binds, its grantor starts
 // no campaign. While a campaign could succeed against a leader, its controller grants that leader
 // nothing.
 type Grantor struct {
-	BoundUntil time.Duration // no campaign may begin before
+	BoundUntil time.Duration // no campaign may start before this time
 	// BoundByEarlierIncarnation is set while BoundUntil covers leases that an earlier incarnation
 	// may have granted, of which there is no record.
 	BoundByEarlierIncarnation bool
@@ -27,7 +27,7 @@
 	return Grantor{BoundUntil: now + leaseDuration, BoundByEarlierIncarnation: true}
 }
 
-// CampaignDelay returns how long this controller must not begin a campaign. ignoreEarlierGrants is
+// CampaignDelay returns how long this controller must not start a campaign. ignoreEarlierGrants is
 // set if an earlier incarnation of this controller holds the leadership, or if no controller ever
 // held it. Then no grant of an earlier incarnation can have extended the term of another
 // controller, so none delays the campaign.
@@ -55,7 +55,7 @@
 // ObserveToken records a fencing token that was issued.
 func (g *Grantor) ObserveToken(token uint64) { g.HighestToken = max(g.HighestToken, token) }
 
-// Grant promises the leader with the given fencing token to begin no campaign for one lease
+// Grant promises the leader with the given fencing token to start no campaign for one lease
 // duration from now. It returns false, and promises nothing, to a leader that has been succeeded,
 // and while a campaign of this controller could still succeed against the leader. A campaign that
 // builds on an older token cannot succeed, because the guards of its transaction fail.
@@ -69,7 +69,7 @@
 }
 
 // VoidEarlierGrants records that no controller relies on leases that an earlier incarnation may
-// have granted: every peer, asked by this incarnation, has answered that it relies on no grant.
+// have granted: every peer, asked by this incarnation, has responded that it relies on no grant.
 // Grants of this incarnation still bind.
 func (g *Grantor) VoidEarlierGrants(now time.Duration) {
 	if g.BoundByEarlierIncarnation {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -23,10 +23,10 @@
 	Retry                        // no task is left, so the next attempt may start
 )
 
-// Decide returns the decision about an attempt. An attempt that has lost a task is over: the tasks
-// that ran have fallen back to their last checkpoint, and the others occupy capacity to no
-// purpose. The next attempt starts only when the last task is certainly off its machine, so that
-// no task runs twice.
+// Decide returns the decision about an attempt. An attempt that has lost a task has failed: the
+// tasks that ran have fallen back to their last checkpoint, and the others occupy capacity without
+// doing useful work. The next attempt starts only when the last task is certainly off its machine,
+// so that no task runs twice.
 func Decide(attempt Attempt) Decision {
 	switch {
 	case attempt.Placed == 0:
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -72,15 +72,16 @@
 }
 
 // CommandSent records that a command was sent. If the command arrives, it increments the worker's
-// counter, whether or not its answer is received.
+// counter, whether or not its response is received.
 func (d *Detector) CommandSent(id string) {
 	if m := d.byID[id]; m != nil {
 		m.commandsSinceNewestSeq++
 	}
 }
 
-// CommandAnswered records the sequence in a worker's answer to a command. An answer does not count
-// as a heartbeat: a worker that answers but whose heartbeats do not arrive still becomes suspect.
+// CommandAnswered records the sequence in a worker's response to a command. A response does not
+// count as a heartbeat: a worker that responds but whose heartbeats do not arrive still becomes
+// suspect.
 func (d *Detector) CommandAnswered(id string, seq HeartbeatSeq) {
 	if m := d.byID[id]; m != nil {
 		m.advance(seq)
@@ -95,7 +96,7 @@
 	}
 }
 
-// MarkUnreachable records that a machine's heartbeats arrive, but that the leader's answers do not
+// MarkUnreachable records that a machine's heartbeats arrive, but that the leader's responses do not
 // reach it. Its heartbeats no longer prove that it is alive until MarkReachable is called.
 func (d *Detector) MarkUnreachable(id string) {
 	if m := d.byID[id]; m != nil {
@@ -103,7 +104,7 @@
 	}
 }
 
-// MarkReachable records that an answer or a command has reached a machine.
+// MarkReachable records that a response or a command has reached a machine.
 func (d *Detector) MarkReachable(id string) {
 	if m := d.byID[id]; m != nil && m.unreachable {
 		m.unreachable = false
@@ -111,7 +112,7 @@
 	}
 }
 
-// IsDead reports whether a verdict on the machine has been given and not been revoked since.
+// IsDead reports whether a verdict on the machine has been given and has not been revoked since.
 func (d *Detector) IsDead(id string) bool {
 	m := d.byID[id]
 	return m != nil && m.dead
--- a/internal/liveness/doc.go
+++ b/internal/liveness/doc.go
@@ -6,15 +6,15 @@
 //   - Suspect: it has sent no heartbeat for Config.SuspectAfter, or there is another sign that it
 //     is gone. Tick asks the caller to probe it, that is, to call its worker.
 //   - Dead: a probe has confirmed the death, either because it failed or because the worker
-//     answered although its heartbeats do not arrive. Tick returns the verdict once nothing holds
+//     responded although its heartbeats do not arrive. Tick returns the verdict once nothing holds
 //     it back.
-//   - Alive: a heartbeat arrived, or the answer to a probe disproved the suspicion.
+//   - Alive: a heartbeat arrived, or the response to a probe disproved the suspicion.
 //
 // A wrong verdict costs running work, so verdicts are held back while the leader has reason to
 // doubt its own observations:
 //
 //   - Staleness watermark. A worker increments its counter for each heartbeat that it sends and
-//     each command that it receives. If the counter in a probe's answer is higher than the
+//     each command that it receives. If the counter in a probe's response is higher than the
 //     commands sent account for, heartbeats are in transit and the leader's observed state lags,
 //     perhaps for every machine. The counter becomes a watermark, and all verdicts are on hold
 //     until a heartbeat reaches it or Config.HoldTimeout has passed.
--- a/internal/liveness/machine.go
+++ b/internal/liveness/machine.go
@@ -12,7 +12,7 @@
 
 	lastHeartbeat          time.Time
 	synced                 bool         // it has sent a heartbeat to this leader
-	newestSeq              HeartbeatSeq // sequence of the newest heartbeat or answer received
+	newestSeq              HeartbeatSeq // sequence of the newest heartbeat or response received
 	commandsSinceNewestSeq uint64       // commands and probes sent since newestSeq was received
 
 	suspected   bool // there is a sign that it is gone, however recent its last heartbeat is
--- a/internal/liveness/probe.go
+++ b/internal/liveness/probe.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// ProbeDone records the outcome of a probe requested by Tick, and the sequence in its answer if
-// there was one.
+// ProbeDone records the outcome of a probe requested by Tick, and the sequence in its response
+// if there was one.
 func (d *Detector) ProbeDone(id string, answered bool, seq HeartbeatSeq, now time.Time) {
 	target := d.byID[id]
 	if target == nil || !target.probing {
@@ -39,18 +39,18 @@
 	d.judgeSilentWorker(target, seq, now)
 }
 
-// judgeSilentWorker handles the answer of a worker whose heartbeats do not arrive: it either sets
-// a watermark or confirms the death.
+// judgeSilentWorker handles the response of a worker whose heartbeats do not arrive: it either
+// sets a watermark or confirms the death.
 func (d *Detector) judgeSilentWorker(target *machine, seq HeartbeatSeq, now time.Time) {
 	// Every command that arrived, this probe included, has incremented the counter by one.
-	// Anything beyond that is heartbeats that were sent but not received.
+	// Any further increments come from heartbeats that were sent but not received.
 	expected := HeartbeatSeq{target.newestSeq.AgentEpoch, target.newestSeq.Seq + target.commandsSinceNewestSeq}
 	heartbeatsMissed := target.synced && expected.Before(seq)
 	target.advance(seq)
 	switch {
 	case heartbeatsMissed && !target.lagging:
 		// The watermark is not raised during a hold. Each probe increments the counter in its own
-		// answer, so raising it with every answer would extend the hold forever.
+		// response, so raising it with every response would extend the hold forever.
 		if !target.hasWatermark() {
 			target.watermark = seq
 			target.holdExpires = now.Add(d.cfg.HoldTimeout)
--- a/internal/liveness/tick.go
+++ b/internal/liveness/tick.go
@@ -11,12 +11,12 @@
 
 // Reasons of verdicts. Operators rely on their texts.
 const (
-	// ProbeFailed means that the worker did not answer the probe.
+	// ProbeFailed means that the worker did not respond to the probe.
 	ProbeFailed Reason = "call failed"
-	// NoHeartbeatMissed means that the worker answers, but that its counter shows no heartbeat
+	// NoHeartbeatMissed means that the worker responds, but that its counter shows no heartbeat
 	// sent since the last one received.
 	NoHeartbeatMissed Reason = "no report missed"
-	// HeartbeatsLost means that the worker answers and sends heartbeats, but that none arrived
+	// HeartbeatsLost means that the worker responds and sends heartbeats, but that none arrived
 	// before its hold expired.
 	HeartbeatsLost Reason = "reports stay away"
 )
--- a/internal/liveness/trace_test.go
+++ b/internal/liveness/trace_test.go
@@ -18,10 +18,10 @@
 //
 //	0    heartbeat m-1 a 1/5     zone a, agent epoch 1, counter 5
 //	2    restore m-1 a           known from an earlier leader
-//	3    command m-1             a command was sent, and its answer was lost
-//	3    answered m-1 1/7        the sequence in a command's answer
+//	3    command m-1             a command was sent, and its response was lost
+//	3    answered m-1 1/7        the sequence in the response to a command
 //	4    suspect m-1             there is a sign that it is gone
-//	4    unreachable m-1         the leader's answers do not reach it
+//	4    unreachable m-1         the leader's responses do not reach it
 //	4    importance m-1 2        how much depends on it
 //	4    forget m-1              it was released
 //	4    probe m-1 failed        outcome of a probe
--- a/internal/liveness/verdict_limiter.go
+++ b/internal/liveness/verdict_limiter.go
@@ -6,8 +6,8 @@
 	"golang.org/x/time/rate"
 )
 
-// verdictLimiter limits the rate of verdicts in one zone: a number of verdicts per interval, with
-// a burst of at most a fraction of them.
+// verdictLimiter limits the rate of verdicts in one zone: it allows a number of verdicts per
+// interval, and a burst of a fraction of that number, at least one.
 type verdictLimiter struct{ limiter *rate.Limiter }
 
 // burstShare is the fraction of an interval's verdicts that may be given at once. There are a few
--- a/internal/liveness/verdict_limiter_test.go
+++ b/internal/liveness/verdict_limiter_test.go
@@ -24,7 +24,7 @@
 	}
 	limiter.setRate(1, 0, now)
 	if limiter.allow(now.Add(time.Hour)) {
-		t.Error("stopped")
+		t.Error("limiter that an interval of zero has stopped allows a verdict")
 	}
 }
 
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -94,7 +94,7 @@
 	})
 }
 
-// emptiest returns the accepted machine with most free CPUs, or nil if none is accepted. Among
+// emptiest returns the accepted machine with the most free CPUs, or nil if none is accepted. Among
 // equals it returns one from the pool that was added first.
 func (x *CapacityIndex) emptiest(accept func(*Machine) bool) (best *Machine) {
 	for _, pool := range x.pools {
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -48,8 +48,8 @@
 	UsedByTeam map[string]Resources // requests of all tasks that are, or may be, on a machine
 	Index      *CapacityIndex
 	Jobs       []*Job
-	// LowestRank is the lowest rank of any task that is on a machine. For a job of no higher rank
-	// there are no victims of lower rank to search for.
+	// LowestRank is the lowest rank of any task that is on a machine. Only a job of a higher rank
+	// can have victims of lower rank.
 	LowestRank int
 	// LoadTasks sets Tasks and Releasing of a machine. It is called at most once per machine and
 	// plan, and only for machines that are considered for preemption or for a gang's reservation.
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -8,12 +8,12 @@
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool // a spot (preemptible) machine
-	Straggler      bool // slower than its type, so used for services only
+	Straggler      bool // runs tasks much more slowly than other machines, so used for services only
 	Total, Free    Resources
 	FetchGBPS      float64            // rate at which it fetches images, in GB per second
 	Images         map[string]bool    // images that are cached on it
 	Fetching       map[string]float64 // images being fetched, with their size in GB
-	AvoidJobs      map[string]bool    // ids of jobs whose tasks should not return to it
+	AvoidJobs      map[string]bool    // IDs of jobs whose tasks should not return to it
 
 	// Set by Input.LoadTasks, and only on machines considered for preemption or a reservation.
 	Releasing Resources // resources held by tasks that have been told to stop
@@ -52,7 +52,7 @@
 }
 
 // preemptionCost returns the CPU seconds lost by stopping a task, plus one per task so that of
-// equally costly choices the one with fewest tasks is preferred. For a gang, the run time of all
+// equally costly choices the one with the fewest tasks is preferred. For a gang, the run time of all
 // its tasks is lost. It also has to find room for all of them at the same time again, which counts
 // as much as another run.
 func (t *RunningTask) preemptionCost() float64 {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -22,8 +22,8 @@
 
 // compareEntries orders the queue: production first, then gangs for which tasks are being
 // preempted, then starved tasks, then guaranteed jobs, then by rank. Among equals, the entry with
-// the smallest product of time to the deadline and remaining work goes first: ordered by the
-// deadline alone, one large job makes many small ones late in an overload.
+// the smallest product of time to the deadline and remaining work goes first: if jobs were ordered
+// by the deadline alone, one large job would make many small ones late under overload.
 func compareEntries(a, b queueEntry) int {
 	return cmp.Or(
 		trueFirst(a.Spec.Priority == jobs.Prod, b.Spec.Priority == jobs.Prod),
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -1,8 +1,8 @@
 package placement
 
-// reserveEmptiest reserves for a starved job up to count machines, those with most free CPUs that
-// the plan has not changed. No other job is placed on them, so they drain until a task of the job
-// fits.
+// reserveEmptiest reserves for a starved job up to count machines: of those that the plan has not
+// changed, the ones with the most free CPUs. No other job is placed on them, so they drain until a
+// task of the job fits.
 func (p *planner) reserveEmptiest(job *Job, count int) {
 	for range count {
 		machine := p.emptiestUnchanged(job)
@@ -13,7 +13,7 @@
 	}
 }
 
-// emptiestUnchanged returns the machine with most free CPUs among those that the plan has not
+// emptiestUnchanged returns the machine with the most free CPUs among those that the plan has not
 // changed and that could hold a task of the job if they were empty. It returns nil if there is
 // none.
 func (p *planner) emptiestUnchanged(job *Job) *Machine {
--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -71,8 +71,8 @@
 }
 
 // DecideOnStaleHeartbeat decides about a task listed in a heartbeat from before this leader's
-// term. The heartbeat proves nothing, but its answer renews the worker's lease, and a task of a
-// cancelled job must not keep running on that lease.
+// term. The heartbeat proves nothing, but the response to it renews the worker's lease, and a task
+// of a cancelled job must not keep running on that lease.
 func DecideOnStaleHeartbeat(task *workers.TaskStatus, cancelled bool) Decision {
 	if cancelled && task.State != workers.StateEnded {
 		return Decision{Action: Stop, Reason: JobCancelled}
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -79,13 +79,13 @@
 		task OrphanedTask
 		want Decision
 	}{
-		"running":                     {OrphanedTask{WorkerToken: 7, InHeartbeatAnswer: true}, Decision{Action: Stop, Reason: Orphaned}},
-		"running, of a cancelled job": {OrphanedTask{WorkerToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
-		"running, records incomplete": {OrphanedTask{WorkerToken: 7, RecordsIncomplete: true}, Decision{Action: InDoubt, Reason: RecordsIncomplete}},
-		"ended":                       {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
-		"ended, outside the answer to a heartbeat": {OrphanedTask{WorkerToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndRecorded}},
-		"ended, start command may arrive again":    {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
-		"ended, start command would be refused":    {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"running":                               {OrphanedTask{WorkerToken: 7, InHeartbeatAnswer: true}, Decision{Action: Stop, Reason: Orphaned}},
+		"running, of a cancelled job":           {OrphanedTask{WorkerToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
+		"running, records incomplete":           {OrphanedTask{WorkerToken: 7, RecordsIncomplete: true}, Decision{Action: InDoubt, Reason: RecordsIncomplete}},
+		"ended":                                 {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"ended, outside a heartbeat response":   {OrphanedTask{WorkerToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndRecorded}},
+		"ended, start command may arrive again": {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
+		"ended, start command would be refused": {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
 	} {
 		if got := c.task.DecideCommand(); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", name, got.Action, got.Reason, c.want.Action, c.want.Reason)
@@ -127,8 +127,8 @@
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
 			AgentEpoch: 3, Durable: flag("durable"), CommandPending: flag("command pending"), Sent: flag("sent"), RunsToCompletion: flag("runs to completion"),
-			InDoubtToken: rapid.Uint64Range(0, 8).Draw(t, "doubt"), ObservedState: rapid.SampledFrom([]string{"", workers.StateRunning, workers.StateSaving}).Draw(t, "seen"),
-			JobFinished: flag("over"), Preempted: flag("preempted"), GangReady: flag("whole"), RecordsIncomplete: flag("incomplete"),
+			InDoubtToken: rapid.Uint64Range(0, 8).Draw(t, "in-doubt token"), ObservedState: rapid.SampledFrom([]string{"", workers.StateRunning, workers.StateSaving}).Draw(t, "observed state"),
+			JobFinished: flag("job finished"), Preempted: flag("preempted"), GangReady: flag("gang ready"), RecordsIncomplete: flag("records incomplete"),
 		}
 		workerToken := rapid.Uint64Range(1, 9).Draw(t, "worker token")
 		commandMayArrive := a.CommandPending || a.InDoubtToken != 0 && workerToken <= a.InDoubtToken
--- a/internal/reconcile/decision.go
+++ b/internal/reconcile/decision.go
@@ -36,7 +36,7 @@
 	StartNotDurable    Reason = "beginning not written"            // no command may be sent until the start is durable
 	CommandUnanswered  Reason = "order not answered"               // a start command is in flight
 	Absent             Reason = "not on its machine"               // and no command in flight can start it
-	NotWanted          Reason = "never begun, not wanted any more" // its job has ended, or it is preempted
+	NotWanted          Reason = "never begun, not wanted any more" // its job has finished, or it is preempted
 	JobFinished        Reason = "job over"
 	JobCancelled       Reason = "job cancelled"
 	Preempted          Reason = "asked to stop"
--- a/internal/reconcile/failover.go
+++ b/internal/reconcile/failover.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// Failover tracks the start of a leader's term until every machine in the records is accounted
-// for: it has reported, its worker's lease has expired, or it was released. It must be used from
-// one goroutine.
+// Failover tracks a leader's term from its start until every machine in the records is accounted
+// for: the machine has reported, its worker's lease has expired, or it was released. It must be
+// used from one goroutine.
 type Failover struct {
 	startedAt       time.Time
 	overdueAfter    time.Duration // measured from loadedAt
@@ -55,14 +55,16 @@
 	}
 }
 
-// HeartbeatAnswered records that a heartbeat was answered. Only the first of the term counts.
+// HeartbeatAnswered records that the leader has responded to a heartbeat. Only the first response
+// of the term counts.
 func (f *Failover) HeartbeatAnswered(now time.Time) {
 	if f.firstAnswerAt.IsZero() {
 		f.firstAnswerAt = now
 	}
 }
 
-// CommandSent records that a command was sent to a worker. Only the first of the term counts.
+// CommandSent records that a command was sent to a worker. Only the first command of the
+// term counts.
 func (f *Failover) CommandSent(now time.Time) {
 	if f.firstCommandAt.IsZero() {
 		f.firstCommandAt = now
--- a/internal/reconcile/orphaned_task.go
+++ b/internal/reconcile/orphaned_task.go
@@ -5,12 +5,12 @@
 	Ended             bool
 	JobCancelled      bool
 	RecordsIncomplete bool // records may have been lost: it may belong to a job or an attempt
-	// CommandToken is the fencing token of the command that started it; 0 if it was started by the
-	// answer to a heartbeat or by an earlier leader.
+	// CommandToken is the fencing token of the command that started it; 0 if it was started by a
+	// heartbeat response or by an earlier leader.
 	CommandToken uint64
 	WorkerToken  uint64 // highest fencing token that the worker has seen
-	// InHeartbeatAnswer is set if the decision is sent in the answer to a heartbeat, after which
-	// no start command for the task can arrive.
+	// InHeartbeatAnswer is set if the decision is sent in a heartbeat response, after which no
+	// start command for the task can arrive.
 	InHeartbeatAnswer bool
 }
 
--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -34,7 +34,7 @@
 }
 
 // Progress is the state of a failover as shown to operators in the status and in logs. Times are
-// in seconds since the term began; 0 means that the event has not happened.
+// in seconds since the term started; 0 means that the event has not happened.
 type Progress struct {
 	Phase    Phase `json:"phase"`
 	Expected int   `json:"expected"` // machines in the records
@@ -44,8 +44,8 @@
 	// expired, or the machine was released.
 	NeverReported  int     `json:"never"`
 	RecordsLoadedS float64 `json:"readS"`
-	FirstAnswerS   float64 `json:"answerS"` // first answer to a heartbeat
-	FirstCommandS  float64 `json:"orderS"`  // first command not sent in the answer to a heartbeat
+	FirstAnswerS   float64 `json:"answerS"` // first response to a heartbeat
+	FirstCommandS  float64 `json:"orderS"`  // first command sent outside a heartbeat response
 	DoneS          float64 `json:"settledS"`
 	// Commands counts the commands sent before the failover was done, by operation and reason.
 	Commands []CommandCount `json:"commands"`
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -42,13 +42,13 @@
 	DescriptionMissing bool
 }
 
-// Final reports whether the decision is that the job has ended.
+// Final reports whether the decision is that the job has finished.
 func (d Decision) Final() bool { return !d.Held && d.State != jobs.Queued }
 
-// Decide returns the decision of the first rule that applies. Proof that a job has ended precedes
-// all other rules. allHeard reports whether every controller that may know more has answered or is
-// considered gone. Until then, a job that seems unfinished is held, because another controller may
-// know that it has ended.
+// Decide returns the decision of the first rule that applies. Proof that a job has finished precedes
+// all other rules. allHeard reports whether every controller that may know more has responded or
+// is considered gone. Until then, a job that seems unfinished is held, because another controller
+// may know that it has finished.
 func Decide(known Knowledge, allHeard bool) Decision {
 	switch {
 	case known.Done && known.Cancelled:
--- a/internal/recovery/decide_test.go
+++ b/internal/recovery/decide_test.go
@@ -9,7 +9,7 @@
 )
 
 // Checks decisions on what honest sources say of a job: the job is given no final state that it
-// does not have, does not run again after its end, and runs only if it is certain that it should.
+// does not have, does not run again once it has finished, and runs only if it certainly should.
 func TestDecisionsMatchTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		actual := drawTruth(t)
@@ -17,7 +17,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "statements") {
 			known = known.Join(actual.drawStatement(t))
 		}
-		allHeard := rapid.Bool().Draw(t, "heard")
+		allHeard := rapid.Bool().Draw(t, "all responded")
 		decision := Decide(known, allHeard)
 		switch {
 		case decision.Outcome == Contradictory:
@@ -27,7 +27,7 @@
 		case !decision.Held && decision.State == jobs.Queued && actual.state != jobs.Queued:
 			t.Fatalf("a job in state %q would run again by rule %q: %s", actual.state, decision.Rule, known.Provenance())
 		case !decision.Held && decision.State == jobs.Queued && (known.Spec == nil || !allHeard):
-			t.Fatalf("a job runs without a description, or before all controllers were heard: %s", known.Provenance())
+			t.Fatalf("a job runs without a description, or before all controllers have responded: %s", known.Provenance())
 		}
 		rec := known.Record(decision, 1)
 		if rec.Tasks < 1 || decision.Held && rec.Held == nil || decision.Held && rec.Spec != nil {
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -28,8 +28,8 @@
 	FoundInSnapshot      Kind = "snapshot knows more" // an imported snapshot contains a job without a record
 )
 
-// AffectsAssignmentLog reports whether segments of the assignment log may be missing too. If so, the stored
-// records no longer show all tasks that may be running.
+// AffectsAssignmentLog reports whether segments of the assignment log may be missing too. If so,
+// the stored records no longer show all tasks that may be running.
 func (k Kind) AffectsAssignmentLog() bool {
 	switch k {
 	case RevisionRolledBack, SegmentMissing, SegmentUnreadable, SegmentMismatch, TokenRolledBack:
--- a/internal/recovery/detection/ring_test.go
+++ b/internal/recovery/detection/ring_test.go
@@ -26,14 +26,14 @@
 	full := ring(5, 6, 7, 8, 4)
 	for i := range full {
 		if i == 3 || i == 4 {
-			continue // 3, the newest, is checked below; 4 has the last name and lowest number: no gap
+			continue // 3, the newest, is checked below; losing 4, with the highest name and lowest number, leaves no gap
 		}
 		cut := append(append([]Segment{}, full[:i]...), full[i+1:]...)
 		if found := CheckRing("book/", cut); len(found) == 0 {
 			t.Errorf("no evidence that segment %d is missing", i)
 		}
 	}
-	// A missing newest segment is shown by the gap in the names, unless it has the last name.
+	// A missing newest segment is shown by the gap in the names, unless it has the highest name.
 	if found := CheckRing("book/", append(ring(5, 6, 7), Segment{Key: "book/4", Number: 4})); len(found) != 1 {
 		t.Errorf("the newest segment is missing: found %v, want one gap", found)
 	}
--- a/internal/recovery/detection/watermark.go
+++ b/internal/recovery/detection/watermark.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // Watermark tracks the highest observed value of a number that only grows, such as the store's
-// revision or the fencing token. Reads of the number may overlap, and their answers may arrive in
-// any order. Each answer is therefore compared with the Baseline taken before its request was
+// revision or the fencing token. Reads of the number may overlap, and their responses may arrive
+// in any order. Each response is therefore compared with the Baseline taken before its request was
 // sent. A number below its baseline proves that the store was rolled back. The zero value has
 // observed nothing. A Watermark is safe for concurrent use.
 type Watermark struct {
@@ -13,7 +13,7 @@
 	resets uint64 // number of rollbacks found
 }
 
-// Baseline is the state of a Watermark when a read of the number began.
+// Baseline is the state of a Watermark when a read of the number started.
 type Baseline struct {
 	known  uint64
 	resets uint64
@@ -26,7 +26,7 @@
 	return w.value
 }
 
-// Baseline returns the present state. Take it before the read of the number is sent.
+// Baseline returns the current state. Take it before the read of the number is sent.
 func (w *Watermark) Baseline() Baseline {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,7 +42,7 @@
 	defer w.mu.Unlock()
 	switch {
 	case baseline.resets != w.resets:
-		return Evidence{}, false // another answer has reported the loss since
+		return Evidence{}, false // another response has reported the loss since
 	case found < baseline.known:
 		known := w.value
 		w.value = found
--- a/internal/recovery/detection/watermark_test.go
+++ b/internal/recovery/detection/watermark_test.go
@@ -17,7 +17,7 @@
 		t.Errorf("7 after 9: %v %v", evidence, back)
 	}
 	if _, again := seen.Observe(before, RevisionRolledBack, "", 7); again {
-		t.Error("an answer to an earlier request reported the same loss again")
+		t.Error("the response to an earlier request reported the same loss again")
 	}
 	if seen.Advance(before, 9) {
 		t.Error("a number requested before the loss was accepted after it")
--- a/internal/recovery/knowledge_test.go
+++ b/internal/recovery/knowledge_test.go
@@ -65,8 +65,8 @@
 	return Attribute(from, known)
 }
 
-// Checks that the order in which sources are heard, and how often, does not change the joined
-// knowledge.
+// Checks that the joined knowledge does not depend on the order in which sources respond, or on
+// how often they do.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		actual, other := drawTruth(t), drawTruth(t)
@@ -80,7 +80,7 @@
 		same("associative", a.Join(b).Join(c), a.Join(b.Join(c)))
 		same("idempotent", a.Join(b).Join(b), a.Join(b))
 		same("neutral", Knowledge{}.Join(a), a)
-		// A join keeps all that was known, above all that a job has ended.
+		// A join keeps all that was known, above all that a job has finished.
 		if joined := a.Join(b); a.Done && !joined.Done || a.Cancelled && !joined.Cancelled || a.Accepted && !joined.Accepted || len(joined.CompletedTasks) < len(a.CompletedTasks) {
 			t.Fatalf("joined knowledge %+v lacks part of %+v", joined, a)
 		}
--- a/internal/recovery/settle_test.go
+++ b/internal/recovery/settle_test.go
@@ -7,7 +7,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-// Checks that an operator may settle what is uncertain, but nothing against proof.
+// Checks that an operator may settle uncertain jobs, but not in contradiction to proof.
 func TestSettle(t *testing.T) {
 	spec := &jobs.Spec{ID: "j-1", Tasks: 2, Shape: jobs.Batch}
 	uncertain := Attribute(FromSnapshot(7), Knowledge{Spec: spec})
