--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -24,11 +24,11 @@
 func TestPlanScaleOut(t *testing.T) {
 	never := func(MachinePool) bool { return false }
 	for _, tc := range []struct {
-		name    string
-		demands []Demand
-		booting map[MachinePool]int
-		refused func(MachinePool) bool
-		want    map[MachinePool]int
+		name          string
+		demands       []Demand
+		booting       map[MachinePool]int
+		outOfCapacity func(MachinePool) bool
+		want          map[MachinePool]int
 	}{
 		{"one task: lowest price per machine", []Demand{demandFor(1, nil)}, nil, never,
 			map[MachinePool]int{{"small", "a", true}: 1}},
@@ -48,7 +48,7 @@
 			map[MachinePool]int{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := PlanScaleOut(tc.demands, tc.booting, Market{Types: market, OutOfCapacity: tc.refused})
+			got := PlanScaleOut(tc.demands, tc.booting, Market{Types: market, OutOfCapacity: tc.outOfCapacity})
 			if d := cmp.Diff(tc.want, got); d != "" {
 				t.Errorf("(-want +got):\n%s", d)
 			}
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -61,7 +61,7 @@
 // observeElection reads the election keys, corrects them by what this controller knows of lost
 // keys, and records the holder.
 func (e *Elector) observeElection(ctx context.Context) (storedElection, error) {
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	stored, err := e.readElection(ctx)
 	if err != nil {
 		return storedElection{}, err
@@ -69,7 +69,7 @@
 	stored.highestToken = e.highestIssuedToken(stored.highestToken)
 	e.dropSucceededHolder(&stored)
 	e.observedHolder.Store(stored.holder)
-	e.setHolderObservedAt(askedAt)
+	e.setHolderObservedAt(requestedAt)
 	return stored, nil
 }
 
@@ -155,7 +155,7 @@
 	token := stored.highestToken + 1
 	holder, _ := json.Marshal(holderRecord{Controller: e.controller, Incarnation: e.incarnation, FencingToken: token, Lease: lease})
 	nextToken, _ := json.Marshal(token)
-	if !e.grantor.beginCampaign(e.clock(), ignoreEarlierGrants, stored.highestToken) {
+	if !e.grantor.startCampaign(e.clock(), ignoreEarlierGrants, stored.highestToken) {
 		_ = e.store.RevokeLease(ctx, lease)
 		return wonTerm{}, errBoundByGrant
 	}
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -179,7 +179,7 @@
 // Checks that a term is kept if responses to renewals take most of the lease, as on a starved
 // processor or with a slow store. The next renewal must not wait for the response, and each
 // successful renewal must count from when it was sent.
-func TestSlowRenewalAnswersKeepTerm(t *testing.T) {
+func TestSlowRenewalResponsesKeepTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -195,7 +195,7 @@
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			if !elector.IsLeader() {
-				t.Fatal("the term ended although each renewal was answered in time")
+				t.Fatal("the term ended although each renewal succeeded in time")
 			}
 		}
 		if tokens := elector.wonTokens(); len(tokens) != 1 {
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -12,18 +12,18 @@
 type endReason string
 
 const (
-	wonTooSlowly  endReason = "taken too slowly"             // the validity had expired by the time the term was won
-	shuttingDown  endReason = "shutting down"                // the context of Run has ended
-	resigned      endReason = "resigned"                     // the LeadFunc returned by itself
-	holderKeyLost endReason = "holder key lost"              // the key is gone or another controller's, although the lease is renewed
-	leaseEnded    endReason = "lease ended"                  // the store no longer has the lease
-	validityEnded endReason = "neither renewed nor promised" // the validity expired: neither the store nor all peers have extended it
+	wonTooSlowly    endReason = "taken too slowly"             // the validity had expired by the time the term was won
+	shuttingDown    endReason = "shutting down"                // the context of Run has ended
+	resigned        endReason = "resigned"                     // the LeadFunc returned by itself
+	holderKeyLost   endReason = "holder key lost"              // the key is gone or another controller's, although the lease is renewed
+	leaseNotFound   endReason = "lease ended"                  // the store no longer has the lease
+	validityExpired endReason = "neither renewed nor promised" // the validity expired: neither the store nor all peers have extended it
 )
 
 // serveTerm runs lead for a term and returns the reason for the end of the term. The term ends at
 // the latest when its lease can no longer be proven valid.
 func (e *Elector) serveTerm(ctx context.Context, won wonTerm, lead LeadFunc) endReason {
-	e.validity.begin(e.clockAt(won.requestedAt), e.timing.ValidFor)
+	e.validity.start(e.clockAt(won.requestedAt), e.timing.ValidFor)
 	if !e.IsLeader() {
 		e.validity.end()
 		return wonTooSlowly
--- a/internal/election/locked.go
+++ b/internal/election/locked.go
@@ -25,10 +25,10 @@
 	return g.grantor.CampaignDelay(now, ignoreEarlierGrants)
 }
 
-func (g *lockedGrantor) beginCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
+func (g *lockedGrantor) startCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.BeginCampaign(now, ignoreEarlierGrants, baseToken)
+	return g.grantor.StartCampaign(now, ignoreEarlierGrants, baseToken)
 }
 
 func (g *lockedGrantor) endCampaign() {
@@ -96,8 +96,8 @@
 	return v.validity.ReliesOnNoGrant()
 }
 
-// begin starts a term whose lease was requested at the given time.
-func (v *lockedValidity) begin(requestedAt, validFor time.Duration) {
+// start starts a term whose lease was requested at the given time.
+func (v *lockedValidity) start(requestedAt, validFor time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.validity = rules.LeaseValidity{HoldsTerm: true}
--- a/internal/election/locked_test.go
+++ b/internal/election/locked_test.go
@@ -18,16 +18,16 @@
 		if !grantor.grant(at(0), lease, 7) {
 			t.Fatal("refused a lease although nothing conflicts with it")
 		}
-		if grantor.beginCampaign(at(0.9), false, 7) {
+		if grantor.startCampaign(at(0.9), false, 7) {
 			t.Error("campaigned while the granted lease binds")
 		}
-		if !grantor.beginCampaign(at(1.1), false, 7) {
+		if !grantor.startCampaign(at(1.1), false, 7) {
 			t.Error("refused to campaign after the granted lease has expired")
 		}
 	})
 	t.Run("no grant while a campaign may still succeed", func(t *testing.T) {
 		var grantor lockedGrantor
-		grantor.beginCampaign(at(0), false, 7) // its outcome remains unknown
+		grantor.startCampaign(at(0), false, 7) // its outcome remains unknown
 		if grantor.grant(at(60), lease, 7) {
 			t.Error("granted a lease to token 7, which the pending campaign may still succeed")
 		}
@@ -37,7 +37,7 @@
 	})
 	t.Run("a grant is allowed after the campaign's outcome is known", func(t *testing.T) {
 		var grantor lockedGrantor
-		grantor.beginCampaign(at(0), false, 7)
+		grantor.startCampaign(at(0), false, 7)
 		grantor.endCampaign()
 		if !grantor.grant(at(0.1), lease, 7) {
 			t.Error("refused a lease although no campaign is pending")
@@ -45,15 +45,15 @@
 	})
 	t.Run("a new incarnation waits until leases that an earlier one may have granted have expired", func(t *testing.T) {
 		grantor := lockedGrantor{grantor: rules.NewRestartedGrantor(at(0), lease)}
-		if grantor.beginCampaign(at(0.5), false, 7) {
+		if grantor.startCampaign(at(0.5), false, 7) {
 			t.Error("campaigned while a lease granted by an earlier incarnation may bind")
 		}
-		if !grantor.beginCampaign(at(0.5), true, 7) {
+		if !grantor.startCampaign(at(0.5), true, 7) {
 			t.Error("refused to campaign although its own earlier incarnation led, which granted no lease")
 		}
 		grantor = lockedGrantor{grantor: rules.NewRestartedGrantor(at(0), lease)}
 		grantor.grant(at(0.2), lease, 7)
-		if grantor.beginCampaign(at(0.5), true, 7) {
+		if grantor.startCampaign(at(0.5), true, 7) {
 			t.Error("campaigned while a lease granted by this incarnation binds")
 		}
 	})
--- a/internal/election/model/campaign_steps.go
+++ b/internal/election/model/campaign_steps.go
@@ -73,7 +73,7 @@
 	if e.isGrantIgnored(grantor) {
 		grantor.BoundUntil = 0
 	}
-	if !grantor.BeginCampaign(0, ownKey, baseToken) {
+	if !grantor.StartCampaign(0, ownKey, baseToken) {
 		return
 	}
 	grantor.BoundUntil = boundUntil
--- a/internal/election/model/model_test.go
+++ b/internal/election/model/model_test.go
@@ -10,11 +10,11 @@
 
 // maxStates returns the number of states that each exploration may reach: usual, which is small
 // enough for CI, or OSPREYSLIP_MODEL_STATES for larger explorations, which memory limits.
-func maxStates(t *testing.T, usual int) int {
+func maxStates(t *testing.T, defaultStates int) int {
 	t.Helper()
 	value := os.Getenv("OSPREYSLIP_MODEL_STATES")
 	if value == "" {
-		return usual
+		return defaultStates
 	}
 	states, err := strconv.Atoi(value)
 	if err != nil || states <= 0 {
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -64,7 +64,7 @@
 			return holderKeyLost
 		case outcome := <-k.renewals:
 			if ended := k.handleRenewalOutcome(outcome); ended {
-				return leaseEnded
+				return leaseNotFound
 			}
 		case outcome := <-k.peerLeases:
 			k.handlePeerLeasesOutcome(outcome)
@@ -73,7 +73,7 @@
 		now := time.Now()
 		remaining := k.elector.validity.remaining(k.elector.clockAt(now))
 		if remaining <= 0 {
-			return validityEnded
+			return validityExpired
 		}
 		k.renew(ctx, now)
 		k.requestPeerLeases(ctx, now, remaining)
--- a/internal/election/rules/grantor.go
+++ b/internal/election/rules/grantor.go
@@ -38,10 +38,10 @@
 	return max(0, g.BoundUntil-now)
 }
 
-// BeginCampaign records that the transaction of a campaign is about to be sent. baseToken is the
-// fencing token of the leader that the campaign would succeed. BeginCampaign returns false, and
+// StartCampaign records that the transaction of a campaign is about to be sent. baseToken is the
+// fencing token of the leader that the campaign would succeed. StartCampaign returns false, and
 // records nothing, if a grant forbids the campaign.
-func (g *Grantor) BeginCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
+func (g *Grantor) StartCampaign(now time.Duration, ignoreEarlierGrants bool, baseToken uint64) bool {
 	if g.CampaignDelay(now, ignoreEarlierGrants) > 0 {
 		return false
 	}
--- a/internal/placement/capacity_index_test.go
+++ b/internal/placement/capacity_index_test.go
@@ -16,8 +16,8 @@
 			index.Insert(m)
 		}
 		index.Insert(newMachine("b1", 4))
-		for _, k := range index.pools {
-			k.eachWithCPUs(Resources{CPUs: 1}, func(*Machine) bool { n++; return true })
+		for _, pool := range index.pools {
+			pool.eachWithCPUs(Resources{CPUs: 1}, func(*Machine) bool { n++; return true })
 		}
 		return n
 	}
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -31,8 +31,8 @@
 }
 
 // addRunningTask puts task n of a job on a machine, as running for ran seconds.
-func addRunningTask(m *Machine, j *Job, n int, ran float64) {
-	m.Tasks = append(m.Tasks, &RunningTask{Job: j, Index: n, LostRunS: ran})
+func addRunningTask(m *Machine, j *Job, n int, runS float64) {
+	m.Tasks = append(m.Tasks, &RunningTask{Job: j, Index: n, LostRunS: runS})
 	m.Free = m.Free.AddTimes(TaskRequest(j.Spec), -1)
 	j.TasksByZone[m.Zone]++
 	j.Pending--
@@ -48,7 +48,7 @@
 	teams := []settings.Team{{Name: "red", GuaranteedCPUs: 4, MaxCPUs: 8}, {Name: "blue", GuaranteedCPUs: 4, MaxCPUs: 100}}
 	prod := func(s *jobs.Spec) { s.Priority, s.Shape, s.Spot = jobs.Prod, jobs.Service, false }
 	gang := func(s *jobs.Spec) { s.Shape, s.OneZone, s.EstimatedRuntimeS = jobs.Gang, true, 30 }
-	low := func(s *jobs.Spec) { s.Priority = jobs.BestEffort }
+	bestEffort := func(s *jobs.Spec) { s.Priority = jobs.BestEffort }
 	for _, tc := range []struct {
 		name  string
 		setup func(in *scenario)
@@ -73,8 +73,8 @@
 		{"service: preempts lower priority where the image is cached if a fetch takes too long", func(in *scenario) {
 			cached := newMachine("a2", 4)
 			cached.Images["img"] = true
-			low := newJob("j-2", 1, 4, nil)
-			addRunningTask(cached, low, 0, 5)
+			victim := newJob("j-2", 1, 4, nil)
+			addRunningTask(cached, victim, 0, 5)
 			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			late, early := newJob("j-1", 1, 2, prod), newJob("j-3", 1, 2, prod)
 			late.StartWithinS, early.StartWithinS = 1, 5
@@ -109,14 +109,14 @@
 		}, ""},
 		{"gang: preempts for all tasks and keeps free capacity reserved", func(in *scenario) {
 			m := newMachine("a1", 4)
-			addRunningTask(m, newJob("j-9", 1, 4, low), 0, 5)
+			addRunningTask(m, newJob("j-9", 1, 4, bestEffort), 0, 5)
 			in.Machines = []*Machine{m, newMachine("a2", 4)}
 			in.Jobs = []*Job{newJob("j-1", 4, 2, gang), newJob("j-2", 1, 4, func(s *jobs.Spec) { s.Team = "blue" })}
 		}, "end j-9/0@a1 unmet j-2 1"},
 		{"gang: preempts nothing if not all tasks would fit", func(in *scenario) {
 			m, n := newMachine("a1", 4), newMachine("b1", 4)
-			addRunningTask(m, newJob("j-8", 1, 4, low), 0, 5)
-			addRunningTask(n, newJob("j-9", 1, 4, low), 0, 5)
+			addRunningTask(m, newJob("j-8", 1, 4, bestEffort), 0, 5)
+			addRunningTask(n, newJob("j-9", 1, 4, bestEffort), 0, 5)
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{newJob("j-1", 3, 2, gang)}
 		}, "unmet j-1 3"},
@@ -129,7 +129,7 @@
 		{"gang: preempts lower priority where the image is cached if a fetch takes too long", func(in *scenario) {
 			cached := newMachine("b1", 4)
 			cached.Images["img"] = true
-			addRunningTask(cached, newJob("j-9", 1, 4, low), 0, 5)
+			addRunningTask(cached, newJob("j-9", 1, 4, bestEffort), 0, 5)
 			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			g := newJob("j-1", 2, 2, gang)
 			g.StartWithinS = 1
@@ -138,7 +138,7 @@
 		{"gang: does not preempt another gang for an earlier start", func(in *scenario) {
 			cached := newMachine("b1", 4)
 			cached.Images["img"] = true
-			addRunningTask(cached, newJob("j-9", 1, 4, func(s *jobs.Spec) { gang(s); low(s) }), 0, 5)
+			addRunningTask(cached, newJob("j-9", 1, 4, func(s *jobs.Spec) { gang(s); bestEffort(s) }), 0, 5)
 			in.Machines = []*Machine{newMachine("a1", 4), cached}
 			g := newJob("j-1", 2, 2, gang)
 			g.StartWithinS = 1
@@ -146,10 +146,10 @@
 		}, "j-1/0>a1 j-1/1>a1"},
 		{"preempts other tasks rather than a gang", func(in *scenario) {
 			m, n := newMachine("a1", 4), newMachine("a2", 4)
-			g := newJob("j-8", 4, 4, func(s *jobs.Spec) { gang(s); low(s) })
+			g := newJob("j-8", 4, 4, func(s *jobs.Spec) { gang(s); bestEffort(s) })
 			addRunningTask(m, g, 0, 1)
 			m.Tasks[0].GangTasks = 4
-			addRunningTask(n, newJob("j-9", 1, 4, low), 0, 60)
+			addRunningTask(n, newJob("j-9", 1, 4, bestEffort), 0, 60)
 			in.Machines = []*Machine{m, n}
 			in.Jobs = []*Job{newJob("j-1", 1, 4, prod)}
 		}, "end j-9/0@a2"},
@@ -241,9 +241,9 @@
 		}, "j-3/0>a1 j-2/0>a2 unmet j-1 1"},
 		{"preempts the lower-priority tasks that have run least", func(in *scenario) {
 			m := newMachine("a1", 4)
-			low := newJob("j-1", 4, 1, nil)
+			running := newJob("j-1", 4, 1, nil)
 			for n := range 4 {
-				addRunningTask(m, low, n, float64(10*(n+1)))
+				addRunningTask(m, running, n, float64(10*(n+1)))
 			}
 			in.Machines = []*Machine{m}
 			in.Jobs = []*Job{newJob("j-2", 1, 2, prod)}
--- a/internal/reconcile/decide.go
+++ b/internal/reconcile/decide.go
@@ -44,17 +44,17 @@
 // DecideCommand decides which command about an attempt to send to the worker, if any. It never
 // starts an attempt that may be running, nor one for which a start command may be in flight.
 func DecideCommand(attempt Attempt) Decision {
-	present := attempt.ObservedState != ""
+	listed := attempt.ObservedState != ""
 	switch {
 	case !attempt.Durable:
 		return Decision{Action: Wait, Reason: StartNotDurable}
-	case attempt.JobFinished && present:
+	case attempt.JobFinished && listed:
 		return Decision{Action: Stop, Reason: attempt.finishReason()}
-	case attempt.Preempted && present && attempt.ObservedState == workers.StateSaving:
+	case attempt.Preempted && listed && attempt.ObservedState == workers.StateSaving:
 		return Decision{Action: Wait, Reason: Checkpointing}
-	case attempt.Preempted && present:
+	case attempt.Preempted && listed:
 		return Decision{Action: Stop, Reason: Preempted, GraceS: attempt.GraceS}
-	case present:
+	case listed:
 		return Decision{Action: Adopt, Reason: Reported}
 	case attempt.JobFinished || attempt.Preempted:
 		return Decision{Action: Wait, Reason: NotWanted}
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -122,7 +122,7 @@
 
 // No attempt is started or rescheduled while a start command may be in flight, and a task on its
 // machine is stopped only if its job has finished or it is preempted.
-func TestHealthyTasksAreNotDisturbed(t *testing.T) {
+func TestNoUnsafeStartOrStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		a := Attempt{
--- a/internal/reconcile/failover.go
+++ b/internal/reconcile/failover.go
@@ -11,7 +11,7 @@
 	startedAt       time.Time
 	overdueAfter    time.Duration // measured from loadedAt
 	loadedAt        time.Time
-	firstAnswerAt   time.Time
+	firstResponseAt time.Time
 	firstCommandAt  time.Time
 	doneAt          time.Time
 	awaitedMachines map[string]bool // machines not yet accounted for
@@ -58,8 +58,8 @@
 // HeartbeatAnswered records that the leader has responded to a heartbeat. Only the first response
 // of the term counts.
 func (f *Failover) HeartbeatAnswered(now time.Time) {
-	if f.firstAnswerAt.IsZero() {
-		f.firstAnswerAt = now
+	if f.firstResponseAt.IsZero() {
+		f.firstResponseAt = now
 	}
 }
 
--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -59,7 +59,7 @@
 		Reported:       f.reported,
 		NeverReported:  f.neverReported,
 		RecordsLoadedS: f.secondsSinceStart(f.loadedAt),
-		FirstAnswerS:   f.secondsSinceStart(f.firstAnswerAt),
+		FirstAnswerS:   f.secondsSinceStart(f.firstResponseAt),
 		FirstCommandS:  f.secondsSinceStart(f.firstCommandAt),
 		DoneS:          f.secondsSinceStart(f.doneAt),
 		Commands:       f.sortedCommandCounts(),
--- a/internal/recovery/decide.go
+++ b/internal/recovery/decide.go
@@ -20,15 +20,15 @@
 
 // The rules, in the order in which Decide tries them.
 const (
-	RuleContradiction      Rule = "done by one source, cancelled by another"
-	RuleDone               Rule = "a job that is done stays done"
-	RuleCancelled          Rule = "a job that is cancelled stays cancelled"
-	RuleAllTasksDone       Rule = "every one of its tasks is done"
-	RuleUnfinished         Rule = "unfinished as of the loss"
-	RuleNoDescription      Rule = "unfinished as of the loss, but nobody has its description"
-	RuleControllerNotHeard Rule = "a controller that may know more has not answered"
-	RuleTasksOnWorkers     Rule = "tasks on workers prove that it was accepted, not that it was not cancelled"
-	RuleOldSource          Rule = "accepted by an old source, which proves neither that it is over nor that it is not"
+	RuleContradiction   Rule = "done by one source, cancelled by another"
+	RuleDone            Rule = "a job that is done stays done"
+	RuleCancelled       Rule = "a job that is cancelled stays cancelled"
+	RuleAllTasksDone    Rule = "every one of its tasks is done"
+	RuleUnfinished      Rule = "unfinished as of the loss"
+	RuleNoDescription   Rule = "unfinished as of the loss, but nobody has its description"
+	RuleResponseMissing Rule = "a controller that may know more has not answered"
+	RuleTasksOnWorkers  Rule = "tasks on workers prove that it was accepted, not that it was not cancelled"
+	RuleOldSource       Rule = "accepted by an old source, which proves neither that it is over nor that it is not"
 )
 
 // Decision is the decision about a lost job.
@@ -46,10 +46,10 @@
 func (d Decision) Final() bool { return !d.Held && d.State != jobs.Queued }
 
 // Decide returns the decision of the first rule that applies. Proof that a job has finished precedes
-// all other rules. allHeard reports whether every controller that may know more has responded or
-// is considered gone. Until then, a job that seems unfinished is held, because another controller
-// may know that it has finished.
-func Decide(known Knowledge, allHeard bool) Decision {
+// all other rules. allResponded reports whether every controller that may know more has responded
+// or is considered gone. Until then, a job that seems unfinished is held, because another
+// controller may know that it has finished.
+func Decide(known Knowledge, allResponded bool) Decision {
 	switch {
 	case known.Done && known.Cancelled:
 		// Both states keep the job from running. An operator may choose the other one.
@@ -60,8 +60,8 @@
 		return Decision{Outcome: Recovered, Rule: RuleCancelled, State: jobs.Cancelled}
 	case known.allTasksDone():
 		return Decision{Outcome: Recovered, Rule: RuleAllTasksDone, State: jobs.Done}
-	case known.Unfinished && !allHeard:
-		return Decision{Outcome: Uncertain, Rule: RuleControllerNotHeard, State: jobs.Queued, Held: true}
+	case known.Unfinished && !allResponded:
+		return Decision{Outcome: Uncertain, Rule: RuleResponseMissing, State: jobs.Queued, Held: true}
 	case known.Unfinished && known.Spec != nil:
 		return Decision{Outcome: Recovered, Rule: RuleUnfinished, State: jobs.Queued}
 	case known.Unfinished:
--- a/internal/recovery/decide_test.go
+++ b/internal/recovery/decide_test.go
@@ -17,8 +17,8 @@
 		for range rapid.IntRange(1, 5).Draw(t, "statements") {
 			known = known.Join(actual.drawStatement(t))
 		}
-		allHeard := rapid.Bool().Draw(t, "all responded")
-		decision := Decide(known, allHeard)
+		allResponded := rapid.Bool().Draw(t, "all responded")
+		decision := Decide(known, allResponded)
 		switch {
 		case decision.Outcome == Contradictory:
 			t.Fatalf("honest sources seem to contradict each other: %s", known.Provenance())
@@ -26,7 +26,7 @@
 			t.Fatalf("a job in state %q is decided to be %q by rule %q: %s", actual.state, decision.State, decision.Rule, known.Provenance())
 		case !decision.Held && decision.State == jobs.Queued && actual.state != jobs.Queued:
 			t.Fatalf("a job in state %q would run again by rule %q: %s", actual.state, decision.Rule, known.Provenance())
-		case !decision.Held && decision.State == jobs.Queued && (known.Spec == nil || !allHeard):
+		case !decision.Held && decision.State == jobs.Queued && (known.Spec == nil || !allResponded):
 			t.Fatalf("a job runs without a description, or before all controllers have responded: %s", known.Provenance())
 		}
 		rec := known.Record(decision, 1)
--- a/internal/recovery/detection/ring_test.go
+++ b/internal/recovery/detection/ring_test.go
@@ -16,9 +16,9 @@
 // Checks that CheckRing finds no gap in a complete ring, wherever its oldest segment is, and finds
 // the gap if a segment is lost.
 func TestCheckRingFindsGaps(t *testing.T) {
-	whole := [][]Segment{nil, ring(1), ring(1, 2, 3), ring(17, 18, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)}
-	whole = append(whole, ring(17, 18, 16, 15, 14)) // three segments were added before the oldest one was replaced
-	for i, r := range whole {
+	complete := [][]Segment{nil, ring(1), ring(1, 2, 3), ring(17, 18, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)}
+	complete = append(complete, ring(17, 18, 16, 15, 14)) // three segments were added before the oldest one was replaced
+	for i, r := range complete {
 		if found := CheckRing("book/", r); len(found) > 0 {
 			t.Errorf("complete ring %d: found %v", i, found)
 		}
@@ -28,8 +28,8 @@
 		if i == 3 || i == 4 {
 			continue // 3, the newest, is checked below; losing 4, with the highest name and lowest number, leaves no gap
 		}
-		cut := append(append([]Segment{}, full[:i]...), full[i+1:]...)
-		if found := CheckRing("book/", cut); len(found) == 0 {
+		remaining := append(append([]Segment{}, full[:i]...), full[i+1:]...)
+		if found := CheckRing("book/", remaining); len(found) == 0 {
 			t.Errorf("no evidence that segment %d is missing", i)
 		}
 	}
--- a/internal/recovery/source.go
+++ b/internal/recovery/source.go
@@ -13,7 +13,7 @@
 )
 
 // FromCache returns the source for a controller's cache of all jobs.
-func FromCache(node string) Source { return Source("cache of " + node) }
+func FromCache(controller string) Source { return Source("cache of " + controller) }
 
 // FromWorker returns the source for the worker of a machine.
 func FromWorker(machine string) Source { return Source("worker " + machine) }
