--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -107,7 +107,8 @@
 }
 
 // Checks that a controller grants peer leases only while the store is unavailable. A store that
-// only limits the rate still accepts cancellations, which a leader on peer leases would not see.
+// only limits the request rate still accepts cancellations, which a leader on peer leases would not
+// see.
 func TestPeerLeaseGrantedOnlyDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
--- a/internal/election/peer_leases.go
+++ b/internal/election/peer_leases.go
@@ -19,7 +19,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.timing.RenewPeriod)
 	defer cancel()
-	// A store that only limits the rate still accepts cancellations, which the leader must see.
+	// A store that only limits the request rate still accepts cancellations, which the leader must see.
 	if _, _, err := e.store.Get(ctx, HolderKey); err == nil || errors.Is(err, kvstore.ErrRateLimited) {
 		return false
 	}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -28,7 +28,7 @@
 }
 
 // preemptionPossible reports whether there may be victims for a job anywhere. It avoids the
-// search, which visits all machines, in the common case that no running task is of lower rank.
+// search, which visits all machines, in the common case where no running task is of lower rank.
 func (p *planner) preemptionPossible(job *Job) bool {
 	if job.PreemptionDeferred {
 		return false
--- a/internal/recovery/detection/evidence.go
+++ b/internal/recovery/detection/evidence.go
@@ -15,13 +15,13 @@
 	RecordRemoved        Kind = "record removed"         // a watch reported the removal of a job's record
 	RecordMissing        Kind = "record missing"         // a read lacks a record that this controller knows
 	RecordOlder          Kind = "record older"           // a record says less than this controller knows
-	RecordContradicts    Kind = "record contradicts"     // a record has another final state than known here
+	RecordContradicts    Kind = "record contradicts"     // a record has a different final state from the one this controller knows
 	RevisionRolledBack   Kind = "revision back"          // the store's revision is lower than one read before
 	TokenRolledBack      Kind = "token back"             // the fencing token is lower than one issued before
 	HolderKeyLost        Kind = "holder key lost"        // the holder key is gone while its lease is alive
 	SegmentMissing       Kind = "segment missing"        // the ring of the assignment log has a gap
 	SegmentUnreadable    Kind = "segment unreadable"     // a segment cannot be decoded
-	SegmentMismatch      Kind = "segment not as written" // a segment has another revision than the leader wrote
+	SegmentMismatch      Kind = "segment not as written" // a segment's revision differs from the one that the leader wrote
 	TaskUnknown          Kind = "task of an unknown job" // a worker has a task of a job without a record
 	ReportedByPeer       Kind = "a peer knows of a loss" // another controller has found evidence
 	NoticedByPredecessor Kind = "noticed by an earlier leader"
