--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -65,8 +65,8 @@
 	return slices.Clone(r.tokens)
 }
 
-// grantingAfter returns a function that configures an elector whose peers all answer a request for
-// peer leases after a delay: all grant it, or all refuse it.
+// grantingAfter returns a function that configures an elector whose peers all respond to a request
+// for peer leases after a delay: all grant it, or all refuse it.
 func grantingAfter(delay time.Duration, granted bool) func(*Elector) {
 	return func(e *Elector) {
 		e.RequestPeerLeases = func(context.Context, uint64) bool {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Checks that grants that arrive after the validity has ended do not restore the old term, because
+// Checks that grants that arrive after the validity has expired do not restore the old term, because
 // another controller may have won a term since.
 func TestLatePeerLeaseDoesNotRestoreTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -107,7 +107,8 @@
 }
 
 // Checks that a controller grants peer leases only while the store is unavailable. A store that
-// only limits the rate still accepts cancellations, which a leader on peer leases would not see.
+// only limits the request rate still accepts cancellations, which a leader on peer leases would not
+// see.
 func TestPeerLeaseGrantedOnlyDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -130,7 +131,7 @@
 }
 
 // Checks with two controllers and one store that the second leads only after the first has
-// stopped, and that the token of a holder that resigned or was cut off is never used again.
+// stopped, and that the token of a holder that resigned or lost its connection is never used again.
 func TestLeadershipHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
@@ -176,10 +177,10 @@
 	})
 }
 
-// Checks that a term is kept if answers to renewals take most of the lease, as on a starved
-// processor or with a slow store. The next renewal must not wait for the answer, and each answered
-// renewal must count from when it was sent.
-func TestSlowRenewalAnswersKeepTerm(t *testing.T) {
+// Checks that a term is kept if responses to renewals take most of the lease, as on a starved
+// processor or with a slow store. The next renewal must not wait for the response, and each
+// successful renewal must count from when it was sent.
+func TestSlowRenewalResponsesKeepTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store := emulator.NewNetwork(), emulator.NewKVStore()
 		network.Attach("state", "state:1", store)
@@ -195,7 +196,7 @@
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			if !elector.IsLeader() {
-				t.Fatal("the term ended although each renewal was answered in time")
+				t.Fatal("the term ended although each renewal succeeded in time")
 			}
 		}
 		if tokens := elector.wonTokens(); len(tokens) != 1 {
--- a/internal/election/model/campaign_steps.go
+++ b/internal/election/model/campaign_steps.go
@@ -3,7 +3,7 @@
 import "ospreyslip/internal/election/rules"
 
 // transactionArrivalSteps adds the steps in which a transaction of a controller reaches the store.
-// The answer may arrive at any later time, or never.
+// The response may arrive at any later time, or never.
 func (e *explorer) transactionArrivalSteps(state *clusterState, controller int) {
 	for slot, txn := range state.transactions[controller] {
 		if !txn.inFlight {
@@ -73,7 +73,7 @@
 	if e.isGrantIgnored(grantor) {
 		grantor.BoundUntil = 0
 	}
-	if !grantor.BeginCampaign(0, ownKey, baseToken) {
+	if !grantor.StartCampaign(0, ownKey, baseToken) {
 		return
 	}
 	grantor.BoundUntil = boundUntil
