--- a/cmd/ospreyslip-operator/leader_client.go
+++ b/cmd/ospreyslip-operator/leader_client.go
@@ -34,7 +34,7 @@
 	return client
 }
 
-// errNotLeader means that a controller is not the leader.
+// errNotLeader means that a controller responded that it is not the leader.
 var errNotLeader = errors.New("not the leader")
 
 // do sends a request to each controller in turn until the leader responds, and decodes the response
--- a/internal/jobs/jobcache/readiness.go
+++ b/internal/jobs/jobcache/readiness.go
@@ -16,7 +16,7 @@
 //     the read started. The store may have been rolled back in an outage, so after each outage all
 //     other controllers are asked again (ConfirmByPeers).
 //   - Proven current: in addition, no user was told that a job is finished whose record says it
-//     is not. This does not hold while records lost before this controller started are being
+//     is unfinished. This does not hold while records lost before this controller started are being
 //     compared, nor after a rollback of the store.
 //
 // All methods may be called by several goroutines concurrently. The cache's mutex guards the
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -75,7 +75,7 @@
 		{"commit with a malformed response", cannedResponse{status: 200, body: "{"}, commit, []string{"outcome unknown"}},
 		{"commit that is too large", cannedResponse{status: 400, body: `{"error":"value too large"}`}, commit, []string{"not executed", "invalid"}},
 		{"commit rejected without a JSON reason", cannedResponse{status: 400, body: "no JSON"}, commit, []string{"not executed", "invalid"}},
-		{"commit with a lease that has ended", cannedResponse{status: 400, body: `{"error":"no such lease"}`}, commit, []string{"no lease"}},
+		{"commit with an expired lease", cannedResponse{status: 400, body: `{"error":"no such lease"}`}, commit, []string{"no lease"}},
 		{"commit with a failed guard", cannedResponse{status: 409, body: `{"tide":8,"failed":["a"]}`}, commit, nil},
 		{"commit with status 410", cannedResponse{status: 410, body: "{}"}, commit, []string{"not executed"}},
 		{"commit", cannedResponse{status: 200, body: `{"tide":8}`}, commit, nil},
@@ -88,7 +88,7 @@
 		{"revision while the absent key exists", cannedResponse{status: 200, body: "{}"}, revision, []string{"not executed"}},
 		{"lease granted", cannedResponse{status: 200, body: `{"tether":7}`}, grant, nil},
 		{"lease with status 404", cannedResponse{status: 404, body: "{}"}, grant, []string{"not executed"}},
-		{"renewal of a lease that has ended", cannedResponse{status: 404, body: "{}"}, renew, []string{"no lease"}},
+		{"renewal of an expired lease", cannedResponse{status: 404, body: "{}"}, renew, []string{"no lease"}},
 		{"renewal with status 409", cannedResponse{status: 409, body: "{}"}, renew, []string{"not executed"}},
 		{"renewal", cannedResponse{status: 200}, renew, nil},
 	} {
@@ -110,8 +110,8 @@
 	}
 }
 
-// A request that exceeds the client's own rate limits must fail before it is sent. Only the limit of
-// requests is reported as ErrRateLimited; the error of the limit of writes does not tell the reason.
+// A request that exceeds the client's own rate limits must fail before it is sent. Only the request
+// limit is reported as ErrRateLimited; the write limit is not.
 func TestClientRateLimitsPreventSending(t *testing.T) {
 	transport := cannedResponse{err: errConnection}
 	limits := RateLimits{RequestsPerSecond: 0.001, WritesPerSecond: 0.001}
@@ -127,8 +127,8 @@
 	}
 }
 
-// An outage begins with a request that gets no response or a 503, and ends with another response. A
-// watch can only begin one, as an open watch may get its response during the outage.
+// An outage starts with a request that gets no response or a 503, and ends with any other response. A
+// watch can start an outage but not end it, because an open watch may get its response during one.
 func TestOutageTracking(t *testing.T) {
 	response := &cannedResponse{}
 	client := New("state:1", roundTripperFunc(func(r *http.Request) (*http.Response, error) { return response.RoundTrip(r) }),
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -54,7 +54,7 @@
 }
 
 // LeaseGrantRequest is sent by a leader that cannot reach the key-value store. It asks another
-// controller for a peer lease, during which that controller does not take over leadership.
+// controller for a peer lease, during which that controller does not campaign.
 type LeaseGrantRequest struct {
 	FencingToken uint64 // of the requesting leader
 	// SeenRevision is the revision of the store up to which the leader has seen all changes of
