--- a/internal/leader/announcement_test.go
+++ b/internal/leader/announcement_test.go
@@ -54,7 +54,7 @@
 	}
 	interval(now.Add(next.Derived.Workers.AnnounceDelay))
 	if got := notifyPending(); len(got) != 0 {
-		t.Errorf("notified before the announce delay was over: %v", got)
+		t.Errorf("notified before the announce delay had passed: %v", got)
 	}
 	for _, r := range heartbeats[:10] {
 		r.FencingToken = 6
--- a/internal/leader/cluster/completions.go
+++ b/internal/leader/cluster/completions.go
@@ -53,8 +53,8 @@
 	return true
 }
 
-// GrowTo raises the number of tasks of a job of which only the end is recorded. The number of tasks
-// is not part of such a record.
+// GrowTo raises the number of tasks of a job whose record holds only its end. Such a record does not
+// include the number of tasks.
 func (j *Job) GrowTo(tasks int) {
 	j.Spec.Tasks = tasks
 	missingWords := (tasks+wordBits-1)/wordBits - len(j.Completions.doneBits)
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -7,7 +7,7 @@
 )
 
 // GangAttempt is the current attempt to run a gang. Its tasks are the job's assignments; the next
-// attempt begins only when the last of these is removed.
+// attempt starts only when the last of these is removed.
 type GangAttempt struct {
 	Number   uint64 // shared by all tasks, which find each other by it; 0 if there is no attempt
 	Assigned int    // tasks that are, or may be, on their machines
@@ -15,8 +15,8 @@
 	Stopping bool
 }
 
-// ReportedGangTask is a task of a gang that a worker has reported and that is not adopted yet, because not
-// all tasks of the gang are known.
+// ReportedGangTask is a task of a gang that a worker has reported. It is not adopted yet, because
+// not all tasks of the gang are known.
 type ReportedGangTask struct {
 	Machine    *Machine
 	Task       workers.TaskStatus
@@ -43,6 +43,6 @@
 }
 
 // MayRun reports whether the task may be started on its machine. A task of a gang may be started
-// only once the assignments of all its tasks are durable. Otherwise, if the leader ended after it
+// only once the assignments of all its tasks are durable. Otherwise, if the leader failed after it
 // had started some tasks, these would occupy their machines until they timed out.
 func (a *Assignment) MayRun() bool { return !a.Job.IsGang() || a.Job.GangVerdict() == gang.Run }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -8,7 +8,7 @@
 	"ospreyslip/internal/workers"
 )
 
-// Job is an unfinished job, or one that is over but may still have tasks on machines.
+// Job is an unfinished job, or a finished one that may still have tasks on machines.
 type Job struct {
 	ID              string
 	Spec            *jobs.Spec
@@ -36,7 +36,7 @@
 type JobEnd struct {
 	Cancelled         bool
 	CancelSeenAt      time.Time // when this leader learned of the cancellation
-	Recorded          string    // state in the record of a job that was over when the term began
+	Recorded          string    // state in the record of a job that was finished when the term began
 	Complete          bool      // all tasks are done; the job's record may not say so yet
 	CompletionDurable bool      // the job's record says that it is done
 }
@@ -84,8 +84,8 @@
 // IsOver reports whether the job is cancelled or complete. None of its tasks may be started then.
 func (j *Job) IsOver() bool { return j.End.Cancelled || j.End.Complete }
 
-// TakePendingTask removes one of the pending tasks, of which there must be at least one, and
-// returns its index. Tasks that were placed before come first.
+// TakePendingTask removes one of the pending tasks and returns its index. There must be at least
+// one. Tasks that were placed before come first.
 func (j *Job) TakePendingTask() int {
 	pending := &j.Pending
 	pending.Count--
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -43,12 +43,12 @@
 
 // WorkerState is the state reported by the machine's worker.
 type WorkerState struct {
-	AgentEpoch      uint64                // agent epoch; a new one begins when the lease expires
+	AgentEpoch      uint64                // a new epoch starts when the lease expires
 	Seq             uint64                // of the newest message: a heartbeat or a response to a request
 	Token           uint64                // the highest fencing token that the worker has seen
 	Tasks           []workers.TaskStatus  // of the newest message
 	NewestHeartbeat liveness.HeartbeatSeq // responses to commands and probes are not counted
-	HeartbeatAt     time.Time             // when the last heartbeat arrived; zero if none has this term
+	HeartbeatAt     time.Time             // when the last heartbeat arrived; zero if none has arrived in this term
 	LeaseUntil      time.Time             // a worker silent until then has ended its tasks
 }
 
@@ -62,7 +62,7 @@
 	StartedByRequest     map[TaskRef]uint64 // tasks started by a direct request, with its fencing token
 	NeedsHigherToken     bool               // ended tasks wait for the worker to see a higher token
 	LastResponse         []workers.Command  // the commands of the last response to a heartbeat
-	UndeliveredResponses int                // consecutive responses of which no command was executed
+	UndeliveredResponses int                // consecutive responses without any executed command
 }
 
 // Health is the state that can exclude a machine from new work.
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -37,7 +37,7 @@
 	delete(c.byJob, id)
 }
 
-// Replace replaces all counts with those that a leader has broadcast, and keeps the map.
+// Replace replaces all counts with those that a leader has broadcast. It takes ownership of the map.
 func (c *Counts) Replace(counts map[string]jobs.TaskCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -8,17 +8,17 @@
 	"ospreyslip/internal/workers"
 )
 
-// HeartbeatResponse returns the response to a heartbeat that has been processed, with the commands for the
-// worker, and remembers these commands for CheckDelivery.
+// HeartbeatResponse returns the response to a heartbeat that has been processed, with the commands
+// for the worker, and remembers these commands for CheckDelivery.
 func (d *Dispatcher) HeartbeatResponse(machine *cluster.Machine) *workers.HeartbeatResponse {
 	commands := d.CommandsFor(machine, true)
 	machine.Commands.LastResponse = commands
 	return &workers.HeartbeatResponse{FencingToken: d.TokenFor(machine), Commands: commands}
 }
 
-// StaleHeartbeatResponse returns the response to a heartbeat with a fencing token of an earlier term. It stops
-// the tasks of cancelled jobs. Any response renews the worker's lease, so without these stops the
-// tasks would run for another whole lease if this leader ended before the next heartbeat, and each
+// StaleHeartbeatResponse returns the response to a heartbeat with a fencing token of an earlier
+// term. It stops the tasks of cancelled jobs. Any response renews the worker's lease, so without these stops the
+// tasks would run for another whole lease if this leader failed before the next heartbeat, and each
 // of its successors could extend that again. Stopping them is correct however old the heartbeat is.
 func (d *Dispatcher) StaleHeartbeatResponse(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	commands := []workers.Command{}
--- a/internal/leader/dispatch/delivery.go
+++ b/internal/leader/dispatch/delivery.go
@@ -7,13 +7,13 @@
 	"ospreyslip/internal/workers"
 )
 
-// MaxUndeliveredResponses is the number of consecutive undelivered heartbeat responses at which a machine
-// is marked unreachable.
+// MaxUndeliveredResponses is the number of consecutive undelivered heartbeat responses at which a
+// machine is marked unreachable.
 const MaxUndeliveredResponses = 2
 
 // CheckDelivery detects machines whose heartbeats arrive while the responses to them are lost: the
 // next heartbeat shows that no command of the last response was executed. Without this check such
-// a machine would look healthy forever, and tasks would be assigned to it in vain.
+// a machine would look healthy forever, and tasks assigned to it would never start.
 func (d *Dispatcher) CheckDelivery(machine *cluster.Machine, heartbeat *workers.Heartbeat) {
 	commands := &machine.Commands
 	if heartbeat.AgentEpoch > machine.Worker.AgentEpoch || len(commands.LastResponse) == 0 {
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -30,7 +30,7 @@
 }
 
 // heartbeatRequest is a heartbeat whose sender waits for a response. The response is nil if the
-// leader must not answer.
+// leader must not respond.
 type heartbeatRequest struct {
 	heartbeat *workers.Heartbeat
 	reply     chan *workers.HeartbeatResponse
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -27,7 +27,7 @@
 // has waited for preemptionDelay.
 func (l *Leader) mayPreempt(job *cluster.Job, now time.Time) bool {
 	if !l.failover.AwaitsCapacity(now) {
-		return true // the common case: it differs only in the first seconds of a term
+		return true // always, except in the first seconds of a term
 	}
 	return l.failover.MayPreempt(now, job.Scheduling.LastServedAt, l.preemptionDelay(job))
 }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -45,7 +45,7 @@
 	}
 	leader.Settings.Operator.FailoverPatience = 0
 	if !leader.mayPreempt(newPendingJob("sums", jobs.Urgent, false), now) {
-		t.Error("preemption is delayed although TakeoverPatience is 0")
+		t.Error("preemption is delayed although FailoverPatience is 0")
 	}
 	leader.Settings.Operator.FailoverPatience = 1
 	leader.failover.MachineReported("m-2")
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -50,14 +50,14 @@
 		return
 	}
 	machine.Commands.UndeliveredResponses = 0
-	// The answer shows the current tasks, but does not renew the worker's lease.
+	// The response lists the current tasks, but a probe does not renew the worker's lease.
 	l.detector.ProbeDone(machine.ID, true, dispatch.HeartbeatSeq(heartbeat), now)
 	l.tasks.Observe(machine, heartbeat, now)
 }
 
-// declareDead carries out a verdict. A machine that did not answer its probe is released: once the
-// cloud has terminated it, its tasks are certainly gone, which is sooner than the expiry of a long
-// lease. A machine that answers keeps its tasks for the time being.
+// declareDead carries out a verdict. A machine that did not respond to its probe is released: its
+// tasks are certainly gone once the cloud has terminated it, which is sooner than the expiry of a
+// long lease. A machine that responds keeps its tasks for the time being.
 func (l *Leader) declareDead(ctx context.Context, machine *cluster.Machine, reason liveness.Reason, now time.Time) {
 	slog.Info("machine judged dead", "machine", machine.ID, "zone", machine.Zone, "term", l.fencing.Current, "reason", string(reason), "tasks", len(machine.Assignments))
 	machine.Health.Dead = true
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -61,7 +61,7 @@
 	r.Machine = machine
 	answer := l.answerHeartbeat(r, now)
 	if answer == nil {
-		return []string{"no answer"}
+		return []string{"no response"}
 	}
 	got := describeCommands(answer.Commands)
 	slices.Sort(got)
@@ -95,7 +95,8 @@
 	if a, b := job.Assignments[0], job.Assignments[1]; a.ObservedState != workers.StateGathering || b.ObservedState != workers.StateFetching {
 		t.Errorf("observed states %q and %q", a.ObservedState, b.ObservedState)
 	}
-	// A task that is not assigned to the machine, such as from a copy of a command, is stopped.
+	// A task that is not assigned to the machine, for example one started by a copy of a command, is
+	// stopped.
 	if d := cmp.Diff([]string{"stop j-2/0"}, commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 0, workers.StateGathering, ""), gangTaskStatus(job, 2, workers.StateGathering, ""))); d != "" {
 		t.Error(d)
 	}
--- a/internal/leader/handle.go
+++ b/internal/leader/handle.go
@@ -58,7 +58,7 @@
 }
 
 // HandleHeartbeat passes a heartbeat to the leader and returns the response. It returns nil if
-// there is no leader here, if the leader must not answer, or if ctx ends first.
+// there is no leader here, if the leader must not respond, or if ctx ends first.
 func (h *Handle) HandleHeartbeat(ctx context.Context, heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	l := h.leader.Load()
 	if l == nil {
@@ -91,8 +91,9 @@
 	return 0
 }
 
-// ApplyPeerCancellations passes the leader all cancellations that users may have been told of by
-// the time by and that are newer than what the leader has seen.
+// ApplyPeerCancellations passes to the leader the cancellations that controllers have reported to
+// users. They must include every cancellation that users may have been told of by the given time
+// and that is newer than what the leader has seen.
 func (h *Handle) ApplyPeerCancellations(ctx context.Context, cancellations []jobs.Cancellation, by time.Time) {
 	if l := h.leader.Load(); l != nil {
 		l.post(ctx, func(time.Time) { l.jobs.ApplyPeerCancellations(cancellations, by) })
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -12,7 +12,7 @@
 )
 
 // answerHeartbeat handles a worker's heartbeat and returns the response, or nil if this controller
-// must not answer it.
+// must not respond.
 func (l *Leader) answerHeartbeat(heartbeat *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
 	if heartbeat.FencingToken > l.fencing.Current {
 		l.recovery.CheckToken(heartbeat.FencingToken)
@@ -47,8 +47,8 @@
 	return l.dispatcher.HeartbeatResponse(machine)
 }
 
-// mayRenewLease reports whether a heartbeat of a known machine may be answered, which renews its
-// worker's lease.
+// mayRenewLease reports whether the leader may respond to a heartbeat of a known machine. A response
+// renews the worker's lease.
 func (l *Leader) mayRenewLease(machine *cluster.Machine, seq liveness.HeartbeatSeq, now time.Time) bool {
 	if machine.Phase == cluster.Releasing {
 		// A cloud outage can delay the release for as long as it lasts. Without a response the
@@ -74,7 +74,7 @@
 	return machine
 }
 
-// applyHeartbeat applies a heartbeat that shows a fencing token of this term.
+// applyHeartbeat applies a heartbeat with a fencing token of this term.
 func (l *Leader) applyHeartbeat(machine *cluster.Machine, heartbeat *workers.Heartbeat, seq liveness.HeartbeatSeq, now time.Time) {
 	if machine.Phase == cluster.Booting {
 		l.scaler.MachineUp(machine, now)
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -13,7 +13,7 @@
 )
 
 // A delayed heartbeat must not revert the observed state. Here a task is being stopped, and an older
-// heartbeat does not show the task yet. If it were applied, the task would be placed elsewhere while
+// heartbeat does not list the task yet. If it were applied, the task would be placed elsewhere while
 // it is still saving its checkpoint.
 func TestDelayedHeartbeatsChangeNothing(t *testing.T) {
 	leader, machine, j, now := newTestLeader()
@@ -57,7 +57,7 @@
 	}
 }
 
-// Orphaned tasks are stopped: another attempt of a known job's task, a task of a job that is over,
+// Orphaned tasks are stopped: another attempt of a known job's task, a task of a finished job,
 // and a task whose name does not name a job. A task of an unknown job is left alone, because the
 // job's record may have been lost.
 func TestOrphanedTasksAreStopped(t *testing.T) {
@@ -219,7 +219,7 @@
 		moved bool
 	}{
 		{"just started", jobs.Batch, 1, 10, true},
-		{"nearly over", jobs.Batch, 29, 20, false},
+		{"nearly complete", jobs.Batch, 29, 20, false},
 		{"just started, long notice", jobs.Batch, 1, 60, false},
 		{"a service", jobs.Service, 100, 10, true},
 	} {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -36,8 +36,8 @@
 	Cloud    *cloud.Client
 	Workers  *workers.Client
 	IsLeader func() bool // reports whether this controller holds the term now
-	// PeerLeasesRequestedAt returns when the last peer leases were requested that all peers
-	// granted. They keep the term during an outage of the store.
+	// PeerLeasesRequestedAt returns when the newest peer leases that all peers granted were
+	// requested. They keep the term during an outage of the store.
 	PeerLeasesRequestedAt func() time.Time
 	TokenRaised           func(token uint64) // called after the token is raised within the term
 	Broadcast             func(map[string]jobs.TaskCounts, []peer.JobChange)
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -41,7 +41,7 @@
 		r.Seq++
 		answer := next.answerHeartbeat(r, now)
 		if answer == nil {
-			t.Fatalf("the heartbeat of %s is not answered", r.Machine)
+			t.Fatalf("the heartbeat of %s gets no response", r.Machine)
 		}
 		for _, c := range answer.Commands {
 			if c.Op != workers.OpClear {
--- a/internal/leader/planner/capacity.go
+++ b/internal/leader/planner/capacity.go
@@ -30,7 +30,7 @@
 	c.add(assignment, 1)
 }
 
-// Release reverses Count. It does nothing for an assignment that is not counted.
+// Release reverses Allocate. It does nothing for an assignment that is not counted.
 func (c *Capacity) Release(assignment *cluster.Assignment) {
 	if assignment.CountsAsUsed {
 		assignment.CountsAsUsed = false
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -42,12 +42,12 @@
 type Planner struct {
 	Capacity *Capacity
 
-	// PlanRequested is set while a plan is wanted. The plan is made once IsDue permits.
+	// PlanRequested is set when a plan is needed. The plan is made once IsDue permits it.
 	PlanRequested bool
 	// GuaranteesStale is set when the jobs within their teams' guarantees must be determined
 	// again.
 	GuaranteesStale bool
-	// UnmetDemand holds the tasks for which the last plan found no room.
+	// UnmetDemand holds the tasks for which the last plan found no capacity.
 	UnmetDemand []placement.Demand
 
 	config      Config
@@ -102,14 +102,14 @@
 	return p.PlanRequested && now.Sub(p.lastStartedAt) >= max(p.config.ControlInterval/maxPlansPerInterval, cluster.ScaleDuration(p.lastDuration, 1/MaxPlanningTimeShare))
 }
 
-// Enqueue adds the job to the queue if it has pending tasks and is not over.
+// Enqueue adds the job to the queue if it is unfinished and has pending tasks.
 func (p *Planner) Enqueue(job *cluster.Job) {
 	if job.Pending.Count > 0 && !job.IsOver() {
 		p.queued[job] = true
 	}
 }
 
-// Forget removes a settled job from the queue. Its end can change which other jobs are within their
+// Forget removes a finished job from the queue. Its end can change which other jobs are within their
 // teams' guarantees.
 func (p *Planner) Forget(job *cluster.Job) {
 	delete(p.queued, job)
@@ -154,7 +154,7 @@
 			delete(p.queued, job)
 		case job.IsGang() && len(job.Assignments) > 0:
 			// The gang is queued again when the last task of its attempt is removed. If
-			// the next attempt began with only the tasks whose ends are durable, the
+			// the next attempt started with only the tasks whose ends are durable, the
 			// gang would never be complete.
 		case now.Before(job.Scheduling.BackoffUntil), p.constraints.MayHaveUnknownTasks(job, now):
 			p.PlanRequested = true
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -18,13 +18,14 @@
 	// Without any, the job would wait indefinitely; with all of them, other jobs would starve.
 	starvedShare = 1.0 / 8
 
-	// reservationShare is the share of a gang's expected run time for which room is reserved
-	// for it. The capacity that idles meanwhile is small compared with the gang's own work,
-	// and where many tasks end all the time the reservation usually suffices.
+	// reservationShare is the share of a gang's expected run time for which capacity is
+	// reserved for it. The capacity that idles during the reservation is small compared with
+	// the gang's own work, and where tasks end frequently the reservation usually suffices.
 	reservationShare = 0.25
 
-	// PreemptionDelayShare is the share of the time in which a job within its team's guarantee should
-	// start that is spent waiting for other tasks to end on their own before any is preempted.
+	// PreemptionDelayShare is the share of the time allowed for the start of a job within its
+	// team's guarantee for which the job waits for other tasks to end on their own. Only then
+	// are tasks preempted for it.
 	PreemptionDelayShare = 0.5
 
 	// startMarginShare is the share of a control interval allowed for sending a start command
--- a/internal/leader/probe_test.go
+++ b/internal/leader/probe_test.go
@@ -14,7 +14,7 @@
 )
 
 // A probe that fails because this process is out of sockets proves nothing about the machine: it is
-// repeated and confirms no death. A probe that the machine does not answer confirms its death.
+// repeated and confirms no death. A probe without a response from the machine confirms its death.
 func TestProbeWithoutSocket(t *testing.T) {
 	noSocket := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	for _, tc := range []struct {
@@ -23,7 +23,7 @@
 		dead bool
 	}{
 		{"no socket left", fmt.Errorf("Get: %w", noSocket), false},
-		{"no answer", context.DeadlineExceeded, true},
+		{"no response", context.DeadlineExceeded, true},
 		{"refused", &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}, true},
 		{"unreadable", errors.New("unexpected end of JSON input"), true},
 	} {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// RecoveryPhase returns the recovery phase of this controller's leader, or Whole if there is none.
+// RecoveryPhase returns the recovery phase of this controller's leader, or NotRecovering if there is
+// none.
 func (h *Handle) RecoveryPhase() recoverer.Phase {
 	if l := h.leader.Load(); l != nil {
 		return l.recovery.Phase()
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -33,7 +33,7 @@
 
 // newTestLeader returns a leader whose term has fencing token 5. Machine m-1 has reported, and the
 // first of two tasks of job j-1 is durably assigned to it. No goroutine of the leader runs, and its
-// cloud and key-value store do not answer.
+// cloud and key-value store do not respond.
 func newTestLeader() (*Leader, *cluster.Machine, *cluster.Job, time.Time) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
@@ -95,7 +95,7 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// silentNetwork is a transport on which no request is answered.
+// silentNetwork is a transport on which no request gets a response.
 var silentNetwork = roundTripFunc(func(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
--- a/internal/leader/tasks/failure.go
+++ b/internal/leader/tasks/failure.go
@@ -11,7 +11,7 @@
 const (
 	// failuresBeforeBackoff is the number of consecutive failures of a job without backoff.
 	failuresBeforeBackoff = 2
-	// maxBackoffDoublings is how often the delay between attempts is doubled at most.
+	// maxBackoffDoublings limits how often the delay between attempts is doubled.
 	maxBackoffDoublings = 6
 )
 
@@ -43,8 +43,8 @@
 	}
 }
 
-// recordFailureOnMachine keeps the job off the machine on which it failed for one worker lease, as
-// the machine is usually the cause. A machine on which more than one job has failed since a task
+// recordFailureOnMachine keeps the job off the machine for one worker lease, because the machine is
+// usually the cause of the failure. A machine on which more than one job has failed since a task
 // last completed there is drained.
 func (m *Manager) recordFailureOnMachine(machine *cluster.Machine, job *cluster.Job, now time.Time) {
 	machine.Health.FailedJobs[job.ID] = true
--- a/internal/leader/tasks/gang.go
+++ b/internal/leader/tasks/gang.go
@@ -7,8 +7,8 @@
 	"ospreyslip/internal/leader/cluster"
 )
 
-// countDurableGangAssignment counts a durable assignment of a gang. Once all of them are durable it
-// notifies the workers of all tasks.
+// countDurableGangAssignment counts a durable assignment of a gang. Once all the gang's assignments
+// are durable, it notifies the workers of all tasks.
 func (m *Manager) countDurableGangAssignment(job *cluster.Job) {
 	if job.Gang.Durable++; job.GangVerdict() == gang.Run {
 		for _, a := range job.Assignments {
@@ -17,8 +17,8 @@
 	}
 }
 
-// removeFromGang processes that a task of a gang is off its machine. Unless the job is over, the
-// remaining tasks have to stop.
+// removeFromGang removes a task that is off its machine from the current attempt of its gang. Unless
+// the job is finished, the remaining tasks have to stop.
 func (m *Manager) removeFromGang(job *cluster.Job) {
 	if job.Gang.Assigned--; !job.IsOver() && job.GangVerdict() == gang.Abort {
 		slog.Debug("gang incomplete", "job", job.ID, "attempt", job.Gang.Number, "term", m.Fencing.Current, "left", job.Gang.Assigned)
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -27,7 +27,7 @@
 	JobCompleted(job *cluster.Job)
 	// CountsChanged publishes how many tasks of the job are done and running.
 	CountsChanged(job *cluster.Job)
-	// RemoveIfSettled drops the job from memory if it is over and has no task on any machine.
+	// RemoveIfSettled drops the job from memory if it is finished and has no task on any machine.
 	RemoveIfSettled(job *cluster.Job)
 	// MayHaveUnknownTasks reports whether the assignment log may lack tasks of the job.
 	MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool
@@ -108,12 +108,12 @@
 		RunsToCompletion: job.Spec.RunsToCompletion(), JobFinished: job.IsOver(), JobCancelled: job.End.Cancelled,
 		Preempted: assignment.Stop.Requested, GraceS: assignment.Stop.GraceS,
 		GangReady: assignment.MayRun(),
-		// The log may lack its newest records: the task may be over, or run elsewhere.
+		// The log may lack its newest records: the task may have ended, or may run elsewhere.
 		RecordsIncomplete: assignment.Restored && assignment.ObservedState == "" && m.Host.MayHaveUnknownTasks(job, now),
 	}
 }
 
-// Stop requests that a task stops, with graceS seconds to save a checkpoint. If the task is part of
+// Stop requests that a task stop, with graceS seconds to save a checkpoint. If the task is part of
 // a gang, the whole gang stops.
 func (m *Manager) Stop(assignment *cluster.Assignment, graceS float64) {
 	if assignment.Job.IsGang() {
@@ -134,8 +134,8 @@
 	m.Host.Notify(assignment.Machine)
 }
 
-// EndAssignmentsOn ends all open assignments of a machine on which no task can be running any more. The
-// reason is logged.
+// EndAssignmentsOn ends all open assignments of a machine on which no task can be running any more.
+// It logs the reason.
 func (m *Manager) EndAssignmentsOn(machine *cluster.Machine, reason string) {
 	for _, a := range machine.Assignments {
 		if a.Outcome == cluster.Open {
@@ -167,7 +167,7 @@
 	}
 }
 
-// completeTask marks the task as done; for a gang, all of its tasks.
+// completeTask marks the assignment's task as done. For a gang, it marks all of the gang's tasks.
 func (m *Manager) completeTask(assignment *cluster.Assignment) {
 	job := assignment.Job
 	if job.IsOver() || !job.MarkTaskDone(assignment.Index) {
@@ -185,8 +185,8 @@
 	}
 }
 
-// CompleteJob marks a job as complete, all of whose tasks are done, and queues the write of its
-// record.
+// CompleteJob marks a job as complete and queues the write of its record. All of the job's tasks
+// must be done.
 func (m *Manager) CompleteJob(job *cluster.Job) {
 	job.End.Complete = true
 	m.RunTimes.JobCompleted(job)
@@ -208,8 +208,8 @@
 	delete(machine.Offer.Fetching, image)
 }
 
-// Remove removes an assignment whose end is durable. If its task is not done and its job is not
-// over, the task is requeued.
+// Remove removes an assignment whose end is durable. If its task is not done and its job is
+// unfinished, the task is requeued.
 func (m *Manager) Remove(assignment *cluster.Assignment) {
 	job, machine := assignment.Job, assignment.Machine
 	delete(machine.Assignments, assignment.Attempt)
--- a/internal/leader/tasks/observe.go
+++ b/internal/leader/tasks/observe.go
@@ -18,9 +18,10 @@
 		return
 	}
 	if heartbeat.AgentEpoch > worker.AgentEpoch {
-		// The response to a command or a probe may show the new agent epoch before the
-		// lease of the old one has expired here, as it is counted from the arrival of a
-		// heartbeat. Tasks that start in the new epoch may run for a whole lease from now.
+		// The response to a command or a probe may report the new agent epoch before the
+		// lease of the old one has expired here, because the leader counts a lease from the
+		// arrival of a heartbeat. Tasks that start in the new epoch may run for a whole lease
+		// from now.
 		worker.LeaseUntil = now.Add(m.Derived.Workers.LeaseExpiry)
 		machine.Commands.InDoubtSince = time.Time{}
 		m.Planner.PlanRequested = true
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -14,7 +14,7 @@
 func (l *Leader) tick(ctx context.Context, now time.Time) {
 	// A process that was paused for longer than its term sees all machines as idle and silent when
 	// it resumes, although its successor is using them. It must not release them before its
-	// elector notices that the term is over.
+	// elector notices that the term has ended.
 	if !l.IsLeader() {
 		return
 	}
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -84,7 +84,8 @@
 		if machine.Phase != cluster.Up {
 			t.Error("a machine was released")
 		}
-		// A release that began before is not sent to the cloud any more either.
+		// A release that was already under way is not sent to the cloud either, because leadership
+		// is checked before each request.
 		leader.scaler.Release(ctx, machine)
 		synctest.Wait()
 		if requests > 0 {
@@ -94,7 +95,7 @@
 	})
 }
 
-// The response to a command shows a worker's next agent epoch before the old lease has expired by
+// The response to a command reports a worker's next agent epoch before the old lease has expired by
 // the leader's clock, because the last heartbeat was delayed. A task that starts in the new epoch
 // must not be taken for lost when the old lease expires, or it would run twice. (Seed 1255 of
 // internal/controller/fault_combinations_test.go.)
