--- a/internal/leader/announcement_test.go
+++ b/internal/leader/announcement_test.go
@@ -22,20 +22,20 @@
 	for i, spec := range []*jobs.Spec{small, cancelled} {
 		j := cluster.NewJob(spec.ID, spec, 2, 0, now)
 		leader.state.Jobs[j.ID] = j
-		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
-		leader.answerHeartbeat(r, now)
-		leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[r.Machine], now)
+		heartbeat := &workers.Heartbeat{Machine: fmt.Sprintf("m-90000%d", i), Addr: "10.1.0.2:9000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
+		leader.handleHeartbeat(heartbeat, now)
+		leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[heartbeat.Machine], now)
 	}
 
 	// The record of a cancelled job has no spec, so the successor does not load the job.
-	spec, live := *leader.state.Jobs["j-7"].Spec, *small
-	next := newSuccessor(leader, writeLog(leader), now, &spec, &live)
-	seen := map[string]bool{}
+	spec, smallCopy := *leader.state.Jobs["j-7"].Spec, *small
+	next := newSuccessor(leader, writeLog(leader), now, &spec, &smallCopy)
+	alreadyNotified := map[string]bool{}
 	notifyPending := func() (ids []string) {
 		for _, m := range next.state.Machines.All {
-			if m.Commands.NotifyPending && !seen[m.ID] {
+			if m.Commands.NotifyPending && !alreadyNotified[m.ID] {
 				ids = append(ids, m.ID)
-				seen[m.ID] = true
+				alreadyNotified[m.ID] = true
 			}
 		}
 		slices.Sort(ids)
@@ -44,7 +44,7 @@
 	if got := notifyPending(); fmt.Sprint(got) != "[m-900000 m-900001]" {
 		t.Errorf("notified at once: %v", got)
 	}
-	interval := func(at time.Time) {
+	checkAllGroups := func(at time.Time) {
 		for range cluster.TickGroups {
 			next.loop.tickGroup = (next.loop.tickGroup + 1) % cluster.TickGroups
 			for m := range next.state.Machines.Groups[next.loop.tickGroup] {
@@ -52,16 +52,16 @@
 			}
 		}
 	}
-	interval(now.Add(next.Derived.Workers.AnnounceDelay))
+	checkAllGroups(now.Add(next.Derived.Workers.AnnounceDelay))
 	if got := notifyPending(); len(got) != 0 {
 		t.Errorf("notified before the announce delay had passed: %v", got)
 	}
-	for _, r := range heartbeats[:10] {
-		r.FencingToken = 6
-		r.Seq++
-		next.answerHeartbeat(r, now)
+	for _, heartbeat := range heartbeats[:10] {
+		heartbeat.FencingToken = 6
+		heartbeat.Seq++
+		next.handleHeartbeat(heartbeat, now)
 	}
-	interval(now.Add(next.Derived.Workers.AnnounceDelay + time.Second))
+	checkAllGroups(now.Add(next.Derived.Workers.AnnounceDelay + time.Second))
 	if got := notifyPending(); fmt.Sprint(got) != "[m-000010 m-000011]" {
 		t.Errorf("notified after the announce delay: %v", got)
 	}
--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -172,7 +172,7 @@
 // A new leader reads exactly what is durable after any sequence of transactions: no end is undone
 // and no assignment is lost. Segment sizes change on the way, responses are lost, and leaders fail.
 func TestAssignmentLogWithMixedSegmentSizes(t *testing.T) {
-	const limitsFallAt, steps = 60, 240
+	const limitsShrinkAt, steps = 60, 240
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			discardLogs(t)
@@ -187,13 +187,13 @@
 			}
 			h.replaceLeader()
 			for step := range steps {
-				if step == limitsFallAt {
+				if step == limitsShrinkAt {
 					// The segments are as full as in production by now. The store's limits shrink.
 					h.store.maxValueBytes, h.store.maxOps = 2<<10, 4
 					h.replaceLeader()
 				}
 				startAndEndTasks(h.leader, h.random)
-				if step < limitsFallAt {
+				if step < limitsShrinkAt {
 					startAndEndTasks(h.leader, h.random)
 				}
 				batch := h.leader.writer.Compose()
@@ -201,8 +201,8 @@
 					continue
 				}
 				h.requireKeysWithoutGaps(step)
-				justFallen := step > limitsFallAt && step < limitsFallAt+10
-				if h.write(batch) && (step < 3 || step%5 == 0 || justFallen) {
+				shrankRecently := step > limitsShrinkAt && step < limitsShrinkAt+10
+				if h.write(batch) && (step < 3 || step%5 == 0 || shrankRecently) {
 					h.requireReadable(step)
 				}
 			}
--- a/internal/leader/cluster/catalog_test.go
+++ b/internal/leader/cluster/catalog_test.go
@@ -7,7 +7,7 @@
 	"ospreyslip/internal/jobs"
 )
 
-func TestCatalog(t *testing.T) {
+func TestCatalogTypesAndBootTimes(t *testing.T) {
 	types := []jobs.MachineType{{Name: "c4", BootS: 10}, {Name: "c8", BootS: 2.5}, {Name: "g1"}}
 	catalog := Catalog{Types: func() []jobs.MachineType { return types }, DefaultBootTime: 20 * time.Second}
 	for _, tc := range []struct {
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -21,9 +21,9 @@
 // seconds. It is not known before half of them are done: fast tasks complete first, so a median of
 // these alone would make all other tasks look slow.
 func (j *Job) MedianRunTime() (logSeconds float64, known bool) {
-	begun := len(j.RunTimeLogs) + j.Running
-	if len(j.RunTimeLogs) < MinRunTimes/2 || 2*len(j.RunTimeLogs) < begun {
+	started := len(j.RunTimeLogs) + j.Running
+	if len(j.RunTimeLogs) < MinRunTimes/2 || 2*len(j.RunTimeLogs) < started {
 		return 0, false
 	}
-	return j.RunTimeLogs[min(begun/2, len(j.RunTimeLogs)-1)], true
+	return j.RunTimeLogs[min(started/2, len(j.RunTimeLogs)-1)], true
 }
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -65,7 +65,7 @@
 
 // addOrphanCommands appends the commands for the orphaned tasks that the worker lists.
 func (d *Dispatcher) addOrphanCommands(machine *cluster.Machine, commands []workers.Command, inHeartbeatResponse bool) []workers.Command {
-	var held heldAcknowledgements
+	var heldAcks heldAcknowledgements
 	for i := range machine.Worker.Tasks {
 		task := &machine.Worker.Tasks[i] // not copied: that would allocate on each unchanged heartbeat
 		ref := cluster.RefOf(task)
@@ -84,11 +84,11 @@
 		case decision.Action == reconcile.Acknowledge:
 			commands = append(commands, d.countCommand(workers.Command{Op: workers.OpClear, Task: task.Name, Attempt: task.Attempt}, decision))
 		case decision.Reason == reconcile.TokenNotSuperseded:
-			held.add(task, orphan.CommandToken, d.isJobUnfinished(task))
+			heldAcks.add(task, orphan.CommandToken, d.isJobUnfinished(task))
 		}
 	}
-	machine.Commands.NeedsHigherToken = held.needHigherToken()
-	if machine.Commands.NeedsHigherToken && held.newestToken >= d.Fencing.Current {
+	machine.Commands.NeedsHigherToken = heldAcks.needHigherToken()
+	if machine.Commands.NeedsHigherToken && heldAcks.newestToken >= d.Fencing.Current {
 		d.Fencing.AcknowledgementsHeld = true
 	}
 	return commands
--- a/internal/leader/dispatch/token.go
+++ b/internal/leader/dispatch/token.go
@@ -48,20 +48,20 @@
 // in-doubt timeout, and at most once per worker lease if ended tasks cannot be cleared without one.
 // It clears the in-doubt state of machines on which no start command is in doubt any more.
 func (d *Dispatcher) ResolveInDoubt(now time.Time) {
-	raise := d.Fencing.AcknowledgementsHeld && now.Sub(d.Fencing.RaiseRequestedAt) > d.Derived.Workers.Lease
+	raiseNeeded := d.Fencing.AcknowledgementsHeld && now.Sub(d.Fencing.RaiseRequestedAt) > d.Derived.Workers.Lease
 	for machine := range d.machinesInDoubt {
 		if machine.Commands.InDoubtSince.IsZero() || !d.State.Machines.Contains(machine) {
 			delete(d.machinesInDoubt, machine)
 			continue
 		}
 		inDoubt, overdue := d.startsInDoubt(machine, now)
-		raise = raise || overdue
+		raiseNeeded = raiseNeeded || overdue
 		if !inDoubt {
 			machine.Commands.InDoubtSince = time.Time{}
 			d.Notify(machine)
 		}
 	}
-	if raise {
+	if raiseNeeded {
 		d.Fencing.RequestRaise()
 		d.Fencing.RaiseRequestedAt = now // the time of the request: a slow write must not cause a second one
 	}
--- a/internal/leader/dispatch/token_test.go
+++ b/internal/leader/dispatch/token_test.go
@@ -23,11 +23,11 @@
 		running := workers.TaskStatus{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}
 		heartbeats = append(heartbeats, &workers.Heartbeat{Machine: machine.ID, Addr: machine.Addr, AgentEpoch: 1, Seq: 1, FencingToken: 5, Tasks: []workers.TaskStatus{running}})
 	}
-	addEndedTasks := func(r *workers.Heartbeat, tasks int, cause string) {
+	addEndedTasks := func(heartbeat *workers.Heartbeat, tasks int, cause string) {
 		for i := range tasks {
 			task := workers.TaskStatus{Name: fmt.Sprintf("j-7/%d", 50+i), Attempt: uint64(9000 + i), State: workers.StateEnded, Cause: cause}
-			s.State.Machines.ByID[r.Machine].Commands.StartedByRequest[cluster.RefOf(&task)] = s.Fencing.Current
-			r.Tasks = append(r.Tasks, task)
+			s.State.Machines.ByID[heartbeat.Machine].Commands.StartedByRequest[cluster.RefOf(&task)] = s.Fencing.Current
+			heartbeat.Tasks = append(heartbeat.Tasks, task)
 		}
 	}
 	belowLimit, atLimit, toRerun, inDoubt := heartbeats[0], heartbeats[1], heartbeats[2], heartbeats[3]
@@ -35,15 +35,15 @@
 	addEndedTasks(atLimit, MaxHeldAcknowledgements, workers.CauseDone)
 	addEndedTasks(toRerun, 1, workers.CauseStopped)
 	s.State.Machines.ByID[inDoubt.Machine].Commands.InDoubtSince = s.now
-	exchangeHeartbeat := func(r *workers.Heartbeat) *workers.HeartbeatResponse {
-		r.Seq++
-		machine := s.State.Machines.ByID[r.Machine]
-		s.Tasks.Observe(machine, r, s.now)
-		if machine.Worker.Seq != r.Seq {
-			t.Fatalf("%s: heartbeat was ignored", r.Machine)
+	exchangeHeartbeat := func(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
+		heartbeat.Seq++
+		machine := s.State.Machines.ByID[heartbeat.Machine]
+		s.Tasks.Observe(machine, heartbeat, s.now)
+		if machine.Worker.Seq != heartbeat.Seq {
+			t.Fatalf("%s: heartbeat was ignored", heartbeat.Machine)
 		}
 		a := s.HeartbeatResponse(machine)
-		r.FencingToken = a.FencingToken
+		heartbeat.FencingToken = a.FencingToken
 		return a
 	}
 	countCleared := func(a *workers.HeartbeatResponse) (n int) {
@@ -54,9 +54,9 @@
 		}
 		return n
 	}
-	for _, r := range heartbeats {
-		if a := exchangeHeartbeat(r); a.FencingToken != 5 || countCleared(a) > 0 {
-			t.Errorf("%s: response before the token was raised: %+v", r.Machine, a)
+	for _, heartbeat := range heartbeats {
+		if a := exchangeHeartbeat(heartbeat); a.FencingToken != 5 || countCleared(a) > 0 {
+			t.Errorf("%s: response before the token was raised: %+v", heartbeat.Machine, a)
 		}
 	}
 	if !s.Fencing.AcknowledgementsHeld {
@@ -64,15 +64,15 @@
 	}
 	s.Fencing.Current = 6
 	for _, want := range []struct {
-		r     *workers.Heartbeat
-		token uint64
-		clear int
+		heartbeat *workers.Heartbeat
+		token     uint64
+		clear     int
 	}{{belowLimit, 5, 0}, {atLimit, 6, MaxHeldAcknowledgements}, {toRerun, 6, 1}, {inDoubt, 6, 0}} {
-		if a := exchangeHeartbeat(want.r); a.FencingToken != want.token || countCleared(a) > 0 {
-			t.Errorf("%s: token %d, %d tasks cleared before the worker has seen it; want token %d, none cleared", want.r.Machine, a.FencingToken, countCleared(a), want.token)
+		if a := exchangeHeartbeat(want.heartbeat); a.FencingToken != want.token || countCleared(a) > 0 {
+			t.Errorf("%s: token %d, %d tasks cleared before the worker has seen it; want token %d, none cleared", want.heartbeat.Machine, a.FencingToken, countCleared(a), want.token)
 		}
-		if a := exchangeHeartbeat(want.r); countCleared(a) != want.clear {
-			t.Errorf("%s: %d tasks cleared with token %d, want %d", want.r.Machine, countCleared(a), want.r.FencingToken, want.clear)
+		if a := exchangeHeartbeat(want.heartbeat); countCleared(a) != want.clear {
+			t.Errorf("%s: %d tasks cleared with token %d, want %d", want.heartbeat.Machine, countCleared(a), want.heartbeat.FencingToken, want.clear)
 		}
 	}
 	// A command carries the token that its worker knows, but never one of an earlier term.
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -57,7 +57,7 @@
 		case apply := <-l.inbox.events:
 			apply(time.Now())
 		case request := <-l.inbox.heartbeats:
-			request.reply <- l.answerHeartbeat(request.heartbeat, time.Now())
+			request.reply <- l.handleHeartbeat(request.heartbeat, time.Now())
 		case <-ticker.C:
 			l.tick(ctx, time.Now())
 		}
@@ -77,7 +77,7 @@
 		case apply := <-l.inbox.events:
 			apply(time.Now())
 		case request := <-l.inbox.heartbeats:
-			request.reply <- l.answerHeartbeat(request.heartbeat, time.Now())
+			request.reply <- l.handleHeartbeat(request.heartbeat, time.Now())
 		default:
 			return
 		}
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -27,7 +27,7 @@
 		j.Scheduling.WithinGuarantee = withinGuarantee
 		return j
 	}
-	for what, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		j     *cluster.Job
 		delay time.Duration
 	}{
@@ -35,9 +35,9 @@
 		"within a guarantee": {newPendingJob("sums", jobs.Standard, true), 3 * time.Second},
 		"no objective":       {newPendingJob("sums", jobs.Urgent, false), leader.Derived.Detection.HeartbeatOverdue},
 	} {
-		c.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders, too
-		if leader.mayPreempt(c.j, now.Add(c.delay-time.Millisecond)) || !leader.mayPreempt(c.j, now.Add(c.delay)) {
-			t.Errorf("%s: preemption is not allowed exactly from %v on", what, c.delay)
+		tc.j.Scheduling.LastServedAt = now.Add(-time.Hour) // it has waited under earlier leaders, too
+		if leader.mayPreempt(tc.j, now.Add(tc.delay-time.Millisecond)) || !leader.mayPreempt(tc.j, now.Add(tc.delay)) {
+			t.Errorf("%s: preemption is not allowed exactly from %v on", name, tc.delay)
 		}
 	}
 	if !leader.mayPreempt(newPendingJob("web", jobs.Prod, false), now) {
@@ -60,11 +60,11 @@
 	for _, deferred := range []bool{false, true} {
 		var index placement.CapacityIndex
 		m := &placement.Machine{ID: "m-1", Zone: "a", Type: "c4", Total: placement.Resources{CPUs: 4, RAMGB: 8}, Images: map[string]bool{}, Fetching: map[string]float64{}, AvoidJobs: map[string]bool{}}
-		low := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Priority: jobs.BestEffort, Tasks: 1, CPUs: 4, RAMGB: 1}
-		m.Tasks = []*placement.RunningTask{{Job: &placement.Job{Spec: low}}}
+		lowPriority := &jobs.Spec{ID: "j-1", Shape: jobs.Batch, Priority: jobs.BestEffort, Tasks: 1, CPUs: 4, RAMGB: 1}
+		m.Tasks = []*placement.RunningTask{{Job: &placement.Job{Spec: lowPriority}}}
 		index.Insert(m)
-		high := &jobs.Spec{ID: "j-2", Shape: jobs.Batch, Priority: jobs.Urgent, Tasks: 1, CPUs: 4, RAMGB: 1}
-		out := placement.Plan(placement.Input{UsedByTeam: map[string]placement.Resources{}, Index: &index, Jobs: []*placement.Job{{Spec: high, TasksByZone: map[string]int{}, Pending: 1, PreemptionDeferred: deferred, DeadlineS: placement.NoDeadline}}})
+		highPriority := &jobs.Spec{ID: "j-2", Shape: jobs.Batch, Priority: jobs.Urgent, Tasks: 1, CPUs: 4, RAMGB: 1}
+		out := placement.Plan(placement.Input{UsedByTeam: map[string]placement.Resources{}, Index: &index, Jobs: []*placement.Job{{Spec: highPriority, TasksByZone: map[string]int{}, Pending: 1, PreemptionDeferred: deferred, DeadlineS: placement.NoDeadline}}})
 		if preempted := len(out.Preemptions) > 0; preempted == deferred || len(out.Unmet) > 0 != deferred {
 			t.Errorf("preemption deferred %v: preempted %v, unmet %v", deferred, out.Preemptions, out.Unmet)
 		}
@@ -77,14 +77,14 @@
 	l, heartbeats, now := newFullFleet(t, 4)
 	next := newSuccessor(l, writeLog(l), now, l.state.Jobs["j-7"].Spec)
 	next.failover.RecordsLoaded(now)
-	for i, r := range heartbeats[:3] {
-		r.FencingToken = 6
-		r.Seq += 10
+	for i, heartbeat := range heartbeats[:3] {
+		heartbeat.FencingToken = 6
+		heartbeat.Seq += 10
 		if i == 2 { // its lease has expired in the meantime
-			r.AgentEpoch, r.Tasks = r.AgentEpoch+1, nil
+			heartbeat.AgentEpoch, heartbeat.Tasks = heartbeat.AgentEpoch+1, nil
 		}
-		if answer := next.answerHeartbeat(r, now.Add(time.Second)); answer == nil || len(answer.Commands) > 0 {
-			t.Errorf("%s: response %+v, want one without commands", r.Machine, answer)
+		if response := next.handleHeartbeat(heartbeat, now.Add(time.Second)); response == nil || len(response.Commands) > 0 {
+			t.Errorf("%s: response %+v, want one without commands", heartbeat.Machine, response)
 		}
 	}
 	next.finishFailover(now.Add(time.Second))
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -50,22 +50,22 @@
 	leader.state.Jobs[j.ID] = j
 	var heartbeats []*workers.Heartbeat
 	for i := range size {
-		r := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
-		leader.answerHeartbeat(r, now)
-		a := leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[r.Machine], now)
+		heartbeat := &workers.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "10.1.0.1:9000", Type: "c4", Zone: string(rune('a' + i%3)), AgentEpoch: 1, Seq: 1, FencingToken: 5}
+		leader.handleHeartbeat(heartbeat, now)
+		a := leader.tasks.Assign(j, j.TakePendingTask(), leader.state.Machines.ByID[heartbeat.Machine], now)
 		a.Log.Durable, a.Start.Sent = true, true
-		r.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
-		r.Seq++
-		leader.answerHeartbeat(r, now)
-		heartbeats = append(heartbeats, r)
+		heartbeat.Tasks = []workers.TaskStatus{{Name: a.TaskName(), Attempt: a.Attempt, State: workers.StateRunning}}
+		heartbeat.Seq++
+		leader.handleHeartbeat(heartbeat, now)
+		heartbeats = append(heartbeats, heartbeat)
 	}
 	return leader, heartbeats, now
 }
 
 // repeatHeartbeat sends the leader a worker's next heartbeat with unchanged content.
-func repeatHeartbeat(l *Leader, r *workers.Heartbeat, now time.Time) {
-	r.Seq++
-	if a := l.answerHeartbeat(r, now); a == nil || len(a.Commands) != 0 {
+func repeatHeartbeat(l *Leader, heartbeat *workers.Heartbeat, now time.Time) {
+	heartbeat.Seq++
+	if response := l.handleHeartbeat(heartbeat, now); response == nil || len(response.Commands) != 0 {
 		panic("an unchanged heartbeat got no response, or one with commands")
 	}
 }
@@ -95,12 +95,12 @@
 		next.state.Jobs[s.ID] = cluster.NewJob(s.ID, s, 1, 0, now)
 	}
 	log := next.readLog(segments)
-	ended := map[string]kvstore.KeyValue{} // records of the cancelled jobs
+	cancelledRecords := map[string]kvstore.KeyValue{} // by job ID
 	for id := range assignmentlog.ReferencedJobs(log) {
 		if next.state.Jobs[id] == nil {
-			ended[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
+			cancelledRecords[id] = kvstore.KeyValue{Key: jobs.RecordKey(id), Value: json.RawMessage(`{"stance":"aborted","tasks":1}`), Revision: 1}
 		}
 	}
-	newLoader(next).Restore(log, ended, now)
+	newLoader(next).Restore(log, cancelledRecords, now)
 	return next
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -18,16 +18,16 @@
 // newLeaderWithGang returns a leader with two machines and a gang of three tasks. Two tasks are
 // assigned to the first machine and one to the second; no assignment is durable yet.
 func newLeaderWithGang() (leader *Leader, job *cluster.Job, now time.Time) {
-	leader, m, old, now := newTestLeader()
+	leader, m, removedJob, now := newTestLeader()
 	for _, a := range m.Assignments {
 		leader.tasks.End(a, cluster.Retry)
 		leader.tasks.Remove(a)
 	}
-	delete(leader.state.Jobs, old.ID)
+	delete(leader.state.Jobs, removedJob.ID)
 	leader.readLog(nil)
-	other := newHeartbeat(1, 1)
-	other.Machine = "m-2"
-	leader.answerHeartbeat(other, now)
+	otherMachineHeartbeat := newHeartbeat(1, 1)
+	otherMachineHeartbeat.Machine = "m-2"
+	leader.handleHeartbeat(otherMachineHeartbeat, now)
 	job = cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Priority: jobs.Standard, Tasks: 3, CPUs: 1, EstimatedRuntimeS: 30, CheckpointIntervalS: 10, CheckpointSaveS: 3, OneZone: true}, 1, 0, now)
 	leader.state.Jobs[job.ID] = job
 	for i, id := range []string{"m-1", "m-1", "m-2"} {
@@ -38,9 +38,9 @@
 	return leader, job, now
 }
 
-// makeBeginsDurable makes the assignments of some tasks of a job durable, as if written to a segment
-// of their own, and drops everything else that is queued for the log.
-func makeBeginsDurable(l *Leader, j *cluster.Job, tasks ...int) {
+// makeAssignmentsDurable makes the assignments of some tasks of a job durable, as if written to a
+// segment of their own, and drops everything else that is queued for the log.
+func makeAssignmentsDurable(l *Leader, j *cluster.Job, tasks ...int) {
 	l.readLog(nil) // drops what is queued
 	for _, n := range tasks {
 		l.log.QueueBegin(j.Assignments[n])
@@ -57,13 +57,13 @@
 // returns sorted descriptions of the commands in the response.
 func commandsAfterHeartbeat(l *Leader, machine string, now time.Time, tasks ...workers.TaskStatus) []string {
 	lastHeartbeatSeq++
-	r := newHeartbeat(1, lastHeartbeatSeq, tasks...)
-	r.Machine = machine
-	answer := l.answerHeartbeat(r, now)
-	if answer == nil {
+	heartbeat := newHeartbeat(1, lastHeartbeatSeq, tasks...)
+	heartbeat.Machine = machine
+	response := l.handleHeartbeat(heartbeat, now)
+	if response == nil {
 		return []string{"no response"}
 	}
-	got := describeCommands(answer.Commands)
+	got := describeCommands(response.Commands)
 	slices.Sort(got)
 	return got
 }
@@ -77,11 +77,11 @@
 // one gang attempt number, so two tasks on one machine are distinguished by name.
 func TestGangStartsTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
-	makeBeginsDurable(leader, job, 0, 2)
+	makeAssignmentsDurable(leader, job, 0, 2)
 	if d := cmp.Diff([]string(nil), commandsAfterHeartbeat(leader, "m-1", now)); d != "" {
 		t.Errorf("before all assignments are durable: %s", d)
 	}
-	makeBeginsDurable(leader, job, 1)
+	makeAssignmentsDurable(leader, job, 1)
 	if d := cmp.Diff([]string{"run j-2/0", "run j-2/1"}, commandsAfterHeartbeat(leader, "m-1", now)); d != "" {
 		t.Error(d)
 	}
@@ -111,7 +111,7 @@
 // the last one has ended and its end is durable.
 func TestGangEndsTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
-	makeBeginsDurable(leader, job, 0, 1, 2)
+	makeAssignmentsDurable(leader, job, 0, 1, 2)
 	commandsAfterHeartbeat(leader, "m-1", now)
 	commandsAfterHeartbeat(leader, "m-2", now)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
@@ -126,7 +126,7 @@
 	if len(job.Assignments) != 2 {
 		t.Error("a task was assigned while others of the gang may still run")
 	}
-	first := job.Assignments[0].GangAttempt
+	firstGangAttempt := job.Assignments[0].GangAttempt
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseGangMemberGone), gangTaskStatus(job, 1, workers.StateEnded, workers.CauseGangMemberGone))
 	leader.tasks.Remove(job.Assignments[0])
 	leader.plan(now)
@@ -134,8 +134,8 @@
 		t.Error("a task was assigned before the last end was durable")
 	}
 	leader.tasks.Remove(job.Assignments[1])
-	if a := leader.tasks.Assign(job, job.TakePendingTask(), leader.state.Machines.ByID["m-1"], now); a.GangAttempt == first || job.Pending.Count != 2 {
-		t.Errorf("the next gang attempt is %d, the last was %d; %d tasks are pending", a.GangAttempt, first, job.Pending.Count)
+	if a := leader.tasks.Assign(job, job.TakePendingTask(), leader.state.Machines.ByID["m-1"], now); a.GangAttempt == firstGangAttempt || job.Pending.Count != 2 {
+		t.Errorf("the next gang attempt is %d, the last was %d; %d tasks are pending", a.GangAttempt, firstGangAttempt, job.Pending.Count)
 	}
 }
 
@@ -143,7 +143,7 @@
 // otherwise hold their capacity until the workers give up waiting.
 func TestGatheringGangStopsWhenMachineDies(t *testing.T) {
 	l, j, now := newLeaderWithGang()
-	makeBeginsDurable(l, j, 0, 1, 2)
+	makeAssignmentsDurable(l, j, 0, 1, 2)
 	commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 1, workers.StateGathering, ""))
 	l.declareDead(t.Context(), l.state.Machines.ByID["m-2"], liveness.ProbeFailed, now)
 	if d := cmp.Diff([]string{"stop j-2/0", "stop j-2/1"}, commandsAfterHeartbeat(l, "m-1", now, gangTaskStatus(j, 0, workers.StateGathering, ""), gangTaskStatus(j, 1, workers.StateGathering, ""))); d != "" {
@@ -155,7 +155,7 @@
 // task was reported as ended by the loss of a gang member before.
 func TestGangCompletesTogether(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
-	makeBeginsDurable(leader, job, 0, 1, 2)
+	makeAssignmentsDurable(leader, job, 0, 1, 2)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateEnded, workers.CauseGangMemberGone), gangTaskStatus(job, 1, workers.StateRunning, ""))
@@ -179,7 +179,7 @@
 // all have saved. Their machine must not be taken for one that does not receive its commands.
 func TestGangSavesBeforeItEnds(t *testing.T) {
 	leader, job, now := newLeaderWithGang()
-	makeBeginsDurable(leader, job, 0, 1, 2)
+	makeAssignmentsDurable(leader, job, 0, 1, 2)
 	commandsAfterHeartbeat(leader, "m-1", now, gangTaskStatus(job, 0, workers.StateRunning, ""), gangTaskStatus(job, 1, workers.StateRunning, ""))
 	commandsAfterHeartbeat(leader, "m-2", now, gangTaskStatus(job, 2, workers.StateRunning, ""))
 	leader.tasks.Stop(job.Assignments[1], 3)
--- a/internal/leader/handle.go
+++ b/internal/leader/handle.go
@@ -19,8 +19,8 @@
 // Handle gives the rest of a controller access to its leader while it leads. All methods but Lead
 // may be called from any goroutine.
 type Handle struct {
-	leader   atomic.Pointer[Leader]
-	resigned time.Time // when the last leader here resigned; owned by the goroutine that calls Lead
+	leader         atomic.Pointer[Leader]
+	lastResignedAt time.Time // when the last leader here resigned; owned by the goroutine that calls Lead
 }
 
 // leasesBetweenResignations is the number of worker leases that must pass after a leader of this
@@ -49,11 +49,11 @@
 	goroutines.Go(func() { l.scaler.PollList(ctx) })
 	// A leader that no worker reaches resigns, because workers may reach another controller. It
 	// does so only from time to time: if all machines are gone, no controller can be reached.
-	l.loop.mayResign = time.Since(h.resigned) > leasesBetweenResignations*deps.Derived.Workers.Lease && len(deps.Settings.Peers) > 0
+	l.loop.mayResign = time.Since(h.lastResignedAt) > leasesBetweenResignations*deps.Derived.Workers.Lease && len(deps.Settings.Peers) > 0
 	h.leader.Store(l)
 	l.run(ctx)
 	if l.loop.resigning {
-		h.resigned = time.Now()
+		h.lastResignedAt = time.Now()
 	}
 }
 
@@ -103,14 +103,14 @@
 // callEventLoop runs answer on the leader's event loop and returns the value that answer passes to
 // reply. It returns ErrNotLeading if there is no leader here or its event loop ends, and ctx.Err()
 // if ctx ends first.
-func callEventLoop[T any](ctx context.Context, handle *Handle, answer func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
+func callEventLoop[T any](ctx context.Context, handle *Handle, query func(l *Leader, now time.Time, reply func(T))) (out T, err error) {
 	l := handle.leader.Load()
 	if l == nil {
 		return out, ErrNotLeading
 	}
 	replies := make(chan T, 1)
 	select {
-	case l.inbox.events <- func(now time.Time) { answer(l, now, func(reply T) { replies <- reply }) }:
+	case l.inbox.events <- func(now time.Time) { query(l, now, func(reply T) { replies <- reply }) }:
 	case <-l.inbox.done:
 		return out, ErrNotLeading
 	case <-ctx.Done():
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -11,9 +11,9 @@
 	"ospreyslip/internal/workers"
 )
 
-// answerHeartbeat handles a worker's heartbeat and returns the response, or nil if this controller
+// handleHeartbeat handles a worker's heartbeat and returns the response, or nil if this controller
 // must not respond.
-func (l *Leader) answerHeartbeat(heartbeat *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
+func (l *Leader) handleHeartbeat(heartbeat *workers.Heartbeat, now time.Time) *workers.HeartbeatResponse {
 	if heartbeat.FencingToken > l.fencing.Current {
 		l.recovery.CheckToken(heartbeat.FencingToken)
 	}
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -17,13 +17,13 @@
 // it is still saving its checkpoint.
 func TestDelayedHeartbeatsChangeNothing(t *testing.T) {
 	leader, machine, j, now := newTestLeader()
-	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"run j-1/0"}, describeCommands(leader.handleHeartbeat(newHeartbeat(1, 2), now).Commands)); d != "" {
 		t.Fatal(d)
 	}
-	leader.answerHeartbeat(newHeartbeat(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	leader.handleHeartbeat(newHeartbeat(1, 4, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	leader.tasks.Stop(j.Assignments[0], 5)
-	leader.answerHeartbeat(newHeartbeat(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
-	leader.answerHeartbeat(newHeartbeat(1, 3), now)
+	leader.handleHeartbeat(newHeartbeat(1, 5, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateSaving}), now)
+	leader.handleHeartbeat(newHeartbeat(1, 3), now)
 	if a := j.Assignments[0]; a == nil || a.Outcome != cluster.Open {
 		t.Error("an old heartbeat ended a task that is still saving")
 	}
@@ -31,8 +31,8 @@
 		t.Errorf("observed state of heartbeat %d, %v CPUs used", machine.Worker.Seq, machine.Used.CPUs)
 	}
 	// A heartbeat of an earlier agent epoch proves nothing.
-	leader.answerHeartbeat(newHeartbeat(2, 1), now)
-	if leader.answerHeartbeat(newHeartbeat(1, 9), now) != nil {
+	leader.handleHeartbeat(newHeartbeat(2, 1), now)
+	if leader.handleHeartbeat(newHeartbeat(1, 9), now) != nil {
 		t.Error("answered a heartbeat of an earlier agent epoch")
 	}
 }
@@ -41,9 +41,9 @@
 // clear that is sent directly could be followed by a run from a response that is still in flight.
 func TestClearAfterDurableCompletion(t *testing.T) {
 	leader, m, _, now := newTestLeader()
-	leader.answerHeartbeat(newHeartbeat(1, 2), now)
+	leader.handleHeartbeat(newHeartbeat(1, 2), now)
 	done := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateEnded, Cause: workers.CauseDone}
-	if commands := leader.answerHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(commands) > 0 {
+	if commands := leader.handleHeartbeat(newHeartbeat(1, 3, done), now).Commands; len(commands) > 0 {
 		t.Errorf("commands before the completion is durable: %v", describeCommands(commands))
 	}
 	for _, a := range m.Assignments {
@@ -52,7 +52,7 @@
 	if commands := leader.dispatcher.CommandsFor(m, false); len(commands) > 0 {
 		t.Errorf("commands outside of a heartbeat response: %v", describeCommands(commands))
 	}
-	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(leader.answerHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"clear j-1/0"}, describeCommands(leader.handleHeartbeat(newHeartbeat(1, 4, done), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
@@ -63,7 +63,7 @@
 func TestOrphanedTasksAreStopped(t *testing.T) {
 	l, _, _, now := newTestLeader()
 	l.Cache.Apply("job/j-8", []byte(`{"stance":"done","tasks":1}`), 3)
-	l.answerHeartbeat(newHeartbeat(1, 2), now)
+	l.handleHeartbeat(newHeartbeat(1, 2), now)
 	tasks := []workers.TaskStatus{
 		{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		{Name: "j-1/1", Attempt: 7, State: workers.StateRunning},
@@ -72,25 +72,25 @@
 		{Name: "j-9/3", Attempt: 10, State: workers.StateRunning},
 		{Name: "j-9/4", Attempt: 11, State: workers.StateEnded, Cause: workers.CauseDone},
 	}
-	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, describeCommands(l.answerHeartbeat(newHeartbeat(1, 3, tasks...), now).Commands)); d != "" {
+	if d := cmp.Diff([]string{"stop j-1/1", "stop j-8/0", "stop x-1/0"}, describeCommands(l.handleHeartbeat(newHeartbeat(1, 3, tasks...), now).Commands)); d != "" {
 		t.Error(d)
 	}
 }
 
 // A controller must not answer a heartbeat if it does not hold the term, if its view of the job
 // records is stale, or if the worker has seen a higher fencing token.
-func TestHeartbeatsThatMustNotBeAnswered(t *testing.T) {
+func TestHeartbeatsWithoutResponse(t *testing.T) {
 	l, _, _, now := newTestLeader()
-	higher := newHeartbeat(1, 2)
-	higher.FencingToken = 6
-	if l.answerHeartbeat(higher, now) != nil {
+	higherTokenHeartbeat := newHeartbeat(1, 2)
+	higherTokenHeartbeat.FencingToken = 6
+	if l.handleHeartbeat(higherTokenHeartbeat, now) != nil {
 		t.Error("answered with a lower token than the worker has seen")
 	}
-	if l.answerHeartbeat(newHeartbeat(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
+	if l.handleHeartbeat(newHeartbeat(1, 3), now.Add(l.Derived.Store.MaxStaleness+time.Second)) != nil {
 		t.Error("answered with a stale view in which cancellations may be missing")
 	}
 	l.IsLeader = func() bool { return false }
-	if l.answerHeartbeat(newHeartbeat(1, 4), now) != nil {
+	if l.handleHeartbeat(newHeartbeat(1, 4), now) != nil {
 		t.Error("answered without holding the term")
 	}
 }
@@ -99,23 +99,23 @@
 // an earlier leader. It proves neither that the machine exists nor that a task is not on it.
 func TestHeartbeatsOfEarlierTerms(t *testing.T) {
 	leader, machine, job, now := newTestLeader()
-	leader.answerHeartbeat(newHeartbeat(1, 2), now)
-	old := newHeartbeat(1, 9)
-	old.FencingToken = 4
-	until := leader.Derived.Detection.SuspectAfter + time.Second
-	if a := leader.answerHeartbeat(old, now.Add(until)); a == nil || a.FencingToken != 5 || len(a.Commands) != 0 {
-		t.Errorf("response %+v, want the token and no commands", a)
+	leader.handleHeartbeat(newHeartbeat(1, 2), now)
+	oldHeartbeat := newHeartbeat(1, 9)
+	oldHeartbeat.FencingToken = 4
+	suspectDelay := leader.Derived.Detection.SuspectAfter + time.Second
+	if response := leader.handleHeartbeat(oldHeartbeat, now.Add(suspectDelay)); response == nil || response.FencingToken != 5 || len(response.Commands) != 0 {
+		t.Errorf("response %+v, want the token and no commands", response)
 	}
 	lease := machine.Worker.LeaseUntil
-	if leader.answerHeartbeat(old, now.Add(until+time.Second)) != nil || machine.Worker.LeaseUntil != lease {
+	if leader.handleHeartbeat(oldHeartbeat, now.Add(suspectDelay+time.Second)) != nil || machine.Worker.LeaseUntil != lease {
 		t.Error("a copy of the heartbeat renewed the lease again")
 	}
-	if machine.Worker.Seq == 9 || job.Assignments[0] == nil || leader.detector.Schedulable("m-1", now.Add(until)) {
+	if machine.Worker.Seq == 9 || job.Assignments[0] == nil || leader.detector.Schedulable("m-1", now.Add(suspectDelay)) {
 		t.Error("a heartbeat of an earlier term was applied")
 	}
-	other := newHeartbeat(1, 3)
-	other.Machine, other.FencingToken = "m-2", 4
-	if leader.answerHeartbeat(other, now); leader.state.Machines.ByID["m-2"] != nil {
+	otherMachineHeartbeat := newHeartbeat(1, 3)
+	otherMachineHeartbeat.Machine, otherMachineHeartbeat.FencingToken = "m-2", 4
+	if leader.handleHeartbeat(otherMachineHeartbeat, now); leader.state.Machines.ByID["m-2"] != nil {
 		t.Error("a heartbeat of an earlier term added a machine")
 	}
 }
@@ -126,20 +126,20 @@
 // when the leader changed every ten seconds.
 func TestEarlierTermHeartbeatStopsCancelledTasks(t *testing.T) {
 	l, machine, j, now := newTestLeader()
-	live := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
-	l.state.Jobs[live.ID] = live
+	unfinishedJob := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 1, CPUs: 1}, 1, 0, now)
+	l.state.Jobs[unfinishedJob.ID] = unfinishedJob
 	l.jobs.Cancel(j, 9)
-	old := newHeartbeat(1, 9,
+	oldHeartbeat := newHeartbeat(1, 9,
 		workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning},
 		workers.TaskStatus{Name: "j-1/1", Attempt: 102, State: workers.StateEnded, Cause: workers.CauseDone},
 		workers.TaskStatus{Name: "j-2/0", Attempt: 103, State: workers.StateRunning},
 		workers.TaskStatus{Name: "j-3/0", Attempt: 104, State: workers.StateRunning})
-	old.FencingToken = 4
-	a := l.answerHeartbeat(old, now.Add(time.Second))
-	if a == nil || a.FencingToken != 5 || len(a.Commands) != 1 {
-		t.Fatalf("response %+v, want one stop command", a)
+	oldHeartbeat.FencingToken = 4
+	response := l.handleHeartbeat(oldHeartbeat, now.Add(time.Second))
+	if response == nil || response.FencingToken != 5 || len(response.Commands) != 1 {
+		t.Fatalf("response %+v, want one stop command", response)
 	}
-	if c := a.Commands[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
+	if c := response.Commands[0]; c.Op != workers.OpStop || c.Task != "j-1/0" || c.Attempt != 101 || *c.GraceS != 0 {
 		t.Errorf("command %+v, want j-1/0 to stop at once", c)
 	}
 	if machine.Worker.Seq == 9 {
@@ -149,12 +149,12 @@
 
 // A machine that was declared dead reports again before the cloud has released it. If its heartbeats
 // were answered, its tasks would keep running, even those of cancelled jobs.
-func TestReleasingMachinesAreNotAnswered(t *testing.T) {
+func TestReleasingMachinesGetNoResponse(t *testing.T) {
 	l, m, _, now := newTestLeader()
-	l.answerHeartbeat(newHeartbeat(1, 2), now)
+	l.handleHeartbeat(newHeartbeat(1, 2), now)
 	lease := m.Worker.LeaseUntil
 	m.Phase = cluster.Releasing
-	if l.answerHeartbeat(newHeartbeat(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
+	if l.handleHeartbeat(newHeartbeat(1, 3), now.Add(time.Second)) != nil || m.Worker.LeaseUntil != lease {
 		t.Error("the lease of a machine that is being released was renewed")
 	}
 }
@@ -163,12 +163,12 @@
 // watermark.
 func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
-	leader.answerHeartbeat(newHeartbeat(1, 2), now)
-	leader.answerHeartbeat(newHeartbeat(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	leader.handleHeartbeat(newHeartbeat(1, 2), now)
+	leader.handleHeartbeat(newHeartbeat(1, 3, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	lease := machine.Worker.LeaseUntil
 	machine.Health.Dead = true
 	for _, seq := range []uint64{1, 2, 3} {
-		if leader.answerHeartbeat(newHeartbeat(1, seq), now.Add(5*time.Second)) != nil {
+		if leader.handleHeartbeat(newHeartbeat(1, seq), now.Add(5*time.Second)) != nil {
 			t.Errorf("a copy of heartbeat %d was answered", seq)
 		}
 	}
@@ -177,17 +177,17 @@
 	}
 	// A command's response may overtake a heartbeat. That heartbeat is not a copy.
 	leader.tasks.Observe(machine, newHeartbeat(1, 9, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	if leader.answerHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || machine.Worker.Seq != 9 {
+	if leader.handleHeartbeat(newHeartbeat(1, 8), now.Add(5*time.Second)) == nil || machine.Worker.Seq != 9 {
 		t.Error("an overtaken heartbeat was not answered, or reverted the observed state")
 	}
 }
 
 // The heartbeats of a machine arrive, but the responses to them are lost, so that its worker never
 // executes a command. Such a machine must not look healthy forever.
-func TestLostHeartbeatResponses(t *testing.T) {
+func TestMachinesWithLostResponsesAreProbed(t *testing.T) {
 	leader, machine, _, now := newTestLeader()
 	for seq := uint64(2); seq < 2+dispatch.MaxUndeliveredResponses+1; seq++ {
-		if commands := leader.answerHeartbeat(newHeartbeat(1, seq), now).Commands; len(commands) != 1 {
+		if commands := leader.handleHeartbeat(newHeartbeat(1, seq), now).Commands; len(commands) != 1 {
 			t.Fatalf("heartbeat %d: %v", seq, describeCommands(commands))
 		}
 	}
@@ -201,8 +201,8 @@
 	if !leader.acceptsWork(machine, now) {
 		t.Error("a machine that answers probes accepts no work")
 	}
-	leader.answerHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
-	leader.answerHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	leader.handleHeartbeat(newHeartbeat(1, 21, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
+	leader.handleHeartbeat(newHeartbeat(1, 22, workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}), now)
 	if machine.Commands.UndeliveredResponses != 0 || !leader.acceptsWork(machine, now) {
 		t.Error("a machine that executes its commands is suspect")
 	}
@@ -210,7 +210,7 @@
 
 // A spot machine with a termination notice keeps the tasks that may complete in time. Other tasks
 // are started elsewhere at once; otherwise their loss would be noticed only after the notice period.
-func TestSpotTerminationNotice(t *testing.T) {
+func TestSpotNoticeMovesTasksThatCannotComplete(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		shape string
@@ -226,14 +226,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader, machine, j, now := newTestLeader()
 			j.Spec.EstimatedRuntimeS, j.Spec.Shape = 30, tc.shape
-			leader.answerHeartbeat(newHeartbeat(1, 2), now)
+			leader.handleHeartbeat(newHeartbeat(1, 2), now)
 			task := workers.TaskStatus{Name: "j-1/0", Attempt: 101, State: workers.StateRunning}
-			leader.answerHeartbeat(newHeartbeat(1, 3, task), now)
-			r := newHeartbeat(1, 4, task)
-			r.SpotNoticeS = &tc.inS
+			leader.handleHeartbeat(newHeartbeat(1, 3, task), now)
+			heartbeat := newHeartbeat(1, 4, task)
+			heartbeat.SpotNoticeS = &tc.inS
 			now = now.Add(time.Duration(tc.ran * float64(time.Second)))
 			leader.jobs.MarkLoaded(now, leader.jobs.SeenRevision())
-			leader.answerHeartbeat(r, now)
+			leader.handleHeartbeat(heartbeat, now)
 			if a := j.Assignments[0]; a.Stop.Requested != tc.moved {
 				t.Errorf("stop requested: %v", a.Stop.Requested)
 			}
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -36,16 +36,16 @@
 		t.Fatal("tasks would be placed before the running ones are known")
 	}
 	began := time.Now()
-	for _, r := range heartbeats {
-		r.FencingToken = 6
-		r.Seq++
-		answer := next.answerHeartbeat(r, now)
-		if answer == nil {
-			t.Fatalf("the heartbeat of %s gets no response", r.Machine)
+	for _, heartbeat := range heartbeats {
+		heartbeat.FencingToken = 6
+		heartbeat.Seq++
+		response := next.handleHeartbeat(heartbeat, now)
+		if response == nil {
+			t.Fatalf("the heartbeat of %s gets no response", heartbeat.Machine)
 		}
-		for _, c := range answer.Commands {
+		for _, c := range response.Commands {
 			if c.Op != workers.OpClear {
-				t.Fatalf("%s gets the command %s %s", r.Machine, c.Op, c.Task)
+				t.Fatalf("%s gets the command %s %s", heartbeat.Machine, c.Op, c.Task)
 			}
 		}
 	}
@@ -83,8 +83,8 @@
 		if job.Pending.Count != 1 || len(job.Assignments) != 1 {
 			t.Fatalf("%d tasks pending, %d placed", job.Pending.Count, len(job.Assignments))
 		}
-		both := []*cluster.Assignment{next.state.Machines.ByID["m-1"].Assignments[1], next.state.Machines.ByID["m-2"].Assignments[2]}
-		for i, a := range []*cluster.Assignment{both[firstEnds], both[1-firstEnds]} {
+		attempts := []*cluster.Assignment{next.state.Machines.ByID["m-1"].Assignments[1], next.state.Machines.ByID["m-2"].Assignments[2]}
+		for i, a := range []*cluster.Assignment{attempts[firstEnds], attempts[1-firstEnds]} {
 			next.tasks.End(a, cluster.Retry)
 			next.tasks.Remove(a)
 			if want := 1 + i; job.Pending.Count != want {
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -25,14 +25,14 @@
 	if leader.planner.PlanRequested {
 		t.Fatal("a plan is requested before any event")
 	}
-	r := newHeartbeat(1, 7)
-	r.Machine = "m-9"
-	if leader.answerHeartbeat(r, now); !leader.planner.PlanRequested {
+	heartbeat := newHeartbeat(1, 7)
+	heartbeat.Machine = "m-9"
+	if leader.handleHeartbeat(heartbeat, now); !leader.planner.PlanRequested {
 		t.Error("no plan requested when a machine starts to accept work")
 	}
 	leader.plan(now)
-	r.Seq++
-	if leader.answerHeartbeat(r, now); leader.planner.PlanRequested {
+	heartbeat.Seq++
+	if leader.handleHeartbeat(heartbeat, now); leader.planner.PlanRequested {
 		t.Error("a plan requested by an unchanged heartbeat")
 	}
 }
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -127,26 +127,26 @@
 		LowestRank: p.Capacity.lowestRank(),
 	}
 	p.constraints.AddHeldUsage(input.UsedByTeam)
-	jobOf := map[*placement.Job]*cluster.Job{}
-	input.Jobs = p.placementQueue(jobOf, now)
+	clusterJobs := map[*placement.Job]*cluster.Job{}
+	input.Jobs = p.placementQueue(clusterJobs, now)
 	running := newRunningTasks()
 	input.LoadTasks = func(offer *placement.Machine) {
 		running.load(offer, p.state.Machines.ByID[offer.ID].Assignments, now)
 	}
 	output := placement.Plan(input)
 	for _, job := range output.PreemptingGangs {
-		jobOf[job].Scheduling.PreemptingForGangAt = now
+		clusterJobs[job].Scheduling.PreemptingForGangAt = now
 	}
 	p.UnmetDemand = output.Unmet
-	return p.convertPlan(output, jobOf, running)
+	return p.convertPlan(output, clusterJobs, running)
 }
 
 // RecordDuration records how long it took to make a plan and to carry it out.
 func (p *Planner) RecordDuration(took time.Duration) { p.lastDuration = took }
 
 // placementQueue returns the queue as input for placement, in the order of acceptance, and adds its
-// jobs to jobOf. It drops jobs without pending tasks from the queue.
-func (p *Planner) placementQueue(jobOf map[*placement.Job]*cluster.Job, now time.Time) (queue []*placement.Job) {
+// jobs to clusterJobs. It drops jobs without pending tasks from the queue.
+func (p *Planner) placementQueue(clusterJobs map[*placement.Job]*cluster.Job, now time.Time) (queue []*placement.Job) {
 	wallMs := now.UnixMilli()
 	for job := range p.queued {
 		switch {
@@ -160,7 +160,7 @@
 			p.PlanRequested = true
 		default:
 			planned := p.placementJob(job, now, wallMs)
-			jobOf[planned] = job
+			clusterJobs[planned] = job
 			queue = append(queue, planned)
 		}
 	}
@@ -171,10 +171,10 @@
 }
 
 // convertPlan converts the output of placement into a Plan.
-func (p *Planner) convertPlan(output placement.Output, jobOf map[*placement.Job]*cluster.Job, running runningTasks) Plan {
+func (p *Planner) convertPlan(output placement.Output, clusterJobs map[*placement.Job]*cluster.Job, running runningTasks) Plan {
 	plan := Plan{Preemptions: p.previousPlan.Preemptions[:0], Placements: p.previousPlan.Placements[:0]}
 	for _, preempted := range output.Preemptions {
-		a, graceS := running.assignmentOf[preempted.Task], 0.0
+		a, graceS := running.assignmentByTask[preempted.Task], 0.0
 		if !preempted.WithoutGrace {
 			graceS = a.Job.Spec.CheckpointSaveS
 		}
@@ -182,7 +182,7 @@
 	}
 	for _, assigned := range output.Assignments {
 		plan.Placements = append(plan.Placements, Placement{
-			Job: jobOf[assigned.Job], Machine: p.state.Machines.ByID[assigned.Machine.ID], Starved: assigned.Starved,
+			Job: clusterJobs[assigned.Job], Machine: p.state.Machines.ByID[assigned.Machine.ID], Starved: assigned.Starved,
 		})
 	}
 	p.previousPlan = plan
@@ -191,13 +191,13 @@
 
 // runningTasks converts the tasks on machines into input for placement, for one plan.
 type runningTasks struct {
-	jobs         map[*cluster.Job]*placement.Job
-	assignmentOf map[*placement.RunningTask]*cluster.Assignment
+	jobs             map[*cluster.Job]*placement.Job
+	assignmentByTask map[*placement.RunningTask]*cluster.Assignment
 }
 
 func newRunningTasks() runningTasks {
 	return runningTasks{
-		jobs: map[*cluster.Job]*placement.Job{}, assignmentOf: map[*placement.RunningTask]*cluster.Assignment{},
+		jobs: map[*cluster.Job]*placement.Job{}, assignmentByTask: map[*placement.RunningTask]*cluster.Assignment{},
 	}
 }
 
@@ -212,12 +212,12 @@
 			offer.Releasing = offer.Releasing.AddTimes(placement.TaskRequest(a.Job.Spec), 1)
 		case a.Log.Durable:
 			task := r.task(a, now)
-			r.assignmentOf[task] = a
+			r.assignmentByTask[task] = a
 			offer.Tasks = append(offer.Tasks, task)
 		}
 	}
 	slices.SortFunc(offer.Tasks, func(a, b *placement.RunningTask) int {
-		return cmp.Compare(r.assignmentOf[a].Attempt, r.assignmentOf[b].Attempt)
+		return cmp.Compare(r.assignmentByTask[a].Attempt, r.assignmentByTask[b].Attempt)
 	})
 }
 
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -80,17 +80,17 @@
 func (p *Planner) updateGuarantees(now time.Time) {
 	p.GuaranteesStale = false
 	var unfinished []*placement.Job
-	jobOf := map[*placement.Job]*cluster.Job{}
+	clusterJobs := map[*placement.Job]*cluster.Job{}
 	for _, job := range p.state.Jobs {
 		if !job.IsOver() {
 			planned := &placement.Job{Spec: job.Spec, AcceptanceOrder: job.SubmissionOrder}
-			jobOf[planned] = job
+			clusterJobs[planned] = job
 			unfinished = append(unfinished, planned)
 		}
 	}
 	slices.SortFunc(unfinished, func(a, b *placement.Job) int { return cmp.Compare(a.AcceptanceOrder, b.AcceptanceOrder) })
 	placement.MarkGuaranteed(p.config.Teams, unfinished)
-	for planned, job := range jobOf {
+	for planned, job := range clusterJobs {
 		if planned.Guaranteed && !job.Scheduling.WithinGuarantee {
 			job.Scheduling.GuaranteedSince = now
 		}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -102,13 +102,13 @@
 // Import imports a part of a snapshot. It fails with ErrNotLeading, an error of ctx, or one that
 // recoverer.Recoverer.Import documents.
 func (h *Handle) Import(ctx context.Context, part recoverer.ImportRequest) (recoverer.ImportResult, error) {
-	type answer struct {
+	type importReply struct {
 		recoverer.ImportResult
 		err error
 	}
-	out, err := callEventLoop(ctx, h, func(l *Leader, now time.Time, reply func(answer)) {
+	out, err := callEventLoop(ctx, h, func(l *Leader, now time.Time, reply func(importReply)) {
 		count, err := l.recovery.Import(part, now)
-		reply(answer{count, err})
+		reply(importReply{count, err})
 	})
 	return out.ImportResult, errors.Join(err, out.err)
 }
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -52,7 +52,7 @@
 	*leader.detector = *liveness.New(liveness.Config{SuspectAfter: time.Second, LeaseExpiry: time.Second, HoldTimeout: time.Second, VerdictInterval: time.Second})
 	j := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Priority: jobs.Standard, Tasks: 2, CPUs: 1}, 1, 0, now)
 	leader.state.Jobs["j-1"] = j
-	leader.answerHeartbeat(newHeartbeat(1, 1), now)
+	leader.handleHeartbeat(newHeartbeat(1, 1), now)
 	m := leader.state.Machines.ByID["m-1"]
 	leader.tasks.Assign(j, j.TakePendingTask(), m, now)
 	for _, a := range m.Assignments {
--- a/internal/leader/tick_test.go
+++ b/internal/leader/tick_test.go
@@ -43,17 +43,17 @@
 func TestUnlistedMachinesAreProbed(t *testing.T) {
 	leader, _, _, now := newTestLeader()
 	for _, id := range []string{"m-2", "m-3"} {
-		r := newHeartbeat(1, 1)
-		r.Machine = id
-		leader.answerHeartbeat(r, now)
+		heartbeat := newHeartbeat(1, 1)
+		heartbeat.Machine = id
+		leader.handleHeartbeat(heartbeat, now)
 	}
 	leader.scaler.ApplyList(t.Context(), []cloud.ListedMachine{{ID: "m-1", State: cloud.StateRunning}, {ID: "m-2", State: cloud.StateRunning}}, now.Add(time.Millisecond), now)
-	asked := now.Add(2 * time.Millisecond)
-	r := newHeartbeat(1, 2)
-	r.Machine = "m-2"
-	leader.answerHeartbeat(r, asked.Add(time.Millisecond))
-	leader.scaler.ApplyList(t.Context(), nil, asked, asked.Add(2*time.Millisecond))
-	probes, _ := leader.detector.Tick(asked.Add(3*time.Millisecond), 10)
+	listRequestedAt := now.Add(2 * time.Millisecond)
+	heartbeat := newHeartbeat(1, 2)
+	heartbeat.Machine = "m-2"
+	leader.handleHeartbeat(heartbeat, listRequestedAt.Add(time.Millisecond))
+	leader.scaler.ApplyList(t.Context(), nil, listRequestedAt, listRequestedAt.Add(2*time.Millisecond))
+	probes, _ := leader.detector.Tick(listRequestedAt.Add(3*time.Millisecond), 10)
 	if d := cmp.Diff([]string{"m-1"}, probes); d != "" {
 		t.Error(d)
 	}
@@ -101,10 +101,10 @@
 // internal/controller/fault_combinations_test.go.)
 func TestNewAgentEpochInCommandResponse(t *testing.T) {
 	leader, m, j, now := newTestLeader()
-	old := j.Assignments[0]
+	oldAssignment := j.Assignments[0]
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	leader.tasks.Observe(m, newHeartbeat(2, 1), at(19))
-	if old.Outcome == cluster.Open {
+	if oldAssignment.Outcome == cluster.Open {
 		t.Fatal("the task of the old agent epoch is still open")
 	}
 	a := leader.tasks.Assign(j, 1, m, at(19.1))
@@ -133,12 +133,12 @@
 		leader.jobs.MarkLoaded(now, leader.jobs.SeenRevision())
 		if rnd.IntN(8) == 0 {
 			seq++
-			r := newHeartbeat(1, seq)
-			r.Machine, r.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), leader.fencing.Current
-			if m := leader.state.Machines.ByID[r.Machine]; m != nil {
-				r.AgentEpoch = m.Worker.AgentEpoch + uint64(rnd.IntN(2))
+			heartbeat := newHeartbeat(1, seq)
+			heartbeat.Machine, heartbeat.FencingToken = fmt.Sprintf("m-%06d", rnd.IntN(30)), leader.fencing.Current
+			if m := leader.state.Machines.ByID[heartbeat.Machine]; m != nil {
+				heartbeat.AgentEpoch = m.Worker.AgentEpoch + uint64(rnd.IntN(2))
 			}
-			leader.answerHeartbeat(r, now)
+			leader.handleHeartbeat(heartbeat, now)
 		}
 		leader.expireLeases(now)
 		for _, m := range leader.state.Machines.All {
--- a/internal/leader/workload_test.go
+++ b/internal/leader/workload_test.go
@@ -27,8 +27,8 @@
 		}
 		return n
 	}
-	if few, many := cost(25), cost(largestFleet); few != many {
-		t.Errorf("%v allocations per heartbeat in a fleet of 25, %v in one of %d", few, many, largestFleet)
+	if smallFleetCost, largeFleetCost := cost(25), cost(largestFleet); smallFleetCost != largeFleetCost {
+		t.Errorf("%v allocations per heartbeat in a fleet of 25, %v in one of %d", smallFleetCost, largeFleetCost, largestFleet)
 	}
 }
 
@@ -45,7 +45,7 @@
 func BenchmarkPlan(b *testing.B) {
 	leader, heartbeats, now := newFullFleet(b, largestFleet)
 	idle := &workers.Heartbeat{Machine: "m-900000", Type: "c4", Zone: "a", AgentEpoch: 1, Seq: 1, FencingToken: 5}
-	leader.answerHeartbeat(idle, now)
+	leader.handleHeartbeat(idle, now)
 	leader.planner.Enqueue(leader.state.Jobs["j-7"])
 	_ = heartbeats
 	for b.Loop() {
@@ -104,8 +104,8 @@
 			l.scaler.Reconcile(t.Context(), now, l.planner.UnmetDemand) // in each tick, as if it were due
 		})
 	}
-	if few, many := cost(25), cost(largestFleet); many > few+5 {
-		t.Errorf("%v allocations per tick in a fleet of 25, %v in one of %d", few, many, largestFleet)
+	if smallFleetCost, largeFleetCost := cost(25), cost(largestFleet); largeFleetCost > smallFleetCost+5 {
+		t.Errorf("%v allocations per tick in a fleet of 25, %v in one of %d", smallFleetCost, largeFleetCost, largestFleet)
 	}
 }
 
