--- a/internal/leader/assignment_log_test.go
+++ b/internal/leader/assignment_log_test.go
@@ -65,7 +65,7 @@
 // has loaded the stored segments.
 func newLeaderFromLog(store *segmentStore, token uint64, specs []*jobs.Spec) *Leader {
 	leader, m, _, now := newTestLeader()
-	leader.tasks.EndAssignmentsOn(m, "not of this test")
+	leader.tasks.EndAssignmentsOn(m, "test setup")
 	leader.state.Jobs, leader.state.Machines, leader.planner.Capacity = map[string]*cluster.Job{}, cluster.NewMachineSet(), planner.NewCapacity(leader.catalog.Type)
 	*leader.detector = *liveness.New(liveness.Config{})
 	leader.fencing.Current = token
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -5,7 +5,7 @@
 const (
 	maxRunTimesPerJob = 256 // limit of run times kept per job
 
-	// MinRunTimes is the least number of run times of a job from which a variance is computed.
+	// MinRunTimes is the minimum number of run times of a job from which a variance is computed.
 	MinRunTimes = 4
 )
 
