--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -8,17 +8,17 @@
 	"ospreyslip/internal/workers"
 )
 
-// HeartbeatResponse returns the response to a heartbeat that has been processed, with the commands for the
-// worker, and remembers these commands for CheckDelivery.
+// HeartbeatResponse returns the response to a heartbeat that has been processed, with the commands
+// for the worker, and remembers these commands for CheckDelivery.
 func (d *Dispatcher) HeartbeatResponse(machine *cluster.Machine) *workers.HeartbeatResponse {
 	commands := d.CommandsFor(machine, true)
 	machine.Commands.LastResponse = commands
 	return &workers.HeartbeatResponse{FencingToken: d.TokenFor(machine), Commands: commands}
 }
 
-// StaleHeartbeatResponse returns the response to a heartbeat with a fencing token of an earlier term. It stops
-// the tasks of cancelled jobs. Any response renews the worker's lease, so without these stops the
-// tasks would run for another whole lease if this leader ended before the next heartbeat, and each
+// StaleHeartbeatResponse returns the response to a heartbeat with a fencing token of an earlier
+// term. It stops the tasks of cancelled jobs. Any response renews the worker's lease, so without these stops the
+// tasks would run for another whole lease if this leader failed before the next heartbeat, and each
 // of its successors could extend that again. Stopping them is correct however old the heartbeat is.
 func (d *Dispatcher) StaleHeartbeatResponse(heartbeat *workers.Heartbeat) *workers.HeartbeatResponse {
 	commands := []workers.Command{}
@@ -65,7 +65,7 @@
 
 // addOrphanCommands appends the commands for the orphaned tasks that the worker lists.
 func (d *Dispatcher) addOrphanCommands(machine *cluster.Machine, commands []workers.Command, inHeartbeatResponse bool) []workers.Command {
-	var held heldAcknowledgements
+	var heldAcks heldAcknowledgements
 	for i := range machine.Worker.Tasks {
 		task := &machine.Worker.Tasks[i] // not copied: that would allocate on each unchanged heartbeat
 		ref := cluster.RefOf(task)
@@ -84,11 +84,11 @@
 		case decision.Action == reconcile.Acknowledge:
 			commands = append(commands, d.countCommand(workers.Command{Op: workers.OpClear, Task: task.Name, Attempt: task.Attempt}, decision))
 		case decision.Reason == reconcile.TokenNotSuperseded:
-			held.add(task, orphan.CommandToken, d.isJobUnfinished(task))
+			heldAcks.add(task, orphan.CommandToken, d.isJobUnfinished(task))
 		}
 	}
-	machine.Commands.NeedsHigherToken = held.needHigherToken()
-	if machine.Commands.NeedsHigherToken && held.newestToken >= d.Fencing.Current {
+	machine.Commands.NeedsHigherToken = heldAcks.needHigherToken()
+	if machine.Commands.NeedsHigherToken && heldAcks.newestToken >= d.Fencing.Current {
 		d.Fencing.AcknowledgementsHeld = true
 	}
 	return commands
