--- a/internal/leader/assignmentlog/log.go
+++ b/internal/leader/assignmentlog/log.go
@@ -91,7 +91,7 @@
 	return log
 }
 
-// QueueBegin queues a new assignment for writing.
+// QueueBegin queues the start of an assignment for writing.
 func (l *Log) QueueBegin(assignment *cluster.Assignment) {
 	l.queue.begins = append(l.queue.begins, assignment)
 }
@@ -139,7 +139,7 @@
 	return l.unsettledSegments > 0 || l.segmentsToRewrite > 0 || l.HasNewEntries()
 }
 
-// QueueLength returns the number of queued begins, ends and chunks.
+// QueueLength returns the number of queued starts, ends and chunks.
 func (l *Log) QueueLength() int {
 	return len(l.queue.begins) + len(l.queue.ends) + len(l.queue.chunks)
 }
@@ -181,7 +181,7 @@
 	return events
 }
 
-// Grow adds up to most segments to the ring while segments carry over too much. The ring does not
+// Grow adds up to maxAdded segments to the ring while segments carry over too much. The ring does not
 // grow while the outcome of a transaction is unknown: the segments in it must be the next to be
 // written. An unwritten segment counts as the oldest and is therefore written next.
 func (l *Log) Grow(maxAdded int) {
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -16,7 +16,7 @@
 // testConfig holds the limits of the logs in the tests.
 var testConfig = Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10}
 
-// queueBegins queues the begins of all tasks of a new gang on one machine.
+// queueBegins queues the starts of all tasks of a new gang on one machine.
 func queueBegins(t *testing.T, log *Log, tasks int) (queued []*cluster.Assignment) {
 	t.Helper()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -46,7 +46,7 @@
 	log := New(testConfig)
 	begins := queueBegins(t, log, 3)
 	if b := compose(log); len(b.Writes) != 1 {
-		t.Errorf("%d segments written for %d begins, want 1", len(b.Writes), len(begins))
+		t.Errorf("%d segments written for %d starts, want 1", len(b.Writes), len(begins))
 	}
 }
 
--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -163,7 +163,7 @@
 	for len(l.queue.chunks) > 0 {
 		ref := l.queue.chunks[0]
 		chunk := ref.Job.Completions.Chunks[ref.Index]
-		if !ref.Job.IsOver() { // otherwise the record of the job's end replaces the chunk
+		if !ref.Job.IsOver() { // otherwise the job's final record replaces the chunk
 			bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
 			size := chunkSize(ref, bits)
 			switch {
@@ -184,8 +184,8 @@
 	}
 }
 
-// dropTooLargeChunk dequeues a chunk that is too large for any segment. The ends of its tasks wait
-// for the end of the job; until then the workers keep reporting the tasks as done.
+// dropTooLargeChunk dequeues a chunk that is too large for any segment. The ends of its tasks are
+// written once the job is finished; until then the workers keep reporting the tasks as done.
 func (l *Log) dropTooLargeChunk(ref cluster.ChunkRef, size int) {
 	chunk := ref.Job.Completions.Chunks[ref.Index]
 	if !chunk.TooLarge {
@@ -234,8 +234,8 @@
 	return assignment.Outcome == cluster.Retry || assignment.Outcome == cluster.Success && l.completionSaved(batch, assignment)
 }
 
-// completionSaved reports whether the completion of the assignment's task is durable or part of the
-// transaction that is being composed.
+// completionSaved reports whether the completion of the assignment's task is durable, part of the
+// transaction that is being composed, or no longer needed because the job is cancelled.
 func (l *Log) completionSaved(batch *transaction.Batch, assignment *cluster.Assignment) bool {
 	job := assignment.Job
 	if job.End.Cancelled || job.End.CompletionDurable || batch.Sets(jobs.RecordKey(job.ID)) {
--- a/internal/leader/jobtracker/follow.go
+++ b/internal/leader/jobtracker/follow.go
@@ -21,7 +21,7 @@
 }
 
 // isCaughtUp reports whether all changes up to storeRevisionAskedAt have been seen. The watch must
-// have reached a revision that was read after that time. An answer of the watch alone proves
+// have reached a revision that was read after that time. A response of the watch alone proves
 // nothing: a watch may lag, or be empty because the store does not serve this controller.
 func (w *recordWatch) isCaughtUp() bool {
 	return w.seenRevision >= w.storeRevision && !w.storeRevisionAskedAt.IsZero()
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -66,7 +66,8 @@
 // use.
 func (t *Tracker) SeenRevision() uint64 { return t.seenRevision.Load() }
 
-// Age returns for how long users may have been told of changes that the leader does not know.
+// Age returns the age of the leader's view of the jobs. Users may have been told since then of
+// changes that the leader does not know.
 func (t *Tracker) Age(now time.Time) time.Duration { return now.Sub(t.currentAsOf) }
 
 // MarkLoaded sets the state after the initial read: all records that existed at asOf, and all
@@ -172,8 +173,8 @@
 	t.endTasksOf(job)
 }
 
-// CompleteElsewhere marks a job as done that others know to be done. This leader has read it from a
-// record that was rolled back.
+// CompleteElsewhere marks a job as done because another source knows that it is. This leader has
+// read an older record of it, because the store was rolled back.
 func (t *Tracker) CompleteElsewhere(job *cluster.Job) {
 	job.End.Complete = true
 	t.DropCompleted(job.ID)
@@ -218,7 +219,8 @@
 	t.RemoveIfSettled(job)
 }
 
-// RemoveIfSettled removes a job that is over and has no task on any machine.
+// RemoveIfSettled removes a job that is finished and has no task on any machine, once its record
+// has been written.
 func (t *Tracker) RemoveIfSettled(job *cluster.Job) {
 	if !job.IsOver() || len(job.Assignments) > 0 || t.State.Jobs[job.ID] != job {
 		return
@@ -231,7 +233,7 @@
 	t.Counts.Drop(job.ID)
 }
 
-// PublishCounts publishes a job's counts to users if they have changed.
+// PublishCounts publishes a job's counts to users if they have changed or are all zero.
 func (t *Tracker) PublishCounts(job *cluster.Job) {
 	counts := jobs.TaskCounts{Done: job.Completions.Count, Running: job.Running}
 	if counts != job.PublishedCounts || counts == (jobs.TaskCounts{}) {
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -81,14 +81,14 @@
 	return after, nil
 }
 
-// EndedRecords holds the records of ended jobs that may have tasks left, by job id.
+// EndedRecords holds the records of finished jobs that may have tasks left, by job id.
 type EndedRecords map[string]kvstore.KeyValue
 
 // loadedRecords collects what a new leader needs from the job records while it reads them.
 type loadedRecords struct {
 	referencedInLog map[string]bool
 	ended           EndedRecords
-	endedCount      int // number of jobs that are over
+	endedCount      int // number of finished jobs
 	counts          recoverer.RecordCounts
 }
 
@@ -133,7 +133,7 @@
 func (l *Loader) resumeJobs(now time.Time) {
 	for _, job := range l.State.Jobs {
 		if job.IsGang() && !job.IsOver() && job.GangVerdict() == gang.Abort {
-			// The previous leader ended while only part of the gang had begun, or was over.
+			// The previous leader's term ended while only some tasks of the gang had started or ended.
 			l.Tasks.StopGang(job, 0)
 		}
 		if !job.IsOver() && job.Spec.Shape == jobs.Batch && job.Completions.Count == job.Spec.Tasks {
@@ -149,7 +149,7 @@
 
 // Restore restores the assignments in the log. Each of their tasks may be running and counts until
 // a heartbeat under this leader's fencing token, or the expiry of the worker's lease, shows
-// otherwise. No earlier leader has answered a heartbeat after this term began.
+// otherwise. No earlier leader has responded to a heartbeat since this term started.
 func (l *Loader) Restore(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
 	l.restoreSegments(segments, ended, now)
 	l.forEachAssignment(func(a *cluster.Assignment) {
@@ -261,12 +261,12 @@
 	}
 }
 
-// restoreEndedJob adds a job that is over but may still have a task on a machine.
+// restoreEndedJob adds a finished job that may still have a task on a machine.
 func (l *Loader) restoreEndedJob(task assignmentlog.TaskRecord, stored kvstore.KeyValue, now time.Time) *cluster.Job {
 	var record jobs.Record
 	_ = jsonv2.Unmarshal(stored.Value, &record)
 	if record.Spec == nil {
-		// The job is done: what is left of it on the machine ends by itself.
+		// The job is done, so its tasks on the machine end by themselves.
 		record.Spec = &jobs.Spec{ID: task.Job, Tasks: task.Index + 1, Shape: jobs.Batch}
 	}
 	job := cluster.NewJob(task.Job, record.Spec, stored.Revision, 0, now)
--- a/internal/leader/recoverer/comparison.go
+++ b/internal/leader/recoverer/comparison.go
@@ -36,7 +36,7 @@
 	cursor   string // its lost jobs up to this id have been received
 	inFlight bool
 	done     bool
-	timedOut bool // it did not answer in time and is no longer waited for
+	timedOut bool // it did not respond in time and is no longer waited for
 	retryAt  time.Time
 }
 
@@ -70,7 +70,7 @@
 }
 
 // queryPeers requests the next page from each other controller, one page at a time per controller.
-// A controller that has not answered everything within the cancel deadline is no longer waited for.
+// A controller that has not sent all its pages within the cancel deadline is no longer waited for.
 func (c *comparison) queryPeers(ctx context.Context, now time.Time) {
 	for _, name := range c.cfg.Peers.Peers() {
 		scan := c.peers[name]
@@ -109,7 +109,7 @@
 func (c *comparison) handlePeerPage(name string, scan *peerScan, page peer.LostJobsResponse, err error, now time.Time) {
 	scan.inFlight = false
 	if c.peers[name] != scan {
-		return // the answer belongs to an earlier round
+		return // the response belongs to an earlier round
 	}
 	if err != nil || !page.Compared {
 		scan.retryAt = now.Add(c.cfg.Derived.Leader.ControlInterval / 2)
--- a/internal/leader/recoverer/comparison_test.go
+++ b/internal/leader/recoverer/comparison_test.go
@@ -31,9 +31,9 @@
 		t.Errorf("scan %+v, lost jobs %v", first, s.knowledge.lost.IDs())
 	}
 	s.comparison.handlePeerPage("node-1", first, peer.LostJobsResponse{Compared: true}, nil, s.now)
-	s.comparison.handlePeerPage("node-2", second, peer.LostJobsResponse{}, errors.New("no answer"), s.now)
+	s.comparison.handlePeerPage("node-2", second, peer.LostJobsResponse{}, errors.New("no response"), s.now)
 	if s.comparison.allPeersDone() {
-		t.Error("all peers count as heard before the second has answered")
+		t.Error("all peers count as heard before the second has responded")
 	}
 	s.comparison.queryPeers(t.Context(), s.now.Add(s.cfg.Derived.Workers.CancelDeadline+time.Second))
 	if !s.comparison.allPeersDone() || !second.timedOut {
@@ -41,7 +41,7 @@
 	}
 }
 
-// An answer to a request of an earlier round must be ignored.
+// A response to a request of an earlier round must be ignored.
 func TestAnswerOfEarlierRoundIsIgnored(t *testing.T) {
 	s := newScenario(t, "node-1")
 	earlier := &peerScan{inFlight: true}
@@ -49,12 +49,12 @@
 	page := peer.LostJobsResponse{Compared: true, Jobs: []peer.LostJob{{ID: "j-000004", State: jobs.Done, Tasks: 3}}}
 	s.comparison.handlePeerPage("node-1", earlier, page, nil, s.now)
 	if len(s.knowledge.lost) != 0 || earlier.done {
-		t.Error("the answer was applied")
+		t.Error("the response was applied")
 	}
 }
 
-// A job that is over according to any source must be stopped at once, even if other facts about it
-// are still uncertain.
+// A job that is finished according to any source must be stopped at once, even if other facts about
+// it are still uncertain.
 func TestFinishedLostJobIsStopped(t *testing.T) {
 	for state, call := range map[string]string{jobs.Cancelled: "cancel j-000001", jobs.Done: "complete j-000001", jobs.Queued: ""} {
 		s := newScenario(t)
--- a/internal/leader/recoverer/doc.go
+++ b/internal/leader/recoverer/doc.go
@@ -4,7 +4,7 @@
 // A recovery has two phases. While comparing, the leader asks its own controller's cache and all
 // other controllers for jobs of which they know more than the records say. While restoring, it
 // writes the records of these jobs back. A job is held if it is not certain that it should run:
-// its record says so, and it waits for proof or for an operator. Meanwhile the leader adopts
+// its record is marked as held, and it waits for proof or for an operator. Meanwhile the leader adopts
 // tasks that workers report and the assignment log lacks. It neither stops nor clears orphaned
 // tasks, whose jobs are unknown. See docs/recovery.md for the rules and their reasons.
 //
--- a/internal/leader/recoverer/evidence.go
+++ b/internal/leader/recoverer/evidence.go
@@ -36,8 +36,8 @@
 }
 
 // maxStartupWait returns how long a leader whose controller has just started places nothing, while
-// it finds out whether other controllers know more than the records say. Answers arrive within
-// milliseconds; controllers of an earlier version never answer.
+// it finds out whether other controllers know more than the records say. Responses arrive within
+// milliseconds; controllers of an earlier version never respond.
 func maxStartupWait(derived settings.Derived) time.Duration {
 	return 2 * derived.Election.RenewInterval
 }
@@ -54,8 +54,8 @@
 	return r.evidence.startupUnconfirmed && !r.cfg.Cache.Readiness.ProvenCurrent() && now.Sub(r.cfg.Term.Since) < maxStartupWait(r.cfg.Derived)
 }
 
-// endStartupWait ends the startup wait once it is over, and takes the cache as complete: there is
-// no other leader that could know more.
+// endStartupWait ends the startup wait once it has expired or the cache is proven current, and
+// treats the cache as complete: there is no other leader that could know more.
 func (r *Recoverer) endStartupWait(now time.Time) {
 	if r.evidence.startupUnconfirmed && !r.awaitsStartupCheck(now) {
 		r.evidence.startupUnconfirmed = false
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -16,23 +16,23 @@
 	lost recovery.KnowledgeByJob // jobs about which more is known than the records say
 }
 
-// isOverInCache reports whether a lost job is over according to this controller's cache, and this
-// leader neither works on it nor holds it.
+// isOverInCache reports whether a lost job is finished according to this controller's cache, and
+// this leader neither works on it nor holds it.
 func (k *knowledge) isOverInCache(lost jobcache.LostJob) bool {
 	isOver := lost.State == jobs.Done || lost.State == jobs.Cancelled
 	return isOver && k.cfg.State.Jobs[lost.ID] == nil && !k.held.contains(lost.ID)
 }
 
-// needsNoComparison reports whether a lost job has no record and is over according to this
+// needsNoComparison reports whether a lost job has no record and is finished according to this
 // controller's cache, so that nothing else needs to be known about it. There may be hundreds of
-// thousands of such jobs. They are not kept here but written back from the cache page by page;
-// see writeBack.queueFinishedJobs.
+// thousands of such jobs. They are not kept here but written back from the cache page by page; see
+// writeBack.queueFinishedJobs.
 func (k *knowledge) needsNoComparison(lost jobcache.LostJob) bool {
 	return lost.RecordedState == "" && k.isOverInCache(lost)
 }
 
-// agreesWithCache reports whether a peer's answer about a job adds nothing: this controller's cache
-// has the job as over in the same state, nothing else is known about it, and this leader does not
+// agreesWithCache reports whether a peer's entry for a job adds nothing: the job is finished in the
+// same state in this controller's cache, nothing else is known about it, and this leader does not
 // work on it.
 func (k *knowledge) agreesWithCache(job peer.LostJob) bool {
 	known, _ := k.cfg.Cache.Known(job.ID)
@@ -77,7 +77,7 @@
 		cached.Spec, cached.AcceptedAtMs = record.Spec, record.AcceptedAtMs
 	}
 	k.lost.Merge(id, recovery.Attribute(from, cached))
-	// A job that is over is stopped at once, even if other facts about it are still uncertain.
+	// A finished job is stopped at once, even if other facts about it are still uncertain.
 	switch job := k.cfg.State.Jobs[id]; {
 	case job == nil || job.IsOver():
 	case cached.Cancelled:
@@ -88,7 +88,7 @@
 }
 
 // refresh returns what is known about a job whose record is to be written, including what this
-// controller's cache has learnt about it since.
+// controller's cache has learned about it since.
 func (k *knowledge) refresh(id string) (known recovery.Knowledge, found bool) {
 	if cached, inCache := k.cfg.Cache.Known(id); inCache && cached.Finished() {
 		k.addCached(id, recovery.FromCache(k.cfg.ControllerName), cached.State, cached.Tasks, nil)
--- a/internal/leader/recoverer/operator.go
+++ b/internal/leader/recoverer/operator.go
@@ -42,10 +42,10 @@
 	Leader   string                   `json:"leader,omitempty"`   // leader to ask instead of this controller
 }
 
-// PeerStatus says whether another controller has answered in the current comparison.
+// PeerStatus describes the progress of the current comparison with another controller.
 type PeerStatus struct {
 	Node  string `json:"node"`
-	Heard bool   `json:"heard"`
+	Heard bool   `json:"heard"`          // it has sent all its pages
 	Gone  bool   `json:"gone,omitempty"` // no longer waited for
 }
 
@@ -123,7 +123,7 @@
 type ImportResult struct {
 	Same      int `json:"same"`      // jobs whose records say as much or more
 	Missing   int `json:"missing"`   // jobs without a record
-	Ended     int `json:"ended"`     // jobs that are over, with unfinished records
+	Ended     int `json:"ended"`     // finished jobs with unfinished records
 	Described int `json:"described"` // held jobs whose missing description the snapshot has
 	Invalid   int `json:"invalid"`   // records that could not be decoded, or with an invalid job id
 	// Contradicting counts jobs that are done in one of record and snapshot and cancelled in the
@@ -166,7 +166,7 @@
 }
 
 // importRecord compares a snapshot's record with what is known. However old the snapshot is, a job
-// that is over in it stays over. Anything else in it only proves that the job was accepted.
+// that is finished in it stays finished. Any other state only proves that the job was accepted.
 func (r *Recoverer) importRecord(id string, record *jobs.Record, from recovery.Source, count *ImportResult, now time.Time) {
 	snapshotKnowledge := recovery.Attribute(from, recovery.Knowledge{
 		Done: record.State == jobs.Done, Cancelled: record.State == jobs.Cancelled,
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -75,7 +75,7 @@
 	return newest
 }
 
-// RecordCounts holds numbers of job records.
+// RecordCounts counts job records.
 type RecordCounts struct {
 	Known int // known to this controller before it read them
 	Read  int
@@ -83,7 +83,8 @@
 
 // CheckRecords compares the records that a new leader has read with what this controller knew
 // before, and with the jobs that the log names. isOver reports whether a job named in the log is
-// over according to its record. As records are never removed, a missing one is a loss.
+// finished, according to its record or to this controller's cache. Records are never removed, so a
+// missing one is a loss.
 func (r *Recoverer) CheckRecords(counts RecordCounts, log []assignmentlog.StoredSegment, isOver func(id string) bool, now time.Time) {
 	if counts.Read < counts.Known {
 		r.adoption.expectUnloggedTasks(now)
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -157,13 +157,13 @@
 // Phase returns the phase of the recovery. It may be called from any goroutine.
 func (r *Recoverer) Phase() Phase { return r.shared.phase.Load().(Phase) }
 
-// RolledBack reports whether, as far as this leader knows, records may be older than what users
+// RolledBack reports whether this leader has evidence that records may be older than what users
 // were told. It may be called from any goroutine.
 func (r *Recoverer) RolledBack() bool { return r.shared.rolledBack.Load() }
 
-// TakeRelistRequest reports, once after each start of a comparison round, that the watch has to list
-// all records. A store that was rolled back may reuse revisions, which makes a watch miss
-// changes. It may be called from any goroutine.
+// TakeRelistRequest reports whether the watch has to list all records. It returns true once after
+// each start of a comparison round. A store that was rolled back may reuse revisions, which makes a
+// watch miss changes. It may be called from any goroutine.
 func (r *Recoverer) TakeRelistRequest() bool { return r.shared.relist.Swap(false) }
 
 // ReportLoss records evidence that records are lost. It starts a comparison round unless a
@@ -263,7 +263,9 @@
 	r.writeBack.writeNext(ctx, now)
 }
 
-// allCompared reports whether every source that may know more than the records has answered.
+// allCompared reports whether the comparison round is complete: the stored status is durable, this
+// controller's cache has been read, each peer has sent all its pages or has timed out, and every
+// worker that has tasks must have reported.
 func (r *Recoverer) allCompared(now time.Time) bool {
 	return r.controlKeys.statusWritten && r.comparison.cacheDone && r.comparison.allPeersDone() && !now.Before(r.adoption.allTasksKnownBy)
 }
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -56,7 +56,7 @@
 // called reports whether a call was made.
 func (f *fakeLeader) called(call string) bool { return slices.Contains(f.calls, call) }
 
-// unresponsivePeers are other controllers that never answer.
+// unresponsivePeers are other controllers that never respond.
 type unresponsivePeers []string
 
 func (p unresponsivePeers) Peers() []string { return p }
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -22,10 +22,10 @@
 // recoveryWriteShare is the fraction of the leader's write rate that lost records may use.
 const recoveryWriteShare = 0.25
 
-// writeRank orders lost jobs for write-back. Jobs that have ended but whose record says less come
-// first, because every controller would show users the older state. Jobs that must not run, jobs
-// that wait to run, and jobs that are done follow. A job that is queued outside of a comparison
-// has the first rank.
+// writeRank orders lost jobs for write-back. Finished jobs whose record says less come first,
+// because every controller would show users the older state. Jobs that must not run, jobs that wait
+// to run, and jobs that are done follow. A job that is queued outside of a comparison has the first
+// rank.
 type writeRank int
 
 const (
@@ -80,8 +80,8 @@
 	slices.SortStableFunc(w.queue, func(a, b string) int { return cmp.Compare(w.ranks[a], w.ranks[b]) })
 }
 
-// queueFinishedJobs queues the next page of lost jobs that are over and about which nothing else
-// has to be known. It reports whether there may be more.
+// queueFinishedJobs queues the next page of finished lost jobs about which nothing else has to be
+// known. It reports whether there may be more.
 func (w *writeBack) queueFinishedJobs() bool {
 	page, more := w.cfg.Cache.LostPage(w.finishedJobsCursor, lostPageSize)
 	for _, lost := range page {
--- a/internal/leader/runtimes/estimator.go
+++ b/internal/leader/runtimes/estimator.go
@@ -57,7 +57,8 @@
 	return spec.EstimatedRuntimeS
 }
 
-// JobRunTimeS returns the same, but prefers the observed run times of the job itself if it has any.
+// JobRunTimeS returns the expected run time of a task of a job in seconds. It prefers the median of
+// the job's own run times, if enough were observed, to RunTimeS.
 func (e *Estimator) JobRunTimeS(job *cluster.Job) float64 {
 	if median, known := job.MedianRunTime(); known {
 		return math.Exp(median)
@@ -119,5 +120,6 @@
 	return max(math.Erfc(logMultiple/d.deviation()/math.Sqrt2), minTailProbability)
 }
 
-// deviation has a lower bound because a few tasks may agree by chance.
+// deviation returns the standard deviation of log run times. It has a lower bound because a few
+// tasks may agree by chance.
 func (d *Distribution) deviation() float64 { return max(math.Sqrt(d.Variance), minDeviation) }
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -77,8 +77,8 @@
 	return defaultDeadlineFactor * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
 }
 
-// missingCPUs returns how many CPUs are missing, beside those that services use, to keep up with the
-// recent arrival rate of batch work or to clear the backlog within the same window.
+// missingCPUs returns how many CPUs are missing, in addition to those that services use, to keep up
+// with the recent arrival rate of batch work and to clear the backlog within the same window.
 func (s *Scaler) missingCPUs(now time.Time) float64 {
 	missing := max(s.arrivals.cpusAt(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
 	for _, m := range s.deps.State.Machines.All {
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -95,9 +95,9 @@
 	go s.requestProvision(ctx, cloud.ProvisionRequest{Name: name, MachinePool: pool, Count: count})
 }
 
-// requestProvision sends a provisioning request until its outcome is known. After any failure but a
-// lack of capacity it sends the same request again, which the cloud executes only once. It runs on
-// its own goroutine.
+// requestProvision sends a provisioning request until its outcome is known or leadership is not
+// held. After any failure but a lack of capacity it sends the same request again, which the cloud
+// executes only once. It runs on its own goroutine.
 func (s *Scaler) requestProvision(ctx context.Context, request cloud.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !s.deps.Valid() {
--- a/internal/leader/scaler/release.go
+++ b/internal/leader/scaler/release.go
@@ -14,8 +14,8 @@
 )
 
 // releaseQueue holds the machines to be released. At most one request is in flight, and machines
-// that are added meanwhile go into the next one. This keeps the loss of a zone from taking more
-// requests than the cloud answers.
+// that are added meanwhile go into the next one. This keeps the loss of a zone from causing more
+// requests than the cloud can serve.
 type releaseQueue struct {
 	waiting  []string
 	inFlight bool
@@ -78,7 +78,7 @@
 }
 
 // isUnneeded reports whether to release a machine that has no tasks. A machine that the cloud has
-// announced to reclaim is left to the cloud until its list must show the machine as gone.
+// announced it will reclaim is left to the cloud until its list must show the machine as gone.
 func (s *Scaler) isUnneeded(machine *cluster.Machine, now time.Time) bool {
 	if len(machine.Assignments) > 0 {
 		return false
@@ -102,7 +102,7 @@
 }
 
 // Release queues machines to be released to the cloud. Nothing is placed on them from now on. Once
-// the cloud has answered, all tasks on them are gone, whatever state they were in. Without
+// the cloud has responded, all tasks on them are gone, whatever state they were in. Without
 // arguments, Release sends what is already queued.
 func (s *Scaler) Release(ctx context.Context, machines ...*cluster.Machine) {
 	for _, m := range machines {
@@ -119,8 +119,8 @@
 	}
 }
 
-// requestRelease sends a request until the cloud has answered or leadership is not held. It runs
-// on its own goroutine.
+// requestRelease sends a request until the cloud has confirmed it or leadership is not held. It
+// runs on its own goroutine.
 func (s *Scaler) requestRelease(ctx context.Context, ids []string) {
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		if !s.deps.Valid() {
@@ -151,7 +151,7 @@
 	s.Release(ctx)
 }
 
-// WasReleased reports whether the cloud has recently taken a machine back. Messages that still
+// WasReleased reports whether the release of a machine was confirmed recently. Messages that still
 // arrive from it are out of date.
 func (s *Scaler) WasReleased(id string) bool {
 	_, released := s.released[id]
--- a/internal/leader/scaler/scaler.go
+++ b/internal/leader/scaler/scaler.go
@@ -25,15 +25,15 @@
 	// MayHaveUnknownTasks reports whether a machine may run tasks without an assignment. Such a
 	// machine is not released unless it is dead.
 	MayHaveUnknownTasks(m *cluster.Machine) bool
-	// IsZoneSilent reports whether a zone fell silent within the last while and has not been heard
-	// of since.
-	IsZoneSilent(zone string, now time.Time, while time.Duration) bool
+	// IsZoneSilent reports whether a zone fell silent within the given time before now and no
+	// machine in it has reported since.
+	IsZoneSilent(zone string, now time.Time, within time.Duration) bool
 	// SuspectMachine requests a probe of a machine that may be gone.
 	SuspectMachine(id string)
 	// WithdrawOffer stops the placement of new tasks on a machine.
 	WithdrawOffer(m *cluster.Machine)
-	// RemoveMachine ends all assignments of a machine that the cloud has taken back, and removes
-	// the machine from the observed state.
+	// RemoveMachine ends all assignments of a machine whose release the cloud has confirmed, and
+	// removes the machine from the observed state.
 	RemoveMachine(m *cluster.Machine)
 	// RequestPlan requests a placement plan because the machines have changed.
 	RequestPlan()
@@ -71,8 +71,8 @@
 	arrivals     arrivalRate
 	provisioning provisionRequests
 	releases     releaseQueue
-	// released holds the machines that the cloud has taken back, each with the time until which
-	// heartbeats and the cloud's list may still show it.
+	// released holds the machines whose release the cloud has confirmed, each with the time until
+	// which heartbeats and the cloud's list may still name it.
 	released map[string]time.Time
 }
 
--- a/internal/leader/scaler/scaler_test.go
+++ b/internal/leader/scaler/scaler_test.go
@@ -49,7 +49,7 @@
 
 func (h *fakeHost) RequestPlan() { h.planRequests++ }
 
-// handlerTransport answers requests with an in-process handler.
+// handlerTransport serves requests with an in-process handler.
 type handlerTransport struct{ http.Handler }
 
 func (h handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -70,7 +70,7 @@
 	events   chan func(time.Time) // posted to the event loop
 }
 
-// newFixture returns a scaler with one idle machine, m-1, and a cloud whose answers a handler gives.
+// newFixture returns a scaler with one idle machine, m-1, and a cloud that is served by handler.
 func newFixture(t *testing.T, handler http.HandlerFunc) (*fixture, *cluster.Machine) {
 	t.Helper()
 	set := &settings.Settings{Operator: settings.DefaultOperator(), Deployment: settings.Deployment{
--- a/internal/leader/writer/conflict.go
+++ b/internal/leader/writer/conflict.go
@@ -48,7 +48,7 @@
 	id := jobs.JobIDFromKey(key)
 	job := w.State.Jobs[id]
 	if job == nil {
-		// The job was settled in the meantime, and its end is written elsewhere.
+		// The job has finished and been removed in the meantime. Its record is written elsewhere.
 		w.Jobs.DropCompleted(id)
 		return
 	}
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -1,6 +1,6 @@
-// Package writer makes the leader's decisions durable: the assignment log, the ends of jobs and
-// raises of the fencing token. At most one transaction is in flight. It is guarded by the term and
-// by the revision of each key that it writes. docs/design.md has the rationale.
+// Package writer makes the leader's decisions durable: the assignment log, the completion of jobs
+// and raises of the fencing token. At most one transaction is in flight. It is guarded by the term
+// and by the revision of each key that it writes. docs/design.md has the rationale.
 //
 // A Writer must be used only on the leader's event loop. Transactions are sent by goroutines that
 // post the outcome back to the event loop.
@@ -34,7 +34,7 @@
 	IsLeader() bool
 	// TokenRaised is called when a higher fencing token is durable.
 	TokenRaised()
-	// Resign gives up the term.
+	// Resign ends the term.
 	Resign()
 	// Post runs a function on the event loop. It may be called from any goroutine.
 	Post(ctx context.Context, apply func(now time.Time))
@@ -60,7 +60,7 @@
 type Writer struct {
 	Deps
 	inFlight         bool
-	storeUnavailable bool // the last transaction was not executed, as far as is known
+	storeUnavailable bool // the last transaction was not executed or its outcome is unknown
 	lastStartedAt    time.Time
 }
 
@@ -71,7 +71,8 @@
 // of the term's lease.
 const retriesPerRenewal = 4
 
-// StoreUnavailable reports whether the last transaction was not executed, as far as is known.
+// StoreUnavailable reports whether the last transaction was not executed or its outcome is unknown.
+// A transaction that the key-value store rejects as invalid does not count.
 func (w *Writer) StoreUnavailable() bool { return w.storeUnavailable }
 
 // IsIdle reports whether no transaction is in flight and the log has nothing to write.
@@ -110,7 +111,7 @@
 		w.addToken(batch)
 		remainingOps--
 	}
-	// Ends of jobs take at most half of the remaining writes if the log has new entries.
+	// Completions of jobs take at most half of the remaining writes if the log has new entries.
 	limit := len(batch.Writes) + remainingOps
 	if w.Log.UnsettledSegments() == 0 && w.Log.HasNewEntries() {
 		limit = len(batch.Writes) + max(1, remainingOps/2)
@@ -173,7 +174,8 @@
 		return
 	}
 	if slices.Contains(failedGuards, election.HolderKey) {
-		// The term is over. The elector detects that by itself; nothing may be written.
+		// The term has ended. The elector detects that by itself. inFlight stays set, so that nothing
+		// more is written.
 		slog.Info("term lost", "term", w.Fencing.Current, "reason", "holder key changed")
 		return
 	}
