--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -8,14 +8,14 @@
 
 // segmentDraft accumulates the content of one segment and estimates its encoded size.
 type segmentDraft struct {
-	record    SegmentRecord
-	bytes     int
-	maxBytes  int
-	machineAt map[*cluster.Machine]int // index into record.Begun of the machine's newest agent epoch
-	begun     []*cluster.Assignment    // recorded in this segment
-	ended     []*cluster.Assignment    // whose end takes effect with this segment
-	chunks    []cluster.ChunkRef       // recorded in this segment
-	dequeued  queue                    // from the log's queue, to be requeued if the transaction fails
+	record             SegmentRecord
+	bytes              int
+	maxBytes           int
+	machineAt          map[*cluster.Machine]int // index into record.Begun of the machine's newest agent epoch
+	startedAssignments []*cluster.Assignment    // recorded in this segment
+	endedAssignments   []*cluster.Assignment    // whose end takes effect with this segment
+	chunks             []cluster.ChunkRef       // recorded in this segment
+	dequeuedEntries    queue                    // from the log's queue, to be requeued if the transaction fails
 }
 
 func newSegmentDraft(number uint64, maxBytes int) *segmentDraft {
@@ -38,9 +38,9 @@
 func (d *segmentDraft) fits(bytes int) bool { return d.bytes+bytes <= d.maxBytes }
 
 // isEmpty reports whether the draft records no assignment and no chunk of completions.
-func (d *segmentDraft) isEmpty() bool { return len(d.begun)+len(d.chunks) == 0 }
+func (d *segmentDraft) isEmpty() bool { return len(d.startedAssignments)+len(d.chunks) == 0 }
 
-func (d *segmentDraft) addBegin(assignment *cluster.Assignment) {
+func (d *segmentDraft) addStart(assignment *cluster.Assignment) {
 	i, ok := d.machineAt[assignment.Machine]
 	if !ok || d.record.Begun[i].Session != assignment.AgentEpoch {
 		i = len(d.record.Begun)
@@ -55,7 +55,7 @@
 	}
 	tasks := &d.record.Begun[i].Tasks
 	*tasks = append(*tasks, TaskRecord{assignment.Job.ID, assignment.Index, assignment.Attempt, assignment.GangAttempt})
-	d.begun = append(d.begun, assignment)
+	d.startedAssignments = append(d.startedAssignments, assignment)
 }
 
 func (d *segmentDraft) addChunk(ref cluster.ChunkRef, bits string) {
--- a/internal/leader/assignmentlog/log.go
+++ b/internal/leader/assignmentlog/log.go
@@ -50,12 +50,12 @@
 	maxSegmentBytes int
 	carriedBytes    float64 // moving average of the bytes that a segment carries over
 
-	// unsettledSegments is the number of segments in the transaction that is in flight or of
+	// unconfirmedSegments is the number of segments in the transaction that is in flight or of
 	// unknown outcome. The next transaction must write these segments first, so that whichever
 	// of the two is executed second fails its guards.
-	unsettledSegments int
-	outcomeUnknown    bool
-	segmentsToRewrite int // segments that may be lost and are to be written again
+	unconfirmedSegments int
+	outcomeUnknown      bool
+	segmentsToRewrite   int // segments that may be lost and are to be written again
 
 	queue  queue
 	events []Event
@@ -63,7 +63,7 @@
 
 // queue holds the entries that are to be written.
 type queue struct {
-	begins []*cluster.Assignment
+	starts []*cluster.Assignment
 	ends   []*cluster.Assignment
 	chunks []cluster.ChunkRef
 	deaths []string // machines that were judged dead
@@ -74,7 +74,7 @@
 
 // Kinds of events.
 const (
-	BeginDurable EventKind = iota // the assignment may be sent to its worker
+	StartDurable EventKind = iota // the assignment may be sent to its worker
 	EndDurable                    // the assignment may be removed
 )
 
@@ -93,7 +93,7 @@
 
 // QueueBegin queues the start of an assignment for writing.
 func (l *Log) QueueBegin(assignment *cluster.Assignment) {
-	l.queue.begins = append(l.queue.begins, assignment)
+	l.queue.starts = append(l.queue.starts, assignment)
 }
 
 // QueueEnd queues the end of an assignment. It does nothing if the end is already queued.
@@ -131,17 +131,17 @@
 
 // HasNewEntries reports whether new entries are queued.
 func (l *Log) HasNewEntries() bool {
-	return len(l.queue.begins)+len(l.queue.ends)+len(l.queue.chunks)+len(l.queue.deaths) > 0
+	return len(l.queue.starts)+len(l.queue.ends)+len(l.queue.chunks)+len(l.queue.deaths) > 0
 }
 
 // HasWork reports whether any segment has to be written, with or without new entries.
 func (l *Log) HasWork() bool {
-	return l.unsettledSegments > 0 || l.segmentsToRewrite > 0 || l.HasNewEntries()
+	return l.unconfirmedSegments > 0 || l.segmentsToRewrite > 0 || l.HasNewEntries()
 }
 
 // QueueLength returns the number of queued starts, ends and chunks.
 func (l *Log) QueueLength() int {
-	return len(l.queue.begins) + len(l.queue.ends) + len(l.queue.chunks)
+	return len(l.queue.starts) + len(l.queue.ends) + len(l.queue.chunks)
 }
 
 // Segments returns the ring, oldest segment first. The caller must not modify it.
@@ -157,9 +157,9 @@
 	return written
 }
 
-// UnsettledSegments returns the number of segments that must be written before anything else
+// UnconfirmedSegments returns the number of segments that must be written before anything else
 // because an earlier transaction may have written them.
-func (l *Log) UnsettledSegments() int { return l.unsettledSegments }
+func (l *Log) UnconfirmedSegments() int { return l.unconfirmedSegments }
 
 // OutcomeUnknown reports whether an earlier transaction may still be executed.
 func (l *Log) OutcomeUnknown() bool { return l.outcomeUnknown }
@@ -170,7 +170,7 @@
 // ShrinkSegments halves the maximum segment size. It may be called only after a transaction was
 // rejected for its size and has certainly not been executed.
 func (l *Log) ShrinkSegments() {
-	l.unsettledSegments = 0
+	l.unconfirmedSegments = 0
 	l.maxSegmentBytes = max(l.maxSegmentBytes/2, 2*typicalStartBytes)
 }
 
@@ -186,7 +186,7 @@
 // written. An unwritten segment counts as the oldest and is therefore written next.
 func (l *Log) Grow(maxAdded int) {
 	limit := float64(max(l.maxSegmentBytes/carryDivisor, minCarriedStarts*typicalStartBytes))
-	for ; l.unsettledSegments == 0 && l.carriedBytes > limit && maxAdded > 0; maxAdded-- {
+	for ; l.unconfirmedSegments == 0 && l.carriedBytes > limit && maxAdded > 0; maxAdded-- {
 		unwritten := 0
 		for unwritten < len(l.segments) && l.segments[unwritten].Revision == 0 {
 			unwritten++
@@ -217,6 +217,6 @@
 func (l *Log) rotate(written int) {
 	l.newestNumber += uint64(written)
 	l.segments = append(l.segments[written:], l.segments[:written]...)
-	l.unsettledSegments, l.outcomeUnknown = 0, false
+	l.unconfirmedSegments, l.outcomeUnknown = 0, false
 	l.segmentsToRewrite = max(0, l.segmentsToRewrite-written)
 }
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -16,8 +16,8 @@
 // testConfig holds the limits of the logs in the tests.
 var testConfig = Config{ChunkTasks: 64, MaxOps: 12, ValueBytes: 32 << 10}
 
-// queueBegins queues the starts of all tasks of a new gang on one machine.
-func queueBegins(t *testing.T, log *Log, tasks int) (queued []*cluster.Assignment) {
+// queueStarts queues the starts of all tasks of a new gang on one machine.
+func queueStarts(t *testing.T, log *Log, tasks int) (queued []*cluster.Assignment) {
 	t.Helper()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	job := cluster.NewJob("j-2", &jobs.Spec{ID: "j-2", Team: "red", Shape: jobs.Gang, Tasks: tasks, CPUs: 1}, 1, 0, now)
@@ -44,9 +44,9 @@
 // segment with each segment that it drafted.
 func TestWritesNoMoreSegmentsThanNeeded(t *testing.T) {
 	log := New(testConfig)
-	begins := queueBegins(t, log, 3)
+	starts := queueStarts(t, log, 3)
 	if b := compose(log); len(b.Writes) != 1 {
-		t.Errorf("%d segments written for %d starts, want 1", len(b.Writes), len(begins))
+		t.Errorf("%d segments written for %d starts, want 1", len(b.Writes), len(starts))
 	}
 }
 
@@ -72,18 +72,18 @@
 
 func TestFailedTransactionIsRequeued(t *testing.T) {
 	log := New(testConfig)
-	begins := queueBegins(t, log, 3)
+	starts := queueStarts(t, log, 3)
 	failed := compose(log)
 	failed.Failed()
-	if log.QueueLength() != len(begins) || log.TakeEvents() != nil {
-		t.Errorf("%d entries queued after the failure, want %d", log.QueueLength(), len(begins))
+	if log.QueueLength() != len(starts) || log.TakeEvents() != nil {
+		t.Errorf("%d entries queued after the failure, want %d", log.QueueLength(), len(starts))
 	}
 	retry := compose(log)
 	if d := cmp.Diff(failed.Writes, retry.Writes); d != "" {
 		t.Errorf("retry writes differ from the failed ones (-want +got):\n%s", d)
 	}
 	retry.Committed(7)
-	if events := log.TakeEvents(); len(events) != len(begins) || events[0] != (Event{BeginDurable, begins[0]}) || log.HasWork() {
+	if events := log.TakeEvents(); len(events) != len(starts) || events[0] != (Event{StartDurable, starts[0]}) || log.HasWork() {
 		t.Errorf("events %+v, has work: %v", events, log.HasWork())
 	}
 }
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -58,7 +58,7 @@
 // they were written. The caller has to restore the entries that they contain.
 func (l *Log) Load(config Config, stored []kvstore.KeyValue) []StoredSegment {
 	*l = Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
-	var read []StoredSegment
+	var loaded []StoredSegment
 	for _, pair := range stored {
 		segment := StoredSegment{Segment: cluster.NewSegment(pair.Key, pair.Revision)}
 		segment.Bytes = len(pair.Value)
@@ -67,26 +67,26 @@
 			slog.Error("segment of the assignment log unreadable", "key", pair.Key, "reason", err)
 			segment.Unreadable = true
 		}
-		read = append(read, segment)
+		loaded = append(loaded, segment)
 	}
-	slices.SortFunc(read, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
-	l.addUnwrittenSegments(minSegments - len(read))
-	for _, segment := range read {
+	slices.SortFunc(loaded, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
+	l.addUnwrittenSegments(minSegments - len(loaded))
+	for _, segment := range loaded {
 		l.segments = append(l.segments, segment.Segment)
 		l.newestNumber = max(l.newestNumber, segment.Record.Number)
 	}
-	return read
+	return loaded
 }
 
 // ReferencedJobs returns the ids of all jobs that have tasks in the segments.
 func ReferencedJobs(segments []StoredSegment) map[string]bool {
-	named := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, segment := range segments {
 		for _, machine := range segment.Record.Begun {
 			for _, task := range machine.Tasks {
-				named[task.Job] = true
+				referenced[task.Job] = true
 			}
 		}
 	}
-	return named
+	return referenced
 }
--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -16,13 +16,13 @@
 func (l *Log) AddSegments(batch *transaction.Batch, maxOps int) {
 	segments := 0
 	for ; segments < len(l.segments) && len(batch.Writes) < maxOps; segments++ {
-		required := segments < l.unsettledSegments
+		required := segments < l.unconfirmedSegments
 		wanted := l.HasNewEntries() || l.segmentsToRewrite > segments
 		if !required && (!wanted || batch.Bytes+l.maxSegmentBytes > transaction.MaxBytes) {
 			break
 		}
-		l.addSegment(batch, segments, segments+1 >= l.unsettledSegments)
-		l.unsettledSegments = max(l.unsettledSegments, segments+1)
+		l.addSegment(batch, segments, segments+1 >= l.unconfirmedSegments)
+		l.unconfirmedSegments = max(l.unconfirmedSegments, segments+1)
 	}
 	batch.OnCommit(func(uint64) { l.rotate(segments) })
 }
@@ -31,7 +31,7 @@
 // entries that are still valid, then as many queued entries as fit. If the segment is oversized,
 // addSegment inserts a new one before it and writes that one.
 func (l *Log) addSegment(batch *transaction.Batch, position int, withNewEntries bool) {
-	if position >= l.unsettledSegments && l.isOversized(l.segments[position]) {
+	if position >= l.unconfirmedSegments && l.isOversized(l.segments[position]) {
 		l.segments = slices.Insert(l.segments, position, l.unwrittenSegment())
 	}
 	segment := l.segments[position]
@@ -58,7 +58,7 @@
 	for _, attempt := range cluster.SortedAttempts(segment.Assignments) {
 		if a := segment.Assignments[attempt]; !a.Log.EndInFlight && l.endMayBeWritten(batch, a) {
 			a.Log.EndInFlight = true
-			draft.ended = append(draft.ended, a)
+			draft.endedAssignments = append(draft.endedAssignments, a)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		switch {
 		case a.Log.EndInFlight || a.Log.MoveInFlight || l.endMayBeWritten(batch, a):
 		case draft.bytes+startSize(a) <= maxBytes:
-			draft.addBegin(a)
+			draft.addStart(a)
 		}
 	}
 	for ref := range segment.Completions {
@@ -99,7 +99,7 @@
 	d := newSegmentDraft(0, math.MaxInt)
 	for _, a := range segment.Assignments {
 		if !a.Log.MoveInFlight {
-			d.addBegin(a)
+			d.addStart(a)
 		}
 	}
 	for ref := range segment.Completions {
@@ -127,15 +127,15 @@
 }
 
 func (l *Log) movePart(batch *transaction.Batch, draft *segmentDraft, segment *cluster.Segment) {
-	begun, chunks := len(draft.begun), len(draft.chunks)
+	startsBefore, chunksBefore := len(draft.startedAssignments), len(draft.chunks)
 	if l.carryOver(batch, draft, segment, draft.maxBytes/2); draft.isEmpty() {
 		// A single entry may take more than half of a segment.
 		l.carryOver(batch, draft, segment, draft.maxBytes)
 	}
-	for _, a := range draft.begun[begun:] {
+	for _, a := range draft.startedAssignments[startsBefore:] {
 		a.Log.MoveInFlight = true
 	}
-	for _, ref := range draft.chunks[chunks:] {
+	for _, ref := range draft.chunks[chunksBefore:] {
 		ref.Job.Completions.Chunks[ref.Index].Moving = true
 	}
 }
@@ -146,7 +146,7 @@
 	l.addDeaths(draft)
 	l.addChunks(draft)
 	l.addEnds(batch, draft)
-	l.addBegins(draft)
+	l.addStarts(draft)
 }
 
 func (l *Log) addDeaths(draft *segmentDraft) {
@@ -154,7 +154,7 @@
 	for len(q.deaths) > 0 && draft.fits(len(q.deaths[0])+deathBytes) {
 		draft.record.Dead = append(draft.record.Dead, q.deaths[0])
 		draft.bytes += len(q.deaths[0]) + deathBytes
-		draft.dequeued.deaths = append(draft.dequeued.deaths, q.deaths[0])
+		draft.dequeuedEntries.deaths = append(draft.dequeuedEntries.deaths, q.deaths[0])
 		q.deaths = q.deaths[1:]
 	}
 }
@@ -174,7 +174,7 @@
 				return
 			}
 			draft.addChunk(ref, bits)
-			draft.dequeued.chunks = append(draft.dequeued.chunks, ref)
+			draft.dequeuedEntries.chunks = append(draft.dequeuedEntries.chunks, ref)
 			// This holds if the transaction succeeds. queueChunk resets it if the transaction
 			// fails or more tasks complete in the meantime.
 			chunk.Saved = true
@@ -207,7 +207,7 @@
 				draft.record.Ended = append(draft.record.Ended, a.Attempt)
 				draft.bytes += endSize(a)
 			}
-			draft.ended = append(draft.ended, a)
+			draft.endedAssignments = append(draft.endedAssignments, a)
 		default:
 			remaining = append(remaining, a)
 		}
@@ -216,14 +216,14 @@
 	l.queue.ends = remaining
 }
 
-func (l *Log) addBegins(draft *segmentDraft) {
+func (l *Log) addStarts(draft *segmentDraft) {
 	q := &l.queue
-	for len(q.begins) > 0 && draft.fits(startSize(q.begins[0])) {
-		a := q.begins[0]
-		q.begins = q.begins[1:]
+	for len(q.starts) > 0 && draft.fits(startSize(q.starts[0])) {
+		a := q.starts[0]
+		q.starts = q.starts[1:]
 		if a.Outcome == cluster.Open {
-			draft.addBegin(a)
-			draft.dequeued.begins = append(draft.dequeued.begins, a)
+			draft.addStart(a)
+			draft.dequeuedEntries.starts = append(draft.dequeuedEntries.starts, a)
 		}
 	}
 }
@@ -247,19 +247,19 @@
 
 // requeue puts the entries of a failed transaction back into the queue.
 func (l *Log) requeue(draft *segmentDraft) {
-	l.queue.begins = append(draft.dequeued.begins, l.queue.begins...)
-	l.queue.deaths = append(draft.dequeued.deaths, l.queue.deaths...)
-	for _, a := range draft.ended {
+	l.queue.starts = append(draft.dequeuedEntries.starts, l.queue.starts...)
+	l.queue.deaths = append(draft.dequeuedEntries.deaths, l.queue.deaths...)
+	for _, a := range draft.endedAssignments {
 		a.Log.EndInFlight = false
 		l.QueueEnd(a)
 	}
-	for _, a := range draft.begun {
+	for _, a := range draft.startedAssignments {
 		a.Log.MoveInFlight = false
 	}
 	for _, ref := range draft.chunks {
 		ref.Job.Completions.Chunks[ref.Index].Moving = false
 	}
-	for _, ref := range draft.dequeued.chunks {
+	for _, ref := range draft.dequeuedEntries.chunks {
 		l.queueChunk(ref)
 	}
 }
@@ -269,7 +269,7 @@
 	segment.Revision = revision
 	clear(segment.Assignments)
 	clear(segment.Completions)
-	for _, a := range draft.begun {
+	for _, a := range draft.startedAssignments {
 		if a.Log.Segment != nil && a.Log.Segment != segment {
 			delete(a.Log.Segment.Assignments, a.Attempt)
 		}
@@ -277,7 +277,7 @@
 		a.Log.Segment, a.Log.MoveInFlight = segment, false
 		if !a.Log.Durable {
 			a.Log.Durable = true
-			l.events = append(l.events, Event{BeginDurable, a})
+			l.events = append(l.events, Event{StartDurable, a})
 		}
 	}
 	for _, ref := range draft.chunks {
@@ -286,7 +286,7 @@
 			chunk.Segment, chunk.Moving = segment, false
 		}
 	}
-	for _, a := range draft.ended {
+	for _, a := range draft.endedAssignments {
 		if a.Log.Segment != nil {
 			delete(a.Log.Segment.Assignments, a.Attempt)
 		}
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -51,7 +51,7 @@
 // still can.
 func (l *Loader) Load(ctx context.Context) (after uint64, err error) {
 	now := time.Now()
-	l.Recovery.BeginTerm()
+	l.Recovery.StartTerm()
 	stored, _, err := l.Store.List(ctx, assignmentlog.Prefix)
 	if err != nil {
 		return 0, err
@@ -62,39 +62,39 @@
 	segments := l.Log.Load(l.LogConfig, stored)
 	l.Recovery.CheckLog(segments, now)
 	records := loadedRecords{
-		referencedInLog: assignmentlog.ReferencedJobs(segments), ended: EndedRecords{},
+		referencedInLog: assignmentlog.ReferencedJobs(segments), finished: FinishedRecords{},
 		counts: recoverer.RecordCounts{Known: l.Cache.RecordedCount()},
 	}
 	after, err = l.Store.ForEach(ctx, jobs.RecordPrefix, func(record kvstore.KeyValue) { l.loadRecord(record, &records, now) })
 	if err != nil {
 		return 0, err
 	}
-	l.Recovery.CheckRecords(records.counts, segments, records.hasEnded, now)
-	l.Restore(segments, records.ended, now)
+	l.Recovery.CheckRecords(records.counts, segments, records.isFinished, now)
+	l.Restore(segments, records.finished, now)
 	l.resumeJobs(now)
 	l.Planner.PlanRequested, l.Planner.GuaranteesStale = true, true
 	l.Fencing.RaiseRequestedAt = now
 	l.Scaler.DeferProvisioning(now.Add(2 * l.Derived.Cloud.ListLag))
 	l.Jobs.MarkLoaded(now, after)
 	l.Failover.RecordsLoaded(time.Now())
-	slog.Info("records read", "term", l.Fencing.Current, "jobs", len(l.State.Jobs), "ended", records.endedCount, "machines", len(l.State.Machines.All))
+	slog.Info("records read", "term", l.Fencing.Current, "jobs", len(l.State.Jobs), "ended", records.finishedCount, "machines", len(l.State.Machines.All))
 	return after, nil
 }
 
-// EndedRecords holds the records of finished jobs that may have tasks left, by job id.
-type EndedRecords map[string]kvstore.KeyValue
+// FinishedRecords holds the records of finished jobs that may have tasks left, by job id.
+type FinishedRecords map[string]kvstore.KeyValue
 
 // loadedRecords collects what a new leader needs from the job records while it reads them.
 type loadedRecords struct {
 	referencedInLog map[string]bool
-	ended           EndedRecords
-	endedCount      int // number of finished jobs
+	finished        FinishedRecords
+	finishedCount   int // number of finished jobs
 	counts          recoverer.RecordCounts
 }
 
-func (r *loadedRecords) hasEnded(id string) bool {
-	_, ended := r.ended[id]
-	return ended
+func (r *loadedRecords) isFinished(id string) bool {
+	_, found := r.finished[id]
+	return found
 }
 
 // loadRecord processes the record of one job.
@@ -123,9 +123,9 @@
 		}
 		return
 	}
-	records.endedCount++
+	records.finishedCount++
 	if records.referencedInLog[id] {
-		records.ended[id] = stored
+		records.finished[id] = stored
 	}
 }
 
@@ -150,8 +150,8 @@
 // Restore restores the assignments in the log. Each of their tasks may be running and counts until
 // a heartbeat under this leader's fencing token, or the expiry of the worker's lease, shows
 // otherwise. No earlier leader has responded to a heartbeat since this term started.
-func (l *Loader) Restore(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
-	l.restoreSegments(segments, ended, now)
+func (l *Loader) Restore(segments []assignmentlog.StoredSegment, finished FinishedRecords, now time.Time) {
+	l.restoreSegments(segments, finished, now)
 	l.forEachAssignment(func(a *cluster.Assignment) {
 		l.Planner.Capacity.Allocate(a)
 		a.Machine.Assignments[a.Attempt] = a
@@ -181,18 +181,18 @@
 }
 
 // restoreSegments determines the entries of each segment. Later segments override earlier ones.
-func (l *Loader) restoreSegments(segments []assignmentlog.StoredSegment, ended EndedRecords, now time.Time) {
+func (l *Loader) restoreSegments(segments []assignmentlog.StoredSegment, finished FinishedRecords, now time.Time) {
 	segmentByAttempt := map[uint64]*cluster.Segment{}
 	for _, stored := range segments {
 		segment := stored.Segment
-		for _, begun := range stored.Record.Begun {
-			machine := l.restoreMachine(begun, now)
-			for _, task := range begun.Tasks {
+		for _, machineRecord := range stored.Record.Begun {
+			machine := l.restoreMachine(machineRecord, now)
+			for _, task := range machineRecord.Tasks {
 				if earlier := segmentByAttempt[task.Attempt]; earlier != nil {
 					delete(earlier.Assignments, task.Attempt) // carried over to a later segment
 				}
 				segmentByAttempt[task.Attempt] = segment
-				l.restoreTask(segment, machine, begun.Session, task, ended, now)
+				l.restoreTask(segment, machine, machineRecord.Session, task, finished, now)
 			}
 		}
 		for _, attempt := range stored.Record.Ended {
@@ -200,8 +200,8 @@
 				delete(earlier.Assignments, attempt)
 			}
 		}
-		for _, done := range stored.Record.Done {
-			l.restoreCompletions(segment, done)
+		for _, completions := range stored.Record.Done {
+			l.restoreCompletions(segment, completions)
 		}
 	}
 }
@@ -236,15 +236,15 @@
 }
 
 // restoreTask adds an assignment to its segment. It takes no effect before the whole log is read.
-func (l *Loader) restoreTask(segment *cluster.Segment, machine *cluster.Machine, session uint64, task assignmentlog.TaskRecord, ended EndedRecords, now time.Time) {
+func (l *Loader) restoreTask(segment *cluster.Segment, machine *cluster.Machine, agentEpoch uint64, task assignmentlog.TaskRecord, finished FinishedRecords, now time.Time) {
 	job := l.State.Jobs[task.Job]
 	if job == nil {
-		record, isEnded := ended[task.Job]
-		if !isEnded {
+		record, isFinished := finished[task.Job]
+		if !isFinished {
 			l.Recovery.AddLoggedTask(task)
 			return
 		}
-		job = l.restoreEndedJob(task, record, now)
+		job = l.restoreFinishedJob(task, record, now)
 	}
 	if task.Index < 0 || task.Index >= job.Spec.Tasks {
 		if !job.End.Cancelled {
@@ -254,15 +254,15 @@
 		job.GrowTo(task.Index + 1)
 	}
 	segment.Assignments[task.Attempt] = &cluster.Assignment{
-		Job: job, Index: task.Index, Attempt: task.Attempt, GangAttempt: task.Gang, AgentEpoch: session, Machine: machine,
+		Job: job, Index: task.Index, Attempt: task.Attempt, GangAttempt: task.Gang, AgentEpoch: agentEpoch, Machine: machine,
 		Restored: true, CreatedAt: now, RunningSince: now,
 		Start: cluster.Start{InDoubtToken: l.Fencing.Current - 1},
 		Log:   cluster.LogState{Segment: segment, Durable: true},
 	}
 }
 
-// restoreEndedJob adds a finished job that may still have a task on a machine.
-func (l *Loader) restoreEndedJob(task assignmentlog.TaskRecord, stored kvstore.KeyValue, now time.Time) *cluster.Job {
+// restoreFinishedJob adds a finished job that may still have a task on a machine.
+func (l *Loader) restoreFinishedJob(task assignmentlog.TaskRecord, stored kvstore.KeyValue, now time.Time) *cluster.Job {
 	var record jobs.Record
 	_ = jsonv2.Unmarshal(stored.Value, &record)
 	if record.Spec == nil {
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -24,8 +24,8 @@
 	allTasksKnownBy time.Time             // when every worker that has tasks must have reported
 }
 
-// begin starts the adoption of a job's tasks, which lasts until the given time.
-func (a *adoption) begin(job *cluster.Job, until time.Time) {
+// start starts the adoption of a job's tasks, which lasts until the given time.
+func (a *adoption) start(job *cluster.Job, until time.Time) {
 	job.Adoption.Until = until
 	a.jobs[job] = true
 }
@@ -41,7 +41,7 @@
 	a.logIncomplete, a.allTasksKnownBy = true, until
 	for _, job := range a.cfg.State.Jobs {
 		if !job.IsOver() {
-			a.begin(job, until)
+			a.start(job, until)
 		}
 	}
 }
@@ -76,16 +76,16 @@
 		if !ok || job == nil || !a.jobs[job] || !job.MayAdopt(index, &task) || machine.FindAssignment(cluster.RefOf(&task)) != nil {
 			continue
 		}
-		part := cluster.ReportedGangTask{Machine: machine, Task: task, AgentEpoch: report.AgentEpoch}
+		reported := cluster.ReportedGangTask{Machine: machine, Task: task, AgentEpoch: report.AgentEpoch}
 		if !job.IsGang() {
 			a.cfg.Leader.ReserveAttempts(task.Attempt)
-			a.adoptTask(job, index, part, attemptNumbers{own: task.Attempt}, now)
+			a.adoptTask(job, index, reported, attemptNumbers{task: task.Attempt}, now)
 			continue
 		}
 		if job.Adoption.ReportedGangTasks == nil {
 			job.Adoption.ReportedGangTasks = map[int]cluster.ReportedGangTask{}
 		}
-		job.Adoption.ReportedGangTasks[index] = part
+		job.Adoption.ReportedGangTasks[index] = reported
 		if isGangComplete(job) {
 			a.adoptGang(job, now)
 		}
@@ -94,17 +94,17 @@
 
 // attemptNumbers holds the numbers that identify an attempt of a task.
 type attemptNumbers struct {
-	own  uint64 // in the assignment log
+	task uint64 // in the assignment log
 	gang uint64 // on workers, shared by all tasks of a gang's attempt; 0 for other tasks
 }
 
 // adoptTask creates an assignment for a task that a worker reported, and queues it for the log.
-func (a *adoption) adoptTask(job *cluster.Job, index int, part cluster.ReportedGangTask, numbers attemptNumbers, now time.Time) {
+func (a *adoption) adoptTask(job *cluster.Job, index int, reported cluster.ReportedGangTask, numbers attemptNumbers, now time.Time) {
 	adopted := &cluster.Assignment{
-		Job: job, Index: index, Attempt: numbers.own, GangAttempt: numbers.gang, AgentEpoch: part.AgentEpoch, Machine: part.Machine,
+		Job: job, Index: index, Attempt: numbers.task, GangAttempt: numbers.gang, AgentEpoch: reported.AgentEpoch, Machine: reported.Machine,
 		Restored: true, Start: cluster.Start{Sent: true}, CreatedAt: now, RunningSince: now,
 	}
-	slog.Info("task adopted", "task", adopted.TaskName(), "machine", adopted.Machine.ID, "term", a.cfg.token(), "state", part.Task.State)
+	slog.Info("task adopted", "task", adopted.TaskName(), "machine", adopted.Machine.ID, "term", a.cfg.token(), "state", reported.Task.State)
 	a.events.add(now, "task adopted", adopted.TaskName())
 	a.cfg.Leader.CountAssignment(adopted)
 	adopted.Machine.Assignments[adopted.Attempt] = adopted
@@ -119,8 +119,8 @@
 // isGangComplete reports whether all tasks of one attempt of a gang are known.
 func isGangComplete(job *cluster.Job) bool {
 	for index := range job.Spec.Tasks {
-		part, ok := job.Adoption.ReportedGangTasks[index]
-		if !ok || part.Task.Attempt != job.Adoption.ReportedGangTasks[0].Task.Attempt {
+		reported, ok := job.Adoption.ReportedGangTasks[index]
+		if !ok || reported.Task.Attempt != job.Adoption.ReportedGangTasks[0].Task.Attempt {
 			return false
 		}
 	}
@@ -131,13 +131,13 @@
 // workers identify all of them by the number that they share.
 func (a *adoption) adoptGang(job *cluster.Job, now time.Time) {
 	for index := range job.Spec.Tasks {
-		part, ok := job.Adoption.ReportedGangTasks[index]
-		if !ok || !a.cfg.State.Machines.Contains(part.Machine) || part.Machine.Worker.AgentEpoch != part.AgentEpoch && part.Machine.Worker.AgentEpoch != 0 {
+		reported, ok := job.Adoption.ReportedGangTasks[index]
+		if !ok || !a.cfg.State.Machines.Contains(reported.Machine) || reported.Machine.Worker.AgentEpoch != reported.AgentEpoch && reported.Machine.Worker.AgentEpoch != 0 {
 			continue
 		}
-		a.cfg.Leader.ReserveAttempts(part.Task.Attempt)
-		numbers := attemptNumbers{own: a.cfg.Leader.NextAttempt(), gang: part.Task.Attempt}
-		a.adoptTask(job, index, part, numbers, now)
+		a.cfg.Leader.ReserveAttempts(reported.Task.Attempt)
+		numbers := attemptNumbers{task: a.cfg.Leader.NextAttempt(), gang: reported.Task.Attempt}
+		a.adoptTask(job, index, reported, numbers, now)
 	}
 	job.Adoption.ReportedGangTasks = nil
 }
@@ -164,7 +164,7 @@
 // AdoptTasksOf starts the adoption of a job's tasks, because some of them may be on machines
 // without being named in the assignment log. It lasts until every current lease has expired.
 func (r *Recoverer) AdoptTasksOf(job *cluster.Job, now time.Time) {
-	r.adoption.begin(job, now.Add(r.cfg.Derived.Workers.LeaseExpiry))
+	r.adoption.start(job, now.Add(r.cfg.Derived.Workers.LeaseExpiry))
 }
 
 // AdoptReported adopts the tasks of a heartbeat that belong to jobs whose tasks are not all
--- a/internal/leader/recoverer/comparison.go
+++ b/internal/leader/recoverer/comparison.go
@@ -40,8 +40,8 @@
 	retryAt  time.Time
 }
 
-// begin starts a new round.
-func (c *comparison) begin(now time.Time) {
+// startRound starts a new round.
+func (c *comparison) startRound(now time.Time) {
 	c.startedAt = now
 	c.round++
 	c.cfg.Cache.Readiness.SuspectLossUntil(now.Add(c.cfg.Derived.Workers.CancelDeadline))
--- a/internal/leader/recoverer/comparison_test.go
+++ b/internal/leader/recoverer/comparison_test.go
@@ -42,10 +42,10 @@
 }
 
 // A response to a request of an earlier round must be ignored.
-func TestAnswerOfEarlierRoundIsIgnored(t *testing.T) {
+func TestResponseOfEarlierRoundIsIgnored(t *testing.T) {
 	s := newScenario(t, "node-1")
 	earlier := &peerScan{inFlight: true}
-	s.comparison.begin(s.now)
+	s.comparison.startRound(s.now)
 	page := peer.LostJobsResponse{Compared: true, Jobs: []peer.LostJob{{ID: "j-000004", State: jobs.Done, Tasks: 3}}}
 	s.comparison.handlePeerPage("node-1", earlier, page, nil, s.now)
 	if len(s.knowledge.lost) != 0 || earlier.done {
--- a/internal/leader/recoverer/evidence.go
+++ b/internal/leader/recoverer/evidence.go
@@ -42,9 +42,9 @@
 	return 2 * derived.Election.RenewInterval
 }
 
-// BeginTerm records whether this controller has confirmed that it knows all jobs. It must be
+// StartTerm records whether this controller has confirmed that it knows all jobs. It must be
 // called before any record is read.
-func (r *Recoverer) BeginTerm() {
+func (r *Recoverer) StartTerm() {
 	r.evidence.startupUnconfirmed = !r.cfg.Cache.Readiness.ProvenCurrent()
 }
 
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -16,11 +16,11 @@
 	lost recovery.KnowledgeByJob // jobs about which more is known than the records say
 }
 
-// isOverInCache reports whether a lost job is finished according to this controller's cache, and
+// isFinishedInCache reports whether a lost job is finished according to this controller's cache, and
 // this leader neither works on it nor holds it.
-func (k *knowledge) isOverInCache(lost jobcache.LostJob) bool {
-	isOver := lost.State == jobs.Done || lost.State == jobs.Cancelled
-	return isOver && k.cfg.State.Jobs[lost.ID] == nil && !k.held.contains(lost.ID)
+func (k *knowledge) isFinishedInCache(lost jobcache.LostJob) bool {
+	isFinished := lost.State == jobs.Done || lost.State == jobs.Cancelled
+	return isFinished && k.cfg.State.Jobs[lost.ID] == nil && !k.held.contains(lost.ID)
 }
 
 // needsNoComparison reports whether a lost job has no record and is finished according to this
@@ -28,7 +28,7 @@
 // thousands of such jobs. They are not kept here but written back from the cache page by page; see
 // writeBack.queueFinishedJobs.
 func (k *knowledge) needsNoComparison(lost jobcache.LostJob) bool {
-	return lost.RecordedState == "" && k.isOverInCache(lost)
+	return lost.RecordedState == "" && k.isFinishedInCache(lost)
 }
 
 // agreesWithCache reports whether a peer's entry for a job adds nothing: the job is finished in the
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -85,13 +85,13 @@
 // before, and with the jobs that the log names. isOver reports whether a job named in the log is
 // finished, according to its record or to this controller's cache. Records are never removed, so a
 // missing one is a loss.
-func (r *Recoverer) CheckRecords(counts RecordCounts, log []assignmentlog.StoredSegment, isOver func(id string) bool, now time.Time) {
+func (r *Recoverer) CheckRecords(counts RecordCounts, log []assignmentlog.StoredSegment, isFinished func(id string) bool, now time.Time) {
 	if counts.Read < counts.Known {
 		r.adoption.expectUnloggedTasks(now)
 		r.ReportLoss(detection.Evidence{Kind: detection.RecordMissing, Known: uint64(counts.Known), Found: uint64(counts.Read)}, now)
 	}
 	for id := range assignmentlog.ReferencedJobs(log) {
-		if !isOver(id) && r.cfg.State.Jobs[id] == nil && !r.held.contains(id) {
+		if !isFinished(id) && r.cfg.State.Jobs[id] == nil && !r.held.contains(id) {
 			r.adoption.expectUnloggedTasks(now)
 			r.ReportLoss(detection.Evidence{Kind: detection.RecordMissing, Key: jobs.RecordKey(id)}, now)
 		}
--- a/internal/leader/recoverer/recoverer.go
+++ b/internal/leader/recoverer/recoverer.go
@@ -189,7 +189,7 @@
 		r.evidence.anotherRoundDue = r.evidence.anotherRoundDue || r.phase == Restoring
 		return
 	}
-	r.beginRound(now)
+	r.startRound(now)
 }
 
 // protectAssignmentLog schedules a rewrite of the whole assignment log, because segments may be
@@ -228,11 +228,11 @@
 	r.shared.phase.Store(phase)
 }
 
-// beginRound starts a round of comparison.
-func (r *Recoverer) beginRound(now time.Time) {
+// startRound starts a round of comparison.
+func (r *Recoverer) startRound(now time.Time) {
 	r.setPhase(Comparing)
 	r.evidence.anotherRoundDue, r.controlKeys.statusRemovalDue = false, false
-	r.comparison.begin(now)
+	r.comparison.startRound(now)
 	r.shared.relist.Store(true)
 	r.events.add(now, "comparing", fmt.Sprintf("round %d", r.comparison.round))
 }
@@ -286,7 +286,7 @@
 // finish ends the recovery, or starts another round if more evidence was reported meanwhile.
 func (r *Recoverer) finish(now time.Time) {
 	if r.evidence.anotherRoundDue {
-		r.beginRound(now)
+		r.startRound(now)
 		return
 	}
 	r.setPhase(NotRecovering)
--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -88,7 +88,7 @@
 		w.finishedJobsCursor = lost.ID
 		// A job whose record now says less may have had no record during the comparison.
 		recordFinished := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
-		if _, isPending := w.knowledge.lost[lost.ID]; isPending || recordFinished || !w.knowledge.isOverInCache(lost) {
+		if _, isPending := w.knowledge.lost[lost.ID]; isPending || recordFinished || !w.knowledge.isFinishedInCache(lost) {
 			continue
 		}
 		w.knowledge.addCached(lost.ID, recovery.FromCache(w.cfg.ControllerName), lost.State, lost.Tasks, nil)
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -41,11 +41,11 @@
 
 // provision requests the missing machines with a limited number of requests in flight. More requests
 // would only queue at the cloud and be out of date when they are served.
-func (s *Scaler) provision(ctx context.Context, now time.Time, unmet []placement.Demand) {
+func (s *Scaler) provision(ctx context.Context, now time.Time, unplacedDemand []placement.Demand) {
 	if s.provisioning.inFlight >= s.deps.Derived.Cloud.RentalsInFlight {
 		return
 	}
-	demands := s.demand(now, unmet)
+	demands := s.demand(now, unplacedDemand)
 	if len(demands) == 0 {
 		return
 	}
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -32,12 +32,12 @@
 			requests++
 			fmt.Fprint(w, `{"hosts":["m-7"]}`)
 		})
-		unmet := []placement.Demand{serviceDemand(1)}
-		f.provision(t.Context(), f.now, unmet)
-		f.provision(t.Context(), f.now, unmet)
+		unplacedDemand := []placement.Demand{serviceDemand(1)}
+		f.provision(t.Context(), f.now, unplacedDemand)
+		f.provision(t.Context(), f.now, unplacedDemand)
 		synctest.Wait()
 		(<-f.events)(f.now)
-		f.provision(t.Context(), f.now, unmet)
+		f.provision(t.Context(), f.now, unplacedDemand)
 		synctest.Wait()
 		if requests != 1 || f.provisioning.inFlight != 0 {
 			t.Errorf("%d requests sent, %d in flight, want 1 and 0", requests, f.provisioning.inFlight)
@@ -141,9 +141,9 @@
 	if got, want := rate.cpusAt(secondsAfter(start, 100)), 5/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("%v CPUs after one window, want %v", got, want)
 	}
-	found := arrivalRate{window: 100 * time.Second}
-	found.add(500, 100*time.Second, secondsAfter(start, 100))
-	if got, want := found.cpusAt(secondsAfter(start, 100)), rate.cpusAt(secondsAfter(start, 100)); math.Abs(got-want) > 1e-9 {
+	newLeaderRate := arrivalRate{window: 100 * time.Second}
+	newLeaderRate.add(500, 100*time.Second, secondsAfter(start, 100))
+	if got, want := newLeaderRate.cpusAt(secondsAfter(start, 100)), rate.cpusAt(secondsAfter(start, 100)); math.Abs(got-want) > 1e-9 {
 		t.Errorf("old work added by a new leader counts as %v CPUs, want %v", got, want)
 	}
 }
--- a/internal/leader/writer/writer.go
+++ b/internal/leader/writer/writer.go
@@ -106,14 +106,14 @@
 	maxOps := w.Derived.Store.TxnOps
 	w.Log.Grow(maxOps / 2)
 	// The segments of a transaction of unknown outcome come before anything else.
-	remainingOps := maxOps - w.Log.UnsettledSegments()
+	remainingOps := maxOps - w.Log.UnconfirmedSegments()
 	if w.Fencing.RaisePending && remainingOps > 0 {
 		w.addToken(batch)
 		remainingOps--
 	}
 	// Completions of jobs take at most half of the remaining writes if the log has new entries.
 	limit := len(batch.Writes) + remainingOps
-	if w.Log.UnsettledSegments() == 0 && w.Log.HasNewEntries() {
+	if w.Log.UnconfirmedSegments() == 0 && w.Log.HasNewEntries() {
 		limit = len(batch.Writes) + max(1, remainingOps/2)
 	}
 	for w.Jobs.HasCompleted() && len(batch.Writes) < limit {
@@ -205,7 +205,7 @@
 	batch.Committed(revision)
 	for _, event := range w.Log.TakeEvents() {
 		switch event.Kind {
-		case assignmentlog.BeginDurable:
+		case assignmentlog.StartDurable:
 			w.Tasks.AssignmentDurable(event.Assignment)
 		case assignmentlog.EndDurable:
 			w.Tasks.Remove(event.Assignment)
