--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -16,14 +16,14 @@
 
 // demand returns the tasks for which to provision machines: tasks of services and gangs immediately,
 // batch tasks only if they would be late on the present machines.
-func (s *Scaler) demand(now time.Time, unplacedDemand []placement.Demand) []autoscaler.Demand {
+func (s *Scaler) demand(now time.Time, unmetDemand []placement.Demand) []autoscaler.Demand {
 	var lateTasks []int // in queue order
 	missingCPUs := 0.0
-	if queue := s.batchQueue(unplacedDemand); len(queue) > 0 {
+	if queue := s.batchQueue(unmetDemand); len(queue) > 0 {
 		lateTasks, missingCPUs = autoscaler.ForecastLateTasks(s.forecastMachines(now), queue), s.missingCPUs(now)
 	}
 	var demands []autoscaler.Demand
-	for _, d := range unplacedDemand {
+	for _, d := range unmetDemand {
 		count := d.Count
 		if d.Job.Spec.Shape == jobs.Batch {
 			count, missingCPUs = s.batchDemand(d, lateTasks[0], missingCPUs)
@@ -37,8 +37,8 @@
 }
 
 // batchQueue returns the batch tasks without a machine in the form that the forecast takes.
-func (s *Scaler) batchQueue(unplacedDemand []placement.Demand) (queue []autoscaler.PendingTasks) {
-	for _, d := range unplacedDemand {
+func (s *Scaler) batchQueue(unmetDemand []placement.Demand) (queue []autoscaler.PendingTasks) {
+	for _, d := range unmetDemand {
 		if spec := d.Job.Spec; spec.Shape == jobs.Batch {
 			queue = append(queue, autoscaler.PendingTasks{
 				Spec: spec, Count: d.Count, RunS: s.host.RunTimeS(spec),
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -41,11 +41,11 @@
 
 // provision requests the missing machines with a limited number of requests in flight. More requests
 // would only queue at the cloud and be out of date when they are served.
-func (s *Scaler) provision(ctx context.Context, now time.Time, unplacedDemand []placement.Demand) {
+func (s *Scaler) provision(ctx context.Context, now time.Time, unmetDemand []placement.Demand) {
 	if s.provisioning.inFlight >= s.deps.Derived.Cloud.RentalsInFlight {
 		return
 	}
-	demands := s.demand(now, unplacedDemand)
+	demands := s.demand(now, unmetDemand)
 	if len(demands) == 0 {
 		return
 	}
--- a/internal/leader/scaler/provision_test.go
+++ b/internal/leader/scaler/provision_test.go
@@ -32,12 +32,12 @@
 			requests++
 			fmt.Fprint(w, `{"hosts":["m-7"]}`)
 		})
-		unplacedDemand := []placement.Demand{serviceDemand(1)}
-		f.provision(t.Context(), f.now, unplacedDemand)
-		f.provision(t.Context(), f.now, unplacedDemand)
+		unmetDemand := []placement.Demand{serviceDemand(1)}
+		f.provision(t.Context(), f.now, unmetDemand)
+		f.provision(t.Context(), f.now, unmetDemand)
 		synctest.Wait()
 		(<-f.events)(f.now)
-		f.provision(t.Context(), f.now, unplacedDemand)
+		f.provision(t.Context(), f.now, unmetDemand)
 		synctest.Wait()
 		if requests != 1 || f.provisioning.inFlight != 0 {
 			t.Errorf("%d requests sent, %d in flight, want 1 and 0", requests, f.provisioning.inFlight)
--- a/internal/leader/scaler/scaler.go
+++ b/internal/leader/scaler/scaler.go
@@ -98,14 +98,14 @@
 // Reconcile releases machines that are no longer needed, and provisions machines for the tasks that
 // the last placement plan found no room for. The context applies to the requests to the cloud, which
 // continue after Reconcile returns.
-func (s *Scaler) Reconcile(ctx context.Context, now time.Time, unplacedDemand []placement.Demand) {
+func (s *Scaler) Reconcile(ctx context.Context, now time.Time, unmetDemand []placement.Demand) {
 	s.lastRunAt = now
 	defer func() { s.lastRunDuration = time.Since(now) }()
 	s.Release(ctx, s.machinesToRelease(now)...)
 	if now.Before(s.provisionAfter) && s.host.Term() > 1 {
 		return
 	}
-	s.provision(ctx, now, unplacedDemand)
+	s.provision(ctx, now, unmetDemand)
 }
 
 // DeferProvisioning prevents provisioning before the given time, except in the very first term. The
