--- a/internal/leader/recoverer/write_back.go
+++ b/internal/leader/recoverer/write_back.go
@@ -22,10 +22,10 @@
 // recoveryWriteShare is the fraction of the leader's write rate that lost records may use.
 const recoveryWriteShare = 0.25
 
-// writeRank orders lost jobs for write-back. Jobs that have ended but whose record says less come
-// first, because every controller would show users the older state. Jobs that must not run, jobs
-// that wait to run, and jobs that are done follow. A job that is queued outside of a comparison
-// has the first rank.
+// writeRank orders lost jobs for write-back. Finished jobs whose record says less come first,
+// because every controller would show users the older state. Jobs that must not run, jobs that wait
+// to run, and jobs that are done follow. A job that is queued outside of a comparison has the first
+// rank.
 type writeRank int
 
 const (
@@ -80,15 +80,15 @@
 	slices.SortStableFunc(w.queue, func(a, b string) int { return cmp.Compare(w.ranks[a], w.ranks[b]) })
 }
 
-// queueFinishedJobs queues the next page of lost jobs that are over and about which nothing else
-// has to be known. It reports whether there may be more.
+// queueFinishedJobs queues the next page of finished lost jobs about which nothing else has to be
+// known. It reports whether there may be more.
 func (w *writeBack) queueFinishedJobs() bool {
 	page, more := w.cfg.Cache.LostPage(w.finishedJobsCursor, lostPageSize)
 	for _, lost := range page {
 		w.finishedJobsCursor = lost.ID
 		// A job whose record now says less may have had no record during the comparison.
 		recordFinished := lost.RecordedState == jobs.Done || lost.RecordedState == jobs.Cancelled
-		if _, isPending := w.knowledge.lost[lost.ID]; isPending || recordFinished || !w.knowledge.isOverInCache(lost) {
+		if _, isPending := w.knowledge.lost[lost.ID]; isPending || recordFinished || !w.knowledge.isFinishedInCache(lost) {
 			continue
 		}
 		w.knowledge.addCached(lost.ID, recovery.FromCache(w.cfg.ControllerName), lost.State, lost.Tasks, nil)
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -41,11 +41,11 @@
 
 // provision requests the missing machines with a limited number of requests in flight. More requests
 // would only queue at the cloud and be out of date when they are served.
-func (s *Scaler) provision(ctx context.Context, now time.Time, unmet []placement.Demand) {
+func (s *Scaler) provision(ctx context.Context, now time.Time, unmetDemand []placement.Demand) {
 	if s.provisioning.inFlight >= s.deps.Derived.Cloud.RentalsInFlight {
 		return
 	}
-	demands := s.demand(now, unmet)
+	demands := s.demand(now, unmetDemand)
 	if len(demands) == 0 {
 		return
 	}
@@ -95,9 +95,9 @@
 	go s.requestProvision(ctx, cloud.ProvisionRequest{Name: name, MachinePool: pool, Count: count})
 }
 
-// requestProvision sends a provisioning request until its outcome is known. After any failure but a
-// lack of capacity it sends the same request again, which the cloud executes only once. It runs on
-// its own goroutine.
+// requestProvision sends a provisioning request until its outcome is known or leadership is not
+// held. After any failure but a lack of capacity it sends the same request again, which the cloud
+// executes only once. It runs on its own goroutine.
 func (s *Scaler) requestProvision(ctx context.Context, request cloud.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !s.deps.Valid() {
