--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -24,11 +24,11 @@
 	adaptController    func(*Controller)                   // if set, applied to all controllers
 }
 
-// TestCancellationUnseenByLeaderBeforeOutage guards against a leader that keeps a cancelled job
-// alive. The store refuses the leader alone, another controller confirms a cancellation, and then
-// the store is down for all for longer than the cancellation deadline, while workers keep sending
-// heartbeats to the leader. That no controller reaches the store now does not prove that none
-// confirmed a cancellation before: each has to report its own cancellations.
+// TestCancellationUnseenByLeaderBeforeOutage guards against a leader that keeps the tasks of a
+// cancelled job running. The store refuses the leader alone, another controller confirms a
+// cancellation, and then the store is down for all for longer than the cancellation deadline, while
+// workers keep sending heartbeats to the leader. That no controller reaches the store now does not
+// prove that none confirmed a cancellation before: each has to report its own cancellations.
 func TestCancellationUnseenByLeaderBeforeOutage(t *testing.T) {
 	for _, tc := range []unseenCancellation{
 		{name: "no restart", tasksOutlastOutage: true},
@@ -157,7 +157,7 @@
 
 // TestCommandDelayedInOutage guards against a delayed command that starts a task of a cancelled
 // job. The store goes down after the cancellation, so no higher fencing token can be obtained; the
-// agent epoch must be over when the command arrives after the cancellation deadline.
+// agent epoch must have ended when the command arrives after the cancellation deadline.
 func TestCommandDelayedInOutage(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.world.SetCapacity(3)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -75,7 +75,7 @@
 	runClusterWith(t, testMachineTypes, adjust, scenario)
 }
 
-// runClusterWith is runCluster with other machine types than testMachineTypes.
+// runClusterWith is like runCluster, but with the given machine types in the cloud's catalog.
 func runClusterWith(t *testing.T, types []jobs.MachineType, adjust func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
 	t.Parallel() // each scenario has a synctest bubble of its own
@@ -217,8 +217,8 @@
 // startupTime is how long a controller that has just started may refuse requests. Users retry them.
 const startupTime = 2 * time.Second
 
-// cancelJob cancels a job and ends the test unless the first request is confirmed. It retries while
-// the controller is within its startup time.
+// cancelJob cancels a job and ends the test unless the cancellation is confirmed. It retries only
+// refusals with status 503 within the controller's startup time.
 func (c *cluster) cancelJob(controllerName, id string) {
 	c.t.Helper()
 	startedAt := time.Now()
@@ -234,7 +234,7 @@
 	}
 }
 
-// jobState returns a job's state from the first controller that answers with one, or "unknown".
+// jobState returns a job's state from the first controller that responds with one, or "unknown".
 func (c *cluster) jobState(id string) string {
 	for _, name := range c.names {
 		if status, view := c.request("GET", name, "/v1/jobs/"+id, nil); status == http.StatusOK {
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestTaskCompletionsUnderDifferentLeaders checks that a job completes whose tasks end at different
-// times, under different leaders or while no controller leads.
+// TestTaskCompletionsUnderDifferentLeaders checks that a job is done although its tasks end at
+// different times, under different leaders or while no controller leads.
 func TestTaskCompletionsUnderDifferentLeaders(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		spec := batchJob("j-1", 2, 20)
@@ -206,7 +206,7 @@
 
 // TestMachineCannotSend checks what happens to a machine that receives requests but whose own
 // requests are lost. Being probed renews no lease: its tasks end with the lease and are started
-// once elsewhere, and the hold on verdicts that its heartbeat counter causes is bounded.
+// once elsewhere, and the hold on verdicts that its sequence numbers cause is bounded.
 func TestMachineCannotSend(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -229,7 +229,7 @@
 		if hits() == 0 || probes.Load() == 0 {
 			t.Errorf("%d heartbeats were dropped, %d probes were sent", hits(), probes.Load())
 		}
-		// The hold is over: the failure of another machine is detected in the usual time.
+		// The hold has expired: the failure of another machine is detected in the usual time.
 		failed := c.world.MachinesOf("j-1/0")[0]
 		c.world.KillMachine(failed)
 		c.waitFor(25*time.Second, "service running again", func() bool {
@@ -280,7 +280,7 @@
 }
 
 // TestTransactionsAppliedLate checks that jobs still finish when two of three transactions get no
-// answer and are applied 2 to 12 s later, after newer ones of the same controller. These write
+// response and are applied 2 to 12 s later, after newer ones of the same controller. These write
 // acceptances, cancellations, completions, segments of the assignment log, and the term.
 func TestTransactionsAppliedLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -342,7 +342,7 @@
 		other := c.names[(slices.Index(c.names, isolated)+1)%3]
 		c.cancelJob(other, "j-3") // while the isolated controller still leads
 		if status, _ := c.request("GET", isolated, "/v1/jobs/j-3", nil); status == http.StatusOK {
-			t.Errorf("an isolated controller answers a query: %d", status)
+			t.Errorf("an isolated controller responds to a query: %d", status)
 		}
 		c.waitForNewLeader(15*time.Second, isolated)
 		c.cancelJob(other, "j-2")
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -121,7 +121,7 @@
 }
 
 // TestMachineDies checks that the tasks of a failed machine are placed again. A failed probe
-// confirms the failure, and releasing the machine frees its tasks before the end of its lease.
+// confirms the failure, and releasing the machine frees its tasks before its lease expires.
 func TestMachineDies(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -132,8 +132,8 @@
 }
 
 // TestHangingMachine checks that tasks of a hanging machine recover. The machine may continue at
-// any time within its lease; while the cloud does not answer, only the end of the lease frees its
-// tasks.
+// any time within its lease; while the cloud does not respond, its tasks are freed only when the
+// lease expires.
 func TestHangingMachine(t *testing.T) {
 	for _, hang := range []time.Duration{8 * time.Second, 15 * time.Second, 30 * time.Second, 90 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
@@ -228,7 +228,7 @@
 			return emulator.Deliver
 		})
 		if status, view := c.request("POST", follower, "/v1/jobs/j-1/withdraw", nil); status == http.StatusOK && view["stance"] != "done" {
-			t.Errorf("the late cancellation was answered with %v", view)
+			t.Errorf("the response to the late cancellation is %v", view)
 		}
 		c.waitForDone(10*time.Second, "j-1")
 		c.advance(10 * time.Second)
--- a/internal/controller/currency.go
+++ b/internal/controller/currency.go
@@ -29,7 +29,7 @@
 // asks all other controllers how many jobs they know; a read of the records that starts after
 // their responses must find at least as many. If a controller does not respond, the job count in
 // the leader's updates is enough (Controller.applyLeaderUpdate). After the cancel deadline, by
-// which most outages are over, the cache is assumed to be complete.
+// which most outages have ended, the cache is assumed to be complete.
 func (v *cacheVerifier) verifyAfterStart(ctx context.Context) {
 	for time.Since(v.startedAt) < v.derived.Workers.CancelDeadline && !v.cache.Readiness.ProvenCurrent() {
 		peers, err := v.queryPeers(ctx)
@@ -50,7 +50,7 @@
 // verifyAfterOutages asks all other controllers, after each outage of the key-value store,
 // whether the store was rolled back during the outage. A controller that had read none of the
 // lost changes would not notice the rollback itself. If a controller does not respond, the cache
-// counts as confirmed after the cancel deadline, by which most outages are over. It returns when
+// counts as confirmed after the cancel deadline, by which most outages have ended. It returns when
 // the context ends.
 func (v *cacheVerifier) verifyAfterOutages(ctx context.Context) {
 	var availableSince time.Time // when the last outage ended; zero if there is nothing to confirm
@@ -82,7 +82,7 @@
 	knownJobs          int    // largest number of jobs that one of them knows
 	newestRevision     uint64 // newest revision of the store that one of them has read
 	lossNoticedBy      string // name of a controller that noticed a loss; empty if none did
-	allCurrent         bool   // each has just found the newest changes that it knows in the records
+	allCurrent         bool   // each has just verified that the records hold the newest changes that it knows
 	noneReliesOnGrants bool   // each relies on no lease grant in its present incarnation
 }
 
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -116,7 +116,8 @@
 	return spec
 }
 
-// scheduleFaults draws single faults, and pairs of faults that begin within three seconds.
+// scheduleFaults draws single faults, and pairs of faults that start within three seconds of each
+// other.
 func (s *faultScenario) scheduleFaults() {
 	for range 6 + s.random.IntN(8) {
 		s.faults.scheduleRandom(time.Duration(15+s.random.IntN(120)) * time.Second)
@@ -130,7 +131,7 @@
 
 // TestRandomFaultCombinations overlaps faults of all kinds for two and a half minutes, while users
 // submit, query, resubmit and cancel jobs. No rule of the protocol may be violated. After the
-// faults, a query about every job is answered within 75 s and all jobs finish within minutes.
+// faults, a query about every job succeeds within 75 s and all jobs finish within minutes.
 func TestRandomFaultCombinations(t *testing.T) {
 	for _, seed := range seedsToRun(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -146,7 +147,7 @@
 				c.advance(76 * time.Second)
 				for _, id := range c.world.UnansweredJobs(faultsEndedAt) {
 					if !scenario.users.toldFinished(id) {
-						t.Errorf("no query about %s was answered for 75 s", id)
+						t.Errorf("no query about %s succeeded for 75 s", id)
 					}
 				}
 				c.waitFor(4*time.Minute, "all jobs finished", func() bool {
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -39,7 +39,8 @@
 	s.events = append(s.events, scheduledEvent{at, action})
 }
 
-// run executes all events that are due by until, also those scheduled meanwhile, and returns then.
+// run executes all events that are due by until, also those scheduled meanwhile, and then returns
+// at until.
 func (s *faultSchedule) run(start time.Time, until time.Duration) {
 	for {
 		slices.SortStableFunc(s.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
@@ -54,7 +55,7 @@
 	s.cluster.advance(time.Until(start.Add(until)))
 }
 
-// scheduleRandom draws a fault of any kind that begins at a time. The names given to injectOnPath
+// scheduleRandom draws a fault of any kind that starts at a time. The names given to injectOnPath
 // are part of a hash: with other names, the same seed affects other messages.
 func (s *faultSchedule) scheduleRandom(at time.Duration) {
 	fault := s.drawFault(at)
@@ -110,7 +111,7 @@
 	effect        emulator.Fault // on messages
 }
 
-// drawFault draws the parameters of a fault that begins at a time.
+// drawFault draws the parameters of a fault that starts at a time.
 func (s *faultSchedule) drawFault(at time.Duration) *randomFault {
 	duration := time.Duration(1+s.random.IntN(12)) * time.Second
 	if s.random.IntN(3) == 0 {
@@ -136,13 +137,13 @@
 	return effects[f.random.IntN(len(effects))]
 }
 
-// schedule calls begin when the fault begins, and the function that begin returns when it ends.
+// schedule calls begin when the fault starts, and the function that begin returns when it ends.
 func (f *randomFault) schedule(name string, begin func() (end func())) {
 	f.scheduleAt(f.begin, func() {
 		f.cluster.world.Tracef("== %s, for %v", name, f.duration)
 		end := begin()
 		f.scheduleAt(f.begin+f.duration, func() {
-			f.cluster.world.Tracef("== %s is over", name)
+			f.cluster.world.Tracef("== %s ends", name)
 			end()
 		})
 	})
--- a/internal/controller/full_restart_test.go
+++ b/internal/controller/full_restart_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestFullRestartKeepsRunningTasks checks that a restart shorter than the worker lease starts,
-// stops and loses no task, and that after a longer one each task that ended with the lease is
+// stops and loses no task, and that after a longer one each task whose lease expired is
 // started exactly once. Both teams are above their guarantees, so that preemption between them must
 // not cost a start either.
 func TestFullRestartKeepsRunningTasks(t *testing.T) {
@@ -63,7 +63,7 @@
 
 // TestFailoverAfterFullRestart checks that controllers restarted after the leadership lease do not
 // wait out the lease grants of their earlier incarnations: all have restarted and tell each other
-// so. If one does not answer, it may rely on those grants, and the others wait.
+// so. If one does not respond, it may rely on those grants, and the others wait.
 func TestFailoverAfterFullRestart(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.fillFleet(4)
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -41,7 +41,7 @@
 		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(large)); status != http.StatusUnprocessableEntity {
 			t.Errorf("a gang whose tasks fit no machine: %d", status)
 		}
-		c.waitFor(90*time.Second, "machines returned", func() bool { return len(c.world.Machines()) == 0 })
+		c.waitFor(90*time.Second, "machines released", func() bool { return len(c.world.Machines()) == 0 })
 		if live := c.loggedAssignments(); len(live) > 0 {
 			t.Errorf("still in the assignment log: %v", live)
 		}
--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -23,7 +23,7 @@
 	lose func(c *cluster, r *rand.Rand, before emulator.StoreBackup)
 }
 
-// loseKeys returns a loss of the keys that match. At random, the watch shows the loss or does not.
+// loseKeys returns a loss of the keys that match. Whether watches show the loss is random.
 func loseKeys(match func(r *rand.Rand) func(string) bool) func(*cluster, *rand.Rand, emulator.StoreBackup) {
 	return func(c *cluster, r *rand.Rand, _ emulator.StoreBackup) {
 		lost := c.world.Store.LoseKeys(r.IntN(2) == 0, match(r))
@@ -155,9 +155,9 @@
 	lossKind, concurrentEvent string
 	recoveredAfter            time.Duration // since the loss; 0 if undetected or not complete
 	heldJobs                  int
-	unfinished                int      // number of jobs, without services, that are not finished
+	unfinished                int      // number of unfinished jobs, not counting services
 	unfinishedJobs            []string // details of the unfinished jobs
-	wronglyDone               []string // jobs whose records say done, but which are not
+	wronglyDone               []string // jobs that are recorded as done but are not
 }
 
 // executeLossScenario has users submit jobs, and the store lose records meanwhile.
@@ -217,7 +217,7 @@
 		set.Operator.AuditIntervalS = 15 // a silent loss is detected only by an audit
 	}, func(c *cluster) {
 		c.adaptController = adapt
-		if adapt != nil { // the controllers that run already, too
+		if adapt != nil { // applies to the running controllers as well
 			for _, name := range c.names {
 				adapt(c.incarnations[name].controller)
 			}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -21,7 +21,7 @@
 	catalogPartPrefix = "catalog/"
 )
 
-// catalogPart is the record of one machine type. Of is the number of machine types, so that a
+// catalogPart is the record of one machine type. Total is the number of machine types, so that a
 // reader detects missing records: with an incomplete list, it would reject jobs that can run.
 type catalogPart struct {
 	Total int              `json:"of"`
@@ -89,7 +89,7 @@
 	return true
 }
 
-// loadStored returns the machine types that are in the store, or nil unless it finds all of them.
+// loadStored returns the machine types that are in the store, or nil if any of them is missing.
 func (m *machineTypeCatalog) loadStored(ctx context.Context) (types []jobs.MachineType) {
 	pair, found, err := m.store.Get(ctx, catalogKey)
 	if err == nil && found && json.Unmarshal(pair.Value, &types) == nil {
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -24,17 +24,17 @@
 		began := time.Now()
 		for _, n := range c.names {
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-5", 2, 30))); status != http.StatusServiceUnavailable {
-				t.Errorf("%s answered a new job with %d", n, status)
+				t.Errorf("%s responded to a new job with %d", n, status)
 			}
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-3", 2, 30))); status != http.StatusOK {
-				t.Errorf("%s answered a repeated submission with %d", n, status)
+				t.Errorf("%s responded to a repeated submission with %d", n, status)
 			}
 			if status, _ := c.request("GET", n, "/v1/jobs/j-3", nil); status != http.StatusOK {
-				t.Errorf("%s answered a poll with %d", n, status)
+				t.Errorf("%s responded to a poll with %d", n, status)
 			}
 		}
 		if took := time.Since(began); took > 3*time.Second {
-			t.Errorf("all answers took %v, want at most 3s", took)
+			t.Errorf("all responses took %v, want at most 3s", took)
 		}
 		c.cancelJob("perch-1", "j-4")
 		c.waitForDone(60*time.Second, "j-3")
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -45,7 +45,7 @@
 
 // TestEveryRequestDeliveredTwice checks that requests are safe to execute twice. Every request is
 // executed again much later: heartbeats, commands, transactions, lease grants and renewals,
-// rentals, releases, submissions and cancellations. Meanwhile a machine fails and the leader
+// provisioning, releases, submissions and cancellations. Meanwhile a machine fails and the leader
 // changes.
 func TestEveryRequestDeliveredTwice(t *testing.T) {
 	for _, late := range []time.Duration{3 * time.Second, 12 * time.Second, 35 * time.Second, 70 * time.Second} {
@@ -121,8 +121,8 @@
 }
 
 // TestWatchLags checks that the tasks of a cancelled job end by the cancellation deadline when the
-// leader's watch lags and does not show the cancellation: the leader must stop answering workers
-// from stale records in time.
+// leader's watch lags and does not show the cancellation: the leader must stop responding to
+// workers from stale records in time.
 func TestWatchLags(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -162,7 +162,7 @@
 		c.advance(50 * time.Second)
 		report := map[string]any{"host": "m-000900", "addr": "10.1.9.9:9000", "perchKind": "c4", "eyrie": "a", "soar": 1, "beat": 1, "crest": 0, "talons": []any{}}
 		if status, view := c.request("POST", isolated, "/v1/report", report); status != http.StatusServiceUnavailable {
-			t.Errorf("a controller that is cut off from the store answers a worker: %d %v", status, view)
+			t.Errorf("a controller that is cut off from the store responds to a worker: %d %v", status, view)
 		}
 		if status, _ := c.request("GET", isolated, "/up", nil); status != http.StatusServiceUnavailable {
 			t.Errorf("a controller without store and leader is ready: /up is %d", status)
@@ -324,7 +324,7 @@
 	}
 }
 
-// TestEveryPollIsAnswered checks that every poll is answered, however many there are: polls share a
+// TestEveryPollIsAnswered checks that every poll succeeds, however many there are: polls share a
 // few reads of the store, out of a request budget that all controllers share.
 func TestEveryPollIsAnswered(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Store.RPS = 30 }
@@ -353,7 +353,7 @@
 			poll()
 			c.advance(100 * time.Millisecond)
 		}
-		// Polls are answered again after an outage and a failover.
+		// Polls succeed again after an outage and a failover.
 		c.world.Store.SetOutage(true)
 		c.advance(5 * time.Second)
 		old := c.leader()
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -13,7 +13,7 @@
 	"ospreyslip/internal/settings"
 )
 
-// TestOverloadWithSlowStore checks an overload while the store answers slowly. More users poll than
+// TestOverloadWithSlowStore checks an overload while the store responds slowly. More users poll than
 // the controllers can serve: each gets the job's state or a prompt 503 before it gives up, the
 // leader does not change, and no worker loses its lease.
 func TestOverloadWithSlowStore(t *testing.T) {
@@ -52,7 +52,7 @@
 		users.Wait()
 		end()
 		if late.Load() > 0 || served.Load() == 0 || refused.Load() == 0 || hits() < 100 {
-			t.Errorf("%d served, %d refused, %d late, %d slow answers", served.Load(), refused.Load(), late.Load(), hits())
+			t.Errorf("%d served, %d refused, %d late, %d slow responses", served.Load(), refused.Load(), late.Load(), hits())
 		}
 		if now := c.leader(); now != leader || c.world.TaskStarts() != starts {
 			t.Errorf("led by %s, then %s; %d tasks were restarted", leader, now, c.world.TaskStarts()-starts)
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	ago, ever := r.since(&r.leaderHeardAt)
-	return !ever || ago <= r.derived.Workers.CancelDeadline // most outages are over by this deadline
+	return !ever || ago <= r.derived.Workers.CancelDeadline // most outages have ended by this deadline
 }
 
 // since returns the time elapsed since moment, and false if moment is not set.
--- a/internal/controller/recovery_helpers_test.go
+++ b/internal/controller/recovery_helpers_test.go
@@ -41,7 +41,7 @@
 	c.advance(2 * time.Second) // all controllers learn of it within a control interval
 }
 
-// checkRecords checks that the records of jobs are in the store and have a state.
+// checkRecords checks that the records of jobs are in the store and have the given state.
 func (c *cluster) checkRecords(state string, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkStateEverywhere checks that every controller answers a query about a job with one of the
+// checkStateEverywhere checks that every controller responds to a query about a job with one of the
 // wanted states or, if the request fails, status codes.
 func (c *cluster) checkStateEverywhere(id string, want ...string) {
 	c.t.Helper()
@@ -63,7 +63,7 @@
 			got = view["stance"].(string)
 		}
 		if !strings.Contains(strings.Join(want, " "), got) {
-			c.t.Errorf("%s answered a query about %s with %s, want one of %v", name, id, got, want)
+			c.t.Errorf("%s responded to a query about %s with %s, want one of %v", name, id, got, want)
 		}
 	}
 }
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -198,7 +198,7 @@
 }
 
 // TestCancelHeldJob checks that the tasks of a held job are stopped in time when its user cancels
-// it, although no record tells on which machines they are.
+// it, although no record says on which machines they are.
 func TestCancelHeldJob(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -217,8 +217,8 @@
 	})
 }
 
-// TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if all its
-// tasks are known from heartbeats; if only some are, all stop and start again together.
+// TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if heartbeats
+// list all its tasks; if they list only some, all tasks stop and start again together.
 func TestGangWithLostLog(t *testing.T) {
 	for _, partly := range []bool{false, true} {
 		t.Run(fmt.Sprint("partly ", partly), func(t *testing.T) {
@@ -316,8 +316,8 @@
 	})
 }
 
-// TestUncertainJobRunsAfterTimeout checks that a described uncertain job runs after, and not
-// before, the time that the operator setting runUncertainAfterS states.
+// TestUncertainJobRunsAfterTimeout checks that an uncertain job whose description is known runs
+// after, and not before, the time in the operator setting runUncertainAfterS.
 func TestUncertainJobRunsAfterTimeout(t *testing.T) {
 	runCluster(t, func(set *settings.Settings) { set.Operator.RunHeldJobsAfterS = 90 }, func(c *cluster) {
 		c.world.SetCapacity(0)
@@ -338,15 +338,15 @@
 		starts := c.world.TaskStarts()
 		c.advance(60 * time.Second)
 		if c.world.TaskStarts() != starts {
-			t.Error("an uncertain job ran before runUncertainAfterS was over")
+			t.Error("an uncertain job ran before runUncertainAfterS had elapsed")
 		}
 		c.waitFor(4*time.Minute, "held job released and started", func() bool { return c.recoveryStatus().Held == 0 && c.world.TaskStarts() > starts })
 		c.waitForDone(time.Minute, "j-1")
 	})
 }
 
-// TestRecoveryWithPeerThatCannotAnswer checks that a recovery completes when peers, as an earlier
-// version does, neither answer requests for lost jobs nor handle loss notices. Such a version can
+// TestRecoveryWithPeerThatCannotAnswer checks that a recovery completes when peers of an earlier
+// version neither respond to requests for lost jobs nor handle loss notices. Such a version can
 // read the records that are written back.
 func TestRecoveryWithPeerThatCannotAnswer(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -365,7 +365,7 @@
 	})
 }
 
-// TestOperatorRequests checks that only the leader answers operators' requests, and that invalid
+// TestOperatorRequests checks that only the leader serves operators' requests, and that invalid
 // requests are refused with the reason.
 func TestOperatorRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -402,7 +402,7 @@
 
 // TestWorkerUnreachableDuringRecovery checks that the tasks of a machine that is unreachable when
 // the assignment log is lost and the leader crashes are started elsewhere only after the worker's
-// lease is over, and that none runs twice when the machine is back.
+// lease has expired, and that none runs twice when the machine is back.
 func TestWorkerUnreachableDuringRecovery(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -415,7 +415,7 @@
 		c.start(old)
 		c.advance(12 * time.Second)
 		if n := c.world.TaskStarts() - starts; n > 0 || len(c.world.MachinesOf("j-2/0")) != 1 {
-			t.Errorf("%d tasks were started before the lease of %s was over", n, unreachable)
+			t.Errorf("%d tasks were started before the lease of %s had expired", n, unreachable)
 		}
 		c.advance(20 * time.Second)
 		c.waitFor(90*time.Second, "tasks running elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// cloud serves the cloud's API. It lists no machines and rents none out: the fleet is up already.
+// cloud serves the cloud's API. It lists and provisions no machines: the fleet is up already.
 func (l *loopbackCluster) cloud(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -150,7 +150,7 @@
 			c.start(n)
 		}
 		c.advance(10 * time.Second)
-		c.submit("perch-0", batchJob("j-1", 2, 5)) // a controller without machine types would answer 503
+		c.submit("perch-0", batchJob("j-1", 2, 5)) // a controller without machine types would respond with 503
 		c.world.SetCloudOutage(false)
 		c.waitForDone(2*time.Minute, "j-1")
 	})
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// cancelOrQuery cancels the job if shouldCancel is true, and else resubmits or queries it.
+// cancelOrQuery cancels the job if shouldCancel is true, and otherwise resubmits or queries it.
 func (u *jobUser) cancelOrQuery(shouldCancel bool) (status int, view map[string]any) {
 	switch {
 	case shouldCancel:
@@ -126,8 +126,7 @@
 	}
 }
 
-// noteFinished records the job's final state. A user that resubmits submits the job once more after
-// it.
+// noteFinished records the job's final state. A user that resubmits then submits the job once more.
 func (u *jobUser) noteFinished(state string) {
 	u.mu.Lock()
 	u.finalStates[u.spec.ID] = state
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -15,7 +15,7 @@
 	LeaderStatus   *leader.Status `json:"view,omitempty"` // set only on the leader
 }
 
-// status returns this controller's status, with that of the event loop if this controller leads.
+// status returns this controller's status, including the leader's if this controller leads.
 func (c *Controller) status(ctx context.Context) Status {
 	return Status{
 		ControllerName: c.settings.Node, Zone: c.settings.Zone, Leader: c.elector.Leader(), Leading: c.elector.IsLeader(),
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -8,7 +8,7 @@
 	"ospreyslip/internal/emulator"
 )
 
-// TestLeaderRefusedByStore checks that a leader that the store refuses stops answering workers
+// TestLeaderRefusedByStore checks that a leader that the store refuses stops responding to workers
 // before another controller can lead, and that the failover costs no replica.
 func TestLeaderRefusedByStore(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -75,8 +75,8 @@
 }
 
 // TestOutageWithoutPeerLease checks that a leader without a lease grant of every peer stops
-// answering workers in an outage of the store, so that tasks end with the workers' leases and there
-// are never two leaders.
+// responding to workers in an outage of the store, so that tasks end when the workers' leases
+// expire and there are never two leaders.
 func TestOutageWithoutPeerLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
@@ -100,7 +100,7 @@
 
 // TestFollowerRestartDuringPeerLease guards against two leaders. A follower that restarts during an
 // outage of the store has lost its lease grant; if it reaches the store before the leader does, it
-// has to wait until that grant is over.
+// has to wait until that grant has expired.
 func TestFollowerRestartDuringPeerLease(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -13,7 +13,7 @@
 	"ospreyslip/internal/workers"
 )
 
-// SetCapacity sets the most machines that can be rented at a time.
+// SetCapacity sets the maximum number of machines that can be provisioned at a time.
 func (w *World) SetCapacity(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,7 +114,7 @@
 	writeJSON(rw, http.StatusOK, machinePage{Machines: entries})
 }
 
-// addMachine adds a rented machine, starts to boot it and returns its name. w.mu must be held.
+// addMachine provisions a machine, starts to boot it and returns its name. w.mu must be held.
 func (w *World) addMachine(machineType jobs.MachineType, zone string, spot bool) string {
 	name := fmt.Sprintf("m-%06d", w.cloud.nextMachine)
 	addr := defaultAddr(w.cloud.nextMachine)
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -11,7 +11,7 @@
 	size            int
 	joined          map[string]*Worker // workers of the tasks whose image is fetched, by task
 	startedAt       time.Time          // when all tasks had joined
-	brokenAt        time.Time          // when a task was lost, or not told to stop in time, after the start
+	brokenAt        time.Time          // when, after the start, a task was lost or was not told to stop in time
 	stopRequestedAt time.Time          // when the first task was told to stop with enough time to save
 	stopRequested   map[string]bool    // tasks that were told to stop with enough time to save
 	done            bool
--- a/internal/emulator/restart/processes.go
+++ b/internal/emulator/restart/processes.go
@@ -91,8 +91,8 @@
 	return open
 }
 
-// startAll starts processes, waits until all accept connections and returns the time. It fails if
-// they do not within the given time.
+// startAll starts processes, waits until all accept connections and returns the time at which they
+// do. It returns an error if they do not within the timeout.
 func startAll(processes []*process, timeout time.Duration) (servingAt time.Time, err error) {
 	for _, controller := range processes {
 		if err := controller.start(); err != nil {
--- a/internal/emulator/restart/result.go
+++ b/internal/emulator/restart/result.go
@@ -13,7 +13,7 @@
 	PauseS       float64 `json:"pauseS"`
 	Trial        int     `json:"trial"`
 	Tasks        int     `json:"tasks"`
-	Lost         int     `json:"gone"`    // tasks that ended with their worker lease or their machine
+	Lost         int     `json:"gone"`    // tasks that ended because their worker lease expired or their machine was gone
 	Started      int     `json:"begun"`   // task starts that the emulator counted
 	Stopped      int     `json:"stopped"` // tasks stopped by a command
 	Running      int     `json:"running"` // tasks running at the end of the trial
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -44,7 +44,7 @@
 
 type lease struct {
 	duration time.Duration
-	timer    *time.Timer // ends the lease
+	timer    *time.Timer // expires the lease
 }
 
 // StoreLimits limits the bytes in a value, the writes in a transaction and the writes per second
@@ -126,7 +126,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expireLease ends a lease that was not renewed in time. Leases do not expire during an outage.
+// expireLease removes a lease that was not renewed in time. Leases do not expire during an outage.
 func (s *KVStore) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/store_watch.go
+++ b/internal/emulator/store_watch.go
@@ -15,9 +15,9 @@
 	wait   time.Duration
 }
 
-// serveWatch responds with changes once there are any, or when the wait of the watch is over.
-// During an outage it refuses new watches; open ones see no changes, and on timeout they return
-// the revision that they asked from.
+// serveWatch responds as soon as there are changes, or without changes when the wait time of the
+// watch has elapsed. During an outage it refuses new watches; open ones see no changes, and on
+// timeout they return the revision that they asked from.
 func (s *KVStore) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -22,7 +22,7 @@
 // WorkerConfig is the configuration that all workers share.
 type WorkerConfig struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // worker lease, counted from the sending of the last answered heartbeat
+	Lease             time.Duration // worker lease, counted from when the last answered heartbeat was sent
 	FetchTime         time.Duration // time to fetch an image
 	GangWait          time.Duration // a gang task ends if its gang is not complete after this time
 	GangStopWindow    time.Duration // time within which all tasks of a gang must be told to stop
@@ -72,7 +72,7 @@
 }
 
 // enforceLease ends the tasks when the lease expires. It has its own goroutine, because run may
-// be blocked on a heartbeat that gets no answer.
+// be blocked on a heartbeat that gets no response.
 func (w *Worker) enforceLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -89,7 +89,7 @@
 }
 
 // sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. It
-// returns the controller for the next heartbeat. Both are indices into config.Nodes.
+// returns the controller for the next heartbeat. Both are indices into config.Controllers.
 func (w *Worker) sendHeartbeat(client *http.Client, controller int) int {
 	w.mu.Lock()
 	if w.hung || w.poweredOff {
@@ -174,7 +174,7 @@
 	return heartbeat
 }
 
-// expireLease ends all tasks and begins a new agent epoch if the lease has expired.
+// expireLease ends all tasks and starts a new agent epoch if the lease has expired.
 func (w *Worker) expireLease() {
 	now := time.Now()
 	if now.Sub(w.leaseStartedAt) <= w.config.Lease {
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -11,7 +11,7 @@
 // task is one attempt at a task on a worker.
 type task struct {
 	workers.TaskStatus
-	stateSince time.Time // when the task began to fetch its image or, after that, to run or gather
+	stateSince time.Time // when the task started to fetch its image or, after that, to run or gather
 	savedAt    time.Time // when a task in StateSaving has saved its checkpoint
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -15,11 +15,11 @@
 type World struct {
 	Network *Network
 	Store   *KVStore
-	Workers WorkerConfig // for machines that are rented from now on
+	Workers WorkerConfig // for machines that are provisioned from now on
 
 	Types    []jobs.MachineType // the machine types in the cloud's catalog
-	BootTime time.Duration      // from the rental of a machine until its worker sends heartbeats
-	ListLag  time.Duration      // how long a rented machine is missing from the cloud's list
+	BootTime time.Duration      // from provisioning a machine until its worker sends heartbeats
+	ListLag  time.Duration      // how long a provisioned machine is missing from the cloud's list
 
 	Teams          []settings.Team // teams whose CPU quotas are checked
 	CancelDeadline time.Duration   // from a confirmed cancellation until no task of the job may run
@@ -49,9 +49,9 @@
 // cloud is the state of the emulated cloud.
 type cloud struct {
 	machines    map[string]*machine // by name
-	rentals     map[string][]string // names of machines, by name of the rental request
-	nextMachine int                 // number of the next machine to be rented
-	capacity    int                 // the most machines that can be rented at a time
+	rentals     map[string][]string // names of machines, by name of the provisioning request
+	nextMachine int                 // number of the next machine to be provisioned
+	capacity    int                 // maximum number of machines that can be provisioned at a time
 	outage      bool
 }
 
@@ -64,7 +64,8 @@
 	up          bool // has booted and was not released
 }
 
-// taskState holds the actual state of jobs and their tasks, whatever controllers believe.
+// taskState holds the actual state of jobs and their tasks, which may differ from what controllers
+// know.
 type taskState struct {
 	specs        map[string]*jobs.Spec      // job descriptions as uploaded, by job
 	machinesOf   map[string]map[string]bool // names of the machines that a task is on, by task
