--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -164,14 +164,14 @@
 		c.runServiceAndBatch()
 		var first atomic.Bool
 		c.world.Network.Delay = 55 * time.Second
-		end, held := c.injectFault(func(_, to, path string) emulator.Fault {
+		end, delayed := c.injectFault(func(_, to, path string) emulator.Fault {
 			if path == "/orders" && first.CompareAndSwap(false, true) {
 				return emulator.DeliverLate
 			}
 			return emulator.Deliver
 		})
 		c.submit("perch-0", batchJob("j-4", 1, 200))
-		c.waitFor(2*time.Second, "the command is in flight", func() bool { return held() > 0 })
+		c.waitFor(2*time.Second, "the command is in flight", func() bool { return delayed() > 0 })
 		c.cancelJob("perch-1", "j-4")
 		c.advance(100 * time.Millisecond)
 		token := string(c.world.Store.Value("term/token"))
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -352,8 +352,8 @@
 	c.waitFor(timeout, "a new leader", func() bool { name := c.leader(); return name != "" && name != old })
 }
 
-// firstRunning returns the first controller that has not crashed, or "" if all have.
-func (c *cluster) firstRunning() string {
+// firstRunningController returns the first controller that has not crashed, or "" if all have.
+func (c *cluster) firstRunningController() string {
 	for _, name := range c.names {
 		if !c.incarnations[name].ended() {
 			return name
@@ -362,8 +362,8 @@
 	return ""
 }
 
-// otherThan returns a controller other than the one named.
-func (c *cluster) otherThan(name string) string {
+// controllerOtherThan returns a controller other than the one named.
+func (c *cluster) controllerOtherThan(name string) string {
 	if name == c.names[0] {
 		return c.names[1]
 	}
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -33,20 +33,20 @@
 		nextJob.Team = "red"
 		c.submit("perch-1", nextJob)
 		unreachable := c.world.MachinesOf("j-1/0")[0]
-		stillThere := 0
+		maybeRunning := 0
 		for i := range 16 {
 			if c.world.MachinesOf(fmt.Sprintf("j-1/%d", i))[0] == unreachable {
-				stillThere++
+				maybeRunning++
 			}
 		}
 		end, hits := c.injectFault(isolate(unreachable))
 		c.crash(c.leader())
-		c.cancelJob(c.firstRunning(), "j-1")
-		c.waitFor(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == stillThere })
-		c.waitFor(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-stillThere })
+		c.cancelJob(c.firstRunningController(), "j-1")
+		c.waitFor(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == maybeRunning })
+		c.waitFor(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-maybeRunning })
 		c.advance(3 * time.Second)
-		if n := c.tasksOnMachines("j-2", 16); n != 16-stillThere || hits() == 0 {
-			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, stillThere, hits())
+		if n := c.tasksOnMachines("j-2", 16); n != 16-maybeRunning || hits() == 0 {
+			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, maybeRunning, hits())
 		}
 		c.advance(30 * time.Second)
 		end()
@@ -508,9 +508,9 @@
 		}
 		// A batch job can run with half of its tasks at a time, and a single replica needs no
 		// spreading.
-		array := batchJob("j-6", 4, 2)
-		array.Zone, array.Spread = "a", true
-		c.submit("perch-2", array)
+		batch := batchJob("j-6", 4, 2)
+		batch.Zone, batch.Spread = "a", true
+		c.submit("perch-2", batch)
 		singleReplica := serviceJob("j-7", 1)
 		singleReplica.Zone, singleReplica.OneZone = "a", true
 		c.submit("perch-2", singleReplica)
--- a/internal/controller/connection_limit.go
+++ b/internal/controller/connection_limit.go
@@ -15,38 +15,38 @@
 type connLimiter struct {
 	limit int
 
-	mu   sync.Mutex
-	open map[net.Conn]*list.Element // element in idle; nil while a request is in progress
-	idle list.List                  // of net.Conn, longest idle first
+	mu        sync.Mutex
+	openConns map[net.Conn]*list.Element // element in idleConns; nil while a request is in progress
+	idleConns list.List                  // of net.Conn, longest idle first
 }
 
 func newConnLimiter(limit int) *connLimiter {
-	return &connLimiter{limit: limit, open: make(map[net.Conn]*list.Element)}
+	return &connLimiter{limit: limit, openConns: make(map[net.Conn]*list.Element)}
 }
 
 // connStateChanged is the http.Server.ConnState callback.
 func (l *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	element, known := l.open[conn]
+	element, known := l.openConns[conn]
 	if !known && state != http.StateNew {
 		return // the limiter has closed this connection already
 	}
 	if element != nil {
-		l.idle.Remove(element)
+		l.idleConns.Remove(element)
 	}
 	switch state {
 	case http.StateNew, http.StateActive:
-		l.open[conn] = nil
+		l.openConns[conn] = nil
 	case http.StateIdle:
-		l.open[conn] = l.idle.PushBack(conn)
+		l.openConns[conn] = l.idleConns.PushBack(conn)
 	default:
-		delete(l.open, conn)
+		delete(l.openConns, conn)
 	}
 	// Stay one below the limit so that the next client is accepted without waiting.
-	if first := l.idle.Front(); first != nil && len(l.open) >= l.limit {
-		longestIdle := l.idle.Remove(first).(net.Conn)
-		delete(l.open, longestIdle)
+	if first := l.idleConns.Front(); first != nil && len(l.openConns) >= l.limit {
+		longestIdle := l.idleConns.Remove(first).(net.Conn)
+		delete(l.openConns, longestIdle)
 		longestIdle.Close()
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestMachineDies checks that the tasks of a failed machine are placed again. A failed probe
+// TestMachineFailure checks that the tasks of a failed machine are placed again. A failed probe
 // confirms the failure, and releasing the machine frees its tasks before its lease expires.
-func TestMachineDies(t *testing.T) {
+func TestMachineFailure(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
 		c.waitFor(40*time.Second, "service running", func() bool { return c.tasksOnMachines("j-1", 2) == 2 })
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -47,7 +47,7 @@
 		cluster: c, random: random, seed: seed, users: newSimulatedUsers(c),
 		faults: &faultSchedule{cluster: c, random: random, seed: seed},
 	}
-	c.world.Network.DelayOf = scenario.lateness
+	c.world.Network.DelayOf = scenario.lateMessageDelay
 	c.world.SetCapacity(8)
 	for number := range 26 {
 		scenario.scheduleJob(number)
@@ -56,8 +56,8 @@
 	return scenario
 }
 
-// lateness returns the delay of a message that a fault makes late. Most delays are short.
-func (s *faultScenario) lateness(from, to, path string) time.Duration {
+// lateMessageDelay returns the delay of a message that a fault makes late. Most delays are short.
+func (s *faultScenario) lateMessageDelay(from, to, path string) time.Duration {
 	late := s.faults.messageSample("late", from, to, path)
 	if path == "/commit" {
 		return time.Duration((0.3 + 12*late*late) * float64(time.Second))
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -69,9 +69,9 @@
 	case 4:
 		fault.injectOnPath("reports come once more, late", "/v1/report", emulator.DeliverTwice)
 	case 5:
-		fault.injectOnPath("reports are held up", "/v1/report", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly))
+		fault.injectOnPath("reports are held up", "/v1/report", fault.randomEffect(emulator.DeliverLate, emulator.DeliverSlowly))
 	case 6:
-		fault.injectOnPath("orders are held up", "/orders", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly, emulator.DeliverTwice, emulator.DropResponse))
+		fault.injectOnPath("orders are held up", "/orders", fault.randomEffect(emulator.DeliverLate, emulator.DeliverSlowly, emulator.DeliverTwice, emulator.DropResponse))
 	case 7:
 		fault.injectOnPath("transactions are slow", "/commit", emulator.DeliverSlowly)
 	case 8:
@@ -128,12 +128,12 @@
 		}
 	}
 	fault := &randomFault{faultSchedule: s, begin: at, duration: duration, target: target, affectedShare: 0.1 + 0.6*s.random.Float64()}
-	fault.effect = fault.oneOf(emulator.DropRequest, emulator.RefuseConnection, emulator.DeliverLate, emulator.DropResponse)
+	fault.effect = fault.randomEffect(emulator.DropRequest, emulator.RefuseConnection, emulator.DeliverLate, emulator.DropResponse)
 	return fault
 }
 
-// oneOf draws one of the effects.
-func (f *randomFault) oneOf(effects ...emulator.Fault) emulator.Fault {
+// randomEffect draws one of the effects.
+func (f *randomFault) randomEffect(effects ...emulator.Fault) emulator.Fault {
 	return effects[f.random.IntN(len(effects))]
 }
 
--- a/internal/controller/gang_scheduling_test.go
+++ b/internal/controller/gang_scheduling_test.go
@@ -12,13 +12,13 @@
 	"ospreyslip/internal/settings"
 )
 
-func TestGang(t *testing.T) {
+func TestGangLifecycle(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", gangJob("j-1", 5, 20))
 		c.submit("perch-1", gangJob("j-2", 1, 5))
-		apart := gangJob("j-3", 6, 10)
-		apart.OneZone, apart.Spread = false, true
-		c.submit("perch-2", apart)
+		spreadGang := gangJob("j-3", 6, 10)
+		spreadGang.OneZone, spreadGang.Spread = false, true
+		c.submit("perch-2", spreadGang)
 		c.waitFor(40*time.Second, "a gang runs", c.gangRuns("j-1", 5))
 		if status, view := c.request("GET", "perch-2", "/v1/jobs/j-1", nil); status != 200 {
 			t.Errorf("%d %v", status, view)
@@ -32,8 +32,8 @@
 		if _, view := c.request("GET", "perch-2", "/v1/jobs/j-1", nil); view["done"] != 5.0 {
 			t.Errorf("done: %v", view)
 		}
-		many := gangJob("j-4", 21, 10) // 42 CPUs, and the team may use 40
-		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(many)); status != http.StatusUnprocessableEntity {
+		aboveQuota := gangJob("j-4", 21, 10) // 42 CPUs, and the team may use 40
+		if status, _ := c.request("POST", "perch-0", "/v1/jobs", wireSpec(aboveQuota)); status != http.StatusUnprocessableEntity {
 			t.Errorf("a gang above the quota of its team: %d", status)
 		}
 		large := gangJob("j-5", 2, 10)
--- a/internal/controller/loss_combinations_test.go
+++ b/internal/controller/loss_combinations_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// matching returns a match for loseKeys that needs no random numbers.
-func matching(match func(string) bool) func(*rand.Rand) func(string) bool {
+// fixedMatch returns a match for loseKeys that needs no random numbers.
+func fixedMatch(match func(string) bool) func(*rand.Rand) func(string) bool {
 	return func(*rand.Rand) func(string) bool { return match }
 }
 
@@ -53,10 +53,10 @@
 	{"a third of all keys", loseKeys(func(r *rand.Rand) func(string) bool {
 		return func(key string) bool { return key != "term/holder" && r.IntN(3) == 0 }
 	})},
-	{"all jobs", loseKeys(matching(emulator.WithPrefix("job/")))},
-	{"the log", loseKeys(matching(emulator.WithPrefix("book/")))},
-	{"the term", loseKeys(matching(emulator.WithPrefix("term/")))},
-	{"everything", loseKeys(matching(emulator.WithPrefix("")))},
+	{"all jobs", loseKeys(fixedMatch(emulator.WithPrefix("job/")))},
+	{"the log", loseKeys(fixedMatch(emulator.WithPrefix("book/")))},
+	{"the term", loseKeys(fixedMatch(emulator.WithPrefix("term/")))},
+	{"everything", loseKeys(fixedMatch(emulator.WithPrefix("")))},
 	{"what is newest", func(c *cluster, _ *rand.Rand, before emulator.StoreBackup) {
 		c.world.Store.Restore(before)
 		c.world.Tracef("PUT BACK")
@@ -70,16 +70,16 @@
 	do   func(c *cluster, r *rand.Rand, lose func())
 }{
 	{"nothing", func(_ *cluster, _ *rand.Rand, lose func()) { lose() }},
-	{"the leader ends just before", leaderEndsBefore},
-	{"the leader ends just after", leaderEndsAfter},
-	{"it ends while records are written", leaderEndsInRecovery},
-	{"an outage follows", outageAfter},
-	{"in an outage", inOutage},
-	{"a machine is lost", machineLost},
-	{"answers to transactions are lost", answersLost},
+	{"the leader ends just before", crashLeaderBeforeLoss},
+	{"the leader ends just after", crashLeaderAfterLoss},
+	{"it ends while records are written", crashLeaderDuringRecovery},
+	{"an outage follows", outageAfterLoss},
+	{"in an outage", loseDuringOutage},
+	{"a machine is lost", failMachineAfterLoss},
+	{"answers to transactions are lost", dropTransactionResponses},
 }
 
-func leaderEndsBefore(c *cluster, random *rand.Rand, lose func()) {
+func crashLeaderBeforeLoss(c *cluster, random *rand.Rand, lose func()) {
 	old := c.leader()
 	if old == "" {
 		lose()
@@ -92,7 +92,7 @@
 	c.start(old)
 }
 
-func leaderEndsAfter(c *cluster, random *rand.Rand, lose func()) {
+func crashLeaderAfterLoss(c *cluster, random *rand.Rand, lose func()) {
 	lose()
 	c.advance(time.Duration(random.IntN(4000)) * time.Millisecond)
 	old := c.leader()
@@ -104,7 +104,7 @@
 	c.start(old)
 }
 
-func leaderEndsInRecovery(c *cluster, _ *rand.Rand, lose func()) {
+func crashLeaderDuringRecovery(c *cluster, _ *rand.Rand, lose func()) {
 	lose()
 	c.advance(25 * time.Second)
 	if old := c.leader(); old != "" {
@@ -114,7 +114,7 @@
 	}
 }
 
-func outageAfter(c *cluster, random *rand.Rand, lose func()) {
+func outageAfterLoss(c *cluster, random *rand.Rand, lose func()) {
 	lose()
 	c.advance(time.Duration(random.IntN(2000)) * time.Millisecond)
 	c.world.Store.SetOutage(true)
@@ -122,7 +122,7 @@
 	c.world.Store.SetOutage(false)
 }
 
-func inOutage(c *cluster, random *rand.Rand, lose func()) {
+func loseDuringOutage(c *cluster, random *rand.Rand, lose func()) {
 	c.world.Store.SetOutage(true)
 	c.advance(time.Duration(random.IntN(8)) * time.Second)
 	lose()
@@ -130,14 +130,14 @@
 	c.world.Store.SetOutage(false)
 }
 
-func machineLost(c *cluster, random *rand.Rand, lose func()) {
+func failMachineAfterLoss(c *cluster, random *rand.Rand, lose func()) {
 	lose()
 	if machines := c.world.Machines(); len(machines) > 0 {
 		c.world.KillMachine(machines[random.IntN(len(machines))])
 	}
 }
 
-func answersLost(c *cluster, random *rand.Rand, lose func()) {
+func dropTransactionResponses(c *cluster, random *rand.Rand, lose func()) {
 	end := c.world.Network.AddFaults(func(_, to, path string) emulator.Fault {
 		if to == "state" && path == "/commit" && random.IntN(2) == 0 {
 			return emulator.DropResponse
--- a/internal/controller/memory_limit_test.go
+++ b/internal/controller/memory_limit_test.go
@@ -21,7 +21,7 @@
 		c.submit("perch-0", batchJob("j-4", 2, 300))
 		c.memoryInUse.Store(1 << 40)
 		c.advance(2 * time.Second)
-		began := time.Now()
+		startedAt := time.Now()
 		for _, n := range c.names {
 			if status, _ := c.request("POST", n, "/v1/jobs", wireSpec(batchJob("j-5", 2, 30))); status != http.StatusServiceUnavailable {
 				t.Errorf("%s responded to a new job with %d", n, status)
@@ -33,7 +33,7 @@
 				t.Errorf("%s responded to a poll with %d", n, status)
 			}
 		}
-		if took := time.Since(began); took > 3*time.Second {
+		if took := time.Since(startedAt); took > 3*time.Second {
 			t.Errorf("all responses took %v, want at most 3s", took)
 		}
 		c.cancelJob("perch-1", "j-4")
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -120,10 +120,10 @@
 	})
 }
 
-// TestWatchLags checks that the tasks of a cancelled job end by the cancellation deadline when the
-// leader's watch lags and does not show the cancellation: the leader must stop responding to
-// workers from stale records in time.
-func TestWatchLags(t *testing.T) {
+// TestCancellationWithLaggingWatch checks that the tasks of a cancelled job end by the cancellation
+// deadline when the leader's watch lags and does not show the cancellation: the leader must stop
+// responding to workers from stale records in time.
+func TestCancellationWithLaggingWatch(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runServiceAndBatch()
 		c.world.Store.SetWatchLag(1000)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -33,10 +33,10 @@
 		for round := range 40 {
 			for i := range 60 {
 				users.Go(func() {
-					began := time.Now()
+					sentAt := time.Now()
 					status, _ := c.request("GET", c.names[i%3], fmt.Sprintf("/v1/jobs/j-%d", 1+i%2), nil)
 					switch {
-					case time.Since(began) > 2*time.Second || status == 0:
+					case time.Since(sentAt) > 2*time.Second || status == 0:
 						late.Add(1)
 					case status == http.StatusOK:
 						served.Add(1)
@@ -74,12 +74,12 @@
 		c.waitFor(90*time.Second, "all tasks running", func() bool { return c.tasksOnMachines("j-1", 4*machines) == 4*machines })
 		c.advance(10 * time.Second)
 		starts := c.world.TaskStarts()
-		var orders atomic.Int64
+		var commands atomic.Int64
 		reported := sync.Map{}
 		end, _ := c.injectFault(func(from, _, path string) emulator.Fault {
 			switch {
 			case path == "/orders":
-				orders.Add(1)
+				commands.Add(1)
 			case strings.HasSuffix(path, "/report"):
 				reported.Store(from, true)
 			}
@@ -97,7 +97,7 @@
 		if heard < machines {
 			t.Errorf("%d of %d workers have sent a heartbeat", heard, machines)
 		}
-		if n := orders.Load(); n > machines/4 {
+		if n := commands.Load(); n > machines/4 {
 			t.Errorf("%d commands to %d machines that need none", n, machines)
 		}
 		c.advance(derived.Workers.Lease + derived.Workers.HeartbeatInterval)
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -40,15 +40,15 @@
 	if !r.store.Failing() {
 		return true
 	}
-	if ago, ever := r.since(&r.leaderReachedStoreAt); ever && ago <= 2*r.derived.Workers.HeartbeatInterval {
+	if elapsed, known := r.since(&r.leaderReachedStoreAt); known && elapsed <= 2*r.derived.Workers.HeartbeatInterval {
 		return false
 	}
-	ago, ever := r.since(&r.leaderHeardAt)
-	return !ever || ago <= r.derived.Workers.CancelDeadline // most outages have ended by this deadline
+	elapsed, known := r.since(&r.leaderHeardAt)
+	return !known || elapsed <= r.derived.Workers.CancelDeadline // most outages have ended by this deadline
 }
 
 // since returns the time elapsed since moment, and false if moment is not set.
-func (r *readiness) since(moment *atomic.Int64) (ago time.Duration, ever bool) {
+func (r *readiness) since(moment *atomic.Int64) (elapsed time.Duration, known bool) {
 	at := time.Duration(moment.Load())
 	return time.Since(r.startedAt) - at, at != 0
 }
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -220,8 +220,8 @@
 // TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if heartbeats
 // list all its tasks; if they list only some, all tasks stop and start again together.
 func TestGangWithLostLog(t *testing.T) {
-	for _, partly := range []bool{false, true} {
-		t.Run(fmt.Sprint("partly ", partly), func(t *testing.T) {
+	for _, loseOneTask := range []bool{false, true} {
+		t.Run(fmt.Sprint("partly ", loseOneTask), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.submit("perch-0", gangJob("j-1", 3, 300))
 				c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 3) == 3 })
@@ -230,7 +230,7 @@
 				old := c.leader()
 				c.crash(old)
 				c.world.Store.LoseKeys(true, emulator.WithPrefix("book/"))
-				if partly {
+				if loseOneTask {
 					c.world.KillMachine(c.world.MachinesOf("j-1/1")[0])
 				}
 				c.waitForNewLeader(15*time.Second, old)
@@ -238,8 +238,8 @@
 				c.advance(2 * time.Minute)
 				switch n, started := c.tasksOnMachines("j-1", 3), c.world.TaskStarts()-starts; {
 				case n != 3:
-					t.Errorf("partly %v: %d of 3 tasks are running", partly, n)
-				case !partly && started > 0:
+					t.Errorf("one task lost %v: %d of 3 tasks are running", loseOneTask, n)
+				case !loseOneTask && started > 0:
 					t.Errorf("%d tasks of a complete gang were restarted", started)
 				}
 			})
@@ -381,7 +381,7 @@
 		for _, tc := range []struct {
 			controllerName, method, path, body string
 			status                             int
-			says                               string
+			wantInBody                         string
 		}{
 			{leader, "GET", "/recovery", "", http.StatusOK, `"phase":"whole"`},
 			{other, "GET", "/recovery", "", http.StatusMisdirectedRequest, leader},
@@ -393,7 +393,7 @@
 			{leader, "POST", "/recovery/import", strings.Repeat("x", 2<<20), http.StatusBadRequest, ""},
 			{leader, "GET", "/metrics", "", http.StatusOK, `ospreyslip_recovery_phase{phase="whole"} 1`},
 		} {
-			if status, body := request(tc.controllerName, tc.method, tc.path, tc.body); status != tc.status || !strings.Contains(body, tc.says) {
+			if status, body := request(tc.controllerName, tc.method, tc.path, tc.body); status != tc.status || !strings.Contains(body, tc.wantInBody) {
 				t.Errorf("%s %s %.40s at %s: %d %.200s", tc.method, tc.path, tc.body, tc.controllerName, status, body)
 			}
 		}
--- a/internal/controller/request_cost_test.go
+++ b/internal/controller/request_cost_test.go
@@ -139,17 +139,17 @@
 func (l *loopbackCluster) heartbeatUntilFull() {
 	l.tb.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; {
-		idle := 0
+		notFull := 0
 		for _, worker := range l.fleet {
 			if worker.sendHeartbeat(l.tb); len(worker.lastHeartbeat.Tasks) < 4 {
-				idle++
+				notFull++
 			}
 		}
-		if idle == 0 {
+		if notFull == 0 {
 			return
 		}
 		if time.Now().After(deadline) {
-			l.tb.Fatalf("%d of %d machines are not full", idle, len(l.fleet))
+			l.tb.Fatalf("%d of %d machines are not full", notFull, len(l.fleet))
 		}
 	}
 }
@@ -228,12 +228,12 @@
 	if status != http.StatusOK {
 		tb.Fatalf("heartbeat: status %d", status)
 	}
-	var answer workers.HeartbeatResponse
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var response workers.HeartbeatResponse
+	if err := json.Unmarshal(body, &response); err != nil {
 		tb.Fatal(err)
 	}
-	w.lastHeartbeat.FencingToken = answer.FencingToken
-	for _, command := range answer.Commands {
+	w.lastHeartbeat.FencingToken = response.FencingToken
+	for _, command := range response.Commands {
 		if command.Op == workers.OpRun {
 			w.lastHeartbeat.Tasks = append(w.lastHeartbeat.Tasks, workers.TaskStatus{Name: command.Task, Attempt: command.Attempt, State: workers.StateRunning})
 		}
@@ -295,8 +295,8 @@
 		worker := loop.fleet[i%len(loop.fleet)]
 		i++
 		worker.conn.Close()
-		fresh := loop.dial()
-		worker.conn, worker.reader = fresh.conn, fresh.reader
+		newClient := loop.dial()
+		worker.conn, worker.reader = newClient.conn, newClient.reader
 		worker.sendHeartbeat(b)
 	}
 }
--- a/internal/controller/rollback_detection_test.go
+++ b/internal/controller/rollback_detection_test.go
@@ -25,7 +25,7 @@
 			return emulator.Deliver
 		})
 		for i := range 4 {
-			c.submit(c.otherThan(leader), batchJob(fmt.Sprintf("j-%d", 10+i), 1, 3))
+			c.submit(c.controllerOtherThan(leader), batchJob(fmt.Sprintf("j-%d", 10+i), 1, 3))
 			c.advance(500 * time.Millisecond)
 		}
 		end()
@@ -43,7 +43,7 @@
 		c.submit("perch-0", serviceJob("j-1", 2))
 		c.advance(20 * time.Second)
 		before := c.world.Store.Backup()
-		accepting := c.otherThan(c.leader())
+		accepting := c.controllerOtherThan(c.leader())
 		spec := batchJob("j-2", 1, 5)
 		c.world.UploadSpec(spec)
 		if status, _ := c.request("POST", accepting, "/v1/jobs", wireSpec(spec)); status != http.StatusCreated {
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -12,9 +12,9 @@
 	"ospreyslip/internal/settings"
 )
 
-// TestManyTasks checks that the completions of a job with many tasks are stored in chunks that fit
-// the store's value limit.
-func TestManyTasks(t *testing.T) {
+// TestCompletionsFitValueLimit checks that the completions of a job with many tasks are stored in
+// chunks that fit the store's value limit.
+func TestCompletionsFitValueLimit(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Store.ValueKB, set.Deployment.Store.TxnOps = 1, 4 }
 	runCluster(t, adjust, func(c *cluster) {
 		c.world.Store.SetLimits(emulator.StoreLimits{ValueBytes: 1 << 10, TxnOps: 4, WritesPerSecond: 1000}) // TxnOps: fewer than there are machines
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -27,7 +27,7 @@
 func newSimulatedUsers(c *cluster) *simulatedUsers {
 	users := &simulatedUsers{cluster: c, lastTaskEnded: map[string]chan struct{}{}, finalStates: map[string]string{}}
 	users.ctx, users.cancel = context.WithCancel(c.ctx)
-	c.world.JobEnded = func(id string) {
+	c.world.JobCompleted = func(id string) {
 		users.mu.Lock()
 		defer users.mu.Unlock()
 		if ended := users.lastTaskEnded[id]; ended != nil {
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -40,7 +40,7 @@
 	case r.URL.Path == "/catalog":
 		writeJSON(rw, http.StatusOK, catalogResponse{w.Types})
 	case r.URL.Path == "/rentals" && r.Method == http.MethodPost:
-		w.serveRental(rw, r)
+		w.serveProvision(rw, r)
 	case r.URL.Path == "/rentals/release":
 		w.serveRelease(rw, r)
 	default:
@@ -48,12 +48,12 @@
 	}
 }
 
-func (w *World) serveRental(rw http.ResponseWriter, r *http.Request) {
-	var request rentalRequest
+func (w *World) serveProvision(rw http.ResponseWriter, r *http.Request) {
+	var request provisionRequest
 	_ = json.NewDecoder(r.Body).Decode(&request)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if names, ok := w.cloud.rentals[request.Name]; ok {
+	if names, ok := w.cloud.provisioned[request.Name]; ok {
 		writeJSON(rw, http.StatusOK, machineNames{names})
 		return
 	}
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	w.cloud.rentals[request.Name] = names
+	w.cloud.provisioned[request.Name] = names
 	writeJSON(rw, http.StatusOK, machineNames{names})
 }
 
@@ -99,7 +99,7 @@
 	entries := []machineEntry{}
 	for _, name := range slices.Sorted(maps.Keys(w.cloud.machines)) {
 		listedMachine := w.cloud.machines[name]
-		if time.Since(listedMachine.rentedAt) < w.ListLag {
+		if time.Since(listedMachine.provisionedAt) < w.ListLag {
 			continue
 		}
 		state := "booting"
@@ -108,7 +108,7 @@
 		}
 		entries = append(entries, machineEntry{
 			ID: name, Addr: listedMachine.worker.status.Addr, Type: listedMachine.machineType.Name, Zone: listedMachine.zone, Spot: listedMachine.spot,
-			State: state, AgeS: time.Since(listedMachine.rentedAt).Seconds(),
+			State: state, AgeS: time.Since(listedMachine.provisionedAt).Seconds(),
 		})
 	}
 	writeJSON(rw, http.StatusOK, machinePage{Machines: entries})
@@ -127,7 +127,7 @@
 		world: w, config: w.Workers, machineType: machineType, cancel: cancel, images: map[string]bool{}, heartbeatRequested: make(chan struct{}, 1),
 		status: workers.Heartbeat{Machine: name, Addr: addr, Type: machineType.Name, Zone: zone, Spot: spot, AgentEpoch: 1},
 	}
-	newMachine := &machine{worker: worker, machineType: machineType, zone: zone, spot: spot, rentedAt: time.Now()}
+	newMachine := &machine{worker: worker, machineType: machineType, zone: zone, spot: spot, provisionedAt: time.Now()}
 	w.cloud.machines[name] = newMachine
 	w.goroutines.Go(func() {
 		select {
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -11,7 +11,7 @@
 	size            int
 	joined          map[string]*Worker // workers of the tasks whose image is fetched, by task
 	startedAt       time.Time          // when all tasks had joined
-	brokenAt        time.Time          // when, after the start, a task was lost or was not told to stop in time
+	failedAt        time.Time          // when, after the start, a task was lost or was not told to stop in time
 	stopRequestedAt time.Time          // when the first task was told to stop with enough time to save
 	stopRequested   map[string]bool    // tasks that were told to stop with enough time to save
 	done            bool
@@ -66,7 +66,7 @@
 	sinceStop := now.Sub(attempt.stopRequestedAt)
 	allStopRequested := len(attempt.stopRequested) == attempt.size
 	switch {
-	case attempt.done || attempt.brokenAt.IsZero() && !isStopping && !now.Before(attempt.startedAt.Add(runTime)):
+	case attempt.done || attempt.failedAt.IsZero() && !isStopping && !now.Before(attempt.startedAt.Add(runTime)):
 		attempt.done = true
 		for n := range job.Tasks {
 			w.tasks.done[workers.TaskName(jobID, n)] = true
@@ -74,14 +74,14 @@
 		return workers.StateEnded, workers.CauseDone, false
 	case attempt.saved:
 		return workers.StateEnded, workers.CauseStopped, true
-	case !attempt.brokenAt.IsZero():
+	case !attempt.failedAt.IsZero():
 		return workers.StateEnded, workers.CauseGangMemberGone, false
 	case isStopping && allStopRequested && sinceStop.Seconds() >= job.CheckpointSaveS:
 		attempt.saved = true
 		w.tasks.gangProgress[jobID] += attempt.stopRequestedAt.Sub(attempt.startedAt)
 		return workers.StateEnded, workers.CauseStopped, true
 	case isStopping && !allStopRequested && sinceStop > w.Workers.GangStopWindow:
-		attempt.brokenAt = now
+		attempt.failedAt = now
 		return workers.StateEnded, workers.CauseGangMemberGone, false
 	}
 	return member.State, "", false
@@ -124,12 +124,12 @@
 	return true
 }
 
-// gangTaskLeft records that a task of a gang has left its machine, which breaks an unfinished
+// gangTaskLeft records that a task of a gang has left its machine, which fails an unfinished
 // attempt that has started. The World's lock must be held.
 func (s *taskState) gangTaskLeft(member workers.TaskStatus) {
 	attempt := s.gangOf(member)
 	delete(attempt.joined, member.Name)
-	if !attempt.startedAt.IsZero() && !attempt.done && !attempt.saved && attempt.brokenAt.IsZero() {
-		attempt.brokenAt = time.Now()
+	if !attempt.startedAt.IsZero() && !attempt.done && !attempt.saved && attempt.failedAt.IsZero() {
+		attempt.failedAt = time.Now()
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -26,13 +26,13 @@
 	windowStart    time.Time // start of the second in which writes are counted
 	writesInWindow int
 
-	outage        bool
-	overloaded    bool
-	refusedHosts  map[string]bool
-	watchLag      int            // number of newest changes that watches do not show yet
-	historyLength int            // number of changes that watches can ask for
-	requests      map[string]int // number of requests by path
-	rejected      int            // number of malformed transactions and of those that exceed the limits
+	outage               bool
+	overloaded           bool
+	refusedHosts         map[string]bool
+	watchLag             int            // number of newest changes that watches do not show yet
+	historyLength        int            // number of changes that watches can ask for
+	requests             map[string]int // number of requests by path
+	rejectedTransactions int            // number of malformed transactions and of those that exceed the limits
 }
 
 // entry is the value of a key with its metadata.
@@ -133,11 +133,11 @@
 	if s.outage || s.leases[id] == nil {
 		return
 	}
-	s.endLease(id)
+	s.removeLease(id)
 }
 
-// endLease removes a lease and the keys that are attached to it. s.mu must be held.
-func (s *KVStore) endLease(id uint64) {
+// removeLease removes a lease and the keys that are attached to it. s.mu must be held.
+func (s *KVStore) removeLease(id uint64) {
 	s.leases[id].timer.Stop()
 	delete(s.leases, id)
 	var attachedKeys []string
--- a/internal/emulator/store_commit.go
+++ b/internal/emulator/store_commit.go
@@ -18,7 +18,7 @@
 	raw, _ := io.ReadAll(r.Body)
 	var txn commitRequest
 	if err := json.Unmarshal(raw, &txn); err != nil || len(raw) > maxTxnBytes || !s.withinLimits(txn) {
-		s.rejected++
+		s.rejectedTransactions++
 		writeJSON(w, http.StatusBadRequest, errorResponse{"malformed"})
 		return
 	}
--- a/internal/emulator/store_faults.go
+++ b/internal/emulator/store_faults.go
@@ -70,7 +70,7 @@
 func (s *KVStore) RejectedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rejected
+	return s.rejectedTransactions
 }
 
 // LoseKeys removes the keys that match and returns them. Watches show the removal as a change at
--- a/internal/emulator/store_http.go
+++ b/internal/emulator/store_http.go
@@ -95,7 +95,7 @@
 	case isRenewal:
 		granted.timer.Reset(granted.duration)
 	case r.Method == http.MethodDelete:
-		s.endLease(id)
+		s.removeLease(id)
 	}
 	writeJSON(w, http.StatusOK, nil)
 }
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -157,8 +157,8 @@
 	}
 	if cause == workers.CauseDone && !w.tasks.done[status.Name] {
 		w.tasks.done[status.Name] = true
-		if w.JobEnded != nil && w.tasks.allDone(jobID) {
-			go w.JobEnded(jobID)
+		if w.JobCompleted != nil && w.tasks.allDone(jobID) {
+			go w.JobCompleted(jobID)
 		}
 	}
 }
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -72,7 +72,7 @@
 	Types []jobs.MachineType `json:"perches"`
 }
 
-type rentalRequest struct {
+type provisionRequest struct {
 	Name  string `json:"charter"`
 	Type  string `json:"perchKind"`
 	Zone  string `json:"eyrie"`
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -219,10 +219,10 @@
 }
 
 // SetSlowness sets the factor by which batch tasks take longer.
-func (w *Worker) SetSlowness(times float64) {
+func (w *Worker) SetSlowness(factor float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slowness = times
+	w.slowness = factor
 }
 
 // SetHung suspends or resumes the worker. Its tasks end when the lease expires, also while it is
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -28,7 +28,7 @@
 		jobID, number, _ := workers.SplitTask(t.Name)
 		job := w.world.spec(jobID)
 		if t.State == workers.StateFetching && (w.images[job.Image] || now.Sub(t.stateSince) >= w.config.FetchTime) {
-			w.beginTask(t, job, now)
+			w.startTask(t, job, now)
 		}
 		if job != nil && job.Shape == jobs.Gang && (t.State == workers.StateGathering || t.State == workers.StateRunning) {
 			w.advanceGangTask(t)
@@ -43,8 +43,8 @@
 	}
 }
 
-// beginTask starts a task whose image is available. A task of a gang waits for the other tasks.
-func (w *Worker) beginTask(t *task, job *jobs.Spec, now time.Time) {
+// startTask starts a task whose image is available. A task of a gang waits for the other tasks.
+func (w *Worker) startTask(t *task, job *jobs.Spec, now time.Time) {
 	w.images[job.Image] = true
 	t.State, t.stateSince = workers.StateRunning, now
 	if job.Shape == jobs.Gang {
@@ -82,7 +82,7 @@
 		switch command.Op {
 		case workers.OpRun:
 			if t == nil {
-				w.startTask(command)
+				w.addTask(command)
 			}
 		case workers.OpStop:
 			if t != nil && t.State != workers.StateEnded {
@@ -106,9 +106,9 @@
 	return found
 }
 
-// startTask adds a new attempt at a task. A refused attempt is added in StateEnded, so that the
+// addTask adds a new attempt at a task. A refused attempt is added in StateEnded, so that the
 // heartbeat reports the cause.
-func (w *Worker) startTask(command workers.Command) {
+func (w *Worker) addTask(command workers.Command) {
 	jobID, number, ok := workers.SplitTask(command.Task)
 	job := w.world.spec(jobID)
 	newTask := &task{
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -33,9 +33,9 @@
 	// HeartbeatAnswered is called for each answered heartbeat with the current time and the time
 	// between sending the previous answered heartbeat and this one. It may be nil.
 	HeartbeatAnswered func(at time.Time, gap time.Duration)
-	// JobEnded is called in its own goroutine when the last task of a job completes. It may be
+	// JobCompleted is called in its own goroutine when the last task of a job completes. It may be
 	// nil.
-	JobEnded func(id string)
+	JobCompleted func(id string)
 
 	ctx        context.Context // machines stop when it ends
 	goroutines sync.WaitGroup  // goroutines of machines and of cancellation deadlines
@@ -49,19 +49,19 @@
 // cloud is the state of the emulated cloud.
 type cloud struct {
 	machines    map[string]*machine // by name
-	rentals     map[string][]string // names of machines, by name of the provisioning request
+	provisioned map[string][]string // names of machines, by name of the provisioning request
 	nextMachine int                 // number of the next machine to be provisioned
 	capacity    int                 // maximum number of machines that can be provisioned at a time
 	outage      bool
 }
 
 type machine struct {
-	worker      *Worker
-	machineType jobs.MachineType
-	zone        string
-	spot        bool
-	rentedAt    time.Time
-	up          bool // has booted and was not released
+	worker        *Worker
+	machineType   jobs.MachineType
+	zone          string
+	spot          bool
+	provisionedAt time.Time
+	up            bool // has booted and was not released
 }
 
 // taskState holds the actual state of jobs and their tasks, which may differ from what controllers
@@ -83,7 +83,7 @@
 		Network: NewNetwork(), Store: NewKVStore(), Workers: config,
 		Types: types, BootTime: 10 * time.Second, ListLag: 4 * time.Second, CancelDeadline: time.Hour,
 		ctx:   ctx,
-		cloud: cloud{machines: map[string]*machine{}, rentals: map[string][]string{}, capacity: 1000},
+		cloud: cloud{machines: map[string]*machine{}, provisioned: map[string][]string{}, capacity: 1000},
 		tasks: taskState{
 			specs: map[string]*jobs.Spec{}, machinesOf: map[string]map[string]bool{}, done: map[string]bool{},
 			cancelled: map[string]time.Time{}, ends: map[string]int{},
