--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -153,12 +153,12 @@
 func TestLeaderCrashWithUnreachableMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		rule func(far string) emulator.FaultRule
+		rule func(machine string) emulator.FaultRule
 	}{
-		{"unreachable", func(far string) emulator.FaultRule { return isolate(far) }},
-		{"cannot receive", func(far string) emulator.FaultRule {
+		{"unreachable", func(machine string) emulator.FaultRule { return isolate(machine) }},
+		{"cannot receive", func(machine string) emulator.FaultRule {
 			return func(from, to, _ string) emulator.Fault {
-				switch far {
+				switch machine {
 				case from:
 					return emulator.DropResponse
 				case to:
@@ -167,30 +167,30 @@
 				return emulator.Deliver
 			}
 		}},
-		{"cannot send", func(far string) emulator.FaultRule {
+		{"cannot send", func(machine string) emulator.FaultRule {
 			return func(from, _, _ string) emulator.Fault {
-				if from == far {
+				if from == machine {
 					return emulator.DropRequest
 				}
 				return emulator.Deliver
 			}
 		}},
 	} {
-		for _, cloud := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, cloud up %v", tc.name, cloud), func(t *testing.T) {
+		for _, cloudUp := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, cloud up %v", tc.name, cloudUp), func(t *testing.T) {
 				runCluster(t, nil, func(c *cluster) {
 					c.submit("perch-0", batchJob("j-3", 4, 150))
 					c.runServiceAndBatch()
-					far := c.world.MachinesOf("j-1/0")[0]
-					c.world.SetCloudOutage(!cloud)
-					end, hits := c.injectFault(tc.rule(far))
+					machine := c.world.MachinesOf("j-1/0")[0]
+					c.world.SetCloudOutage(!cloudUp)
+					end, hits := c.injectFault(tc.rule(machine))
 					c.replaceLeader()
-					if !cloud { // there is no capacity elsewhere
-						c.waitFor(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), far) })
+					if !cloudUp { // there is no capacity elsewhere
+						c.waitFor(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), machine) })
 						c.world.SetCloudOutage(false)
 					}
 					c.waitFor(90*time.Second, "service running on other machines", func() bool {
-						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), far)
+						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), machine)
 					})
 					if hits() == 0 {
 						t.Error("no message was affected")
@@ -342,7 +342,7 @@
 		other := c.names[(slices.Index(c.names, isolated)+1)%3]
 		c.cancelJob(other, "j-3") // while the isolated controller still leads
 		if status, _ := c.request("GET", isolated, "/v1/jobs/j-3", nil); status == http.StatusOK {
-			t.Errorf("an isolated controller responds to a query: %d", status)
+			t.Errorf("an isolated controller serves a query: %d", status)
 		}
 		c.waitForNewLeader(15*time.Second, isolated)
 		c.cancelJob(other, "j-2")
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -162,7 +162,7 @@
 		c.advance(50 * time.Second)
 		report := map[string]any{"host": "m-000900", "addr": "10.1.9.9:9000", "perchKind": "c4", "eyrie": "a", "soar": 1, "beat": 1, "crest": 0, "talons": []any{}}
 		if status, view := c.request("POST", isolated, "/v1/report", report); status != http.StatusServiceUnavailable {
-			t.Errorf("a controller that is cut off from the store responds to a worker: %d %v", status, view)
+			t.Errorf("a controller that is cut off from the store serves a worker: %d %v", status, view)
 		}
 		if status, _ := c.request("GET", isolated, "/up", nil); status != http.StatusServiceUnavailable {
 			t.Errorf("a controller without store and leader is ready: /up is %d", status)
