--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -198,7 +198,7 @@
 }
 
 // TestCancelHeldJob checks that the tasks of a held job are stopped in time when its user cancels
-// it, although no record tells on which machines they are.
+// it, although no record says on which machines they are.
 func TestCancelHeldJob(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -217,11 +217,11 @@
 	})
 }
 
-// TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if all its
-// tasks are known from heartbeats; if only some are, all stop and start again together.
+// TestGangWithLostLog checks that a gang whose assignment log is lost keeps running if heartbeats
+// list all its tasks; if they list only some, all tasks stop and start again together.
 func TestGangWithLostLog(t *testing.T) {
-	for _, partly := range []bool{false, true} {
-		t.Run(fmt.Sprint("partly ", partly), func(t *testing.T) {
+	for _, loseOneTask := range []bool{false, true} {
+		t.Run(fmt.Sprint("partly ", loseOneTask), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.submit("perch-0", gangJob("j-1", 3, 300))
 				c.waitFor(60*time.Second, "running", func() bool { return c.tasksOnMachines("j-1", 3) == 3 })
@@ -230,7 +230,7 @@
 				old := c.leader()
 				c.crash(old)
 				c.world.Store.LoseKeys(true, emulator.WithPrefix("book/"))
-				if partly {
+				if loseOneTask {
 					c.world.KillMachine(c.world.MachinesOf("j-1/1")[0])
 				}
 				c.waitForNewLeader(15*time.Second, old)
@@ -238,8 +238,8 @@
 				c.advance(2 * time.Minute)
 				switch n, started := c.tasksOnMachines("j-1", 3), c.world.TaskStarts()-starts; {
 				case n != 3:
-					t.Errorf("partly %v: %d of 3 tasks are running", partly, n)
-				case !partly && started > 0:
+					t.Errorf("one task lost %v: %d of 3 tasks are running", loseOneTask, n)
+				case !loseOneTask && started > 0:
 					t.Errorf("%d tasks of a complete gang were restarted", started)
 				}
 			})
@@ -316,8 +316,8 @@
 	})
 }
 
-// TestUncertainJobRunsAfterTimeout checks that a described uncertain job runs after, and not
-// before, the time that the operator setting runUncertainAfterS states.
+// TestUncertainJobRunsAfterTimeout checks that an uncertain job whose description is known runs
+// after, and not before, the time in the operator setting runUncertainAfterS.
 func TestUncertainJobRunsAfterTimeout(t *testing.T) {
 	runCluster(t, func(set *settings.Settings) { set.Operator.RunHeldJobsAfterS = 90 }, func(c *cluster) {
 		c.world.SetCapacity(0)
@@ -338,15 +338,15 @@
 		starts := c.world.TaskStarts()
 		c.advance(60 * time.Second)
 		if c.world.TaskStarts() != starts {
-			t.Error("an uncertain job ran before runUncertainAfterS was over")
+			t.Error("an uncertain job ran before runUncertainAfterS had elapsed")
 		}
 		c.waitFor(4*time.Minute, "held job released and started", func() bool { return c.recoveryStatus().Held == 0 && c.world.TaskStarts() > starts })
 		c.waitForDone(time.Minute, "j-1")
 	})
 }
 
-// TestRecoveryWithPeerThatCannotAnswer checks that a recovery completes when peers, as an earlier
-// version does, neither answer requests for lost jobs nor handle loss notices. Such a version can
+// TestRecoveryWithPeerThatCannotAnswer checks that a recovery completes when peers of an earlier
+// version neither respond to requests for lost jobs nor handle loss notices. Such a version can
 // read the records that are written back.
 func TestRecoveryWithPeerThatCannotAnswer(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -365,7 +365,7 @@
 	})
 }
 
-// TestOperatorRequests checks that only the leader answers operators' requests, and that invalid
+// TestOperatorRequests checks that only the leader serves operators' requests, and that invalid
 // requests are refused with the reason.
 func TestOperatorRequests(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -381,7 +381,7 @@
 		for _, tc := range []struct {
 			controllerName, method, path, body string
 			status                             int
-			says                               string
+			wantInBody                         string
 		}{
 			{leader, "GET", "/recovery", "", http.StatusOK, `"phase":"whole"`},
 			{other, "GET", "/recovery", "", http.StatusMisdirectedRequest, leader},
@@ -393,7 +393,7 @@
 			{leader, "POST", "/recovery/import", strings.Repeat("x", 2<<20), http.StatusBadRequest, ""},
 			{leader, "GET", "/metrics", "", http.StatusOK, `ospreyslip_recovery_phase{phase="whole"} 1`},
 		} {
-			if status, body := request(tc.controllerName, tc.method, tc.path, tc.body); status != tc.status || !strings.Contains(body, tc.says) {
+			if status, body := request(tc.controllerName, tc.method, tc.path, tc.body); status != tc.status || !strings.Contains(body, tc.wantInBody) {
 				t.Errorf("%s %s %.40s at %s: %d %.200s", tc.method, tc.path, tc.body, tc.controllerName, status, body)
 			}
 		}
@@ -402,7 +402,7 @@
 
 // TestWorkerUnreachableDuringRecovery checks that the tasks of a machine that is unreachable when
 // the assignment log is lost and the leader crashes are started elsewhere only after the worker's
-// lease is over, and that none runs twice when the machine is back.
+// lease has expired, and that none runs twice when the machine is back.
 func TestWorkerUnreachableDuringRecovery(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.runOneJobOfEachKind()
@@ -415,7 +415,7 @@
 		c.start(old)
 		c.advance(12 * time.Second)
 		if n := c.world.TaskStarts() - starts; n > 0 || len(c.world.MachinesOf("j-2/0")) != 1 {
-			t.Errorf("%d tasks were started before the lease of %s was over", n, unreachable)
+			t.Errorf("%d tasks were started before the lease of %s had expired", n, unreachable)
 		}
 		c.advance(20 * time.Second)
 		c.waitFor(90*time.Second, "tasks running elsewhere", func() bool { return c.tasksOnMachines("j-1", 2) == 2 && c.tasksOnMachines("j-2", 4) == 4 })
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -26,13 +26,13 @@
 	windowStart    time.Time // start of the second in which writes are counted
 	writesInWindow int
 
-	outage        bool
-	overloaded    bool
-	refusedHosts  map[string]bool
-	watchLag      int            // number of newest changes that watches do not show yet
-	historyLength int            // number of changes that watches can ask for
-	requests      map[string]int // number of requests by path
-	rejected      int            // number of malformed transactions and of those that exceed the limits
+	outage               bool
+	overloaded           bool
+	refusedHosts         map[string]bool
+	watchLag             int            // number of newest changes that watches do not show yet
+	historyLength        int            // number of changes that watches can ask for
+	requests             map[string]int // number of requests by path
+	rejectedTransactions int            // number of malformed transactions and of those that exceed the limits
 }
 
 // entry is the value of a key with its metadata.
@@ -44,7 +44,7 @@
 
 type lease struct {
 	duration time.Duration
-	timer    *time.Timer // ends the lease
+	timer    *time.Timer // expires the lease
 }
 
 // StoreLimits limits the bytes in a value, the writes in a transaction and the writes per second
@@ -126,18 +126,18 @@
 	s.changed = make(chan struct{})
 }
 
-// expireLease ends a lease that was not renewed in time. Leases do not expire during an outage.
+// expireLease removes a lease that was not renewed in time. Leases do not expire during an outage.
 func (s *KVStore) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage || s.leases[id] == nil {
 		return
 	}
-	s.endLease(id)
+	s.removeLease(id)
 }
 
-// endLease removes a lease and the keys that are attached to it. s.mu must be held.
-func (s *KVStore) endLease(id uint64) {
+// removeLease removes a lease and the keys that are attached to it. s.mu must be held.
+func (s *KVStore) removeLease(id uint64) {
 	s.leases[id].timer.Stop()
 	delete(s.leases, id)
 	var attachedKeys []string
