--- a/internal/leader/assignmentlog/write.go
+++ b/internal/leader/assignmentlog/write.go
@@ -76,7 +76,7 @@
 	}
 	for ref := range segment.Completions {
 		chunk := ref.Job.Completions.Chunks[ref.Index]
-		if chunk == nil || chunk.Segment != segment || chunk.Moving || ref.Job.IsOver() {
+		if chunk == nil || chunk.Segment != segment || chunk.Moving || ref.Job.IsFinished() {
 			continue
 		}
 		bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
@@ -163,7 +163,7 @@
 	for len(l.queue.chunks) > 0 {
 		ref := l.queue.chunks[0]
 		chunk := ref.Job.Completions.Chunks[ref.Index]
-		if !ref.Job.IsOver() { // otherwise the job's final record replaces the chunk
+		if !ref.Job.IsFinished() { // otherwise the job's final record replaces the chunk
 			bits := ref.Job.EncodeChunk(ref.Index, l.config.ChunkTasks)
 			size := chunkSize(ref, bits)
 			switch {
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -81,8 +81,8 @@
 // HasRetries reports whether any of the pending tasks was placed before.
 func (p *PendingTasks) HasRetries() bool { return len(p.retries) > 0 }
 
-// IsOver reports whether the job is cancelled or complete. None of its tasks may be started then.
-func (j *Job) IsOver() bool { return j.End.Cancelled || j.End.Complete }
+// IsFinished reports whether the job is cancelled or complete. None of its tasks may be started then.
+func (j *Job) IsFinished() bool { return j.End.Cancelled || j.End.Complete }
 
 // TakePendingTask removes one of the pending tasks and returns its index. There must be at least
 // one. Tasks that were placed before come first.
@@ -151,7 +151,7 @@
 // MayAdopt reports whether a task that a worker lists may be a task of the job that the log lacks.
 // A task that ended without completing needs no adoption.
 func (j *Job) MayAdopt(index int, task *workers.TaskStatus) bool {
-	if j.IsOver() || index >= j.Spec.Tasks || j.IsTaskDone(index) || j.Assignments[index] != nil {
+	if j.IsFinished() || index >= j.Spec.Tasks || j.IsTaskDone(index) || j.Assignments[index] != nil {
 		return false
 	}
 	return task.State != workers.StateEnded || task.Cause == workers.CauseDone && j.Spec.Shape == jobs.Batch
--- a/internal/leader/dispatch/announce.go
+++ b/internal/leader/dispatch/announce.go
@@ -21,7 +21,7 @@
 	for _, segment := range segments {
 		for _, attempt := range cluster.SortedAttempts(segment.Assignments) {
 			a := segment.Assignments[attempt]
-			if a.Job.IsOver() || a.Stop.Requested || d.mayHaveRoom(a.Machine, requests) {
+			if a.Job.IsFinished() || a.Stop.Requested || d.mayHaveRoom(a.Machine, requests) {
 				d.Notify(a.Machine)
 			}
 		}
@@ -42,7 +42,7 @@
 func (d *Dispatcher) pendingResourceRequests() map[placement.Resources]bool {
 	requests := map[placement.Resources]bool{}
 	for _, job := range d.State.Jobs {
-		if !job.IsOver() {
+		if !job.IsFinished() {
 			requests[placement.TaskRequest(job.Spec)] = true
 		}
 	}
--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -112,5 +112,5 @@
 func (d *Dispatcher) isJobUnfinished(task *workers.TaskStatus) bool {
 	id, _, ok := workers.SplitTask(task.Name)
 	job := d.State.Jobs[id]
-	return ok && job != nil && !job.IsOver()
+	return ok && job != nil && !job.IsFinished()
 }
--- a/internal/leader/dispatch/dispatcher.go
+++ b/internal/leader/dispatch/dispatcher.go
@@ -196,7 +196,7 @@
 	d.Detector.CommandAnswered(machine.ID, HeartbeatSeq(response.heartbeat))
 	d.Tasks.Observe(machine, response.heartbeat, now)
 	for _, a := range machine.Assignments {
-		if a.Job.IsOver() && a.Outcome == cluster.Open {
+		if a.Job.IsFinished() && a.Outcome == cluster.Open {
 			d.Tasks.EndIfUnsent(a)
 		}
 	}
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -222,7 +222,7 @@
 // RemoveIfSettled removes a job that is finished and has no task on any machine, once its record
 // has been written.
 func (t *Tracker) RemoveIfSettled(job *cluster.Job) {
-	if !job.IsOver() || len(job.Assignments) > 0 || t.State.Jobs[job.ID] != job {
+	if !job.IsFinished() || len(job.Assignments) > 0 || t.State.Jobs[job.ID] != job {
 		return
 	}
 	if job.End.Complete && !job.End.Cancelled && !job.End.CompletionDurable {
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -132,11 +132,11 @@
 // resumeJobs continues each job from the state in which the previous leader left it.
 func (l *Loader) resumeJobs(now time.Time) {
 	for _, job := range l.State.Jobs {
-		if job.IsGang() && !job.IsOver() && job.GangVerdict() == gang.Abort {
+		if job.IsGang() && !job.IsFinished() && job.GangVerdict() == gang.Abort {
 			// The previous leader's term ended while only some tasks of the gang had started or ended.
 			l.Tasks.StopGang(job, 0)
 		}
-		if !job.IsOver() && job.Spec.Shape == jobs.Batch && job.Completions.Count == job.Spec.Tasks {
+		if !job.IsFinished() && job.Spec.Shape == jobs.Batch && job.Completions.Count == job.Spec.Tasks {
 			l.Tasks.CompleteJob(job)
 		}
 		l.Jobs.PublishCounts(job)
--- a/internal/leader/planner/planner.go
+++ b/internal/leader/planner/planner.go
@@ -104,7 +104,7 @@
 
 // Enqueue adds the job to the queue if it is unfinished and has pending tasks.
 func (p *Planner) Enqueue(job *cluster.Job) {
-	if job.Pending.Count > 0 && !job.IsOver() {
+	if job.Pending.Count > 0 && !job.IsFinished() {
 		p.queued[job] = true
 	}
 }
@@ -150,7 +150,7 @@
 	wallMs := now.UnixMilli()
 	for job := range p.queued {
 		switch {
-		case job.IsOver() || job.Pending.Count == 0:
+		case job.IsFinished() || job.Pending.Count == 0:
 			delete(p.queued, job)
 		case job.IsGang() && len(job.Assignments) > 0:
 			// The gang is queued again when the last task of its attempt is removed. If
@@ -208,7 +208,7 @@
 	for _, a := range assignments {
 		switch {
 		case a.Outcome != cluster.Open:
-		case a.Stop.Requested || a.Job.IsOver():
+		case a.Stop.Requested || a.Job.IsFinished():
 			offer.Releasing = offer.Releasing.AddTimes(placement.TaskRequest(a.Job.Spec), 1)
 		case a.Log.Durable:
 			task := r.task(a, now)
--- a/internal/leader/planner/priority.go
+++ b/internal/leader/planner/priority.go
@@ -82,7 +82,7 @@
 	var unfinished []*placement.Job
 	clusterJobs := map[*placement.Job]*cluster.Job{}
 	for _, job := range p.state.Jobs {
-		if !job.IsOver() {
+		if !job.IsFinished() {
 			planned := &placement.Job{Spec: job.Spec, AcceptanceOrder: job.SubmissionOrder}
 			clusterJobs[planned] = job
 			unfinished = append(unfinished, planned)
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -40,7 +40,7 @@
 	}
 	a.logIncomplete, a.allTasksKnownBy = true, until
 	for _, job := range a.cfg.State.Jobs {
-		if !job.IsOver() {
+		if !job.IsFinished() {
 			a.start(job, until)
 		}
 	}
@@ -146,11 +146,11 @@
 // some tasks are known is stopped, and starts again once these are off their machines.
 func (a *adoption) endDue(now time.Time) {
 	for job := range a.jobs {
-		if now.Before(job.Adoption.Until) && !job.IsOver() {
+		if now.Before(job.Adoption.Until) && !job.IsFinished() {
 			continue
 		}
 		delete(a.jobs, job)
-		if len(job.Adoption.ReportedGangTasks) > 0 && !job.IsOver() {
+		if len(job.Adoption.ReportedGangTasks) > 0 && !job.IsFinished() {
 			a.adoptGang(job, now)
 			if len(job.Assignments) > 0 {
 				a.cfg.Leader.StopGang(job)
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -47,7 +47,7 @@
 		return
 	}
 	observed := recovery.Knowledge{
-		Done: job.End.CompletionDurable, Cancelled: job.End.Cancelled, Unfinished: !job.IsOver(),
+		Done: job.End.CompletionDurable, Cancelled: job.End.Cancelled, Unfinished: !job.IsFinished(),
 		Spec: job.Spec, AcceptedAtMs: job.AcceptedMs,
 	}
 	if job.End.Complete && !job.End.CompletionDurable {
@@ -79,7 +79,7 @@
 	k.lost.Merge(id, recovery.Attribute(from, cached))
 	// A finished job is stopped at once, even if other facts about it are still uncertain.
 	switch job := k.cfg.State.Jobs[id]; {
-	case job == nil || job.IsOver():
+	case job == nil || job.IsFinished():
 	case cached.Cancelled:
 		k.cfg.Leader.CancelJob(job, job.Revision)
 	case cached.Done:
--- a/internal/leader/recoverer/orphans.go
+++ b/internal/leader/recoverer/orphans.go
@@ -103,7 +103,7 @@
 		return false // not a task of this scheduler
 	}
 	if job := r.cfg.State.Jobs[id]; job != nil {
-		return r.adoption.jobs[job] && !job.IsOver() && job.Adoption.ReportedGangTasks[index].Machine == machine
+		return r.adoption.jobs[job] && !job.IsFinished() && job.Adoption.ReportedGangTasks[index].Machine == machine
 	}
 	if known, found := r.cfg.Cache.Known(id); found && known.Finished() {
 		return false
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -104,7 +104,7 @@
 // backlogCPUSeconds returns the work of all incomplete tasks that run to completion, in CPU seconds.
 func (s *Scaler) backlogCPUSeconds() (work float64) {
 	for _, job := range s.deps.State.Jobs {
-		if !job.IsOver() && job.Spec.RunsToCompletion() {
+		if !job.IsFinished() && job.Spec.RunsToCompletion() {
 			work += float64(job.Spec.Tasks-job.Completions.Count) * s.host.RunTimeS(job.Spec) * job.Spec.CPUs
 		}
 	}
--- a/internal/leader/scaler/forecast.go
+++ b/internal/leader/scaler/forecast.go
@@ -68,7 +68,7 @@
 		}
 		runS := s.host.RunTimeS(a.Job.Spec)
 		leftS := runS - now.Sub(a.RunningSince).Seconds()
-		if a.Stop.Requested || a.Job.IsOver() {
+		if a.Stop.Requested || a.Job.IsFinished() {
 			leftS = a.Stop.GraceS
 		}
 		releases = append(releases, autoscaler.Release{AtS: max(leftS, overrunShare*runS), Resources: placement.TaskRequest(a.Job.Spec)})
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -90,7 +90,7 @@
 func (l *Leader) classStatuses() []ClassStatus {
 	byClass := map[string]*ClassStatus{}
 	for _, job := range l.state.Jobs {
-		if job.IsOver() {
+		if job.IsFinished() {
 			continue
 		}
 		status := byClass[job.Spec.Class]
--- a/internal/leader/tasks/gang.go
+++ b/internal/leader/tasks/gang.go
@@ -20,7 +20,7 @@
 // removeFromGang removes a task that is off its machine from the current attempt of its gang. Unless
 // the job is finished, the remaining tasks have to stop.
 func (m *Manager) removeFromGang(job *cluster.Job) {
-	if job.Gang.Assigned--; !job.IsOver() && job.GangVerdict() == gang.Abort {
+	if job.Gang.Assigned--; !job.IsFinished() && job.GangVerdict() == gang.Abort {
 		slog.Debug("gang incomplete", "job", job.ID, "attempt", job.Gang.Number, "term", m.Fencing.Current, "left", job.Gang.Assigned)
 		m.StopGang(job, 0)
 	}
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -105,7 +105,7 @@
 	return reconcile.Attempt{
 		AgentEpoch: assignment.AgentEpoch, Durable: assignment.Log.Durable, ObservedState: assignment.ObservedState,
 		CommandPending: assignment.Start.RequestInFlight, Sent: assignment.Start.Sent, InDoubtToken: assignment.Start.InDoubtToken,
-		RunsToCompletion: job.Spec.RunsToCompletion(), JobFinished: job.IsOver(), JobCancelled: job.End.Cancelled,
+		RunsToCompletion: job.Spec.RunsToCompletion(), JobFinished: job.IsFinished(), JobCancelled: job.End.Cancelled,
 		Preempted: assignment.Stop.Requested, GraceS: assignment.Stop.GraceS,
 		GangReady: assignment.MayRun(),
 		// The log may lack its newest records: the task may have ended, or may run elsewhere.
@@ -170,7 +170,7 @@
 // completeTask marks the assignment's task as done. For a gang, it marks all of the gang's tasks.
 func (m *Manager) completeTask(assignment *cluster.Assignment) {
 	job := assignment.Job
-	if job.IsOver() || !job.MarkTaskDone(assignment.Index) {
+	if job.IsFinished() || !job.MarkTaskDone(assignment.Index) {
 		return
 	}
 	if job.IsGang() {
@@ -220,7 +220,7 @@
 		if len(job.Assignments) == 0 {
 			job.Gang, job.Scheduling.GangPendingSince = cluster.GangAttempt{}, time.Now()
 		}
-		if assignment.Outcome == cluster.Retry && !job.IsOver() {
+		if assignment.Outcome == cluster.Retry && !job.IsFinished() {
 			job.RequeueTask(assignment.Index)
 			m.Planner.Enqueue(job)
 		}
