--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -36,7 +36,7 @@
 type JobEnd struct {
 	Cancelled         bool
 	CancelSeenAt      time.Time // when this leader learned of the cancellation
-	Recorded          string    // state in the record of a job that was finished when the term began
+	RecordedState     string    // state in the record of a job that was finished when the term began
 	Complete          bool      // all tasks are done; the job's record may not say so yet
 	CompletionDurable bool      // the job's record says that it is done
 }
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -270,7 +270,7 @@
 		record.Spec = &jobs.Spec{ID: task.Job, Tasks: task.Index + 1, Shape: jobs.Batch}
 	}
 	job := cluster.NewJob(task.Job, record.Spec, stored.Revision, 0, now)
-	job.End.Cancelled, job.End.Recorded = true, record.State
+	job.End.Cancelled, job.End.RecordedState = true, record.State
 	l.State.Jobs[task.Job] = job
 	return job
 }
--- a/internal/leader/recoverer/knowledge.go
+++ b/internal/leader/recoverer/knowledge.go
@@ -55,8 +55,8 @@
 			observed.CompletedTasks = append(observed.CompletedTasks, n)
 		}
 	}
-	if job.End.Recorded != "" {
-		observed = recovery.Knowledge{Done: job.End.Recorded == jobs.Done, Cancelled: job.End.Recorded == jobs.Cancelled}
+	if job.End.RecordedState != "" {
+		observed = recovery.Knowledge{Done: job.End.RecordedState == jobs.Done, Cancelled: job.End.RecordedState == jobs.Cancelled}
 	}
 	k.lost.Merge(id, recovery.Attribute(recovery.FromLeader, observed))
 }
