--- a/internal/leader/dispatch/scenario_test.go
+++ b/internal/leader/dispatch/scenario_test.go
@@ -31,7 +31,7 @@
 func (fakeHost) Notify(*cluster.Machine)                                   {}
 func (fakeHost) JobCompleted(*cluster.Job)                                 {}
 func (fakeHost) CountsChanged(*cluster.Job)                                {}
-func (fakeHost) RemoveIfSettled(*cluster.Job)                              {}
+func (fakeHost) RemoveIfFinished(*cluster.Job)                             {}
 func (fakeHost) MayHaveUnknownTasks(*cluster.Job, time.Time) bool          { return false }
 
 // blockingTransport is an HTTP transport that blocks each request until its context is done.
--- a/internal/leader/jobtracker/tracker.go
+++ b/internal/leader/jobtracker/tracker.go
@@ -187,7 +187,7 @@
 		t.Tasks.EndIfUnsent(a)
 	}
 	t.Planner.PlanRequested = true
-	t.RemoveIfSettled(job)
+	t.RemoveIfFinished(job)
 }
 
 // QueueCompleted queues a job's record to be written as done.
@@ -216,12 +216,12 @@
 // MarkCompletionDurable marks a job's record as written as done.
 func (t *Tracker) MarkCompletionDurable(job *cluster.Job) {
 	job.End.CompletionDurable = true
-	t.RemoveIfSettled(job)
+	t.RemoveIfFinished(job)
 }
 
-// RemoveIfSettled removes a job that is finished and has no task on any machine, once its record
+// RemoveIfFinished removes a job that is finished and has no task on any machine, once its record
 // has been written.
-func (t *Tracker) RemoveIfSettled(job *cluster.Job) {
+func (t *Tracker) RemoveIfFinished(job *cluster.Job) {
 	if !job.IsFinished() || len(job.Assignments) > 0 || t.State.Jobs[job.ID] != job {
 		return
 	}
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -27,8 +27,8 @@
 	JobCompleted(job *cluster.Job)
 	// CountsChanged publishes how many tasks of the job are done and running.
 	CountsChanged(job *cluster.Job)
-	// RemoveIfSettled drops the job from memory if it is finished and has no task on any machine.
-	RemoveIfSettled(job *cluster.Job)
+	// RemoveIfFinished drops the job from memory if it is finished and has no task on any machine.
+	RemoveIfFinished(job *cluster.Job)
 	// MayHaveUnknownTasks reports whether the assignment log may lack tasks of the job.
 	MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool
 }
@@ -226,7 +226,7 @@
 		}
 	}
 	m.Planner.PlanRequested = true
-	m.Host.RemoveIfSettled(job)
+	m.Host.RemoveIfFinished(job)
 }
 
 // setObservedState sets the state in which the worker reports the task, empty if it does not list
--- a/internal/leader/wiring.go
+++ b/internal/leader/wiring.go
@@ -49,10 +49,10 @@
 
 var _ tasks.Host = taskHost{}
 
-func (h taskHost) Notify(machine *cluster.Machine)  { h.l.dispatcher.Notify(machine) }
-func (h taskHost) CountsChanged(job *cluster.Job)   { h.l.jobs.PublishCounts(job) }
-func (h taskHost) RemoveIfSettled(job *cluster.Job) { h.l.jobs.RemoveIfSettled(job) }
-func (h taskHost) JobCompleted(job *cluster.Job)    { h.l.jobs.QueueCompleted(job) }
+func (h taskHost) Notify(machine *cluster.Machine)   { h.l.dispatcher.Notify(machine) }
+func (h taskHost) CountsChanged(job *cluster.Job)    { h.l.jobs.PublishCounts(job) }
+func (h taskHost) RemoveIfFinished(job *cluster.Job) { h.l.jobs.RemoveIfFinished(job) }
+func (h taskHost) JobCompleted(job *cluster.Job)     { h.l.jobs.QueueCompleted(job) }
 
 func (h taskHost) MayHaveUnknownTasks(job *cluster.Job, now time.Time) bool {
 	return h.l.recovery.BlocksPlacement(job, now)
