--- a/internal/leader/dispatch/commands.go
+++ b/internal/leader/dispatch/commands.go
@@ -76,7 +76,7 @@
 		orphan := reconcile.OrphanedTask{
 			Ended: task.State == workers.StateEnded, JobCancelled: d.Host.IsCancelled(job),
 			RecordsIncomplete: d.Host.MustKeepOrphan(machine, task),
-			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatAnswer: inHeartbeatResponse,
+			CommandToken:      machine.Commands.StartedByRequest[ref], WorkerToken: machine.Worker.Token, InHeartbeatResponse: inHeartbeatResponse,
 		}
 		switch decision := orphan.DecideCommand(); {
 		case decision.Action == reconcile.Stop:
--- a/internal/reconcile/decide_test.go
+++ b/internal/reconcile/decide_test.go
@@ -79,13 +79,13 @@
 		task OrphanedTask
 		want Decision
 	}{
-		"running":                               {OrphanedTask{WorkerToken: 7, InHeartbeatAnswer: true}, Decision{Action: Stop, Reason: Orphaned}},
+		"running":                               {OrphanedTask{WorkerToken: 7, InHeartbeatResponse: true}, Decision{Action: Stop, Reason: Orphaned}},
 		"running, of a cancelled job":           {OrphanedTask{WorkerToken: 7, JobCancelled: true}, Decision{Action: Stop, Reason: JobCancelled}},
 		"running, records incomplete":           {OrphanedTask{WorkerToken: 7, RecordsIncomplete: true}, Decision{Action: InDoubt, Reason: RecordsIncomplete}},
-		"ended":                                 {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"ended":                                 {OrphanedTask{WorkerToken: 7, Ended: true, InHeartbeatResponse: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
 		"ended, outside a heartbeat response":   {OrphanedTask{WorkerToken: 7, Ended: true}, Decision{Action: Wait, Reason: EndRecorded}},
-		"ended, start command may arrive again": {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
-		"ended, start command would be refused": {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatAnswer: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
+		"ended, start command may arrive again": {OrphanedTask{WorkerToken: 7, CommandToken: 7, Ended: true, InHeartbeatResponse: true}, Decision{Action: Wait, Reason: TokenNotSuperseded}},
+		"ended, start command would be refused": {OrphanedTask{WorkerToken: 8, CommandToken: 7, Ended: true, InHeartbeatResponse: true}, Decision{Action: Acknowledge, Reason: EndRecorded}},
 	} {
 		if got := c.task.DecideCommand(); got != c.want {
 			t.Errorf("%s: %v (%s), want %v (%s)", name, got.Action, got.Reason, c.want.Action, c.want.Reason)
--- a/internal/reconcile/orphaned_task.go
+++ b/internal/reconcile/orphaned_task.go
@@ -9,9 +9,9 @@
 	// heartbeat response or by an earlier leader.
 	CommandToken uint64
 	WorkerToken  uint64 // highest fencing token that the worker has seen
-	// InHeartbeatAnswer is set if the decision is sent in a heartbeat response, after which no
+	// InHeartbeatResponse is set if the decision is sent in a heartbeat response, after which no
 	// start command for the task can arrive.
-	InHeartbeatAnswer bool
+	InHeartbeatResponse bool
 }
 
 // DecideCommand decides which command about an orphaned task to send to its worker, if any. A task
@@ -27,7 +27,7 @@
 		return Decision{Action: Stop, Reason: Orphaned}
 	case orphan.CommandToken != 0 && orphan.CommandToken >= orphan.WorkerToken:
 		return Decision{Action: Wait, Reason: TokenNotSuperseded}
-	case !orphan.InHeartbeatAnswer:
+	case !orphan.InHeartbeatResponse:
 		return Decision{Action: Wait, Reason: EndRecorded}
 	}
 	return Decision{Action: Acknowledge, Reason: EndRecorded}
