--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -114,7 +114,7 @@
 		gauge(failoverMachinesDesc, float64(count), state)
 	}
 	moments := map[string]float64{
-		"records_read": progress.RecordsLoadedS, "first_answer": progress.FirstAnswerS, "first_order": progress.FirstCommandS, "settled": progress.DoneS,
+		"records_read": progress.RecordsLoadedS, "first_answer": progress.FirstResponseS, "first_order": progress.FirstCommandS, "settled": progress.DoneS,
 	}
 	for moment, after := range moments {
 		if after > 0 {
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -17,7 +17,7 @@
 	}
 	progress := l.failover.Progress(now)
 	slog.Info("failover settled", "term", l.fencing.Current, "afterS", progress.DoneS, "machines", progress.Expected,
-		"heard", progress.Reported, "never", progress.NeverReported, "answerS", progress.FirstAnswerS,
+		"heard", progress.Reported, "never", progress.NeverReported, "answerS", progress.FirstResponseS,
 		"orderS", progress.FirstCommandS, "commands", progress.Commands)
 	l.planner.PlanRequested = true
 }
--- a/internal/reconcile/failover_test.go
+++ b/internal/reconcile/failover_test.go
@@ -45,7 +45,7 @@
 	}
 	failover.CountCommand(workers.OpRun, Assigned)
 	p := failover.Progress(at(10))
-	if p.Phase != FailoverDone || p.Reported != 2 || p.NeverReported != 1 || p.DoneS != 9 || p.FirstAnswerS != 1.5 || p.FirstCommandS != 0 {
+	if p.Phase != FailoverDone || p.Reported != 2 || p.NeverReported != 1 || p.DoneS != 9 || p.FirstResponseS != 1.5 || p.FirstCommandS != 0 {
 		t.Errorf("%+v", p)
 	}
 	if len(p.Commands) != 1 || p.Commands[0].String() != "run (assigned): 1" {
--- a/internal/reconcile/progress.go
+++ b/internal/reconcile/progress.go
@@ -44,7 +44,7 @@
 	// expired, or the machine was released.
 	NeverReported  int     `json:"never"`
 	RecordsLoadedS float64 `json:"readS"`
-	FirstAnswerS   float64 `json:"answerS"` // first response to a heartbeat
+	FirstResponseS float64 `json:"answerS"` // first response to a heartbeat
 	FirstCommandS  float64 `json:"orderS"`  // first command sent outside a heartbeat response
 	DoneS          float64 `json:"settledS"`
 	// Commands counts the commands sent before the failover was done, by operation and reason.
@@ -59,7 +59,7 @@
 		Reported:       f.reported,
 		NeverReported:  f.neverReported,
 		RecordsLoadedS: f.secondsSinceStart(f.loadedAt),
-		FirstAnswerS:   f.secondsSinceStart(f.firstResponseAt),
+		FirstResponseS: f.secondsSinceStart(f.firstResponseAt),
 		FirstCommandS:  f.secondsSinceStart(f.firstCommandAt),
 		DoneS:          f.secondsSinceStart(f.doneAt),
 		Commands:       f.sortedCommandCounts(),
