--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -42,18 +42,18 @@
 
 func (d *segmentDraft) addStart(assignment *cluster.Assignment) {
 	i, ok := d.machineAt[assignment.Machine]
-	if !ok || d.record.Begun[i].Session != assignment.AgentEpoch {
-		i = len(d.record.Begun)
+	if !ok || d.record.Started[i].Session != assignment.AgentEpoch {
+		i = len(d.record.Started)
 		d.machineAt[assignment.Machine] = i
 		m := assignment.Machine
-		d.record.Begun = append(d.record.Begun, MachineRecord{
+		d.record.Started = append(d.record.Started, MachineRecord{
 			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: assignment.AgentEpoch,
 		})
 		d.bytes += startSize(assignment)
 	} else {
 		d.bytes += taskSize(assignment)
 	}
-	tasks := &d.record.Begun[i].Tasks
+	tasks := &d.record.Started[i].Tasks
 	*tasks = append(*tasks, TaskRecord{assignment.Job.ID, assignment.Index, assignment.Attempt, assignment.GangAttempt})
 	d.startedAssignments = append(d.startedAssignments, assignment)
 }
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -13,11 +13,11 @@
 
 // SegmentRecord is the stored form of a segment.
 type SegmentRecord struct {
-	Number uint64             `json:"number"`
-	Begun  []MachineRecord    `json:"begun,omitempty"`
-	Ended  []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
-	Done   []CompletionRecord `json:"done,omitempty"`
-	Dead   []string           `json:"dead,omitempty"` // machines newly judged dead
+	Number  uint64             `json:"number"`
+	Started []MachineRecord    `json:"begun,omitempty"`
+	Ended   []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
+	Done    []CompletionRecord `json:"done,omitempty"`
+	Dead    []string           `json:"dead,omitempty"` // machines newly judged dead
 }
 
 // MachineRecord lists the tasks assigned to one machine in one agent epoch.
@@ -82,7 +82,7 @@
 func ReferencedJobs(segments []StoredSegment) map[string]bool {
 	referenced := map[string]bool{}
 	for _, segment := range segments {
-		for _, machine := range segment.Record.Begun {
+		for _, machine := range segment.Record.Started {
 			for _, task := range machine.Tasks {
 				referenced[task.Job] = true
 			}
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -185,7 +185,7 @@
 	segmentByAttempt := map[uint64]*cluster.Segment{}
 	for _, stored := range segments {
 		segment := stored.Segment
-		for _, machineRecord := range stored.Record.Begun {
+		for _, machineRecord := range stored.Record.Started {
 			machine := l.restoreMachine(machineRecord, now)
 			for _, task := range machineRecord.Tasks {
 				if earlier := segmentByAttempt[task.Attempt]; earlier != nil {
--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -66,7 +66,7 @@
 // newestAttempt returns the highest attempt number in a log.
 func newestAttempt(log []assignmentlog.StoredSegment) (newest uint64) {
 	for _, stored := range log {
-		for _, machine := range stored.Record.Begun {
+		for _, machine := range stored.Record.Started {
 			for _, task := range machine.Tasks {
 				newest = max(newest, task.Attempt)
 			}
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -181,7 +181,7 @@
 	attempt := uint64(termToken+2)<<s.cfg.AttemptBits + 3
 	log := []assignmentlog.StoredSegment{{
 		Segment: cluster.NewSegment(assignmentlog.Prefix+"0", 1),
-		Record: assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{
+		Record: assignmentlog.SegmentRecord{Number: 1, Started: []assignmentlog.MachineRecord{
 			{Machine: "m-1", Tasks: []assignmentlog.TaskRecord{{Job: "j-000001", Attempt: attempt}}},
 		}},
 	}}
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -69,7 +69,7 @@
 // restoreMachine makes the leader restore a machine from a segment of the assignment log.
 func restoreMachine(t *testing.T, l *Leader, record assignmentlog.MachineRecord, now time.Time) {
 	t.Helper()
-	value, err := json.Marshal(assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{record}})
+	value, err := json.Marshal(assignmentlog.SegmentRecord{Number: 1, Started: []assignmentlog.MachineRecord{record}})
 	if err != nil {
 		t.Fatal(err)
 	}
