--- a/internal/leader/assignmentlog/draft.go
+++ b/internal/leader/assignmentlog/draft.go
@@ -42,12 +42,12 @@
 
 func (d *segmentDraft) addStart(assignment *cluster.Assignment) {
 	i, ok := d.machineAt[assignment.Machine]
-	if !ok || d.record.Started[i].Session != assignment.AgentEpoch {
+	if !ok || d.record.Started[i].AgentEpoch != assignment.AgentEpoch {
 		i = len(d.record.Started)
 		d.machineAt[assignment.Machine] = i
 		m := assignment.Machine
 		d.record.Started = append(d.record.Started, MachineRecord{
-			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: assignment.AgentEpoch,
+			Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AgentEpoch: assignment.AgentEpoch,
 		})
 		d.bytes += startSize(assignment)
 	} else {
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -22,13 +22,13 @@
 
 // MachineRecord lists the tasks assigned to one machine in one agent epoch.
 type MachineRecord struct {
-	Machine string       `json:"m"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"type"`
-	Zone    string       `json:"zone"`
-	Spot    bool         `json:"spot,omitempty"`
-	Session uint64       `json:"session"`
-	Tasks   []TaskRecord `json:"tasks"`
+	Machine    string       `json:"m"`
+	Addr       string       `json:"addr"`
+	Type       string       `json:"type"`
+	Zone       string       `json:"zone"`
+	Spot       bool         `json:"spot,omitempty"`
+	AgentEpoch uint64       `json:"session"`
+	Tasks      []TaskRecord `json:"tasks"`
 }
 
 // TaskRecord is one assignment. Its attempt is unique among all tasks. Workers identify the tasks
--- a/internal/leader/loader/loader.go
+++ b/internal/leader/loader/loader.go
@@ -192,7 +192,7 @@
 					delete(earlier.Assignments, task.Attempt) // carried over to a later segment
 				}
 				segmentByAttempt[task.Attempt] = segment
-				l.restoreTask(segment, machine, machineRecord.Session, task, finished, now)
+				l.restoreTask(segment, machine, machineRecord.AgentEpoch, task, finished, now)
 			}
 		}
 		for _, attempt := range stored.Record.Ended {
@@ -231,7 +231,7 @@
 		l.Failover.ExpectMachine(machine.ID)
 	}
 	machine.Addr, machine.Type, machine.Zone, machine.Spot = record.Addr, record.Type, record.Zone, record.Spot
-	machine.Worker.AgentEpoch = max(machine.Worker.AgentEpoch, record.Session)
+	machine.Worker.AgentEpoch = max(machine.Worker.AgentEpoch, record.AgentEpoch)
 	return machine
 }
 
--- a/internal/leader/lost_records_test.go
+++ b/internal/leader/lost_records_test.go
@@ -71,7 +71,7 @@
 		var segments []kvstore.KeyValue
 		for i, machine := range []string{"m-1", "m-2"} {
 			value, err := json.Marshal(assignmentlog.SegmentRecord{Number: uint64(i + 1), Started: []assignmentlog.MachineRecord{{
-				Machine: machine, Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", Session: 1,
+				Machine: machine, Addr: "10.1.0.1:9000", Type: "c4", Zone: "a", AgentEpoch: 1,
 				Tasks: []assignmentlog.TaskRecord{{Job: j.ID, Index: 0, Attempt: uint64(i + 1)}},
 			}}})
 			if err != nil {
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -20,7 +20,7 @@
 	leader.catalog.Types = func() []jobs.MachineType {
 		return []jobs.MachineType{{Name: "c4", CPUs: 4, RAMGB: 8, FetchGBPS: 1, BootS: 10}}
 	}
-	restoreMachine(t, leader, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", Session: 1}, now)
+	restoreMachine(t, leader, assignmentlog.MachineRecord{Machine: "m-9", Addr: "10.1.0.9:9000", Type: "c4", Zone: "a", AgentEpoch: 1}, now)
 	leader.plan(now)
 	if leader.planner.PlanRequested {
 		t.Fatal("a plan is requested before any event")
