--- a/internal/leader/assignmentlog/log.go
+++ b/internal/leader/assignmentlog/log.go
@@ -91,8 +91,8 @@
 	return log
 }
 
-// QueueBegin queues the start of an assignment for writing.
-func (l *Log) QueueBegin(assignment *cluster.Assignment) {
+// QueueStart queues the start of an assignment for writing.
+func (l *Log) QueueStart(assignment *cluster.Assignment) {
 	l.queue.starts = append(l.queue.starts, assignment)
 }
 
--- a/internal/leader/assignmentlog/log_test.go
+++ b/internal/leader/assignmentlog/log_test.go
@@ -26,7 +26,7 @@
 		index := job.TakePendingTask()
 		a := &cluster.Assignment{Job: job, Index: index, Attempt: uint64(102 + index), GangAttempt: 101, AgentEpoch: 1, Machine: machine}
 		job.Assignments[index], machine.Assignments[a.Attempt] = a, a
-		log.QueueBegin(a)
+		log.QueueStart(a)
 		queued = append(queued, a)
 	}
 	return queued
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -43,7 +43,7 @@
 func makeAssignmentsDurable(l *Leader, j *cluster.Job, tasks ...int) {
 	l.readLog(nil) // drops what is queued
 	for _, n := range tasks {
-		l.log.QueueBegin(j.Assignments[n])
+		l.log.QueueStart(j.Assignments[n])
 	}
 	batch := transaction.New()
 	l.log.AddSegments(batch, 1)
--- a/internal/leader/recoverer/adoption.go
+++ b/internal/leader/recoverer/adoption.go
@@ -113,7 +113,7 @@
 	if job.IsGang() {
 		job.JoinGang(adopted)
 	}
-	a.cfg.AssignmentLog().QueueBegin(adopted)
+	a.cfg.AssignmentLog().QueueStart(adopted)
 }
 
 // isGangComplete reports whether all tasks of one attempt of a gang are known.
--- a/internal/leader/tasks/manager.go
+++ b/internal/leader/tasks/manager.go
@@ -82,7 +82,7 @@
 	m.Planner.Capacity.Allocate(a)
 	machine.Assignments[a.Attempt] = a
 	job.Assignments[task] = a
-	m.Log.QueueBegin(a)
+	m.Log.QueueStart(a)
 	if !machine.Offer.Images[job.Spec.Image] {
 		machine.Offer.Fetching[job.Spec.Image] = job.Spec.ImageGB
 	}
--- a/internal/leader/writer/writer_test.go
+++ b/internal/leader/writer/writer_test.go
@@ -25,7 +25,7 @@
 	job := cluster.NewJob("j-1", &jobs.Spec{ID: "j-1", Team: "red", Shape: jobs.Batch, Tasks: 2, CPUs: 1}, 79, 0, now)
 	token.RaisePending = true
 	tracker.QueueCompleted(job)
-	log.QueueBegin(&cluster.Assignment{Job: job, Attempt: 101, Machine: cluster.NewMachine("m-1", now)})
+	log.QueueStart(&cluster.Assignment{Job: job, Attempt: 101, Machine: cluster.NewMachine("m-1", now)})
 	b := w.Compose()
 	revisions := map[string]uint64{}
 	for _, g := range b.Guards {
