--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -42,7 +42,7 @@
 // provision requests the missing machines with a limited number of requests in flight. More requests
 // would only queue at the cloud and be out of date when they are served.
 func (s *Scaler) provision(ctx context.Context, now time.Time, unmetDemand []placement.Demand) {
-	if s.provisioning.inFlight >= s.deps.Derived.Cloud.RentalsInFlight {
+	if s.provisioning.inFlight >= s.deps.Derived.Cloud.MaxProvisionRequestsInFlight {
 		return
 	}
 	demands := s.demand(now, unmetDemand)
@@ -55,7 +55,7 @@
 		OutOfCapacity: func(pool autoscaler.MachinePool) bool { return s.isUnavailable(pool, now) },
 	})
 	for _, pool := range autoscaler.PoolsLargestFirst(plan) {
-		for remaining := plan[pool]; remaining > 0 && s.provisioning.inFlight < s.deps.Derived.Cloud.RentalsInFlight; remaining -= autoscaler.MaxMachinesPerRequest {
+		for remaining := plan[pool]; remaining > 0 && s.provisioning.inFlight < s.deps.Derived.Cloud.MaxProvisionRequestsInFlight; remaining -= autoscaler.MaxMachinesPerRequest {
 			s.startProvision(ctx, pool, min(remaining, autoscaler.MaxMachinesPerRequest))
 		}
 	}
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -165,9 +165,9 @@
 	RequestTimeout time.Duration // twice ListLag
 	ListInterval   time.Duration // between two reads of the machine list: half of ListLag
 	ListLag        time.Duration // maximum age of the machine list that the cloud returns: list_lag_s
-	// RentalsInFlight is the maximum number of concurrent requests for machines: half of what
+	// MaxProvisionRequestsInFlight is the maximum number of concurrent requests for machines: half of what
 	// the cloud accepts in a control interval, and at least 2.
-	RentalsInFlight int
+	MaxProvisionRequestsInFlight int
 }
 
 // HostBudget holds the limits of what one controller uses of its host.
@@ -280,10 +280,10 @@
 func (s *Settings) deriveCloud(leader LeaderTiming) CloudTiming {
 	lag := seconds(s.Deployment.Cloud.ListLagS)
 	return CloudTiming{
-		RequestTimeout:  2 * lag,
-		ListInterval:    lag / 2,
-		ListLag:         lag,
-		RentalsInFlight: max(2, int(s.Deployment.Cloud.RPS*leader.ControlInterval.Seconds()/2)),
+		RequestTimeout:               2 * lag,
+		ListInterval:                 lag / 2,
+		ListLag:                      lag,
+		MaxProvisionRequestsInFlight: max(2, int(s.Deployment.Cloud.RPS*leader.ControlInterval.Seconds()/2)),
 	}
 }
 
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -46,7 +46,7 @@
 		{"DoubtFor", d.Workers.InDoubtTimeout},
 		{"CloudWait", d.Cloud.RequestTimeout},
 		{"ListEvery", d.Cloud.ListInterval},
-		{"RentalsInFlight", d.Cloud.RentalsInFlight},
+		{"RentalsInFlight", d.Cloud.MaxProvisionRequestsInFlight},
 		{"ListLag", d.Cloud.ListLag},
 		{"FlushGap", d.Leader.FlushInterval},
 		{"CancelsKept", d.API.CancellationHistory},
