--- a/internal/leader/recoverer/records_check.go
+++ b/internal/leader/recoverer/records_check.go
@@ -82,7 +82,7 @@
 }
 
 // CheckRecords compares the records that a new leader has read with what this controller knew
-// before, and with the jobs that the log names. isOver reports whether a job named in the log is
+// before, and with the jobs that the log names. isFinished reports whether a job named in the log is
 // finished, according to its record or to this controller's cache. Records are never removed, so a
 // missing one is a loss.
 func (r *Recoverer) CheckRecords(counts RecordCounts, log []assignmentlog.StoredSegment, isFinished func(id string) bool, now time.Time) {
