--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -75,7 +75,7 @@
 	runClusterWith(t, testMachineTypes, adjust, scenario)
 }
 
-// runClusterWith is runCluster with other machine types than testMachineTypes.
+// runClusterWith is like runCluster, but with the given machine types in the cloud's catalog.
 func runClusterWith(t *testing.T, types []jobs.MachineType, adjust func(*settings.Settings), scenario func(c *cluster)) {
 	t.Helper()
 	t.Parallel() // each scenario has a synctest bubble of its own
@@ -113,8 +113,8 @@
 // settings returns the settings of one controller.
 func (c *cluster) settings(name string) *settings.Settings {
 	set := &settings.Settings{
-		Operator: settings.DefaultOperator(),
-		Node:     name, Zone: "a", Bind: userAddr(name), ClusterListen: clusterAddr(name),
+		Operator:       settings.DefaultOperator(),
+		ControllerName: name, Zone: "a", Bind: userAddr(name), ClusterListen: clusterAddr(name),
 		Endpoints: settings.Endpoints{Cloud: "10.2.0.2:1", Store: "10.2.0.1:1"},
 		Deployment: settings.Deployment{
 			ControllerCount: 3, Zones: []string{"a", "b", "c"},
@@ -127,7 +127,7 @@
 	}
 	for _, other := range c.names {
 		if other != name {
-			set.Peers = append(set.Peers, settings.Peer{Node: other, Zone: "a", Addr: clusterAddr(other)})
+			set.Peers = append(set.Peers, settings.Peer{ControllerName: other, Zone: "a", Addr: clusterAddr(other)})
 		}
 	}
 	if c.adjustSettings != nil {
@@ -217,8 +217,8 @@
 // startupTime is how long a controller that has just started may refuse requests. Users retry them.
 const startupTime = 2 * time.Second
 
-// cancelJob cancels a job and ends the test unless the first request is confirmed. It retries while
-// the controller is within its startup time.
+// cancelJob cancels a job and ends the test unless the cancellation is confirmed. It retries only
+// refusals with status 503 within the controller's startup time.
 func (c *cluster) cancelJob(controllerName, id string) {
 	c.t.Helper()
 	startedAt := time.Now()
@@ -234,7 +234,7 @@
 	}
 }
 
-// jobState returns a job's state from the first controller that answers with one, or "unknown".
+// jobState returns a job's state from the first controller that responds with one, or "unknown".
 func (c *cluster) jobState(id string) string {
 	for _, name := range c.names {
 		if status, view := c.request("GET", name, "/v1/jobs/"+id, nil); status == http.StatusOK {
@@ -352,8 +352,8 @@
 	c.waitFor(timeout, "a new leader", func() bool { name := c.leader(); return name != "" && name != old })
 }
 
-// firstRunning returns the first controller that has not crashed, or "" if all have.
-func (c *cluster) firstRunning() string {
+// firstRunningController returns the first controller that has not crashed, or "" if all have.
+func (c *cluster) firstRunningController() string {
 	for _, name := range c.names {
 		if !c.incarnations[name].ended() {
 			return name
@@ -362,8 +362,8 @@
 	return ""
 }
 
-// otherThan returns a controller other than the one named.
-func (c *cluster) otherThan(name string) string {
+// controllerOtherThan returns a controller other than the one named.
+func (c *cluster) controllerOtherThan(name string) string {
 	if name == c.names[0] {
 		return c.names[1]
 	}
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -33,20 +33,20 @@
 		nextJob.Team = "red"
 		c.submit("perch-1", nextJob)
 		unreachable := c.world.MachinesOf("j-1/0")[0]
-		stillThere := 0
+		maybeRunning := 0
 		for i := range 16 {
 			if c.world.MachinesOf(fmt.Sprintf("j-1/%d", i))[0] == unreachable {
-				stillThere++
+				maybeRunning++
 			}
 		}
 		end, hits := c.injectFault(isolate(unreachable))
 		c.crash(c.leader())
-		c.cancelJob(c.firstRunning(), "j-1")
-		c.waitFor(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == stillThere })
-		c.waitFor(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-stillThere })
+		c.cancelJob(c.firstRunningController(), "j-1")
+		c.waitFor(15*time.Second, "tasks on reachable machines stopped", func() bool { return c.tasksOnMachines("j-1", 16) == maybeRunning })
+		c.waitFor(10*time.Second, "the next job has the freed quota", func() bool { return c.tasksOnMachines("j-2", 16) == 16-maybeRunning })
 		c.advance(3 * time.Second)
-		if n := c.tasksOnMachines("j-2", 16); n != 16-stillThere || hits() == 0 {
-			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, stillThere, hits())
+		if n := c.tasksOnMachines("j-2", 16); n != 16-maybeRunning || hits() == 0 {
+			t.Errorf("%d tasks run beside %d that may still run, %d messages dropped", n, maybeRunning, hits())
 		}
 		c.advance(30 * time.Second)
 		end()
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestTaskCompletionsUnderDifferentLeaders checks that a job completes whose tasks end at different
-// times, under different leaders or while no controller leads.
+// TestTaskCompletionsUnderDifferentLeaders checks that a job is done although its tasks end at
+// different times, under different leaders or while no controller leads.
 func TestTaskCompletionsUnderDifferentLeaders(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		spec := batchJob("j-1", 2, 20)
@@ -153,12 +153,12 @@
 func TestLeaderCrashWithUnreachableMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		rule func(far string) emulator.FaultRule
+		rule func(machine string) emulator.FaultRule
 	}{
-		{"unreachable", func(far string) emulator.FaultRule { return isolate(far) }},
-		{"cannot receive", func(far string) emulator.FaultRule {
+		{"unreachable", func(machine string) emulator.FaultRule { return isolate(machine) }},
+		{"cannot receive", func(machine string) emulator.FaultRule {
 			return func(from, to, _ string) emulator.Fault {
-				switch far {
+				switch machine {
 				case from:
 					return emulator.DropResponse
 				case to:
@@ -167,30 +167,30 @@
 				return emulator.Deliver
 			}
 		}},
-		{"cannot send", func(far string) emulator.FaultRule {
+		{"cannot send", func(machine string) emulator.FaultRule {
 			return func(from, _, _ string) emulator.Fault {
-				if from == far {
+				if from == machine {
 					return emulator.DropRequest
 				}
 				return emulator.Deliver
 			}
 		}},
 	} {
-		for _, cloud := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, cloud up %v", tc.name, cloud), func(t *testing.T) {
+		for _, cloudUp := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, cloud up %v", tc.name, cloudUp), func(t *testing.T) {
 				runCluster(t, nil, func(c *cluster) {
 					c.submit("perch-0", batchJob("j-3", 4, 150))
 					c.runServiceAndBatch()
-					far := c.world.MachinesOf("j-1/0")[0]
-					c.world.SetCloudOutage(!cloud)
-					end, hits := c.injectFault(tc.rule(far))
+					machine := c.world.MachinesOf("j-1/0")[0]
+					c.world.SetCloudOutage(!cloudUp)
+					end, hits := c.injectFault(tc.rule(machine))
 					c.replaceLeader()
-					if !cloud { // there is no capacity elsewhere
-						c.waitFor(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), far) })
+					if !cloudUp { // there is no capacity elsewhere
+						c.waitFor(60*time.Second, "task ended on the machine", func() bool { return !slices.Contains(c.world.MachinesOf("j-1/0"), machine) })
 						c.world.SetCloudOutage(false)
 					}
 					c.waitFor(90*time.Second, "service running on other machines", func() bool {
-						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), far)
+						return c.tasksOnMachines("j-1", 2) == 2 && !slices.Contains(c.world.MachinesOf("j-1/0"), machine)
 					})
 					if hits() == 0 {
 						t.Error("no message was affected")
@@ -206,7 +206,7 @@
 
 // TestMachineCannotSend checks what happens to a machine that receives requests but whose own
 // requests are lost. Being probed renews no lease: its tasks end with the lease and are started
-// once elsewhere, and the hold on verdicts that its heartbeat counter causes is bounded.
+// once elsewhere, and the hold on verdicts that its sequence numbers cause is bounded.
 func TestMachineCannotSend(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.submit("perch-0", serviceJob("j-1", 2))
@@ -229,7 +229,7 @@
 		if hits() == 0 || probes.Load() == 0 {
 			t.Errorf("%d heartbeats were dropped, %d probes were sent", hits(), probes.Load())
 		}
-		// The hold is over: the failure of another machine is detected in the usual time.
+		// The hold has expired: the failure of another machine is detected in the usual time.
 		failed := c.world.MachinesOf("j-1/0")[0]
 		c.world.KillMachine(failed)
 		c.waitFor(25*time.Second, "service running again", func() bool {
@@ -280,7 +280,7 @@
 }
 
 // TestTransactionsAppliedLate checks that jobs still finish when two of three transactions get no
-// answer and are applied 2 to 12 s later, after newer ones of the same controller. These write
+// response and are applied 2 to 12 s later, after newer ones of the same controller. These write
 // acceptances, cancellations, completions, segments of the assignment log, and the term.
 func TestTransactionsAppliedLate(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
@@ -342,7 +342,7 @@
 		other := c.names[(slices.Index(c.names, isolated)+1)%3]
 		c.cancelJob(other, "j-3") // while the isolated controller still leads
 		if status, _ := c.request("GET", isolated, "/v1/jobs/j-3", nil); status == http.StatusOK {
-			t.Errorf("an isolated controller answers a query: %d", status)
+			t.Errorf("an isolated controller serves a query: %d", status)
 		}
 		c.waitForNewLeader(15*time.Second, isolated)
 		c.cancelJob(other, "j-2")
@@ -508,9 +508,9 @@
 		}
 		// A batch job can run with half of its tasks at a time, and a single replica needs no
 		// spreading.
-		array := batchJob("j-6", 4, 2)
-		array.Zone, array.Spread = "a", true
-		c.submit("perch-2", array)
+		batch := batchJob("j-6", 4, 2)
+		batch.Zone, batch.Spread = "a", true
+		c.submit("perch-2", batch)
 		singleReplica := serviceJob("j-7", 1)
 		singleReplica.Zone, singleReplica.OneZone = "a", true
 		c.submit("perch-2", singleReplica)
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -39,7 +39,8 @@
 	s.events = append(s.events, scheduledEvent{at, action})
 }
 
-// run executes all events that are due by until, also those scheduled meanwhile, and returns then.
+// run executes all events that are due by until, also those scheduled meanwhile, and then returns
+// at until.
 func (s *faultSchedule) run(start time.Time, until time.Duration) {
 	for {
 		slices.SortStableFunc(s.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
@@ -54,7 +55,7 @@
 	s.cluster.advance(time.Until(start.Add(until)))
 }
 
-// scheduleRandom draws a fault of any kind that begins at a time. The names given to injectOnPath
+// scheduleRandom draws a fault of any kind that starts at a time. The names given to injectOnPath
 // are part of a hash: with other names, the same seed affects other messages.
 func (s *faultSchedule) scheduleRandom(at time.Duration) {
 	fault := s.drawFault(at)
@@ -68,9 +69,9 @@
 	case 4:
 		fault.injectOnPath("reports come once more, late", "/v1/report", emulator.DeliverTwice)
 	case 5:
-		fault.injectOnPath("reports are held up", "/v1/report", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly))
+		fault.injectOnPath("reports are held up", "/v1/report", fault.randomEffect(emulator.DeliverLate, emulator.DeliverSlowly))
 	case 6:
-		fault.injectOnPath("orders are held up", "/orders", fault.oneOf(emulator.DeliverLate, emulator.DeliverSlowly, emulator.DeliverTwice, emulator.DropResponse))
+		fault.injectOnPath("orders are held up", "/orders", fault.randomEffect(emulator.DeliverLate, emulator.DeliverSlowly, emulator.DeliverTwice, emulator.DropResponse))
 	case 7:
 		fault.injectOnPath("transactions are slow", "/commit", emulator.DeliverSlowly)
 	case 8:
@@ -110,7 +111,7 @@
 	effect        emulator.Fault // on messages
 }
 
-// drawFault draws the parameters of a fault that begins at a time.
+// drawFault draws the parameters of a fault that starts at a time.
 func (s *faultSchedule) drawFault(at time.Duration) *randomFault {
 	duration := time.Duration(1+s.random.IntN(12)) * time.Second
 	if s.random.IntN(3) == 0 {
@@ -127,22 +128,22 @@
 		}
 	}
 	fault := &randomFault{faultSchedule: s, begin: at, duration: duration, target: target, affectedShare: 0.1 + 0.6*s.random.Float64()}
-	fault.effect = fault.oneOf(emulator.DropRequest, emulator.RefuseConnection, emulator.DeliverLate, emulator.DropResponse)
+	fault.effect = fault.randomEffect(emulator.DropRequest, emulator.RefuseConnection, emulator.DeliverLate, emulator.DropResponse)
 	return fault
 }
 
-// oneOf draws one of the effects.
-func (f *randomFault) oneOf(effects ...emulator.Fault) emulator.Fault {
+// randomEffect draws one of the effects.
+func (f *randomFault) randomEffect(effects ...emulator.Fault) emulator.Fault {
 	return effects[f.random.IntN(len(effects))]
 }
 
-// schedule calls begin when the fault begins, and the function that begin returns when it ends.
+// schedule calls begin when the fault starts, and the function that begin returns when it ends.
 func (f *randomFault) schedule(name string, begin func() (end func())) {
 	f.scheduleAt(f.begin, func() {
 		f.cluster.world.Tracef("== %s, for %v", name, f.duration)
 		end := begin()
 		f.scheduleAt(f.begin+f.duration, func() {
-			f.cluster.world.Tracef("== %s is over", name)
+			f.cluster.world.Tracef("== %s ends", name)
 			end()
 		})
 	})
--- a/internal/controller/service_limits_test.go
+++ b/internal/controller/service_limits_test.go
@@ -12,9 +12,9 @@
 	"ospreyslip/internal/settings"
 )
 
-// TestManyTasks checks that the completions of a job with many tasks are stored in chunks that fit
-// the store's value limit.
-func TestManyTasks(t *testing.T) {
+// TestCompletionsFitValueLimit checks that the completions of a job with many tasks are stored in
+// chunks that fit the store's value limit.
+func TestCompletionsFitValueLimit(t *testing.T) {
 	adjust := func(set *settings.Settings) { set.Deployment.Store.ValueKB, set.Deployment.Store.TxnOps = 1, 4 }
 	runCluster(t, adjust, func(c *cluster) {
 		c.world.Store.SetLimits(emulator.StoreLimits{ValueBytes: 1 << 10, TxnOps: 4, WritesPerSecond: 1000}) // TxnOps: fewer than there are machines
@@ -150,7 +150,7 @@
 			c.start(n)
 		}
 		c.advance(10 * time.Second)
-		c.submit("perch-0", batchJob("j-1", 2, 5)) // a controller without machine types would answer 503
+		c.submit("perch-0", batchJob("j-1", 2, 5)) // a controller without machine types would respond with 503
 		c.world.SetCloudOutage(false)
 		c.waitForDone(2*time.Minute, "j-1")
 	})
--- a/internal/jobs/jobapi/api.go
+++ b/internal/jobs/jobapi/api.go
@@ -40,10 +40,10 @@
 // Register adds the handlers of the API to mux. A request that finds no free slot is rejected at
 // once: queueing in front of a slow key-value store would only make users repeat their requests.
 func (a *API) Register(mux *http.ServeMux) {
-	a.slots = make(chan struct{}, a.Derived.API.QueueLength)
+	a.slots = make(chan struct{}, a.Derived.API.MaxConcurrentRequests)
 	mux.HandleFunc("POST /v1/jobs", a.withSlot(a.submitJob))
 	mux.HandleFunc("GET /v1/jobs/{id}", a.withSlot(a.showJob))
-	mux.HandleFunc("POST /v1/jobs/{id}/withdraw", a.withSlot(a.withdrawJob))
+	mux.HandleFunc("POST /v1/jobs/{id}/withdraw", a.withSlot(a.cancelJob))
 	mux.HandleFunc("GET /up", a.showReadiness)
 }
 
@@ -110,7 +110,7 @@
 	return newRevision, err == nil && len(failed) == 0, err
 }
 
-// displayState returns the state that users are shown. A record does not say whether tasks are
+// displayState returns the state that is shown to users. A record does not say whether tasks are
 // running; the task counts do.
 func (a *API) displayState(id string, rec *jobs.Record) string {
 	if !rec.Finished() {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -63,10 +63,10 @@
 	}
 	renew := func(c *Client) error { return c.RenewLease(context.Background(), 7) }
 	for _, test := range []struct {
-		name   string
-		answer cannedResponse
-		call   func(*Client) error
-		want   []string // exactly the sentinels that the error wraps; empty if the call succeeds
+		name     string
+		response cannedResponse
+		call     func(*Client) error
+		want     []string // exactly the sentinels that the error wraps; empty if the call succeeds
 	}{
 		{"commit without a response", cannedResponse{err: errConnection}, commit, []string{"outcome unknown", "connection"}},
 		{"commit over the rate limit", cannedResponse{status: 429}, commit, []string{"not executed", "rate limited"}},
@@ -75,7 +75,7 @@
 		{"commit with a malformed response", cannedResponse{status: 200, body: "{"}, commit, []string{"outcome unknown"}},
 		{"commit that is too large", cannedResponse{status: 400, body: `{"error":"value too large"}`}, commit, []string{"not executed", "invalid"}},
 		{"commit rejected without a JSON reason", cannedResponse{status: 400, body: "no JSON"}, commit, []string{"not executed", "invalid"}},
-		{"commit with a lease that has ended", cannedResponse{status: 400, body: `{"error":"no such lease"}`}, commit, []string{"no lease"}},
+		{"commit with an expired lease", cannedResponse{status: 400, body: `{"error":"no such lease"}`}, commit, []string{"no lease"}},
 		{"commit with a failed guard", cannedResponse{status: 409, body: `{"tide":8,"failed":["a"]}`}, commit, nil},
 		{"commit with status 410", cannedResponse{status: 410, body: "{}"}, commit, []string{"not executed"}},
 		{"commit", cannedResponse{status: 200, body: `{"tide":8}`}, commit, nil},
@@ -88,12 +88,12 @@
 		{"revision while the absent key exists", cannedResponse{status: 200, body: "{}"}, revision, []string{"not executed"}},
 		{"lease granted", cannedResponse{status: 200, body: `{"tether":7}`}, grant, nil},
 		{"lease with status 404", cannedResponse{status: 404, body: "{}"}, grant, []string{"not executed"}},
-		{"renewal of a lease that has ended", cannedResponse{status: 404, body: "{}"}, renew, []string{"no lease"}},
+		{"renewal of an expired lease", cannedResponse{status: 404, body: "{}"}, renew, []string{"no lease"}},
 		{"renewal with status 409", cannedResponse{status: 409, body: "{}"}, renew, []string{"not executed"}},
 		{"renewal", cannedResponse{status: 200}, renew, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			err := test.call(newTestClient(test.answer))
+			err := test.call(newTestClient(test.response))
 			if (err == nil) != (len(test.want) == 0) {
 				t.Fatalf("error %v, want %v", err, test.want)
 			}
@@ -110,8 +110,8 @@
 	}
 }
 
-// A request that exceeds the client's own rate limits must fail before it is sent. Only the limit of
-// requests is reported as ErrRateLimited; the error of the limit of writes does not tell the reason.
+// A request that exceeds the client's own rate limits must fail before it is sent. Only the request
+// limit is reported as ErrRateLimited; the write limit is not.
 func TestClientRateLimitsPreventSending(t *testing.T) {
 	transport := cannedResponse{err: errConnection}
 	limits := RateLimits{RequestsPerSecond: 0.001, WritesPerSecond: 0.001}
@@ -127,19 +127,19 @@
 	}
 }
 
-// An outage begins with a request that gets no response or a 503, and ends with another response. A
-// watch can only begin one, as an open watch may get its response during the outage.
+// An outage starts with a request that gets no response or a 503, and ends with any other response. A
+// watch can start an outage but not end it, because an open watch may get its response during one.
 func TestOutageTracking(t *testing.T) {
-	answer := &cannedResponse{}
-	client := New("state:1", roundTripperFunc(func(r *http.Request) (*http.Response, error) { return answer.RoundTrip(r) }),
+	response := &cannedResponse{}
+	client := New("state:1", roundTripperFunc(func(r *http.Request) (*http.Response, error) { return response.RoundTrip(r) }),
 		time.Second, RateLimits{RequestsPerSecond: 100, WritesPerSecond: 100})
 	get := func() { _, _, _ = client.Get(t.Context(), "a") }
 	watch := func() { _, _, _ = client.Watch(t.Context(), "", 1, time.Millisecond) }
 	for i, step := range []struct {
-		answer  cannedResponse
-		call    func()
-		failing bool
-		outages uint64
+		response cannedResponse
+		call     func()
+		failing  bool
+		outages  uint64
 	}{
 		{cannedResponse{status: 404, body: "{}"}, get, false, 0},
 		{cannedResponse{status: 503}, get, true, 1},
@@ -149,7 +149,7 @@
 		{cannedResponse{status: 503}, watch, true, 2},
 		{cannedResponse{status: 200, body: "{}"}, get, false, 2},
 	} {
-		*answer = step.answer
+		*response = step.response
 		step.call()
 		if client.Failing() != step.failing || client.Outages() != step.outages {
 			t.Errorf("step %d: failing %v, outages %d", i, client.Failing(), client.Outages())
@@ -164,10 +164,10 @@
 // A RequestError names the operation and the status of the response, if there was one.
 func TestRequestErrorFields(t *testing.T) {
 	for _, test := range []struct {
-		answer cannedResponse
-		call   func(*Client) error
-		want   RequestError // Err is not compared
-		text   string
+		response cannedResponse
+		call     func(*Client) error
+		want     RequestError // Err is not compared
+		text     string
 	}{
 		{
 			cannedResponse{status: 409, body: "{}"},
@@ -194,7 +194,7 @@
 			"renew lease: no such lease",
 		},
 	} {
-		err := test.call(newTestClient(test.answer))
+		err := test.call(newTestClient(test.response))
 		var requestErr *RequestError
 		if !errors.As(err, &requestErr) {
 			t.Errorf("%v is not a RequestError", err)
--- a/internal/leader/assignmentlog/record.go
+++ b/internal/leader/assignmentlog/record.go
@@ -13,22 +13,22 @@
 
 // SegmentRecord is the stored form of a segment.
 type SegmentRecord struct {
-	Number uint64             `json:"number"`
-	Begun  []MachineRecord    `json:"begun,omitempty"`
-	Ended  []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
-	Done   []CompletionRecord `json:"done,omitempty"`
-	Dead   []string           `json:"dead,omitempty"` // machines newly judged dead
+	Number  uint64             `json:"number"`
+	Started []MachineRecord    `json:"begun,omitempty"`
+	Ended   []uint64           `json:"over,omitempty"` // ended attempts of earlier segments
+	Done    []CompletionRecord `json:"done,omitempty"`
+	Dead    []string           `json:"dead,omitempty"` // machines newly judged dead
 }
 
 // MachineRecord lists the tasks assigned to one machine in one agent epoch.
 type MachineRecord struct {
-	Machine string       `json:"m"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"type"`
-	Zone    string       `json:"zone"`
-	Spot    bool         `json:"spot,omitempty"`
-	Session uint64       `json:"session"`
-	Tasks   []TaskRecord `json:"tasks"`
+	Machine    string       `json:"m"`
+	Addr       string       `json:"addr"`
+	Type       string       `json:"type"`
+	Zone       string       `json:"zone"`
+	Spot       bool         `json:"spot,omitempty"`
+	AgentEpoch uint64       `json:"session"`
+	Tasks      []TaskRecord `json:"tasks"`
 }
 
 // TaskRecord is one assignment. Its attempt is unique among all tasks. Workers identify the tasks
@@ -58,7 +58,7 @@
 // they were written. The caller has to restore the entries that they contain.
 func (l *Log) Load(config Config, stored []kvstore.KeyValue) []StoredSegment {
 	*l = Log{config: config, maxSegmentBytes: config.maxSegmentBytes(), keys: map[string]bool{}}
-	var read []StoredSegment
+	var loaded []StoredSegment
 	for _, pair := range stored {
 		segment := StoredSegment{Segment: cluster.NewSegment(pair.Key, pair.Revision)}
 		segment.Bytes = len(pair.Value)
@@ -67,26 +67,26 @@
 			slog.Error("segment of the assignment log unreadable", "key", pair.Key, "reason", err)
 			segment.Unreadable = true
 		}
-		read = append(read, segment)
+		loaded = append(loaded, segment)
 	}
-	slices.SortFunc(read, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
-	l.addUnwrittenSegments(minSegments - len(read))
-	for _, segment := range read {
+	slices.SortFunc(loaded, func(a, b StoredSegment) int { return cmp.Compare(a.Record.Number, b.Record.Number) })
+	l.addUnwrittenSegments(minSegments - len(loaded))
+	for _, segment := range loaded {
 		l.segments = append(l.segments, segment.Segment)
 		l.newestNumber = max(l.newestNumber, segment.Record.Number)
 	}
-	return read
+	return loaded
 }
 
 // ReferencedJobs returns the ids of all jobs that have tasks in the segments.
 func ReferencedJobs(segments []StoredSegment) map[string]bool {
-	named := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, segment := range segments {
-		for _, machine := range segment.Record.Begun {
+		for _, machine := range segment.Record.Started {
 			for _, task := range machine.Tasks {
-				named[task.Job] = true
+				referenced[task.Job] = true
 			}
 		}
 	}
-	return named
+	return referenced
 }
--- a/internal/leader/event_loop.go
+++ b/internal/leader/event_loop.go
@@ -30,7 +30,7 @@
 }
 
 // heartbeatRequest is a heartbeat whose sender waits for a response. The response is nil if the
-// leader must not answer.
+// leader must not respond.
 type heartbeatRequest struct {
 	heartbeat *workers.Heartbeat
 	reply     chan *workers.HeartbeatResponse
@@ -57,7 +57,7 @@
 		case apply := <-l.inbox.events:
 			apply(time.Now())
 		case request := <-l.inbox.heartbeats:
-			request.reply <- l.answerHeartbeat(request.heartbeat, time.Now())
+			request.reply <- l.handleHeartbeat(request.heartbeat, time.Now())
 		case <-ticker.C:
 			l.tick(ctx, time.Now())
 		}
@@ -77,7 +77,7 @@
 		case apply := <-l.inbox.events:
 			apply(time.Now())
 		case request := <-l.inbox.heartbeats:
-			request.reply <- l.answerHeartbeat(request.heartbeat, time.Now())
+			request.reply <- l.handleHeartbeat(request.heartbeat, time.Now())
 		default:
 			return
 		}
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -17,7 +17,7 @@
 	}
 	progress := l.failover.Progress(now)
 	slog.Info("failover settled", "term", l.fencing.Current, "afterS", progress.DoneS, "machines", progress.Expected,
-		"heard", progress.Reported, "never", progress.NeverReported, "answerS", progress.FirstAnswerS,
+		"heard", progress.Reported, "never", progress.NeverReported, "answerS", progress.FirstResponseS,
 		"orderS", progress.FirstCommandS, "commands", progress.Commands)
 	l.planner.PlanRequested = true
 }
@@ -27,7 +27,7 @@
 // has waited for preemptionDelay.
 func (l *Leader) mayPreempt(job *cluster.Job, now time.Time) bool {
 	if !l.failover.AwaitsCapacity(now) {
-		return true // the common case: it differs only in the first seconds of a term
+		return true // always, except in the first seconds of a term
 	}
 	return l.failover.MayPreempt(now, job.Scheduling.LastServedAt, l.preemptionDelay(job))
 }
--- a/internal/leader/recoverer/recoverer_test.go
+++ b/internal/leader/recoverer/recoverer_test.go
@@ -56,7 +56,7 @@
 // called reports whether a call was made.
 func (f *fakeLeader) called(call string) bool { return slices.Contains(f.calls, call) }
 
-// unresponsivePeers are other controllers that never answer.
+// unresponsivePeers are other controllers that never respond.
 type unresponsivePeers []string
 
 func (p unresponsivePeers) Peers() []string { return p }
@@ -181,7 +181,7 @@
 	attempt := uint64(termToken+2)<<s.cfg.AttemptBits + 3
 	log := []assignmentlog.StoredSegment{{
 		Segment: cluster.NewSegment(assignmentlog.Prefix+"0", 1),
-		Record: assignmentlog.SegmentRecord{Number: 1, Begun: []assignmentlog.MachineRecord{
+		Record: assignmentlog.SegmentRecord{Number: 1, Started: []assignmentlog.MachineRecord{
 			{Machine: "m-1", Tasks: []assignmentlog.TaskRecord{{Job: "j-000001", Attempt: attempt}}},
 		}},
 	}}
--- a/internal/leader/scaler/demand.go
+++ b/internal/leader/scaler/demand.go
@@ -16,14 +16,14 @@
 
 // demand returns the tasks for which to provision machines: tasks of services and gangs immediately,
 // batch tasks only if they would be late on the present machines.
-func (s *Scaler) demand(now time.Time, unmet []placement.Demand) []autoscaler.Demand {
+func (s *Scaler) demand(now time.Time, unmetDemand []placement.Demand) []autoscaler.Demand {
 	var lateTasks []int // in queue order
 	missingCPUs := 0.0
-	if queue := s.batchQueue(unmet); len(queue) > 0 {
+	if queue := s.batchQueue(unmetDemand); len(queue) > 0 {
 		lateTasks, missingCPUs = autoscaler.ForecastLateTasks(s.forecastMachines(now), queue), s.missingCPUs(now)
 	}
 	var demands []autoscaler.Demand
-	for _, d := range unmet {
+	for _, d := range unmetDemand {
 		count := d.Count
 		if d.Job.Spec.Shape == jobs.Batch {
 			count, missingCPUs = s.batchDemand(d, lateTasks[0], missingCPUs)
@@ -37,8 +37,8 @@
 }
 
 // batchQueue returns the batch tasks without a machine in the form that the forecast takes.
-func (s *Scaler) batchQueue(unmet []placement.Demand) (queue []autoscaler.PendingTasks) {
-	for _, d := range unmet {
+func (s *Scaler) batchQueue(unmetDemand []placement.Demand) (queue []autoscaler.PendingTasks) {
+	for _, d := range unmetDemand {
 		if spec := d.Job.Spec; spec.Shape == jobs.Batch {
 			queue = append(queue, autoscaler.PendingTasks{
 				Spec: spec, Count: d.Count, RunS: s.host.RunTimeS(spec),
@@ -77,8 +77,8 @@
 	return defaultDeadlineFactor * (s.host.RunTimeS(job.Spec) + s.deps.Catalog.ShortestBootTime().Seconds())
 }
 
-// missingCPUs returns how many CPUs are missing, beside those that services use, to keep up with the
-// recent arrival rate of batch work or to clear the backlog within the same window.
+// missingCPUs returns how many CPUs are missing, in addition to those that services use, to keep up
+// with the recent arrival rate of batch work and to clear the backlog within the same window.
 func (s *Scaler) missingCPUs(now time.Time) float64 {
 	missing := max(s.arrivals.cpusAt(now), s.backlogCPUSeconds()/s.arrivals.window.Seconds())
 	for _, m := range s.deps.State.Machines.All {
@@ -104,7 +104,7 @@
 // backlogCPUSeconds returns the work of all incomplete tasks that run to completion, in CPU seconds.
 func (s *Scaler) backlogCPUSeconds() (work float64) {
 	for _, job := range s.deps.State.Jobs {
-		if !job.IsOver() && job.Spec.RunsToCompletion() {
+		if !job.IsFinished() && job.Spec.RunsToCompletion() {
 			work += float64(job.Spec.Tasks-job.Completions.Count) * s.host.RunTimeS(job.Spec) * job.Spec.CPUs
 		}
 	}
--- a/internal/leader/scaler/provision.go
+++ b/internal/leader/scaler/provision.go
@@ -41,11 +41,11 @@
 
 // provision requests the missing machines with a limited number of requests in flight. More requests
 // would only queue at the cloud and be out of date when they are served.
-func (s *Scaler) provision(ctx context.Context, now time.Time, unmet []placement.Demand) {
-	if s.provisioning.inFlight >= s.deps.Derived.Cloud.RentalsInFlight {
+func (s *Scaler) provision(ctx context.Context, now time.Time, unmetDemand []placement.Demand) {
+	if s.provisioning.inFlight >= s.deps.Derived.Cloud.MaxProvisionRequestsInFlight {
 		return
 	}
-	demands := s.demand(now, unmet)
+	demands := s.demand(now, unmetDemand)
 	if len(demands) == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 		OutOfCapacity: func(pool autoscaler.MachinePool) bool { return s.isUnavailable(pool, now) },
 	})
 	for _, pool := range autoscaler.PoolsLargestFirst(plan) {
-		for remaining := plan[pool]; remaining > 0 && s.provisioning.inFlight < s.deps.Derived.Cloud.RentalsInFlight; remaining -= autoscaler.MaxMachinesPerRequest {
+		for remaining := plan[pool]; remaining > 0 && s.provisioning.inFlight < s.deps.Derived.Cloud.MaxProvisionRequestsInFlight; remaining -= autoscaler.MaxMachinesPerRequest {
 			s.startProvision(ctx, pool, min(remaining, autoscaler.MaxMachinesPerRequest))
 		}
 	}
@@ -95,9 +95,9 @@
 	go s.requestProvision(ctx, cloud.ProvisionRequest{Name: name, MachinePool: pool, Count: count})
 }
 
-// requestProvision sends a provisioning request until its outcome is known. After any failure but a
-// lack of capacity it sends the same request again, which the cloud executes only once. It runs on
-// its own goroutine.
+// requestProvision sends a provisioning request until its outcome is known or leadership is not
+// held. After any failure but a lack of capacity it sends the same request again, which the cloud
+// executes only once. It runs on its own goroutine.
 func (s *Scaler) requestProvision(ctx context.Context, request cloud.ProvisionRequest) {
 	ids, err := backoff.Retry(ctx, func() ([]string, error) {
 		if !s.deps.Valid() {
