--- a/tools/rename/rename.go
+++ b/tools/rename/rename.go
@@ -105,16 +105,17 @@
 	return member
 }
 
+// resolveLocals adds what a request names inside a function of the package.
 func (r *renaming) resolveLocals(pkg *packages.Package, function types.Object, request request) (found bool) {
 	for _, file := range pkg.Syntax {
 		for _, declaration := range file.Decls {
-			function, ok := declaration.(*ast.FuncDecl)
-			if !ok || r.placeOf(function.Name.Pos()) != r.placeOf(lookUp(pkg.Types.Scope(), request.path).Pos()) {
+			declared, ok := declaration.(*ast.FuncDecl)
+			if !ok || declared.Name.Pos() != function.Pos() {
 				continue
 			}
-			ast.Inspect(function, func(node ast.Node) bool {
+			ast.Inspect(declared, func(node ast.Node) bool {
 				identifier, ok := node.(*ast.Ident)
-				if !ok || identifier.Name != request.local || identifier == function.Name {
+				if !ok || identifier.Name != request.local || identifier == declared.Name {
 					return true
 				}
 				if _, defines := pkg.TypesInfo.Defs[identifier]; defines {
@@ -159,21 +160,22 @@
 // first word of the doc comment. In the package's other comments only a name is followed that no English word can
 // be, and that is not also the name of something else there.
 func (r *renaming) editComments(requests []request) {
-	for _, name := range r.fileNames() {
-		for _, request := range requests {
-			if request.local != "" {
-				continue
-			}
+	for _, request := range requests {
+		if request.local != "" {
+			continue
+		}
+		old := regexp.QuoteMeta(request.oldName())
+		isUnambiguous := mixedCaps.MatchString(request.oldName()) && !r.otherUses(request)
+		for _, name := range r.fileNames() {
 			inside := filepath.ToSlash(filepath.Dir(name)) == request.directory
-			old := regexp.QuoteMeta(request.oldName())
 			switch {
-			case inside && mixedCaps.MatchString(request.oldName()) && !r.otherUses(request):
+			case inside && isUnambiguous:
 				r.replaceInComments(name, r.files[name].Comments, `\b`+old+`\b`, request.newName)
 			case inside:
 				r.replaceInComments(name, r.docComments(name, request), `^// `+old+`\b`, "// "+request.newName)
 			case len(request.path) == 1:
-				qualifier := regexp.QuoteMeta(filepath.Base(request.directory))
-				r.replaceInComments(name, r.files[name].Comments, `\b`+qualifier+`\.`+old+`\b`, filepath.Base(request.directory)+"."+request.newName)
+				qualifier := filepath.Base(request.directory)
+				r.replaceInComments(name, r.files[name].Comments, `\b`+regexp.QuoteMeta(qualifier)+`\.`+old+`\b`, qualifier+"."+request.newName)
 			}
 		}
 	}
